--- a/crates/snapshot/src/line.rs
+++ b/crates/snapshot/src/line.rs
@@ -11,6 +11,8 @@
 
 /// Raw bytes of a record of a base.
 const PIECE: usize = 128 * 1024;
+/// Changes in a record of a log, where they are short.
+const CHANGES_IN_RECORD: usize = 256;
 /// A log shorter than this is not worth a new base.
 const LEAST_LOG: usize = 256 * 1024;
 /// Pairs of base and log that are kept.
@@ -131,13 +133,10 @@
 
     /// Adds what a watch told. It is safe only after `sync`.
     pub fn append(&mut self, changes: &[Change], revision: u64) -> io::Result<()> {
-        for some in changes.chunks(256) {
-            let mut out = Out::default();
-            out.number(revision);
-            out.number(now_ms());
-            for c in some {
-                encode(&mut out, &c.key, c.entry.as_ref());
-            }
+        let mut rest = changes;
+        while !rest.is_empty() {
+            let (out, count) = next_record(rest, revision);
+            rest = &rest[count..];
             let n = record::write(
                 &mut self.log,
                 &self.key,
@@ -171,6 +170,24 @@
     }
 }
 
+/// A record of the first of these changes, and how many it holds: as many as can be read back.
+fn next_record(changes: &[Change], revision: u64) -> (Out, usize) {
+    let mut out = Out::default();
+    out.number(revision);
+    out.number(now_ms());
+    let mut count = 0;
+    for change in changes.iter().take(CHANGES_IN_RECORD) {
+        let length = out.0.len();
+        encode(&mut out, &change.key, change.entry.as_ref());
+        if out.0.len() > record::MOST_BYTES && count > 0 {
+            out.0.truncate(length);
+            break;
+        }
+        count += 1;
+    }
+    (out, count)
+}
+
 fn write_base(
     out: impl Write,
     key: &Key,
--- a/crates/snapshot/src/line/tests.rs
+++ b/crates/snapshot/src/line/tests.rs
@@ -38,6 +38,23 @@
     seen
 }
 
+/// The pages of 6,000 machines, told in one answer to an archivist that was held up.
+#[test]
+fn a_log_of_many_long_values_told_at_once_can_be_read() {
+    let dir = tempfile::tempdir().unwrap();
+    let mut image = Image::default();
+    image.apply(vec![put("a", 1, "{}")], 1);
+    let mut writer = Writer::begin(dir.path(), KEY, "s", &image).unwrap();
+    let page = format!("{:?}", "x".repeat(8 * 1024));
+    let pages = (0..300).map(|n| put(&format!("p/{n}"), 2 + n, &page));
+    let pages: Vec<Change> = pages.collect();
+    writer.append(&pages, 301).unwrap();
+    image.apply(pages, 301);
+    writer.sync().unwrap();
+    let line = read(dir.path(), &KEY).unwrap().unwrap();
+    assert_eq!((&line.image, line.faults.len()), (&image, 0));
+}
+
 /// The writer may be ended at any byte: what was written before is read, and it is said that more
 /// was to come.
 #[test]
