--- a/crates/scale/src/run/tests.rs
+++ b/crates/scale/src/run/tests.rs
@@ -13,6 +13,17 @@
     assert_eq!(tasks(&three), 3 * tasks(&one));
 }
 
+#[test]
+fn the_large_scenario_has_6000_machines_and_ends_two_controllers_while_it_is_measured() {
+    let text = include_str!("../../../../scenarios/hollow-6000.toml");
+    let scenario = Scenario::parse("hollow-6000.toml", text).unwrap();
+    assert_eq!(most_machines(&scenario), 6000);
+    assert!(scenario.sockets > 6000);
+    let measured = scenario.load_s * WARM..scenario.load_s;
+    assert_eq!(scenario.events.len(), 2);
+    assert!(scenario.events.iter().all(|e| measured.contains(&e.at_s)));
+}
+
 #[test]
 fn what_has_no_room_is_refused_before_anything_is_begun() {
     let huge = scaled(&sample(), 1e6);
--- a/crates/standin/src/cluster.rs
+++ b/crates/standin/src/cluster.rs
@@ -236,7 +236,7 @@
                             "cancel_s": scenario.lease_s + 22.0},
                 "state": {"rps": 300.0, "write_rps": 120.0, "value_kb": 8.0, "txn_ops": 32},
                 "cloud": {"rps": 10.0, "list_lag_s": 0.1},
-                "quota": {"mem_mb": 256.0, "fd_limit": 2000}
+                "quota": {"mem_mb": scenario.memory_mb, "fd_limit": scenario.sockets}
             }
         });
         write(
@@ -452,10 +452,13 @@
 
 fn end(number: usize, back_s: f64, controllers: &Arc<Controllers>) {
     controllers.kill(number);
-    let again = controllers.clone();
+    // The run may be over by then; nobody would end what is started after it.
+    let again = Arc::downgrade(controllers);
     std::thread::spawn(move || {
         std::thread::sleep(Duration::from_secs_f64(back_s));
-        if let Err(e) = again.start(number) {
+        if let Some(controllers) = again.upgrade()
+            && let Err(e) = controllers.start(number)
+        {
             eprintln!("starting controller {number} again: {e}");
         }
     });
--- a/crates/standin/src/scenario.rs
+++ b/crates/standin/src/scenario.rs
@@ -25,6 +25,11 @@
     pub report_s: f64,
     #[serde(default = "lease_s")]
     pub lease_s: f64,
+    /// What each controller may use.
+    #[serde(default = "memory_mb")]
+    pub memory_mb: f64,
+    #[serde(default = "sockets")]
+    pub sockets: u32,
     pub zones: Vec<String>,
     #[serde(rename = "machine")]
     pub machines: Vec<Machine>,
@@ -42,6 +47,14 @@
     8.0
 }
 
+fn memory_mb() -> f64 {
+    256.0
+}
+
+fn sockets() -> u32 {
+    2000
+}
+
 fn whole() -> f64 {
     1.0
 }
@@ -149,6 +162,15 @@
             let why = "lease_s: not between three times report_s and 600";
             return fault(find("lease_s"), why.into());
         }
+        if !(32.0..=65536.0).contains(&s.memory_mb) {
+            return fault(
+                find("memory_mb"),
+                "memory_mb: not between 32 and 65536".into(),
+            );
+        }
+        if !(96..=65536).contains(&s.sockets) {
+            return fault(find("sockets"), "sockets: not between 96 and 65536".into());
+        }
         if s.zones.is_empty() || s.machines.is_empty() || s.jobs.is_empty() {
             return fault(0, "zones, a [[machine]] and a [[job]] are needed".into());
         }
--- a/crates/standin/src/scenario/tests.rs
+++ b/crates/standin/src/scenario/tests.rs
@@ -22,5 +22,7 @@
     let with = |line: &str| format!("{line}\nload_s = 45");
     assert!(told("load_s = 45", &with("report_s = 0.01")).contains("report_s"));
     assert!(told("load_s = 45", &with("lease_s = 2.5")).contains("lease_s"));
+    assert!(told("load_s = 45", &with("memory_mb = 1")).contains("memory_mb"));
+    assert!(told("load_s = 45", &with("sockets = 10")).contains("sockets"));
     assert!(Scenario::parse("s", "").unwrap_err().starts_with("s:1: "));
 }
