--- a/src/core/losses.rs
+++ b/src/core/losses.rs
@@ -14,6 +14,8 @@
 /// Added to the time after which a leader that hears nobody resigns: for a takeover costs more
 /// than a moment's silence.
 const DEAF_MARGIN: Duration = Duration::from_millis(1000);
+/// Between two looks at what cancelled jobs have left.
+const FORGET_EVERY: Duration = Duration::from_millis(250);
 /// Added to a worker's lease before its tasks count as gone: for drift, and for slow timers.
 const LEASE_MARGIN: Duration = Duration::from_millis(1500);
 
@@ -50,6 +52,23 @@
 }
 
 impl Core {
+    /// Forgets what was left of jobs that were cancelled so long ago that every lease has run out since. Each
+    /// controller does, so that what it remembers is bounded by the pace of cancellations.
+    pub(super) fn forget_cancelled(&mut self) {
+        let now = self.now.mono;
+        if self
+            .cancelled_forgotten
+            .is_some_and(|t| now < t + FORGET_EVERY)
+        {
+            return;
+        }
+        self.cancelled_forgotten = Some(now);
+        let gone = run_out(self.settings.lease).max(self.settings.cancel);
+        if let Ok(since) = (self.now.wall - gone).duration_since(SystemTime::UNIX_EPOCH) {
+            self.mirror.nothing_left_before(since.as_millis() as u64);
+        }
+    }
+
     /// Losses, notices and the cloud's list.
     pub(super) fn tend_machines(&mut self) {
         let now = self.now.mono;
@@ -61,10 +80,6 @@
             return;
         }
         lead.tended = Some(now);
-        let gone = run_out(self.settings.lease).max(self.settings.cancel);
-        if let Ok(since) = (self.now.wall - gone).duration_since(SystemTime::UNIX_EPOCH) {
-            self.mirror.nothing_left_before(since.as_millis() as u64);
-        }
         self.tend_delegates();
         let Some(lead) = &mut self.lead else { return };
         let report = self.settings.report;
--- a/src/core/mirror.rs
+++ b/src/core/mirror.rs
@@ -21,9 +21,6 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
 
-/// So many jobs are known for what is left of them, the latest.
-const MOST_LEFT: usize = 2048;
-
 mod loss;
 mod memory;
 mod row_set;
@@ -115,6 +112,8 @@
     pub versions: Versions,
     /// What may be left of jobs that were cancelled lately.
     pub left: BTreeMap<JobId, Left>,
+    /// What was cancelled before (milliseconds since 1970) is on no machine any more.
+    nothing_left_before_ms: u64,
 }
 
 impl Mirror {
@@ -133,6 +132,7 @@
             ahead,
             versions,
             left,
+            nothing_left_before_ms: self.nothing_left_before_ms,
             changed: before.keys().cloned().collect(),
             loaded: true,
             revision,
@@ -174,6 +174,7 @@
 
     /// What was cancelled before this moment is on no machine any more.
     pub fn nothing_left_before(&mut self, at_ms: u64) {
+        self.nothing_left_before_ms = at_ms;
         self.left.retain(|_, l| l.at_ms >= at_ms);
     }
 
@@ -324,14 +325,8 @@
                 }
             }
             JobValue::Over { end, left } => {
-                if let Some(left) = left {
+                if let Some(left) = left.filter(|l| l.at_ms >= self.nothing_left_before_ms) {
                     self.left.insert(id.clone(), left);
-                    if self.left.len() > MOST_LEFT
-                        && let Some(oldest) = self.left.iter().min_by_key(|(_, l)| l.at_ms)
-                    {
-                        let oldest = oldest.0.clone();
-                        self.left.remove(&oldest);
-                    }
                 }
                 let job = self.jobs.remove(&id);
                 let awaits = job.as_ref().map_or(&[][..], |j| &j.spec.awaits);
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -343,6 +343,8 @@
     /// Creations of jobs on their way, and when each is looked at next.
     unanswered_creations: VecDeque<(Instant, CallId)>,
     mirror: Mirror,
+    /// When it was last looked whether cancelled jobs can still have something left.
+    cancelled_forgotten: Option<Instant>,
     lease: Option<lead::Lease>,
     lead: Option<lead::Lead>,
     /// Whether controllers serve workers for the one that leads.
@@ -508,6 +510,7 @@
             pending: BTreeMap::new(),
             unanswered_creations: VecDeque::new(),
             mirror: Mirror::default(),
+            cancelled_forgotten: None,
             lease: None,
             lead: None,
             delegating,
@@ -553,6 +556,7 @@
                 lead.deaf_until = now.mono + self.settings.report * 2;
             }
         }
+        self.forget_cancelled();
         let mut reports = Vec::new();
         let mut syncs = Vec::new();
         for command in commands {
