--- a/src/core/commands.rs
+++ b/src/core/commands.rs
@@ -17,7 +17,7 @@
 
 const ASK_PAUSE: Duration = Duration::from_millis(300);
 /// More orders than this would make an answer longer than a worker accepts.
-const MOST_ORDERS: usize = 400;
+pub(super) const MOST_ORDERS: usize = 400;
 /// Direct calls on their way at a time: what the threads that make them finish well within the
 /// leader's word, so that none is given up unsent for having queued too long.
 pub(super) const MOST_DIRECT: usize = 2 * crate::service::DIRECT_THREADS;
--- a/src/core/delegation.rs
+++ b/src/core/delegation.rs
@@ -292,7 +292,7 @@
                 }
                 let gone = || Answer::busy("this machine is gone", 30);
                 let body = self.tell(&id).ok_or_else(gone)?;
-                size += 32 + body.orders.len() * 40;
+                size += link::size_of_answer(&body.orders);
                 let calm = body.orders.is_empty() && self.lend(&id, &work.from);
                 Ok(ToldKind::Orders {
                     token: body.token,
@@ -310,15 +310,13 @@
         let Some(d) = lead.delegates.by_name.get_mut(&work.from) else {
             return;
         };
-        for sent in d.recalls.values_mut() {
-            sent.get_or_insert(work.number);
-        }
+        let recalled = d.recalls_for_frame(work.number);
         let answer = Synced {
             number: work.number,
             term,
             grant: d.issued.grant(word, now),
             refused: false,
-            recalled: d.recalls.keys().cloned().collect(),
+            recalled,
             answers,
             asks,
             moves: std::mem::take(&mut d.moves),
@@ -475,6 +473,24 @@
     }
 }
 
+impl Delegate {
+    /// Machines to take back, as many as a frame takes. One that was told once is told again in every answer
+    /// until the borrower has taken in one of them: whichever that is, it told all of these.
+    fn recalls_for_frame(&mut self, number: u64) -> Vec<MachineId> {
+        let told = self.recalls.iter().filter(|(_, since)| since.is_some());
+        let new = self.recalls.iter().filter(|(_, since)| since.is_none());
+        let mut recalled: Vec<MachineId> = told.chain(new).map(|(id, _)| id.clone()).collect();
+        recalled.truncate(link::names_that_fit(&recalled));
+        recalled.sort_unstable();
+        for id in &recalled {
+            if let Some(since) = self.recalls.get_mut(id) {
+                since.get_or_insert(number);
+            }
+        }
+        recalled
+    }
+}
+
 impl Lead {
     /// A report was answered for us: only a machine that was lent can have had one.
     fn heard_of(&mut self, h: &Heard, from: &Arc<str>, now: Instant) {
@@ -493,3 +509,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/core/delegation/tests.rs
@@ -0,0 +1,75 @@
+use super::super::commands::MOST_ORDERS;
+use super::*;
+use crate::wire::Order;
+
+const MACHINES: usize = 6000;
+
+fn machine(number: usize) -> MachineId {
+    format!("instance-0123456789abcdef-0123456-{number:06}").into()
+}
+
+fn borrower() -> Delegate {
+    Delegate {
+        issued: Issued::first(1, 0, Instant::now()),
+        recalls: (0..MACHINES).map(|n| (machine(n), None)).collect(),
+        moves: Vec::new(),
+        lends: true,
+    }
+}
+
+/// The borrower names only the newest answer that it has taken in: all that an earlier one took back has to be in
+/// each later one, also when machines are added that come first by name.
+#[test]
+fn what_an_answer_took_back_is_in_all_later_ones_until_it_is_acknowledged() {
+    let mut borrower = borrower();
+    let first = borrower.recalls_for_frame(1);
+    assert!(!first.is_empty() && first.len() < MACHINES);
+    borrower.recalls.insert("a-comes-first".into(), None);
+    assert_eq!(borrower.recalls_for_frame(2), first);
+    let mut taken_back = 0;
+    for number in 2.. {
+        let acknowledged =
+            |_: &MachineId, since: &mut Option<u64>| since.is_some_and(|n| n < number);
+        taken_back += borrower.recalls.extract_if(.., acknowledged).count();
+        let told = borrower.recalls_for_frame(number);
+        let since = |id: &MachineId| borrower.recalls[id];
+        assert!(told.iter().all(|id| since(id) == Some(number)));
+        if told.is_empty() {
+            break;
+        }
+    }
+    assert_eq!(taken_back, MACHINES + 1);
+}
+
+/// The fullest answer: as many starts as fit, with the longest ids, and one answer more, as it is only then seen
+/// that no more fit; all machines to take back, and as many to ask as are given out at a time.
+#[test]
+fn the_fullest_answer_to_a_controller_with_6000_workers_can_be_read() {
+    let digits = "9".repeat(32);
+    let order = Order::Stop {
+        task: format!("wk-{digits}/99999"),
+        attempt: u64::MAX,
+        grace: 3.0,
+    };
+    let orders = vec![order; MOST_ORDERS];
+    let answers = MOST_ANSWERS / link::size_of_answer(&orders) + 2;
+    let told = |name| Told {
+        name,
+        kind: ToldKind::Orders {
+            token: 1,
+            orders: orders.clone(),
+            calm: false,
+        },
+    };
+    let synced = Synced {
+        recalled: borrower().recalls_for_frame(1),
+        answers: (0..answers as u64).map(told).collect(),
+        asks: (0..ASKED_BY_ANOTHER)
+            .map(|n| (machine(n), "255.255.255.255:65535".into()))
+            .collect(),
+        ..Synced::default()
+    };
+    let frame = link::encode_synced(&synced);
+    let (_, body) = crate::peer::read_frame(&mut frame.as_slice()).unwrap();
+    assert_eq!(link::decode_synced(&body), Some(synced));
+}
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -69,6 +69,7 @@
 mod recovery;
 mod relay;
 mod renting;
+mod report_queue;
 mod reports;
 mod run;
 #[cfg(test)]
@@ -76,6 +77,8 @@
 mod scheduling;
 #[cfg(test)]
 mod side_by_side;
+#[cfg(test)]
+mod size_scenarios;
 mod status;
 #[cfg(test)]
 mod stories;
--- a/src/core/relay.rs
+++ b/src/core/relay.rs
@@ -9,6 +9,7 @@
 
 use super::commands::MOST_DIRECT;
 use super::lead::{HEARTBEAT, Lead};
+use super::report_queue::{ReportQueue, Waiting};
 use super::reports::led_to;
 use super::{Core, Effect, Pending, Ticket};
 use crate::guard::{Guard, stands};
@@ -21,7 +22,7 @@
 use burlusher_membership::grant::Held;
 use burlusher_membership::share;
 use burlusher_membership::view::Abilities;
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
 /// A leader that granted in this term may be dead with its key still there, for the lease's time
@@ -30,13 +31,11 @@
 const HOPE: Duration = Duration::from_millis(1800);
 /// A leader at work answers a frame in a small part of this.
 const LATE: Duration = Duration::from_millis(350);
-/// Reports that come closer together than this go together.
+/// Reports that come closer together than this go together, as far as a frame takes them.
 const GATHER: Duration = Duration::from_millis(50);
 /// A worker waits 4 s for an answer, and its report was under way for a moment.
 const LONGEST_WAIT: Duration = Duration::from_millis(3000);
 const LATEST_ANSWER: Duration = Duration::from_millis(3400);
-/// Reports that wait; beyond that workers are told to come back.
-const MOST_WAITING: usize = 1024;
 /// After failures in a row, the leader is left alone for this long, doubled each time up to the
 /// longest: it may be a version that drops the connection. One that granted just now is asked at
 /// the shortest pace: a lost packet, or a cut that may end.
@@ -58,13 +57,6 @@
     calm: Option<(Digest, u64)>,
 }
 
-struct Waiting {
-    /// `None`: the report came as an answer to a direct command.
-    ticket: Option<Ticket>,
-    report: Box<Report>,
-    received: Instant,
-}
-
 struct Sent {
     number: u64,
     at: Instant,
@@ -79,7 +71,9 @@
     workers: BTreeMap<MachineId, Worker>,
     /// Workers that were answered here, of which the leader has yet to be told.
     untold: BTreeSet<MachineId>,
-    waiting: VecDeque<Waiting>,
+    /// The newest answer that was taken in before a frame which left none of them out.
+    acknowledged: u64,
+    waiting: ReportQueue,
     sent: Option<Sent>,
     number: u64,
     answered: u64,
@@ -207,6 +201,41 @@
         self.grant = Some(held);
     }
 
+    /// Machines that gave no answer, as many as a frame takes.
+    fn failed_for_frame(&mut self) -> Vec<MachineId> {
+        let count = link::names_that_fit(&self.failed);
+        self.failed.drain(..count).collect()
+    }
+
+    /// Machines whose reports were answered here, as many as a frame takes.
+    fn heard_for_frame(&mut self, now: Instant) -> Vec<Heard> {
+        let mut heard = Vec::new();
+        let mut size = 0;
+        while size < link::MOST_HEARD_BYTES
+            && let Some(id) = self.untold.pop_first()
+        {
+            if let Some(w) = self.workers.get(&id) {
+                size += link::size_of_heard(&id);
+                heard.push(Heard {
+                    machine: id,
+                    session: w.session,
+                    seq: w.seq,
+                    age: now.saturating_duration_since(w.seen),
+                });
+            }
+        }
+        heard
+    }
+
+    /// The answer to tell the leader as taken in. It counts what that took back as its own from then on, and
+    /// has to have heard before of all that was answered here until then.
+    fn acknowledge(&mut self) -> u64 {
+        if self.untold.is_empty() {
+            self.acknowledged = self.answered;
+        }
+        self.acknowledged
+    }
+
     fn sweep(&mut self, now: Instant, lease: Duration) {
         if self.swept.is_some_and(|t| now < t + Duration::from_secs(5)) {
             return;
@@ -243,10 +272,10 @@
         if self.state_is_stale() || !self.leader_may_answer() {
             return self.redirect(ticket);
         }
-        if self.relay.waiting.len() >= MOST_WAITING {
+        if !self.relay.waiting.has_room(&self.settings) {
             return self.answer(ticket, Answer::busy("overloaded", 1));
         }
-        self.relay.waiting.push_back(Waiting {
+        self.relay.waiting.push(Waiting {
             ticket: Some(ticket),
             report,
             received: now,
@@ -269,7 +298,7 @@
             return Vec::new();
         }
         let mut out = Vec::new();
-        for w in std::mem::take(&mut self.relay.waiting) {
+        for w in self.relay.waiting.take_all() {
             match w.ticket {
                 Some(ticket) => out.extend(self.report(ticket, w.report)),
                 None => {
@@ -288,12 +317,8 @@
         }
         let now = self.now.mono;
         self.relay.sweep(now, self.settings.lease);
-        while (self.relay.waiting.front())
-            .is_some_and(|w| now.saturating_duration_since(w.received) > LONGEST_WAIT)
-        {
-            if let Some(w) = self.relay.waiting.pop_front()
-                && let Some(ticket) = w.ticket
-            {
+        while let Some(w) = self.relay.waiting.pop_overdue(now, LONGEST_WAIT) {
+            if let Some(ticket) = w.ticket {
                 self.answer(ticket, Answer::busy("no leader yet", 1));
             }
         }
@@ -311,6 +336,8 @@
         let relay = &self.relay;
         let pause = if relay.waiting.is_empty() {
             HEARTBEAT
+        } else if relay.waiting.exceeds_a_frame() {
+            Duration::ZERO
         } else {
             GATHER
         };
@@ -334,40 +361,25 @@
             from: self.settings.name.clone(),
             incarnation: relay.incarnation,
             number: relay.number,
-            answered: relay.answered,
             abilities: Abilities::REPORTS.0,
             load: (relay.workers.values())
                 .filter(|w| now.saturating_duration_since(w.seen) < recent)
                 .count() as u32,
             to_show: (relay.to_show.len() + relay.shows_out) as u32,
             term: relay.grant.map_or(0, |g| g.term),
-            failed: std::mem::take(&mut relay.failed),
+            failed: relay.failed_for_frame(),
             ..Sync::default()
         };
         if relay.introduced != term {
             let lately = |w: &&Worker| now.saturating_duration_since(w.seen) < recent;
             let mine = relay.workers.iter().filter(|(_, w)| lately(w));
             sync.mine = mine.map(|(id, _)| id.clone()).collect();
+            // The leader asks those that are left out itself.
+            sync.mine.truncate(link::names_that_fit(&sync.mine));
         }
-        for id in std::mem::take(&mut relay.untold) {
-            if let Some(w) = relay.workers.get(&id) {
-                sync.heard.push(Heard {
-                    machine: id,
-                    session: w.session,
-                    seq: w.seq,
-                    age: now.saturating_duration_since(w.seen),
-                });
-            }
-        }
-        let mut reports: Vec<Waiting> = Vec::new();
-        let mut size = 0;
-        while let Some(w) = relay.waiting.front() {
-            size += link::size_of_report(&w.report);
-            if size > link::FULL && !reports.is_empty() {
-                break;
-            }
-            reports.extend(relay.waiting.pop_front());
-        }
+        sync.heard = relay.heard_for_frame(now);
+        sync.answered = relay.acknowledge();
+        let reports = relay.waiting.take_frame();
         sync.reports = (reports.iter().enumerate())
             .map(|(n, w)| Relayed {
                 name: w.ticket.map_or(0, |_| n as u64 + 1),
@@ -489,11 +501,9 @@
 
     /// Reports whose frame came to nothing wait on, or their workers are led to the leader.
     fn wait_again(&mut self, reports: Vec<Waiting>) {
-        for w in reports.into_iter().rev() {
-            self.relay.waiting.push_front(w);
-        }
+        self.relay.waiting.put_back(reports);
         if !self.leader_may_answer() {
-            for w in std::mem::take(&mut self.relay.waiting) {
+            for w in self.relay.waiting.take_all() {
                 if let Some(ticket) = w.ticket {
                     self.redirect(ticket);
                 }
@@ -571,7 +581,7 @@
             self.relay.failed.push(id.clone());
             return;
         };
-        if report.machine != *id || self.relay.waiting.len() >= MOST_WAITING {
+        if report.machine != *id || !self.relay.waiting.has_room(&self.settings) {
             return;
         }
         if let Some(w) = self.relay.workers.get_mut(id)
@@ -580,10 +590,13 @@
             w.seq = w.seq.max(report.seq);
             w.token = w.token.max(report.token);
         }
-        self.relay.waiting.push_back(Waiting {
+        self.relay.waiting.push(Waiting {
             ticket: None,
             report,
             received: self.now.mono,
         });
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/core/report_queue/tests.rs
@@ -0,0 +1,90 @@
+use super::*;
+use crate::core::world::{SETUP, settings};
+
+fn waiting(number: u64, received: Instant) -> Waiting {
+    let report = Report {
+        machine: format!("i-{number:06}").into(),
+        addr: "10.0.0.1:9000".into(),
+        kind: "small".into(),
+        zone: "a".into(),
+        spot: false,
+        session: 1,
+        seq: number,
+        token: 1,
+        notice: None,
+        rows: Vec::new(),
+    };
+    Waiting {
+        ticket: Some(number),
+        report: Box::new(report),
+        received,
+    }
+}
+
+fn tickets(reports: impl IntoIterator<Item = Waiting>) -> Vec<u64> {
+    reports.into_iter().filter_map(|w| w.ticket).collect()
+}
+
+#[test]
+fn the_settings_bound_what_waits_by_connections_and_by_memory() {
+    let now = Instant::now();
+    let filled = |settings: &Settings| {
+        let mut queue = ReportQueue::default();
+        while queue.has_room(settings) {
+            queue.push(waiting(queue.len() as u64, now));
+        }
+        queue
+    };
+    let few_sockets = Settings {
+        sockets: 300,
+        memory_mb: 256.0,
+        ..settings("n0", SETUP)
+    };
+    assert_eq!(filled(&few_sockets).len(), 300);
+    let little_memory = Settings {
+        sockets: 1_000_000,
+        memory_mb: 32.0,
+        ..settings("n0", SETUP)
+    };
+    let queue = filled(&little_memory);
+    let memory = 32.0 * BYTES_PER_MB * MEMORY_SHARE;
+    let used = queue.frame_bytes as f64 * MEMORY_PER_FRAME_BYTE;
+    assert!((memory..memory * 1.01).contains(&used), "{used}");
+}
+
+#[test]
+fn frames_take_the_oldest_first_and_what_comes_back_keeps_its_place() {
+    let now = Instant::now();
+    let mut queue = ReportQueue::default();
+    for number in 0..2000 {
+        queue.push(waiting(number, now));
+    }
+    assert!(queue.exceeds_a_frame());
+    let first = queue.take_frame();
+    let count = first.len() as u64;
+    let size: usize = first.iter().map(|w| link::size_of_report(&w.report)).sum();
+    assert!(size <= link::FULL && size + 200 > link::FULL, "{size}");
+    queue.put_back(first);
+    let mut all = Vec::new();
+    while !queue.is_empty() {
+        all.extend(tickets(queue.take_frame()));
+    }
+    assert!(count < 2000);
+    assert_eq!(all, (0..2000).collect::<Vec<_>>());
+    assert_eq!((queue.frame_bytes, queue.exceeds_a_frame()), (0, false));
+}
+
+#[test]
+fn reports_that_have_waited_for_too_long_leave_the_queue() {
+    let now = Instant::now();
+    let longest = Duration::from_secs(3);
+    let mut queue = ReportQueue::default();
+    queue.push(waiting(1, now));
+    queue.push(waiting(2, now + Duration::from_secs(2)));
+    assert!(queue.pop_overdue(now + longest, longest).is_none());
+    let overdue = queue.pop_overdue(now + longest * 3 / 2, longest);
+    assert_eq!(tickets(overdue), [1]);
+    assert!(queue.pop_overdue(now + longest * 3 / 2, longest).is_none());
+    assert_eq!(tickets(queue.take_all()), [2]);
+    assert_eq!(queue.frame_bytes, 0);
+}
--- /dev/null
+++ b/src/core/size_scenarios.rs
@@ -0,0 +1,315 @@
+//! Scenarios of size: 6,000 machines on one controller, which is half as many again as the largest site has.
+
+use super::added_stories::{begin, job};
+use super::commands::MOST_DIRECT;
+use super::mirror::{JobValue, Left, MachineValue, PageValue};
+use super::world::{SETUP, World, settings};
+use super::{Command, Core, Effect, Now, Ticket};
+use crate::job::{Final, MachineId, Resources, sample};
+use crate::link::{self, Relayed, Synced, Told, ToldKind};
+use crate::peer;
+use crate::policy::Policy;
+use crate::settings::Settings;
+use crate::wire::{Event, Report, RowReport, RowState};
+use std::collections::BTreeMap;
+use std::sync::Arc;
+use std::time::{Duration, Instant, SystemTime};
+
+const MACHINES: usize = 6000;
+/// Of those that are asked, so many report as well.
+const REPORTING: usize = 60;
+/// What a platform with so many machines allows a controller.
+const SOCKETS: usize = 8000;
+const MEMORY_MB: f64 = 256.0;
+/// Tasks on each machine, as at the users' large size.
+const TASKS: usize = 19;
+
+fn policy() -> Arc<Policy> {
+    Arc::new(Policy::with("size", "delegate = true\nidle_keep = 600").unwrap())
+}
+
+fn large(settings: Settings) -> Arc<Settings> {
+    Arc::new(Settings {
+        sockets: SOCKETS,
+        memory_mb: MEMORY_MB,
+        ..settings
+    })
+}
+
+fn machine(number: usize) -> MachineId {
+    format!("i-{number:06}").into()
+}
+
+fn heartbeat(number: usize) -> Box<Report> {
+    let row = |row| RowReport {
+        task: format!("wk-{number:06}/{row}"),
+        attempt: 1,
+        state: RowState::Running,
+        why: None,
+        saved: None,
+    };
+    Box::new(Report {
+        machine: machine(number),
+        addr: "10.0.0.1:9000".into(),
+        kind: "small".into(),
+        zone: "a".into(),
+        spot: false,
+        session: 1,
+        seq: 1,
+        token: 1,
+        notice: None,
+        rows: (0..TASKS).map(row).collect(),
+    })
+}
+
+/// A controller that has read the store, in which nobody leads.
+fn without_leader(settings: Arc<Settings>) -> (Core, Now) {
+    let now = Now {
+        mono: Instant::now(),
+        wall: SystemTime::UNIX_EPOCH + Duration::from_secs(1_700_000_000),
+    };
+    let mut core = Core::new(settings, policy(), 1, now);
+    let (items, revision) = (Vec::new(), 1);
+    core.step(now, vec![Command::Listed { items, revision }]);
+    (core, now)
+}
+
+/// Heartbeats of so many machines at once; the tickets that are answered at once, with their status.
+fn heartbeats(core: &mut Core, now: Now, count: usize) -> Vec<(Ticket, u16, Option<u32>)> {
+    let report = |n: usize| Command::Report {
+        ticket: n as Ticket + 1,
+        report: heartbeat(n),
+    };
+    let effects = core.step(now, (0..count).map(report).collect());
+    let answered = effects.into_iter().filter_map(|effect| match effect {
+        Effect::Answer { ticket, answer } => Some((ticket, answer.status, answer.retry_after)),
+        _ => None,
+    });
+    answered.collect()
+}
+
+#[test]
+fn the_heartbeats_of_6000_machines_wait_for_the_next_leader() {
+    let (mut core, now) = without_leader(large(settings("n0", SETUP)));
+    assert_eq!(heartbeats(&mut core, now, MACHINES), []);
+    assert_eq!(core.relay.waiting(), MACHINES);
+    // Beyond what the settings allow, they are told to come back, at once.
+    let few = Settings {
+        sockets: 2000,
+        ..settings("n0", SETUP)
+    };
+    let (mut core, now) = without_leader(Arc::new(few));
+    let refused = heartbeats(&mut core, now, MACHINES);
+    assert_eq!(
+        (core.relay.waiting(), refused.len()),
+        (2000, MACHINES - 2000)
+    );
+    let busy = |(_, status, retry): &(Ticket, u16, Option<u32>)| *status == 503 && retry.is_some();
+    assert!(refused.iter().all(busy));
+}
+
+/// So many machines that are there, of which the store says that they may hold tasks.
+fn recorded(policy: Policy) -> World {
+    let mut w = World::with_policy(61, policy);
+    w.capacity.clear();
+    let zone = |n: usize| ["a", "b"][n % 2];
+    let ids: Vec<MachineId> = (0..MACHINES)
+        .map(|n| w.add_machine("small", zone(n)))
+        .collect();
+    for (n, page) in ids.chunks(100).enumerate() {
+        let value = |id: &MachineId| MachineValue {
+            addr: "10.0.0.1:9000".into(),
+            kind: "small".into(),
+            zone: w.workers[id].zone.clone(),
+            spot: false,
+        };
+        let machines: BTreeMap<_, _> = page.iter().map(|id| (id.clone(), value(id))).collect();
+        let page = serde_json::to_value(PageValue { machines }).unwrap();
+        w.put(&format!("burlusher/p/{n}"), page);
+    }
+    for node in &mut w.nodes {
+        node.core.settings = large((*node.core.settings).clone());
+    }
+    w
+}
+
+/// Nearly all have to be asked, as they don't report; a leader that hears nobody at all would resign.
+#[test]
+fn a_new_leader_asks_6000_machines_that_do_not_report() {
+    let mut w = recorded(Policy::with("size", "delegate = false").unwrap());
+    let mute = w.workers.values_mut().skip(REPORTING);
+    mute.for_each(|m| m.mute = true);
+    w.until(10.0, "a leader", |w| w.leader().is_some());
+    let leader = w.leader().unwrap();
+    let left = |w: &World| w.nodes[leader].core.lead.as_ref().unwrap().unresolved;
+    let mut rounds = 0;
+    while left(&w) > 0 {
+        let out = w.nodes[leader].core.lead.as_ref().unwrap().calls_out;
+        assert!(out <= MOST_DIRECT);
+        w.tick();
+        rounds += 1;
+        assert!(rounds < 200, "{} are still to be heard from", left(&w));
+    }
+    assert!(rounds <= MACHINES.div_ceil(MOST_DIRECT) + 5, "{rounds}");
+    let calls = w.nodes[leader].calls as usize;
+    assert!(
+        (MACHINES - REPORTING..=MACHINES).contains(&calls),
+        "{calls}"
+    );
+}
+
+/// All controllers end, and all workers come to one of those that follow, which leads then, or doesn't.
+fn heartbeats_after_an_end_of_all(leads: bool) {
+    let mut w = recorded(Policy::with("size", "delegate = true").unwrap());
+    w.until(10.0, "a leader", |w| w.leader().is_some());
+    w.run(2.0);
+    for node in 0..3 {
+        w.kill(node, Duration::from_millis(500));
+    }
+    w.run(0.55);
+    for node in &mut w.nodes {
+        node.core.settings = large((*node.core.settings).clone());
+    }
+    let now = w.now;
+    let later = now + Duration::from_secs(20);
+    let others = if leads { 1..3 } else { 0..1 };
+    for node in &mut w.nodes[others] {
+        node.core.candidate_after = later;
+    }
+    for m in w.workers.values_mut() {
+        (m.node, m.waiting, m.next_report) = (0, None, now);
+    }
+    w.run(0.1);
+    assert_eq!(w.nodes[0].core.relay.waiting(), MACHINES);
+    w.until(10.0, "a leader", |w| w.leader().is_some());
+    let leader = w.leader().unwrap();
+    assert_eq!(leader == 0, leads);
+    w.until(2.0, "all machines are known", |w| {
+        let lead = w.nodes[leader].core.lead.as_ref();
+        lead.is_some_and(|l| l.unresolved == 0)
+    });
+    let elsewhere = w.workers.values().filter(|m| m.node != 0).count();
+    // Some are sent on, as loads are evened out.
+    assert!(elsewhere <= MACHINES / 5, "{elsewhere} were refused");
+}
+
+#[test]
+fn after_an_end_of_all_6000_heartbeats_at_the_next_leader_are_answered() {
+    heartbeats_after_an_end_of_all(true);
+}
+
+#[test]
+fn after_an_end_of_all_6000_heartbeats_at_a_follower_are_passed_on() {
+    heartbeats_after_an_end_of_all(false);
+}
+
+/// The leader's answer to a frame: nothing to do for anybody.
+fn answer(sync: &link::Sync) -> Synced {
+    let told = |r: &Relayed| Told {
+        name: r.name,
+        kind: ToldKind::Orders {
+            token: 1 << 20,
+            orders: Vec::new(),
+            calm: true,
+        },
+    };
+    Synced {
+        number: sync.number,
+        term: 1,
+        grant: Duration::from_secs(2),
+        answers: sync.reports.iter().map(told).collect(),
+        ..Synced::default()
+    }
+}
+
+#[test]
+fn a_follower_passes_6000_waiting_heartbeats_on_well_before_they_are_too_old() {
+    let (mut core, mut now) = without_leader(large(settings("n0", SETUP)));
+    let begun = now.mono;
+    heartbeats(&mut core, now, MACHINES);
+    let leader = serde_json::json!({"name": "n1", "nonce": 2, "lease": 3});
+    let key = Event {
+        put: Some("burlusher/leader".into()),
+        value: leader,
+        version: 2,
+        delete: None,
+        lease: None,
+    };
+    let mut commands = vec![Command::Changed {
+        events: vec![key],
+        revision: 2,
+    }];
+    let (mut frames, mut answered) = (0, 0);
+    while answered < MACHINES {
+        for effect in core.step(now, std::mem::take(&mut commands)) {
+            match effect {
+                Effect::Sync { number, frame, .. } => {
+                    let (_, body) = peer::read_frame(&mut frame.as_slice()).unwrap();
+                    let answer = answer(&link::decode_sync(&body).unwrap());
+                    let answer = Some(Box::new(answer));
+                    commands.push(Command::Synced { number, answer });
+                    frames += 1;
+                }
+                Effect::Answer { answer, .. } => {
+                    assert_eq!(answer.status, 200);
+                    answered += 1;
+                }
+                _ => {}
+            }
+        }
+        now.mono += Duration::from_millis(5);
+        assert!(
+            now.mono < begun + Duration::from_secs(1),
+            "{answered} answered"
+        );
+    }
+    println!("{frames} frames in {:?}", now.mono - begun);
+}
+
+/// The oldest cancellation of very many counts as long as something of it may run.
+#[test]
+fn a_team_stays_within_its_limit_however_many_jobs_were_cancelled_since() {
+    let (mut w, leader) = begin(62);
+    for n in 1..=6 {
+        let id = format!("wk-{n:06}");
+        assert_eq!(w.submit(leader, &sample(&id, 1, 4.0, 100)), 201);
+    }
+    w.run(3.0);
+    let (held, _) = w.places("wk-000001")[0].clone();
+    w.cloud_down = true;
+    w.workers.get_mut(&held).unwrap().cut = (0..3).collect();
+    w.run(0.5);
+    w.start_to_cancel(leader, "wk-000001");
+    w.run(0.5);
+    let at = w.nodes[leader].core.now.wall;
+    let at = at.duration_since(SystemTime::UNIX_EPOCH).unwrap();
+    let later = JobValue::Over {
+        end: Final::Cancelled,
+        left: Some(Left {
+            team: "u".into(),
+            needs: Resources {
+                cpus: 0.001,
+                ..Resources::default()
+            },
+            tasks: 1,
+            at_ms: at.as_millis() as u64 + 1,
+        }),
+    };
+    let later = serde_json::to_value(later).unwrap();
+    for n in 0..MACHINES {
+        w.put(&format!("burlusher/j/wk-{:06}", 100_000 + n), later.clone());
+    }
+    let terms = w.terms();
+    w.kill(leader, Duration::from_secs(1));
+    w.until(15.0, "another leadership", |w| {
+        w.leader().is_some() && w.terms() > terms
+    });
+    let next = w.leader().unwrap();
+    assert_eq!(w.submit(next, &sample("wk-000011", 1, 4.0, 5)), 201);
+    assert_eq!(w.submit(next, &job("wk-000012", 1, 1.0, 5)), 201);
+    assert!(!w.places("wk-000001").is_empty(), "it is there, unheard");
+    w.run(3.0);
+    w.workers.get_mut(&held).unwrap().cut.clear();
+    w.cloud_down = false;
+    w.until_done("wk-000011", 60.0);
+}
--- a/src/link.rs
+++ b/src/link.rs
@@ -17,6 +17,10 @@
 
 /// A body is filled up to this; the rest goes into the next frame.
 pub const FULL: usize = 56 * 1024;
+/// Bounds of the other lists in a frame. Together with the reports, or with the answers to them, they stay
+/// under what a frame may have; what does not fit follows in the next frames.
+pub const MOST_HEARD_BYTES: usize = 300 * 1024;
+pub const MOST_NAMES_BYTES: usize = 100 * 1024;
 /// No notice, and no time to come back after.
 const NONE: u32 = u32::MAX;
 
@@ -297,6 +301,36 @@
     all.iter().position(|y| y == x).unwrap_or(all.len()) as u8
 }
 
+/// The bytes that a machine's name takes in a frame.
+fn size_of_name(machine: &MachineId) -> usize {
+    size_of::<U16>() + machine.len()
+}
+
+/// The bytes that a machine which was heard of takes in a frame.
+pub fn size_of_heard(machine: &MachineId) -> usize {
+    size_of::<HeardFixed>() + size_of_name(machine)
+}
+
+/// How many of these machines, the first ones, a list of names in a frame takes.
+pub fn names_that_fit<'a>(machines: impl IntoIterator<Item = &'a MachineId>) -> usize {
+    let mut size = 0;
+    let fits = |machine: &&MachineId| {
+        size += size_of_name(machine);
+        size <= MOST_NAMES_BYTES
+    };
+    machines.into_iter().take_while(fits).count()
+}
+
+/// The bytes that the answer to a report takes in a frame.
+pub fn size_of_answer(orders: &[Order]) -> usize {
+    let size_of_order = |order: &Order| {
+        let (Order::Start { task, .. } | Order::Stop { task, .. } | Order::Forget { task, .. }) =
+            order;
+        size_of::<OrderFixed>() + size_of::<U16>() + task.len()
+    };
+    size_of::<ToldFixed>() + orders.iter().map(size_of_order).sum::<usize>()
+}
+
 /// Roughly the bytes that a report takes in a frame.
 pub fn size_of_report(r: &Report) -> usize {
     let rows: usize = r.rows.iter().map(|row| row.task.len() + 13).sum();
--- a/src/link/tests.rs
+++ b/src/link/tests.rs
@@ -96,3 +96,96 @@
     assert_eq!(decode_synced(&bytes), Some(synced));
     assert!((0..bytes.len()).all(|cut| decode_synced(&bytes[..cut]).is_none()));
 }
+
+/// A name as long as some clouds give.
+fn machine(number: usize) -> MachineId {
+    format!("instance-0123456789abcdef-0123456-{number:06}").into()
+}
+
+/// As many of 6,000 machines as a list of names takes.
+fn names() -> Vec<MachineId> {
+    let mut names: Vec<MachineId> = (0..6000).map(machine).collect();
+    names.truncate(names_that_fit(&names));
+    names
+}
+
+#[test]
+fn the_sizes_of_entries_are_those_that_they_take_in_a_frame() {
+    let empty = body(&encode_sync(&Sync::default())).len();
+    let sync = Sync {
+        mine: vec![machine(1)],
+        heard: vec![Heard {
+            machine: machine(2),
+            session: 1,
+            seq: 1,
+            age: Duration::ZERO,
+        }],
+        ..Sync::default()
+    };
+    let size = size_of_name(&machine(1)) + size_of_heard(&machine(2));
+    assert_eq!(body(&encode_sync(&sync)).len(), empty + size);
+    let orders = vec![Order::Start {
+        task: "wk-000001/7".into(),
+        attempt: 4,
+    }];
+    let empty = body(&encode_synced(&Synced::default())).len();
+    let size = size_of_answer(&orders);
+    let synced = Synced {
+        answers: vec![Told {
+            name: 1,
+            kind: ToldKind::Orders {
+                token: 1,
+                orders,
+                calm: false,
+            },
+        }],
+        ..Synced::default()
+    };
+    assert_eq!(body(&encode_synced(&synced)).len(), empty + size);
+}
+
+#[test]
+fn the_fullest_frame_of_a_controller_with_6000_workers_can_be_read() {
+    let heard = |number| Heard {
+        machine: machine(number),
+        session: 1,
+        seq: u64::MAX,
+        age: Duration::from_secs(1),
+    };
+    let most_heard = MOST_HEARD_BYTES / size_of_heard(&machine(0)) + 1;
+    // A report as long as a request may be takes no more than that in a frame.
+    let row = RowReport {
+        task: "wk-000001/7".into(),
+        attempt: 1,
+        state: RowState::Running,
+        why: None,
+        saved: None,
+    };
+    let report = |rows| Relayed {
+        name: 1,
+        report: Box::new(Report {
+            machine: machine(1),
+            addr: "10.0.0.1:9000".into(),
+            kind: "g8".into(),
+            zone: "a".into(),
+            spot: false,
+            session: 1,
+            seq: 1,
+            token: 1,
+            notice: None,
+            rows: vec![row.clone(); rows],
+        }),
+    };
+    let bytes_of_row = size_of::<RowFixed>() + size_of::<U16>() + row.task.len();
+    let sync = Sync {
+        from: "n1".into(),
+        mine: names(),
+        failed: names(),
+        heard: (0..most_heard).map(heard).collect(),
+        reports: vec![report(crate::http::MAX_BODY / bytes_of_row)],
+        ..Sync::default()
+    };
+    assert!(sync.mine.len() > 2000 && sync.heard.len() > 4000);
+    let back = decode_sync(&body(&encode_sync(&sync))).unwrap();
+    assert_eq!(back.heard, sync.heard);
+}
