--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -69,6 +69,7 @@
 mod recovery;
 mod relay;
 mod renting;
+mod report_queue;
 mod reports;
 mod run;
 #[cfg(test)]
@@ -76,6 +77,8 @@
 mod scheduling;
 #[cfg(test)]
 mod side_by_side;
+#[cfg(test)]
+mod size_scenarios;
 mod status;
 #[cfg(test)]
 mod stories;
@@ -343,6 +346,8 @@
     /// Creations of jobs on their way, and when each is looked at next.
     unanswered_creations: VecDeque<(Instant, CallId)>,
     mirror: Mirror,
+    /// When it was last looked whether cancelled jobs can still have something left.
+    cancelled_forgotten: Option<Instant>,
     lease: Option<lead::Lease>,
     lead: Option<lead::Lead>,
     /// Whether controllers serve workers for the one that leads.
@@ -508,6 +513,7 @@
             pending: BTreeMap::new(),
             unanswered_creations: VecDeque::new(),
             mirror: Mirror::default(),
+            cancelled_forgotten: None,
             lease: None,
             lead: None,
             delegating,
@@ -553,6 +559,7 @@
                 lead.deaf_until = now.mono + self.settings.report * 2;
             }
         }
+        self.forget_cancelled();
         let mut reports = Vec::new();
         let mut syncs = Vec::new();
         for command in commands {
