--- /dev/null
+++ b/src/http/parser.rs
@@ -0,0 +1,122 @@
+//! Requests out of the bytes of a connection, as they come.
+
+use super::{Answer, MAX_BODY, MAX_HEAD, MAX_HEADERS, Request, header};
+
+/// What is known of a request once its head is complete.
+struct Head {
+    method: String,
+    path: String,
+    /// Length of the head itself.
+    end: usize,
+    body_length: usize,
+    close: bool,
+    expects_continue: bool,
+}
+
+/// A whole request, and whether the connection is to be closed after its answer.
+pub struct Parsed {
+    pub request: Request,
+    pub close: bool,
+}
+
+/// Bytes of requests that are not complete yet.
+#[derive(Default)]
+pub struct Parser {
+    buffer: Vec<u8>,
+    head: Option<Head>,
+}
+
+impl Parser {
+    pub fn extend(&mut self, bytes: &[u8]) {
+        self.buffer.extend_from_slice(bytes);
+    }
+
+    /// Bytes that are held.
+    pub fn len(&self) -> usize {
+        self.buffer.len()
+    }
+
+    pub fn is_empty(&self) -> bool {
+        self.buffer.is_empty()
+    }
+
+    /// The next request, if it is complete; bytes of the one after it are kept. The error is the
+    /// answer to a request that cannot be served.
+    pub fn next(&mut self) -> Result<Option<Parsed>, Answer> {
+        if self.head.is_none() && !self.buffer.is_empty() {
+            self.head = parse_head(&self.buffer)?;
+        }
+        let Some(head) = self.head.take() else {
+            return Ok(None);
+        };
+        let end = head.end + head.body_length;
+        if self.buffer.len() < end {
+            self.head = Some(head);
+            return Ok(None);
+        }
+        let body = self.buffer[head.end..end].to_vec();
+        self.buffer.drain(..end);
+        if self.buffer.is_empty() {
+            // Thousands of connections are idle most of the time.
+            self.buffer = Vec::new();
+        }
+        Ok(Some(Parsed {
+            request: Request {
+                method: head.method,
+                path: head.path,
+                body,
+            },
+            close: head.close,
+        }))
+    }
+
+    /// Whether the peer waits for "100 Continue" before it sends the body. Says so once a request.
+    pub fn take_expectation(&mut self) -> bool {
+        let head = self.head.as_mut();
+        head.is_some_and(|head| std::mem::take(&mut head.expects_continue))
+    }
+}
+
+fn parse_head(buffer: &[u8]) -> Result<Option<Head>, Answer> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut head = httparse::Request::new(&mut headers);
+    let end = match head.parse(buffer) {
+        Err(httparse::Error::TooManyHeaders) => {
+            return Err(Answer::error(431, "too many headers"));
+        }
+        Err(e) => return Err(Answer::error(400, &format!("bad request: {e}"))),
+        Ok(httparse::Status::Partial) if buffer.len() > MAX_HEAD => {
+            return Err(Answer::error(431, "head too large"));
+        }
+        Ok(httparse::Status::Partial) => return Ok(None),
+        Ok(httparse::Status::Complete(end)) => end,
+    };
+    if header(head.headers, "transfer-encoding").is_some() {
+        return Err(Answer::error(501, "send a Content-Length"));
+    }
+    let body_length = body_length(header(head.headers, "content-length"))?;
+    let wants_close = header(head.headers, "connection")
+        .is_some_and(|value| value.to_ascii_lowercase().contains("close"));
+    Ok(Some(Head {
+        method: head.method.unwrap_or_default().to_string(),
+        path: head.path.unwrap_or_default().to_string(),
+        end,
+        body_length,
+        close: wants_close || head.version == Some(0),
+        expects_continue: header(head.headers, "expect").is_some(),
+    }))
+}
+
+fn body_length(content_length: Option<&str>) -> Result<usize, Answer> {
+    let length = match content_length {
+        None => 0,
+        Some(text) if !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit()) => {
+            text.parse().unwrap_or(usize::MAX)
+        }
+        Some(_) => return Err(Answer::error(400, "bad Content-Length")),
+    };
+    if length > MAX_BODY {
+        return Err(Answer::error(413, "body over 64 KiB"));
+    }
+    Ok(length)
+}
--- /dev/null
+++ b/src/http/server.rs
@@ -0,0 +1,419 @@
+//! A server whose connections, however many, share one thread.
+//!
+//! The thread accepts, reads what has come, and hands whole requests to a `Handler`, which must not
+//! block either. A connection that is silent, slow, or waits for its answer costs memory, but
+//! neither a thread nor system calls.
+//!
+//! Connections have shares, so that workers, however many come, leave room for users and health
+//! checks, and peers that never send a whole request leave room for both.
+
+use super::connection::{Connection, Progress, Responder};
+use super::{Answer, MAX_BODY, Request};
+use mio::event::Event;
+use mio::net::TcpListener;
+use mio::{Events, Interest, Poll, Registry, Token};
+use std::collections::{BTreeSet, HashMap, VecDeque};
+use std::io;
+use std::sync::{Arc, Mutex, PoisonError};
+use std::time::{Duration, Instant};
+
+const LISTENER: Token = Token(0);
+/// Events taken with one call.
+const EVENTS_AT_A_TIME: usize = 256;
+/// Connections accepted before those that are open have their turn again.
+const ACCEPTS_AT_A_TIME: usize = 64;
+/// Requests handled before health checks have their turn again.
+const REQUESTS_AT_A_TIME: usize = 32;
+/// One read takes so much.
+const READ_LENGTH: usize = 16 * 1024;
+/// How often the handler is called without a request.
+const TICK: Duration = Duration::from_millis(200);
+/// How often connections are looked through for those that are over.
+const SWEEP: Duration = Duration::from_secs(1);
+/// Out of sockets, say: wait for some to close instead of spinning.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// While the handler holds requests back, it is asked again after this long.
+const HOLD_PAUSE: Duration = Duration::from_millis(25);
+/// Bytes of incomplete requests that may be held for all connections together.
+const MOST_BUFFERED: usize = 128 * MAX_BODY;
+/// Where not all connections may be a worker's, at least so many are kept for others.
+const LEAST_RESERVE: usize = 64;
+/// Seconds after which a peer that found no room should come back.
+const FULL_RETRY: u32 = 2;
+const REQUEST_STACK: usize = 128 * 1024;
+
+/// What a connection is for, by its first request.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum Class {
+    Worker,
+    /// Handled at once, whatever else waits.
+    HealthCheck,
+    Other,
+}
+
+/// Answers requests, without blocking.
+pub trait Handler {
+    fn class(&self, request: &Request) -> Class;
+
+    /// Whether all but health checks are to wait for a moment.
+    fn holds_back(&self) -> bool {
+        false
+    }
+
+    /// The responder may be answered later, and by any thread.
+    fn handle(&mut self, request: Request, responder: Responder);
+
+    /// Called several times a second.
+    fn tick(&mut self, _now: Instant) {}
+}
+
+/// How many connections there may be at a time.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Limits {
+    pub connections: usize,
+    /// Of these, a worker's.
+    pub workers: usize,
+    /// Of these, without a whole request so far. The oldest one gives way to a new one.
+    pub newcomers: usize,
+}
+
+impl Limits {
+    /// Keeps an eighth from workers, and half of that from newcomers too.
+    pub fn with_reserve(connections: usize) -> Limits {
+        let reserve = (connections / 8).max(LEAST_RESERVE).min(connections / 2);
+        Limits {
+            connections,
+            workers: connections - reserve,
+            newcomers: (reserve / 2).max(1),
+        }
+    }
+
+    /// No shares: the first to come are served.
+    pub fn without_shares(connections: usize) -> Limits {
+        Limits {
+            connections,
+            workers: connections,
+            newcomers: connections,
+        }
+    }
+}
+
+struct Entry {
+    connection: Arc<Connection>,
+    /// `None` for a newcomer.
+    class: Option<Class>,
+    buffered: usize,
+}
+
+/// All connections, counted by what they take.
+#[derive(Default)]
+struct Table {
+    entries: HashMap<Token, Entry>,
+    newcomers: BTreeSet<Token>,
+    workers: usize,
+    buffered: usize,
+}
+
+impl Table {
+    fn insert(&mut self, token: Token, connection: Arc<Connection>) {
+        self.newcomers.insert(token);
+        let entry = Entry {
+            connection,
+            class: None,
+            buffered: 0,
+        };
+        self.entries.insert(token, entry);
+    }
+
+    fn remove(&mut self, token: Token) -> Option<Entry> {
+        let entry = self.entries.remove(&token)?;
+        self.newcomers.remove(&token);
+        self.workers -= usize::from(entry.class == Some(Class::Worker));
+        self.buffered -= entry.buffered;
+        Some(entry)
+    }
+
+    /// Takes note of a whole request; the first one decides what its connection is for. False:
+    /// there is no room for one more like it.
+    fn classify(&mut self, token: Token, class: Class, limits: &Limits) -> bool {
+        let Some(entry) = self.entries.get_mut(&token) else {
+            return false;
+        };
+        if entry.class.is_some() {
+            return true;
+        }
+        if class == Class::Worker {
+            if self.workers >= limits.workers {
+                return false;
+            }
+            self.workers += 1;
+        }
+        entry.class = Some(class);
+        self.newcomers.remove(&token);
+        true
+    }
+
+    /// Notes how many bytes a connection holds. False: all together hold too many.
+    fn hold(&mut self, token: Token, bytes: usize) -> bool {
+        let Some(entry) = self.entries.get_mut(&token) else {
+            return true;
+        };
+        self.buffered = self.buffered - entry.buffered + bytes;
+        entry.buffered = bytes;
+        bytes == 0 || self.buffered <= MOST_BUFFERED
+    }
+
+    fn remove_those_over(&mut self, now: Instant) {
+        let over: Vec<Token> = (self.entries.iter())
+            .filter(|(_, entry)| entry.connection.is_over(now))
+            .map(|(token, _)| *token)
+            .collect();
+        for token in over {
+            self.remove(token);
+        }
+    }
+}
+
+pub struct Server {
+    poll: Poll,
+    registry: Arc<Registry>,
+    listener: TcpListener,
+    limits: Limits,
+    table: Table,
+    last_token: usize,
+    /// There may be connections to accept; after this moment, if accepting failed.
+    accept_after: Option<Instant>,
+    /// Requests whose turn has not come.
+    backlog: VecDeque<(Request, Responder)>,
+    scratch: Vec<u8>,
+}
+
+impl Server {
+    pub fn new(listener: std::net::TcpListener, limits: Limits) -> io::Result<Server> {
+        listener.set_nonblocking(true)?;
+        let mut listener = TcpListener::from_std(listener);
+        let poll = Poll::new()?;
+        poll.registry()
+            .register(&mut listener, LISTENER, Interest::READABLE)?;
+        let registry = Arc::new(poll.registry().try_clone()?);
+        Ok(Server {
+            poll,
+            registry,
+            listener,
+            limits,
+            table: Table::default(),
+            last_token: LISTENER.0,
+            accept_after: None,
+            backlog: VecDeque::new(),
+            scratch: vec![0; READ_LENGTH],
+        })
+    }
+
+    /// Serves for ever.
+    pub fn run(mut self, mut handler: impl Handler) -> ! {
+        let mut events = Events::with_capacity(EVENTS_AT_A_TIME);
+        let mut ticked = Instant::now();
+        let mut swept = ticked;
+        loop {
+            let patience = self.patience(&handler);
+            if let Err(e) = self.poll.poll(&mut events, Some(patience))
+                && e.kind() != io::ErrorKind::Interrupted
+            {
+                tracing::warn!("connections are not watched: {e}");
+                std::thread::sleep(ACCEPT_PAUSE);
+            }
+            let now = Instant::now();
+            for event in &events {
+                self.follow(event, &mut handler, now);
+            }
+            self.accept(now);
+            self.work_off(&mut handler);
+            if now >= ticked + TICK {
+                ticked = now;
+                handler.tick(now);
+            }
+            if now >= swept + SWEEP {
+                swept = now;
+                self.table.remove_those_over(now);
+            }
+        }
+    }
+
+    /// How long to wait for the next event.
+    fn patience(&self, handler: &impl Handler) -> Duration {
+        let accept = match self.accept_after {
+            Some(at) => at.saturating_duration_since(Instant::now()),
+            None => TICK,
+        };
+        let backlog = match self.backlog.is_empty() {
+            true => TICK,
+            false if handler.holds_back() => HOLD_PAUSE,
+            false => Duration::ZERO,
+        };
+        accept.min(backlog)
+    }
+
+    fn follow(&mut self, event: &Event, handler: &mut impl Handler, now: Instant) {
+        let token = event.token();
+        if token == LISTENER {
+            self.accept_after = Some(now);
+            return;
+        }
+        let Some(entry) = self.table.entries.get(&token) else {
+            return;
+        };
+        let ended = event.is_read_closed() || event.is_error();
+        let readable = event.is_readable() || ended;
+        let connection = entry.connection.clone();
+        let progress = connection.advance(readable, ended, &mut self.scratch, now);
+        let held = match progress {
+            Progress::Wait(held) => held,
+            _ => 0,
+        };
+        let fits = self.table.hold(token, held);
+        match progress {
+            Progress::Wait(_) if fits => {}
+            Progress::Wait(_) => {
+                connection.turn_away(&Answer::busy("overloaded", FULL_RETRY));
+                self.table.remove(token);
+            }
+            Progress::Closed => {
+                self.table.remove(token);
+            }
+            Progress::Refused(answer, responder) => responder.answer(&answer),
+            Progress::Request(request, responder) => {
+                self.dispatch(token, request, responder, handler);
+            }
+        }
+    }
+
+    fn dispatch(
+        &mut self,
+        token: Token,
+        request: Request,
+        responder: Responder,
+        handler: &mut impl Handler,
+    ) {
+        let class = handler.class(&request);
+        if !self.table.classify(token, class, &self.limits) {
+            responder.refuse(&too_many());
+        } else if class == Class::HealthCheck {
+            handler.handle(request, responder);
+        } else {
+            self.backlog.push_back((request, responder));
+        }
+    }
+
+    fn work_off(&mut self, handler: &mut impl Handler) {
+        for _ in 0..REQUESTS_AT_A_TIME {
+            if self.backlog.is_empty() || handler.holds_back() {
+                return;
+            }
+            if let Some((request, responder)) = self.backlog.pop_front() {
+                handler.handle(request, responder);
+            }
+        }
+    }
+
+    fn accept(&mut self, now: Instant) {
+        if self.accept_after.is_none_or(|at| now < at) {
+            return;
+        }
+        for _ in 0..ACCEPTS_AT_A_TIME {
+            match self.listener.accept() {
+                Ok((stream, _)) => self.admit(stream, now),
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
+                    self.accept_after = None;
+                    return;
+                }
+                Err(e) => {
+                    tracing::debug!("accept: {e}");
+                    self.accept_after = Some(now + ACCEPT_PAUSE);
+                    return;
+                }
+            }
+        }
+    }
+
+    fn admit(&mut self, stream: mio::net::TcpStream, now: Instant) {
+        self.last_token += 1;
+        let token = Token(self.last_token);
+        let connection = match Connection::register(stream, token, &self.registry, now) {
+            Ok(connection) => connection,
+            Err(e) => {
+                tracing::debug!("a connection cannot be watched: {e}");
+                return;
+            }
+        };
+        if self.table.entries.len() >= self.limits.connections {
+            connection.turn_away(&too_many());
+            return;
+        }
+        if self.table.newcomers.len() >= self.limits.newcomers
+            && let Some(oldest) = self.table.newcomers.first().copied()
+            && let Some(entry) = self.table.remove(oldest)
+        {
+            entry.connection.turn_away(&too_many());
+        }
+        self.table.insert(token, connection);
+    }
+}
+
+fn too_many() -> Answer {
+    Answer::busy("too many connections", FULL_RETRY)
+}
+
+type Handle = dyn Fn(Request) -> Option<Answer> + Send + Sync;
+
+/// Serves with a handler that may block, so that each request has a thread while it is handled;
+/// at most `most` connections at a time. Without an answer the connection is closed.
+pub fn serve(listener: std::net::TcpListener, most: usize, handle: Arc<Handle>) {
+    match Server::new(listener, Limits::without_shares(most)) {
+        Ok(server) => server.run(ThreadPerRequest {
+            handle,
+            reported: false,
+        }),
+        Err(e) => tracing::error!("connections cannot be served: {e}"),
+    }
+}
+
+struct ThreadPerRequest {
+    handle: Arc<Handle>,
+    /// That a thread could not be started has been logged.
+    reported: bool,
+}
+
+impl Handler for ThreadPerRequest {
+    fn class(&self, _: &Request) -> Class {
+        Class::Other
+    }
+
+    fn handle(&mut self, request: Request, responder: Responder) {
+        let handle = self.handle.clone();
+        // The responder comes back out of it if there is no thread.
+        let slot = Arc::new(Mutex::new(Some(responder)));
+        let threads_slot = slot.clone();
+        let started = std::thread::Builder::new()
+            .name("request".into())
+            .stack_size(REQUEST_STACK)
+            .spawn(move || {
+                let answer = handle(request);
+                let responder = take(&threads_slot);
+                if let (Some(answer), Some(responder)) = (answer, responder) {
+                    responder.answer(&answer);
+                }
+            });
+        if let Err(e) = started {
+            if !std::mem::replace(&mut self.reported, true) {
+                tracing::warn!("no thread for a request: {e}");
+            }
+            if let Some(responder) = take(&slot) {
+                responder.answer(&Answer::busy("overloaded", 1));
+            }
+        }
+    }
+}
+
+fn take(slot: &Mutex<Option<Responder>>) -> Option<Responder> {
+    slot.lock().unwrap_or_else(PoisonError::into_inner).take()
+}
--- a/src/http/tests.rs
+++ b/src/http/tests.rs
@@ -1,4 +1,11 @@
+use super::connection::{Connection, Progress};
 use super::*;
+use std::collections::HashSet;
+use std::io::{Read, Write};
+use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::sync::mpsc::{Sender, channel};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::thread::ThreadId;
 
 fn server(most: usize) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -17,7 +24,7 @@
     let mut s = TcpStream::connect(addr).unwrap();
     s.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
     let _ = s.write_all(bytes);
-    let _ = s.shutdown(std::net::Shutdown::Write);
+    let _ = s.shutdown(Shutdown::Write);
     let mut out = Vec::new();
     let _ = s.read_to_end(&mut out);
     String::from_utf8_lossy(&out).into_owned()
@@ -59,3 +66,312 @@
     );
     drop(held);
 }
+
+const WORKER: &[u8] = b"POST /hello HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}";
+const USER: &[u8] = b"GET /jobs HTTP/1.1\r\n\r\n";
+const HEALTH: &[u8] = b"GET /ready HTTP/1.1\r\n\r\n";
+const BIG_BODY: usize = 8 * 1024 * 1024;
+
+/// Answers with the path, and notes which threads it was called on.
+struct Echo {
+    threads: Arc<Mutex<HashSet<ThreadId>>>,
+}
+
+impl Handler for Echo {
+    fn class(&self, request: &Request) -> Class {
+        match request.path.as_str() {
+            "/hello" => Class::Worker,
+            "/ready" => Class::HealthCheck,
+            _ => Class::Other,
+        }
+    }
+
+    fn handle(&mut self, request: Request, responder: Responder) {
+        let thread = std::thread::current().id();
+        self.threads.lock().unwrap().insert(thread);
+        match request.path.as_str() {
+            "/late" => {
+                let deadline = Some(Instant::now() - Duration::from_millis(1));
+                responder.answer(&Answer::new(200, Vec::new()).until(deadline));
+            }
+            "/silent" => drop(responder),
+            "/big" => responder.answer(&Answer::new(200, vec![b'x'; BIG_BODY])),
+            path => responder.answer(&Answer::new(200, path.as_bytes().to_vec())),
+        }
+    }
+}
+
+fn start(limits: Limits, handler: impl Handler + Send + 'static) -> SocketAddr {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let addr = listener.local_addr().unwrap();
+    let server = Server::new(listener, limits).unwrap();
+    std::thread::spawn(move || server.run(handler));
+    addr
+}
+
+fn echo(limits: Limits) -> SocketAddr {
+    let threads = Arc::default();
+    start(limits, Echo { threads })
+}
+
+fn connect(addr: SocketAddr) -> TcpStream {
+    let stream = TcpStream::connect(addr).unwrap();
+    let patience = Some(Duration::from_secs(20));
+    stream.set_read_timeout(patience).unwrap();
+    stream
+}
+
+/// Reads one answer; empty if the connection ends instead.
+fn answer(stream: &mut TcpStream) -> String {
+    let mut text = Vec::new();
+    let mut byte = [0];
+    while !text.ends_with(b"\r\n\r\n") {
+        match stream.read(&mut byte) {
+            Ok(1) => text.push(byte[0]),
+            _ => return String::new(),
+        }
+    }
+    let head = String::from_utf8(text).unwrap();
+    let length = head.split("Content-Length: ").nth(1).unwrap();
+    let length: usize = length.split("\r\n").next().unwrap().parse().unwrap();
+    let mut body = vec![0; length];
+    stream.read_exact(&mut body).unwrap();
+    head + &String::from_utf8(body).unwrap()
+}
+
+fn ask(stream: &mut TcpStream, request: &[u8]) -> String {
+    // A server that turns the connection away may have closed it.
+    let _ = stream.write_all(request);
+    answer(stream)
+}
+
+/// Kept connections of workers that have reported once.
+fn workers_at(addr: SocketAddr, count: usize) -> Vec<TcpStream> {
+    let worker = |_| {
+        let mut stream = connect(addr);
+        assert!(ask(&mut stream, WORKER).starts_with("HTTP/1.1 200"));
+        stream
+    };
+    (0..count).map(worker).collect()
+}
+
+static MANY_CONNECTIONS: Mutex<()> = Mutex::new(());
+
+/// How many connections a test may have, both ends in this process, while it holds the guard: as
+/// wanted, if the limit of descriptors can be raised that far. One such test runs at a time.
+pub(crate) fn many_connections(wanted: usize) -> (usize, MutexGuard<'static, ()>) {
+    let guard = MANY_CONNECTIONS
+        .lock()
+        .unwrap_or_else(PoisonError::into_inner);
+    let mut limit = libc::rlimit {
+        rlim_cur: 0,
+        rlim_max: 0,
+    };
+    // Other tests need some too.
+    let needed = 2 * wanted as u64 + 1000;
+    // SAFETY: both calls only read or write the structure that they are given.
+    unsafe {
+        assert_eq!(libc::getrlimit(libc::RLIMIT_NOFILE, &mut limit), 0);
+        if limit.rlim_cur < needed {
+            limit.rlim_cur = needed.min(limit.rlim_max);
+            assert_eq!(libc::setrlimit(libc::RLIMIT_NOFILE, &limit), 0);
+        }
+    }
+    let possible = wanted.min((limit.rlim_cur as usize).saturating_sub(1000) / 2);
+    if possible < wanted {
+        eprintln!("{possible} connections instead of {wanted}: the limit of descriptors");
+    }
+    (possible, guard)
+}
+
+fn threads_of_this_process() -> usize {
+    std::fs::read_dir("/proc/self/task").unwrap().count()
+}
+
+fn serves_kept_connections(wanted: usize) {
+    let (count, _guard) = many_connections(wanted);
+    let threads: Arc<Mutex<HashSet<ThreadId>>> = Arc::default();
+    let handler = Echo {
+        threads: threads.clone(),
+    };
+    let addr = start(Limits::with_reserve(count + count / 4 + 64), handler);
+    let before = threads_of_this_process();
+    let mut streams = workers_at(addr, count);
+    // All at once, over the connections that are kept.
+    for stream in &mut streams {
+        stream.write_all(WORKER).unwrap();
+    }
+    for stream in &mut streams {
+        assert!(answer(stream).starts_with("HTTP/1.1 200"));
+    }
+    assert_eq!(threads.lock().unwrap().len(), 1);
+    // Other tests run beside this one.
+    assert!(threads_of_this_process() < before + 64);
+}
+
+#[test]
+fn four_thousand_connections_share_a_thread() {
+    serves_kept_connections(4000);
+}
+
+#[test]
+fn six_thousand_connections_share_a_thread() {
+    serves_kept_connections(6000);
+}
+
+#[test]
+fn slow_peers_leave_room_for_users_and_health_checks() {
+    let limits = Limits::with_reserve(160);
+    assert_eq!((limits.workers, limits.newcomers), (96, 32));
+    let addr = echo(limits);
+    let mut workers = workers_at(addr, limits.workers);
+    for worker in &mut workers {
+        // From here on a byte at a time.
+        worker.write_all(&WORKER[..1]).unwrap();
+    }
+    let refused = ask(&mut connect(addr), WORKER);
+    assert!(refused.starts_with("HTTP/1.1 503"), "{refused}");
+    assert!(refused.contains("Retry-After: 2") && refused.contains("Connection: close"));
+
+    // Many more that never come to the end of a request. Each one that is new is served at the
+    // expense of the oldest of these.
+    let mut slow = Vec::new();
+    for n in 0..4 * limits.newcomers {
+        let mut stream = connect(addr);
+        stream.write_all(&WORKER[..1 + n % 20]).unwrap();
+        slow.push(stream);
+        assert!(ask(&mut connect(addr), HEALTH).ends_with("/ready"));
+        assert!(ask(&mut connect(addr), USER).ends_with("/jobs"));
+    }
+    assert!(answer(&mut slow[0]).starts_with("HTTP/1.1 503"));
+    // The last of them has kept its place, but it turns out to be a worker's; the workers that were
+    // first have lost nothing.
+    let last = slow.last_mut().unwrap();
+    let sent = 1 + (4 * limits.newcomers - 1) % 20;
+    assert!(ask(last, &WORKER[sent..]).starts_with("HTTP/1.1 503"));
+    for worker in &mut workers {
+        assert!(ask(worker, &WORKER[1..]).starts_with("HTTP/1.1 200"));
+    }
+}
+
+#[test]
+fn the_place_of_a_worker_that_has_gone_is_free_again() {
+    let limits = Limits::with_reserve(20);
+    let addr = echo(limits);
+    for _ in 0..10 {
+        drop(workers_at(addr, limits.workers));
+        // The ends of these connections are read before what comes on new ones.
+        assert!(ask(&mut connect(addr), HEALTH).starts_with("HTTP/1.1 200"));
+    }
+}
+
+#[test]
+fn a_peer_that_does_not_read_its_answer_keeps_nobody_waiting() {
+    let addr = echo(Limits::with_reserve(200));
+    let mut slow: Vec<TcpStream> = (0..8).map(|_| connect(addr)).collect();
+    for stream in &mut slow {
+        stream.write_all(b"GET /big HTTP/1.1\r\n\r\n").unwrap();
+        stream.write_all(USER).unwrap();
+    }
+    for _ in 0..20 {
+        assert!(ask(&mut connect(addr), USER).ends_with("/jobs"));
+    }
+    for stream in &mut slow {
+        let big = answer(stream);
+        assert!(big.starts_with("HTTP/1.1 200") && big.len() > BIG_BODY);
+        assert!(answer(stream).ends_with("/jobs"));
+    }
+}
+
+#[test]
+fn requests_that_come_together_are_answered_in_turn() {
+    let addr = echo(Limits::with_reserve(200));
+    let mut stream = connect(addr);
+    let (begun, rest) = HEALTH.split_at(9);
+    stream.write_all(&[USER, WORKER, begun].concat()).unwrap();
+    assert!(answer(&mut stream).ends_with("/jobs"));
+    assert!(answer(&mut stream).ends_with("/hello"));
+    assert!(ask(&mut stream, rest).ends_with("/ready"));
+    // The peer's end behind a request keeps it from nothing but a next one.
+    stream.write_all(&[USER, USER].concat()).unwrap();
+    stream.shutdown(Shutdown::Write).unwrap();
+    assert!(answer(&mut stream).ends_with("/jobs"));
+    assert!(answer(&mut stream).ends_with("/jobs"));
+    assert_eq!(answer(&mut stream), "");
+}
+
+#[test]
+fn a_body_is_asked_for_where_the_peer_waits_for_that() {
+    let mut stream = connect(echo(Limits::with_reserve(200)));
+    let head = b"POST /jobs HTTP/1.1\r\nContent-Length: 2\r\nExpect: 100-continue\r\n\r\n";
+    stream.write_all(head).unwrap();
+    let mut told = [0; 25];
+    stream.read_exact(&mut told).unwrap();
+    assert_eq!(&told, b"HTTP/1.1 100 Continue\r\n\r\n");
+    assert!(ask(&mut stream, b"{}").ends_with("/jobs"));
+}
+
+#[test]
+fn an_answer_that_comes_too_late_is_not_sent() {
+    let addr = echo(Limits::with_reserve(200));
+    for path in ["/late", "/silent"] {
+        let request = format!("GET {path} HTTP/1.1\r\n\r\n");
+        assert_eq!(raw(addr, request.as_bytes()), "");
+    }
+}
+
+/// Passes responders on to be answered elsewhere.
+struct Deferred(Sender<(String, Responder)>);
+
+impl Handler for Deferred {
+    fn class(&self, _: &Request) -> Class {
+        Class::Other
+    }
+
+    fn handle(&mut self, request: Request, responder: Responder) {
+        self.0.send((request.path, responder)).unwrap();
+    }
+}
+
+#[test]
+fn answers_may_be_given_later_and_in_any_order() {
+    let (sender, receiver) = channel();
+    let addr = start(Limits::with_reserve(200), Deferred(sender));
+    let mut streams: Vec<TcpStream> = (0..20).map(|_| connect(addr)).collect();
+    for (n, stream) in streams.iter_mut().enumerate() {
+        let request = format!("GET /{n} HTTP/1.1\r\n\r\n");
+        stream.write_all(request.as_bytes()).unwrap();
+    }
+    let mut asked: Vec<_> = (0..20).map(|_| receiver.recv().unwrap()).collect();
+    asked.sort_by_key(|(path, _)| std::cmp::Reverse(path.clone()));
+    for (path, responder) in asked {
+        responder.answer(&Answer::new(200, path.into_bytes()));
+    }
+    for (n, stream) in streams.iter_mut().enumerate() {
+        assert!(answer(stream).ends_with(&format!("\r\n/{n}")));
+    }
+}
+
+#[test]
+fn a_request_that_takes_too_long_ends_its_connection() {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let mut client = connect(listener.local_addr().unwrap());
+    let (stream, _) = listener.accept().unwrap();
+    stream.set_nonblocking(true).unwrap();
+    let poll = mio::Poll::new().unwrap();
+    let registry = Arc::new(poll.registry().try_clone().unwrap());
+    let stream = mio::net::TcpStream::from_std(stream);
+    let begun = Instant::now();
+    let after = |seconds| begun + Duration::from_secs(seconds);
+    let connection = Connection::register(stream, mio::Token(1), &registry, begun).unwrap();
+    assert!(!connection.is_over(after(74)) && connection.is_over(after(75)));
+
+    // Bytes that go on coming do not put the end off.
+    for second in 20..28 {
+        client.write_all(&USER[..1]).unwrap();
+        std::thread::sleep(Duration::from_millis(10));
+        let progress = connection.advance(true, false, &mut [0; 64], after(second));
+        assert!(matches!(progress, Progress::Wait(held) if held as u64 == second - 19));
+    }
+    assert!(!connection.is_over(after(27)) && connection.is_over(after(28)));
+}
--- a/src/service.rs
+++ b/src/service.rs
@@ -5,41 +5,43 @@
 //! other controllers. The lease and `/ready` never wait behind planning: the lease has a thread
 //! of its own, and `/ready` is a flag.
 
+mod gate;
+mod inbox;
+mod lanes;
+mod peers;
+mod renewal;
+mod routes;
+
 use crate::archivist::{self, Archivist};
 use crate::cloud::{CloudClient, CloudOutcome, CloudRequest};
-use crate::core::{Ask, Command, Core, Effect, Now, Stand, Ticket, UserRequest, Work, note};
-use crate::http::{self, Answer, Request};
+use crate::core::{Command, Core, Effect, Now, Stand, Ticket, Work, note};
+use crate::http::{Answer, Limits, Server};
 use crate::link;
-use crate::peer::{self, PeerAnswer, PeerRequest};
+use crate::peer::{self, PeerRequest};
 use crate::policy::Policy;
 use crate::recall::{self, Recall};
 use crate::settings::Settings;
 use crate::state::{Budget, StateClient, StateOutcome, StateRequest};
-use crate::wire::{
-    self, JobAnswer, OfferBody, PATH_CANCEL, PATH_JOBS, PATH_METRICS, PATH_OFFER, PATH_READY,
-    PATH_REPORT, PATH_SETTLE, PATH_STATUS, Txn,
-};
+use crate::wire::Txn;
 use crate::worker::{self, DirectOutcome, DirectRequest};
-use std::collections::{BTreeMap, VecDeque};
+use inbox::Inbox;
+use peers::{MOST_PEER_CONNECTIONS, serve_peers};
+use routes::Routes;
+use std::collections::BTreeMap;
 use std::io;
 use std::net::{SocketAddr, SocketAddrV4, TcpListener, TcpStream};
 use std::path::Path;
-use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
-use std::sync::mpsc::{Sender, SyncSender, channel, sync_channel};
-use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::mpsc::{Sender, channel};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant, SystemTime};
 
-/// Commands that may wait for the owner; beyond that users and workers are told to come back.
-const QUEUE: usize = 1024;
 /// A call whose answer is lost keeps its thread until it times out; a leader's writes and the creations of jobs
 /// have to go on meanwhile.
 const STATE_THREADS: usize = 12;
 const CLOUD_THREADS: usize = 4;
 pub const DIRECT_THREADS: usize = 24;
 const PEER_THREADS: usize = 3;
-const MOST_PEER_CONNECTIONS: usize = 32;
-/// A user waits 2 s for a poll; an answer later than this is of no use.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(3500);
 /// Submissions should be accepted well within 300 ms even if the leader has just died.
 const PEER_TIMEOUT: Duration = Duration::from_millis(200);
 const PEER_CONNECT: Duration = Duration::from_millis(100);
@@ -56,219 +58,6 @@
 /// kept.
 const BASE_MB: f64 = 40.0;
 const CONNECTION_MB: f64 = 0.03;
-/// Each connection has a thread, and a process may not have 2,000.
-const MOST_THREADS: usize = 1900;
-
-/// A command, and where its answer goes if it has one.
-struct Envelope {
-    command: Command,
-    reply: Option<(Ticket, SyncSender<Answer>)>,
-}
-
-/// The owner's queue, in lanes: what decides whether users and the state service are answered in
-/// time comes first, and the many reports of workers, which may wait for seconds, come last. In
-/// one queue, a takeover of a thousand machines or an array of ten thousand tasks kept
-/// submissions waiting for a minute.
-#[derive(Default)]
-struct Lanes {
-    queues: [VecDeque<Envelope>; 3],
-    /// The owner sleeps: only then need it be woken, which costs a system call.
-    idle: bool,
-}
-
-/// Of each lane, this many commands at most go into one step. Whatever the others hold, a step
-/// stays short, and every lane moves on.
-const SHARES: [usize; 3] = [256, 64, 160];
-
-impl Lanes {
-    fn of(command: &Command) -> usize {
-        match command {
-            Command::Report { .. } | Command::Direct { .. } => 2,
-            Command::Status(_) | Command::Figures { .. } | Command::Recall { .. } => 1,
-            Command::User(r) if matches!(r.what, Ask::Show(_)) => 1,
-            _ => 0,
-        }
-    }
-
-    /// Says whether the owner is to be woken.
-    fn put(&mut self, e: Envelope) -> bool {
-        self.queues[Lanes::of(&e.command)].push_back(e);
-        std::mem::take(&mut self.idle)
-    }
-
-    fn is_empty(&self) -> bool {
-        self.queues.iter().all(VecDeque::is_empty)
-    }
-
-    fn take(&mut self) -> Vec<Envelope> {
-        let mut out = Vec::new();
-        for (queue, share) in self.queues.iter_mut().zip(SHARES) {
-            out.extend(queue.drain(..share.min(queue.len())));
-        }
-        out
-    }
-}
-
-/// Lets the renewal of the lease go first. When a thousand workers come to a new leader at once,
-/// as many threads want the processor, and the one that renews the lease had its turn only after
-/// the lease had ended: the next leader fared no better. So when a renewal is late, the others
-/// wait for it, though not for long: it may be the state service that does not answer.
-struct Precedence {
-    start: Instant,
-    /// When the renewal is due, in milliseconds from the start.
-    due_ms: AtomicU64,
-}
-
-/// A renewal on time is through by then, but for the state service's slowest answers.
-const RENEWAL_LATE: Duration = Duration::from_millis(120);
-const LONGEST_YIELD: Duration = Duration::from_millis(400);
-const YIELD_STEP: Duration = Duration::from_millis(25);
-
-impl Precedence {
-    fn new() -> Precedence {
-        Precedence {
-            start: Instant::now(),
-            due_ms: AtomicU64::new(u64::MAX),
-        }
-    }
-
-    fn due(&self, at: Instant) {
-        let ms = at.saturating_duration_since(self.start).as_millis();
-        self.due_ms
-            .store(u64::try_from(ms).unwrap_or(u64::MAX), Ordering::Relaxed);
-    }
-
-    /// Called by a thread that has work which can wait.
-    fn yield_to_renewal(&self) {
-        let due = self.due_ms.load(Ordering::Relaxed);
-        let late = |now: Instant| {
-            let since = Duration::from_millis(due);
-            now.saturating_duration_since(self.start)
-                .checked_sub(since)
-                .is_some_and(|late| late > RENEWAL_LATE && late < RENEWAL_LATE + LONGEST_YIELD)
-        };
-        while late(Instant::now()) && self.due_ms.load(Ordering::Relaxed) == due {
-            std::thread::sleep(YIELD_STEP);
-        }
-    }
-}
-
-/// Reports that are worked on at a time; the others wait as they came, unread by anybody. Workers
-/// report whenever something changes, so a thousand of them that run short tasks send more than
-/// can be worked through: then each has its next report answered a little later and with more in
-/// it, and threads that matter more do not stand behind a thousand of these.
-struct Gate {
-    free: Mutex<usize>,
-    freed: Condvar,
-}
-
-/// What two steps of the owner take, so that the next one finds work.
-const REPORTS_AT_A_TIME: usize = SHARES[2] * 2;
-
-impl Gate {
-    fn new(places: usize) -> Gate {
-        Gate {
-            free: Mutex::new(places),
-            freed: Condvar::new(),
-        }
-    }
-
-    /// Works when there is a place; `None` if there was none until it would be too late.
-    fn pass<T>(&self, work: impl FnOnce() -> T) -> Option<T> {
-        let mut free = lock(&self.free);
-        if *free == 0 {
-            let none = |free: &mut usize| *free == 0;
-            let waited = self.freed.wait_timeout_while(free, ANSWER_TIMEOUT, none);
-            free = waited.unwrap_or_else(PoisonError::into_inner).0;
-            if *free == 0 {
-                return None;
-            }
-        }
-        *free -= 1;
-        drop(free);
-        let done = work();
-        *lock(&self.free) += 1;
-        self.freed.notify_one();
-        Some(done)
-    }
-}
-
-/// The way into the owner's queue.
-#[derive(Clone)]
-struct Inbox {
-    lanes: Arc<(Mutex<Lanes>, Condvar)>,
-    tickets: Arc<AtomicU64>,
-    renewal: Arc<Precedence>,
-    reports: Arc<Gate>,
-}
-
-impl Inbox {
-    fn new() -> Inbox {
-        Inbox {
-            lanes: Arc::default(),
-            tickets: Arc::new(AtomicU64::new(1)),
-            renewal: Arc::new(Precedence::new()),
-            reports: Arc::new(Gate::new(REPORTS_AT_A_TIME)),
-        }
-    }
-
-    /// For outcomes of our own calls, which must not be lost; there are never more than calls.
-    fn put(&self, command: Command) {
-        let (lanes, filled) = &*self.lanes;
-        let wake = lock(lanes).put(Envelope {
-            command,
-            reply: None,
-        });
-        if wake {
-            filled.notify_one();
-        }
-    }
-
-    /// Asks the owner and waits for its answer.
-    fn ask(&self, make: impl FnOnce(Ticket) -> Command) -> Answer {
-        let ticket = self.tickets.fetch_add(1, Ordering::Relaxed);
-        let (tx, rx) = sync_channel(1);
-        let command = make(ticket);
-        let (lanes, filled) = &*self.lanes;
-        let wake = {
-            let mut lanes = lock(lanes);
-            if lanes.queues[Lanes::of(&command)].len() >= QUEUE {
-                return Answer::busy("overloaded", 2);
-            }
-            lanes.put(Envelope {
-                command,
-                reply: Some((ticket, tx)),
-            })
-        };
-        if wake {
-            filled.notify_one();
-        }
-        rx.recv_timeout(ANSWER_TIMEOUT)
-            .unwrap_or_else(|_| Answer::busy("no answer in time", 1))
-    }
-
-    /// What waits in each lane.
-    fn waiting(&self) -> [usize; 3] {
-        let (lanes, _) = &*self.lanes;
-        let lanes = lock(lanes);
-        std::array::from_fn(|n| lanes.queues[n].len())
-    }
-
-    /// What the owner works through next; empty when nothing came for so long.
-    fn next(&self, wait: Duration) -> Vec<Envelope> {
-        let (lanes, filled) = &*self.lanes;
-        let mut waiting = lock(lanes);
-        if waiting.is_empty() {
-            waiting.idle = true;
-            waiting = match filled.wait_timeout(waiting, wait) {
-                Ok((guard, _)) => guard,
-                Err(poisoned) => poisoned.into_inner().0,
-            };
-            waiting.idle = false;
-        }
-        waiting.take()
-    }
-}
 
 /// Queues are whole at any moment, so a thread that died holding one leaves nothing half done.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -335,6 +124,7 @@
     Recall(Recall),
 }
 type SyncCall = (String, u64, Vec<u8>);
+type AnswerCall = (Ticket, Answer);
 
 struct Outbox {
     state: Sender<StateCall>,
@@ -342,6 +132,7 @@
     direct: Sender<DirectCall>,
     peers: BTreeMap<String, Sender<PeerCall>>,
     sync: Sender<SyncCall>,
+    answers: Sender<Vec<AnswerCall>>,
     watch: Arc<Watch>,
     keeper: Arc<Keeper>,
     ready: Arc<AtomicBool>,
@@ -368,18 +159,17 @@
         direct: direct_pool(&inbox_side)?,
         peers: peer_pools(&settings, &inbox_side)?,
         sync: sync_pool(&settings, &inbox_side)?,
+        answers: answer_thread(&inbox_side)?,
         keeper: keeper.clone(),
         ready: ready.clone(),
     };
     keep_lease(&settings, &inbox_side, keeper)?;
     watch.begin()?;
     serve_peers(back, inbox_side.clone())?;
-    let most = most_connections(&settings);
-    let handler_inbox = inbox_side.clone();
-    spawn("public", move || {
-        let handle = move |r: Request| route(&handler_inbox, &ready, r);
-        http::serve(public, most, Arc::new(handle));
-    })?;
+    let limits = Limits::with_reserve(most_connections(&settings));
+    let server = Server::new(public, limits)?;
+    let routes = Routes::new(inbox_side.clone(), ready);
+    spawn("public", move || server.run(routes))?;
     tracing::info!(
         "{} in {} listens on {} and {}",
         settings.name,
@@ -400,36 +190,28 @@
 }
 
 /// Connections to serve at a time: every worker keeps one open to the leader, so as many as the
-/// process may have, less what it opens itself and what its memory allows for threads.
+/// process may have, less what it opens itself, and as its memory allows.
 pub fn most_connections(settings: &Settings) -> usize {
     let peers = settings.peers.len() * PEER_THREADS + MOST_PEER_CONNECTIONS;
     let own = STATE_THREADS + CLOUD_THREADS + DIRECT_THREADS + peers + SPARE_SOCKETS;
     let base = BASE_MB.min(settings.memory_mb / 2.0);
     let by_memory = (settings.memory_mb - base) / CONNECTION_MB;
-    let by_threads = MOST_THREADS - own.min(MOST_THREADS - 16);
-    settings
-        .sockets
-        .saturating_sub(own)
-        .min(by_threads)
-        .clamp(16, by_memory.max(16.0) as usize)
+    (settings.sockets.saturating_sub(own)).clamp(16, by_memory.max(16.0) as usize)
 }
 
 /// The owner's loop.
 fn own(mut core: Core, inbox: &Inbox, outbox: Outbox) -> ! {
-    let mut waiting: BTreeMap<Ticket, SyncSender<Answer>> = BTreeMap::new();
     let mut told = Instant::now();
     let mut worked = core.stats.work;
     loop {
-        let mut commands = Vec::new();
-        for e in inbox.next(core.idle_for()) {
-            if let Some((ticket, tx)) = e.reply {
-                waiting.insert(ticket, tx);
-            }
-            commands.push(e.command);
-        }
+        let commands = inbox.next(core.idle_for());
         let begun = Instant::now();
+        let mut answers = Vec::new();
         for effect in core.step(now(), commands) {
-            carry_out(effect, &outbox, &mut waiting);
+            carry_out(effect, &outbox, &mut answers);
+        }
+        if !answers.is_empty() {
+            let _ = outbox.answers.send(answers);
         }
         note(&mut core.stats.step, begun.elapsed().as_micros());
         core.stats.work[Work::Step as usize] += 1;
@@ -448,21 +230,12 @@
                 s.step.value_at_quantile(0.99),
             );
         }
-        // Askers that have gone away leave their tickets behind.
-        if waiting.len() > QUEUE * 2 {
-            let cut = waiting.keys().nth(QUEUE).copied().unwrap_or_default();
-            waiting = waiting.split_off(&cut);
-        }
     }
 }
 
-fn carry_out(effect: Effect, out: &Outbox, waiting: &mut BTreeMap<Ticket, SyncSender<Answer>>) {
+fn carry_out(effect: Effect, out: &Outbox, answers: &mut Vec<AnswerCall>) {
     match effect {
-        Effect::Answer { ticket, answer } => {
-            if let Some(tx) = waiting.remove(&ticket) {
-                let _ = tx.try_send(answer);
-            }
-        }
+        Effect::Answer { ticket, answer } => answers.push((ticket, answer)),
         Effect::State { call, request } => {
             let _ = out.state.send((call, request));
         }
@@ -514,6 +287,18 @@
     }
 }
 
+/// Sends the answers of a step, so that the owner goes on meanwhile.
+fn answer_thread(inbox: &Inbox) -> io::Result<Sender<Vec<AnswerCall>>> {
+    pool("answer", 1, || {
+        let inbox = inbox.clone();
+        Box::new(move |answers: Vec<AnswerCall>| {
+            for (ticket, answer) in answers {
+                inbox.answer(ticket, answer);
+            }
+        })
+    })
+}
+
 fn state_pool(
     settings: &Settings,
     inbox: &Inbox,
@@ -551,7 +336,7 @@
     pool("direct", DIRECT_THREADS, || {
         let inbox = inbox.clone();
         Box::new(move |(call, addr, request, not_after): DirectCall| {
-            inbox.renewal.yield_to_renewal();
+            inbox.renewal().yield_to_renewal();
             let outcome = if Instant::now() >= not_after {
                 DirectOutcome::NotSent("the leader's time was over".into())
             } else {
@@ -776,7 +561,7 @@
             }
             // In small pieces, so that giving up takes effect soon.
             let until = Instant::now() + pause;
-            inbox.renewal.due(until);
+            inbox.renewal().due(until);
             due = until;
             let took = sent.elapsed().saturating_sub(pause);
             if took > ttl / 4 {
@@ -872,191 +657,6 @@
     }
 }
 
-fn serve_peers(listener: TcpListener, inbox: Inbox) -> io::Result<()> {
-    let open = Arc::new(AtomicUsize::new(0));
-    spawn("back", move || {
-        loop {
-            let stream = match listener.accept() {
-                Ok((s, _)) => s,
-                Err(e) => {
-                    tracing::debug!("accept: {e}");
-                    std::thread::sleep(Duration::from_millis(50));
-                    continue;
-                }
-            };
-            if open.fetch_add(1, Ordering::Relaxed) >= MOST_PEER_CONNECTIONS {
-                open.fetch_sub(1, Ordering::Relaxed);
-                continue;
-            }
-            let (inbox, count) = (inbox.clone(), open.clone());
-            let spawned = spawn("peerconn", move || {
-                if let Err(e) = serve_peer(stream, &inbox)
-                    && e.kind() != io::ErrorKind::UnexpectedEof
-                {
-                    tracing::debug!("a controller's connection: {e}");
-                }
-                count.fetch_sub(1, Ordering::Relaxed);
-            });
-            if spawned.is_err() {
-                open.fetch_sub(1, Ordering::Relaxed);
-            }
-        }
-    })
-}
-
-fn serve_peer(mut stream: TcpStream, inbox: &Inbox) -> io::Result<()> {
-    let _ = stream.set_nodelay(true);
-    stream.set_read_timeout(Some(Duration::from_secs(120)))?;
-    stream.set_write_timeout(Some(Duration::from_secs(2)))?;
-    loop {
-        let (kind, body) = peer::read_frame(&mut stream)?;
-        if kind == link::KIND_SYNC {
-            let sync = link::decode_sync(&body).ok_or(io::ErrorKind::InvalidData)?;
-            let sync = Box::new(sync);
-            let answer = inbox.ask(|ticket| Command::Sync { ticket, sync });
-            // Too late, or no frame at all: the asker counts it as no answer.
-            if answer.expired() || answer.status != 200 {
-                return Ok(());
-            }
-            peer::write_frame(&mut stream, &answer.body)?;
-            continue;
-        }
-        if kind == recall::KIND_RECALL {
-            let recall = recall::decode_recall(&body).ok_or(io::ErrorKind::InvalidData)?;
-            let answer = inbox.ask(|ticket| Command::Recall { ticket, recall });
-            if answer.status != 200 {
-                return Ok(());
-            }
-            peer::write_frame(&mut stream, &answer.body)?;
-            continue;
-        }
-        let Some(request) = peer::decode_request(kind, &body) else {
-            return Err(io::ErrorKind::InvalidData.into());
-        };
-        let received = Instant::now();
-        let answer = inbox.ask(|ticket| {
-            Command::User(UserRequest {
-                ticket,
-                forwarded: true,
-                tried: Vec::new(),
-                received,
-                what: match request {
-                    PeerRequest::Submit(spec) => Ask::Submit(spec),
-                    PeerRequest::Show(id) => Ask::Show(id),
-                    PeerRequest::Cancel(id) => Ask::Cancel(id),
-                },
-            })
-        });
-        if answer.expired() {
-            return Ok(());
-        }
-        let told: Option<JobAnswer> = serde_json::from_slice(&answer.body).ok();
-        let frame = peer::encode_answer(&PeerAnswer {
-            status: answer.status,
-            state: told.as_ref().map(|t| t.state),
-            retry_after: answer.retry_after,
-            done: told.as_ref().and_then(|t| t.done),
-            running: told.as_ref().and_then(|t| t.running),
-        });
-        peer::write_frame(&mut stream, &frame)?;
-    }
-}
-
-const OTHER_PATHS: [&str; 7] = [
-    PATH_SETTLE,
-    PATH_OFFER,
-    PATH_READY,
-    PATH_REPORT,
-    PATH_JOBS,
-    PATH_STATUS,
-    PATH_METRICS,
-];
-const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
-
-/// The public interface.
-fn route(inbox: &Inbox, ready: &AtomicBool, r: Request) -> Option<Answer> {
-    let received = Instant::now();
-    let user = |what| {
-        inbox.ask(|ticket| {
-            Command::User(UserRequest {
-                ticket,
-                what,
-                forwarded: false,
-                tried: Vec::new(),
-                received,
-            })
-        })
-    };
-    let path = r.path.split('?').next().unwrap_or_default();
-    if path != PATH_READY {
-        inbox.renewal.yield_to_renewal();
-    }
-    let answer = match (r.method.as_str(), path) {
-        ("GET", PATH_READY) => {
-            if ready.load(Ordering::Relaxed) {
-                Answer::new(200, b"{}".to_vec())
-            } else {
-                Answer::busy("not ready", 1)
-            }
-        }
-        ("POST", PATH_REPORT) => {
-            let work = || match serde_json::from_slice(&r.body) {
-                Ok(report) => inbox.ask(|ticket| Command::Report { ticket, report }),
-                Err(e) => Answer::error(400, &e.to_string()),
-            };
-            let late = || Answer::busy("overloaded", 1);
-            inbox.reports.pass(work).unwrap_or_else(late)
-        }
-        ("POST", PATH_JOBS) => match wire::parse_submission(&r.body) {
-            Ok(spec) => user(Ask::Submit(Box::new(spec))),
-            Err(e) => {
-                let refusal = Answer::error(400, &e);
-                // An accepted job's id gets 200 whatever else the body holds.
-                match wire::submitted_id(&r.body) {
-                    Some(id) => user(Ask::Malformed(id, refusal)),
-                    None => refusal,
-                }
-            }
-        },
-        ("GET", PATH_STATUS) => inbox.ask(Command::Status),
-        ("POST", PATH_SETTLE) => inbox.ask(Command::Settle),
-        ("POST", PATH_OFFER) => match serde_json::from_slice::<OfferBody>(&r.body) {
-            Ok(o) => inbox.ask(|ticket| Command::Offer {
-                ticket,
-                store: o.store,
-                last: o.last,
-                items: o.items,
-            }),
-            Err(e) => Answer::error(400, &e.to_string()),
-        },
-        ("GET", PATH_METRICS) => {
-            let lanes = inbox.waiting();
-            let answer = inbox.ask(|ticket| Command::Figures { ticket, lanes });
-            answer.of_type(METRICS_TYPE)
-        }
-        (method, path) => match path
-            .strip_prefix(PATH_JOBS)
-            .and_then(|p| p.strip_prefix('/'))
-        {
-            Some(rest) => {
-                let (id, action) = rest.split_once('/').unwrap_or((rest, ""));
-                if !wire::is_job_id(id) {
-                    return Some(Answer::error(404, "no such job"));
-                }
-                match (method, action) {
-                    ("GET", "") => user(Ask::Show(id.to_string())),
-                    ("POST", PATH_CANCEL) => user(Ask::Cancel(id.to_string())),
-                    ("GET" | "POST", _) => Answer::error(404, "no such path"),
-                    _ => Answer::error(405, "wrong method"),
-                }
-            }
-            None if OTHER_PATHS.contains(&path) => Answer::error(405, "wrong method"),
-            None => Answer::error(404, "no such path"),
-        },
-    };
-    Some(answer)
-}
-
 /// Keeps the allocator from setting memory aside for every thread: there are many threads here,
 /// little memory, and one core.
 pub fn limit_memory_pools() {
--- a/src/service/tests.rs
+++ b/src/service/tests.rs
@@ -1,6 +1,16 @@
+use super::gate::{Entry, Gate};
+use super::lanes::{Lanes, SHARES};
 use super::*;
+use crate::core::{Ask, UserRequest};
+use crate::http::tests::many_connections;
+use crate::wire;
+use std::collections::VecDeque;
+use std::io::{Read, Write};
 
-fn user(ticket: Ticket, what: Ask) -> Envelope {
+const REPORT: &str = r#"{"drone":"i-1","endpoint":"127.0.0.1:1","breed":"b","parcel":"a",
+            "tenure":1,"tally":1}"#;
+
+fn user(ticket: Ticket, what: Ask) -> Command {
     let request = UserRequest {
         ticket,
         what,
@@ -8,21 +18,13 @@
         tried: Vec::new(),
         received: Instant::now(),
     };
-    Envelope {
-        command: Command::User(request),
-        reply: None,
-    }
+    Command::User(request)
 }
 
-fn report() -> Envelope {
-    let text = r#"{"drone":"i-1","endpoint":"127.0.0.1:1","breed":"b","parcel":"a",
-            "tenure":1,"tally":1}"#;
-    Envelope {
-        command: Command::Report {
-            ticket: 0,
-            report: serde_json::from_str(text).unwrap(),
-        },
-        reply: None,
+fn report() -> Command {
+    Command::Report {
+        ticket: 0,
+        report: serde_json::from_str(REPORT).unwrap(),
     }
 }
 
@@ -37,7 +39,7 @@
     lanes.put(user(2, Ask::Cancel("wk-1".into())));
     let step = lanes.take();
     assert!(step.len() <= 1 + SHARES[1] + SHARES[2]);
-    let urgent = matches!(&step[0].command, Command::User(r) if r.ticket == 2);
+    let urgent = matches!(&step[0], Command::User(r) if r.ticket == 2);
     assert!(urgent);
     // Nothing is lost, and every lane moves on.
     let mut rest = 0;
@@ -49,21 +51,180 @@
 
 #[test]
 fn a_gate_lets_in_as_many_as_it_has_places() {
-    let gate = Arc::new(Gate::new(2));
-    let (inside, most) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
-    let threads: Vec<_> = (0..8)
-        .map(|_| {
-            let (gate, inside, most) = (gate.clone(), inside.clone(), most.clone());
-            std::thread::spawn(move || {
-                gate.pass(|| {
-                    let n = inside.fetch_add(1, Ordering::SeqCst) + 1;
-                    most.fetch_max(n, Ordering::SeqCst);
-                    std::thread::sleep(Duration::from_millis(5));
-                    inside.fetch_sub(1, Ordering::SeqCst);
-                })
-            })
-        })
+    let gate = Gate::new(2);
+    let now = Instant::now();
+    let (mut inside, mut done) = (VecDeque::new(), Vec::new());
+    for n in 0..8 {
+        match gate.enter(n, 1, now) {
+            Entry::Inside(n) => inside.push_back(n),
+            entry => assert_eq!(entry, Entry::Waits),
+        }
+    }
+    while let Some(n) = inside.pop_front() {
+        assert!(inside.len() < 2);
+        done.push(n);
+        inside.extend(gate.leave());
+    }
+    // All pass, in the order they came, and both places are free again.
+    assert_eq!(done, Vec::from_iter(0..8));
+    assert_eq!(gate.enter(8, 1, now), Entry::Inside(8));
+    assert_eq!(gate.enter(9, 1, now), Entry::Inside(9));
+    assert_eq!(gate.enter(10, 1, now), Entry::Waits);
+}
+
+#[test]
+fn who_waits_at_a_gate_too_long_or_with_too_much_is_sent_away() {
+    let gate = Gate::new(0);
+    let begun = Instant::now();
+    let after = |seconds| begun + Duration::from_secs(seconds);
+    assert_eq!(gate.enter('a', 10 << 20, begun), Entry::Waits);
+    assert_eq!(gate.enter('b', 7 << 20, after(1)), Entry::Full('b'));
+    assert_eq!(gate.enter('c', 6 << 20, after(2)), Entry::Waits);
+    let longest = Duration::from_secs(3);
+    assert_eq!(gate.take_late(after(2), longest), Vec::<char>::new());
+    assert_eq!(gate.take_late(after(3), longest), ['a']);
+    assert_eq!(gate.enter('d', 10 << 20, after(3)), Entry::Waits);
+    assert_eq!(gate.take_late(after(6), longest), ['c', 'd']);
+}
+
+/// The public interface in front of an owner that a test plays.
+struct Front {
+    inbox: Inbox,
+    addr: SocketAddr,
+}
+
+impl Front {
+    fn new(connections: usize) -> Front {
+        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+        let addr = listener.local_addr().unwrap();
+        let server = Server::new(listener, Limits::with_reserve(connections)).unwrap();
+        let inbox = Inbox::new();
+        let routes = Routes::new(inbox.clone(), Arc::new(AtomicBool::new(true)));
+        std::thread::spawn(move || server.run(routes));
+        Front { inbox, addr }
+    }
+
+    fn send(&self, method: &str, path: &str, body: &str) -> TcpStream {
+        let mut stream = TcpStream::connect(self.addr).unwrap();
+        let patience = Some(Duration::from_secs(20));
+        stream.set_read_timeout(patience).unwrap();
+        let length = body.len();
+        let request = format!(
+            "{method} {path} HTTP/1.1\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n{body}"
+        );
+        stream.write_all(request.as_bytes()).unwrap();
+        stream
+    }
+
+    /// Waits until so many reports are with the owner.
+    fn reports_arrive(&self, count: usize) {
+        let until = Instant::now() + Duration::from_secs(20);
+        while self.inbox.waiting()[2] < count {
+            assert!(Instant::now() < until, "{:?}", self.inbox.waiting());
+            std::thread::sleep(Duration::from_millis(5));
+        }
+        assert_eq!(self.inbox.waiting()[2], count);
+    }
+
+    fn is_healthy(&self) -> bool {
+        read(self.send("GET", wire::PATH_READY, "")).starts_with("HTTP/1.1 200")
+    }
+}
+
+fn read(mut stream: TcpStream) -> String {
+    let mut text = String::new();
+    stream.read_to_string(&mut text).unwrap();
+    text
+}
+
+/// Reports that the owner works on at a time.
+const PLACES: usize = 2 * SHARES[2];
+
+#[test]
+fn who_gets_no_answer_is_told_to_come_back() {
+    let front = Front::new(2000);
+    let count = PLACES + 10;
+    let reports: Vec<TcpStream> = (0..count)
+        .map(|_| front.send("POST", wire::PATH_REPORT, REPORT))
         .collect();
-    assert!(threads.into_iter().all(|t| t.join().unwrap().is_some()));
-    assert!(most.load(Ordering::SeqCst) <= 2);
+    front.reports_arrive(PLACES);
+    // Neither they nor those at the gate keep others waiting.
+    assert!(front.is_healthy());
+    let question = front.send("GET", wire::PATH_STATUS, "");
+    while front.inbox.waiting()[1] == 0 {
+        std::thread::sleep(Duration::from_millis(5));
+    }
+
+    front.inbox.give_up_late(Instant::now());
+    assert_eq!(front.inbox.next(Duration::ZERO).len(), 1 + SHARES[2]);
+    front
+        .inbox
+        .give_up_late(Instant::now() + Duration::from_secs(4));
+    let answers: Vec<String> = reports.into_iter().map(read).collect();
+    let told = |text: &str| {
+        let busy = |a: &&String| a.starts_with("HTTP/1.1 503") && a.contains("Retry-After: 1\r\n");
+        answers
+            .iter()
+            .filter(busy)
+            .filter(|a| a.contains(text))
+            .count()
+    };
+    assert_eq!(
+        (told("no answer in time"), told("overloaded")),
+        (PLACES, 10)
+    );
+    assert!(read(question).contains("no answer in time"));
+}
+
+#[test]
+fn six_thousand_reports_at_once_are_all_worked_on() {
+    let (count, _guard) = many_connections(6000);
+    let front = Front::new(8000);
+    let (mut streams, mut worked_on) = (Vec::new(), 0);
+    for _ in 0..count {
+        streams.push(front.send("POST", wire::PATH_REPORT, REPORT));
+    }
+    front.reports_arrive(PLACES);
+    while worked_on < count {
+        assert!(front.inbox.waiting()[2] <= PLACES);
+        assert!(worked_on > count / 2 || front.is_healthy());
+        for command in front.inbox.next(Duration::from_secs(20)) {
+            let Command::Report { ticket, .. } = command else {
+                panic!("not a report: {command:?}");
+            };
+            front.inbox.answer(ticket, Answer::new(200, Vec::new()));
+            worked_on += 1;
+        }
+    }
+    let answered = |stream| read(stream).starts_with("HTTP/1.1 200");
+    assert!(streams.into_iter().all(answered));
+}
+
+#[test]
+fn a_place_at_the_gate_is_not_lost_to_a_broken_report() {
+    let front = Front::new(2000);
+    for _ in 0..PLACES + 10 {
+        let answer = read(front.send("POST", wire::PATH_REPORT, "{"));
+        assert!(answer.starts_with("HTTP/1.1 400"), "{answer}");
+    }
+    let _report = front.send("POST", wire::PATH_REPORT, REPORT);
+    front.reports_arrive(1);
+}
+
+#[test]
+fn connections_are_as_many_as_sockets_and_memory_allow() {
+    let text = r#"{"host_name": "n0", "zone": "a", "public_addr": "127.0.0.1:1", "back": "127.0.0.1:2",
+        "services": {"cloud": "127.0.0.1:4", "state": "127.0.0.1:5"},
+        "params": {"teams": [{"name": "t"}], "cloud": {"rps": 10.0, "list_lag_s": 1.0},
+            "workers": {"report_s": 1.0, "lease_s": 10.0, "cancel_s": 20.0},
+            "state": {"rps": 100.0, "write_rps": 50.0, "value_kb": 8.0, "txn_ops": 16}}}"#;
+    let mut settings = Settings::parse(text).unwrap();
+    settings.sockets = 9000;
+    settings.memory_mb = 1024.0;
+    let many = most_connections(&settings);
+    assert!((8500..9000).contains(&many), "{many}");
+    // Each takes memory, of which most is kept for the rest where there is little.
+    settings.memory_mb = 64.0;
+    let few = most_connections(&settings);
+    assert_eq!(few, ((64.0 - 32.0) / CONNECTION_MB) as usize);
 }
