--- a/src/core/bidding_stories.rs
+++ b/src/core/bidding_stories.rs
@@ -144,6 +144,6 @@
             w.add_machine("small", zone);
         }
         w.run(2.0);
-        chaos(w, seed);
+        chaos(&mut w, seed);
     }
 }
--- a/src/core/delegation_stories.rs
+++ b/src/core/delegation_stories.rs
@@ -430,6 +430,6 @@
         }
         w.until(10.0, "a leader", |w| w.leader().is_some());
         w.run(2.0);
-        chaos(w, seed);
+        chaos(&mut w, seed);
     }
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -65,6 +65,8 @@
 mod pipelines;
 mod questions;
 mod rebuild;
+#[cfg(test)]
+mod recorded_decisions;
 mod records;
 mod recovery;
 mod relay;
--- /dev/null
+++ b/src/core/recorded_decisions.rs
@@ -0,0 +1,666 @@
+//! Records what the controllers decide over a few fixed schedules, as a guard for changes that should
+//! not change it: renames, moves and simplifications.
+//!
+//! Each test plays one schedule from a fixed seed, turns every effect that any controller's
+//! `Core::step` returns into a line of text, and compares the number of these lines and their hash
+//! with a literal. The lines hold what leaves the process (requests and answers in their wire
+//! format), numbers and times; no name of a Rust type or field is in them.
+//!
+//! - A change that should not change decisions must leave the literals as they are.
+//! - A change that does change decisions updates the literals in the same commit, and its message
+//!   says which decisions are different and why.
+//!
+//! To find the first difference, write the lines of both versions to files and compare these:
+//!
+//! ```text
+//! RECORDED_DECISIONS=/tmp/before cargo test --lib recorded_decisions
+//! RECORDED_DECISIONS=/tmp/after cargo test --lib recorded_decisions
+//! diff -r /tmp/before /tmp/after
+//! ```
+
+use super::stories::chaos;
+use super::world::{Link, NEXT_LIMITS, World};
+use super::{Effect, Stand};
+use crate::cloud::CloudRequest;
+use crate::http::Answer;
+use crate::job::{JobSpec, Kind, Rank, sample};
+use crate::peer;
+use crate::policy::Policy;
+use crate::recall;
+use crate::state::StateRequest;
+use crate::wire::{MachineNames, to_json};
+use crate::worker::DirectRequest;
+use serde_json::{Value, json};
+use siphasher::sip::SipHasher13;
+use std::fmt::Write as _;
+use std::hash::Hasher;
+use std::time::{Duration, Instant};
+
+/// Names a directory to which the recorded lines are written, one file per schedule.
+const TRANSCRIPT_DIRECTORY: &str = "RECORDED_DECISIONS";
+
+// The number that stands for each kind of effect and request in a line. They are part of what is
+// hashed and never change; a new kind gets a new number.
+const ANSWER: u32 = 1;
+const FORWARD: u32 = 2;
+const SYNC: u32 = 3;
+const STATE_GET: u32 = 4;
+const STATE_TRANSACTION: u32 = 5;
+const STATE_PAGE: u32 = 6;
+const STATE_LEASE_RUNS: u32 = 7;
+const CLOUD_TYPES: u32 = 8;
+const CLOUD_LIST: u32 = 9;
+const CLOUD_RENT: u32 = 10;
+const CLOUD_DELETE: u32 = 11;
+const DIRECT_COMMANDS: u32 = 12;
+const DIRECT_STATUS: u32 = 13;
+const RECALL: u32 = 14;
+const READ_AFRESH: u32 = 15;
+const GIVE_UP_LEASE: u32 = 16;
+const CHANGE_LEASE: u32 = 17;
+const STAND_ON_NOTHING: u32 = 18;
+const STAND_ON_CONDITIONS: u32 = 19;
+const READY: u32 = 20;
+
+/// How many effects a schedule had, and the hash of their lines.
+#[derive(Clone, Copy, Debug, PartialEq)]
+struct Recording {
+    effects: u64,
+    hash: u64,
+}
+
+/// Takes in the effects of all controllers' steps, in order.
+pub struct DecisionRecorder {
+    /// The virtual time at which the simulation began; all times in lines count from it.
+    start: Instant,
+    effects: u64,
+    hasher: SipHasher13,
+    transcript: Option<String>,
+}
+
+impl DecisionRecorder {
+    pub fn new(start: Instant) -> DecisionRecorder {
+        let wanted = std::env::var_os(TRANSCRIPT_DIRECTORY).is_some();
+        DecisionRecorder {
+            start,
+            effects: 0,
+            hasher: SipHasher13::new(),
+            transcript: wanted.then(String::new),
+        }
+    }
+
+    /// Records what one step of a controller returned.
+    pub fn record(&mut self, now: Instant, node: usize, effects: &[Effect]) {
+        let at = self.millis(now);
+        for effect in effects {
+            let content = self.content(effect);
+            let line = format!("{at} n{node} {content}\n");
+            self.hasher.write(line.as_bytes());
+            self.effects += 1;
+            if let Some(transcript) = &mut self.transcript {
+                transcript.push_str(&line);
+            }
+        }
+    }
+
+    fn millis(&self, t: Instant) -> u64 {
+        t.saturating_duration_since(self.start).as_millis() as u64
+    }
+
+    /// An effect in a form that depends on what it does, not on how the program names it.
+    fn content(&self, effect: &Effect) -> Value {
+        match effect {
+            Effect::Answer { ticket, answer } => {
+                let Answer {
+                    status,
+                    body,
+                    retry_after,
+                    not_after,
+                    content_type,
+                } = answer;
+                let not_after = not_after.map(|t| self.millis(t));
+                let body = text(body);
+                json!([
+                    ANSWER,
+                    ticket,
+                    status,
+                    body,
+                    retry_after,
+                    not_after,
+                    content_type
+                ])
+            }
+            Effect::Forward {
+                ticket,
+                peer,
+                request,
+            } => json!([FORWARD, ticket, peer, text(&peer::encode_request(request))]),
+            Effect::Sync {
+                peer,
+                number,
+                frame,
+            } => json!([SYNC, peer, number, text(frame)]),
+            Effect::State { call, request } => state_content(*call, request),
+            Effect::Cloud {
+                call,
+                request,
+                not_after,
+            } => cloud_content(*call, request, not_after.map(|t| self.millis(t))),
+            Effect::Direct {
+                call,
+                addr,
+                request,
+                not_after,
+            } => {
+                let (addr, not_after) = (addr.to_string(), self.millis(*not_after));
+                match request {
+                    DirectRequest::Commands(body) => {
+                        json!([DIRECT_COMMANDS, call, addr, not_after, text(&to_json(body))])
+                    }
+                    DirectRequest::Status { token } => {
+                        json!([DIRECT_STATUS, call, addr, not_after, token])
+                    }
+                }
+            }
+            Effect::Recall { peer, recall } => {
+                json!([RECALL, peer, text(&recall::encode_recall(recall))])
+            }
+            Effect::ReadAfresh => json!([READ_AFRESH]),
+            Effect::GiveUpLease => json!([GIVE_UP_LEASE]),
+            Effect::ChangeLease => json!([CHANGE_LEASE]),
+            Effect::Stand(None) => json!([STAND_ON_NOTHING]),
+            Effect::Stand(Some(Stand {
+                key_version,
+                conditions,
+            })) => json!([STAND_ON_CONDITIONS, key_version, text(&to_json(conditions))]),
+            Effect::Ready(ready) => json!([READY, ready]),
+        }
+    }
+
+    /// The recording so far; its lines go to a file if that is asked for.
+    fn finish(self, name: &str) -> Recording {
+        if let Some((directory, lines)) =
+            std::env::var_os(TRANSCRIPT_DIRECTORY).zip(self.transcript)
+        {
+            std::fs::create_dir_all(&directory).expect("a directory for the recorded lines");
+            let file = std::path::Path::new(&directory).join(name);
+            std::fs::write(file, lines).expect("the recorded lines are written");
+        }
+        Recording {
+            effects: self.effects,
+            hash: self.hasher.finish(),
+        }
+    }
+}
+
+fn state_content(call: u64, request: &StateRequest) -> Value {
+    match request {
+        StateRequest::Get(key) => json!([STATE_GET, call, key]),
+        StateRequest::Txn(txn) => json!([STATE_TRANSACTION, call, text(&to_json(txn))]),
+        StateRequest::Page { under, after, most } => json!([STATE_PAGE, call, under, after, most]),
+        StateRequest::LeaseRuns(lease) => json!([STATE_LEASE_RUNS, call, lease]),
+    }
+}
+
+fn cloud_content(call: u64, request: &CloudRequest, not_after: Option<u64>) -> Value {
+    match request {
+        CloudRequest::Types => json!([CLOUD_TYPES, call, not_after]),
+        CloudRequest::List => json!([CLOUD_LIST, call, not_after]),
+        CloudRequest::Rent(body) => json!([CLOUD_RENT, call, not_after, text(&to_json(body))]),
+        CloudRequest::Delete(names) => {
+            let body = MachineNames {
+                machines: names.clone(),
+            };
+            json!([CLOUD_DELETE, call, not_after, text(&to_json(&body))])
+        }
+    }
+}
+
+/// Bytes as they are if they are text, and in hexadecimal digits if not.
+fn text(bytes: &[u8]) -> String {
+    match std::str::from_utf8(bytes) {
+        Ok(text) => text.into(),
+        Err(_) => bytes.iter().fold(String::new(), |mut digits, byte| {
+            let _ = write!(digits, "{byte:02x}");
+            digits
+        }),
+    }
+}
+
+/// A schedule's name, seed and policy, and what it was recorded to lead to.
+struct Recorded {
+    name: &'static str,
+    seed: u64,
+    policy: &'static str,
+    expected: Recording,
+}
+
+const ALONE: &str = "delegate = false";
+const DELEGATING: &str = "delegate = true";
+const BIDDING: &str =
+    "delegate = false\nbidding = true\nworth = 10\nforesight = 20\ntolerance = 0.2";
+const BIDDING_AND_DELEGATING: &str = "delegate = true\nbidding = true\nworth = 10";
+
+const fn recorded(
+    name: &'static str,
+    seed: u64,
+    policy: &'static str,
+    effects: u64,
+    hash: u64,
+) -> Recorded {
+    let expected = Recording { effects, hash };
+    Recorded {
+        name,
+        seed,
+        policy,
+        expected,
+    }
+}
+
+/// Plays a schedule with three controllers and four machines, and records what is decided in it.
+fn record(case: &Recorded, schedule: impl Fn(&mut World, u64)) -> Recording {
+    let policy = Policy::with("recorded", case.policy).unwrap();
+    let mut w = World::with_policy(case.seed, policy);
+    w.recorder = Some(DecisionRecorder::new(w.now));
+    for zone in ["a", "b", "a", "b"] {
+        w.add_machine("small", zone);
+    }
+    w.until(10.0, "a leader", |w| w.leader().is_some());
+    w.run(2.0);
+    schedule(&mut w, case.seed);
+    let recorder = w.recorder.take().expect("it was set above");
+    recorder.finish(case.name)
+}
+
+/// Plays each case, and fails with the literals as found if one of them leads to other decisions.
+fn assert_recorded(cases: &[Recorded], schedule: impl Fn(&mut World, u64)) {
+    let mut differences = String::new();
+    for case in cases {
+        let found = record(case, &schedule);
+        if found != case.expected {
+            let (name, seed) = (case.name, case.seed);
+            let Recording { effects, hash } = found;
+            let _ = writeln!(differences, "{name}, seed {seed}: {effects}, {hash:#018x}");
+        }
+    }
+    assert!(
+        differences.is_empty(),
+        "decisions differ from those recorded (see the module's documentation); found:\n{differences}"
+    );
+}
+
+/// One job of each kind and with each demand on zones, and two that await others.
+fn jobs_of_all_kinds() -> Vec<JobSpec> {
+    let array = sample("wk-1", 6, 1.0, 12);
+    let mut service = sample("wk-2", 2, 1.0, 1);
+    service.kind = Kind::Service;
+    let mut gang = sample("wk-3", 3, 2.0, 8);
+    gang.kind = Kind::Gang;
+    gang.team = "u".into();
+    let mut one_zone = sample("wk-4", 3, 1.0, 6);
+    one_zone.one_zone = true;
+    let mut spread = sample("wk-5", 4, 1.0, 6);
+    spread.spread = true;
+    let mut urgent = sample("wk-6", 2, 2.0, 5);
+    urgent.class = "urgent".into();
+    urgent.rank = Rank::High;
+    urgent.spot = true;
+    let mut dependent = sample("wk-7", 2, 1.0, 4);
+    dependent.awaits = vec!["wk-1".into(), "wk-6".into()];
+    let mut doomed = sample("wk-8", 2, 1.0, 4);
+    doomed.awaits = vec!["wk-9".into()];
+    let mut long = sample("wk-9", 4, 1.0, 90);
+    long.team = "u".into();
+    vec![
+        array, service, gang, one_zone, spread, urgent, dependent, long, doomed,
+    ]
+}
+
+/// Submits jobs of all kinds, each by another controller.
+fn submit_all(w: &mut World) {
+    for (n, spec) in jobs_of_all_kinds().iter().enumerate() {
+        w.submit(n % 3, spec);
+        w.run(0.3);
+    }
+}
+
+/// Jobs of all kinds run; one is cancelled with what awaits it, the leader ends, machines die and
+/// restart, and one fails its tasks.
+fn takeover_with_cancellations(w: &mut World, _seed: u64) {
+    submit_all(w);
+    w.run(3.0);
+    w.cancel(1, "wk-9");
+    if let Some(leader) = w.leader() {
+        w.start_to_cancel((leader + 1) % 3, "wk-5");
+        w.kill(leader, Duration::from_secs(4));
+    }
+    w.run(6.0);
+    let ids: Vec<_> = w.workers.keys().cloned().collect();
+    w.workers.remove(&ids[0]);
+    w.reboot(&ids[1], true);
+    w.reboot(&ids[2], false);
+    w.workers.values_mut().take(1).for_each(|m| m.sick = true);
+    w.submit(2, &sample("wk-10", 8, 1.0, 5));
+    w.run(15.0);
+    w.workers.values_mut().for_each(|m| m.sick = false);
+    // A repeated submission, and one that can never run.
+    w.submit(0, &sample("wk-1", 6, 1.0, 12));
+    w.submit(1, &sample("wk-11", 1, 99.0, 1));
+    w.cancel(0, "wk-2");
+    w.run(40.0);
+}
+
+/// Forty more machines, which all controllers share; a job of a high rank takes room from one of a
+/// low rank, one that is too large for a single value is accepted, and the leader ends.
+fn many_machines(w: &mut World, _seed: u64) {
+    for n in 0..40 {
+        w.add_machine("small", ["a", "b"][n % 2]);
+    }
+    w.run(6.0);
+    let of_unlimited_team = |id: &str, tasks, rank| {
+        let mut spec = sample(id, tasks, 2.0, 12);
+        (spec.team, spec.rank) = ("u".into(), rank);
+        spec
+    };
+    w.submit(0, &of_unlimited_team("wk-1", 120, Rank::Low));
+    w.run(5.0);
+    w.submit(1, &of_unlimited_team("wk-2", 60, Rank::Production));
+    w.run(3.0);
+    w.limit(NEXT_LIMITS);
+    let mut large = of_unlimited_team("wk-3", 4, Rank::Normal);
+    large.image = "x".repeat(3 * NEXT_LIMITS.0);
+    w.submit(2, &large);
+    if let Some(leader) = w.leader() {
+        w.kill(leader, Duration::from_secs(2));
+    }
+    w.run(20.0);
+    w.cancel(1, "wk-1");
+    w.workers.values_mut().for_each(|m| m.node = 0);
+    w.run(30.0);
+}
+
+/// The store loses everything, is rolled back some time later, and then lost while the leader ends.
+fn losses_of_the_store(w: &mut World, _seed: u64) {
+    submit_all(w);
+    w.run(3.0);
+    let backup = w.backup();
+    w.submit(0, &sample("wk-20", 4, 1.0, 25));
+    w.lose_state();
+    w.run(25.0);
+    w.submit(1, &sample("wk-21", 4, 1.0, 25));
+    w.cancel(2, "wk-9");
+    w.restore(&backup);
+    w.run(25.0);
+    w.lose_state();
+    if let Some(leader) = w.leader() {
+        w.kill(leader, Duration::from_secs(3));
+    }
+    w.run(30.0);
+    for node in 0..3 {
+        w.settle(node);
+        w.offer(node, "another store", &backup);
+    }
+    w.cancel(0, "wk-2");
+    w.run(20.0);
+}
+
+/// Messages are late, repeated, lost or out of order, and the leader changes often.
+fn faulty_network(w: &mut World, _seed: u64) {
+    w.copies = Duration::from_secs(4);
+    w.late_writes = 0.1;
+    w.lost_answers = 0.2;
+    w.late_command_share = 0.2;
+    w.reports_for_next = 0.3;
+    submit_all(w);
+    w.run(5.0);
+    w.slow = Duration::from_millis(600);
+    w.cancel(1, "wk-9");
+    w.run(5.0);
+    w.slow = Duration::ZERO;
+    for (n, link) in [Link::Refused, Link::Held, Link::AnswersLost]
+        .into_iter()
+        .enumerate()
+    {
+        w.nodes[n].state = link;
+        w.run(4.0);
+        w.submit(n, &sample(&format!("wk-3{n}"), 3, 1.0, 6));
+        w.nodes[n].state = Link::Good;
+        w.release();
+        w.nodes[n].peers = false;
+        w.run(4.0);
+        w.nodes[n].peers = true;
+    }
+    w.set_outage(true);
+    w.run(8.0);
+    w.set_outage(false);
+    w.workers
+        .values_mut()
+        .step_by(2)
+        .for_each(|m| m.deaf = true);
+    w.run(6.0);
+    w.workers
+        .values_mut()
+        .for_each(|m| (m.deaf, m.mute) = (false, m.deaf));
+    w.run(6.0);
+    w.workers.values_mut().for_each(|m| m.mute = false);
+    w.run(25.0);
+}
+
+#[test]
+fn takeover_and_cancellation_decisions_are_as_recorded() {
+    let cases = [
+        recorded("takeover-alone", 1001, ALONE, 459, 0xe3a1_80d9_8ae2_ca2b),
+        recorded(
+            "takeover-delegating",
+            1002,
+            DELEGATING,
+            1139,
+            0x4d82_25e0_511a_5eeb,
+        ),
+        recorded(
+            "takeover-bidding",
+            1003,
+            BIDDING,
+            588,
+            0xe16b_aafa_85e2_5395,
+        ),
+        recorded(
+            "takeover-both",
+            1004,
+            BIDDING_AND_DELEGATING,
+            1268,
+            0x69ad_3a25_232e_012b,
+        ),
+    ];
+    assert_recorded(&cases, takeover_with_cancellations);
+}
+
+#[test]
+fn many_machine_decisions_are_as_recorded() {
+    let cases = [
+        recorded(
+            "many-machines-alone",
+            5001,
+            ALONE,
+            3503,
+            0xcfff_bdb8_1f29_8e9d,
+        ),
+        recorded(
+            "many-machines-delegating",
+            5002,
+            DELEGATING,
+            4146,
+            0x2b21_6191_dac3_0b00,
+        ),
+        recorded(
+            "many-machines-bidding",
+            5003,
+            BIDDING,
+            3502,
+            0xd2da_90a2_942a_3b51,
+        ),
+        recorded(
+            "many-machines-both",
+            5004,
+            BIDDING_AND_DELEGATING,
+            4256,
+            0xaea8_5dd3_dc55_7eb7,
+        ),
+    ];
+    assert_recorded(&cases, many_machines);
+}
+
+#[test]
+fn store_loss_decisions_are_as_recorded() {
+    let cases = [
+        recorded("store-loss-alone", 2001, ALONE, 920, 0x8e4f_e8a2_f6a7_4ea9),
+        recorded(
+            "store-loss-delegating",
+            2002,
+            DELEGATING,
+            2139,
+            0xa6f9_c58b_b418_6cda,
+        ),
+        recorded(
+            "store-loss-bidding",
+            2003,
+            BIDDING,
+            1432,
+            0x35ef_e9ed_ab2a_ccf4,
+        ),
+        recorded(
+            "store-loss-both",
+            2004,
+            BIDDING_AND_DELEGATING,
+            2329,
+            0xf007_584a_e344_29d8,
+        ),
+    ];
+    assert_recorded(&cases, losses_of_the_store);
+}
+
+#[test]
+fn faulty_network_decisions_are_as_recorded() {
+    let cases = [
+        recorded(
+            "faulty-network-alone",
+            3001,
+            ALONE,
+            1194,
+            0x6747_71f8_fb1e_f05f,
+        ),
+        recorded(
+            "faulty-network-delegating",
+            3002,
+            DELEGATING,
+            2151,
+            0x3bd3_27ca_b515_16a5,
+        ),
+        recorded(
+            "faulty-network-bidding",
+            3003,
+            BIDDING,
+            1658,
+            0xda4a_1250_89e5_798e,
+        ),
+        recorded(
+            "faulty-network-both",
+            3004,
+            BIDDING_AND_DELEGATING,
+            2867,
+            0x0bec_1bc3_b6d7_2036,
+        ),
+    ];
+    assert_recorded(&cases, faulty_network);
+}
+
+#[test]
+fn mixed_fault_decisions_are_as_recorded() {
+    let cases = [
+        recorded(
+            "mixed-faults-alone-1",
+            4001,
+            ALONE,
+            1544,
+            0xe4f1_1989_2a39_53e3,
+        ),
+        recorded(
+            "mixed-faults-delegating-1",
+            4002,
+            DELEGATING,
+            2096,
+            0xf499_63eb_574a_15de,
+        ),
+        recorded(
+            "mixed-faults-bidding-1",
+            4003,
+            BIDDING,
+            1107,
+            0x58b8_4c7a_6953_4910,
+        ),
+        recorded(
+            "mixed-faults-both-1",
+            4004,
+            BIDDING_AND_DELEGATING,
+            2398,
+            0xa9d2_07a2_0fb6_7a56,
+        ),
+        recorded(
+            "mixed-faults-alone-2",
+            4005,
+            ALONE,
+            1682,
+            0x75df_1d47_9b69_ce25,
+        ),
+        recorded(
+            "mixed-faults-delegating-2",
+            4006,
+            DELEGATING,
+            3568,
+            0xe868_cd98_0bf8_ccde,
+        ),
+        recorded(
+            "mixed-faults-bidding-2",
+            4007,
+            BIDDING,
+            1485,
+            0x558b_d065_d172_87f7,
+        ),
+        recorded(
+            "mixed-faults-both-2",
+            4008,
+            BIDDING_AND_DELEGATING,
+            2072,
+            0xd4a1_2f19_0f33_cb58,
+        ),
+        recorded(
+            "mixed-faults-alone-3",
+            4009,
+            ALONE,
+            1270,
+            0x10f3_0d99_f64d_e61c,
+        ),
+        recorded(
+            "mixed-faults-delegating-3",
+            4010,
+            DELEGATING,
+            4106,
+            0xfbbf_b5fe_b02f_1dfc,
+        ),
+        recorded(
+            "mixed-faults-bidding-3",
+            4011,
+            BIDDING,
+            1553,
+            0x83fc_d04d_d317_a4b0,
+        ),
+        recorded(
+            "mixed-faults-both-3",
+            4012,
+            BIDDING_AND_DELEGATING,
+            2846,
+            0x3796_5c5d_0199_acb4,
+        ),
+    ];
+    assert_recorded(&cases, chaos);
+}
--- a/src/core/stories.rs
+++ b/src/core/stories.rs
@@ -1107,7 +1107,7 @@
 }
 
 /// Troubles of every kind, alone and together, with the rules watched at every tick.
-pub(super) fn chaos(mut w: World, seed: u64) {
+pub(super) fn chaos(w: &mut World, seed: u64) {
     let mut ids: Vec<String> = Vec::new();
     let mut cancelled: Vec<String> = Vec::new();
     for round in 0..40 {
@@ -1232,7 +1232,7 @@
 #[test]
 fn the_rules_hold_under_any_mixture_of_troubles() {
     for seed in 100..140 {
-        let (w, _) = begin(seed);
-        chaos(w, seed);
+        let (mut w, _) = begin(seed);
+        chaos(&mut w, seed);
     }
 }
--- a/src/core/world.rs
+++ b/src/core/world.rs
@@ -2,6 +2,7 @@
 //! It watches the rules at every tick: no task on two machines, no team over its limit, nothing
 //! of a cancelled job left, nothing said and then unsaid, no task ahead of a job that it awaits.
 
+use super::recorded_decisions::DecisionRecorder;
 use super::{Ask, Command, Core, Effect, LEASE_TTL, Now, Stand, Ticket, UserRequest};
 use crate::cloud::{CloudOutcome, CloudRequest};
 use crate::guard::{Guard, stands};
@@ -456,6 +457,8 @@
     pub completed: BTreeSet<TaskKey>,
     pub starts: u32,
     pub clears: u32,
+    /// Takes in what the controllers decide, where a test asks for it.
+    pub recorder: Option<DecisionRecorder>,
     rng: SmallRng,
 }
 
@@ -569,6 +572,7 @@
             completed: BTreeSet::new(),
             starts: 0,
             clears: 0,
+            recorder: None,
             rng: SmallRng::seed_from_u64(seed),
         };
         for i in 0..setup.nodes {
@@ -1133,6 +1137,9 @@
             let begun = Instant::now();
             let effects = self.nodes[i].core.step(clock, commands);
             self.nodes[i].busy += begun.elapsed();
+            if let Some(recorder) = &mut self.recorder {
+                recorder.record(self.now, i, &effects);
+            }
             for e in effects {
                 self.carry_out(i, e);
             }
