--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -23,69 +23,39 @@
 //! - `urgency`: what a job owes to those that need it.
 //! - `scheduling`: snapshots for `plan` and `fleet`, and their decisions carried out.
 
-#[cfg(test)]
-mod added_stories;
 mod barrier;
 mod bidding;
-#[cfg(test)]
-mod bidding_stories;
-#[cfg(test)]
-mod cancellation_scenarios;
 mod commands;
 mod commit;
 mod custody;
 mod dead_key;
 mod delegation;
-#[cfg(test)]
-mod delegation_stories;
 mod expectation;
 mod figures;
-#[cfg(test)]
-mod gap_stories;
-#[cfg(test)]
-mod histories;
 mod jobs;
 mod keys;
 mod lead;
 mod leadership;
-#[cfg(test)]
-mod loss_stories;
 mod losses;
-#[cfg(test)]
-mod lost_answer_scenarios;
 mod machine;
-#[cfg(test)]
-mod meeting_scenarios;
-#[cfg(test)]
-mod meeting_stories;
 mod mirror;
-#[cfg(test)]
-mod old_message_scenarios;
 mod parts;
 mod pipelines;
 mod questions;
 mod rebuild;
-#[cfg(test)]
-mod recorded_decisions;
 mod records;
 mod recovery;
 mod relay;
 mod renting;
 mod reports;
 mod run;
-#[cfg(test)]
-mod scale;
 mod scheduling;
 #[cfg(test)]
-mod side_by_side;
+mod simulation;
 mod status;
-#[cfg(test)]
-mod stories;
 mod submissions;
 mod urgency;
 mod versions;
-#[cfg(test)]
-mod world;
 mod writes;
 
 pub use leadership::LEASE_TTL;
--- a/src/core/world.rs
+++ b/src/core/simulation/cluster.rs
@@ -2,9 +2,9 @@
 //! It watches the rules at every tick: no task on two machines, no team over its limit, nothing
 //! of a cancelled job left, nothing said and then unsaid, no task ahead of a job that it awaits.
 
-use super::recorded_decisions::DecisionRecorder;
-use super::{Ask, Command, Core, Effect, LEASE_TTL, Now, Stand, Ticket, UserRequest};
 use crate::cloud::{CloudOutcome, CloudRequest};
+use crate::core::simulation::recorded_decisions::DecisionRecorder;
+use crate::core::{Ask, Command, Core, Effect, LEASE_TTL, Now, Stand, Ticket, UserRequest};
 use crate::guard::{Guard, stands};
 use crate::http::Answer;
 use crate::job::{JobSpec, Kind, MachineId, TaskKey};
@@ -1969,7 +1969,9 @@
             Effect::Direct { call, request, .. } => {
                 // All workers share an address here; the call's machine is the core's own note.
                 let id = match self.nodes[i].core.pending.get(&call) {
-                    Some(super::Pending::Direct(id) | super::Pending::Show(id)) => id.clone(),
+                    Some(crate::core::Pending::Direct(id) | crate::core::Pending::Show(id)) => {
+                        id.clone()
+                    }
                     _ => return,
                 };
                 let outcome = self.call_worker(i, &id, request);
--- a/src/core/side_by_side.rs
+++ b/src/core/simulation/mixed_versions.rs
@@ -2,8 +2,8 @@
 //! serve side by side, and each works on what the other wrote. The literals here were written by
 //! that version's own encoders.
 
-use super::mirror::{DoneValue, JobValue, LeaderValue, Mirror, PageValue, RowSet, TermValue};
-use super::world::{LIMITS, NEXT_LIMITS, World};
+use crate::core::mirror::{DoneValue, JobValue, LeaderValue, Mirror, PageValue, RowSet, TermValue};
+use crate::core::simulation::cluster::{LIMITS, NEXT_LIMITS, World};
 use crate::job::{Final, JobSpec, Kind, Rank, Resources, sample};
 use crate::peer::{self, PeerAnswer, PeerRequest};
 use crate::wire::{Event, JobState};
@@ -344,7 +344,7 @@
     let other = (leader + 1) % 3;
     w.nodes.iter_mut().for_each(|n| n.peers = false);
     w.knows(&large);
-    w.ask(other, super::Ask::Submit(Box::new(large.clone())));
+    w.ask(other, crate::core::Ask::Submit(Box::new(large.clone())));
     w.tick();
     w.tick();
     assert!(!w.stored("burlusher/s/wk-2/").is_empty());
@@ -380,11 +380,11 @@
     let other = (leader + 1) % 3;
     w.nodes.iter_mut().for_each(|n| n.peers = false);
     w.knows(&large);
-    w.ask(other, super::Ask::Submit(Box::new(large.clone())));
+    w.ask(other, crate::core::Ask::Submit(Box::new(large.clone())));
     w.until(2.0, "all parts written", |w| {
         w.stored("burlusher/s/wk-2/").len() == parts
     });
-    w.nodes[other].state = super::world::Link::WritesHeld;
+    w.nodes[other].state = crate::core::simulation::cluster::Link::WritesHeld;
     w.run(80.0);
     assert!(!w.held_txns.is_empty() && w.stored("burlusher/s/").is_empty());
     w.kill(other, Duration::from_secs(2));
@@ -410,7 +410,7 @@
     for n in 1..9 {
         let spec = sample(&format!("wk-{n}"), 2, 1.0, 3);
         w.knows(&spec);
-        w.ask(leader, super::Ask::Submit(Box::new(spec)));
+        w.ask(leader, crate::core::Ask::Submit(Box::new(spec)));
     }
     for n in 1..9 {
         w.until_done(&format!("wk-{n}"), 30.0);
--- a/src/core/recorded_decisions.rs
+++ b/src/core/simulation/recorded_decisions.rs
@@ -18,10 +18,10 @@
 //! diff -r /tmp/before /tmp/after
 //! ```
 
-use super::stories::chaos;
-use super::world::{Link, NEXT_LIMITS, World};
-use super::{Effect, Stand};
 use crate::cloud::CloudRequest;
+use crate::core::simulation::cluster::{Link, NEXT_LIMITS, World};
+use crate::core::simulation::scenarios::basics::chaos;
+use crate::core::{Effect, Stand};
 use crate::http::Answer;
 use crate::job::{JobSpec, Kind, Rank, sample};
 use crate::peer;
--- a/src/core/scale.rs
+++ b/src/core/simulation/scale.rs
@@ -7,7 +7,7 @@
 //! Likewise `losses_against_size` that in `docs/rebuild.csv`: a total loss of data, with the leader
 //! ended at the same time or not.
 
-use super::world::World;
+use crate::core::simulation::cluster::World;
 use crate::job::{JobSpec, sample};
 use crate::policy::Policy;
 use std::time::{Duration, Instant};
@@ -64,7 +64,7 @@
     w.nodes[next].busy = Duration::ZERO;
     let fresh = job("wk-999999", 4);
     w.knows(&fresh);
-    w.ask(next, super::Ask::Submit(Box::new(fresh)));
+    w.ask(next, crate::core::Ask::Submit(Box::new(fresh)));
     let mut row = Row {
         known_ms: 0,
         start_ms: 0,
@@ -125,7 +125,7 @@
     for n in 0..jobs {
         let spec = job(&format!("wk-{n:06}"), 2);
         w.knows(&spec);
-        w.ask(leader, super::Ask::Submit(Box::new(spec)));
+        w.ask(leader, crate::core::Ask::Submit(Box::new(spec)));
         if n % 50 == 49 {
             w.tick();
         }
@@ -160,7 +160,7 @@
     while complete * first * written == 0 {
         assert!(w.now < end, "{machines} machines take too long");
         if first == 0 && w.places("wk-900000").is_empty() {
-            w.ask(next, super::Ask::Submit(Box::new(spec.clone())));
+            w.ask(next, crate::core::Ask::Submit(Box::new(spec.clone())));
         }
         w.run(0.2);
         let lead = w.nodes[next].core.lead.as_ref();
--- a/src/core/stories.rs
+++ b/src/core/simulation/scenarios/basics.rs
@@ -1,8 +1,8 @@
 //! Stories of failure, told to three controllers in virtual time. `World` checks the rules at
 //! every tick, so a story mostly says what happens and what must come of it.
 
-use super::Ask;
-use super::world::{Link, NEXT_LIMITS, World};
+use crate::core::Ask;
+use crate::core::simulation::cluster::{Link, NEXT_LIMITS, World};
 use crate::job::{JobSpec, Kind, Rank, TaskKey, sample as job};
 use crate::wire::JobState;
 use std::time::Duration;
@@ -767,7 +767,9 @@
     w.submit(leader, &job("wk-2", 1, 2.0, 3));
     w.run(30.0);
     w.until_done("wk-2", 20.0);
-    let failed = |m: &super::world::Worker| m.tasks.keys().filter(|k| &*k.job == "wk-2").count();
+    let failed = |m: &crate::core::simulation::cluster::Worker| {
+        m.tasks.keys().filter(|k| &*k.job == "wk-2").count()
+    };
     assert!(w.workers.contains_key(&id) && failed(&w.workers[&id]) <= 1);
     assert_eq!(w.starts, 3);
 }
@@ -1107,7 +1109,7 @@
 }
 
 /// Troubles of every kind, alone and together, with the rules watched at every tick.
-pub(super) fn chaos(w: &mut World, seed: u64) {
+pub fn chaos(w: &mut World, seed: u64) {
     let mut ids: Vec<String> = Vec::new();
     let mut cancelled: Vec<String> = Vec::new();
     for round in 0..40 {
--- a/src/core/bidding_stories.rs
+++ b/src/core/simulation/scenarios/bidding.rs
@@ -2,8 +2,8 @@
 //! award and what it was for, and ties. The world checks at every tick that no task is in two
 //! places.
 
-use super::stories::chaos;
-use super::world::World;
+use crate::core::simulation::cluster::World;
+use crate::core::simulation::scenarios::basics::chaos;
 use crate::job::{JobSpec, Rank, sample as job};
 use crate::policy::Policy;
 use std::time::Duration;
--- a/src/core/gap_stories.rs
+++ b/src/core/simulation/scenarios/cancellation_in_outage.rs
@@ -3,9 +3,9 @@
 //! `docs/design.md` has the time line as arithmetic. The world checks at every tick that nothing of a
 //! cancelled job is on a machine longer than that after its user was told.
 
-use super::added_stories::job;
-use super::leadership::LEASE_TTL;
-use super::world::{LEASE, Link, Setup, World};
+use crate::core::leadership::LEASE_TTL;
+use crate::core::simulation::cluster::{LEASE, Link, Setup, World};
+use crate::core::simulation::scenarios::partitions::job;
 use crate::guard::{Guard, OUT};
 use crate::policy::Policy;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -211,7 +211,7 @@
 
 #[test]
 fn nothing_of_a_job_confirmed_in_the_gap_outlives_its_cancellation() {
-    super::world::with_log();
+    crate::core::simulation::cluster::with_log();
     let mut met = 0;
     for (n, gap) in rows().into_iter().enumerate() {
         let here = play(gap, 700 + n as u64);
--- a/src/core/loss_stories.rs
+++ b/src/core/simulation/scenarios/loss_of_store.rs
@@ -1,9 +1,9 @@
 //! Stories of a state service that loses data. `World` checks at every tick that nothing runs twice,
 //! and at every answer that nothing is forgotten or unsaid.
 
-use super::meeting_scenarios::fails_without;
-use super::world::{Link, World};
-use super::{Core, Effect, Pending};
+use crate::core::simulation::cluster::{Link, World};
+use crate::core::simulation::scenarios::combined_faults::fails_without;
+use crate::core::{Core, Effect, Pending};
 use crate::guard::Guard;
 use crate::job::{JobSpec, sample as job};
 use crate::policy::Policy;
@@ -17,7 +17,7 @@
 }
 
 fn begin_with(seed: u64, policy: &str) -> (World, usize) {
-    super::world::with_log();
+    crate::core::simulation::cluster::with_log();
     let mut w = World::with_policy(seed, Policy::with("losses", policy).unwrap());
     for zone in ["a", "b", "a", "b", "a", "b"] {
         w.add_machine("small", zone);
@@ -69,7 +69,7 @@
         w.leader().is_some() && !w.stored("burlusher/i/").is_empty()
     });
     assert!(
-        w.now > lost + super::LEASE_TTL,
+        w.now > lost + crate::core::LEASE_TTL,
         "nobody leads before earlier words have run out"
     );
     assert_ne!(w.stored("burlusher/i/"), before, "it goes by another name");
--- a/src/core/lost_answer_scenarios.rs
+++ b/src/core/simulation/scenarios/lost_answers.rs
@@ -2,9 +2,9 @@
 //! they wrote; and leaderships that end while their leader key stands. The simulation fails at every step
 //! at which two leaderships have one term, a task is on two machines, or a user is told something older.
 
-use super::added_stories::{begin, job};
-use super::meeting_scenarios::fails_without;
-use super::world::{Link, World};
+use crate::core::simulation::cluster::{Link, World};
+use crate::core::simulation::scenarios::combined_faults::fails_without;
+use crate::core::simulation::scenarios::partitions::{begin, job};
 use crate::guard::Guard;
 use crate::wire::JobState;
 use std::time::Duration;
@@ -195,5 +195,5 @@
 /// heard of the term in between, and led in that instead of the one that it had written.
 #[test]
 fn a_leader_of_a_store_lost_twice_has_a_term_of_its_own() {
-    super::histories::store_lost_twice();
+    crate::core::simulation::randomized::store_lost_twice();
 }
