--- /dev/null
+++ b/src/core/simulation/faults.rs
@@ -0,0 +1,142 @@
+//! Faults that a test brings about by a call.
+
+use super::cluster::{Node, World};
+use super::store::{Backup, StateService};
+use crate::core::{Command, LEASE_TTL};
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+impl World {
+    pub fn kill(&mut self, i: usize, restart_after: Duration) {
+        self.witnesses.remove(&i);
+        if let Some(memories) = &mut self.memories {
+            memories.remove(&i);
+            self.amnesia |= memories.is_empty();
+        }
+        self.nodes[i].up = false;
+        self.nodes[i].inbox.clear();
+        self.slow_answers.retain(|(_, node, _)| *node != i);
+        self.nodes[i].restart_at = Some(self.now + restart_after);
+        self.forwards.retain(|_, (asker, _)| *asker != i);
+        self.syncs.retain(|_, (asker, _, _)| *asker != i);
+        let name = format!("n{i}");
+        let unanswered = self
+            .recalls
+            .extract_if(.., |_, (a, to, _)| *a == i || *to == name);
+        let unanswered: Vec<_> = unanswered.map(|(_, r)| r).collect();
+        for (asker, peer, asked) in unanswered.into_iter().filter(|r| r.0 != i) {
+            let answer = None;
+            self.nodes[asker].inbox.push(Command::Recalled {
+                peer,
+                asked,
+                answer,
+            });
+        }
+    }
+
+    /// A leader takes its key for gone, though it stands.
+    pub fn depose(&mut self, node: usize) {
+        if let Some(lead) = &self.nodes[node].core.lead {
+            let key_version = lead.key_version;
+            self.nodes[node]
+                .inbox
+                .push(Command::Deposed { key_version });
+        }
+    }
+
+    /// The state service serves nobody from now on, or everybody again.
+    pub fn set_outage(&mut self, outage: bool) {
+        self.outage = outage;
+        self.pause_leases(outage);
+    }
+
+    /// During an outage no lease runs out, and after it each has its full time again.
+    pub fn pause_leases(&mut self, paused: bool) {
+        let far = Duration::from_secs(86_400);
+        for end in self.state.leases.values_mut() {
+            *end = self.now + if paused { far } else { LEASE_TTL };
+        }
+    }
+
+    /// The state service has lost everything; nobody is told.
+    pub fn lose_state(&mut self) {
+        self.restore(&Backup(StateService {
+            limits: self.state.limits,
+            ..StateService::default()
+        }));
+    }
+
+    /// It goes on from what it held once. Leases that ran then have their full time again.
+    pub fn restore(&mut self, backup: &Backup) {
+        let jobs = self.state.keys.iter();
+        let jobs = jobs.filter(|(k, _)| k.starts_with("burlusher/j/"));
+        for (key, e) in jobs {
+            let over = e.value.get("end").is_some();
+            *self.owed.entry(key.clone()).or_default() |= over;
+        }
+        let current =
+            |n: &Node| n.up && n.core.mirror.loaded && n.seen >= Some(self.state.revision);
+        let up = (0..self.nodes.len()).filter(|i| current(&self.nodes[*i]));
+        let leads = |n: &Node| n.up && n.core.leads() && !n.core.incomplete();
+        if self.nodes.iter().any(leads) && !self.state.keys.contains_key("burlusher/rebuilding") {
+            self.witnesses = up.clone().collect();
+        }
+        match &mut self.memories {
+            Some(memories) => memories.retain(|i| self.nodes[*i].up),
+            None => self.memories = Some(up.collect()),
+        }
+        let before = self.state.recorded();
+        self.unrecorded.extend(&before - &backup.0.recorded());
+        let nobody = self.memories.as_ref().is_some_and(BTreeSet::is_empty);
+        self.amnesia |= nobody && !self.owed.is_empty();
+        self.state = backup.0.clone();
+        for end in self.state.leases.values_mut() {
+            *end = self.now + LEASE_TTL;
+        }
+    }
+
+    /// Only what is under these keys is lost.
+    pub fn lose_keys(&mut self, prefix: &str) {
+        self.state.keys.retain(|k, _| !k.starts_with(prefix));
+    }
+
+    /// A key's value is an older one again.
+    pub fn fall_back(&mut self, key: &str, value: serde_json::Value) {
+        if let Some(e) = self.state.keys.get_mut(key) {
+            e.value = value;
+        }
+    }
+
+    /// The store forgets all leases, and keeps the keys that hang on them.
+    pub fn forget_leases(&mut self) {
+        self.state.leases.clear();
+    }
+
+    /// A lease number that was in use is given again, to somebody who renews it.
+    pub fn give_lease_again(&mut self, node: usize) {
+        if let Some(id) = self.nodes[node].lease {
+            let far = Duration::from_secs(86_400);
+            self.state.leases.insert(id, self.now + far);
+        }
+    }
+
+    /// A node's watch is too old, and it reads all there is.
+    pub fn list_again(&mut self, node: usize) {
+        self.nodes[node].seen = None;
+    }
+
+    /// A node reads all there is, and the answer is long under way: until `list_comes`, nothing else
+    /// reaches its copy.
+    pub fn list_begins(&mut self, node: usize) {
+        self.nodes[node].reading = Some((self.state.items(), self.state.revision));
+        self.nodes[node].lags = true;
+    }
+
+    pub fn list_comes(&mut self, node: usize) {
+        let n = &mut self.nodes[node];
+        if let Some((items, revision)) = n.reading.take() {
+            n.inbox.push(Command::Listed { items, revision });
+            (n.seen, n.lags) = (Some(revision), false);
+        }
+    }
+}
--- a/src/core/simulation/mixed_versions.rs
+++ b/src/core/simulation/mixed_versions.rs
@@ -3,7 +3,7 @@
 //! that version's own encoders.
 
 use crate::core::mirror::{DoneValue, JobValue, LeaderValue, Mirror, PageValue, RowSet, TermValue};
-use crate::core::simulation::cluster::{LIMITS, NEXT_LIMITS, World};
+use crate::core::simulation::{LIMITS, NEXT_LIMITS, World};
 use crate::job::{Final, JobSpec, Kind, Rank, Resources, sample};
 use crate::peer::{self, PeerAnswer, PeerRequest};
 use crate::wire::{Event, JobState};
@@ -384,7 +384,7 @@
     w.until(2.0, "all parts written", |w| {
         w.stored("burlusher/s/wk-2/").len() == parts
     });
-    w.nodes[other].state = crate::core::simulation::cluster::Link::WritesHeld;
+    w.nodes[other].state = crate::core::simulation::Link::WritesHeld;
     w.run(80.0);
     assert!(!w.held_txns.is_empty() && w.stored("burlusher/s/").is_empty());
     w.kill(other, Duration::from_secs(2));
--- a/src/core/simulation/randomized.rs
+++ b/src/core/simulation/randomized.rs
@@ -4,7 +4,7 @@
 //! fewest troubles; such a one becomes a story. `HISTORIES=10000 cargo test histories` plays more, and
 //! `HISTORY_SEED=1` others.
 
-use crate::core::simulation::cluster::{Backup, Link, World};
+use crate::core::simulation::{Backup, Link, World};
 use crate::guard::{Guard, OUT};
 use crate::job::{Kind, sample};
 use crate::policy::Policy;
@@ -521,7 +521,7 @@
 /// and was then rolled back to what it held while it was being rebuilt.
 #[test]
 fn a_store_rolled_back_into_its_rebuilding_comes_to_be_whole() {
-    crate::core::simulation::cluster::with_log();
+    crate::core::simulation::with_log();
     let event = |trouble, job: bool, then_ms| event(trouble, job.then_some(SHORT), then_ms);
     play(
         3401632716118953730,
@@ -543,7 +543,7 @@
 /// Found by these histories: the store lost its data when one controller was away and another had just begun.
 #[test]
 fn a_store_lost_while_controllers_begin_anew_comes_to_be_whole() {
-    crate::core::simulation::cluster::with_log();
+    crate::core::simulation::with_log();
     let end = |node, away_ms| Trouble::End { node, away_ms };
     play(
         328329404657090147,
@@ -572,7 +572,7 @@
 /// Found by these histories: the store was lost and, before it was named again, rolled back to what it had held.
 #[test]
 fn a_store_rolled_back_right_after_its_loss_comes_to_be_whole() {
-    crate::core::simulation::cluster::with_log();
+    crate::core::simulation::with_log();
     play(
         0,
         &[
--- a/src/core/simulation/recorded_decisions.rs
+++ b/src/core/simulation/recorded_decisions.rs
@@ -19,8 +19,8 @@
 //! ```
 
 use crate::cloud::CloudRequest;
-use crate::core::simulation::cluster::{Link, NEXT_LIMITS, World};
 use crate::core::simulation::scenarios::basics::chaos;
+use crate::core::simulation::{Link, NEXT_LIMITS, World};
 use crate::core::{Effect, Stand};
 use crate::http::Answer;
 use crate::job::{JobSpec, Kind, Rank, sample};
--- a/src/core/simulation/scale.rs
+++ b/src/core/simulation/scale.rs
@@ -7,7 +7,7 @@
 //! Likewise `losses_against_size` that in `docs/rebuild.csv`: a total loss of data, with the leader
 //! ended at the same time or not.
 
-use crate::core::simulation::cluster::World;
+use crate::core::simulation::World;
 use crate::job::{JobSpec, sample};
 use crate::policy::Policy;
 use std::time::{Duration, Instant};
--- a/src/core/simulation/scenarios/basics.rs
+++ b/src/core/simulation/scenarios/basics.rs
@@ -2,7 +2,7 @@
 //! every tick, so a story mostly says what happens and what must come of it.
 
 use crate::core::Ask;
-use crate::core::simulation::cluster::{Link, NEXT_LIMITS, World};
+use crate::core::simulation::{Link, NEXT_LIMITS, World};
 use crate::job::{JobSpec, Kind, Rank, TaskKey, sample as job};
 use crate::wire::JobState;
 use std::time::Duration;
@@ -767,9 +767,8 @@
     w.submit(leader, &job("wk-2", 1, 2.0, 3));
     w.run(30.0);
     w.until_done("wk-2", 20.0);
-    let failed = |m: &crate::core::simulation::cluster::Worker| {
-        m.tasks.keys().filter(|k| &*k.job == "wk-2").count()
-    };
+    let failed =
+        |m: &crate::core::simulation::Worker| m.tasks.keys().filter(|k| &*k.job == "wk-2").count();
     assert!(w.workers.contains_key(&id) && failed(&w.workers[&id]) <= 1);
     assert_eq!(w.starts, 3);
 }
--- a/src/core/simulation/scenarios/bidding.rs
+++ b/src/core/simulation/scenarios/bidding.rs
@@ -2,7 +2,7 @@
 //! award and what it was for, and ties. The world checks at every tick that no task is in two
 //! places.
 
-use crate::core::simulation::cluster::World;
+use crate::core::simulation::World;
 use crate::core::simulation::scenarios::basics::chaos;
 use crate::job::{JobSpec, Rank, sample as job};
 use crate::policy::Policy;
--- a/src/core/simulation/scenarios/cancellation.rs
+++ b/src/core/simulation/scenarios/cancellation.rs
@@ -2,9 +2,9 @@
 //! changes, machines that don't report, and many short jobs. The simulation fails where something of a
 //! cancelled job is on a machine for too long, or a team is beyond its limit.
 
-use crate::core::simulation::cluster::{Link, Setup, World};
 use crate::core::simulation::scenarios::combined_faults::fails_without;
 use crate::core::simulation::scenarios::partitions::{begin, job};
+use crate::core::simulation::{Link, Setup, World};
 use crate::guard::Guard;
 use crate::job::{MachineId, Rank, sample};
 use crate::policy::Policy;
--- a/src/core/simulation/scenarios/cancellation_in_outage.rs
+++ b/src/core/simulation/scenarios/cancellation_in_outage.rs
@@ -4,8 +4,8 @@
 //! cancelled job is on a machine longer than that after its user was told.
 
 use crate::core::leadership::LEASE_TTL;
-use crate::core::simulation::cluster::{LEASE, Link, Setup, World};
 use crate::core::simulation::scenarios::partitions::job;
+use crate::core::simulation::{LEASE, Link, Setup, World};
 use crate::guard::{Guard, OUT};
 use crate::policy::Policy;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -211,7 +211,7 @@
 
 #[test]
 fn nothing_of_a_job_confirmed_in_the_gap_outlives_its_cancellation() {
-    crate::core::simulation::cluster::with_log();
+    crate::core::simulation::with_log();
     let mut met = 0;
     for (n, gap) in rows().into_iter().enumerate() {
         let here = play(gap, 700 + n as u64);
--- a/src/core/simulation/scenarios/combined_faults.rs
+++ b/src/core/simulation/scenarios/combined_faults.rs
@@ -2,8 +2,8 @@
 //! the test of every one). Each asserts that the meeting did happen. The world checks the rules at every tick.
 
 use crate::core::losses::late_cancellations;
-use crate::core::simulation::cluster::{LEASE, Link, Setup, World, settings};
 use crate::core::simulation::scenarios::partitions::{begin, job};
+use crate::core::simulation::{LEASE, Link, Setup, World, settings};
 use crate::guard::{Guard, OUT};
 use crate::job::{JobSpec, Kind, MachineId, Rank};
 use crate::policy::Policy;
@@ -425,7 +425,7 @@
 /// More urgent work than room, over slow links: jobs of a low rank, on types that are dear to them, get what
 /// fits them and is free; nothing waits for a minute and a half where a machine has room.
 fn more_work_than_room() {
-    crate::core::simulation::cluster::with_log();
+    crate::core::simulation::with_log();
     let text = "delegate = true\nidle_keep = 600";
     let mut w = World::with_policy(1001, Policy::with("room", text).unwrap());
     w.capacity.clear();
--- a/src/core/simulation/scenarios/delegation.rs
+++ b/src/core/simulation/scenarios/delegation.rs
@@ -2,7 +2,7 @@
 //! is taken back, and what becomes of it when one of them is cut off, dies, or is an older version.
 //! The world checks at every tick that no task is in two places.
 
-use crate::core::simulation::cluster::World;
+use crate::core::simulation::World;
 use crate::core::simulation::scenarios::basics::chaos;
 use crate::core::{Command, Effect, Now, Work};
 use crate::job::{JobSpec, Kind, MachineId, sample};
@@ -23,7 +23,7 @@
 
 /// Three controllers with a leader, and so many machines that have reported; none can be rented.
 fn begin(seed: u64, machines: usize) -> (World, usize) {
-    crate::core::simulation::cluster::with_log();
+    crate::core::simulation::with_log();
     let mut w = World::with_policy(seed, policy(true));
     w.capacity.clear();
     for i in 0..machines {
--- a/src/core/simulation/scenarios/late_writes.rs
+++ b/src/core/simulation/scenarios/late_writes.rs
@@ -1,8 +1,8 @@
 //! Stories of troubles that meet (`docs/added-rules.md`): above all of transactions that are carried out
 //! late, after newer ones of the same leader. The world checks at every tick that nothing runs twice.
 
-use crate::core::simulation::cluster::{Link, World};
 use crate::core::simulation::scenarios::partitions::{begin, job};
+use crate::core::simulation::{Link, World};
 use crate::job::{MachineId, sample};
 use crate::wire::{DirectBody, Report};
 use std::time::Duration;
--- a/src/core/simulation/scenarios/loss_of_store.rs
+++ b/src/core/simulation/scenarios/loss_of_store.rs
@@ -1,8 +1,8 @@
 //! Stories of a state service that loses data. `World` checks at every tick that nothing runs twice,
 //! and at every answer that nothing is forgotten or unsaid.
 
-use crate::core::simulation::cluster::{Link, World};
 use crate::core::simulation::scenarios::combined_faults::fails_without;
+use crate::core::simulation::{Link, World};
 use crate::core::{Core, Effect, Pending};
 use crate::guard::Guard;
 use crate::job::{JobSpec, sample as job};
@@ -17,7 +17,7 @@
 }
 
 fn begin_with(seed: u64, policy: &str) -> (World, usize) {
-    crate::core::simulation::cluster::with_log();
+    crate::core::simulation::with_log();
     let mut w = World::with_policy(seed, Policy::with("losses", policy).unwrap());
     for zone in ["a", "b", "a", "b", "a", "b"] {
         w.add_machine("small", zone);
--- a/src/core/simulation/scenarios/lost_answers.rs
+++ b/src/core/simulation/scenarios/lost_answers.rs
@@ -2,9 +2,9 @@
 //! they wrote; and leaderships that end while their leader key stands. The simulation fails at every step
 //! at which two leaderships have one term, a task is on two machines, or a user is told something older.
 
-use crate::core::simulation::cluster::{Link, World};
 use crate::core::simulation::scenarios::combined_faults::fails_without;
 use crate::core::simulation::scenarios::partitions::{begin, job};
+use crate::core::simulation::{Link, World};
 use crate::guard::Guard;
 use crate::wire::JobState;
 use std::time::Duration;
--- a/src/core/simulation/scenarios/old_messages.rs
+++ b/src/core/simulation/scenarios/old_messages.rs
@@ -2,9 +2,9 @@
 //! commands of a leader that has ended or was deposed since. And machines that are new when the leader ends. The
 //! simulation fails where a task is on two machines, or starts on one that is not on record.
 
-use crate::core::simulation::cluster::{Link, World};
 use crate::core::simulation::scenarios::combined_faults::fails_without;
 use crate::core::simulation::scenarios::partitions::{begin, job};
+use crate::core::simulation::{Link, World};
 use crate::guard::Guard;
 use crate::job::MachineId;
 use crate::policy::Policy;
--- a/src/core/simulation/scenarios/partitions.rs
+++ b/src/core/simulation/scenarios/partitions.rs
@@ -2,7 +2,7 @@
 //! hear, copies that come late, controllers that have only their workers or are back within a moment,
 //! and jobs that others pass. The world checks at every tick that nothing runs twice.
 
-use crate::core::simulation::cluster::{Link, World};
+use crate::core::simulation::{Link, World};
 use crate::job::{JobSpec, MachineId, Rank, sample};
 use crate::policy::Policy;
 use crate::wire::{JobState, Order};
@@ -17,7 +17,7 @@
 
 /// Three controllers that serve workers for one another, and eight machines; none can be rented.
 pub fn begin(seed: u64) -> (World, usize) {
-    crate::core::simulation::cluster::with_log();
+    crate::core::simulation::with_log();
     let policy = Policy::with("added", "delegate = true\nidle_keep = 600").unwrap();
     let mut w = World::with_policy(seed, policy);
     w.capacity.clear();
--- /dev/null
+++ b/src/core/simulation/store.rs
@@ -0,0 +1,305 @@
+//! The simulated state service, and how controllers reach it.
+
+use super::cluster::World;
+use super::network::Link;
+use crate::job::MachineId;
+use crate::state::{PREFIX, StateOutcome, StateRequest};
+use crate::wire::{Change, Event, Item, Txn};
+use rand::RngExt;
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::{Duration, Instant};
+
+/// A client of the state service takes an answer for lost after this.
+pub(super) const NO_ANSWER: Duration = Duration::from_millis(1500);
+
+#[derive(Clone)]
+pub(super) struct Entry {
+    pub(super) value: serde_json::Value,
+    pub(super) version: u64,
+    pub(super) lease: Option<u64>,
+}
+
+/// Bytes of a value, and changes of a transaction.
+pub type Limits = (usize, usize);
+
+pub const LIMITS: Limits = (8192, 16);
+
+pub const NEXT_LIMITS: Limits = (2048, 10);
+
+#[derive(Clone, Default)]
+pub(super) struct StateService {
+    pub(super) limits: Limits,
+    pub(super) keys: BTreeMap<String, Entry>,
+    pub(super) revision: u64,
+    pub(super) events: Vec<Event>,
+    pub(super) leases: BTreeMap<u64, Instant>,
+    pub(super) next_lease: u64,
+    /// Transactions over the limits.
+    pub(super) refused: u32,
+}
+
+impl StateService {
+    pub(super) fn drop_key(&mut self, key: &str) {
+        if self.keys.remove(key).is_some() {
+            self.events.push(Event {
+                put: None,
+                delete: Some(key.into()),
+                value: serde_json::Value::Null,
+                version: self.revision,
+                lease: None,
+            });
+        }
+    }
+
+    pub(super) fn expire(&mut self, now: Instant) {
+        let over: Vec<u64> = self
+            .leases
+            .iter()
+            .filter(|(_, end)| **end <= now)
+            .map(|(id, _)| *id)
+            .collect();
+        for id in over {
+            self.leases.remove(&id);
+            self.revision += 1;
+            let keys: Vec<String> = self
+                .keys
+                .iter()
+                .filter(|(_, e)| e.lease == Some(id))
+                .map(|(k, _)| k.clone())
+                .collect();
+            for key in keys {
+                self.drop_key(&key);
+            }
+        }
+    }
+
+    /// The machines that are on record.
+    pub(super) fn recorded(&self) -> BTreeSet<MachineId> {
+        let pages = self
+            .keys
+            .iter()
+            .filter(|(k, _)| k.starts_with("burlusher/p/"));
+        let ids = pages.filter_map(|(_, e)| e.value.get("machines")?.as_object());
+        ids.flat_map(|m| m.keys().map(|id| id.as_str().into()))
+            .collect()
+    }
+
+    /// All that is under our prefix.
+    pub(super) fn items(&self) -> Vec<Item> {
+        let keys = self.keys.iter().filter(|(k, _)| k.starts_with(PREFIX));
+        let item = |(k, e): (&String, &Entry)| Item {
+            key: k.clone(),
+            value: e.value.clone(),
+            version: e.version,
+            lease: e.lease,
+        };
+        keys.map(item).collect()
+    }
+
+    pub(super) fn perform(&mut self, request: &StateRequest) -> StateOutcome {
+        match request {
+            StateRequest::LeaseRuns(id) => StateOutcome::Runs(self.leases.contains_key(id)),
+            StateRequest::Get(key) => match self.keys.get(key) {
+                Some(e) => StateOutcome::Found(Item {
+                    key: key.clone(),
+                    value: e.value.clone(),
+                    version: e.version,
+                    lease: e.lease,
+                }),
+                None => StateOutcome::Missing {
+                    revision: self.revision,
+                },
+            },
+            StateRequest::Page { under, after, most } => {
+                let keys = self.keys.iter();
+                let mut found = keys.filter(|(k, _)| k.starts_with(under.as_str()) && *k > after);
+                let item = |(k, e): (&String, &Entry)| Item {
+                    key: k.clone(),
+                    value: e.value.clone(),
+                    version: e.version,
+                    lease: e.lease,
+                };
+                StateOutcome::Page {
+                    items: found.by_ref().take(*most).map(item).collect(),
+                    more: found.next().is_some(),
+                    revision: self.revision,
+                }
+            }
+            StateRequest::Txn(txn) => self.txn(txn),
+        }
+    }
+
+    pub(super) fn txn(&mut self, txn: &Txn) -> StateOutcome {
+        let (bytes, ops) = self.limits;
+        let too_large = |c: &Change| match c {
+            Change::Put { value, .. } => value.to_string().len() > bytes,
+            Change::Delete { .. } => false,
+        };
+        if txn.changes.len() > ops
+            || txn.conditions.len() > 4 * ops
+            || txn.changes.iter().any(too_large)
+        {
+            self.refused += 1;
+            return StateOutcome::Invalid("400 over the limit".into());
+        }
+        let failed: Vec<String> = txn
+            .conditions
+            .iter()
+            .filter(|c| self.keys.get(&c.key).map_or(0, |e| e.version) != c.version)
+            .map(|c| c.key.clone())
+            .collect();
+        if !failed.is_empty() {
+            return StateOutcome::Conflict {
+                failed,
+                revision: self.revision,
+            };
+        }
+        let lease_ok = |c: &Change| match c {
+            Change::Put { lease: Some(l), .. } => self.leases.contains_key(l),
+            _ => true,
+        };
+        if !txn.changes.iter().all(lease_ok) {
+            return StateOutcome::Invalid("no such lease".into());
+        }
+        if !txn.changes.is_empty() {
+            self.revision += 1;
+        }
+        for change in &txn.changes {
+            match change {
+                Change::Put { key, value, lease } => {
+                    let e = Entry {
+                        value: value.clone(),
+                        version: self.revision,
+                        lease: *lease,
+                    };
+                    self.events.push(Event {
+                        put: Some(key.clone()),
+                        delete: None,
+                        value: value.clone(),
+                        version: self.revision,
+                        lease: *lease,
+                    });
+                    self.keys.insert(key.clone(), e);
+                }
+                Change::Delete { key } => self.drop_key(key),
+            }
+        }
+        StateOutcome::Committed {
+            revision: self.revision,
+        }
+    }
+}
+
+/// What the state service held once.
+pub struct Backup(pub(super) StateService);
+
+impl World {
+    pub(super) fn call_state(&mut self, i: usize, request: &StateRequest) -> StateOutcome {
+        if let (StateRequest::Txn(txn), Link::Good) = (request, self.nodes[i].state)
+            && !self.outage
+            && self.late_writes > 0.0
+            && !txn.changes.is_empty()
+            && self.rng.random_bool(self.late_writes)
+        {
+            let at = self.now + Duration::from_millis(self.rng.random_range(2000..12000));
+            self.late_txns.push((at, txn.clone()));
+            return StateOutcome::Unknown("timeout".into());
+        }
+        if self.outage {
+            return StateOutcome::Refused("503".into());
+        }
+        let link = self.nodes[i].state;
+        match link {
+            Link::Good if self.loses_answer(request) => {
+                self.answers_lost += 1;
+                self.state.perform(request);
+                StateOutcome::Unknown("timeout".into())
+            }
+            Link::Good => self.state.perform(request),
+            Link::Refused => StateOutcome::Refused("503".into()),
+            Link::AnswersLost => {
+                self.state.perform(request);
+                StateOutcome::Unknown("timeout".into())
+            }
+            Link::WritesHeld if !matches!(request, StateRequest::Txn(_)) => {
+                self.state.perform(request)
+            }
+            Link::Held | Link::WritesHeld => {
+                if let StateRequest::Txn(txn) = request {
+                    self.held_txns.push(txn.clone());
+                }
+                StateOutcome::Unknown("timeout".into())
+            }
+        }
+    }
+
+    /// Whether the answer to this request is to be lost.
+    pub(super) fn loses_answer(&mut self, request: &StateRequest) -> bool {
+        let StateRequest::Txn(txn) = request else {
+            return false;
+        };
+        let chosen = |c: &Change| c.key().starts_with(self.lost_answers_under);
+        self.lost_answers > 0.0
+            && txn.changes.iter().any(chosen)
+            && self.rng.random_bool(self.lost_answers)
+    }
+
+    /// Transactions whose time has come.
+    pub(super) fn write_late(&mut self) {
+        let now = self.now;
+        if self.outage {
+            return;
+        }
+        let due = self.late_txns.extract_if(.., |(at, _)| *at <= now);
+        for (_, txn) in due.collect::<Vec<_>>() {
+            self.state.txn(&txn);
+        }
+    }
+
+    /// From now on the state service has these limits.
+    pub fn limit(&mut self, limits: Limits) {
+        self.state.limits = limits;
+    }
+
+    /// How many transactions were over the limits.
+    pub fn over_the_limit(&self) -> u32 {
+        self.state.refused
+    }
+
+    /// What another process wrote to the state service.
+    pub fn put(&mut self, key: &str, value: serde_json::Value) {
+        let change = Change::Put {
+            key: key.into(),
+            value,
+            lease: None,
+        };
+        let limits = std::mem::replace(&mut self.state.limits, (usize::MAX, 1));
+        self.state.txn(&Txn {
+            conditions: Vec::new(),
+            changes: vec![change],
+        });
+        self.state.limits = limits;
+    }
+
+    /// What the service has told its watchers, from the so-many-th change on.
+    pub fn events(&self, from: usize) -> Vec<Event> {
+        self.state.events[from..].to_vec()
+    }
+
+    /// What is stored under keys that begin so.
+    pub fn stored(&self, prefix: &str) -> BTreeMap<String, serde_json::Value> {
+        let keys = self.state.keys.iter();
+        let found = keys.filter(|(k, _)| k.starts_with(prefix));
+        found.map(|(k, e)| (k.clone(), e.value.clone())).collect()
+    }
+
+    /// Keys of the state service that were put or deleted so far.
+    pub fn changes(&self) -> usize {
+        self.state.events.len()
+    }
+
+    /// What the state service holds now, to be restored later.
+    pub fn backup(&self) -> Backup {
+        Backup(self.state.clone())
+    }
+}
--- /dev/null
+++ b/src/core/simulation/users.rs
@@ -0,0 +1,175 @@
+//! What users and operators ask, and what they are told.
+
+use super::cluster::World;
+use super::store::Backup;
+use crate::core::{Ask, Command, Ticket, UserRequest};
+use crate::http::Answer;
+use crate::job::{JobSpec, TaskKey};
+use crate::wire::JobState;
+use std::time::Duration;
+
+impl World {
+    pub fn ask(&mut self, node: usize, what: Ask) -> Ticket {
+        let ticket = self.next_ticket;
+        self.next_ticket += 1;
+        let received = self.now;
+        if self.nodes[node].up {
+            self.nodes[node].inbox.push(Command::User(UserRequest {
+                ticket,
+                what,
+                forwarded: false,
+                tried: Vec::new(),
+                received,
+            }));
+        }
+        ticket
+    }
+
+    /// Asks one node and waits up to 3 s for its answer.
+    pub(super) fn request(&mut self, node: usize, what: Ask) -> Option<Answer> {
+        let ticket = self.ask(node, what);
+        for _ in 0..60 {
+            self.tick();
+            if let Some(a) = self.answers.remove(&ticket) {
+                return Some(a);
+            }
+        }
+        None
+    }
+
+    pub fn submit(&mut self, node: usize, spec: &JobSpec) -> u16 {
+        // A repetition may carry anything; the job is what it was.
+        let known = self.specs.contains_key(&*spec.id);
+        if !known {
+            self.specs.insert(spec.id.to_string(), spec.clone());
+        }
+        let asked = self.now;
+        let answer = self.request(node, Ask::Submit(Box::new(spec.clone())));
+        let status = answer.as_ref().map_or(0, |a| a.status);
+        if !known && status == 422 {
+            self.specs.remove(&*spec.id);
+        }
+        self.heard(&spec.id, asked, answer.as_ref());
+        status
+    }
+
+    /// So many questions in one step; the answers' statuses.
+    pub fn ask_at_once(&mut self, node: usize, id: &str, n: u32) -> Vec<u16> {
+        let ask = |_| self.ask(node, Ask::Show(id.into()));
+        let tickets: Vec<Ticket> = (0..n).map(ask).collect();
+        self.run(2.0);
+        let answers = tickets.iter().filter_map(|t| self.answers.remove(t));
+        answers.map(|a| a.status).collect()
+    }
+
+    /// A submission is repeated, and its answer not waited for.
+    pub fn ask_at_once_of(&mut self, node: usize, spec: &JobSpec) {
+        self.ask(node, Ask::Submit(Box::new(spec.clone())));
+    }
+
+    pub fn show(&mut self, node: usize, id: &str) -> (u16, Option<JobState>) {
+        let asked = self.now;
+        let answer = self.request(node, Ask::Show(id.into()));
+        let state = self.heard(id, asked, answer.as_ref());
+        (answer.map_or(0, |a| a.status), state)
+    }
+
+    pub fn cancel(&mut self, node: usize, id: &str) -> (u16, Option<JobState>) {
+        self.asked.insert(id.into());
+        let asked = self.now;
+        let answer = self.request(node, Ask::Cancel(id.into()));
+        let state = self.heard(id, asked, answer.as_ref());
+        (answer.map_or(0, |a| a.status), state)
+    }
+
+    /// Asks to cancel a job, and does not wait for the answer.
+    pub fn start_to_cancel(&mut self, node: usize, id: &str) {
+        self.asked.insert(id.into());
+        let ticket = self.ask(node, Ask::Cancel(id.into()));
+        self.cancelling.insert(ticket, (id.into(), self.now));
+    }
+
+    /// What its user was told last, if that was final.
+    pub fn told_final(&self, id: &str) -> Option<JobState> {
+        self.told_final.get(id).map(|(state, _)| *state)
+    }
+
+    /// An operator's word to a node; the answer's status.
+    pub fn settle(&mut self, node: usize) -> u16 {
+        let ticket = self.next_ticket;
+        self.next_ticket += 1;
+        self.nodes[node].inbox.push(Command::Settle(ticket));
+        self.run(0.2);
+        self.answers.remove(&ticket).map_or(0, |a| a.status)
+    }
+
+    /// A snapshot is offered to a node; the answer's status.
+    pub fn offer(&mut self, node: usize, store: &str, backup: &Backup) -> u16 {
+        let items = backup.0.keys.iter();
+        let items = items.map(|(k, e)| (k.clone(), e.value.clone()));
+        let ticket = self.next_ticket;
+        self.next_ticket += 1;
+        self.nodes[node].inbox.push(Command::Offer {
+            ticket,
+            store: store.into(),
+            last: true,
+            items: items.collect(),
+        });
+        self.run(0.2);
+        self.answers.remove(&ticket).map_or(0, |a| a.status)
+    }
+
+    /// A status view of a node.
+    pub fn status(&mut self, node: usize) -> serde_json::Value {
+        let ticket = self.next_ticket;
+        self.next_ticket += 1;
+        self.nodes[node].inbox.push(Command::Status(ticket));
+        self.run(0.1);
+        let answer = self.answers.remove(&ticket);
+        answer.map_or(serde_json::Value::Null, |a| {
+            serde_json::from_slice(&a.body).unwrap()
+        })
+    }
+
+    /// A job that was accepted before this story.
+    pub fn knows(&mut self, spec: &JobSpec) {
+        self.specs.insert(spec.id.to_string(), spec.clone());
+    }
+
+    pub fn until_done(&mut self, id: &str, seconds: f64) {
+        let end = self.now + Duration::from_secs_f64(seconds);
+        loop {
+            let node = self.random(self.nodes.len());
+            if self.show(node, id).1 == Some(JobState::Done) {
+                return;
+            }
+            assert!(self.now < end, "{id} is not done within {seconds} s");
+            self.run(0.5);
+        }
+    }
+
+    pub fn any_completed(&self, id: &str) -> bool {
+        self.completed.iter().any(|key| &*key.job == id)
+    }
+
+    /// All tasks of an array have ended with a result.
+    pub fn all_completed(&self, id: &str) -> bool {
+        let spec = &self.specs[id];
+        (0..spec.tasks).all(|row| {
+            let job = spec.id.clone();
+            self.completed.contains(&TaskKey { job, row })
+        })
+    }
+
+    /// Asks every controller about a job at once, and repeats its submission.
+    pub(super) fn look_closely(&mut self, id: &str) {
+        for node in 0..self.nodes.len() {
+            let mut questions = vec![Ask::Show(id.into())];
+            questions.extend(self.specs.get(id).map(|s| Ask::Submit(Box::new(s.clone()))));
+            for what in questions {
+                let ticket = self.ask(node, what);
+                self.looks.insert(ticket, (id.into(), self.now));
+            }
+        }
+    }
+}
