--- a/src/core/simulation/checker.rs
+++ b/src/core/simulation/checker.rs
@@ -1,6 +1,6 @@
 //! The rules that are checked at every tick and at every answer.
 
-use super::cluster::{Node, World};
+use super::cluster::{Node, Simulation};
 use super::network::Link;
 use super::worker::Worker;
 use crate::guard::{Guard, stands};
@@ -11,10 +11,10 @@
 use std::time::{Duration, Instant};
 
 /// So long a job may wait while a machine that fits has room, once all troubles are over.
-pub(super) const NEGLECTED: Duration = Duration::from_secs(90);
+pub(super) const STARVATION_LIMIT: Duration = Duration::from_secs(90);
 
 /// A task that starts is in a zone that its job allows, given the job's other tasks.
-pub(super) fn in_zone(
+pub(super) fn check_zone(
     key: &TaskKey,
     spec: &JobSpec,
     zone: &str,
@@ -35,38 +35,44 @@
     );
 }
 
-impl World {
+impl Simulation {
     /// Checks an answer against everything said before.
-    pub(super) fn heard(
+    pub(super) fn check_answer(
         &mut self,
         id: &str,
         asked: Instant,
         answer: Option<&Answer>,
     ) -> Option<JobState> {
         let a = answer?;
-        if a.status == 404 && !self.amnesia {
-            assert!(!self.told.contains(id), "{id} was forgotten");
+        if a.status == 404 && !self.data_lost_for_good {
+            assert!(!self.announced_jobs.contains(id), "{id} was forgotten");
         }
         if !matches!(a.status, 200 | 201) {
             return None;
         }
-        let first_told = self.told.insert(id.into());
+        let first_told = self.announced_jobs.insert(id.into());
         let told: JobAnswer = serde_json::from_slice(&a.body).unwrap();
         let final_state = matches!(told.state, JobState::Done | JobState::Cancelled);
-        if let Some((before, at)) = self.told_final.get(id).filter(|_| !self.amnesia) {
+        if let Some((before, at)) = self
+            .final_answers
+            .get(id)
+            .filter(|_| !self.data_lost_for_good)
+        {
             // Two answers to questions asked side by side come in any order. What is asked after its user was
             // told, and what is final, must be the same.
             if final_state || asked >= *at {
                 assert_eq!(*before, told.state, "{id}: said to be something else");
             }
         }
-        if self.close_looks && (first_told || final_state && !self.told_final.contains_key(id)) {
-            self.look_closely(id);
+        if self.query_after_answers
+            && (first_told || final_state && !self.final_answers.contains_key(id))
+        {
+            self.query_everywhere(id);
         }
         if final_state {
             let first = (told.state, self.now);
-            self.told_final.entry(id.into()).or_insert(first);
-        } else if let Some(at) = self.cancelled_before(id) {
+            self.final_answers.entry(id.into()).or_insert(first);
+        } else if let Some(at) = self.dependency_cancelled_at(id) {
             let late = self.now > at + self.setup.cancel;
             assert!(
                 !late,
@@ -74,8 +80,11 @@
             );
         }
         if told.state == JobState::Cancelled {
-            self.cancelled.entry(id.into()).or_insert(self.now);
-            let asked = self.upstream(id).iter().any(|a| self.asked.contains(a));
+            self.cancelled_at.entry(id.into()).or_insert(self.now);
+            let asked = self
+                .upstream(id)
+                .iter()
+                .any(|a| self.cancellation_requests.contains(a));
             assert!(asked, "{id} is said to be cancelled, and nobody asked");
         }
         if told.state == JobState::Done {
@@ -105,23 +114,23 @@
     }
 
     /// When the user of a job that this one needs, or its own, was first told that it is cancelled.
-    pub(super) fn cancelled_before(&self, id: &str) -> Option<Instant> {
+    pub(super) fn dependency_cancelled_at(&self, id: &str) -> Option<Instant> {
         let all = self.upstream(id);
         all.iter()
-            .filter_map(|a| self.cancelled.get(a))
+            .filter_map(|a| self.cancelled_at.get(a))
             .min()
             .copied()
     }
 
     /// The store has an identity and no mark, and who leads it knows of no loss.
-    pub fn whole(&self) -> bool {
+    pub fn store_complete(&self) -> bool {
         let marked = self.state.keys.contains_key("burlusher/rebuilding");
         let leader = self.leader().map(|n| &self.nodes[n].core);
         !marked && leader.is_some_and(|c| !c.incomplete())
     }
 
     /// Every leadership has a term that no other has. At the beginning of one, what was kept for it arrives.
-    pub(super) fn note_leaderships(&mut self) {
+    pub(super) fn check_terms(&mut self) {
         let mut begun = false;
         for (i, node) in self.nodes.iter().enumerate().filter(|(_, n)| n.up) {
             let Some(lead) = &node.core.lead else {
@@ -139,12 +148,12 @@
             self.leaderships.insert(lead.term, this);
         }
         if begun {
-            for report in std::mem::take(&mut self.kept_reports) {
+            for report in std::mem::take(&mut self.reports_to_replay) {
                 for node in (0..self.nodes.len())
                     .filter(|n| self.nodes[*n].up)
                     .collect::<Vec<_>>()
                 {
-                    self.reports_delivered_to_next += 1;
+                    self.reports_replayed += 1;
                     self.deliver(node, report.clone());
                 }
             }
@@ -152,96 +161,108 @@
     }
 
     /// Something is not as it should be in quiet times.
-    pub(super) fn troubled(&self) -> bool {
-        let node = |n: &Node| !n.up || n.frozen || n.state != Link::Good || !n.peers || n.lags;
-        let worker = |m: &Worker| m.hung || m.deaf || m.mute || m.sick || !m.cut.is_empty();
-        self.outage
+    pub(super) fn has_active_faults(&self) -> bool {
+        let node = |n: &Node| {
+            !n.up || n.paused || n.state != Link::Good || !n.peers_reachable || n.watch_delayed
+        };
+        let worker = |m: &Worker| {
+            m.hung
+                || m.inbound_partitioned
+                || m.outbound_partitioned
+                || m.failing
+                || !m.partitioned_from.is_empty()
+        };
+        self.store_outage
             || self.cloud_down
-            || !self.slow.is_zero()
+            || !self.store_delay.is_zero()
             || self.hold_commands
-            || self.late_writes > 0.0
-            || self.lost_answers > 0.0
+            || self.late_write_share > 0.0
+            || self.lost_answer_share > 0.0
             || self.late_command_share > 0.0
-            || self.reports_for_next > 0.0
-            || !self.copies.is_zero()
-            || !self.whole()
+            || self.replayed_report_share > 0.0
+            || !self.duplicate_delay.is_zero()
+            || !self.store_complete()
             || self.nodes.iter().any(node)
             || self.workers.values().any(worker)
     }
 
     /// In quiet times no job waits for long while a machine that fits has room and its team is under its limit.
-    pub(super) fn look_for_neglected(&mut self) {
-        if self.now < self.looked + Duration::from_secs(1) {
+    pub(super) fn check_starvation(&mut self) {
+        if self.now < self.last_starvation_check + Duration::from_secs(1) {
             return;
         }
-        self.looked = self.now;
-        if self.amnesia || self.troubled() {
-            return self.waiting.clear();
+        self.last_starvation_check = self.now;
+        if self.data_lost_for_good || self.has_active_faults() {
+            return self.starving_since.clear();
         }
         let mut there: BTreeSet<&str> = BTreeSet::new();
         let mut used: BTreeMap<&str, f64> = BTreeMap::new();
         let mut free: Vec<(&Worker, f64, f64)> = Vec::new();
-        for w in self.workers.values().filter(|w| w.up_at <= self.now) {
-            let Some(kind) = self.types.iter().find(|t| t.name == w.kind) else {
+        for worker in self
+            .workers
+            .values()
+            .filter(|worker| worker.up_at <= self.now)
+        {
+            let Some(kind) = self.types.iter().find(|t| t.name == worker.kind) else {
                 continue;
             };
             let (mut cpus, mut ram) = (kind.cpus, kind.ram);
-            for (key, _) in (w.tasks.iter()).filter(|(_, t)| t.state != RowState::Exited) {
+            for (key, _) in (worker.tasks.iter()).filter(|(_, t)| t.state != RowState::Exited) {
                 let spec = &self.specs[&*key.job];
                 there.insert(&key.job);
                 *used.entry(&spec.team).or_default() += spec.needs.cpus;
                 (cpus, ram) = (cpus - spec.needs.cpus, ram - spec.needs.ram);
             }
-            free.push((w, cpus, ram));
+            free.push((worker, cpus, ram));
         }
         let could = |id: &String| {
             let spec = self.specs.get(id)?;
-            let over = self.told_final.contains_key(id) || self.broken_jobs.contains(id);
+            let over = self.final_answers.contains_key(id) || self.broken_jobs.contains(id);
             let ready = spec
                 .awaits
                 .iter()
-                .all(|a| self.told_final.contains_key(&**a));
+                .all(|a| self.final_answers.contains_key(&**a));
             let within =
                 spec.team != "t" || used.get("t").copied().unwrap_or(0.0) + spec.needs.cpus <= 24.0;
             if over || there.contains(id.as_str()) || !ready || !within || spec.kind == Kind::Gang {
                 return None;
             }
             let all_done = self.all_completed(id);
-            let fits = |(w, cpus, ram): &&(&Worker, f64, f64)| {
-                spec.allows_type(&w.kind)
-                    && spec.allows_zone(&w.zone)
-                    && (spec.spot || !w.spot)
+            let fits = |(worker, cpus, ram): &&(&Worker, f64, f64)| {
+                spec.allows_type(&worker.kind)
+                    && spec.allows_zone(&worker.zone)
+                    && (spec.spot || !worker.spot)
                     && spec.needs.cpus <= *cpus
                     && spec.needs.ram <= *ram
             };
             (!all_done && free.iter().any(|f| fits(&f))).then_some(id.clone())
         };
-        let could: BTreeSet<String> = self.told.iter().filter_map(could).collect();
+        let could: BTreeSet<String> = self.announced_jobs.iter().filter_map(could).collect();
         let now = self.now;
-        self.waiting.retain(|id, _| could.contains(id));
+        self.starving_since.retain(|id, _| could.contains(id));
         for id in could {
-            let since = *self.waiting.entry(id.clone()).or_insert(now);
+            let since = *self.starving_since.entry(id.clone()).or_insert(now);
             assert!(
-                now < since + NEGLECTED,
+                now < since + STARVATION_LIMIT,
                 "{id} waits for 90 s while a machine has room"
             );
         }
     }
 
     pub(super) fn check(&self) {
-        let acts = |n: &&Node| n.up && !n.frozen && n.core.leads();
+        let acts = |n: &&Node| n.up && !n.paused && n.core.leads();
         let leaders = self.nodes.iter().filter(acts).count();
         let one = leaders <= 1 || !stands(Guard::Word);
         assert!(one, "{leaders} leaders act at the same time");
         let mut at: BTreeMap<&TaskKey, &MachineId> = BTreeMap::new();
         let mut used: BTreeMap<&str, f64> = BTreeMap::new();
-        for (id, w) in &self.workers {
-            if self.now < w.up_at {
+        for (id, worker) in &self.workers {
+            if self.now < worker.up_at {
                 continue;
             }
             let mut room = 0.0;
-            for (key, t) in &w.tasks {
-                let beyond = self.amnesia && self.unrecorded.contains(id);
+            for (key, t) in &worker.tasks {
+                let beyond = self.data_lost_for_good && self.machines_with_lost_record.contains(id);
                 if t.state == RowState::Exited || beyond {
                     continue;
                 }
@@ -249,16 +270,20 @@
                     panic!("{key} is on {other} and on {id}");
                 }
                 let spec = &self.specs[&*key.job];
-                assert!(spec.spot || !w.spot, "{key} is on a spot machine");
-                assert!(spec.allows_zone(&w.zone), "{key} is in {}", w.zone);
+                assert!(spec.spot || !worker.spot, "{key} is on a spot machine");
+                assert!(
+                    spec.allows_zone(&worker.zone),
+                    "{key} is in {}",
+                    worker.zone
+                );
                 *used.entry(&spec.team).or_default() += spec.needs.cpus;
                 room += spec.needs.cpus;
-                if let Some(since) = self.cancelled_before(&key.job) {
+                if let Some(since) = self.dependency_cancelled_at(&key.job) {
                     let limit = since + self.setup.cancel;
                     assert!(self.now <= limit, "{key} of a cancelled job is on {id}");
                 }
             }
-            let kind = self.types.iter().find(|t| t.name == w.kind);
+            let kind = self.types.iter().find(|t| t.name == worker.kind);
             assert!(room <= kind.map_or(0.0, |t| t.cpus), "{id} holds too much");
         }
         let t = used.get("t").copied().unwrap_or(0.0);
--- a/src/core/simulation/cloud.rs
+++ b/src/core/simulation/cloud.rs
@@ -1,10 +1,10 @@
 //! The simulated cloud.
 
-use super::cluster::World;
+use super::cluster::Simulation;
 use crate::cloud::{CloudOutcome, CloudRequest};
 use crate::wire::{ListedMachine, ListedState};
 
-impl World {
+impl Simulation {
     pub(super) fn call_cloud(&mut self, request: CloudRequest) -> CloudOutcome {
         self.cloud_calls += 1;
         if self.cloud_down {
@@ -15,13 +15,13 @@
             CloudRequest::List => CloudOutcome::Listed(
                 self.workers
                     .iter()
-                    .map(|(id, w)| ListedMachine {
+                    .map(|(id, worker)| ListedMachine {
                         id: id.clone(),
                         addr: Some("127.0.0.1:9000".into()),
-                        kind: w.kind.clone(),
-                        zone: w.zone.clone(),
-                        spot: w.spot,
-                        state: if self.now < w.up_at {
+                        kind: worker.kind.clone(),
+                        zone: worker.zone.clone(),
+                        spot: worker.spot,
+                        state: if self.now < worker.up_at {
                             ListedState::Booting
                         } else {
                             ListedState::Running
@@ -31,10 +31,10 @@
                     .collect(),
             ),
             CloudRequest::Rent(body) => {
-                if let Some(ids) = self.hires.get(&body.request) {
+                if let Some(ids) = self.rentals.get(&body.request) {
                     return CloudOutcome::Rented(ids.clone());
                 }
-                if self.drained.contains(&body.zone) {
+                if self.zones_without_capacity.contains(&body.zone) {
                     return CloudOutcome::NoCapacity;
                 }
                 let mut ids = Vec::new();
@@ -53,26 +53,26 @@
                         self.rented.1 += 1;
                     }
                     let id = self.add_machine(&body.kind, &body.zone);
-                    if let Some(w) = self.workers.get_mut(&id) {
-                        w.spot = body.spot;
-                        w.up_at = self.now + self.boot;
-                        w.lease_from = w.up_at;
+                    if let Some(worker) = self.workers.get_mut(&id) {
+                        worker.spot = body.spot;
+                        worker.up_at = self.now + self.boot_time;
+                        worker.lease_from = worker.up_at;
                     }
                     ids.push(id);
                 }
                 if ids.is_empty() {
                     return CloudOutcome::NoCapacity;
                 }
-                self.hires.insert(body.request, ids.clone());
-                if self.rentals_unheard {
+                self.rentals.insert(body.request, ids.clone());
+                if self.rental_answers_lost {
                     return CloudOutcome::Trouble("timeout".into());
                 }
                 CloudOutcome::Rented(ids)
             }
             CloudRequest::Delete(names) => {
                 for id in &names {
-                    if let Some(w) = self.workers.remove(id) {
-                        *self.capacity.entry((w.kind, w.spot)).or_default() += 1;
+                    if let Some(worker) = self.workers.remove(id) {
+                        *self.capacity.entry((worker.kind, worker.spot)).or_default() += 1;
                     }
                 }
                 CloudOutcome::Deleted(names)
--- a/src/core/simulation/cluster.rs
+++ b/src/core/simulation/cluster.rs
@@ -62,11 +62,11 @@
     pub core: Core,
     pub up: bool,
     pub state: Link,
-    pub peers: bool,
+    pub peers_reachable: bool,
     /// Its watch of the state service is delayed.
-    pub lags: bool,
+    pub watch_delayed: bool,
     /// It stands still, while what is sent to it waits.
-    pub frozen: bool,
+    pub paused: bool,
     /// Processor time that its steps took.
     pub busy: Duration,
     /// Direct calls that it made.
@@ -79,11 +79,11 @@
     pub(super) reading: Option<(Vec<Item>, u64)>,
     /// The revision after which its watch asks for changes, and when that was answered last.
     pub(super) seen: Option<u64>,
-    pub(super) told: Instant,
+    pub(super) watch_answered_at: Instant,
     pub(super) restart_at: Option<Instant>,
 }
 
-pub struct World {
+pub struct Simulation {
     pub setup: Setup,
     pub now: Instant,
     pub(super) start: Instant,
@@ -92,7 +92,7 @@
     pub workers: BTreeMap<MachineId, Worker>,
     pub types: Vec<MachineType>,
     pub capacity: BTreeMap<(String, bool), u32>,
-    pub(super) hires: BTreeMap<String, Vec<MachineId>>,
+    pub(super) rentals: BTreeMap<String, Vec<MachineId>>,
     /// How many machines were rented: spot ones, and ordinary ones.
     pub rented: (u32, u32),
     pub(super) next_machine: u32,
@@ -104,86 +104,86 @@
     pub(super) recalls: BTreeMap<Ticket, (usize, String, Recall)>,
     pub(super) answers: BTreeMap<Ticket, Answer>,
     /// Reports and commands arrive once more this much later, at any node, if that is above 0.
-    pub copies: Duration,
-    pub(super) late_reports: Vec<(Instant, usize, Report)>,
-    pub(super) late_commands: Vec<(Instant, MachineId, DirectBody)>,
+    pub duplicate_delay: Duration,
+    pub(super) delayed_reports: Vec<(Instant, usize, Report)>,
+    pub(super) delayed_commands: Vec<(Instant, MachineId, DirectBody)>,
     /// This share of transactions gets no answer and is carried out 2 to 12 s later.
-    pub late_writes: f64,
-    pub(super) late_txns: Vec<(Instant, Txn)>,
+    pub late_write_share: f64,
+    pub(super) delayed_transactions: Vec<(Instant, Txn)>,
     /// This share of transactions is carried out at once, and its answer lost; only of those that change a
     /// key which begins like this.
-    pub lost_answers: f64,
-    pub lost_answers_under: &'static str,
+    pub lost_answer_share: f64,
+    pub lost_answer_prefix: &'static str,
     /// How many answers were lost so.
     pub answers_lost: u32,
     /// This share of direct commands gets no answer and is carried out 2 to 16 s later, once.
     pub late_command_share: f64,
     /// How many were held up so.
-    pub commands_late: u32,
+    pub commands_delayed: u32,
     /// Copies of this share of reports reach every controller when the next leadership begins.
-    pub reports_for_next: f64,
-    pub(super) kept_reports: Vec<Report>,
+    pub replayed_report_share: f64,
+    pub(super) reports_to_replay: Vec<Report>,
     /// How many of them were delivered.
-    pub reports_delivered_to_next: u32,
+    pub reports_replayed: u32,
     /// Users ask every controller at once, and repeat the submission, as soon as a job is accepted or over.
-    pub close_looks: bool,
-    pub(super) looks: BTreeMap<Ticket, (String, Instant)>,
+    pub query_after_answers: bool,
+    pub(super) follow_up_queries: BTreeMap<Ticket, (String, Instant)>,
     /// How many such questions were answered with a job's state.
-    pub looks_answered: u32,
+    pub follow_ups_answered: u32,
     /// Who began a leadership in each term: the controller, its process, and which of its leaderships.
     pub(super) leaderships: BTreeMap<u64, (usize, u64, u64)>,
     /// Tasks that were started on a machine which no leader to come would know of.
     pub unrecorded_starts: u32,
     /// What the network keeps for later delivery.
-    pub held_txns: Vec<Txn>,
+    pub held_transactions: Vec<Txn>,
     pub held_commands: Vec<(MachineId, DirectBody)>,
     pub hold_commands: bool,
     pub cloud_down: bool,
     /// Rentals are carried out, but nobody hears of it.
-    pub rentals_unheard: bool,
+    pub rental_answers_lost: bool,
     /// Zones in which nothing is to be had.
-    pub drained: BTreeSet<String>,
+    pub zones_without_capacity: BTreeSet<String>,
     pub policy: Arc<Policy>,
     pub cloud_calls: u32,
     pub reports: u32,
     pub broken_jobs: BTreeSet<String>,
     pub(super) specs: BTreeMap<String, JobSpec>,
     /// Final states that users were told of, and when first.
-    pub(super) told_final: BTreeMap<String, (JobState, Instant)>,
+    pub(super) final_answers: BTreeMap<String, (JobState, Instant)>,
     /// Jobs that some user was told of as accepted.
-    pub(super) told: BTreeSet<String>,
+    pub(super) announced_jobs: BTreeSet<String>,
     /// Controllers that remember all that the store held when it lost data, until it is whole again.
-    pub(super) memories: Option<BTreeSet<usize>>,
+    pub(super) complete_replicas: Option<BTreeSet<usize>>,
     /// Keys of jobs that the store held then, and whether they were over.
-    pub(super) owed: BTreeMap<String, bool>,
+    pub(super) jobs_to_restore: BTreeMap<String, bool>,
     /// Those that have not been ended since it lost data last.
-    pub witnesses: BTreeSet<usize>,
+    pub survivors: BTreeSet<usize>,
     /// Machines whose record the store has lost. If nobody remembers them either, what they hold may be
     /// started once more, whatever is done: a list of the cloud comes too late to tell of all.
-    pub(super) unrecorded: BTreeSet<MachineId>,
+    pub(super) machines_with_lost_record: BTreeSet<MachineId>,
     /// All that remember it were ended: what was told then is known to nobody, and may be unsaid.
-    pub amnesia: bool,
+    pub data_lost_for_good: bool,
     /// Jobs whose users asked to cancel them.
-    pub(super) asked: BTreeSet<String>,
+    pub(super) cancellation_requests: BTreeSet<String>,
     /// When users were told so.
-    pub cancelled: BTreeMap<String, Instant>,
+    pub cancelled_at: BTreeMap<String, Instant>,
     /// Cancellations whose answers nobody waits for, and what they were about.
-    pub(super) cancelling: BTreeMap<Ticket, (String, Instant)>,
+    pub(super) unawaited_cancellations: BTreeMap<Ticket, (String, Instant)>,
     /// The state service serves nobody; no lease runs out, and each has its full time again afterwards.
-    pub outage: bool,
+    pub store_outage: bool,
     /// The state service answers up to this much later.
-    pub slow: Duration,
-    pub(super) slow_answers: Vec<(Instant, usize, Command)>,
+    pub store_delay: Duration,
+    pub(super) delayed_answers: Vec<(Instant, usize, Command)>,
     /// How long a rented machine takes until it is up.
-    pub boot: Duration,
+    pub boot_time: Duration,
     /// How long a machine fetches the image of each task.
-    pub fetch: Duration,
+    pub image_fetch_time: Duration,
     /// Tasks that began to run, and commands to start them that were carried out, after their user was told
     /// that their job is cancelled.
     pub late_starts: u32,
     /// Since when jobs wait though a machine has room for them.
-    pub(super) waiting: BTreeMap<String, Instant>,
-    pub(super) looked: Instant,
+    pub(super) starving_since: BTreeMap<String, Instant>,
+    pub(super) last_starvation_check: Instant,
     pub completed: BTreeSet<TaskKey>,
     pub starts: u32,
     pub clears: u32,
@@ -193,24 +193,24 @@
 }
 
 /// With `LOG_LEVEL` set, the log of a story is printed, for whoever looks into one.
-pub fn with_log() {
+pub fn enable_log() {
     if let Ok(level) = std::env::var("LOG_LEVEL") {
         let _ = crate::logging::start(crate::logging::LogFormat::Text, Some(&level));
     }
 }
 
-impl World {
-    pub fn new(seed: u64) -> World {
-        World::with_policy(seed, Policy::built_in())
+impl Simulation {
+    pub fn new(seed: u64) -> Simulation {
+        Simulation::with_policy(seed, Policy::built_in())
     }
 
-    pub fn with_policy(seed: u64, policy: Policy) -> World {
-        World::with_setup(seed, policy, SETUP)
+    pub fn with_policy(seed: u64, policy: Policy) -> Simulation {
+        Simulation::with_setup(seed, policy, SETUP)
     }
 
-    pub fn with_setup(seed: u64, policy: Policy, setup: Setup) -> World {
+    pub fn with_setup(seed: u64, policy: Policy, setup: Setup) -> Simulation {
         let now = Instant::now();
-        let mut w = World {
+        let mut simulation = Simulation {
             setup,
             now,
             start: now,
@@ -251,7 +251,7 @@
                 (("small".into(), true), 2),
                 (("large".into(), false), 2),
             ]),
-            hires: BTreeMap::new(),
+            rentals: BTreeMap::new(),
             rented: (0, 0),
             next_machine: 1,
             next_ticket: 1,
@@ -259,53 +259,53 @@
             syncs: BTreeMap::new(),
             recalls: BTreeMap::new(),
             answers: BTreeMap::new(),
-            copies: Duration::ZERO,
-            late_reports: Vec::new(),
-            late_commands: Vec::new(),
-            late_writes: 0.0,
-            late_txns: Vec::new(),
-            lost_answers: 0.0,
-            lost_answers_under: PREFIX,
+            duplicate_delay: Duration::ZERO,
+            delayed_reports: Vec::new(),
+            delayed_commands: Vec::new(),
+            late_write_share: 0.0,
+            delayed_transactions: Vec::new(),
+            lost_answer_share: 0.0,
+            lost_answer_prefix: PREFIX,
             answers_lost: 0,
             late_command_share: 0.0,
-            commands_late: 0,
-            reports_for_next: 0.0,
-            kept_reports: Vec::new(),
-            reports_delivered_to_next: 0,
-            close_looks: false,
-            looks: BTreeMap::new(),
-            looks_answered: 0,
+            commands_delayed: 0,
+            replayed_report_share: 0.0,
+            reports_to_replay: Vec::new(),
+            reports_replayed: 0,
+            query_after_answers: false,
+            follow_up_queries: BTreeMap::new(),
+            follow_ups_answered: 0,
             leaderships: BTreeMap::new(),
             unrecorded_starts: 0,
-            held_txns: Vec::new(),
+            held_transactions: Vec::new(),
             held_commands: Vec::new(),
             hold_commands: false,
             cloud_down: false,
-            rentals_unheard: false,
-            drained: BTreeSet::new(),
+            rental_answers_lost: false,
+            zones_without_capacity: BTreeSet::new(),
             policy: Arc::new(policy),
             cloud_calls: 0,
             reports: 0,
             broken_jobs: BTreeSet::new(),
             specs: BTreeMap::new(),
-            told_final: BTreeMap::new(),
-            told: BTreeSet::new(),
-            memories: None,
-            owed: BTreeMap::new(),
-            witnesses: (0..setup.nodes).collect(),
-            unrecorded: BTreeSet::new(),
-            amnesia: false,
-            asked: BTreeSet::new(),
-            cancelled: BTreeMap::new(),
-            cancelling: BTreeMap::new(),
-            outage: false,
-            slow: Duration::ZERO,
-            slow_answers: Vec::new(),
-            boot: Duration::from_secs(2),
-            fetch: Duration::ZERO,
+            final_answers: BTreeMap::new(),
+            announced_jobs: BTreeSet::new(),
+            complete_replicas: None,
+            jobs_to_restore: BTreeMap::new(),
+            survivors: (0..setup.nodes).collect(),
+            machines_with_lost_record: BTreeSet::new(),
+            data_lost_for_good: false,
+            cancellation_requests: BTreeSet::new(),
+            cancelled_at: BTreeMap::new(),
+            unawaited_cancellations: BTreeMap::new(),
+            store_outage: false,
+            store_delay: Duration::ZERO,
+            delayed_answers: Vec::new(),
+            boot_time: Duration::from_secs(2),
+            image_fetch_time: Duration::ZERO,
             late_starts: 0,
-            waiting: BTreeMap::new(),
-            looked: now,
+            starving_since: BTreeMap::new(),
+            last_starvation_check: now,
             completed: BTreeSet::new(),
             starts: 0,
             clears: 0,
@@ -313,10 +313,10 @@
             rng: SmallRng::seed_from_u64(seed),
         };
         for i in 0..setup.nodes {
-            let node = w.fresh_node(i);
-            w.nodes.push(node);
+            let node = simulation.fresh_node(i);
+            simulation.nodes.push(node);
         }
-        w
+        simulation
     }
 
     pub(super) fn clock(&self) -> Now {
@@ -334,9 +334,9 @@
             core: Core::new(s, self.policy.clone(), nonce, self.clock()),
             up: true,
             state: Link::Good,
-            peers: true,
-            lags: false,
-            frozen: false,
+            peers_reachable: true,
+            watch_delayed: false,
+            paused: false,
             busy: Duration::ZERO,
             calls: 0,
             inbox: Vec::new(),
@@ -345,7 +345,7 @@
             next_renewal: self.now,
             reading: None,
             seen: None,
-            told: self.now,
+            watch_answered_at: self.now,
             restart_at: None,
         }
     }
@@ -384,10 +384,10 @@
                 node,
                 waiting: None,
                 hung: false,
-                sick: false,
-                cut: BTreeSet::new(),
-                deaf: false,
-                mute: false,
+                failing: false,
+                partitioned_from: BTreeSet::new(),
+                inbound_partitioned: false,
+                outbound_partitioned: false,
             },
         );
         id
@@ -401,7 +401,7 @@
     }
 
     /// Runs until `f` holds; fails after `seconds`.
-    pub fn until(&mut self, seconds: f64, what: &str, f: impl Fn(&World) -> bool) {
+    pub fn until(&mut self, seconds: f64, what: &str, f: impl Fn(&Simulation) -> bool) {
         let end = self.now + Duration::from_secs_f64(seconds);
         while !f(self) {
             assert!(self.now < end, "not within {seconds} s: {what}");
@@ -414,24 +414,24 @@
         self.state.expire(self.now);
         for i in 0..self.nodes.len() {
             if self.nodes[i].restart_at.is_some_and(|t| t <= self.now) {
-                let (state, peers) = (self.nodes[i].state, self.nodes[i].peers);
+                let (state, peers) = (self.nodes[i].state, self.nodes[i].peers_reachable);
                 self.nodes[i] = self.fresh_node(i);
                 self.nodes[i].state = state;
-                self.nodes[i].peers = peers;
+                self.nodes[i].peers_reachable = peers;
             }
             self.keep_lease(i);
             self.deliver_watch(i);
         }
         self.give_up_syncs();
-        self.deliver_copies();
-        self.write_late();
+        self.deliver_delayed();
+        self.apply_delayed_transactions();
         let (now, nodes) = (self.now, &mut self.nodes);
-        for (_, i, answer) in self.slow_answers.extract_if(.., |(at, ..)| *at <= now) {
+        for (_, i, answer) in self.delayed_answers.extract_if(.., |(at, ..)| *at <= now) {
             nodes[i].inbox.push(answer);
         }
-        self.tend_workers();
+        self.advance_workers();
         for i in 0..self.nodes.len() {
-            if !self.nodes[i].up || self.nodes[i].frozen {
+            if !self.nodes[i].up || self.nodes[i].paused {
                 continue;
             }
             let commands = std::mem::take(&mut self.nodes[i].inbox);
@@ -443,29 +443,33 @@
                 recorder.record(self.now, i, &effects);
             }
             for e in effects {
-                self.carry_out(i, e);
+                self.apply_effect(i, e);
             }
         }
-        if self.memories.is_some() {
+        if self.complete_replicas.is_some() {
             let back = |key: &str, over: &bool| {
                 let stored = self.state.keys.get(key);
                 stored.is_some_and(|e| !over || e.value.get("end").is_some())
             };
-            if self.owed.iter().all(|(key, over)| back(key, over)) {
-                self.memories = None;
-                self.owed.clear();
+            if self
+                .jobs_to_restore
+                .iter()
+                .all(|(key, over)| back(key, over))
+            {
+                self.complete_replicas = None;
+                self.jobs_to_restore.clear();
             }
         }
-        self.note_leaderships();
+        self.check_terms();
         self.check();
-        self.look_for_neglected();
+        self.check_starvation();
     }
 
     pub(super) fn keep_lease(&mut self, i: usize) {
         let now = self.now;
         let node = &mut self.nodes[i];
-        let served = !self.outage && node.state.reads();
-        if !node.up || node.frozen || now < node.next_renewal || !served {
+        let served = !self.store_outage && node.state.reads();
+        if !node.up || node.paused || now < node.next_renewal || !served {
             return;
         }
         node.next_renewal = now + Duration::from_millis(600);
@@ -511,7 +515,7 @@
 
     pub(super) fn deliver_watch(&mut self, i: usize) {
         let node = &mut self.nodes[i];
-        if !node.up || self.outage || !node.state.reads() || node.lags {
+        if !node.up || self.store_outage || !node.state.reads() || node.watch_delayed {
             return;
         }
         let revision = self.state.revision;
@@ -524,14 +528,14 @@
             Some(seen) => {
                 let from = self.state.events.partition_point(|e| e.version <= seen);
                 let events = self.state.events[from..].to_vec();
-                let waits = self.now < node.told + Duration::from_secs(10);
+                let waits = self.now < node.watch_answered_at + Duration::from_secs(10);
                 if events.is_empty() && waits {
                     return;
                 }
                 node.inbox.push(Command::Changed { events, revision });
             }
         }
-        node.told = self.now;
+        node.watch_answered_at = self.now;
         node.seen = Some(revision.max(node.seen.unwrap_or(0)));
     }
 }
--- a/src/core/simulation/faults.rs
+++ b/src/core/simulation/faults.rs
@@ -1,21 +1,21 @@
 //! Faults that a test brings about by a call.
 
-use super::cluster::{Node, World};
+use super::cluster::{Node, Simulation};
 use super::store::{Backup, StateService};
 use crate::core::{Command, LEASE_TTL};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-impl World {
+impl Simulation {
     pub fn kill(&mut self, i: usize, restart_after: Duration) {
-        self.witnesses.remove(&i);
-        if let Some(memories) = &mut self.memories {
+        self.survivors.remove(&i);
+        if let Some(memories) = &mut self.complete_replicas {
             memories.remove(&i);
-            self.amnesia |= memories.is_empty();
+            self.data_lost_for_good |= memories.is_empty();
         }
         self.nodes[i].up = false;
         self.nodes[i].inbox.clear();
-        self.slow_answers.retain(|(_, node, _)| *node != i);
+        self.delayed_answers.retain(|(_, node, _)| *node != i);
         self.nodes[i].restart_at = Some(self.now + restart_after);
         self.forwards.retain(|_, (asker, _)| *asker != i);
         self.syncs.retain(|_, (asker, _, _)| *asker != i);
@@ -45,8 +45,8 @@
     }
 
     /// The state service serves nobody from now on, or everybody again.
-    pub fn set_outage(&mut self, outage: bool) {
-        self.outage = outage;
+    pub fn set_store_outage(&mut self, outage: bool) {
+        self.store_outage = outage;
         self.pause_leases(outage);
     }
 
@@ -72,23 +72,27 @@
         let jobs = jobs.filter(|(k, _)| k.starts_with("burlusher/j/"));
         for (key, e) in jobs {
             let over = e.value.get("end").is_some();
-            *self.owed.entry(key.clone()).or_default() |= over;
+            *self.jobs_to_restore.entry(key.clone()).or_default() |= over;
         }
         let current =
             |n: &Node| n.up && n.core.mirror.loaded && n.seen >= Some(self.state.revision);
         let up = (0..self.nodes.len()).filter(|i| current(&self.nodes[*i]));
         let leads = |n: &Node| n.up && n.core.leads() && !n.core.incomplete();
         if self.nodes.iter().any(leads) && !self.state.keys.contains_key("burlusher/rebuilding") {
-            self.witnesses = up.clone().collect();
+            self.survivors = up.clone().collect();
         }
-        match &mut self.memories {
+        match &mut self.complete_replicas {
             Some(memories) => memories.retain(|i| self.nodes[*i].up),
-            None => self.memories = Some(up.collect()),
+            None => self.complete_replicas = Some(up.collect()),
         }
         let before = self.state.recorded();
-        self.unrecorded.extend(&before - &backup.0.recorded());
-        let nobody = self.memories.as_ref().is_some_and(BTreeSet::is_empty);
-        self.amnesia |= nobody && !self.owed.is_empty();
+        self.machines_with_lost_record
+            .extend(&before - &backup.0.recorded());
+        let nobody = self
+            .complete_replicas
+            .as_ref()
+            .is_some_and(BTreeSet::is_empty);
+        self.data_lost_for_good |= nobody && !self.jobs_to_restore.is_empty();
         self.state = backup.0.clone();
         for end in self.state.leases.values_mut() {
             *end = self.now + LEASE_TTL;
@@ -101,7 +105,7 @@
     }
 
     /// A key's value is an older one again.
-    pub fn fall_back(&mut self, key: &str, value: serde_json::Value) {
+    pub fn overwrite_value(&mut self, key: &str, value: serde_json::Value) {
         if let Some(e) = self.state.keys.get_mut(key) {
             e.value = value;
         }
@@ -113,7 +117,7 @@
     }
 
     /// A lease number that was in use is given again, to somebody who renews it.
-    pub fn give_lease_again(&mut self, node: usize) {
+    pub fn reissue_lease_id(&mut self, node: usize) {
         if let Some(id) = self.nodes[node].lease {
             let far = Duration::from_secs(86_400);
             self.state.leases.insert(id, self.now + far);
@@ -121,22 +125,22 @@
     }
 
     /// A node's watch is too old, and it reads all there is.
-    pub fn list_again(&mut self, node: usize) {
+    pub fn force_relisting(&mut self, node: usize) {
         self.nodes[node].seen = None;
     }
 
     /// A node reads all there is, and the answer is long under way: until `list_comes`, nothing else
     /// reaches its copy.
-    pub fn list_begins(&mut self, node: usize) {
+    pub fn begin_listing(&mut self, node: usize) {
         self.nodes[node].reading = Some((self.state.items(), self.state.revision));
-        self.nodes[node].lags = true;
+        self.nodes[node].watch_delayed = true;
     }
 
-    pub fn list_comes(&mut self, node: usize) {
+    pub fn finish_listing(&mut self, node: usize) {
         let n = &mut self.nodes[node];
         if let Some((items, revision)) = n.reading.take() {
             n.inbox.push(Command::Listed { items, revision });
-            (n.seen, n.lags) = (Some(revision), false);
+            (n.seen, n.watch_delayed) = (Some(revision), false);
         }
     }
 }
--- a/src/core/simulation/mixed_versions.rs
+++ b/src/core/simulation/mixed_versions.rs
@@ -3,7 +3,7 @@
 //! that version's own encoders.
 
 use crate::core::mirror::{DoneValue, JobValue, LeaderValue, Mirror, PageValue, RowSet, TermValue};
-use crate::core::simulation::{LIMITS, NEXT_LIMITS, World};
+use crate::core::simulation::{LIMITS, NEXT_LIMITS, Simulation};
 use crate::job::{Final, JobSpec, Kind, Rank, Resources, sample};
 use crate::peer::{self, PeerAnswer, PeerRequest};
 use crate::wire::{Event, JobState};
@@ -34,19 +34,19 @@
 #[derive(Deserialize)]
 #[serde(untagged)]
 #[allow(dead_code)]
-enum TheirJob {
+enum ProductionJob {
     Live { spec: Value, submitted_ms: u64 },
     Over { end: Final },
 }
 
 /// How production keeps machines in memory, page by page.
 #[derive(Default)]
-struct TheirMachines {
+struct ProductionMachines {
     known: BTreeSet<String>,
     pages: BTreeMap<String, BTreeSet<String>>,
 }
 
-impl TheirMachines {
+impl ProductionMachines {
     fn told(&mut self, event: &Event) {
         let key = event.put.as_ref().or(event.delete.as_ref()).unwrap();
         let Some(n) = key.strip_prefix("burlusher/p/") else {
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn what_production_stored_is_read_and_ordinary_things_are_stored_as_it_stores_them() {
+fn stored_values_match_production_format() {
     let JobValue::Live { spec: read, .. } = serde_json::from_str(LIVE).unwrap() else {
         panic!("not live")
     };
@@ -138,25 +138,25 @@
 /// Kept by a version that knows of it, after a rollback say, it must not be started by one that
 /// does not, and its user must not hear 404.
 #[test]
-fn a_job_that_awaits_others_is_no_job_to_production() {
+fn dependent_job_ignored_by_production_version() {
     let mut spec = spec();
     spec.awaits = vec!["wk-1".into()];
     let stored = serde_json::to_value(JobValue::live(Box::new(spec.clone()), 7)).unwrap();
-    assert!(serde_json::from_value::<TheirJob>(stored.clone()).is_err());
-    assert!(serde_json::from_value::<TheirJob>(value(LIVE)).is_ok());
+    assert!(serde_json::from_value::<ProductionJob>(stored.clone()).is_err());
+    assert!(serde_json::from_value::<ProductionJob>(value(LIVE)).is_ok());
     let mut mirror = Mirror::default();
     mirror.put_job("wk-000412", serde_json::from_value(stored).unwrap(), 3);
     assert_eq!(*mirror.jobs["wk-000412"].spec, spec);
     assert!(!mirror.ready(&"wk-000412".into()));
     let parted = json!({"parts": 3, "stem": 7, "submitted_ms": 7});
-    assert!(serde_json::from_value::<TheirJob>(parted).is_err());
+    assert!(serde_json::from_value::<ProductionJob>(parted).is_err());
     // Passed on to it, the job is in a frame that it drops the connection for.
     let frame = peer::encode_request(&PeerRequest::Submit(Box::new(spec)));
     assert!(!(1..=4).contains(&frame[5]));
 }
 
 #[test]
-fn frames_of_ordinary_requests_are_those_of_production_byte_for_byte() {
+fn ordinary_frames_match_production_bytes() {
     for (request, hex) in [
         (PeerRequest::Submit(Box::new(spec())), SUBMIT_FRAME),
         (PeerRequest::Show("wk-7".into()), SHOW_FRAME),
@@ -178,39 +178,47 @@
 
 /// A world in which production has served so far: its term, machines on pages as large as its
 /// limit allowed, and one job.
-fn taken_over(seed: u64, machines: usize, job: Option<(&JobSpec, &str)>) -> World {
-    let mut w = World::new(seed);
-    w.capacity.clear();
-    w.put("burlusher/term", value(TERM));
-    let ids: Vec<_> = (0..machines).map(|_| w.add_machine("small", "a")).collect();
+fn cluster_after_production(
+    seed: u64,
+    machines: usize,
+    job: Option<(&JobSpec, &str)>,
+) -> Simulation {
+    let mut simulation = Simulation::new(seed);
+    simulation.capacity.clear();
+    simulation.put("burlusher/term", value(TERM));
+    let ids: Vec<_> = (0..machines)
+        .map(|_| simulation.add_machine("small", "a"))
+        .collect();
     for (n, ids) in ids.chunks(75).enumerate() {
         let machine =
             json!({"addr": "127.0.0.1:9000", "kind": "small", "zone": "a", "spot": false});
         let listed: BTreeMap<&str, &Value> = ids.iter().map(|id| (&**id, &machine)).collect();
-        w.put(&format!("burlusher/p/{n}"), json!({"machines": listed}));
+        simulation.put(&format!("burlusher/p/{n}"), json!({"machines": listed}));
     }
     if let Some((spec, done)) = job {
-        w.knows(spec);
-        w.put(
+        simulation.register_job(spec);
+        simulation.put(
             &format!("burlusher/j/{}", spec.id),
             json!({"spec": spec, "submitted_ms": 1_699_999_999_000_u64}),
         );
-        w.put(&format!("burlusher/d/{}/0", spec.id), json!({"rows": done}));
+        simulation.put(&format!("burlusher/d/{}/0", spec.id), json!({"rows": done}));
         let mut rows = RowSet::default();
         rows.add_ranges(0, done, spec.tasks);
         let job = &spec.id;
         for row in (0..spec.tasks).filter(|r| rows.contains(*r)) {
             let job = job.clone();
-            w.completed.insert(crate::job::TaskKey { job, row });
+            simulation
+                .completed
+                .insert(crate::job::TaskKey { job, row });
         }
     }
-    w
+    simulation
 }
 
 /// Rows that production, or a later leader, finds on record.
-fn on_record(w: &World, id: &str) -> RowSet {
+fn is_recorded(simulation: &Simulation, id: &str) -> RowSet {
     let mut rows = RowSet::default();
-    for (key, v) in w.stored(&format!("burlusher/d/{id}/")) {
+    for (key, v) in simulation.stored(&format!("burlusher/d/{id}/")) {
         let base: u32 = key.rsplit('/').next().unwrap().parse().unwrap();
         rows.add_ranges(base, v["rows"].as_str().unwrap(), u32::MAX);
     }
@@ -219,23 +227,24 @@
 
 /// A piece of our size under the key of a larger one of production's forgot what that told beyond.
 #[test]
-fn done_rows_that_production_recorded_in_large_pieces_are_never_forgotten() {
+fn completed_tasks_in_large_pieces_survive_lower_limits() {
     for lowered in 0..6 {
         let spec = sample("wk-1", 1500, 4.0, 4);
-        let mut w = taken_over(61, 1, Some((&spec, "0-2,4-699,701-1400,1402-1498")));
-        let all = on_record(&w, "wk-1");
+        let mut simulation =
+            cluster_after_production(61, 1, Some((&spec, "0-2,4-699,701-1400,1402-1498")));
+        let all = is_recorded(&simulation, "wk-1");
         for tick in 0..1200 {
             if tick == 40 + lowered * 40 {
-                w.limit(NEXT_LIMITS);
+                simulation.limit(NEXT_LIMITS);
             }
             if tick == 130 + lowered * 20
-                && let Some(leader) = w.leader()
+                && let Some(leader) = simulation.leader()
             {
-                w.kill(leader, Duration::from_secs(2));
+                simulation.kill(leader, Duration::from_secs(2));
             }
-            w.tick();
-            let now = on_record(&w, "wk-1");
-            let over = w
+            simulation.tick();
+            let now = is_recorded(&simulation, "wk-1");
+            let over = simulation
                 .stored("burlusher/j/wk-1")
                 .values()
                 .any(|v| v.get("end").is_some());
@@ -245,13 +254,13 @@
                 "forgotten at tick {tick}"
             );
         }
-        w.until_done("wk-1", 30.0);
+        simulation.until_done("wk-1", 30.0);
         // The four that were missing, once each, but for a takeover.
-        assert!(w.starts <= 6, "{} starts", w.starts);
-        assert_eq!(w.over_the_limit(), 0);
-        w.run(10.0);
+        assert!(simulation.starts <= 6, "{} starts", simulation.starts);
+        assert_eq!(simulation.over_the_limit(), 0);
+        simulation.run(10.0);
         assert!(
-            w.stored("burlusher/d/").is_empty(),
+            simulation.stored("burlusher/d/").is_empty(),
             "pieces are cleared in the end"
         );
     }
@@ -260,42 +269,42 @@
 /// Production forgets a machine when one page ceases to list it, even where another does already.
 /// The next leader would start what runs there a second time.
 #[test]
-fn large_pages_of_machines_are_emptied_without_either_version_missing_one() {
+fn large_machine_pages_shrink_without_losing_machines() {
     for lowered in [0, 30, 60, 90, 120] {
         let spec = sample("wk-1", 400, 1.0, 90);
-        let mut w = taken_over(62, 150, None);
-        let mut theirs = TheirMachines::default();
+        let mut simulation = cluster_after_production(62, 150, None);
+        let mut theirs = ProductionMachines::default();
         let (mut seen, mut moved) = (0, 0);
-        w.run(4.0);
-        let leader = w.leader().unwrap();
+        simulation.run(4.0);
+        let leader = simulation.leader().unwrap();
         let mut big = spec.clone();
         big.team = "u".into();
-        w.submit(leader, &big);
+        simulation.submit(leader, &big);
         for tick in 0..400 {
             if tick == lowered {
-                w.limit(NEXT_LIMITS);
+                simulation.limit(NEXT_LIMITS);
             }
             if tick == 20 {
                 // Some are gone, so each page has to be written.
-                let gone: Vec<_> = w.workers.keys().step_by(10).cloned().collect();
+                let gone: Vec<_> = simulation.workers.keys().step_by(10).cloned().collect();
                 for id in gone {
-                    w.workers.remove(&id);
+                    simulation.workers.remove(&id);
                 }
             }
             if tick == lowered + 90
-                && let Some(leader) = w.leader()
+                && let Some(leader) = simulation.leader()
             {
-                w.kill(leader, Duration::from_secs(2));
+                simulation.kill(leader, Duration::from_secs(2));
             }
-            w.tick();
-            let events = w.events(seen);
+            simulation.tick();
+            let events = simulation.events(seen);
             seen += events.len();
             for e in &events {
                 moved += usize::from(e.put.as_ref().is_some_and(|k| k.contains("/p/")));
                 theirs.told(e);
             }
             // A production node that led from here on would know them all.
-            for (id, worker) in &w.workers {
+            for (id, worker) in &simulation.workers {
                 assert!(
                     worker.tasks.is_empty() || theirs.known.contains(&**id),
                     "{id} is unknown to production at tick {tick}"
@@ -303,139 +312,169 @@
             }
         }
         assert!(moved >= 8, "the pages were rewritten");
-        let sizes = w.stored("burlusher/p/");
+        let sizes = simulation.stored("burlusher/p/");
         let largest = sizes.values().map(|v| v.to_string().len()).max();
         assert!(largest <= Some(NEXT_LIMITS.0));
-        assert_eq!(w.over_the_limit(), 0);
+        assert_eq!(simulation.over_the_limit(), 0);
     }
 }
 
 /// A world with its leader, and a job that awaits hundreds of others, all done but `wk-1`, and so
 /// fits into no value.
-fn with_large_job(seed: u64) -> (World, usize, crate::job::JobSpec) {
-    let mut w = taken_over(seed, 4, None);
-    w.limit(NEXT_LIMITS);
-    w.run(4.0);
-    let leader = w.leader().unwrap();
-    assert_eq!(w.submit(leader, &sample("wk-1", 1, 1.0, 20)), 201);
+fn with_large_job(seed: u64) -> (Simulation, usize, crate::job::JobSpec) {
+    let mut simulation = cluster_after_production(seed, 4, None);
+    simulation.limit(NEXT_LIMITS);
+    simulation.run(4.0);
+    let leader = simulation.leader().unwrap();
+    assert_eq!(simulation.submit(leader, &sample("wk-1", 1, 1.0, 20)), 201);
     let mut large = sample("wk-2", 2, 1.0, 3);
     large.awaits = vec!["wk-1".into()];
     for n in 0..900 {
         let id = format!("wk-{}", 1000 + n);
         let done = sample(&id, 1, 1.0, 1);
-        w.knows(&done);
+        simulation.register_job(&done);
         let row = 0;
         let job = done.id.clone();
-        w.completed.insert(crate::job::TaskKey { job, row });
-        w.put(&format!("burlusher/j/{id}"), json!({"end": "Done"}));
+        simulation
+            .completed
+            .insert(crate::job::TaskKey { job, row });
+        simulation.put(&format!("burlusher/j/{id}"), json!({"end": "Done"}));
         large.awaits.push(id.into());
     }
     large.awaits.sort();
-    w.run(1.0);
-    (w, leader, large)
+    simulation.run(1.0);
+    (simulation, leader, large)
 }
 
 /// A job that awaits hundreds of others fits into no value: it is accepted with its last write and
 /// not before, whoever dies meanwhile, and nothing is left of it in the end.
 #[test]
-fn a_job_larger_than_a_value_is_kept_whole_or_not_at_all() {
-    let (mut w, leader, large) = with_large_job(64);
+fn oversized_job_stored_whole_or_not_at_all() {
+    let (mut simulation, leader, large) = with_large_job(64);
     // A node dies between the parts and the job's key: nothing was accepted.
     let other = (leader + 1) % 3;
-    w.nodes.iter_mut().for_each(|n| n.peers = false);
-    w.knows(&large);
-    w.ask(other, crate::core::Ask::Submit(Box::new(large.clone())));
-    w.tick();
-    w.tick();
-    assert!(!w.stored("burlusher/s/wk-2/").is_empty());
-    assert!(w.stored("burlusher/j/wk-2").is_empty());
-    w.kill(other, Duration::from_secs(2));
-    assert_eq!(w.show(leader, "wk-2").0, 404);
+    simulation
+        .nodes
+        .iter_mut()
+        .for_each(|n| n.peers_reachable = false);
+    simulation.register_job(&large);
+    simulation.ask(other, crate::core::Ask::Submit(Box::new(large.clone())));
+    simulation.tick();
+    simulation.tick();
+    assert!(!simulation.stored("burlusher/s/wk-2/").is_empty());
+    assert!(simulation.stored("burlusher/j/wk-2").is_empty());
+    simulation.kill(other, Duration::from_secs(2));
+    assert_eq!(simulation.show(leader, "wk-2").0, 404);
     // Without the leader and through it, the first time and repeated.
     let third = (leader + 2) % 3;
-    assert_eq!(w.submit(third, &large), 201);
-    w.nodes.iter_mut().for_each(|n| n.peers = true);
-    assert_eq!(w.submit(leader, &large), 200);
-    assert_eq!(w.show(third, "wk-2"), (200, Some(JobState::Queued)));
-    w.kill(leader, Duration::from_secs(2));
-    w.until_done("wk-2", 60.0);
-    w.run(70.0);
-    assert!(w.stored("burlusher/s/").is_empty(), "parts are cleared");
-    assert_eq!(w.over_the_limit(), 0);
+    assert_eq!(simulation.submit(third, &large), 201);
+    simulation
+        .nodes
+        .iter_mut()
+        .for_each(|n| n.peers_reachable = true);
+    assert_eq!(simulation.submit(leader, &large), 200);
+    assert_eq!(
+        simulation.show(third, "wk-2"),
+        (200, Some(JobState::Queued))
+    );
+    simulation.kill(leader, Duration::from_secs(2));
+    simulation.until_done("wk-2", 60.0);
+    simulation.run(70.0);
+    assert!(
+        simulation.stored("burlusher/s/").is_empty(),
+        "parts are cleared"
+    );
+    assert_eq!(simulation.over_the_limit(), 0);
     // More than can be written on a condition for each part is refused, and says so.
     let mut huge = sample("wk-3", 1, 1.0, 1);
     huge.image = "x".repeat(60_000);
-    assert_eq!(w.submit(third, &huge), 422);
+    assert_eq!(simulation.submit(third, &huge), 422);
 }
 
 /// The write that accepts a large job is held up until its parts, which no job seemed to need, have been
 /// cleared: applied then, it would have accepted a job that nobody can read any more.
 #[test]
-fn a_large_job_is_not_accepted_late_without_its_parts() {
+fn delayed_commit_without_parts_accepts_no_job() {
     let (mut whole, leader, large) = with_large_job(65);
     assert_eq!(whole.submit(leader, &large), 201);
     let parts = whole.stored("burlusher/s/wk-2/").len();
     assert!(parts > 2);
-    let (mut w, leader, large) = with_large_job(65);
+    let (mut simulation, leader, large) = with_large_job(65);
     let other = (leader + 1) % 3;
-    w.nodes.iter_mut().for_each(|n| n.peers = false);
-    w.knows(&large);
-    w.ask(other, crate::core::Ask::Submit(Box::new(large.clone())));
-    w.until(2.0, "all parts written", |w| {
-        w.stored("burlusher/s/wk-2/").len() == parts
+    simulation
+        .nodes
+        .iter_mut()
+        .for_each(|n| n.peers_reachable = false);
+    simulation.register_job(&large);
+    simulation.ask(other, crate::core::Ask::Submit(Box::new(large.clone())));
+    simulation.until(2.0, "all parts written", |simulation| {
+        simulation.stored("burlusher/s/wk-2/").len() == parts
     });
-    w.nodes[other].state = crate::core::simulation::Link::WritesHeld;
-    w.run(80.0);
-    assert!(!w.held_txns.is_empty() && w.stored("burlusher/s/").is_empty());
-    w.kill(other, Duration::from_secs(2));
-    w.release();
-    w.run(2.0);
-    assert!(w.stored("burlusher/j/wk-2").is_empty());
-    assert_eq!(w.show(leader, "wk-2").0, 404);
+    simulation.nodes[other].state = crate::core::simulation::Link::WritesHeld;
+    simulation.run(80.0);
+    assert!(
+        !simulation.held_transactions.is_empty() && simulation.stored("burlusher/s/").is_empty()
+    );
+    simulation.kill(other, Duration::from_secs(2));
+    simulation.release();
+    simulation.run(2.0);
+    assert!(simulation.stored("burlusher/j/wk-2").is_empty());
+    assert_eq!(simulation.show(leader, "wk-2").0, 404);
     // Asked for once more, it is accepted whole.
-    assert_eq!(w.submit(leader, &large), 201);
-    w.nodes.iter_mut().for_each(|n| n.peers = true);
-    w.until_done("wk-2", 60.0);
+    assert_eq!(simulation.submit(leader, &large), 201);
+    simulation
+        .nodes
+        .iter_mut()
+        .for_each(|n| n.peers_reachable = true);
+    simulation.until_done("wk-2", 60.0);
 }
 
 /// A service with still lower limits than announced refuses some of what is written: nothing is
 /// repeated for ever as it was, and neither leadership nor other work is lost for it.
 #[test]
-fn limits_below_those_announced_cost_neither_leadership_nor_work() {
-    let mut w = taken_over(63, 4, None);
-    w.run(4.0);
-    let leader = w.leader().unwrap();
-    w.limit((LIMITS.0, 2));
+fn limits_below_announced_keep_leader_and_work() {
+    let mut simulation = cluster_after_production(63, 4, None);
+    simulation.run(4.0);
+    let leader = simulation.leader().unwrap();
+    simulation.limit((LIMITS.0, 2));
     // All end at once, so that their ends go into one transaction.
     for n in 1..9 {
         let spec = sample(&format!("wk-{n}"), 2, 1.0, 3);
-        w.knows(&spec);
-        w.ask(leader, crate::core::Ask::Submit(Box::new(spec)));
+        simulation.register_job(&spec);
+        simulation.ask(leader, crate::core::Ask::Submit(Box::new(spec)));
     }
     for n in 1..9 {
-        w.until_done(&format!("wk-{n}"), 30.0);
+        simulation.until_done(&format!("wk-{n}"), 30.0);
     }
     for n in 11..19 {
-        w.submit(leader, &sample(&format!("wk-{n}"), 2, 1.0, 60));
+        simulation.submit(leader, &sample(&format!("wk-{n}"), 2, 1.0, 60));
     }
     for n in 11..19 {
-        w.start_to_cancel(leader, &format!("wk-{n}"));
+        simulation.cancel_without_waiting(leader, &format!("wk-{n}"));
     }
-    w.run(2.0);
+    simulation.run(2.0);
     for n in 11..19 {
-        let state = w.show(leader, &format!("wk-{n}")).1;
+        let state = simulation.show(leader, &format!("wk-{n}")).1;
         assert_eq!(state, Some(JobState::Cancelled));
     }
-    assert_eq!(w.leader(), Some(leader));
+    assert_eq!(simulation.leader(), Some(leader));
     // Eight ends at once, then half as many, then two: not the same again and again.
-    assert!(w.over_the_limit() <= 4, "{}", w.over_the_limit());
+    assert!(
+        simulation.over_the_limit() <= 4,
+        "{}",
+        simulation.over_the_limit()
+    );
     // Pages of machines do not fit any more; what is known goes on.
-    w.limit((150, 2));
+    simulation.limit((150, 2));
     for _ in 0..3 {
-        w.add_machine("small", "a");
+        simulation.add_machine("small", "a");
     }
-    let refused = w.over_the_limit();
-    w.run(20.0);
-    assert_eq!(w.leader(), Some(leader));
-    assert!(w.over_the_limit() - refused < 10, "{}", w.over_the_limit());
+    let refused = simulation.over_the_limit();
+    simulation.run(20.0);
+    assert_eq!(simulation.leader(), Some(leader));
+    assert!(
+        simulation.over_the_limit() - refused < 10,
+        "{}",
+        simulation.over_the_limit()
+    );
 }
--- a/src/core/simulation/mod.rs
+++ b/src/core/simulation/mod.rs
@@ -14,7 +14,7 @@
 mod users;
 mod worker;
 
-pub use cluster::{Setup, World, settings, with_log};
+pub use cluster::{Setup, Simulation, enable_log, settings};
 pub use network::Link;
 pub use store::{Backup, LIMITS, NEXT_LIMITS};
 pub use worker::{LEASE, Worker};
--- a/src/core/simulation/network.rs
+++ b/src/core/simulation/network.rs
@@ -1,7 +1,7 @@
 //! What lies between the parties: links, deliveries, copies and what is held up.
 
-use super::cluster::World;
-use super::store::NO_ANSWER;
+use super::cluster::Simulation;
+use super::store::STORE_TIMEOUT;
 use crate::cloud::CloudOutcome;
 use crate::core::{Ask, Command, Effect, UserRequest};
 use crate::job::MachineId;
@@ -31,8 +31,8 @@
     }
 }
 
-impl World {
-    pub(super) fn carry_out(&mut self, i: usize, effect: Effect) {
+impl Simulation {
+    pub(super) fn apply_effect(&mut self, i: usize, effect: Effect) {
         match effect {
             Effect::Answer { ticket, answer } => {
                 if answer.not_after.is_some_and(|t| self.now >= t) {
@@ -48,7 +48,8 @@
                     });
                 } else if let Some((asker, number, _)) = self.syncs.remove(&ticket) {
                     // What cannot get through is as good as lost.
-                    let through = self.nodes[asker].peers && self.nodes[i].peers;
+                    let through =
+                        self.nodes[asker].peers_reachable && self.nodes[i].peers_reachable;
                     let frame = peer::read_frame(&mut answer.body.as_slice()).ok();
                     let synced = frame.and_then(|(_, body)| link::decode_synced(&body));
                     self.nodes[asker].inbox.push(Command::Synced {
@@ -68,11 +69,11 @@
                             running: None,
                         }),
                     });
-                } else if let Some((id, asked)) = self.cancelling.remove(&ticket) {
-                    self.heard(&id, asked, Some(&answer));
-                } else if let Some((id, asked)) = self.looks.remove(&ticket) {
-                    let state = self.heard(&id, asked, Some(&answer));
-                    self.looks_answered += u32::from(state.is_some());
+                } else if let Some((id, asked)) = self.unawaited_cancellations.remove(&ticket) {
+                    self.check_answer(&id, asked, Some(&answer));
+                } else if let Some((id, asked)) = self.follow_up_queries.remove(&ticket) {
+                    let state = self.check_answer(&id, asked, Some(&answer));
+                    self.follow_ups_answered += u32::from(state.is_some());
                 } else {
                     self.answers.insert(ticket, answer);
                 }
@@ -83,7 +84,10 @@
                 request,
             } => {
                 let to = peer[1..].parse::<usize>().unwrap();
-                if !self.nodes[to].up || !self.nodes[to].peers || !self.nodes[i].peers {
+                if !self.nodes[to].up
+                    || !self.nodes[to].peers_reachable
+                    || !self.nodes[i].peers_reachable
+                {
                     self.nodes[i].inbox.push(Command::Forwarded {
                         ticket,
                         peer,
@@ -113,7 +117,10 @@
                 frame,
             } => {
                 let to = peer[1..].parse::<usize>().unwrap();
-                if !self.nodes[to].up || !self.nodes[to].peers || !self.nodes[i].peers {
+                if !self.nodes[to].up
+                    || !self.nodes[to].peers_reachable
+                    || !self.nodes[i].peers_reachable
+                {
                     self.nodes[i].inbox.push(Command::Synced {
                         number,
                         answer: None,
@@ -129,7 +136,10 @@
             }
             Effect::Recall { peer, recall } => {
                 let to = peer[1..].parse::<usize>().unwrap();
-                if !self.nodes[to].up || !self.nodes[to].peers || !self.nodes[i].peers {
+                if !self.nodes[to].up
+                    || !self.nodes[to].peers_reachable
+                    || !self.nodes[i].peers_reachable
+                {
                     self.nodes[i].inbox.push(Command::Recalled {
                         peer,
                         asked: recall,
@@ -150,14 +160,14 @@
                 let outcome = self.call_state(i, &request);
                 let answer = Command::State { call, outcome };
                 if self.answers_lost > lost {
-                    let at = self.now + NO_ANSWER;
-                    return self.slow_answers.push((at, i, answer));
+                    let at = self.now + STORE_TIMEOUT;
+                    return self.delayed_answers.push((at, i, answer));
                 }
-                if self.slow.is_zero() {
+                if self.store_delay.is_zero() {
                     return self.nodes[i].inbox.push(answer);
                 }
-                let at = self.now + self.slow.mul_f64(self.rng.random_range(0.0..1.0));
-                self.slow_answers.push((at, i, answer));
+                let at = self.now + self.store_delay.mul_f64(self.rng.random_range(0.0..1.0));
+                self.delayed_answers.push((at, i, answer));
             }
             Effect::Cloud {
                 call,
@@ -218,43 +228,47 @@
     }
 
     /// Copies whose time has come.
-    pub(super) fn deliver_copies(&mut self) {
+    pub(super) fn deliver_delayed(&mut self) {
         let now = self.now;
-        let due = self.late_reports.extract_if(.., |(at, ..)| *at <= now);
+        let due = self.delayed_reports.extract_if(.., |(at, ..)| *at <= now);
         for (_, node, report) in due.collect::<Vec<_>>() {
             if self.nodes[node].up {
                 self.deliver(node, report);
             }
         }
-        let due = self.late_commands.extract_if(.., |(at, ..)| *at <= now);
+        let due = self.delayed_commands.extract_if(.., |(at, ..)| *at <= now);
         for (_, id, body) in due.collect::<Vec<_>>() {
-            if self.workers.get(&id).is_some_and(|w| !w.hung && !w.deaf) {
+            if self
+                .workers
+                .get(&id)
+                .is_some_and(|worker| !worker.hung && !worker.inbound_partitioned)
+            {
                 self.direct(&id, &body);
             }
         }
     }
 
     /// Copies of what workers reported arrive at every controller.
-    pub fn keep_reports(&mut self, reports: Vec<Report>) {
-        self.kept_reports.extend(reports);
+    pub fn replay_at_next_leadership(&mut self, reports: Vec<Report>) {
+        self.reports_to_replay.extend(reports);
     }
 
     /// Commands of which copies are under way.
-    pub fn copied_commands(&self) -> Vec<(MachineId, DirectBody)> {
-        let all = self.late_commands.iter();
+    pub fn delayed_command_copies(&self) -> Vec<(MachineId, DirectBody)> {
+        let all = self.delayed_commands.iter();
         all.map(|(_, id, body)| (id.clone(), body.clone()))
             .collect()
     }
 
     /// Lets everything through that was held.
     pub fn release(&mut self) {
-        let late = std::mem::take(&mut self.late_txns);
+        let late = std::mem::take(&mut self.delayed_transactions);
         let late = late.into_iter().map(|(_, txn)| txn);
-        for txn in late.chain(std::mem::take(&mut self.held_txns)) {
+        for txn in late.chain(std::mem::take(&mut self.held_transactions)) {
             self.state.txn(&txn);
         }
         for (id, body) in std::mem::take(&mut self.held_commands) {
-            if self.workers.get(&id).is_some_and(|w| !w.hung) {
+            if self.workers.get(&id).is_some_and(|worker| !worker.hung) {
                 self.direct(&id, &body);
             } else {
                 self.held_commands.push((id, body));
--- a/src/core/simulation/recorded_decisions.rs
+++ b/src/core/simulation/recorded_decisions.rs
@@ -19,8 +19,8 @@
 //! ```
 
 use crate::cloud::CloudRequest;
-use crate::core::simulation::scenarios::mixed_faults::chaos;
-use crate::core::simulation::{Link, NEXT_LIMITS, World};
+use crate::core::simulation::scenarios::mixed_faults::inject_mixed_faults;
+use crate::core::simulation::{Link, NEXT_LIMITS, Simulation};
 use crate::core::{Effect, Stand};
 use crate::http::Answer;
 use crate::job::{JobSpec, Kind, Rank, sample};
@@ -258,22 +258,22 @@
 }
 
 /// Plays a schedule with three controllers and four machines, and records what is decided in it.
-fn record(case: &Recorded, schedule: impl Fn(&mut World, u64)) -> Recording {
+fn record(case: &Recorded, schedule: impl Fn(&mut Simulation, u64)) -> Recording {
     let policy = Policy::with("recorded", case.policy).unwrap();
-    let mut w = World::with_policy(case.seed, policy);
-    w.recorder = Some(DecisionRecorder::new(w.now));
+    let mut simulation = Simulation::with_policy(case.seed, policy);
+    simulation.recorder = Some(DecisionRecorder::new(simulation.now));
     for zone in ["a", "b", "a", "b"] {
-        w.add_machine("small", zone);
+        simulation.add_machine("small", zone);
     }
-    w.until(10.0, "a leader", |w| w.leader().is_some());
-    w.run(2.0);
-    schedule(&mut w, case.seed);
-    let recorder = w.recorder.take().expect("it was set above");
+    simulation.until(10.0, "a leader", |simulation| simulation.leader().is_some());
+    simulation.run(2.0);
+    schedule(&mut simulation, case.seed);
+    let recorder = simulation.recorder.take().expect("it was set above");
     recorder.finish(case.name)
 }
 
 /// Plays each case, and fails with the literals as found if one of them leads to other decisions.
-fn assert_recorded(cases: &[Recorded], schedule: impl Fn(&mut World, u64)) {
+fn assert_recorded(cases: &[Recorded], schedule: impl Fn(&mut Simulation, u64)) {
     let mut differences = String::new();
     for case in cases {
         let found = record(case, &schedule);
@@ -317,133 +317,144 @@
 }
 
 /// Submits jobs of all kinds, each by another controller.
-fn submit_all(w: &mut World) {
+fn submit_all(simulation: &mut Simulation) {
     for (n, spec) in jobs_of_all_kinds().iter().enumerate() {
-        w.submit(n % 3, spec);
-        w.run(0.3);
+        simulation.submit(n % 3, spec);
+        simulation.run(0.3);
     }
 }
 
 /// Jobs of all kinds run; one is cancelled with what awaits it, the leader ends, machines die and
 /// restart, and one fails its tasks.
-fn takeover_with_cancellations(w: &mut World, _seed: u64) {
-    submit_all(w);
-    w.run(3.0);
-    w.cancel(1, "wk-9");
-    if let Some(leader) = w.leader() {
-        w.start_to_cancel((leader + 1) % 3, "wk-5");
-        w.kill(leader, Duration::from_secs(4));
+fn takeover_with_cancellations(simulation: &mut Simulation, _seed: u64) {
+    submit_all(simulation);
+    simulation.run(3.0);
+    simulation.cancel(1, "wk-9");
+    if let Some(leader) = simulation.leader() {
+        simulation.cancel_without_waiting((leader + 1) % 3, "wk-5");
+        simulation.kill(leader, Duration::from_secs(4));
     }
-    w.run(6.0);
-    let ids: Vec<_> = w.workers.keys().cloned().collect();
-    w.workers.remove(&ids[0]);
-    w.reboot(&ids[1], true);
-    w.reboot(&ids[2], false);
-    w.workers.values_mut().take(1).for_each(|m| m.sick = true);
-    w.submit(2, &sample("wk-10", 8, 1.0, 5));
-    w.run(15.0);
-    w.workers.values_mut().for_each(|m| m.sick = false);
+    simulation.run(6.0);
+    let ids: Vec<_> = simulation.workers.keys().cloned().collect();
+    simulation.workers.remove(&ids[0]);
+    simulation.reboot(&ids[1], true);
+    simulation.reboot(&ids[2], false);
+    simulation
+        .workers
+        .values_mut()
+        .take(1)
+        .for_each(|m| m.failing = true);
+    simulation.submit(2, &sample("wk-10", 8, 1.0, 5));
+    simulation.run(15.0);
+    simulation
+        .workers
+        .values_mut()
+        .for_each(|m| m.failing = false);
     // A repeated submission, and one that can never run.
-    w.submit(0, &sample("wk-1", 6, 1.0, 12));
-    w.submit(1, &sample("wk-11", 1, 99.0, 1));
-    w.cancel(0, "wk-2");
-    w.run(40.0);
+    simulation.submit(0, &sample("wk-1", 6, 1.0, 12));
+    simulation.submit(1, &sample("wk-11", 1, 99.0, 1));
+    simulation.cancel(0, "wk-2");
+    simulation.run(40.0);
 }
 
 /// Forty more machines, which all controllers share; a job of a high rank takes room from one of a
 /// low rank, one that is too large for a single value is accepted, and the leader ends.
-fn many_machines(w: &mut World, _seed: u64) {
+fn many_machines(simulation: &mut Simulation, _seed: u64) {
     for n in 0..40 {
-        w.add_machine("small", ["a", "b"][n % 2]);
+        simulation.add_machine("small", ["a", "b"][n % 2]);
     }
-    w.run(6.0);
+    simulation.run(6.0);
     let of_unlimited_team = |id: &str, tasks, rank| {
         let mut spec = sample(id, tasks, 2.0, 12);
         (spec.team, spec.rank) = ("u".into(), rank);
         spec
     };
-    w.submit(0, &of_unlimited_team("wk-1", 120, Rank::Low));
-    w.run(5.0);
-    w.submit(1, &of_unlimited_team("wk-2", 60, Rank::Production));
-    w.run(3.0);
-    w.limit(NEXT_LIMITS);
+    simulation.submit(0, &of_unlimited_team("wk-1", 120, Rank::Low));
+    simulation.run(5.0);
+    simulation.submit(1, &of_unlimited_team("wk-2", 60, Rank::Production));
+    simulation.run(3.0);
+    simulation.limit(NEXT_LIMITS);
     let mut large = of_unlimited_team("wk-3", 4, Rank::Normal);
     large.image = "x".repeat(3 * NEXT_LIMITS.0);
-    w.submit(2, &large);
-    if let Some(leader) = w.leader() {
-        w.kill(leader, Duration::from_secs(2));
+    simulation.submit(2, &large);
+    if let Some(leader) = simulation.leader() {
+        simulation.kill(leader, Duration::from_secs(2));
     }
-    w.run(20.0);
-    w.cancel(1, "wk-1");
-    w.workers.values_mut().for_each(|m| m.node = 0);
-    w.run(30.0);
+    simulation.run(20.0);
+    simulation.cancel(1, "wk-1");
+    simulation.workers.values_mut().for_each(|m| m.node = 0);
+    simulation.run(30.0);
 }
 
 /// The store loses everything, is rolled back some time later, and then lost while the leader ends.
-fn losses_of_the_store(w: &mut World, _seed: u64) {
-    submit_all(w);
-    w.run(3.0);
-    let backup = w.backup();
-    w.submit(0, &sample("wk-20", 4, 1.0, 25));
-    w.lose_state();
-    w.run(25.0);
-    w.submit(1, &sample("wk-21", 4, 1.0, 25));
-    w.cancel(2, "wk-9");
-    w.restore(&backup);
-    w.run(25.0);
-    w.lose_state();
-    if let Some(leader) = w.leader() {
-        w.kill(leader, Duration::from_secs(3));
+fn losses_of_the_store(simulation: &mut Simulation, _seed: u64) {
+    submit_all(simulation);
+    simulation.run(3.0);
+    let backup = simulation.backup();
+    simulation.submit(0, &sample("wk-20", 4, 1.0, 25));
+    simulation.lose_state();
+    simulation.run(25.0);
+    simulation.submit(1, &sample("wk-21", 4, 1.0, 25));
+    simulation.cancel(2, "wk-9");
+    simulation.restore(&backup);
+    simulation.run(25.0);
+    simulation.lose_state();
+    if let Some(leader) = simulation.leader() {
+        simulation.kill(leader, Duration::from_secs(3));
     }
-    w.run(30.0);
+    simulation.run(30.0);
     for node in 0..3 {
-        w.settle(node);
-        w.offer(node, "another store", &backup);
+        simulation.settle(node);
+        simulation.offer(node, "another store", &backup);
     }
-    w.cancel(0, "wk-2");
-    w.run(20.0);
+    simulation.cancel(0, "wk-2");
+    simulation.run(20.0);
 }
 
 /// Messages are late, repeated, lost or out of order, and the leader changes often.
-fn faulty_network(w: &mut World, _seed: u64) {
-    w.copies = Duration::from_secs(4);
-    w.late_writes = 0.1;
-    w.lost_answers = 0.2;
-    w.late_command_share = 0.2;
-    w.reports_for_next = 0.3;
-    submit_all(w);
-    w.run(5.0);
-    w.slow = Duration::from_millis(600);
-    w.cancel(1, "wk-9");
-    w.run(5.0);
-    w.slow = Duration::ZERO;
+fn faulty_network(simulation: &mut Simulation, _seed: u64) {
+    simulation.duplicate_delay = Duration::from_secs(4);
+    simulation.late_write_share = 0.1;
+    simulation.lost_answer_share = 0.2;
+    simulation.late_command_share = 0.2;
+    simulation.replayed_report_share = 0.3;
+    submit_all(simulation);
+    simulation.run(5.0);
+    simulation.store_delay = Duration::from_millis(600);
+    simulation.cancel(1, "wk-9");
+    simulation.run(5.0);
+    simulation.store_delay = Duration::ZERO;
     for (n, link) in [Link::Refused, Link::Held, Link::AnswersLost]
         .into_iter()
         .enumerate()
     {
-        w.nodes[n].state = link;
-        w.run(4.0);
-        w.submit(n, &sample(&format!("wk-3{n}"), 3, 1.0, 6));
-        w.nodes[n].state = Link::Good;
-        w.release();
-        w.nodes[n].peers = false;
-        w.run(4.0);
-        w.nodes[n].peers = true;
+        simulation.nodes[n].state = link;
+        simulation.run(4.0);
+        simulation.submit(n, &sample(&format!("wk-3{n}"), 3, 1.0, 6));
+        simulation.nodes[n].state = Link::Good;
+        simulation.release();
+        simulation.nodes[n].peers_reachable = false;
+        simulation.run(4.0);
+        simulation.nodes[n].peers_reachable = true;
     }
-    w.set_outage(true);
-    w.run(8.0);
-    w.set_outage(false);
-    w.workers
+    simulation.set_store_outage(true);
+    simulation.run(8.0);
+    simulation.set_store_outage(false);
+    simulation
+        .workers
         .values_mut()
         .step_by(2)
-        .for_each(|m| m.deaf = true);
-    w.run(6.0);
-    w.workers
+        .for_each(|m| m.inbound_partitioned = true);
+    simulation.run(6.0);
+    simulation.workers.values_mut().for_each(|m| {
+        (m.inbound_partitioned, m.outbound_partitioned) = (false, m.inbound_partitioned)
+    });
+    simulation.run(6.0);
+    simulation
+        .workers
         .values_mut()
-        .for_each(|m| (m.deaf, m.mute) = (false, m.deaf));
-    w.run(6.0);
-    w.workers.values_mut().for_each(|m| m.mute = false);
-    w.run(25.0);
+        .for_each(|m| m.outbound_partitioned = false);
+    simulation.run(25.0);
 }
 
 #[test]
@@ -662,5 +673,5 @@
             0x3796_5c5d_0199_acb4,
         ),
     ];
-    assert_recorded(&cases, chaos);
+    assert_recorded(&cases, inject_mixed_faults);
 }
--- a/src/core/simulation/scenarios/cancellation.rs
+++ b/src/core/simulation/scenarios/cancellation.rs
@@ -2,7 +2,7 @@
 
 use super::{eight_machines, fails_without, follower, four_machines, unlimited_job};
 use crate::core::losses::late_cancellations;
-use crate::core::simulation::{Link, Setup, World, settings};
+use crate::core::simulation::{Link, Setup, Simulation, settings};
 use crate::guard::Guard;
 use crate::job::{MachineId, sample};
 use crate::policy::Policy;
@@ -10,69 +10,72 @@
 use std::time::Duration;
 
 #[test]
-fn a_cancellation_without_an_answer_is_never_unsaid() {
-    let (mut w, leader) = four_machines(4);
-    w.submit(leader, &sample("wk-1", 8, 2.0, 60));
-    w.run(3.0);
+fn unanswered_cancellation_never_retracted() {
+    let (mut simulation, leader) = four_machines(4);
+    simulation.submit(leader, &sample("wk-1", 8, 2.0, 60));
+    simulation.run(3.0);
     // Its end is committed, but the leader does not learn so.
-    w.nodes[leader].state = Link::AnswersLost;
-    let _ = w.cancel(leader, "wk-1");
-    w.nodes[leader].state = Link::Refused;
+    simulation.nodes[leader].state = Link::AnswersLost;
+    let _ = simulation.cancel(leader, "wk-1");
+    simulation.nodes[leader].state = Link::Refused;
     // The others read it from the state service and say so.
     let other = follower(leader);
-    let (_, state) = w.show(other, "wk-1");
+    let (_, state) = simulation.show(other, "wk-1");
     if state == Some(JobState::Cancelled) {
         // The old leader may repeat that or say nothing, but not that it runs: `World` checks.
-        w.show(leader, "wk-1");
+        simulation.show(leader, "wk-1");
     }
-    w.nodes[leader].state = Link::Good;
-    w.run(8.0);
-    assert_eq!(w.cancel(other, "wk-1"), (200, Some(JobState::Cancelled)));
-    w.run(25.0);
-    assert!(w.places("wk-1").is_empty());
+    simulation.nodes[leader].state = Link::Good;
+    simulation.run(8.0);
+    assert_eq!(
+        simulation.cancel(other, "wk-1"),
+        (200, Some(JobState::Cancelled))
+    );
+    simulation.run(25.0);
+    assert!(simulation.places("wk-1").is_empty());
 }
 
 #[test]
-fn a_start_in_doubt_counts_for_the_limit_and_is_outlived_by_a_cancellation() {
-    let (mut w, leader) = four_machines(8);
+fn uncertain_start_counts_and_is_cancelled() {
+    let (mut simulation, leader) = four_machines(8);
     // Team t may use 24 CPUs; give it more machines than that.
     for _ in 0..4 {
-        w.add_machine("large", "a");
+        simulation.add_machine("large", "a");
     }
-    w.run(3.0);
-    w.hold_commands = true;
-    w.submit(leader, &sample("wk-1", 6, 4.0, 20));
-    w.run(0.5);
-    assert_eq!(w.submit(leader, &sample("wk-2", 6, 4.0, 20)), 201);
-    let (_, state) = w.cancel(leader, "wk-1");
+    simulation.run(3.0);
+    simulation.hold_commands = true;
+    simulation.submit(leader, &sample("wk-1", 6, 4.0, 20));
+    simulation.run(0.5);
+    assert_eq!(simulation.submit(leader, &sample("wk-2", 6, 4.0, 20)), 201);
+    let (_, state) = simulation.cancel(leader, "wk-1");
     assert_eq!(state, Some(JobState::Cancelled));
-    w.hold_commands = false;
-    w.run(4.0);
+    simulation.hold_commands = false;
+    simulation.run(4.0);
     // `World` would notice if these pushed the team over its limit or ran after the end.
-    w.release();
-    w.until_done("wk-2", 60.0);
-    w.run(25.0);
-    assert!(w.places("wk-1").is_empty());
+    simulation.release();
+    simulation.until_done("wk-2", 60.0);
+    simulation.run(25.0);
+    assert!(simulation.places("wk-1").is_empty());
 }
 
 #[test]
-fn a_cancellation_beats_a_start_on_its_way() {
+fn cancellation_overtakes_pending_start() {
     for delay in 0..6 {
-        let (mut w, leader) = four_machines(9);
-        w.submit(leader, &sample("wk-1", 8, 2.0, 100));
-        w.run(f64::from(delay) * 0.1);
-        let (_, state) = w.cancel(follower(leader), "wk-1");
+        let (mut simulation, leader) = four_machines(9);
+        simulation.submit(leader, &sample("wk-1", 8, 2.0, 100));
+        simulation.run(f64::from(delay) * 0.1);
+        let (_, state) = simulation.cancel(follower(leader), "wk-1");
         assert_eq!(state, Some(JobState::Cancelled));
-        w.run(25.0);
-        assert!(w.places("wk-1").is_empty());
-        assert_eq!(w.show(leader, "wk-1").1, Some(JobState::Cancelled));
+        simulation.run(25.0);
+        assert!(simulation.places("wk-1").is_empty());
+        assert_eq!(simulation.show(leader, "wk-1").1, Some(JobState::Cancelled));
     }
 }
 
 /// Whether a cancellation, questions and repetitions come shortly before, at or after the end of the last
 /// task, with the end written, refused or written without an answer: one final answer, everywhere.
 #[test]
-fn a_cancellation_at_the_end_of_the_last_task_has_one_outcome() {
+fn cancellation_at_completion_has_one_outcome() {
     let mut outcomes = [0, 0];
     for (n, early_ms) in (0..12).map(|n| (n, n * 100)) {
         for link in [
@@ -81,41 +84,44 @@
             Link::Refused,
             Link::WritesHeld,
         ] {
-            let (mut w, leader) = eight_machines(900 + n);
-            w.slow = Duration::from_millis(n * 20);
+            let (mut simulation, leader) = eight_machines(900 + n);
+            simulation.store_delay = Duration::from_millis(n * 20);
             let spec = unlimited_job("wk-000001", 3, 4.0, 4);
-            assert_eq!(w.submit(leader, &spec), 201);
-            w.until(9.0, "all run", |w| w.places("wk-000001").len() == 3);
-            let ends = w.now + Duration::from_millis(3500) + Duration::from_millis(early_ms);
-            w.until(6.0, "the end", |w| w.now >= ends);
-            w.nodes[leader].state = link;
+            assert_eq!(simulation.submit(leader, &spec), 201);
+            simulation.until(9.0, "all run", |simulation| {
+                simulation.places("wk-000001").len() == 3
+            });
+            let ends =
+                simulation.now + Duration::from_millis(3500) + Duration::from_millis(early_ms);
+            simulation.until(6.0, "the end", |simulation| simulation.now >= ends);
+            simulation.nodes[leader].state = link;
             for node in 0..3 {
-                w.start_to_cancel(node, "wk-000001");
-                w.ask_at_once_of(node, &spec);
+                simulation.cancel_without_waiting(node, "wk-000001");
+                simulation.submit_without_waiting(node, &spec);
             }
-            w.run(1.0);
-            w.nodes[leader].state = Link::Good;
-            w.release();
+            simulation.run(1.0);
+            simulation.nodes[leader].state = Link::Good;
+            simulation.release();
             // The world fails at two different final answers, at `done` ahead of time, at a 404.
             let mut told = None;
             for _ in 0..40 {
                 for node in 0..3 {
-                    w.start_to_cancel(node, "wk-000001");
-                    let (_, state) = w.show(node, "wk-000001");
+                    simulation.cancel_without_waiting(node, "wk-000001");
+                    let (_, state) = simulation.show(node, "wk-000001");
                     told = told.or(state.filter(|s| *s != JobState::Running));
-                    assert!(matches!(w.submit(node, &spec), 0 | 200 | 503));
+                    assert!(matches!(simulation.submit(node, &spec), 0 | 200 | 503));
                 }
-                if w.told_final("wk-000001").is_some() {
+                if simulation.final_answer("wk-000001").is_some() {
                     break;
                 }
             }
-            match w.told_final("wk-000001") {
+            match simulation.final_answer("wk-000001") {
                 Some(JobState::Done) => outcomes[0] += 1,
                 Some(JobState::Cancelled) => outcomes[1] += 1,
                 other => panic!("said to be {other:?}"),
             }
-            w.run(15.0);
-            assert!(w.places("wk-000001").is_empty());
+            simulation.run(15.0);
+            assert!(simulation.places("wk-000001").is_empty());
         }
     }
     let [done, cancelled] = outcomes;
@@ -127,37 +133,45 @@
 
 /// Tasks whose images are being fetched, and starts on their way, when the user is told.
 fn cancelled_while_it_starts(fetch_ms: u64) {
-    let (mut w, leader) = eight_machines(920);
-    w.fetch = Duration::from_millis(fetch_ms);
+    let (mut simulation, leader) = eight_machines(920);
+    simulation.image_fetch_time = Duration::from_millis(fetch_ms);
     let slow = Duration::from_millis(300);
     for n in 0..16 {
         let id = format!("wk-{:06}", n + 1);
-        assert_eq!(w.submit(leader, &unlimited_job(&id, 8, 4.0, 20)), 201);
-        w.until(15.0, "it starts", |w| w.places(&id).len() == 8);
+        assert_eq!(
+            simulation.submit(leader, &unlimited_job(&id, 8, 4.0, 20)),
+            201
+        );
+        simulation.until(15.0, "it starts", |simulation| {
+            simulation.places(&id).len() == 8
+        });
         // The leader hears late that the cancellation is durable; another controller tells its user.
-        w.slow = slow;
-        w.nodes[leader].lags = true;
-        w.run(f64::from(n) * 0.05);
-        let begun = w.now;
-        while w.told_final(&id).is_none() {
+        simulation.store_delay = slow;
+        simulation.nodes[leader].watch_delayed = true;
+        simulation.run(f64::from(n) * 0.05);
+        let begun = simulation.now;
+        while simulation.final_answer(&id).is_none() {
             assert!(
-                w.now < begun + Duration::from_secs(8),
+                simulation.now < begun + Duration::from_secs(8),
                 "{id} cannot be cancelled"
             );
             for node in 0..3 {
-                w.start_to_cancel(node, &id);
+                simulation.cancel_without_waiting(node, &id);
             }
-            w.tick();
+            simulation.tick();
         }
-        w.slow = Duration::ZERO;
-        w.nodes[leader].lags = false;
-        assert_eq!(w.late_starts, 0, "it starts after its user was told");
-        w.run(3.0);
+        simulation.store_delay = Duration::ZERO;
+        simulation.nodes[leader].watch_delayed = false;
+        assert_eq!(
+            simulation.late_starts, 0,
+            "it starts after its user was told"
+        );
+        simulation.run(3.0);
     }
 }
 
 #[test]
-fn nothing_begins_after_its_user_was_told_of_the_cancellation() {
+fn no_start_after_confirmed_cancellation() {
     cancelled_while_it_starts(600);
     fails_without(Guard::Early, "it starts after its user was told", || {
         cancelled_while_it_starts(600)
@@ -167,42 +181,46 @@
 /// Machines that hang at the cancellation and go on later: within their lease or after it, with the leader
 /// there or gone, with the cloud there or away.
 #[test]
-fn tasks_of_a_cancelled_job_do_not_go_on_when_their_machine_has_hung() {
+fn cancelled_tasks_stop_when_hung_machine_resumes() {
     let mut resumed = 0;
     for hang in [1.0, 4.0, 8.0, 9.5, 14.0, 25.0] {
         for (cloud_down, leader_ends) in [(false, false), (true, false), (true, true)] {
-            let (mut w, leader) = eight_machines(930);
+            let (mut simulation, leader) = eight_machines(930);
             assert_eq!(
-                w.submit(leader, &unlimited_job("wk-000001", 8, 4.0, 200)),
+                simulation.submit(leader, &unlimited_job("wk-000001", 8, 4.0, 200)),
                 201
             );
-            w.run(2.0);
-            w.cloud_down = cloud_down;
-            let hung: Vec<MachineId> = w.workers.keys().take(3).cloned().collect();
+            simulation.run(2.0);
+            simulation.cloud_down = cloud_down;
+            let hung: Vec<MachineId> = simulation.workers.keys().take(3).cloned().collect();
             for id in &hung {
-                w.workers.get_mut(id).unwrap().hung = true;
+                simulation.workers.get_mut(id).unwrap().hung = true;
             }
-            w.run(0.3);
-            let told = w.cancel(leader, "wk-000001");
+            simulation.run(0.3);
+            let told = simulation.cancel(leader, "wk-000001");
             assert_eq!(told, (200, Some(JobState::Cancelled)));
             if leader_ends {
-                w.kill(leader, Duration::from_secs(5));
+                simulation.kill(leader, Duration::from_secs(5));
             }
-            w.run(hang);
+            simulation.run(hang);
             for id in &hung {
-                if let Some(m) = w.workers.get_mut(id) {
+                if let Some(m) = simulation.workers.get_mut(id) {
                     m.hung = false;
                     resumed += u32::from(!m.tasks.is_empty());
                 }
             }
-            w.release();
-            w.run(2.0);
-            assert!(hang > 20.0 || w.now < w.cancelled["wk-000001"] + w.setup.cancel);
-            let left = w.places("wk-000001");
+            simulation.release();
+            simulation.run(2.0);
+            assert!(
+                hang > 20.0
+                    || simulation.now
+                        < simulation.cancelled_at["wk-000001"] + simulation.setup.cancel
+            );
+            let left = simulation.places("wk-000001");
             // A new leader has yet to hear of what it holds, but its lease ends all the same.
             assert!(left.is_empty() || leader_ends, "{hang} s: {left:?} goes on");
-            w.run(22.0);
-            assert!(w.places("wk-000001").is_empty());
+            simulation.run(22.0);
+            assert!(simulation.places("wk-000001").is_empty());
         }
     }
     assert!(resumed >= 12, "{resumed} machines went on with it");
@@ -217,37 +235,37 @@
     };
     for cloud_down in [false, true] {
         let policy = Policy::with("short", "delegate = true\nidle_keep = 600").unwrap();
-        let mut w = World::with_setup(1010, policy, setup);
-        w.capacity.clear();
+        let mut simulation = Simulation::with_setup(1010, policy, setup);
+        simulation.capacity.clear();
         for zone in ["a", "b", "a", "b"] {
-            w.add_machine("small", zone);
+            simulation.add_machine("small", zone);
         }
-        w.until(10.0, "a leader", |w| w.leader().is_some());
-        w.run(4.0);
-        let leader = w.leader().unwrap();
+        simulation.until(10.0, "a leader", |simulation| simulation.leader().is_some());
+        simulation.run(4.0);
+        let leader = simulation.leader().unwrap();
         assert_eq!(
-            w.submit(leader, &unlimited_job("wk-000001", 4, 4.0, 100)),
+            simulation.submit(leader, &unlimited_job("wk-000001", 4, 4.0, 100)),
             201
         );
-        w.run(2.0);
-        w.cloud_down = cloud_down;
-        let cut = w.workers.values_mut().next().unwrap();
-        cut.cut = (0..3).collect();
+        simulation.run(2.0);
+        simulation.cloud_down = cloud_down;
+        let cut = simulation.workers.values_mut().next().unwrap();
+        cut.partitioned_from = (0..3).collect();
         let mut tries = 0;
-        while w.told_final("wk-000001").is_none() {
-            w.start_to_cancel(leader, "wk-000001");
-            w.run(0.5);
+        while simulation.final_answer("wk-000001").is_none() {
+            simulation.cancel_without_waiting(leader, "wk-000001");
+            simulation.run(0.5);
             tries += 1;
             assert!(tries < 60, "its user is never told");
         }
         least = least.min(tries);
-        w.run(12.0);
+        simulation.run(12.0);
     }
     least
 }
 
 #[test]
-fn a_cancellation_is_confirmed_only_where_it_is_certain_in_time() {
+fn cancellation_confirmed_only_when_certain() {
     // Operators are warned of it.
     let warned = |cancel: u64| {
         let cancel = Duration::from_secs(cancel);
@@ -269,33 +287,36 @@
 /// One-task jobs come four a second for two minutes, a quarter of them cancelled, while the state service answers
 /// late: writes are few, nothing piles up, and each job is over soon.
 fn many_short_jobs() {
-    let (mut w, leader) = eight_machines(1320);
-    w.slow = Duration::from_millis(700);
-    let before = w.changes();
+    let (mut simulation, leader) = eight_machines(1320);
+    simulation.store_delay = Duration::from_millis(700);
+    let before = simulation.changes();
     let id = |n: u32| format!("wk-{n:06}");
     let (mut n, mut cancelled) = (0, 0);
-    let begun = w.now;
-    while w.now < begun + Duration::from_secs(120) {
+    let begun = simulation.now;
+    while simulation.now < begun + Duration::from_secs(120) {
         let spec = unlimited_job(&id(n), 1, 1.0, 2);
-        w.knows(&spec);
-        w.ask_at_once_of(n as usize % 3, &spec);
-        w.run(0.25);
+        simulation.register_job(&spec);
+        simulation.submit_without_waiting(n as usize % 3, &spec);
+        simulation.run(0.25);
         if n % 4 == 3 {
             // Right after it was accepted, in its midst, or as it ends.
             let which = id(n.saturating_sub(n / 4 % 3 * 4));
-            w.start_to_cancel(n as usize % 3, &which);
+            simulation.cancel_without_waiting(n as usize % 3, &which);
             cancelled += 1;
         }
         n += 1;
         if n % 40 == 0 {
             let over = |v: &serde_json::Value| v.get("end").is_some();
-            let live = w.stored("burlusher/").into_values().filter(|v| !over(v));
+            let live = simulation
+                .stored("burlusher/")
+                .into_values()
+                .filter(|v| !over(v));
             let live = live.count();
             assert!(
                 live < 110,
                 "{live} keys of what is not over, after {n} jobs"
             );
-            let core = &w.nodes[leader].core;
+            let core = &simulation.nodes[leader].core;
             let lead = core.lead.as_ref().expect("it leads on");
             assert!(lead.runs.len() < 80, "{} live jobs", lead.runs.len());
             assert!(
@@ -313,49 +334,52 @@
         n > 400 && cancelled > 100,
         "{n} jobs, {cancelled} cancelled"
     );
-    w.slow = Duration::ZERO;
-    w.run(8.0);
+    simulation.store_delay = Duration::ZERO;
+    simulation.run(8.0);
     for n in 0..n {
-        let state = w.show(n as usize % 3, &id(n)).1;
+        let state = simulation.show(n as usize % 3, &id(n)).1;
         let over = matches!(state, Some(JobState::Done | JobState::Cancelled));
         assert!(over, "{} is {state:?}", id(n));
     }
     // Its creation, its end, and now and then what was done or a page of machines.
-    let changes = (w.changes() - before) as f64 / f64::from(n);
+    let changes = (simulation.changes() - before) as f64 / f64::from(n);
     assert!(changes < 3.0, "{changes} changes a job");
 }
 
 #[test]
-fn many_short_jobs_leave_nothing_behind() {
+fn many_short_jobs_leave_no_residue() {
     many_short_jobs();
     fails_without(Guard::Forget, "versions are kept", many_short_jobs);
 }
 
 /// Starts that went out with the answer to a report, and that no report has shown, when their job is cancelled.
 fn cancelled_before_a_report_shows_it() {
-    let (mut w, leader) = eight_machines(1330);
-    w.fetch = Duration::from_millis(700);
+    let (mut simulation, leader) = eight_machines(1330);
+    simulation.image_fetch_time = Duration::from_millis(700);
     assert_eq!(
-        w.submit(leader, &unlimited_job("wk-000001", 8, 4.0, 3)),
+        simulation.submit(leader, &unlimited_job("wk-000001", 8, 4.0, 3)),
         201
     );
     assert_eq!(
-        w.submit(leader, &unlimited_job("wk-000002", 8, 4.0, 60)),
+        simulation.submit(leader, &unlimited_job("wk-000002", 8, 4.0, 60)),
         201
     );
-    let calls: u32 = w.nodes.iter().map(|n| n.calls).sum();
-    w.until(12.0, "the second starts", |w| {
-        w.places("wk-000002").len() >= 6
+    let calls: u32 = simulation.nodes.iter().map(|n| n.calls).sum();
+    simulation.until(12.0, "the second starts", |simulation| {
+        simulation.places("wk-000002").len() >= 6
     });
-    let called = w.nodes.iter().map(|n| n.calls).sum::<u32>() - calls;
+    let called = simulation.nodes.iter().map(|n| n.calls).sum::<u32>() - calls;
     assert!(called < 8 + 6, "they were started in answers");
-    assert_eq!(w.cancel(leader, "wk-000002").0, 200);
-    w.run(3.0);
-    assert_eq!(w.late_starts, 0, "it starts after its user was told");
+    assert_eq!(simulation.cancel(leader, "wk-000002").0, 200);
+    simulation.run(3.0);
+    assert_eq!(
+        simulation.late_starts, 0,
+        "it starts after its user was told"
+    );
 }
 
 #[test]
-fn starts_that_no_report_has_shown_are_stopped_with_their_job() {
+fn unreported_starts_stopped_by_cancellation() {
     cancelled_before_a_report_shows_it();
     fails_without(
         Guard::UnseenStops,
--- a/src/core/simulation/scenarios/cancellation_in_outage.rs
+++ b/src/core/simulation/scenarios/cancellation_in_outage.rs
@@ -5,7 +5,7 @@
 
 use super::unlimited_job;
 use crate::core::leadership::LEASE_TTL;
-use crate::core::simulation::{LEASE, Link, Setup, World};
+use crate::core::simulation::{LEASE, Link, Setup, Simulation};
 use crate::guard::{Guard, OUT};
 use crate::policy::Policy;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -62,105 +62,120 @@
         nodes: gap.nodes,
         cancel: CANCEL,
     };
-    let mut w = World::with_setup(seed, Policy::with("gap", &text).unwrap(), setup);
-    w.capacity.clear();
+    let mut simulation = Simulation::with_setup(seed, Policy::with("gap", &text).unwrap(), setup);
+    simulation.capacity.clear();
     for n in 0..JOBS {
-        w.add_machine("small", ["a", "b"][n % 2]);
+        simulation.add_machine("small", ["a", "b"][n % 2]);
     }
-    w.until(10.0, "a leader", |w| w.leader().is_some());
-    w.run(4.0);
+    simulation.until(10.0, "a leader", |simulation| simulation.leader().is_some());
+    simulation.run(4.0);
     let mut met = 0;
     for round in 0..gap.times {
-        w.until(40.0, "a leader", |w| w.leader().is_some());
-        let old = w.leader().unwrap();
+        simulation.until(40.0, "a leader", |simulation| simulation.leader().is_some());
+        let old = simulation.leader().unwrap();
         let id = |n: usize| format!("wk-{:06}", round as usize * JOBS + n + 1);
         for n in 0..JOBS {
             while !matches!(
-                w.submit(old, &unlimited_job(&id(n), 1, 4.0, 200)),
+                simulation.submit(old, &unlimited_job(&id(n), 1, 4.0, 200)),
                 200 | 201
             ) {
-                w.run(1.0);
+                simulation.run(1.0);
             }
         }
-        let placed = |w: &World| (0..JOBS).all(|n| !w.places(&id(n)).is_empty());
-        w.until(40.0, "all run", placed);
+        let placed =
+            |simulation: &Simulation| (0..JOBS).all(|n| !simulation.places(&id(n)).is_empty());
+        simulation.until(40.0, "all run", placed);
         let node = match gap.to {
             To::Leader => Some(old),
             To::Follower => Some((old + 1) % gap.nodes),
             To::All => None,
         };
         if let Some(node) = node {
-            w.workers.values_mut().for_each(|m| m.node = node);
+            simulation.workers.values_mut().for_each(|m| m.node = node);
         }
-        w.run(2.5);
-        w.hold_commands = gap.held;
-        let begun = w.now;
+        simulation.run(2.5);
+        simulation.hold_commands = gap.held;
+        let begun = simulation.now;
         let after = |s: f64| begun + Duration::from_secs_f64(s);
         let mut ticks = 0;
         let long = CANCEL.as_secs_f64() + 6.0;
-        while w.now < after(gap.outage_after + long) {
+        while simulation.now < after(gap.outage_after + long) {
             // From shortly before the refusal on, one job after the other is cancelled, at any controller.
             for n in 0..JOBS {
-                let due = w.now >= after(n as f64 * 0.45) && ticks % 4 == n % 4;
-                if due && w.told_final(&id(n)).is_none() {
-                    let at = w.random(gap.nodes);
-                    w.start_to_cancel(at, &id(n));
+                let due = simulation.now >= after(n as f64 * 0.45) && ticks % 4 == n % 4;
+                if due && simulation.final_answer(&id(n)).is_none() {
+                    let at = simulation.random(gap.nodes);
+                    simulation.cancel_without_waiting(at, &id(n));
                 }
             }
-            let refused = w.now >= after(0.5) && w.now < after(0.5 + gap.refused);
-            w.nodes[old].state = if refused { Link::Refused } else { Link::Good };
+            let refused = simulation.now >= after(0.5) && simulation.now < after(0.5 + gap.refused);
+            simulation.nodes[old].state = if refused { Link::Refused } else { Link::Good };
             if let Some(node) = node.filter(|_| gap.alone) {
-                w.nodes[node].peers = !refused;
+                simulation.nodes[node].peers_reachable = !refused;
                 if node != old {
-                    w.nodes[node].state = if refused { Link::Held } else { Link::Good };
+                    simulation.nodes[node].state = if refused { Link::Held } else { Link::Good };
                 }
                 // They find nobody else.
                 let cut = || (0..gap.nodes).filter(|n| *n != node && refused);
-                w.workers.values_mut().for_each(|m| m.cut = cut().collect());
+                simulation
+                    .workers
+                    .values_mut()
+                    .for_each(|m| m.partitioned_from = cut().collect());
             }
-            let still = refused && w.now < after(0.5 + gap.outage_after + 1.0);
-            w.nodes[old].frozen = gap.stands_still && still;
-            if w.now >= after(0.5 + gap.outage_after) && !w.outage {
-                w.set_outage(true);
+            let still = refused && simulation.now < after(0.5 + gap.outage_after + 1.0);
+            simulation.nodes[old].paused = gap.stands_still && still;
+            if simulation.now >= after(0.5 + gap.outage_after) && !simulation.store_outage {
+                simulation.set_store_outage(true);
             }
-            let told = w.cancelled.len();
-            w.tick();
-            let another = w.leader().is_some_and(|l| l != old);
-            if w.cancelled.len() > told && another && !w.outage {
-                let new = (0..JOBS).filter(|n| w.cancelled.get(&id(*n)) == Some(&w.now));
-                met += new.filter(|n| !w.places(&id(*n)).is_empty()).count() as u32;
+            let told = simulation.cancelled_at.len();
+            simulation.tick();
+            let another = simulation.leader().is_some_and(|l| l != old);
+            if simulation.cancelled_at.len() > told && another && !simulation.store_outage {
+                let new = (0..JOBS)
+                    .filter(|n| simulation.cancelled_at.get(&id(*n)) == Some(&simulation.now));
+                met += new
+                    .filter(|n| !simulation.places(&id(*n)).is_empty())
+                    .count() as u32;
             }
             ticks += 1;
         }
         // Whatever was confirmed is gone by now, though the state service is away all the time.
-        assert!(w.outage);
+        assert!(simulation.store_outage);
         for n in 0..JOBS {
-            let told = w.cancelled.contains_key(&id(n));
-            assert!(!told || w.places(&id(n)).is_empty(), "{} is there", id(n));
+            let told = simulation.cancelled_at.contains_key(&id(n));
+            assert!(
+                !told || simulation.places(&id(n)).is_empty(),
+                "{} is there",
+                id(n)
+            );
         }
-        w.set_outage(false);
-        w.nodes[old].frozen = false;
-        w.nodes
+        simulation.set_store_outage(false);
+        simulation.nodes[old].paused = false;
+        simulation
+            .nodes
             .iter_mut()
-            .for_each(|n| (n.state, n.peers) = (Link::Good, true));
-        w.workers.values_mut().for_each(|m| m.cut.clear());
-        w.hold_commands = false;
-        w.held_commands.clear();
-        w.run(LEASE.as_secs_f64() + 3.0);
+            .for_each(|n| (n.state, n.peers_reachable) = (Link::Good, true));
+        simulation
+            .workers
+            .values_mut()
+            .for_each(|m| m.partitioned_from.clear());
+        simulation.hold_commands = false;
+        simulation.held_commands.clear();
+        simulation.run(LEASE.as_secs_f64() + 3.0);
         for n in 0..JOBS {
             let mut tries = 0;
-            while w.told_final(&id(n)).is_none() {
-                let at = w.random(gap.nodes);
-                w.cancel(at, &id(n));
-                w.run(0.3);
+            while simulation.final_answer(&id(n)).is_none() {
+                let at = simulation.random(gap.nodes);
+                simulation.cancel(at, &id(n));
+                simulation.run(0.3);
                 tries += 1;
                 assert!(tries < 60, "{} cannot be cancelled", id(n));
             }
         }
-        w.run(3.0);
+        simulation.run(3.0);
     }
-    w.run(CANCEL.as_secs_f64());
-    assert_eq!(w.late_starts, 0, "started after its user was told");
+    simulation.run(CANCEL.as_secs_f64());
+    assert_eq!(simulation.late_starts, 0, "started after its user was told");
     met
 }
 
@@ -214,8 +229,8 @@
 }
 
 #[test]
-fn nothing_of_a_job_confirmed_in_the_gap_outlives_its_cancellation() {
-    crate::core::simulation::with_log();
+fn cancelled_tasks_stop_in_time_despite_outage() {
+    crate::core::simulation::enable_log();
     let mut met = 0;
     for (n, gap) in rows().into_iter().enumerate() {
         let here = play(gap, 700 + n as u64);
@@ -229,7 +244,7 @@
 
 /// Each guard that keeps it, taken out by itself, is found by the rule.
 #[test]
-fn the_gap_is_found_when_a_guard_of_it_is_out() {
+fn checker_detects_disabled_guards_in_outage() {
     for guard in [Guard::Word, Guard::Grant, Guard::Stopped] {
         OUT.set(Some(guard));
         let found = rows().into_iter().enumerate().find_map(|(n, gap)| {
--- a/src/core/simulation/scenarios/late_commands.rs
+++ b/src/core/simulation/scenarios/late_commands.rs
@@ -10,45 +10,57 @@
 /// A leader's starts are held up on their way; it ends, or is deposed, another one begins and hears the others,
 /// and then they arrive at machines that have seen neither the new token nor anything else.
 fn commands_of_a_former_leader(after_s: f64, deposed: bool) {
-    let (mut w, leader) = eight_machines(1220);
+    let (mut simulation, leader) = eight_machines(1220);
     // Machines have reported just now, so that starts go out by calls.
-    w.hold_commands = true;
+    simulation.hold_commands = true;
     assert_eq!(
-        w.submit(leader, &unlimited_job("wk-000001", 4, 4.0, 30)),
+        simulation.submit(leader, &unlimited_job("wk-000001", 4, 4.0, 30)),
         201
     );
-    w.run(0.15);
-    assert!(!w.held_commands.is_empty(), "none is under way");
-    let told: Vec<MachineId> = w.held_commands.iter().map(|(id, _)| id.clone()).collect();
-    w.cloud_down = true;
+    simulation.run(0.15);
+    assert!(!simulation.held_commands.is_empty(), "none is under way");
+    let told: Vec<MachineId> = simulation
+        .held_commands
+        .iter()
+        .map(|(id, _)| id.clone())
+        .collect();
+    simulation.cloud_down = true;
     for id in &told {
-        w.workers.get_mut(id).unwrap().cut = (0..3).collect();
+        simulation.workers.get_mut(id).unwrap().partitioned_from = (0..3).collect();
     }
-    let terms = w.terms();
+    let terms = simulation.terms();
     if deposed {
-        w.nodes[leader].state = Link::Refused;
-        w.nodes[leader].peers = false;
+        simulation.nodes[leader].state = Link::Refused;
+        simulation.nodes[leader].peers_reachable = false;
     } else {
-        w.kill(leader, Duration::from_secs(30));
+        simulation.kill(leader, Duration::from_secs(30));
     }
-    w.until(10.0, "another leader", |w| w.terms() > terms);
-    w.hold_commands = false;
-    w.run(after_s);
-    let held = std::mem::take(&mut w.held_commands);
+    simulation.until(10.0, "another leader", |simulation| {
+        simulation.terms() > terms
+    });
+    simulation.hold_commands = false;
+    simulation.run(after_s);
+    let held = std::mem::take(&mut simulation.held_commands);
     let arrived = held.iter().filter(|(id, _)| told.contains(id)).count();
     assert!(arrived > 0, "nothing arrives late");
     for (id, body) in held {
-        w.direct(&id, &body);
+        simulation.direct(&id, &body);
     }
-    w.run(1.0);
-    (w.nodes[leader].state, w.nodes[leader].peers) = (Link::Good, true);
-    w.workers.values_mut().for_each(|m| m.cut.clear());
-    w.cloud_down = false;
-    w.until_done("wk-000001", 120.0);
+    simulation.run(1.0);
+    (
+        simulation.nodes[leader].state,
+        simulation.nodes[leader].peers_reachable,
+    ) = (Link::Good, true);
+    simulation
+        .workers
+        .values_mut()
+        .for_each(|m| m.partitioned_from.clear());
+    simulation.cloud_down = false;
+    simulation.until_done("wk-000001", 120.0);
 }
 
 #[test]
-fn commands_of_a_former_leader_start_nothing_twice() {
+fn former_leader_commands_start_nothing_twice() {
     for deposed in [false, true] {
         for after_s in [0.0, 0.3, 1.0, 3.0, 6.0] {
             commands_of_a_former_leader(after_s, deposed);
@@ -61,32 +73,39 @@
 
 /// Half of all commands are carried out 2 to 16 s late, while leaders follow one another and jobs are cancelled.
 #[test]
-fn commands_that_are_carried_out_late_start_nothing_twice() {
-    let (mut w, _) = eight_machines(1230);
+fn late_commands_through_takeovers_start_nothing_twice() {
+    let (mut simulation, _) = eight_machines(1230);
     for n in 0..12u32 {
-        w.until(15.0, "a leader", |w| w.leader().is_some());
-        let leader = w.leader().unwrap();
-        w.late_command_share = 0.5;
+        simulation.until(15.0, "a leader", |simulation| simulation.leader().is_some());
+        let leader = simulation.leader().unwrap();
+        simulation.late_command_share = 0.5;
         let id = format!("wk-{:06}", n + 1);
-        while !matches!(w.submit(leader, &unlimited_job(&id, 4, 2.0, 5)), 200 | 201) {
-            w.run(0.5);
+        while !matches!(
+            simulation.submit(leader, &unlimited_job(&id, 4, 2.0, 5)),
+            200 | 201
+        ) {
+            simulation.run(0.5);
         }
-        w.run(1.0);
+        simulation.run(1.0);
         if n % 3 == 1 {
-            w.start_to_cancel((leader + 1) % 3, &id);
+            simulation.cancel_without_waiting((leader + 1) % 3, &id);
         }
         if n % 4 == 3 {
-            w.kill(leader, Duration::from_millis(500));
+            simulation.kill(leader, Duration::from_millis(500));
         }
-        w.run(3.0);
+        simulation.run(3.0);
     }
-    assert!(w.commands_late > 10, "{} late", w.commands_late);
-    w.late_command_share = 0.0;
-    w.run(20.0);
+    assert!(
+        simulation.commands_delayed > 10,
+        "{} late",
+        simulation.commands_delayed
+    );
+    simulation.late_command_share = 0.0;
+    simulation.run(20.0);
     for n in 0..12u32 {
         let id = format!("wk-{:06}", n + 1);
-        if w.told_final(&id).is_none() {
-            w.until_done(&id, 90.0);
+        if simulation.final_answer(&id).is_none() {
+            simulation.until_done(&id, 90.0);
         }
     }
 }
@@ -94,67 +113,70 @@
 /// After a `clear` the worker does not know the attempt any more: the command that started it, arriving
 /// once more, started it anew, by then a task of a job that was cancelled or ran elsewhere.
 #[test]
-fn a_command_that_comes_again_after_a_clear_is_refused() {
-    let (mut w, leader) = eight_machines(65);
-    w.copies = Duration::from_secs(3600);
+fn repeated_command_after_clear_refused() {
+    let (mut simulation, leader) = eight_machines(65);
+    simulation.duplicate_delay = Duration::from_secs(3600);
     assert_eq!(
-        w.submit(leader, &unlimited_job("wk-000001", 8, 4.0, 2)),
+        simulation.submit(leader, &unlimited_job("wk-000001", 8, 4.0, 2)),
         201
     );
-    w.until_done("wk-000001", 20.0);
-    w.run(15.0);
-    let cleared = w.workers.values().all(|m| m.tasks.is_empty());
-    assert!(cleared && w.clears >= 8, "all is cleared");
-    let copies = w.copied_commands();
+    simulation.until_done("wk-000001", 20.0);
+    simulation.run(15.0);
+    let cleared = simulation.workers.values().all(|m| m.tasks.is_empty());
+    assert!(cleared && simulation.clears >= 8, "all is cleared");
+    let copies = simulation.delayed_command_copies();
     let starts = |o: &Order| matches!(o, Order::Start { .. });
     assert!(copies.iter().any(|(_, b)| b.orders.iter().any(starts)));
-    let before = w.starts;
+    let before = simulation.starts;
     for (id, body) in copies {
-        w.direct(&id, &body);
+        simulation.direct(&id, &body);
     }
-    assert_eq!(w.starts, before);
+    assert_eq!(simulation.starts, before);
 }
 
 #[test]
-fn direct_commands_that_arrive_late_start_nothing_twice() {
-    let (mut w, leader) = four_machines(7);
-    w.hold_commands = true;
-    w.submit(leader, &sample("wk-1", 4, 2.0, 6));
-    w.run(1.5);
-    w.hold_commands = false;
-    assert!(!w.held_commands.is_empty());
-    w.until_done("wk-1", 40.0);
-    w.run(3.0);
-    let starts = w.starts;
+fn command_after_completion_starts_nothing() {
+    let (mut simulation, leader) = four_machines(7);
+    simulation.hold_commands = true;
+    simulation.submit(leader, &sample("wk-1", 4, 2.0, 6));
+    simulation.run(1.5);
+    simulation.hold_commands = false;
+    assert!(!simulation.held_commands.is_empty());
+    simulation.until_done("wk-1", 40.0);
+    simulation.run(3.0);
+    let starts = simulation.starts;
     // They come when the tasks are long done and cleared.
-    w.release();
-    w.run(3.0);
-    assert_eq!(w.starts, starts);
+    simulation.release();
+    simulation.run(3.0);
+    assert_eq!(simulation.starts, starts);
 }
 
 /// Machines answer late, and their commands are held up for seconds: each goes on with what it had, once.
 #[test]
-fn a_machine_whose_commands_or_answers_are_held_up_goes_on_once() {
-    let (mut w, leader) = eight_machines(1020);
-    w.hold_commands = true;
+fn delayed_commands_run_tasks_once() {
+    let (mut simulation, leader) = eight_machines(1020);
+    simulation.hold_commands = true;
     assert_eq!(
-        w.submit(leader, &unlimited_job("wk-000001", 6, 2.0, 8)),
+        simulation.submit(leader, &unlimited_job("wk-000001", 6, 2.0, 8)),
         201
     );
-    w.run(1.5);
-    assert!(!w.held_commands.is_empty(), "none is held up");
+    simulation.run(1.5);
+    assert!(!simulation.held_commands.is_empty(), "none is held up");
     assert_eq!(
-        w.submit(leader, &unlimited_job("wk-000002", 4, 2.0, 100)),
+        simulation.submit(leader, &unlimited_job("wk-000002", 4, 2.0, 100)),
         201
     );
-    w.run(1.5);
-    w.start_to_cancel(leader, "wk-000002");
-    w.run(2.0);
-    assert_eq!(w.told_final("wk-000002"), Some(JobState::Cancelled));
-    w.hold_commands = false;
-    w.release();
-    w.run(2.0);
-    assert!(w.places("wk-000002").is_empty());
-    w.until_done("wk-000001", 30.0);
-    assert_eq!((w.leader(), w.terms()), (Some(leader), 1));
+    simulation.run(1.5);
+    simulation.cancel_without_waiting(leader, "wk-000002");
+    simulation.run(2.0);
+    assert_eq!(
+        simulation.final_answer("wk-000002"),
+        Some(JobState::Cancelled)
+    );
+    simulation.hold_commands = false;
+    simulation.release();
+    simulation.run(2.0);
+    assert!(simulation.places("wk-000002").is_empty());
+    simulation.until_done("wk-000001", 30.0);
+    assert_eq!((simulation.leader(), simulation.terms()), (Some(leader), 1));
 }
--- a/src/core/simulation/scenarios/mixed_faults.rs
+++ b/src/core/simulation/scenarios/mixed_faults.rs
@@ -3,27 +3,27 @@
 use super::bidding::bidding_cluster;
 use super::delegation::policy;
 use super::four_machines;
-use crate::core::simulation::{Link, NEXT_LIMITS, World};
+use crate::core::simulation::{Link, NEXT_LIMITS, Simulation};
 use crate::job::{TaskKey, sample};
 use crate::wire::JobState;
 use std::time::Duration;
 
 /// Troubles of every kind, alone and together, with the rules watched at every tick.
-pub fn chaos(w: &mut World, seed: u64) {
+pub fn inject_mixed_faults(simulation: &mut Simulation, seed: u64) {
     let mut ids: Vec<String> = Vec::new();
     let mut cancelled: Vec<String> = Vec::new();
     for round in 0..40 {
         if round == 20 {
-            w.limit(NEXT_LIMITS);
+            simulation.limit(NEXT_LIMITS);
         }
-        match w.random(14) {
+        match simulation.random(14) {
             0 => {
-                let i = w.random(3);
-                w.kill(i, Duration::from_millis(500 + 1000 * round % 5000));
+                let i = simulation.random(3);
+                simulation.kill(i, Duration::from_millis(500 + 1000 * round % 5000));
             }
-            1 => (0..3).for_each(|i| w.kill(i, Duration::from_secs(2))),
+            1 => (0..3).for_each(|i| simulation.kill(i, Duration::from_secs(2))),
             2 | 3 => {
-                let i = w.random(3);
+                let i = simulation.random(3);
                 let links = [
                     Link::Refused,
                     Link::AnswersLost,
@@ -31,138 +31,146 @@
                     Link::WritesHeld,
                     Link::Good,
                 ];
-                w.nodes[i].state = links[w.random(5)];
+                simulation.nodes[i].state = links[simulation.random(5)];
             }
             4 => {
-                let link = [Link::Refused, Link::AnswersLost][w.random(2)];
-                w.nodes.iter_mut().for_each(|n| n.state = link);
+                let link = [Link::Refused, Link::AnswersLost][simulation.random(2)];
+                simulation.nodes.iter_mut().for_each(|n| n.state = link);
             }
             5 | 6 => {
-                let n = w.workers.len().max(1);
-                let i = w.random(n);
-                if let Some(m) = w.workers.values_mut().nth(i) {
+                let n = simulation.workers.len().max(1);
+                let i = simulation.random(n);
+                if let Some(m) = simulation.workers.values_mut().nth(i) {
                     m.hung = !m.hung;
                 }
             }
             7 => {
-                let (n, node) = (w.random(3), w.random(3));
-                for m in w.workers.values_mut().skip(n) {
-                    m.cut.insert(node);
+                let (n, node) = (simulation.random(3), simulation.random(3));
+                for m in simulation.workers.values_mut().skip(n) {
+                    m.partitioned_from.insert(node);
                 }
             }
-            8 => w.hold_commands = !w.hold_commands,
-            9 => w.cloud_down = !w.cloud_down,
+            8 => simulation.hold_commands = !simulation.hold_commands,
+            9 => simulation.cloud_down = !simulation.cloud_down,
             10 => {
-                let n = w.workers.len().max(1);
-                let i = w.random(n);
-                let id = w.workers.keys().nth(i).cloned();
-                if let Some(m) = id.and_then(|id| w.workers.remove(&id)) {
-                    *w.capacity.entry((m.kind, m.spot)).or_default() += 1;
+                let n = simulation.workers.len().max(1);
+                let i = simulation.random(n);
+                let id = simulation.workers.keys().nth(i).cloned();
+                if let Some(m) = id.and_then(|id| simulation.workers.remove(&id)) {
+                    *simulation.capacity.entry((m.kind, m.spot)).or_default() += 1;
                 }
             }
             11 => {
-                let i = w.random(3);
-                w.nodes[i].peers = !w.nodes[i].peers;
+                let i = simulation.random(3);
+                simulation.nodes[i].peers_reachable = !simulation.nodes[i].peers_reachable;
             }
             _ => {
-                w.nodes.iter_mut().for_each(|n| n.state = Link::Good);
-                w.workers.values_mut().for_each(|m| {
-                    m.cut.clear();
+                simulation
+                    .nodes
+                    .iter_mut()
+                    .for_each(|n| n.state = Link::Good);
+                simulation.workers.values_mut().for_each(|m| {
+                    m.partitioned_from.clear();
                     m.hung = false;
                 });
-                w.release();
+                simulation.release();
             }
         }
         let id = format!("wk-{seed}{round:03}");
-        let mut spec = sample(&id, 1 + w.random(6) as u32, 1.0 + w.random(4) as f64, 3);
-        spec.estimate = Duration::from_secs(1 + w.random(12) as u64);
-        spec.spot = w.random(2) == 0;
-        spec.zone = (w.random(5) == 0).then(|| "b".into());
-        spec.team = ["t", "t", "u"][w.random(3)].into();
-        if !ids.is_empty() && w.random(3) == 0 {
-            let named = [w.random(ids.len()), w.random(ids.len())];
+        let mut spec = sample(
+            &id,
+            1 + simulation.random(6) as u32,
+            1.0 + simulation.random(4) as f64,
+            3,
+        );
+        spec.estimate = Duration::from_secs(1 + simulation.random(12) as u64);
+        spec.spot = simulation.random(2) == 0;
+        spec.zone = (simulation.random(5) == 0).then(|| "b".into());
+        spec.team = ["t", "t", "u"][simulation.random(3)].into();
+        if !ids.is_empty() && simulation.random(3) == 0 {
+            let named = [simulation.random(ids.len()), simulation.random(ids.len())];
             spec.awaits = named.iter().map(|i| ids[*i].as_str().into()).collect();
             spec.awaits.sort();
             spec.awaits.dedup();
         }
-        let node = w.random(3);
-        if matches!(w.submit(node, &spec), 200 | 201) {
+        let node = simulation.random(3);
+        if matches!(simulation.submit(node, &spec), 200 | 201) {
             ids.push(id);
         }
-        if !ids.is_empty() && w.random(4) == 0 {
-            let (i, node) = (w.random(ids.len()), w.random(3));
+        if !ids.is_empty() && simulation.random(4) == 0 {
+            let (i, node) = (simulation.random(ids.len()), simulation.random(3));
             let id = ids[i].clone();
-            if w.cancel(node, &id).1 == Some(JobState::Cancelled) {
+            if simulation.cancel(node, &id).1 == Some(JobState::Cancelled) {
                 cancelled.push(id);
             }
         }
         if !ids.is_empty() {
-            let (i, node) = (w.random(ids.len()), w.random(3));
+            let (i, node) = (simulation.random(ids.len()), simulation.random(3));
             let id = ids[i].clone();
-            assert_ne!(w.show(node, &id).0, 404);
+            assert_ne!(simulation.show(node, &id).0, 404);
         }
-        let pause = w.random(30) as f64 * 0.1;
-        w.run(pause);
+        let pause = simulation.random(30) as f64 * 0.1;
+        simulation.run(pause);
     }
     // Peace: everything that was accepted ends.
-    w.cloud_down = false;
-    w.hold_commands = false;
-    for n in &mut w.nodes {
+    simulation.cloud_down = false;
+    simulation.hold_commands = false;
+    for n in &mut simulation.nodes {
         n.state = Link::Good;
-        n.peers = true;
+        n.peers_reachable = true;
     }
-    for m in w.workers.values_mut() {
-        m.cut.clear();
+    for m in simulation.workers.values_mut() {
+        m.partitioned_from.clear();
         m.hung = false;
     }
-    w.release();
-    w.run(15.0);
+    simulation.release();
+    simulation.run(15.0);
     for id in &ids {
-        let node = w.random(3);
+        let node = simulation.random(3);
         if cancelled.contains(id) {
-            assert_eq!(w.show(node, id).1, Some(JobState::Cancelled));
-        } else if w.show(node, id).1 != Some(JobState::Cancelled) {
+            assert_eq!(simulation.show(node, id).1, Some(JobState::Cancelled));
+        } else if simulation.show(node, id).1 != Some(JobState::Cancelled) {
             // An end asked for without an answer may have been carried out.
-            w.until_done(id, 400.0);
+            simulation.until_done(id, 400.0);
         }
     }
-    assert_eq!(w.over_the_limit(), 0);
+    assert_eq!(simulation.over_the_limit(), 0);
     let key = |t: &TaskKey| ids.iter().any(|i| **i == *t.job);
-    assert!(w.completed.iter().any(key));
+    assert!(simulation.completed.iter().any(key));
 }
 
 #[test]
-fn the_rules_hold_under_any_mixture_of_troubles() {
+fn mixed_faults_break_no_rule() {
     for seed in 100..140 {
-        let (mut w, _) = four_machines(seed);
-        chaos(&mut w, seed);
+        let (mut simulation, _) = four_machines(seed);
+        inject_mixed_faults(&mut simulation, seed);
     }
 }
 
 /// The mixture of troubles again, with a leader that bids.
 #[test]
-fn the_rules_hold_for_those_who_bid_under_any_mixture_of_troubles() {
+fn mixed_faults_with_bidding_break_no_rule() {
     for seed in 400..412 {
         let entries = "foresight = 20\ntolerance = 0.2";
-        let (mut w, _) = bidding_cluster(seed, entries);
+        let (mut simulation, _) = bidding_cluster(seed, entries);
         for zone in ["a", "b", "a", "b"] {
-            w.add_machine("small", zone);
+            simulation.add_machine("small", zone);
         }
-        w.run(2.0);
-        chaos(&mut w, seed);
+        simulation.run(2.0);
+        inject_mixed_faults(&mut simulation, seed);
     }
 }
 
 /// The mixture of troubles again.
 #[test]
-fn the_rules_hold_for_delegated_reports_under_any_mixture_of_troubles() {
+fn mixed_faults_with_delegation_break_no_rule() {
     for seed in 600..630 {
-        let mut w = World::with_policy(seed, policy(true));
+        let mut simulation = Simulation::with_policy(seed, policy(true));
         for zone in ["a", "b", "a", "b"] {
-            w.add_machine("small", zone);
+            simulation.add_machine("small", zone);
         }
-        w.until(10.0, "a leader", |w| w.leader().is_some());
-        w.run(2.0);
-        chaos(&mut w, seed);
+        simulation.until(10.0, "a leader", |simulation| simulation.leader().is_some());
+        simulation.run(2.0);
+        inject_mixed_faults(&mut simulation, seed);
     }
 }
--- a/src/core/simulation/scenarios/mod.rs
+++ b/src/core/simulation/scenarios/mod.rs
@@ -20,7 +20,7 @@
 mod scheduling;
 mod submissions;
 
-use crate::core::simulation::World;
+use crate::core::simulation::Simulation;
 use crate::guard::{Guard, OUT};
 use crate::job::{JobSpec, MachineId, sample};
 use crate::policy::Policy;
@@ -40,43 +40,45 @@
 }
 
 /// Three controllers with a leader, and machines for 16 CPUs.
-pub fn four_machines(seed: u64) -> (World, usize) {
-    let mut w = World::new(seed);
+pub fn four_machines(seed: u64) -> (Simulation, usize) {
+    let mut simulation = Simulation::new(seed);
     for zone in ["a", "b", "a", "b"] {
-        w.add_machine("small", zone);
+        simulation.add_machine("small", zone);
     }
-    w.until(10.0, "a leader with machines", |w| w.leader().is_some());
-    w.run(3.0);
-    let leader = w.leader().unwrap();
-    (w, leader)
+    simulation.until(10.0, "a leader with machines", |simulation| {
+        simulation.leader().is_some()
+    });
+    simulation.run(3.0);
+    let leader = simulation.leader().unwrap();
+    (simulation, leader)
 }
 
 /// A thousand machines in two zones and a leader that has heard from them; none can be rented.
-pub fn thousand_machines(seed: u64, kind: &str) -> (World, usize) {
-    let mut w = World::new(seed);
-    w.capacity.clear();
+pub fn thousand_machines(seed: u64, kind: &str) -> (Simulation, usize) {
+    let mut simulation = Simulation::new(seed);
+    simulation.capacity.clear();
     for i in 0..1000 {
-        w.add_machine(kind, ["a", "b"][i % 2]);
+        simulation.add_machine(kind, ["a", "b"][i % 2]);
     }
-    w.until(10.0, "a leader", |w| w.leader().is_some());
-    w.run(4.0);
-    let leader = w.leader().unwrap();
-    (w, leader)
+    simulation.until(10.0, "a leader", |simulation| simulation.leader().is_some());
+    simulation.run(4.0);
+    let leader = simulation.leader().unwrap();
+    (simulation, leader)
 }
 
 /// Three controllers that serve workers for one another, and eight machines; none can be rented.
-pub fn eight_machines(seed: u64) -> (World, usize) {
-    crate::core::simulation::with_log();
+pub fn eight_machines(seed: u64) -> (Simulation, usize) {
+    crate::core::simulation::enable_log();
     let policy = Policy::with("added", "delegate = true\nidle_keep = 600").unwrap();
-    let mut w = World::with_policy(seed, policy);
-    w.capacity.clear();
+    let mut simulation = Simulation::with_policy(seed, policy);
+    simulation.capacity.clear();
     for zone in ["a", "b", "a", "b", "a", "b", "a", "b"] {
-        w.add_machine("small", zone);
+        simulation.add_machine("small", zone);
     }
-    w.until(10.0, "a leader", |w| w.leader().is_some());
-    w.run(4.0);
-    let leader = w.leader().unwrap();
-    (w, leader)
+    simulation.until(10.0, "a leader", |simulation| simulation.leader().is_some());
+    simulation.run(4.0);
+    let leader = simulation.leader().unwrap();
+    (simulation, leader)
 }
 
 /// Of the team without a limit.
@@ -90,7 +92,7 @@
     (leader + 1) % 3
 }
 
-pub fn machines_in_zone(w: &World, zone: &str) -> Vec<MachineId> {
-    let there = w.workers.iter().filter(|(_, m)| m.zone == zone);
+pub fn machines_in_zone(simulation: &Simulation, zone: &str) -> Vec<MachineId> {
+    let there = simulation.workers.iter().filter(|(_, m)| m.zone == zone);
     there.map(|(id, _)| id.clone()).collect()
 }
--- a/src/core/simulation/scenarios/provisioning.rs
+++ b/src/core/simulation/scenarios/provisioning.rs
@@ -1,101 +1,112 @@
 //! Renting and returning machines.
 
 use super::four_machines;
-use crate::core::simulation::World;
+use crate::core::simulation::Simulation;
 use crate::job::{Rank, sample};
 use std::time::Duration;
 
 #[test]
-fn machines_are_rented_for_what_waits_and_returned_when_idle() {
-    let mut w = World::new(19);
-    w.run(3.0);
-    assert_eq!(w.submit(0, &sample("wk-1", 6, 4.0, 20)), 201);
+fn machines_rented_for_queue_and_returned_when_idle() {
+    let mut simulation = Simulation::new(19);
+    simulation.run(3.0);
+    assert_eq!(simulation.submit(0, &sample("wk-1", 6, 4.0, 20)), 201);
     // Patience is 30 s for work without goals.
-    w.until_done("wk-1", 120.0);
-    assert!(w.workers.len() >= 6);
-    assert!(w.workers.values().all(|m| !m.spot));
-    w.until(120.0, "all machines returned", |w| w.workers.is_empty());
+    simulation.until_done("wk-1", 120.0);
+    assert!(simulation.workers.len() >= 6);
+    assert!(simulation.workers.values().all(|m| !m.spot));
+    simulation.until(120.0, "all machines returned", |simulation| {
+        simulation.workers.is_empty()
+    });
 }
 
 /// Guests' work on idle time had ordinary machines rented for it at a multiple of the price, and
 /// kept those that were there from being returned.
 #[test]
-fn work_on_idle_time_takes_cheap_machines_or_waits() {
-    let mut w = World::new(26);
-    w.run(3.0);
+fn low_rank_work_uses_spot_machines_or_waits() {
+    let mut simulation = Simulation::new(26);
+    simulation.run(3.0);
     let mut idle = sample("wk-1", 6, 4.0, 20);
     idle.rank = Rank::Low;
     idle.spot = true;
-    assert_eq!(w.submit(0, &idle), 201);
+    assert_eq!(simulation.submit(0, &idle), 201);
     let mut usual = sample("wk-2", 1, 4.0, 90);
     usual.rank = Rank::Normal;
-    assert_eq!(w.submit(0, &usual), 201);
+    assert_eq!(simulation.submit(0, &usual), 201);
     // Three batches one after the other on the two spot machines that there are.
-    w.until_done("wk-1", 150.0);
-    assert_eq!(w.rented, (2, 1));
-    w.until_done("wk-2", 150.0);
+    simulation.until_done("wk-1", 150.0);
+    assert_eq!(simulation.rented, (2, 1));
+    simulation.until_done("wk-2", 150.0);
 }
 
 /// Spot machines stood unrented beside a thousand waiting tasks, as the queue would be through
 /// within the time after which ordinary ones are worth their price.
 #[test]
-fn a_wait_that_is_not_worth_an_ordinary_machine_may_be_worth_a_spot_one() {
+fn spot_machine_rented_where_ordinary_not_worth_it() {
     for (spot, rented) in [(true, (1, 0)), (false, (0, 0))] {
-        let (mut w, leader) = four_machines(51);
-        w.submit(leader, &sample("wk-1", 16, 1.0, 30));
-        w.run(1.5);
+        let (mut simulation, leader) = four_machines(51);
+        simulation.submit(leader, &sample("wk-1", 16, 1.0, 30));
+        simulation.run(1.5);
         // Room comes in 28 s; it may wait for 37 s, and 25 s where a spot machine is to be had.
         let mut next = sample("wk-2", 4, 1.0, 10);
         next.deadline = Some(Duration::from_secs(60));
         next.spot = spot;
-        w.submit(leader, &next);
-        w.run(4.0);
-        assert_eq!(w.rented, rented);
-        w.until_done("wk-2", 60.0);
+        simulation.submit(leader, &next);
+        simulation.run(4.0);
+        assert_eq!(simulation.rented, rented);
+        simulation.until_done("wk-2", 60.0);
     }
 }
 
 /// While a zone was cut off, the ends of its tasks counted as room to come: nothing was rented in
 /// the others until the cut was over.
 #[test]
-fn what_ends_in_a_zone_that_is_cut_off_makes_no_room_and_others_are_rented_meanwhile() {
+fn tasks_ending_in_partitioned_zone_free_no_room() {
     for (cut, rented) in [(false, 0), (true, 2)] {
-        let (mut w, leader) = four_machines(61);
-        w.submit(leader, &sample("wk-1", 16, 1.0, 9));
-        w.run(1.5);
+        let (mut simulation, leader) = four_machines(61);
+        simulation.submit(leader, &sample("wk-1", 16, 1.0, 9));
+        simulation.run(1.5);
         if cut {
-            let there = w.workers.values_mut().filter(|m| m.zone == "a");
-            there.for_each(|m| m.cut.extend(0..3));
+            let there = simulation.workers.values_mut().filter(|m| m.zone == "a");
+            there.for_each(|m| m.partitioned_from.extend(0..3));
         }
-        w.run(3.0);
+        simulation.run(3.0);
         // With four machines all start in a few seconds; with two, two would wait for 40 s more.
         let mut next = sample("wk-2", 4, 4.0, 40);
         next.team = "u".into();
-        w.submit(leader, &next);
-        w.run(3.0);
-        assert_eq!(w.rented.1, rented);
-        w.workers.values_mut().for_each(|m| m.cut.clear());
-        w.until_done("wk-2", 120.0);
+        simulation.submit(leader, &next);
+        simulation.run(3.0);
+        assert_eq!(simulation.rented.1, rented);
+        simulation
+            .workers
+            .values_mut()
+            .for_each(|m| m.partitioned_from.clear());
+        simulation.until_done("wk-2", 120.0);
     }
 }
 
 /// Found on the first grown rough day: calls to the cloud queued for its rate limit until they
 /// were too late to be sent, and were asked again at once, for ever.
 #[test]
-fn calls_to_the_cloud_stay_within_its_limit_through_an_outage() {
-    let (mut w, leader) = four_machines(27);
-    w.capacity.insert(("small".into(), false), 400);
-    w.cloud_down = true;
+fn cloud_calls_within_limit_through_outage() {
+    let (mut simulation, leader) = four_machines(27);
+    simulation.capacity.insert(("small".into(), false), 400);
+    simulation.cloud_down = true;
     for n in 1..8 {
         let mut spec = sample(&format!("wk-{n}"), 200, 4.0, 30);
         spec.team = "u".into();
-        w.submit(leader, &spec);
+        simulation.submit(leader, &spec);
     }
-    w.run(10.0);
-    let before = w.cloud_calls;
-    w.run(10.0);
+    simulation.run(10.0);
+    let before = simulation.cloud_calls;
+    simulation.run(10.0);
     // The limit in these stories is 10 calls a second, with bursts of one second's worth.
-    assert!(w.cloud_calls - before <= 110, "{}", w.cloud_calls - before);
-    w.cloud_down = false;
-    w.until(15.0, "renting goes on", |w| w.workers.len() > 100);
+    assert!(
+        simulation.cloud_calls - before <= 110,
+        "{}",
+        simulation.cloud_calls - before
+    );
+    simulation.cloud_down = false;
+    simulation.until(15.0, "renting goes on", |simulation| {
+        simulation.workers.len() > 100
+    });
 }
--- a/src/core/simulation/scenarios/submissions.rs
+++ b/src/core/simulation/scenarios/submissions.rs
@@ -2,144 +2,155 @@
 
 use super::{eight_machines, follower, four_machines, unlimited_job};
 use crate::core::Ask;
-use crate::core::simulation::{Link, World};
+use crate::core::simulation::{Link, Simulation};
 use crate::job::{JobSpec, Kind, sample};
 use crate::wire::JobState;
 use std::time::Duration;
 
 #[test]
-fn a_job_is_accepted_run_and_reported_by_every_node() {
-    let (mut w, leader) = four_machines(1);
-    assert_eq!(w.submit(follower(leader), &sample("wk-1", 6, 2.0, 5)), 201);
-    w.until_done("wk-1", 30.0);
+fn job_runs_and_every_node_reports_it() {
+    let (mut simulation, leader) = four_machines(1);
+    assert_eq!(
+        simulation.submit(follower(leader), &sample("wk-1", 6, 2.0, 5)),
+        201
+    );
+    simulation.until_done("wk-1", 30.0);
     for node in 0..3 {
-        assert_eq!(w.show(node, "wk-1"), (200, Some(JobState::Done)));
-        assert_eq!(w.show(node, "wk-999").0, 404);
+        assert_eq!(simulation.show(node, "wk-1"), (200, Some(JobState::Done)));
+        assert_eq!(simulation.show(node, "wk-999").0, 404);
         // A late repetition, whatever it carries, gets the state it has now.
-        assert_eq!(w.submit(node, &sample("wk-1", 6, 900.0, 5)), 200);
+        assert_eq!(simulation.submit(node, &sample("wk-1", 6, 900.0, 5)), 200);
     }
-    assert_eq!(w.starts, 6);
-    w.run(5.0);
-    assert_eq!(w.clears, 6);
+    assert_eq!(simulation.starts, 6);
+    simulation.run(5.0);
+    assert_eq!(simulation.clears, 6);
 }
 
 #[test]
-fn what_can_never_run_is_refused_and_what_cannot_be_judged_is_put_off() {
-    let (mut w, leader) = four_machines(2);
+fn impossible_job_refused_and_undecidable_deferred() {
+    let (mut simulation, leader) = four_machines(2);
     for node in [leader, follower(leader)] {
         let mut spec = sample("wk-1", 1, 2.0, 5);
         spec.team = "nobody".into();
-        assert_eq!(w.submit(node, &spec), 422);
-        assert_eq!(w.submit(node, &sample("wk-2", 1, 9.0, 5)), 422);
+        assert_eq!(simulation.submit(node, &spec), 422);
+        assert_eq!(simulation.submit(node, &sample("wk-2", 1, 9.0, 5)), 422);
         let mut spec = sample("wk-3", 4, 8.0, 0);
         spec.kind = Kind::Service;
-        assert_eq!(w.submit(node, &spec), 422);
+        assert_eq!(simulation.submit(node, &spec), 422);
     }
-    let mut w = World::new(2);
-    w.cloud_down = true;
-    w.run(5.0);
-    assert_eq!(w.submit(0, &sample("wk-1", 1, 2.0, 5)), 503);
-    w.cloud_down = false;
-    w.run(3.0);
-    assert_eq!(w.submit(0, &sample("wk-1", 1, 2.0, 5)), 201);
+    let mut simulation = Simulation::new(2);
+    simulation.cloud_down = true;
+    simulation.run(5.0);
+    assert_eq!(simulation.submit(0, &sample("wk-1", 1, 2.0, 5)), 503);
+    simulation.cloud_down = false;
+    simulation.run(3.0);
+    assert_eq!(simulation.submit(0, &sample("wk-1", 1, 2.0, 5)), 201);
 }
 
 #[test]
-fn a_leader_that_dies_between_commit_and_answer_leaves_an_accepted_job() {
-    let (mut w, leader) = four_machines(3);
+fn leader_death_after_commit_leaves_accepted_job() {
+    let (mut simulation, leader) = four_machines(3);
     // The creation is carried out, but its answer never comes; then the leader dies.
-    w.nodes[leader].state = Link::AnswersLost;
-    w.submit(leader, &sample("wk-1", 4, 2.0, 4));
-    w.kill(leader, Duration::from_secs(60));
+    simulation.nodes[leader].state = Link::AnswersLost;
+    simulation.submit(leader, &sample("wk-1", 4, 2.0, 4));
+    simulation.kill(leader, Duration::from_secs(60));
     let other = follower(leader);
-    w.until(10.0, "a new leader", |w| w.leader().is_some());
-    assert_eq!(w.submit(other, &sample("wk-1", 4, 2.0, 4)), 200);
-    w.until_done("wk-1", 30.0);
+    simulation.until(10.0, "a new leader", |simulation| {
+        simulation.leader().is_some()
+    });
+    assert_eq!(simulation.submit(other, &sample("wk-1", 4, 2.0, 4)), 200);
+    simulation.until_done("wk-1", 30.0);
 }
 
 /// The leader loses the state service: until another one leads, and after, the node that lost it
 /// accepts jobs through the others.
 #[test]
-fn a_node_without_the_state_service_accepts_through_any_other() {
-    let (mut w, leader) = four_machines(23);
-    w.nodes[leader].state = Link::Refused;
+fn node_without_store_accepts_through_peers() {
+    let (mut simulation, leader) = four_machines(23);
+    simulation.nodes[leader].state = Link::Refused;
     for n in 1..6 {
-        w.run(1.3);
+        simulation.run(1.3);
         assert_eq!(
-            w.submit(leader, &sample(&format!("wk-{n}"), 1, 1.0, 2)),
+            simulation.submit(leader, &sample(&format!("wk-{n}"), 1, 1.0, 2)),
             201
         );
     }
     for n in 1..6 {
-        w.until_done(&format!("wk-{n}"), 30.0);
+        simulation.until_done(&format!("wk-{n}"), 30.0);
     }
 }
 
 #[test]
-fn without_a_reachable_leader_jobs_are_accepted_and_read_but_not_cancelled() {
-    let (mut w, leader) = four_machines(14);
-    for n in &mut w.nodes {
-        n.peers = false;
+fn unreachable_leader_blocks_only_cancellation() {
+    let (mut simulation, leader) = four_machines(14);
+    for n in &mut simulation.nodes {
+        n.peers_reachable = false;
     }
     let other = follower(leader);
-    assert_eq!(w.submit(other, &sample("wk-1", 2, 2.0, 30)), 201);
-    assert_eq!(w.show(other, "wk-1").0, 200);
-    assert_eq!(w.cancel(other, "wk-1").0, 503);
+    assert_eq!(simulation.submit(other, &sample("wk-1", 2, 2.0, 30)), 201);
+    assert_eq!(simulation.show(other, "wk-1").0, 200);
+    assert_eq!(simulation.cancel(other, "wk-1").0, 503);
     // The leader learns of it from the state service and runs it.
-    w.run(2.0);
-    assert_eq!(w.places("wk-1").len(), 2);
-    assert_eq!(w.cancel(leader, "wk-1").0, 200);
+    simulation.run(2.0);
+    assert_eq!(simulation.places("wk-1").len(), 2);
+    assert_eq!(simulation.cancel(leader, "wk-1").0, 200);
 }
 
 /// Questions that take a read each, while nobody leads, are answered or refused at once, and
 /// leave the state service to submissions.
 #[test]
-fn a_storm_of_questions_without_a_leader_leaves_room_for_submissions() {
-    let (mut w, leader) = four_machines(28);
-    w.submit(leader, &sample("wk-1", 2, 2.0, 30));
-    w.run(1.0);
-    w.kill(leader, Duration::from_secs(60));
+fn query_storm_leaves_room_for_submissions() {
+    let (mut simulation, leader) = four_machines(28);
+    simulation.submit(leader, &sample("wk-1", 2, 2.0, 30));
+    simulation.run(1.0);
+    simulation.kill(leader, Duration::from_secs(60));
     let other = follower(leader);
     // A repeated submission is no question, even where it takes a read beside many of them.
     for _ in 0..200 {
-        w.ask(other, Ask::Show("wk-9".into()));
+        simulation.ask(other, Ask::Show("wk-9".into()));
     }
-    assert_eq!(w.submit(other, &sample("wk-1", 2, 2.0, 30)), 200);
-    let asked = w.ask_at_once(other, "wk-1", 200);
+    assert_eq!(simulation.submit(other, &sample("wk-1", 2, 2.0, 30)), 200);
+    let asked = simulation.query_burst(other, "wk-1", 200);
     let read = asked.iter().filter(|s| **s == 200).count();
     let refused = asked.iter().filter(|s| **s == 503).count();
     assert!((1..20).contains(&read), "{read} reads");
     assert_eq!(read + refused, 200);
-    assert_eq!(w.submit(other, &sample("wk-2", 1, 2.0, 3)), 201);
+    assert_eq!(simulation.submit(other, &sample("wk-2", 1, 2.0, 3)), 201);
 }
 
 /// Jobs beyond what the memory is for are refused, and those that were accepted are served.
 #[test]
-fn more_waiting_tasks_than_the_memory_allows_are_put_off() {
-    let (mut w, leader) = four_machines(28);
-    w.capacity.clear();
+fn too_many_waiting_tasks_deferred() {
+    let (mut simulation, leader) = four_machines(28);
+    simulation.capacity.clear();
     let mut refused = 0;
     for n in 1..20 {
-        let status = w.submit(leader, &sample(&format!("wk-{n}"), 100_000, 1.0, 600));
+        let status = simulation.submit(leader, &sample(&format!("wk-{n}"), 100_000, 1.0, 600));
         assert!([201, 503].contains(&status));
         refused += u32::from(status == 503);
     }
     assert!(refused > 0);
-    assert_eq!(w.submit(leader, &sample("wk-1", 100_000, 1.0, 600)), 200);
-    w.cancel(leader, "wk-1");
-    w.run(1.0);
-    assert_eq!(w.submit(leader, &sample("wk-99", 1000, 1.0, 600)), 201);
+    assert_eq!(
+        simulation.submit(leader, &sample("wk-1", 100_000, 1.0, 600)),
+        200
+    );
+    simulation.cancel(leader, "wk-1");
+    simulation.run(1.0);
+    assert_eq!(
+        simulation.submit(leader, &sample("wk-99", 1000, 1.0, 600)),
+        201
+    );
 }
 
 /// What users send that is odd: at every controller, with a leader and without one, in an outage too.
 #[test]
-fn odd_requests_are_answered_alike_by_every_controller() {
-    let (mut w, leader) = eight_machines(1030);
+fn odd_requests_answered_alike_everywhere() {
+    let (mut simulation, leader) = eight_machines(1030);
     let running = unlimited_job("wk-000001", 4, 2.0, 60);
     let over = unlimited_job("wk-000002", 2, 1.0, 1);
-    assert_eq!(w.submit(leader, &running), 201);
-    assert_eq!(w.submit(leader, &over), 201);
-    w.until_done("wk-000002", 20.0);
+    assert_eq!(simulation.submit(leader, &running), 201);
+    assert_eq!(simulation.submit(leader, &over), 201);
+    simulation.until_done("wk-000002", 20.0);
     let never: Vec<JobSpec> = [
         |j: &mut JobSpec| j.team = "nobody".into(),
         |j: &mut JobSpec| j.needs.cpus = 8.5,
@@ -165,19 +176,19 @@
     .collect();
     for trouble in ["none", "no leader", "outage"] {
         match trouble {
-            "no leader" => w.kill(leader, Duration::from_secs(2)),
+            "no leader" => simulation.kill(leader, Duration::from_secs(2)),
             "outage" => {
-                w.run(10.0);
-                w.set_outage(true);
-                w.run(2.0);
+                simulation.run(10.0);
+                simulation.set_store_outage(true);
+                simulation.run(2.0);
             }
             _ => {}
         }
         let out = trouble == "outage";
-        let up: Vec<usize> = (0..3).filter(|n| w.nodes[*n].up).collect();
+        let up: Vec<usize> = (0..3).filter(|n| simulation.nodes[*n].up).collect();
         for node in up {
             for spec in &never {
-                let status = w.submit(node, spec);
+                let status = simulation.submit(node, spec);
                 let right = status == 422 || (trouble != "none" && matches!(status, 503 | 0));
                 assert!(right, "{trouble}, {node}, {}: {status}", spec.id);
             }
@@ -185,16 +196,16 @@
                 let mut other = known.clone();
                 (other.team, other.tasks) = ("nobody".into(), 9);
                 for spec in [known, &other] {
-                    let status = w.submit(node, spec);
+                    let status = simulation.submit(node, spec);
                     let right = status == 200 || (trouble != "none" && matches!(status, 503 | 0));
                     assert!(right, "{trouble}, {node}, repeated {}: {status}", spec.id);
                 }
             }
-            let done = w.cancel(node, "wk-000002");
+            let done = simulation.cancel(node, "wk-000002");
             let right = done == (200, Some(JobState::Done)) || out && done.0 == 503;
             assert!(right, "{trouble}, {node}: {done:?}");
         }
     }
-    w.set_outage(false);
-    w.until_done("wk-000001", 200.0);
+    simulation.set_store_outage(false);
+    simulation.until_done("wk-000001", 200.0);
 }
--- a/src/core/simulation/store.rs
+++ b/src/core/simulation/store.rs
@@ -1,6 +1,6 @@
 //! The simulated state service, and how controllers reach it.
 
-use super::cluster::World;
+use super::cluster::Simulation;
 use super::network::Link;
 use crate::job::MachineId;
 use crate::state::{PREFIX, StateOutcome, StateRequest};
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 /// A client of the state service takes an answer for lost after this.
-pub(super) const NO_ANSWER: Duration = Duration::from_millis(1500);
+pub(super) const STORE_TIMEOUT: Duration = Duration::from_millis(1500);
 
 #[derive(Clone)]
 pub(super) struct Entry {
@@ -193,19 +193,19 @@
 /// What the state service held once.
 pub struct Backup(pub(super) StateService);
 
-impl World {
+impl Simulation {
     pub(super) fn call_state(&mut self, i: usize, request: &StateRequest) -> StateOutcome {
         if let (StateRequest::Txn(txn), Link::Good) = (request, self.nodes[i].state)
-            && !self.outage
-            && self.late_writes > 0.0
+            && !self.store_outage
+            && self.late_write_share > 0.0
             && !txn.changes.is_empty()
-            && self.rng.random_bool(self.late_writes)
+            && self.rng.random_bool(self.late_write_share)
         {
             let at = self.now + Duration::from_millis(self.rng.random_range(2000..12000));
-            self.late_txns.push((at, txn.clone()));
+            self.delayed_transactions.push((at, txn.clone()));
             return StateOutcome::Unknown("timeout".into());
         }
-        if self.outage {
+        if self.store_outage {
             return StateOutcome::Refused("503".into());
         }
         let link = self.nodes[i].state;
@@ -226,7 +226,7 @@
             }
             Link::Held | Link::WritesHeld => {
                 if let StateRequest::Txn(txn) = request {
-                    self.held_txns.push(txn.clone());
+                    self.held_transactions.push(txn.clone());
                 }
                 StateOutcome::Unknown("timeout".into())
             }
@@ -238,19 +238,21 @@
         let StateRequest::Txn(txn) = request else {
             return false;
         };
-        let chosen = |c: &Change| c.key().starts_with(self.lost_answers_under);
-        self.lost_answers > 0.0
+        let chosen = |c: &Change| c.key().starts_with(self.lost_answer_prefix);
+        self.lost_answer_share > 0.0
             && txn.changes.iter().any(chosen)
-            && self.rng.random_bool(self.lost_answers)
+            && self.rng.random_bool(self.lost_answer_share)
     }
 
     /// Transactions whose time has come.
-    pub(super) fn write_late(&mut self) {
+    pub(super) fn apply_delayed_transactions(&mut self) {
         let now = self.now;
-        if self.outage {
+        if self.store_outage {
             return;
         }
-        let due = self.late_txns.extract_if(.., |(at, _)| *at <= now);
+        let due = self
+            .delayed_transactions
+            .extract_if(.., |(at, _)| *at <= now);
         for (_, txn) in due.collect::<Vec<_>>() {
             self.state.txn(&txn);
         }
--- a/src/core/simulation/users.rs
+++ b/src/core/simulation/users.rs
@@ -1,6 +1,6 @@
 //! What users and operators ask, and what they are told.
 
-use super::cluster::World;
+use super::cluster::Simulation;
 use super::store::Backup;
 use crate::core::{Ask, Command, Ticket, UserRequest};
 use crate::http::Answer;
@@ -8,7 +8,7 @@
 use crate::wire::JobState;
 use std::time::Duration;
 
-impl World {
+impl Simulation {
     pub fn ask(&mut self, node: usize, what: Ask) -> Ticket {
         let ticket = self.next_ticket;
         self.next_ticket += 1;
@@ -49,12 +49,12 @@
         if !known && status == 422 {
             self.specs.remove(&*spec.id);
         }
-        self.heard(&spec.id, asked, answer.as_ref());
+        self.check_answer(&spec.id, asked, answer.as_ref());
         status
     }
 
     /// So many questions in one step; the answers' statuses.
-    pub fn ask_at_once(&mut self, node: usize, id: &str, n: u32) -> Vec<u16> {
+    pub fn query_burst(&mut self, node: usize, id: &str, n: u32) -> Vec<u16> {
         let ask = |_| self.ask(node, Ask::Show(id.into()));
         let tickets: Vec<Ticket> = (0..n).map(ask).collect();
         self.run(2.0);
@@ -63,35 +63,36 @@
     }
 
     /// A submission is repeated, and its answer not waited for.
-    pub fn ask_at_once_of(&mut self, node: usize, spec: &JobSpec) {
+    pub fn submit_without_waiting(&mut self, node: usize, spec: &JobSpec) {
         self.ask(node, Ask::Submit(Box::new(spec.clone())));
     }
 
     pub fn show(&mut self, node: usize, id: &str) -> (u16, Option<JobState>) {
         let asked = self.now;
         let answer = self.request(node, Ask::Show(id.into()));
-        let state = self.heard(id, asked, answer.as_ref());
+        let state = self.check_answer(id, asked, answer.as_ref());
         (answer.map_or(0, |a| a.status), state)
     }
 
     pub fn cancel(&mut self, node: usize, id: &str) -> (u16, Option<JobState>) {
-        self.asked.insert(id.into());
+        self.cancellation_requests.insert(id.into());
         let asked = self.now;
         let answer = self.request(node, Ask::Cancel(id.into()));
-        let state = self.heard(id, asked, answer.as_ref());
+        let state = self.check_answer(id, asked, answer.as_ref());
         (answer.map_or(0, |a| a.status), state)
     }
 
     /// Asks to cancel a job, and does not wait for the answer.
-    pub fn start_to_cancel(&mut self, node: usize, id: &str) {
-        self.asked.insert(id.into());
+    pub fn cancel_without_waiting(&mut self, node: usize, id: &str) {
+        self.cancellation_requests.insert(id.into());
         let ticket = self.ask(node, Ask::Cancel(id.into()));
-        self.cancelling.insert(ticket, (id.into(), self.now));
+        self.unawaited_cancellations
+            .insert(ticket, (id.into(), self.now));
     }
 
     /// What its user was told last, if that was final.
-    pub fn told_final(&self, id: &str) -> Option<JobState> {
-        self.told_final.get(id).map(|(state, _)| *state)
+    pub fn final_answer(&self, id: &str) -> Option<JobState> {
+        self.final_answers.get(id).map(|(state, _)| *state)
     }
 
     /// An operator's word to a node; the answer's status.
@@ -132,7 +133,7 @@
     }
 
     /// A job that was accepted before this story.
-    pub fn knows(&mut self, spec: &JobSpec) {
+    pub fn register_job(&mut self, spec: &JobSpec) {
         self.specs.insert(spec.id.to_string(), spec.clone());
     }
 
@@ -162,13 +163,13 @@
     }
 
     /// Asks every controller about a job at once, and repeats its submission.
-    pub(super) fn look_closely(&mut self, id: &str) {
+    pub(super) fn query_everywhere(&mut self, id: &str) {
         for node in 0..self.nodes.len() {
             let mut questions = vec![Ask::Show(id.into())];
             questions.extend(self.specs.get(id).map(|s| Ask::Submit(Box::new(s.clone()))));
             for what in questions {
                 let ticket = self.ask(node, what);
-                self.looks.insert(ticket, (id.into(), self.now));
+                self.follow_up_queries.insert(ticket, (id.into(), self.now));
             }
         }
     }
--- a/src/core/simulation/worker.rs
+++ b/src/core/simulation/worker.rs
@@ -1,7 +1,7 @@
 //! The simulated workers: what they report, execute and lose.
 
-use super::checker::in_zone;
-use super::cluster::{TICK, World};
+use super::checker::check_zone;
+use super::cluster::{Simulation, TICK};
 use crate::core::{Command, Ticket};
 use crate::http::Answer;
 use crate::job::{Kind, MachineId, TaskKey};
@@ -40,36 +40,36 @@
     /// It executes nothing and says nothing.
     pub hung: bool,
     /// It fails every task.
-    pub sick: bool,
+    pub failing: bool,
     /// Nodes it cannot talk to, in either direction.
-    pub cut: BTreeSet<usize>,
+    pub partitioned_from: BTreeSet<usize>,
     /// Its reports arrive; answers and commands do not reach it.
-    pub deaf: bool,
+    pub inbound_partitioned: bool,
     /// It can open no connection to any controller; direct commands reach it.
-    pub mute: bool,
+    pub outbound_partitioned: bool,
 }
 
 /// The node that an answer refers a worker to.
-pub(super) fn named(answer: &Answer) -> Option<usize> {
+pub(super) fn redirect_target(answer: &Answer) -> Option<usize> {
     let body: serde_json::Value = serde_json::from_slice(&answer.body).ok()?;
     let name = body.get("foreman")?.as_str()?;
     name.strip_prefix('n')?.parse().ok()
 }
 
-impl World {
-    pub(super) fn report(w: &mut Worker, id: &MachineId) -> Report {
-        w.seq += 1;
+impl Simulation {
+    pub(super) fn report(worker: &mut Worker, id: &MachineId) -> Report {
+        worker.seq += 1;
         Report {
             machine: id.clone(),
             addr: "127.0.0.1:9000".into(),
-            kind: w.kind.clone(),
-            zone: w.zone.clone(),
-            spot: w.spot,
-            session: w.session,
-            seq: w.seq,
-            token: w.token,
+            kind: worker.kind.clone(),
+            zone: worker.zone.clone(),
+            spot: worker.spot,
+            session: worker.session,
+            seq: worker.seq,
+            token: worker.token,
             notice: None,
-            rows: w
+            rows: worker
                 .tasks
                 .iter()
                 .map(|(k, t)| RowReport {
@@ -85,7 +85,7 @@
 
     /// A machine's report as of now, for the network to hold.
     pub fn report_of(&mut self, id: &MachineId) -> Report {
-        World::report(self.workers.get_mut(id).unwrap(), id)
+        Simulation::report(self.workers.get_mut(id).unwrap(), id)
     }
 
     pub(super) fn execute(&mut self, id: &MachineId, orders: &[Order]) {
@@ -106,24 +106,30 @@
         }
         let starts = orders.iter().any(|o| matches!(o, Order::Start { .. }));
         // A store that has lost data may have lost this record as well.
-        let kept = self.memories.is_none() && !self.amnesia && !self.unrecorded.contains(id);
+        let kept = self.complete_replicas.is_none()
+            && !self.data_lost_for_good
+            && !self.machines_with_lost_record.contains(id);
         if starts && kept && !self.state.recorded().contains(id) {
             self.unrecorded_starts += 1;
             panic!("a task starts on {id}, which is not on record");
         }
-        let Some(w) = self.workers.get_mut(id) else {
+        let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        let zone = w.zone.clone();
+        let zone = worker.zone.clone();
         for o in orders {
             match o {
                 Order::Start { task, attempt } => {
                     let key = parse_task(task).unwrap();
-                    if w.tasks.get(&key).is_some_and(|t| t.attempt == *attempt) {
+                    if worker
+                        .tasks
+                        .get(&key)
+                        .is_some_and(|t| t.attempt == *attempt)
+                    {
                         continue;
                     }
                     self.starts += 1;
-                    if let Some(told) = self.cancelled.get(&*key.job) {
+                    if let Some(told) = self.cancelled_at.get(&*key.job) {
                         self.late_starts += 1;
                         assert!(
                             now <= *told + self.setup.cancel,
@@ -139,29 +145,29 @@
                             assert!(done, "{key} starts before {before} is done");
                         }
                     }
-                    in_zone(&key, spec, &zone, &beside);
+                    check_zone(&key, spec, &zone, &beside);
                     let mut t = WorkerTask {
                         attempt: *attempt,
                         state: RowState::Running,
                         why: None,
                         ends: (spec.kind != Kind::Service)
-                            .then(|| now + self.fetch + spec.estimate),
-                        runs: now + self.fetch,
+                            .then(|| now + self.image_fetch_time + spec.estimate),
+                        runs: now + self.image_fetch_time,
                     };
-                    if !self.fetch.is_zero() {
+                    if !self.image_fetch_time.is_zero() {
                         t.state = RowState::Fetching;
                     }
-                    if w.sick || self.broken_jobs.contains(&*key.job) {
+                    if worker.failing || self.broken_jobs.contains(&*key.job) {
                         (t.state, t.why) = (RowState::Exited, Some(Why::Error));
                     }
                     if spec.one_zone || spec.spread {
                         beside.insert(key.clone(), zone.clone());
                     }
-                    w.tasks.insert(key, t);
+                    worker.tasks.insert(key, t);
                 }
                 Order::Stop { task, attempt, .. } => {
                     let key = parse_task(task).unwrap();
-                    if let Some(t) = w.tasks.get_mut(&key)
+                    if let Some(t) = worker.tasks.get_mut(&key)
                         && t.attempt == *attempt
                         && t.state != RowState::Exited
                     {
@@ -170,44 +176,45 @@
                 }
                 Order::Forget { task, attempt } => {
                     let key = parse_task(task).unwrap();
-                    if w.tasks
+                    if worker
+                        .tasks
                         .get(&key)
                         .is_some_and(|t| t.attempt == *attempt && t.state == RowState::Exited)
                     {
                         self.clears += 1;
-                        w.tasks.remove(&key);
+                        worker.tasks.remove(&key);
                     }
                 }
             }
         }
     }
 
-    pub(super) fn tend_workers(&mut self) {
+    pub(super) fn advance_workers(&mut self) {
         let now = self.now;
         let ids: Vec<MachineId> = self.workers.keys().cloned().collect();
         for id in ids {
-            let Some(w) = self.workers.get_mut(&id) else {
+            let Some(worker) = self.workers.get_mut(&id) else {
                 continue;
             };
-            if now < w.up_at {
+            if now < worker.up_at {
                 continue;
             }
             // A machine that hangs may resume within its lease; after it, its tasks are gone.
-            if now > w.lease_from + LEASE {
-                w.tasks.clear();
-                w.session += 1;
-                w.seq = 0;
-                w.lease_from = now;
-                w.waiting = None;
+            if now > worker.lease_from + LEASE {
+                worker.tasks.clear();
+                worker.session += 1;
+                worker.seq = 0;
+                worker.lease_from = now;
+                worker.waiting = None;
             }
-            if w.hung {
+            if worker.hung {
                 continue;
             }
             let mut changed = false;
-            for (key, t) in &mut w.tasks {
+            for (key, t) in &mut worker.tasks {
                 if t.state == RowState::Fetching && t.runs <= now {
                     t.state = RowState::Running;
-                    self.late_starts += u32::from(self.cancelled.contains_key(&*key.job));
+                    self.late_starts += u32::from(self.cancelled_at.contains_key(&*key.job));
                     changed = true;
                 }
                 if t.state == RowState::Running && t.ends.is_some_and(|e| e <= now) {
@@ -217,54 +224,62 @@
                 }
             }
             if changed {
-                w.next_report = w.next_report.min(now + Duration::from_millis(200));
+                worker.next_report = worker.next_report.min(now + Duration::from_millis(200));
             }
-            if let Some((node, ticket, session, sent)) = w.waiting {
+            if let Some((node, ticket, session, sent)) = worker.waiting {
                 if let Some(answer) = self.answers.remove(&ticket) {
-                    w.waiting = None;
-                    if w.cut.contains(&node) || w.deaf {
+                    worker.waiting = None;
+                    if worker.partitioned_from.contains(&node) || worker.inbound_partitioned {
                         continue;
                     }
                     let read = |a: &Answer| serde_json::from_slice::<ReportAnswer>(&a.body).ok();
                     match (answer.status, read(&answer)) {
-                        (200, Some(a)) if a.token >= w.token && session == w.session => {
-                            w.token = a.token;
-                            w.lease_from = sent;
+                        (200, Some(a)) if a.token >= worker.token && session == worker.session => {
+                            worker.token = a.token;
+                            worker.lease_from = sent;
                             self.execute(&id, &a.orders);
                         }
                         (200, _) => {}
-                        _ => match named(&answer) {
-                            Some(other) if other != w.node => {
-                                w.node = other;
-                                w.next_report = now + TICK * 4;
+                        _ => match redirect_target(&answer) {
+                            Some(other) if other != worker.node => {
+                                worker.node = other;
+                                worker.next_report = now + TICK * 4;
                             }
-                            _ => w.node = (w.node + 1) % self.setup.nodes,
+                            _ => worker.node = (worker.node + 1) % self.setup.nodes,
                         },
                     }
                 } else if now > sent + Duration::from_secs(4) {
-                    w.waiting = None;
-                    w.node = (w.node + 1) % self.setup.nodes;
+                    worker.waiting = None;
+                    worker.node = (worker.node + 1) % self.setup.nodes;
                 }
-            } else if now >= w.next_report {
-                w.next_report = now + Duration::from_secs(1);
-                let node = w.node;
-                if !self.nodes[node].up || w.cut.contains(&node) || w.mute {
-                    w.node = (node + 1) % self.setup.nodes;
+            } else if now >= worker.next_report {
+                worker.next_report = now + Duration::from_secs(1);
+                let node = worker.node;
+                if !self.nodes[node].up
+                    || worker.partitioned_from.contains(&node)
+                    || worker.outbound_partitioned
+                {
+                    worker.node = (node + 1) % self.setup.nodes;
                     continue;
                 }
-                let report = Box::new(World::report(w, &id));
-                if !self.copies.is_zero() {
-                    let at = now + self.copies.mul_f64(self.rng.random_range(0.1..1.0));
+                let report = Box::new(Simulation::report(worker, &id));
+                if !self.duplicate_delay.is_zero() {
+                    let at = now
+                        + self
+                            .duplicate_delay
+                            .mul_f64(self.rng.random_range(0.1..1.0));
                     let to = self.rng.random_range(0..self.setup.nodes);
-                    self.late_reports.push((at, to, (*report).clone()));
+                    self.delayed_reports.push((at, to, (*report).clone()));
                 }
-                if self.reports_for_next > 0.0 && self.rng.random_bool(self.reports_for_next) {
-                    self.kept_reports.push((*report).clone());
+                if self.replayed_report_share > 0.0
+                    && self.rng.random_bool(self.replayed_report_share)
+                {
+                    self.reports_to_replay.push((*report).clone());
                 }
                 self.reports += 1;
                 let ticket = self.next_ticket;
                 self.next_ticket += 1;
-                w.waiting = Some((node, ticket, w.session, now));
+                worker.waiting = Some((node, ticket, worker.session, now));
                 self.nodes[node]
                     .inbox
                     .push(Command::Report { ticket, report });
@@ -274,15 +289,15 @@
 
     /// Executes direct commands as a worker does.
     pub fn direct(&mut self, id: &MachineId, body: &DirectBody) -> Option<DirectOutcome> {
-        let w = self.workers.get_mut(id)?;
-        let fits = body.token >= w.token && body.session == w.session;
+        let worker = self.workers.get_mut(id)?;
+        let fits = body.token >= worker.token && body.session == worker.session;
         if fits {
-            w.token = body.token;
+            worker.token = body.token;
             self.execute(id, &body.orders);
         }
-        let w = self.workers.get_mut(id)?;
+        let worker = self.workers.get_mut(id)?;
         Some(DirectOutcome::Report {
-            report: Box::new(World::report(w, id)),
+            report: Box::new(Simulation::report(worker, id)),
             executed: fits,
         })
     }
@@ -295,31 +310,34 @@
     ) -> DirectOutcome {
         let unknown = DirectOutcome::Unknown("timeout".into());
         self.nodes[i].calls += 1;
-        let Some(w) = self.workers.get(id) else {
+        let Some(worker) = self.workers.get(id) else {
             return DirectOutcome::NotSent("no route".into());
         };
         let body = match request {
             DirectRequest::Commands(body) => body,
             DirectRequest::Status { token } => DirectBody {
                 token,
-                session: w.session,
+                session: worker.session,
                 orders: Vec::new(),
             },
         };
-        if w.deaf {
+        if worker.inbound_partitioned {
             return DirectOutcome::NotSent("timeout".into());
         }
-        if !self.copies.is_zero() {
-            let at = self.now + self.copies.mul_f64(self.rng.random_range(0.1..1.0));
-            self.late_commands.push((at, id.clone(), body.clone()));
+        if !self.duplicate_delay.is_zero() {
+            let at = self.now
+                + self
+                    .duplicate_delay
+                    .mul_f64(self.rng.random_range(0.1..1.0));
+            self.delayed_commands.push((at, id.clone(), body.clone()));
         }
         if self.late_command_share > 0.0 && self.rng.random_bool(self.late_command_share) {
             let at = self.now + Duration::from_millis(self.rng.random_range(2000..16000));
-            self.commands_late += 1;
-            self.late_commands.push((at, id.clone(), body));
+            self.commands_delayed += 1;
+            self.delayed_commands.push((at, id.clone(), body));
             return unknown;
         }
-        if w.hung || w.cut.contains(&i) || self.hold_commands {
+        if worker.hung || worker.partitioned_from.contains(&i) || self.hold_commands {
             // Held by the network, or by the machine until it resumes.
             self.held_commands.push((id.clone(), body));
             return unknown;
@@ -330,25 +348,25 @@
     /// A machine is back within a moment, empty, and counts from one; or goes on counting.
     pub fn reboot(&mut self, id: &MachineId, from_one: bool) {
         let now = self.now;
-        if let Some(w) = self.workers.get_mut(id) {
-            w.tasks.clear();
-            w.waiting = None;
-            (w.lease_from, w.next_report) = (now, now + TICK * 4);
+        if let Some(worker) = self.workers.get_mut(id) {
+            worker.tasks.clear();
+            worker.waiting = None;
+            (worker.lease_from, worker.next_report) = (now, now + TICK * 4);
             if from_one {
                 // What was under way to it ends with its connections.
                 self.held_commands.retain(|(to, _)| to != id);
-                self.late_commands.retain(|(_, to, _)| to != id);
-                (w.session, w.seq, w.token) = (1, 0, 0);
+                self.delayed_commands.retain(|(_, to, _)| to != id);
+                (worker.session, worker.seq, worker.token) = (1, 0, 0);
             } else {
-                w.session += 1;
+                worker.session += 1;
             }
         }
     }
 
     pub fn places(&self, id: &str) -> Vec<(MachineId, TaskKey)> {
         let mut out = Vec::new();
-        for (m, w) in &self.workers {
-            for (key, t) in &w.tasks {
+        for (m, worker) in &self.workers {
+            for (key, t) in &worker.tasks {
                 if &*key.job == id && t.state != RowState::Exited {
                     out.push((m.clone(), key.clone()));
                 }
