--- a/src/core/simulation/cloud.rs
+++ b/src/core/simulation/cloud.rs
@@ -6,8 +6,8 @@
 
 impl Simulation {
     pub(super) fn call_cloud(&mut self, request: CloudRequest) -> CloudOutcome {
-        self.cloud_calls += 1;
-        if self.cloud_down {
+        self.counters.cloud_calls += 1;
+        if self.faults.cloud_down {
             return CloudOutcome::Trouble("503".into());
         }
         match request {
@@ -34,7 +34,7 @@
                 if let Some(ids) = self.rentals.get(&body.request) {
                     return CloudOutcome::Rented(ids.clone());
                 }
-                if self.zones_without_capacity.contains(&body.zone) {
+                if self.faults.zones_without_capacity.contains(&body.zone) {
                     return CloudOutcome::NoCapacity;
                 }
                 let mut ids = Vec::new();
@@ -48,9 +48,9 @@
                     }
                     *left -= 1;
                     if body.spot {
-                        self.rented.0 += 1;
+                        self.counters.rented.0 += 1;
                     } else {
-                        self.rented.1 += 1;
+                        self.counters.rented.1 += 1;
                     }
                     let id = self.add_machine(&body.kind, &body.zone);
                     if let Some(worker) = self.workers.get_mut(&id) {
@@ -64,7 +64,7 @@
                     return CloudOutcome::NoCapacity;
                 }
                 self.rentals.insert(body.request, ids.clone());
-                if self.rental_answers_lost {
+                if self.faults.rental_answers_lost {
                     return CloudOutcome::Trouble("timeout".into());
                 }
                 CloudOutcome::Rented(ids)
--- a/src/core/simulation/cluster.rs
+++ b/src/core/simulation/cluster.rs
@@ -1,17 +1,19 @@
 //! The simulated cluster: its controllers, and how time passes.
 
+use super::checker::Checker;
+use super::counters::Counters;
+use super::faults::Faults;
 use super::network::Link;
+use super::network::Network;
 use super::store::{LIMITS, StateService};
 use super::worker::{LEASE, Worker};
 use crate::core::simulation::recorded_decisions::DecisionRecorder;
 use crate::core::{Command, Core, LEASE_TTL, Now, Stand, Ticket};
-use crate::http::Answer;
-use crate::job::{JobSpec, MachineId, TaskKey};
+use crate::job::MachineId;
 use crate::policy::Policy;
-use crate::recall::Recall;
 use crate::settings::Settings;
-use crate::state::{PREFIX, StateOutcome};
-use crate::wire::{DirectBody, Item, JobState, MachineType, Report, Txn};
+use crate::state::StateOutcome;
+use crate::wire::{Item, MachineType, Txn};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
@@ -89,104 +91,24 @@
     pub(super) start: Instant,
     pub nodes: Vec<Node>,
     pub(super) state: StateService,
+    pub network: Network,
+    pub faults: Faults,
+    pub checker: Checker,
+    pub counters: Counters,
     pub workers: BTreeMap<MachineId, Worker>,
     pub types: Vec<MachineType>,
     pub capacity: BTreeMap<(String, bool), u32>,
     pub(super) rentals: BTreeMap<String, Vec<MachineId>>,
-    /// How many machines were rented: spot ones, and ordinary ones.
-    pub rented: (u32, u32),
     pub(super) next_machine: u32,
     pub(super) next_ticket: Ticket,
-    pub(super) forwards: BTreeMap<Ticket, (usize, Ticket)>,
-    /// Frames of controllers that serve workers: who sent them, their numbers, and when.
-    pub(super) syncs: BTreeMap<Ticket, (usize, u64, Instant)>,
-    /// Questions between controllers of what they remember.
-    pub(super) recalls: BTreeMap<Ticket, (usize, String, Recall)>,
-    pub(super) answers: BTreeMap<Ticket, Answer>,
-    /// Reports and commands arrive once more this much later, at any node, if that is above 0.
-    pub duplicate_delay: Duration,
-    pub(super) delayed_reports: Vec<(Instant, usize, Report)>,
-    pub(super) delayed_commands: Vec<(Instant, MachineId, DirectBody)>,
-    /// This share of transactions gets no answer and is carried out 2 to 12 s later.
-    pub late_write_share: f64,
-    pub(super) delayed_transactions: Vec<(Instant, Txn)>,
-    /// This share of transactions is carried out at once, and its answer lost; only of those that change a
-    /// key which begins like this.
-    pub lost_answer_share: f64,
-    pub lost_answer_prefix: &'static str,
-    /// How many answers were lost so.
-    pub answers_lost: u32,
-    /// This share of direct commands gets no answer and is carried out 2 to 16 s later, once.
-    pub late_command_share: f64,
-    /// How many were held up so.
-    pub commands_delayed: u32,
-    /// Copies of this share of reports reach every controller when the next leadership begins.
-    pub replayed_report_share: f64,
-    pub(super) reports_to_replay: Vec<Report>,
-    /// How many of them were delivered.
-    pub reports_replayed: u32,
     /// Users ask every controller at once, and repeat the submission, as soon as a job is accepted or over.
     pub query_after_answers: bool,
-    pub(super) follow_up_queries: BTreeMap<Ticket, (String, Instant)>,
-    /// How many such questions were answered with a job's state.
-    pub follow_ups_answered: u32,
-    /// Who began a leadership in each term: the controller, its process, and which of its leaderships.
-    pub(super) leaderships: BTreeMap<u64, (usize, u64, u64)>,
-    /// Tasks that were started on a machine which no leader to come would know of.
-    pub unrecorded_starts: u32,
-    /// What the network keeps for later delivery.
-    pub held_transactions: Vec<Txn>,
-    pub held_commands: Vec<(MachineId, DirectBody)>,
-    pub hold_commands: bool,
-    pub cloud_down: bool,
-    /// Rentals are carried out, but nobody hears of it.
-    pub rental_answers_lost: bool,
-    /// Zones in which nothing is to be had.
-    pub zones_without_capacity: BTreeSet<String>,
     pub policy: Arc<Policy>,
-    pub cloud_calls: u32,
-    pub reports: u32,
     pub broken_jobs: BTreeSet<String>,
-    pub(super) specs: BTreeMap<String, JobSpec>,
-    /// Final states that users were told of, and when first.
-    pub(super) final_answers: BTreeMap<String, (JobState, Instant)>,
-    /// Jobs that some user was told of as accepted.
-    pub(super) announced_jobs: BTreeSet<String>,
-    /// Controllers that remember all that the store held when it lost data, until it is whole again.
-    pub(super) complete_replicas: Option<BTreeSet<usize>>,
-    /// Keys of jobs that the store held then, and whether they were over.
-    pub(super) jobs_to_restore: BTreeMap<String, bool>,
-    /// Those that have not been ended since it lost data last.
-    pub survivors: BTreeSet<usize>,
-    /// Machines whose record the store has lost. If nobody remembers them either, what they hold may be
-    /// started once more, whatever is done: a list of the cloud comes too late to tell of all.
-    pub(super) machines_with_lost_record: BTreeSet<MachineId>,
-    /// All that remember it were ended: what was told then is known to nobody, and may be unsaid.
-    pub data_lost_for_good: bool,
-    /// Jobs whose users asked to cancel them.
-    pub(super) cancellation_requests: BTreeSet<String>,
-    /// When users were told so.
-    pub cancelled_at: BTreeMap<String, Instant>,
-    /// Cancellations whose answers nobody waits for, and what they were about.
-    pub(super) unawaited_cancellations: BTreeMap<Ticket, (String, Instant)>,
-    /// The state service serves nobody; no lease runs out, and each has its full time again afterwards.
-    pub store_outage: bool,
-    /// The state service answers up to this much later.
-    pub store_delay: Duration,
-    pub(super) delayed_answers: Vec<(Instant, usize, Command)>,
     /// How long a rented machine takes until it is up.
     pub boot_time: Duration,
     /// How long a machine fetches the image of each task.
     pub image_fetch_time: Duration,
-    /// Tasks that began to run, and commands to start them that were carried out, after their user was told
-    /// that their job is cancelled.
-    pub late_starts: u32,
-    /// Since when jobs wait though a machine has room for them.
-    pub(super) starving_since: BTreeMap<String, Instant>,
-    pub(super) last_starvation_check: Instant,
-    pub completed: BTreeSet<TaskKey>,
-    pub starts: u32,
-    pub clears: u32,
     /// Takes in what the controllers decide, where a test asks for it.
     pub recorder: Option<DecisionRecorder>,
     pub(super) rng: SmallRng,
@@ -219,6 +141,10 @@
                 limits: LIMITS,
                 ..StateService::default()
             },
+            network: Network::default(),
+            faults: Faults::default(),
+            checker: Checker::new(now, setup.nodes),
+            counters: Counters::default(),
             workers: BTreeMap::new(),
             types: vec![
                 MachineType {
@@ -252,63 +178,13 @@
                 (("large".into(), false), 2),
             ]),
             rentals: BTreeMap::new(),
-            rented: (0, 0),
             next_machine: 1,
             next_ticket: 1,
-            forwards: BTreeMap::new(),
-            syncs: BTreeMap::new(),
-            recalls: BTreeMap::new(),
-            answers: BTreeMap::new(),
-            duplicate_delay: Duration::ZERO,
-            delayed_reports: Vec::new(),
-            delayed_commands: Vec::new(),
-            late_write_share: 0.0,
-            delayed_transactions: Vec::new(),
-            lost_answer_share: 0.0,
-            lost_answer_prefix: PREFIX,
-            answers_lost: 0,
-            late_command_share: 0.0,
-            commands_delayed: 0,
-            replayed_report_share: 0.0,
-            reports_to_replay: Vec::new(),
-            reports_replayed: 0,
             query_after_answers: false,
-            follow_up_queries: BTreeMap::new(),
-            follow_ups_answered: 0,
-            leaderships: BTreeMap::new(),
-            unrecorded_starts: 0,
-            held_transactions: Vec::new(),
-            held_commands: Vec::new(),
-            hold_commands: false,
-            cloud_down: false,
-            rental_answers_lost: false,
-            zones_without_capacity: BTreeSet::new(),
             policy: Arc::new(policy),
-            cloud_calls: 0,
-            reports: 0,
             broken_jobs: BTreeSet::new(),
-            specs: BTreeMap::new(),
-            final_answers: BTreeMap::new(),
-            announced_jobs: BTreeSet::new(),
-            complete_replicas: None,
-            jobs_to_restore: BTreeMap::new(),
-            survivors: (0..setup.nodes).collect(),
-            machines_with_lost_record: BTreeSet::new(),
-            data_lost_for_good: false,
-            cancellation_requests: BTreeSet::new(),
-            cancelled_at: BTreeMap::new(),
-            unawaited_cancellations: BTreeMap::new(),
-            store_outage: false,
-            store_delay: Duration::ZERO,
-            delayed_answers: Vec::new(),
             boot_time: Duration::from_secs(2),
             image_fetch_time: Duration::ZERO,
-            late_starts: 0,
-            starving_since: BTreeMap::new(),
-            last_starvation_check: now,
-            completed: BTreeSet::new(),
-            starts: 0,
-            clears: 0,
             recorder: None,
             rng: SmallRng::seed_from_u64(seed),
         };
@@ -360,7 +236,7 @@
 
     /// How many leaderships there were.
     pub fn terms(&self) -> usize {
-        self.leaderships.len()
+        self.checker.leaderships.len()
     }
 
     /// Adds a machine that was there before.
@@ -426,7 +302,11 @@
         self.deliver_delayed();
         self.apply_delayed_transactions();
         let (now, nodes) = (self.now, &mut self.nodes);
-        for (_, i, answer) in self.delayed_answers.extract_if(.., |(at, ..)| *at <= now) {
+        for (_, i, answer) in self
+            .network
+            .delayed_answers
+            .extract_if(.., |(at, ..)| *at <= now)
+        {
             nodes[i].inbox.push(answer);
         }
         self.advance_workers();
@@ -446,18 +326,19 @@
                 self.apply_effect(i, e);
             }
         }
-        if self.complete_replicas.is_some() {
+        if self.checker.complete_replicas.is_some() {
             let back = |key: &str, over: &bool| {
                 let stored = self.state.keys.get(key);
                 stored.is_some_and(|e| !over || e.value.get("end").is_some())
             };
             if self
+                .checker
                 .jobs_to_restore
                 .iter()
                 .all(|(key, over)| back(key, over))
             {
-                self.complete_replicas = None;
-                self.jobs_to_restore.clear();
+                self.checker.complete_replicas = None;
+                self.checker.jobs_to_restore.clear();
             }
         }
         self.check_terms();
@@ -468,7 +349,7 @@
     pub(super) fn keep_lease(&mut self, i: usize) {
         let now = self.now;
         let node = &mut self.nodes[i];
-        let served = !self.store_outage && node.state.reads();
+        let served = !self.faults.store_outage && node.state.reads();
         if !node.up || node.paused || now < node.next_renewal || !served {
             return;
         }
@@ -515,7 +396,7 @@
 
     pub(super) fn deliver_watch(&mut self, i: usize) {
         let node = &mut self.nodes[i];
-        if !node.up || self.store_outage || !node.state.reads() || node.watch_delayed {
+        if !node.up || self.faults.store_outage || !node.state.reads() || node.watch_delayed {
             return;
         }
         let revision = self.state.revision;
--- a/src/core/simulation/faults.rs
+++ b/src/core/simulation/faults.rs
@@ -1,26 +1,79 @@
-//! Faults that a test brings about by a call.
+//! Faults that a test injects: settings that last until it ends them, and events that it causes by a call.
 
 use super::cluster::{Node, Simulation};
 use super::store::{Backup, StateService};
 use crate::core::{Command, LEASE_TTL};
+use crate::state::PREFIX;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
+/// Faults that last until a test ends them.
+pub struct Faults {
+    /// Reports and direct commands arrive once more up to this much later, reports at any
+    /// controller.
+    pub duplicate_delay: Duration,
+    /// This share of transactions gets no answer and is carried out 2 to 12 s later.
+    pub late_write_share: f64,
+    /// This share of transactions is carried out at once, and its answer lost.
+    pub lost_answer_share: f64,
+    /// Only answers to transactions are lost that change a key with this prefix.
+    pub lost_answer_prefix: &'static str,
+    /// This share of direct commands gets no answer and is carried out 2 to 16 s later, once.
+    pub late_command_share: f64,
+    /// Copies of this share of reports reach every controller when the next leadership begins.
+    pub replayed_report_share: f64,
+    /// Direct commands are held until `Simulation::release`.
+    pub hold_commands: bool,
+    /// The cloud answers every call with an error.
+    pub cloud_down: bool,
+    /// Rentals are carried out, and their answers lost.
+    pub rental_answers_lost: bool,
+    /// Zones in which no machine can be rented.
+    pub zones_without_capacity: BTreeSet<String>,
+    /// The state service serves nobody; no lease runs out, and each has its full time again
+    /// afterwards (`Simulation::set_store_outage`).
+    pub store_outage: bool,
+    /// The state service answers up to this much later.
+    pub store_delay: Duration,
+}
+
+impl Default for Faults {
+    fn default() -> Faults {
+        Faults {
+            duplicate_delay: Duration::ZERO,
+            late_write_share: 0.0,
+            lost_answer_share: 0.0,
+            lost_answer_prefix: PREFIX,
+            late_command_share: 0.0,
+            replayed_report_share: 0.0,
+            hold_commands: false,
+            cloud_down: false,
+            rental_answers_lost: false,
+            zones_without_capacity: BTreeSet::new(),
+            store_outage: false,
+            store_delay: Duration::ZERO,
+        }
+    }
+}
+
 impl Simulation {
     pub fn kill(&mut self, i: usize, restart_after: Duration) {
-        self.survivors.remove(&i);
-        if let Some(memories) = &mut self.complete_replicas {
+        self.checker.survivors.remove(&i);
+        if let Some(memories) = &mut self.checker.complete_replicas {
             memories.remove(&i);
-            self.data_lost_for_good |= memories.is_empty();
+            self.checker.data_lost_for_good |= memories.is_empty();
         }
         self.nodes[i].up = false;
         self.nodes[i].inbox.clear();
-        self.delayed_answers.retain(|(_, node, _)| *node != i);
+        self.network
+            .delayed_answers
+            .retain(|(_, node, _)| *node != i);
         self.nodes[i].restart_at = Some(self.now + restart_after);
-        self.forwards.retain(|_, (asker, _)| *asker != i);
-        self.syncs.retain(|_, (asker, _, _)| *asker != i);
+        self.network.forwards.retain(|_, (asker, _)| *asker != i);
+        self.network.syncs.retain(|_, (asker, _, _)| *asker != i);
         let name = format!("n{i}");
         let unanswered = self
+            .network
             .recalls
             .extract_if(.., |_, (a, to, _)| *a == i || *to == name);
         let unanswered: Vec<_> = unanswered.map(|(_, r)| r).collect();
@@ -46,7 +99,7 @@
 
     /// The state service serves nobody from now on, or everybody again.
     pub fn set_store_outage(&mut self, outage: bool) {
-        self.store_outage = outage;
+        self.faults.store_outage = outage;
         self.pause_leases(outage);
     }
 
@@ -72,27 +125,29 @@
         let jobs = jobs.filter(|(k, _)| k.starts_with("burlusher/j/"));
         for (key, e) in jobs {
             let over = e.value.get("end").is_some();
-            *self.jobs_to_restore.entry(key.clone()).or_default() |= over;
+            *self.checker.jobs_to_restore.entry(key.clone()).or_default() |= over;
         }
         let current =
             |n: &Node| n.up && n.core.mirror.loaded && n.seen >= Some(self.state.revision);
         let up = (0..self.nodes.len()).filter(|i| current(&self.nodes[*i]));
         let leads = |n: &Node| n.up && n.core.leads() && !n.core.incomplete();
         if self.nodes.iter().any(leads) && !self.state.keys.contains_key("burlusher/rebuilding") {
-            self.survivors = up.clone().collect();
+            self.checker.survivors = up.clone().collect();
         }
-        match &mut self.complete_replicas {
+        match &mut self.checker.complete_replicas {
             Some(memories) => memories.retain(|i| self.nodes[*i].up),
-            None => self.complete_replicas = Some(up.collect()),
+            None => self.checker.complete_replicas = Some(up.collect()),
         }
         let before = self.state.recorded();
-        self.machines_with_lost_record
+        self.checker
+            .machines_with_lost_record
             .extend(&before - &backup.0.recorded());
         let nobody = self
+            .checker
             .complete_replicas
             .as_ref()
             .is_some_and(BTreeSet::is_empty);
-        self.data_lost_for_good |= nobody && !self.jobs_to_restore.is_empty();
+        self.checker.data_lost_for_good |= nobody && !self.checker.jobs_to_restore.is_empty();
         self.state = backup.0.clone();
         for end in self.state.leases.values_mut() {
             *end = self.now + LEASE_TTL;
--- a/src/core/simulation/mixed_versions.rs
+++ b/src/core/simulation/mixed_versions.rs
@@ -208,6 +208,7 @@
         for row in (0..spec.tasks).filter(|r| rows.contains(*r)) {
             let job = job.clone();
             simulation
+                .checker
                 .completed
                 .insert(crate::job::TaskKey { job, row });
         }
@@ -256,7 +257,11 @@
         }
         simulation.until_done("wk-1", 30.0);
         // The four that were missing, once each, but for a takeover.
-        assert!(simulation.starts <= 6, "{} starts", simulation.starts);
+        assert!(
+            simulation.counters.starts <= 6,
+            "{} starts",
+            simulation.counters.starts
+        );
         assert_eq!(simulation.over_the_limit(), 0);
         simulation.run(10.0);
         assert!(
@@ -336,6 +341,7 @@
         let row = 0;
         let job = done.id.clone();
         simulation
+            .checker
             .completed
             .insert(crate::job::TaskKey { job, row });
         simulation.put(&format!("burlusher/j/{id}"), json!({"end": "Done"}));
@@ -413,7 +419,8 @@
     simulation.nodes[other].state = crate::core::simulation::Link::WritesHeld;
     simulation.run(80.0);
     assert!(
-        !simulation.held_transactions.is_empty() && simulation.stored("burlusher/s/").is_empty()
+        !simulation.network.held_transactions.is_empty()
+            && simulation.stored("burlusher/s/").is_empty()
     );
     simulation.kill(other, Duration::from_secs(2));
     simulation.release();
--- a/src/core/simulation/mod.rs
+++ b/src/core/simulation/mod.rs
@@ -3,6 +3,7 @@
 mod checker;
 mod cloud;
 mod cluster;
+mod counters;
 mod faults;
 mod mixed_versions;
 mod network;
--- a/src/core/simulation/network.rs
+++ b/src/core/simulation/network.rs
@@ -3,14 +3,47 @@
 use super::cluster::Simulation;
 use super::store::STORE_TIMEOUT;
 use crate::cloud::CloudOutcome;
-use crate::core::{Ask, Command, Effect, UserRequest};
+use crate::core::{Ask, Command, Effect, Ticket, UserRequest};
+use crate::http::Answer;
 use crate::job::MachineId;
 use crate::link;
 use crate::peer::{self, PeerAnswer, PeerRequest};
-use crate::recall;
-use crate::wire::{DirectBody, JobAnswer, Report};
+use crate::recall::{self, Recall};
+use crate::wire::{DirectBody, JobAnswer, Report, Txn};
 use rand::RngExt;
-use std::time::Duration;
+use std::collections::BTreeMap;
+use std::time::{Duration, Instant};
+
+/// Messages on their way, and those that are kept for later.
+#[derive(Default)]
+pub struct Network {
+    /// Requests of users that one controller passed on to another: who did, and its own ticket.
+    pub(super) forwards: BTreeMap<Ticket, (usize, Ticket)>,
+    /// Frames of controllers that serve workers: who sent them, their numbers, and when.
+    pub(super) syncs: BTreeMap<Ticket, (usize, u64, Instant)>,
+    /// Requests between controllers for what they remember: who asked whom, and for what.
+    pub(super) recalls: BTreeMap<Ticket, (usize, String, Recall)>,
+    /// Answers that nobody has fetched yet.
+    pub(super) answers: BTreeMap<Ticket, Answer>,
+    /// Duplicates of reports: when each arrives, and at which controller.
+    pub(super) delayed_reports: Vec<(Instant, usize, Report)>,
+    /// Direct commands that are late or duplicates: when each arrives, and at which machine.
+    pub(super) delayed_commands: Vec<(Instant, MachineId, DirectBody)>,
+    /// Transactions that are carried out late.
+    pub(super) delayed_transactions: Vec<(Instant, Txn)>,
+    /// Answers of the state service: when each arrives, and at which controller.
+    pub(super) delayed_answers: Vec<(Instant, usize, Command)>,
+    /// Reports that arrive everywhere when the next leadership begins.
+    pub(super) reports_to_replay: Vec<Report>,
+    /// Questions asked because of an answer to somebody else.
+    pub(super) follow_up_queries: BTreeMap<Ticket, (String, Instant)>,
+    /// Cancellations whose answers nobody waits for, and what they were about.
+    pub(super) unawaited_cancellations: BTreeMap<Ticket, (String, Instant)>,
+    /// Transactions that are held until `Simulation::release`.
+    pub held_transactions: Vec<Txn>,
+    /// Direct commands that are held until then.
+    pub held_commands: Vec<(MachineId, DirectBody)>,
+}
 
 /// How a node's calls to one service go.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -38,7 +71,7 @@
                 if answer.not_after.is_some_and(|t| self.now >= t) {
                     return;
                 }
-                if let Some((asker, peer, asked)) = self.recalls.remove(&ticket) {
+                if let Some((asker, peer, asked)) = self.network.recalls.remove(&ticket) {
                     let (_, body) = peer::read_frame(&mut answer.body.as_slice()).unwrap();
                     let told = recall::decode_recalled(&body).unwrap();
                     self.nodes[asker].inbox.push(Command::Recalled {
@@ -46,7 +79,7 @@
                         asked,
                         answer: Some(Box::new(told)),
                     });
-                } else if let Some((asker, number, _)) = self.syncs.remove(&ticket) {
+                } else if let Some((asker, number, _)) = self.network.syncs.remove(&ticket) {
                     // What cannot get through is as good as lost.
                     let through =
                         self.nodes[asker].peers_reachable && self.nodes[i].peers_reachable;
@@ -56,7 +89,7 @@
                         number,
                         answer: synced.filter(|_| through).map(Box::new),
                     });
-                } else if let Some((asker, original)) = self.forwards.remove(&ticket) {
+                } else if let Some((asker, original)) = self.network.forwards.remove(&ticket) {
                     let told: Option<JobAnswer> = serde_json::from_slice(&answer.body).ok();
                     self.nodes[asker].inbox.push(Command::Forwarded {
                         ticket: original,
@@ -69,13 +102,15 @@
                             running: None,
                         }),
                     });
-                } else if let Some((id, asked)) = self.unawaited_cancellations.remove(&ticket) {
+                } else if let Some((id, asked)) =
+                    self.network.unawaited_cancellations.remove(&ticket)
+                {
                     self.check_answer(&id, asked, Some(&answer));
-                } else if let Some((id, asked)) = self.follow_up_queries.remove(&ticket) {
+                } else if let Some((id, asked)) = self.network.follow_up_queries.remove(&ticket) {
                     let state = self.check_answer(&id, asked, Some(&answer));
-                    self.follow_ups_answered += u32::from(state.is_some());
+                    self.counters.follow_ups_answered += u32::from(state.is_some());
                 } else {
-                    self.answers.insert(ticket, answer);
+                    self.network.answers.insert(ticket, answer);
                 }
             }
             Effect::Forward {
@@ -97,7 +132,7 @@
                 }
                 let passed = self.next_ticket;
                 self.next_ticket += 1;
-                self.forwards.insert(passed, (i, ticket));
+                self.network.forwards.insert(passed, (i, ticket));
                 let received = self.now;
                 self.nodes[to].inbox.push(Command::User(UserRequest {
                     ticket: passed,
@@ -131,7 +166,7 @@
                 let sync = Box::new(link::decode_sync(&body).unwrap());
                 let ticket = self.next_ticket;
                 self.next_ticket += 1;
-                self.syncs.insert(ticket, (i, number, self.now));
+                self.network.syncs.insert(ticket, (i, number, self.now));
                 self.nodes[to].inbox.push(Command::Sync { ticket, sync });
             }
             Effect::Recall { peer, recall } => {
@@ -149,25 +184,31 @@
                 }
                 let ticket = self.next_ticket;
                 self.next_ticket += 1;
-                self.recalls.insert(ticket, (i, peer, recall.clone()));
+                self.network
+                    .recalls
+                    .insert(ticket, (i, peer, recall.clone()));
                 self.nodes[to]
                     .inbox
                     .push(Command::Recall { ticket, recall });
             }
             Effect::ReadAfresh => self.nodes[i].seen = None,
             Effect::State { call, request } => {
-                let lost = self.answers_lost;
+                let lost = self.counters.answers_lost;
                 let outcome = self.call_state(i, &request);
                 let answer = Command::State { call, outcome };
-                if self.answers_lost > lost {
+                if self.counters.answers_lost > lost {
                     let at = self.now + STORE_TIMEOUT;
-                    return self.delayed_answers.push((at, i, answer));
+                    return self.network.delayed_answers.push((at, i, answer));
                 }
-                if self.store_delay.is_zero() {
+                if self.faults.store_delay.is_zero() {
                     return self.nodes[i].inbox.push(answer);
                 }
-                let at = self.now + self.store_delay.mul_f64(self.rng.random_range(0.0..1.0));
-                self.delayed_answers.push((at, i, answer));
+                let at = self.now
+                    + self
+                        .faults
+                        .store_delay
+                        .mul_f64(self.rng.random_range(0.0..1.0));
+                self.network.delayed_answers.push((at, i, answer));
             }
             Effect::Cloud {
                 call,
@@ -219,7 +260,11 @@
     /// Frames that nobody answered within a second.
     pub(super) fn give_up_syncs(&mut self) {
         let late = self.now - Duration::from_secs(1);
-        for (_, (asker, number, _)) in self.syncs.extract_if(.., |_, (_, _, at)| *at < late) {
+        for (_, (asker, number, _)) in self
+            .network
+            .syncs
+            .extract_if(.., |_, (_, _, at)| *at < late)
+        {
             self.nodes[asker].inbox.push(Command::Synced {
                 number,
                 answer: None,
@@ -230,13 +275,19 @@
     /// Copies whose time has come.
     pub(super) fn deliver_delayed(&mut self) {
         let now = self.now;
-        let due = self.delayed_reports.extract_if(.., |(at, ..)| *at <= now);
+        let due = self
+            .network
+            .delayed_reports
+            .extract_if(.., |(at, ..)| *at <= now);
         for (_, node, report) in due.collect::<Vec<_>>() {
             if self.nodes[node].up {
                 self.deliver(node, report);
             }
         }
-        let due = self.delayed_commands.extract_if(.., |(at, ..)| *at <= now);
+        let due = self
+            .network
+            .delayed_commands
+            .extract_if(.., |(at, ..)| *at <= now);
         for (_, id, body) in due.collect::<Vec<_>>() {
             if self
                 .workers
@@ -250,28 +301,28 @@
 
     /// Copies of what workers reported arrive at every controller.
     pub fn replay_at_next_leadership(&mut self, reports: Vec<Report>) {
-        self.reports_to_replay.extend(reports);
+        self.network.reports_to_replay.extend(reports);
     }
 
     /// Commands of which copies are under way.
     pub fn delayed_command_copies(&self) -> Vec<(MachineId, DirectBody)> {
-        let all = self.delayed_commands.iter();
+        let all = self.network.delayed_commands.iter();
         all.map(|(_, id, body)| (id.clone(), body.clone()))
             .collect()
     }
 
     /// Lets everything through that was held.
     pub fn release(&mut self) {
-        let late = std::mem::take(&mut self.delayed_transactions);
+        let late = std::mem::take(&mut self.network.delayed_transactions);
         let late = late.into_iter().map(|(_, txn)| txn);
-        for txn in late.chain(std::mem::take(&mut self.held_transactions)) {
+        for txn in late.chain(std::mem::take(&mut self.network.held_transactions)) {
             self.state.txn(&txn);
         }
-        for (id, body) in std::mem::take(&mut self.held_commands) {
+        for (id, body) in std::mem::take(&mut self.network.held_commands) {
             if self.workers.get(&id).is_some_and(|worker| !worker.hung) {
                 self.direct(&id, &body);
             } else {
-                self.held_commands.push((id, body));
+                self.network.held_commands.push((id, body));
             }
         }
     }
--- a/src/core/simulation/randomized.rs
+++ b/src/core/simulation/randomized.rs
@@ -180,7 +180,7 @@
             let some = simulation.workers.values_mut().step_by(*every);
             some.for_each(|m| m.outbound_partitioned = !m.outbound_partitioned);
         }
-        Fault::Outage => simulation.set_store_outage(!simulation.store_outage),
+        Fault::Outage => simulation.set_store_outage(!simulation.faults.store_outage),
         Fault::RefusedThenOutage(ms) => {
             if let Some(leader) = simulation.leader() {
                 simulation.nodes[leader].state = Link::Refused;
@@ -188,9 +188,15 @@
             simulation.run(*ms as f64 / 1000.0);
             simulation.set_store_outage(true);
         }
-        Fault::LostAnswers(percent) => simulation.lost_answer_share = f64::from(*percent) / 100.0,
-        Fault::LateCommands(percent) => simulation.late_command_share = f64::from(*percent) / 100.0,
-        Fault::ForNext(percent) => simulation.replayed_report_share = f64::from(*percent) / 100.0,
+        Fault::LostAnswers(percent) => {
+            simulation.faults.lost_answer_share = f64::from(*percent) / 100.0
+        }
+        Fault::LateCommands(percent) => {
+            simulation.faults.late_command_share = f64::from(*percent) / 100.0
+        }
+        Fault::ForNext(percent) => {
+            simulation.faults.replayed_report_share = f64::from(*percent) / 100.0
+        }
         Fault::CloseLooks => simulation.query_after_answers = !simulation.query_after_answers,
         Fault::Depose => {
             if let Some(leader) = simulation.leader() {
@@ -213,7 +219,7 @@
                 simulation.set_store_outage(true);
             }
         }
-        Fault::SlowStore(ms) => simulation.store_delay = Duration::from_millis(*ms),
+        Fault::SlowStore(ms) => simulation.faults.store_delay = Duration::from_millis(*ms),
         Fault::Leaders(n) => {
             for _ in 0..*n {
                 if let Some(leader) = simulation.leader() {
@@ -256,7 +262,8 @@
                     let mut other = sample(id, 7, 2.0, 1);
                     other.team = "nobody".into();
                     let status = simulation.submit(n, &other);
-                    let known = matches!(status, 0 | 200 | 503) || simulation.data_lost_for_good;
+                    let known =
+                        matches!(status, 0 | 200 | 503) || simulation.checker.data_lost_for_good;
                     assert!(known, "{id}: a repetition is answered with {status}");
                 }
                 let mut never = sample("wk-900000", 1, 99.0, 1);
@@ -292,10 +299,12 @@
             }
         }
         Fault::MoveAll(n) => simulation.workers.values_mut().for_each(|m| m.node = *n),
-        Fault::HoldCommands => simulation.hold_commands = !simulation.hold_commands,
-        Fault::Cloud => simulation.cloud_down = !simulation.cloud_down,
-        Fault::LateWrites(percent) => simulation.late_write_share = f64::from(*percent) / 100.0,
-        Fault::Copies(s) => simulation.duplicate_delay = Duration::from_secs(*s),
+        Fault::HoldCommands => simulation.faults.hold_commands = !simulation.faults.hold_commands,
+        Fault::Cloud => simulation.faults.cloud_down = !simulation.faults.cloud_down,
+        Fault::LateWrites(percent) => {
+            simulation.faults.late_write_share = f64::from(*percent) / 100.0
+        }
+        Fault::Copies(s) => simulation.faults.duplicate_delay = Duration::from_secs(*s),
         Fault::PartitionInbound { every } => {
             let some = simulation.workers.values_mut().step_by(*every);
             some.for_each(|m| m.inbound_partitioned = !m.inbound_partitioned);
@@ -318,7 +327,7 @@
                 .for_each(|n| n.state = Link::Refused);
         }
         Fault::Lose | Fault::RollBack => {
-            if simulation.store_outage {
+            if simulation.faults.store_outage {
                 simulation.set_store_outage(false);
             }
             // Each has seen all there is, and remembers it from then on.
@@ -348,10 +357,10 @@
 }
 
 fn heal(simulation: &mut Simulation) {
-    if simulation.store_outage {
+    if simulation.faults.store_outage {
         simulation.set_store_outage(false);
     }
-    simulation.store_delay = Duration::ZERO;
+    simulation.faults.store_delay = Duration::ZERO;
     for n in &mut simulation.nodes {
         (n.state, n.peers_reachable, n.paused) = (Link::Good, true, false);
     }
@@ -359,12 +368,18 @@
         m.partitioned_from.clear();
         (m.hung, m.inbound_partitioned, m.outbound_partitioned) = (false, false, false);
     }
-    (simulation.hold_commands, simulation.cloud_down) = (false, false);
-    (simulation.late_write_share, simulation.duplicate_delay) = (0.0, Duration::ZERO);
     (
-        simulation.lost_answer_share,
-        simulation.late_command_share,
-        simulation.replayed_report_share,
+        simulation.faults.hold_commands,
+        simulation.faults.cloud_down,
+    ) = (false, false);
+    (
+        simulation.faults.late_write_share,
+        simulation.faults.duplicate_delay,
+    ) = (0.0, Duration::ZERO);
+    (
+        simulation.faults.lost_answer_share,
+        simulation.faults.late_command_share,
+        simulation.faults.replayed_report_share,
     ) = (0.0, 0.0, 0.0);
     simulation.query_after_answers = false;
     simulation.release();
@@ -424,12 +439,12 @@
     heal(&mut simulation);
     let calm_since = simulation.now;
     simulation.run(15.0);
-    if simulation.data_lost_for_good {
+    if simulation.checker.data_lost_for_good {
         // Nobody remembers what was accepted; that nothing ran twice, all the same, was checked.
         simulation.run(30.0);
         return;
     }
-    if simulation.survivors.is_empty() {
+    if simulation.checker.survivors.is_empty() {
         // What workers show of a store that nobody remembers is for an operator to decide on.
         for _ in 0..8 {
             simulation.run(5.0);
--- a/src/core/simulation/recorded_decisions.rs
+++ b/src/core/simulation/recorded_decisions.rs
@@ -413,17 +413,17 @@
 
 /// Messages are late, repeated, lost or out of order, and the leader changes often.
 fn faulty_network(simulation: &mut Simulation, _seed: u64) {
-    simulation.duplicate_delay = Duration::from_secs(4);
-    simulation.late_write_share = 0.1;
-    simulation.lost_answer_share = 0.2;
-    simulation.late_command_share = 0.2;
-    simulation.replayed_report_share = 0.3;
+    simulation.faults.duplicate_delay = Duration::from_secs(4);
+    simulation.faults.late_write_share = 0.1;
+    simulation.faults.lost_answer_share = 0.2;
+    simulation.faults.late_command_share = 0.2;
+    simulation.faults.replayed_report_share = 0.3;
     submit_all(simulation);
     simulation.run(5.0);
-    simulation.store_delay = Duration::from_millis(600);
+    simulation.faults.store_delay = Duration::from_millis(600);
     simulation.cancel(1, "wk-9");
     simulation.run(5.0);
-    simulation.store_delay = Duration::ZERO;
+    simulation.faults.store_delay = Duration::ZERO;
     for (n, link) in [Link::Refused, Link::Held, Link::AnswersLost]
         .into_iter()
         .enumerate()
--- a/src/core/simulation/scale.rs
+++ b/src/core/simulation/scale.rs
@@ -154,7 +154,7 @@
         running(simulation) == (2 * jobs).min(4 * machines)
     });
     simulation.run(10.0);
-    let starts = simulation.starts;
+    let starts = simulation.counters.starts;
     simulation.lose_state();
     if !leader_lives {
         simulation.kill(leader, Duration::from_secs(600));
@@ -197,7 +197,7 @@
             written = passed(&simulation);
         }
     }
-    let again = u128::from(simulation.starts - starts) - 1;
+    let again = u128::from(simulation.counters.starts - starts) - 1;
     [leads, complete, first, written, busy, again]
 }
 
--- a/src/core/simulation/scenarios/bidding.rs
+++ b/src/core/simulation/scenarios/bidding.rs
@@ -30,7 +30,7 @@
     let (mut simulation, leader) = bidding_cluster(301, "haste = 0");
     simulation.submit(leader, &urgent("wk-1", 6));
     simulation.run(3.0);
-    let rented = simulation.rented;
+    let rented = simulation.counters.rented;
     assert!(rented.0 == 2 && rented.1 >= 3, "{rented:?}");
     simulation.until_done("wk-1", 40.0);
     // Nothing depends on when this starts, and room comes: it waits for it.
@@ -38,7 +38,7 @@
     idle.rank = Rank::Low;
     simulation.submit(leader, &idle);
     simulation.run(20.0);
-    assert_eq!(simulation.rented.1, rented.1);
+    assert_eq!(simulation.counters.rented.1, rented.1);
 }
 
 /// A job without aims, and with no machine at all, was not worth one and waited for ever.
@@ -59,7 +59,7 @@
     plain.spot = true;
     simulation.submit(leader, &plain);
     simulation.run(3.0);
-    assert_eq!(simulation.rented, (2, 0));
+    assert_eq!(simulation.counters.rented, (2, 0));
     simulation.until_done("wk-1", 40.0);
 }
 
@@ -69,7 +69,7 @@
     let (mut simulation, leader) = bidding_cluster(302, "");
     simulation.submit(leader, &urgent("wk-1", 4));
     simulation.run(1.0);
-    simulation.zones_without_capacity.insert("a".into());
+    simulation.faults.zones_without_capacity.insert("a".into());
     simulation.submit(leader, &urgent("wk-2", 4));
     simulation.run(2.5);
     let lost = |simulation: &Simulation| {
@@ -90,19 +90,21 @@
 #[test]
 fn unanswered_rentals_found_by_next_leader() {
     let (mut simulation, leader) = bidding_cluster(303, "");
-    simulation.rental_answers_lost = true;
+    simulation.faults.rental_answers_lost = true;
     simulation.submit(leader, &urgent("wk-1", 6));
     simulation.run(5.0);
-    let unheard = simulation.rented;
+    let unheard = simulation.counters.rented;
     assert!(
         unheard.0 + unheard.1 >= 6 && simulation.workers.len() <= 8,
         "{unheard:?}"
     );
     simulation.kill(leader, Duration::from_secs(60));
-    simulation.rental_answers_lost = false;
+    simulation.faults.rental_answers_lost = false;
     simulation.until_done("wk-1", 60.0);
     // Six tasks need six small machines at most, and the awards of one leader were not given again.
-    assert!(simulation.rented.0 + simulation.rented.1 <= unheard.0 + unheard.1 + 2);
+    assert!(
+        simulation.counters.rented.0 + simulation.counters.rented.1 <= unheard.0 + unheard.1 + 2
+    );
     simulation.until(200.0, "all machines returned", |simulation| {
         simulation.workers.is_empty()
     });
@@ -111,16 +113,16 @@
 #[test]
 fn awards_survive_cloud_outage_and_run_once() {
     let (mut simulation, leader) = bidding_cluster(304, "");
-    simulation.cloud_down = true;
+    simulation.faults.cloud_down = true;
     simulation.submit(leader, &urgent("wk-1", 4));
     simulation.run(12.0);
-    assert_eq!(simulation.rented, (0, 0));
-    simulation.cloud_down = false;
+    assert_eq!(simulation.counters.rented, (0, 0));
+    simulation.faults.cloud_down = false;
     simulation.until_done("wk-1", 40.0);
     assert!(
-        simulation.rented.0 + simulation.rented.1 <= 5,
+        simulation.counters.rented.0 + simulation.counters.rented.1 <= 5,
         "{:?}",
-        simulation.rented
+        simulation.counters.rented
     );
 }
 
@@ -136,6 +138,6 @@
         simulation.kill(leader, Duration::from_secs(5));
         simulation.until_done("wk-1", 80.0);
         simulation.until_done("wk-2", 80.0);
-        assert_eq!(simulation.starts, 4, "killed after {kill_after} s");
+        assert_eq!(simulation.counters.starts, 4, "killed after {kill_after} s");
     }
 }
--- a/src/core/simulation/scenarios/cancellation.rs
+++ b/src/core/simulation/scenarios/cancellation.rs
@@ -43,13 +43,13 @@
         simulation.add_machine("large", "a");
     }
     simulation.run(3.0);
-    simulation.hold_commands = true;
+    simulation.faults.hold_commands = true;
     simulation.submit(leader, &sample("wk-1", 6, 4.0, 20));
     simulation.run(0.5);
     assert_eq!(simulation.submit(leader, &sample("wk-2", 6, 4.0, 20)), 201);
     let (_, state) = simulation.cancel(leader, "wk-1");
     assert_eq!(state, Some(JobState::Cancelled));
-    simulation.hold_commands = false;
+    simulation.faults.hold_commands = false;
     simulation.run(4.0);
     // `World` would notice if these pushed the team over its limit or ran after the end.
     simulation.release();
@@ -85,7 +85,7 @@
             Link::WritesHeld,
         ] {
             let (mut simulation, leader) = eight_machines(900 + n);
-            simulation.store_delay = Duration::from_millis(n * 20);
+            simulation.faults.store_delay = Duration::from_millis(n * 20);
             let spec = unlimited_job("wk-000001", 3, 4.0, 4);
             assert_eq!(simulation.submit(leader, &spec), 201);
             simulation.until(9.0, "all run", |simulation| {
@@ -146,7 +146,7 @@
             simulation.places(&id).len() == 8
         });
         // The leader hears late that the cancellation is durable; another controller tells its user.
-        simulation.store_delay = slow;
+        simulation.faults.store_delay = slow;
         simulation.nodes[leader].watch_delayed = true;
         simulation.run(f64::from(n) * 0.05);
         let begun = simulation.now;
@@ -160,10 +160,10 @@
             }
             simulation.tick();
         }
-        simulation.store_delay = Duration::ZERO;
+        simulation.faults.store_delay = Duration::ZERO;
         simulation.nodes[leader].watch_delayed = false;
         assert_eq!(
-            simulation.late_starts, 0,
+            simulation.counters.late_starts, 0,
             "it starts after its user was told"
         );
         simulation.run(3.0);
@@ -191,7 +191,7 @@
                 201
             );
             simulation.run(2.0);
-            simulation.cloud_down = cloud_down;
+            simulation.faults.cloud_down = cloud_down;
             let hung: Vec<MachineId> = simulation.workers.keys().take(3).cloned().collect();
             for id in &hung {
                 simulation.workers.get_mut(id).unwrap().hung = true;
@@ -214,7 +214,7 @@
             assert!(
                 hang > 20.0
                     || simulation.now
-                        < simulation.cancelled_at["wk-000001"] + simulation.setup.cancel
+                        < simulation.checker.cancelled_at["wk-000001"] + simulation.setup.cancel
             );
             let left = simulation.places("wk-000001");
             // A new leader has yet to hear of what it holds, but its lease ends all the same.
@@ -248,7 +248,7 @@
             201
         );
         simulation.run(2.0);
-        simulation.cloud_down = cloud_down;
+        simulation.faults.cloud_down = cloud_down;
         let cut = simulation.workers.values_mut().next().unwrap();
         cut.partitioned_from = (0..3).collect();
         let mut tries = 0;
@@ -288,7 +288,7 @@
 /// late: writes are few, nothing piles up, and each job is over soon.
 fn many_short_jobs() {
     let (mut simulation, leader) = eight_machines(1320);
-    simulation.store_delay = Duration::from_millis(700);
+    simulation.faults.store_delay = Duration::from_millis(700);
     let before = simulation.changes();
     let id = |n: u32| format!("wk-{n:06}");
     let (mut n, mut cancelled) = (0, 0);
@@ -334,7 +334,7 @@
         n > 400 && cancelled > 100,
         "{n} jobs, {cancelled} cancelled"
     );
-    simulation.store_delay = Duration::ZERO;
+    simulation.faults.store_delay = Duration::ZERO;
     simulation.run(8.0);
     for n in 0..n {
         let state = simulation.show(n as usize % 3, &id(n)).1;
@@ -373,7 +373,7 @@
     assert_eq!(simulation.cancel(leader, "wk-000002").0, 200);
     simulation.run(3.0);
     assert_eq!(
-        simulation.late_starts, 0,
+        simulation.counters.late_starts, 0,
         "it starts after its user was told"
     );
 }
--- a/src/core/simulation/scenarios/cancellation_at_handover.rs
+++ b/src/core/simulation/scenarios/cancellation_at_handover.rs
@@ -42,7 +42,7 @@
     );
     let on = |simulation: &Simulation, id: &str| simulation.places(id)[0].0.clone();
     let (cut, hung) = (on(&simulation, "wk-000001"), on(&simulation, "wk-000002"));
-    simulation.cloud_down = true;
+    simulation.faults.cloud_down = true;
     simulation.workers.get_mut(&cut).unwrap().partitioned_from = (0..3).collect();
     simulation.workers.get_mut(&hung).unwrap().hung = true;
     let cancelled = ["wk-000001", "wk-000002", "wk-000003", "wk-000007"];
@@ -96,7 +96,7 @@
         .unwrap()
         .partitioned_from
         .clear();
-    simulation.cloud_down = false;
+    simulation.faults.cloud_down = false;
     for n in 11..=17 {
         simulation.until_done(&format!("wk-{n:06}"), 120.0);
     }
@@ -176,7 +176,7 @@
                         .workers
                         .values_mut()
                         .for_each(|m| m.partitioned_from = others());
-                    simulation.hold_commands = true;
+                    simulation.faults.hold_commands = true;
                 }
                 Handover::Moves => {
                     simulation
@@ -195,11 +195,11 @@
                 simulation.cancel_without_waiting(at, &id(n));
             }
         }
-        let told = simulation.cancelled_at.len();
+        let told = simulation.checker.cancelled_at.len();
         simulation.tick();
-        if simulation.cancelled_at.len() > told && cut_off {
-            let new =
-                (0..12).filter(|n| simulation.cancelled_at.get(&id(*n)) == Some(&simulation.now));
+        if simulation.checker.cancelled_at.len() > told && cut_off {
+            let new = (0..12)
+                .filter(|n| simulation.checker.cancelled_at.get(&id(*n)) == Some(&simulation.now));
             met += new
                 .filter(|n| !simulation.places(&id(*n)).is_empty())
                 .count() as u32;
@@ -216,7 +216,7 @@
         .workers
         .values_mut()
         .for_each(|m| m.partitioned_from.clear());
-    simulation.hold_commands = false;
+    simulation.faults.hold_commands = false;
     simulation.release();
     for n in 0..12 {
         let mut tries = 0;
@@ -227,7 +227,10 @@
         }
     }
     simulation.run(14.0);
-    assert_eq!(simulation.late_starts, 0, "started after its user was told");
+    assert_eq!(
+        simulation.counters.late_starts, 0,
+        "started after its user was told"
+    );
     met
 }
 
@@ -265,7 +268,7 @@
             m.node = old;
             m.partitioned_from = (0..3).filter(|n| *n != old).collect();
         });
-        simulation.hold_commands = held;
+        simulation.faults.hold_commands = held;
         (
             simulation.nodes[old].state,
             simulation.nodes[old].peers_reachable,
@@ -317,7 +320,7 @@
         }
     };
     cut(&mut simulation, true);
-    simulation.cloud_down = true;
+    simulation.faults.cloud_down = true;
     assert_eq!(simulation.cancel(leader, "wk-000001").0, 200);
     (0..3).for_each(|n| simulation.kill(n, Duration::from_millis(300)));
     simulation.until(8.0, "another leader", |simulation| {
--- a/src/core/simulation/scenarios/cancellation_in_outage.rs
+++ b/src/core/simulation/scenarios/cancellation_in_outage.rs
@@ -94,7 +94,7 @@
             simulation.workers.values_mut().for_each(|m| m.node = node);
         }
         simulation.run(2.5);
-        simulation.hold_commands = gap.held;
+        simulation.faults.hold_commands = gap.held;
         let begun = simulation.now;
         let after = |s: f64| begun + Duration::from_secs_f64(s);
         let mut ticks = 0;
@@ -124,15 +124,19 @@
             }
             let still = refused && simulation.now < after(0.5 + gap.outage_after + 1.0);
             simulation.nodes[old].paused = gap.stands_still && still;
-            if simulation.now >= after(0.5 + gap.outage_after) && !simulation.store_outage {
+            if simulation.now >= after(0.5 + gap.outage_after) && !simulation.faults.store_outage {
                 simulation.set_store_outage(true);
             }
-            let told = simulation.cancelled_at.len();
+            let told = simulation.checker.cancelled_at.len();
             simulation.tick();
             let another = simulation.leader().is_some_and(|l| l != old);
-            if simulation.cancelled_at.len() > told && another && !simulation.store_outage {
-                let new = (0..JOBS)
-                    .filter(|n| simulation.cancelled_at.get(&id(*n)) == Some(&simulation.now));
+            if simulation.checker.cancelled_at.len() > told
+                && another
+                && !simulation.faults.store_outage
+            {
+                let new = (0..JOBS).filter(|n| {
+                    simulation.checker.cancelled_at.get(&id(*n)) == Some(&simulation.now)
+                });
                 met += new
                     .filter(|n| !simulation.places(&id(*n)).is_empty())
                     .count() as u32;
@@ -140,9 +144,9 @@
             ticks += 1;
         }
         // Whatever was confirmed is gone by now, though the state service is away all the time.
-        assert!(simulation.store_outage);
+        assert!(simulation.faults.store_outage);
         for n in 0..JOBS {
-            let told = simulation.cancelled_at.contains_key(&id(n));
+            let told = simulation.checker.cancelled_at.contains_key(&id(n));
             assert!(
                 !told || simulation.places(&id(n)).is_empty(),
                 "{} is there",
@@ -159,8 +163,8 @@
             .workers
             .values_mut()
             .for_each(|m| m.partitioned_from.clear());
-        simulation.hold_commands = false;
-        simulation.held_commands.clear();
+        simulation.faults.hold_commands = false;
+        simulation.network.held_commands.clear();
         simulation.run(LEASE.as_secs_f64() + 3.0);
         for n in 0..JOBS {
             let mut tries = 0;
@@ -175,7 +179,10 @@
         simulation.run(3.0);
     }
     simulation.run(CANCEL.as_secs_f64());
-    assert_eq!(simulation.late_starts, 0, "started after its user was told");
+    assert_eq!(
+        simulation.counters.late_starts, 0,
+        "started after its user was told"
+    );
     met
 }
 
--- a/src/core/simulation/scenarios/delegation.rs
+++ b/src/core/simulation/scenarios/delegation.rs
@@ -50,10 +50,10 @@
 fn followers_answer_unchanged_and_relay_new_reports() {
     let (mut simulation, leader) = delegating_cluster(501, 60);
     simulation.run(5.0);
-    let before = (answered(&simulation, leader), simulation.reports);
+    let before = (answered(&simulation, leader), simulation.counters.reports);
     simulation.run(10.0);
     let told = answered(&simulation, leader) - before.0;
-    let all = u64::from(simulation.reports - before.1);
+    let all = u64::from(simulation.counters.reports - before.1);
     assert!(told * 2 > all, "{told} of {all} were answered by others");
     // Nobody was lost by it, and work goes through all of them.
     assert_eq!(simulation.workers.len(), 60);
@@ -62,9 +62,9 @@
         201
     );
     simulation.until_done("wk-1", 20.0);
-    assert_eq!(simulation.starts, 40);
+    assert_eq!(simulation.counters.starts, 40);
     simulation.run(5.0);
-    assert_eq!(simulation.clears, 40);
+    assert_eq!(simulation.counters.clears, 40);
 }
 
 /// Plans are some time apart, and reports were answered before the next one: each start took a call.
@@ -81,7 +81,7 @@
         work[Work::StartInAnswer as usize],
         work[Work::StartByCall as usize],
     );
-    assert_eq!(simulation.starts, 300);
+    assert_eq!(simulation.counters.starts, 300);
     assert!(
         told > 250 && called < 50,
         "{told} in answers, {called} by calls"
@@ -120,7 +120,7 @@
         .filter(|n| *n != leader)
         .map(|n| (n, at(&simulation, n)))
         .collect();
-    let starts = simulation.starts;
+    let starts = simulation.counters.starts;
     simulation.kill(leader, Duration::from_secs(30));
     simulation.until(5.0, "another leader", |simulation| {
         simulation.leader().is_some_and(|l| l != leader)
@@ -141,7 +141,10 @@
             before.len()
         );
     }
-    assert_eq!(simulation.starts, starts, "nothing is started anew");
+    assert_eq!(
+        simulation.counters.starts, starts,
+        "nothing is started anew"
+    );
 }
 
 /// With all controllers gone, nobody knows any worker, and the new leader asked each one itself.
@@ -188,7 +191,10 @@
     simulation.run(1.0);
     simulation.nodes[leader].paused = false;
     simulation.until_done("wk-1", 20.0);
-    assert_eq!((simulation.workers.len(), simulation.starts), (30, 4));
+    assert_eq!(
+        (simulation.workers.len(), simulation.counters.starts),
+        (30, 4)
+    );
 }
 
 /// A follower goes on answering until its grant ends, and the leader, which cannot hear it, counted
@@ -214,7 +220,7 @@
         simulation.until(3.0, "a fresh grant", |simulation| {
             grant(simulation).is_some_and(|t| t > simulation.now + Duration::from_millis(2500))
         });
-        simulation.cloud_down = true;
+        simulation.faults.cloud_down = true;
         simulation.nodes[other].peers_reachable = false;
         // Each worker's next report is also its last: all of them live on, heard by nobody.
         let at = simulation.now + Duration::from_secs_f64(answered_after);
@@ -306,16 +312,16 @@
     assert!(lent(&simulation) > 4);
     // Direct commands do not get through: starts go with answers to reports, which only the leader
     // can give.
-    simulation.hold_commands = true;
+    simulation.faults.hold_commands = true;
     simulation.submit(leader, &unlimited_job("wk-1", 48, 1.0, 4));
     simulation.run(1.2);
     assert_eq!(lent(&simulation), 0);
     simulation.until_done("wk-1", 30.0);
-    simulation.hold_commands = false;
+    simulation.faults.hold_commands = false;
     simulation.release();
     simulation.run(8.0);
     assert!(lent(&simulation) > 4);
-    assert_eq!(simulation.starts, 48);
+    assert_eq!(simulation.counters.starts, 48);
 }
 
 #[test]
@@ -349,7 +355,7 @@
         }
         simulation.until_done("wk-1", 60.0);
         assert_eq!(
-            (simulation.workers.len(), simulation.starts),
+            (simulation.workers.len(), simulation.counters.starts),
             (30, 30),
             "cut: {cut}"
         );
@@ -369,7 +375,10 @@
     move_workers_to(&mut simulation, other);
     simulation.run(10.0);
     simulation.until_done("wk-1", 60.0);
-    assert_eq!((simulation.workers.len(), simulation.starts), (30, 30));
+    assert_eq!(
+        (simulation.workers.len(), simulation.counters.starts),
+        (30, 30)
+    );
 }
 
 /// Versions and settings without it drop such frames or refuse them; both may lead in turns.
@@ -398,7 +407,10 @@
             simulation.submit(leader, &unlimited_job(&id, 8, 2.0, 5));
             simulation.until_done(&id, 40.0);
         }
-        assert_eq!((simulation.workers.len(), simulation.starts), (4, 32));
+        assert_eq!(
+            (simulation.workers.len(), simulation.counters.starts),
+            (4, 32)
+        );
     }
 }
 
--- a/src/core/simulation/scenarios/dependencies.rs
+++ b/src/core/simulation/scenarios/dependencies.rs
@@ -299,7 +299,7 @@
     assert_eq!(simulation.places("wk-3").len(), 15);
     simulation.run(20.0);
     assert_eq!(
-        (simulation.places("wk-3").len(), simulation.rented),
+        (simulation.places("wk-3").len(), simulation.counters.rented),
         (15, (0, 0))
     );
     // Team u has 8 CPUs guaranteed: a waiting job that fills them leaves them to the next.
--- a/src/core/simulation/scenarios/late_commands.rs
+++ b/src/core/simulation/scenarios/late_commands.rs
@@ -12,19 +12,23 @@
 fn commands_of_a_former_leader(after_s: f64, deposed: bool) {
     let (mut simulation, leader) = eight_machines(1220);
     // Machines have reported just now, so that starts go out by calls.
-    simulation.hold_commands = true;
+    simulation.faults.hold_commands = true;
     assert_eq!(
         simulation.submit(leader, &unlimited_job("wk-000001", 4, 4.0, 30)),
         201
     );
     simulation.run(0.15);
-    assert!(!simulation.held_commands.is_empty(), "none is under way");
+    assert!(
+        !simulation.network.held_commands.is_empty(),
+        "none is under way"
+    );
     let told: Vec<MachineId> = simulation
+        .network
         .held_commands
         .iter()
         .map(|(id, _)| id.clone())
         .collect();
-    simulation.cloud_down = true;
+    simulation.faults.cloud_down = true;
     for id in &told {
         simulation.workers.get_mut(id).unwrap().partitioned_from = (0..3).collect();
     }
@@ -38,9 +42,9 @@
     simulation.until(10.0, "another leader", |simulation| {
         simulation.terms() > terms
     });
-    simulation.hold_commands = false;
+    simulation.faults.hold_commands = false;
     simulation.run(after_s);
-    let held = std::mem::take(&mut simulation.held_commands);
+    let held = std::mem::take(&mut simulation.network.held_commands);
     let arrived = held.iter().filter(|(id, _)| told.contains(id)).count();
     assert!(arrived > 0, "nothing arrives late");
     for (id, body) in held {
@@ -55,7 +59,7 @@
         .workers
         .values_mut()
         .for_each(|m| m.partitioned_from.clear());
-    simulation.cloud_down = false;
+    simulation.faults.cloud_down = false;
     simulation.until_done("wk-000001", 120.0);
 }
 
@@ -78,7 +82,7 @@
     for n in 0..12u32 {
         simulation.until(15.0, "a leader", |simulation| simulation.leader().is_some());
         let leader = simulation.leader().unwrap();
-        simulation.late_command_share = 0.5;
+        simulation.faults.late_command_share = 0.5;
         let id = format!("wk-{:06}", n + 1);
         while !matches!(
             simulation.submit(leader, &unlimited_job(&id, 4, 2.0, 5)),
@@ -96,11 +100,11 @@
         simulation.run(3.0);
     }
     assert!(
-        simulation.commands_delayed > 10,
+        simulation.counters.commands_delayed > 10,
         "{} late",
-        simulation.commands_delayed
+        simulation.counters.commands_delayed
     );
-    simulation.late_command_share = 0.0;
+    simulation.faults.late_command_share = 0.0;
     simulation.run(20.0);
     for n in 0..12u32 {
         let id = format!("wk-{:06}", n + 1);
@@ -115,7 +119,7 @@
 #[test]
 fn repeated_command_after_clear_refused() {
     let (mut simulation, leader) = eight_machines(65);
-    simulation.duplicate_delay = Duration::from_secs(3600);
+    simulation.faults.duplicate_delay = Duration::from_secs(3600);
     assert_eq!(
         simulation.submit(leader, &unlimited_job("wk-000001", 8, 4.0, 2)),
         201
@@ -123,45 +127,48 @@
     simulation.until_done("wk-000001", 20.0);
     simulation.run(15.0);
     let cleared = simulation.workers.values().all(|m| m.tasks.is_empty());
-    assert!(cleared && simulation.clears >= 8, "all is cleared");
+    assert!(cleared && simulation.counters.clears >= 8, "all is cleared");
     let copies = simulation.delayed_command_copies();
     let starts = |o: &Order| matches!(o, Order::Start { .. });
     assert!(copies.iter().any(|(_, b)| b.orders.iter().any(starts)));
-    let before = simulation.starts;
+    let before = simulation.counters.starts;
     for (id, body) in copies {
         simulation.direct(&id, &body);
     }
-    assert_eq!(simulation.starts, before);
+    assert_eq!(simulation.counters.starts, before);
 }
 
 #[test]
 fn command_after_completion_starts_nothing() {
     let (mut simulation, leader) = four_machines(7);
-    simulation.hold_commands = true;
+    simulation.faults.hold_commands = true;
     simulation.submit(leader, &sample("wk-1", 4, 2.0, 6));
     simulation.run(1.5);
-    simulation.hold_commands = false;
-    assert!(!simulation.held_commands.is_empty());
+    simulation.faults.hold_commands = false;
+    assert!(!simulation.network.held_commands.is_empty());
     simulation.until_done("wk-1", 40.0);
     simulation.run(3.0);
-    let starts = simulation.starts;
+    let starts = simulation.counters.starts;
     // They come when the tasks are long done and cleared.
     simulation.release();
     simulation.run(3.0);
-    assert_eq!(simulation.starts, starts);
+    assert_eq!(simulation.counters.starts, starts);
 }
 
 /// Machines answer late, and their commands are held up for seconds: each goes on with what it had, once.
 #[test]
 fn delayed_commands_run_tasks_once() {
     let (mut simulation, leader) = eight_machines(1020);
-    simulation.hold_commands = true;
+    simulation.faults.hold_commands = true;
     assert_eq!(
         simulation.submit(leader, &unlimited_job("wk-000001", 6, 2.0, 8)),
         201
     );
     simulation.run(1.5);
-    assert!(!simulation.held_commands.is_empty(), "none is held up");
+    assert!(
+        !simulation.network.held_commands.is_empty(),
+        "none is held up"
+    );
     assert_eq!(
         simulation.submit(leader, &unlimited_job("wk-000002", 4, 2.0, 100)),
         201
@@ -173,7 +180,7 @@
         simulation.final_answer("wk-000002"),
         Some(JobState::Cancelled)
     );
-    simulation.hold_commands = false;
+    simulation.faults.hold_commands = false;
     simulation.release();
     simulation.run(2.0);
     assert!(simulation.places("wk-000002").is_empty());
--- a/src/core/simulation/scenarios/late_writes.rs
+++ b/src/core/simulation/scenarios/late_writes.rs
@@ -14,7 +14,7 @@
     f(simulation);
     simulation.run(2.5);
     assert!(
-        !simulation.held_transactions.is_empty(),
+        !simulation.network.held_transactions.is_empty(),
         "nothing is under way"
     );
     simulation.nodes[leader].state = Link::Good;
@@ -42,7 +42,7 @@
     simulation.run(0.5);
     assert!(is_recorded(&simulation, &last), "forgotten");
     // It cannot be reached while leaders change, nor deleted, and its task is not started elsewhere.
-    simulation.cloud_down = true;
+    simulation.faults.cloud_down = true;
     assert_eq!(
         simulation.submit(leader, &unlimited_job("wk-000001", 10, 4.0, 30)),
         201
@@ -87,7 +87,10 @@
     // Whoever leads next has only what is on record.
     (0..3).for_each(|n| simulation.kill(n, Duration::from_secs(1)));
     simulation.until_done("wk-000001", 40.0);
-    assert_eq!(simulation.starts, 24, "something is done once more");
+    assert_eq!(
+        simulation.counters.starts, 24,
+        "something is done once more"
+    );
 }
 
 /// A leader whose own first copy was carried out after all took the second one's refusal for the end of its
@@ -103,7 +106,7 @@
     simulation.nodes[leader].state = Link::WritesHeld;
     simulation.run(3.5);
     assert!(
-        !simulation.held_transactions.is_empty(),
+        !simulation.network.held_transactions.is_empty(),
         "nothing is under way"
     );
     simulation.release();
@@ -111,7 +114,7 @@
     simulation.until_done("wk-000001", 6.0);
     assert_eq!(simulation.leader(), Some(leader));
     // With a third of all transactions carried out late, work goes on, and no leader gives up for it.
-    simulation.late_write_share = 0.35;
+    simulation.faults.late_write_share = 0.35;
     for n in 2..8 {
         let id = format!("wk-{n:06}");
         while !matches!(
@@ -136,7 +139,7 @@
     simulation.until(10.0, "a new leader", |simulation| {
         simulation.leader().is_some_and(|l| l != leader)
     });
-    assert!(!simulation.held_transactions.is_empty());
+    assert!(!simulation.network.held_transactions.is_empty());
     simulation.release();
     simulation.nodes[leader].state = Link::Good;
     simulation.until_done("wk-1", 60.0);
@@ -155,14 +158,17 @@
         simulation.submit(leader, &unlimited_job("wk-000001", 6, 4.0, 25)),
         201
     );
-    (simulation.late_write_share, simulation.store_delay) = (late_writes, slow);
+    (
+        simulation.faults.late_write_share,
+        simulation.faults.store_delay,
+    ) = (late_writes, slow);
     simulation.until(20.0, "machines are rented", |simulation| {
         simulation.workers.len() >= 3
     });
     simulation.run(0.5 + ends_after as f64 * 0.1);
     let placed = simulation.places("wk-000001").len() as u32;
     // Those that have tasks are heard by nobody, and the cloud tells nothing.
-    simulation.cloud_down = true;
+    simulation.faults.cloud_down = true;
     let busy = simulation
         .workers
         .values_mut()
@@ -173,14 +179,17 @@
     simulation.until(30.0, "another leader", |simulation| {
         simulation.terms() > terms
     });
-    (simulation.late_write_share, simulation.store_delay) = (0.0, Duration::ZERO);
+    (
+        simulation.faults.late_write_share,
+        simulation.faults.store_delay,
+    ) = (0.0, Duration::ZERO);
     simulation.run(6.0);
     simulation.release();
     simulation
         .workers
         .values_mut()
         .for_each(|m| m.partitioned_from.clear());
-    simulation.cloud_down = false;
+    simulation.faults.cloud_down = false;
     simulation.until_done("wk-000001", 120.0);
     placed
 }
--- a/src/core/simulation/scenarios/leadership.rs
+++ b/src/core/simulation/scenarios/leadership.rs
@@ -17,13 +17,13 @@
     simulation.until(12.0, "a leader", |simulation| simulation.leader().is_some());
     simulation.until_done("wk-1", 40.0);
     assert_eq!(simulation.show(0, "wk-2").1, Some(JobState::Done));
-    assert_eq!(simulation.starts, 12);
+    assert_eq!(simulation.counters.starts, 12);
 }
 
 #[test]
 fn new_leader_waits_for_silent_machine_lease() {
     let (mut simulation, leader) = four_machines(16);
-    simulation.cloud_down = true;
+    simulation.faults.cloud_down = true;
     simulation.submit(leader, &sample("wk-1", 7, 2.0, 40));
     simulation.run(2.0);
     let id = simulation.places("wk-1")[0].0.clone();
@@ -38,7 +38,7 @@
     simulation.run(3.0);
     // The old job's tasks are where they were; the new job does not wait for the silent machine.
     assert_eq!(simulation.places("wk-1").len(), 7);
-    assert_eq!(simulation.starts, 8);
+    assert_eq!(simulation.counters.starts, 8);
     assert_eq!(simulation.show(new, "wk-2").1, Some(JobState::Done));
     // Once its lease has run out, and not before, its tasks start anew.
     simulation.until_done("wk-1", 120.0);
@@ -108,10 +108,10 @@
     let (mut simulation, leader) = four_machines(22);
     simulation.submit(leader, &sample("wk-1", 4, 2.0, 5));
     simulation.run(1.0);
-    simulation.cloud_down = true;
+    simulation.faults.cloud_down = true;
     simulation.workers.clear();
     simulation.run(20.0);
-    simulation.cloud_down = false;
+    simulation.faults.cloud_down = false;
     simulation.until_done("wk-1", 120.0);
 }
 
@@ -205,7 +205,7 @@
         201
     );
     simulation.run(3.0);
-    let starts = simulation.starts;
+    let starts = simulation.counters.starts;
     for _ in 0..3 {
         simulation.kill(leader, Duration::from_millis(50));
         simulation.run(0.3);
@@ -215,5 +215,5 @@
     (0..3).for_each(|n| simulation.kill(n, Duration::from_millis(100)));
     simulation.until(4.5, "a leader", |simulation| simulation.leader().is_some());
     simulation.until_done("wk-000001", 40.0);
-    assert_eq!(simulation.starts, starts);
+    assert_eq!(simulation.counters.starts, starts);
 }
--- a/src/core/simulation/scenarios/loss_of_store.rs
+++ b/src/core/simulation/scenarios/loss_of_store.rs
@@ -50,7 +50,7 @@
 /// Once whole, the store has every job, and nothing of it was started a second time.
 fn assert_rebuilt(simulation: &mut Simulation, starts: u32) {
     simulation.until(60.0, "the store is whole", Simulation::store_complete);
-    assert_eq!(simulation.starts, starts, "needless restarts");
+    assert_eq!(simulation.counters.starts, starts, "needless restarts");
 }
 
 #[test]
@@ -62,7 +62,10 @@
     simulation.until_done("wk-2", 20.0);
     assert_eq!(simulation.cancel(1, "wk-3").1, Some(JobState::Cancelled));
     simulation.run(3.0);
-    let (starts, before) = (simulation.starts, simulation.stored("burlusher/i/"));
+    let (starts, before) = (
+        simulation.counters.starts,
+        simulation.stored("burlusher/i/"),
+    );
     simulation.lose_state();
     let lost = simulation.now;
     simulation.until(12.0, "a leader again", |simulation| {
@@ -89,7 +92,7 @@
     }
     assert_eq!(simulation.stored("burlusher/j/").len(), 3);
     simulation.until_done("wk-1", 90.0);
-    assert_eq!(simulation.starts, starts);
+    assert_eq!(simulation.counters.starts, starts);
 }
 
 /// The term begins at 1 again in an empty store, which every worker would drop.
@@ -125,7 +128,7 @@
         Some(JobState::Cancelled)
     );
     simulation.run(3.0);
-    let starts = simulation.starts;
+    let starts = simulation.counters.starts;
     simulation.restore(&backup);
     simulation.run(1.0);
     assert_rebuilt(&mut simulation, starts);
@@ -151,7 +154,7 @@
     simulation.run(6.0);
     simulation.until(60.0, "the store is whole", Simulation::store_complete);
     // The held write ends the job: its user was not told so.
-    let held = simulation.held_transactions.len();
+    let held = simulation.network.held_transactions.len();
     assert!(held > 0);
     let before = simulation.stored("burlusher/j/");
     simulation.release();
@@ -167,7 +170,7 @@
     simulation.submit(leader, &sample("wk-2", 2, 2.0, 1));
     simulation.until_done("wk-2", 20.0);
     simulation.run(2.0);
-    let starts = simulation.starts;
+    let starts = simulation.counters.starts;
     simulation.lose_state();
     simulation.kill(leader, Duration::from_secs(15));
     simulation.until(10.0, "a leader again", |simulation| {
@@ -201,7 +204,9 @@
     let other = simulation.leader().unwrap();
     assert_eq!(simulation.show(other, "wk-1").1, Some(JobState::Running));
     assert_eq!(simulation.submit(other, &sample("wk-2", 1, 2.0, 1)), 201);
-    simulation.until(20.0, "it runs", |simulation| simulation.starts >= 5);
+    simulation.until(20.0, "it runs", |simulation| {
+        simulation.counters.starts >= 5
+    });
     assert_eq!(simulation.show(other, "wk-999").0, 503);
     // An operator who knows that it will not come back says so.
     assert_eq!(
@@ -222,7 +227,7 @@
     simulation.submit(leader, &long("wk-1"));
     simulation.submit(leader, &sample("wk-2", 2, 2.0, 3));
     simulation.run(2.5);
-    let starts = simulation.starts;
+    let starts = simulation.counters.starts;
     assert_eq!(starts, 6);
     let backup = simulation.backup();
     let store = simulation.stored("burlusher/i/");
@@ -253,7 +258,7 @@
     simulation.run(12.0);
     assert_eq!(simulation.submit(leader, &sample("wk-3", 2, 2.0, 2)), 201);
     simulation.run(6.0);
-    assert_eq!(simulation.starts, starts + 2);
+    assert_eq!(simulation.counters.starts, starts + 2);
     // The user of one submits it again; the other comes from a snapshot.
     assert_eq!(simulation.submit(leader, &long("wk-1")), 201);
     simulation.run(2.0);
@@ -264,7 +269,7 @@
     simulation.until(30.0, "the store is whole", Simulation::store_complete);
     simulation.until_done("wk-1", 90.0);
     assert_eq!(
-        simulation.starts,
+        simulation.counters.starts,
         starts + 2,
         "nothing of them was started again"
     );
@@ -304,7 +309,9 @@
     simulation.capacity.clear();
     simulation.run(8.0);
     simulation.submit(leader, &sample("wk-1", 6, 1.0, 60));
-    simulation.until(5.0, "four of them run", |simulation| simulation.starts == 4);
+    simulation.until(5.0, "four of them run", |simulation| {
+        simulation.counters.starts == 4
+    });
     simulation.run(1.0);
     for n in (0..3).filter(|n| *n != leader) {
         simulation.nodes[n].watch_delayed = true;
@@ -313,7 +320,7 @@
     simulation.until(5.0, "the others run there", |simulation| {
         simulation.workers[&id].tasks.len() == 2
     });
-    simulation.cloud_down = !cloud;
+    simulation.faults.cloud_down = !cloud;
     simulation.lose_state();
     simulation.kill(leader, Duration::from_secs(back_s));
     for n in 0..3 {
@@ -326,7 +333,7 @@
         simulation.leader().is_some()
     });
     simulation.run(5.0);
-    simulation.cloud_down = false;
+    simulation.faults.cloud_down = false;
     // Unless it was deleted meanwhile, as it does not answer.
     if let Some(m) = simulation.workers.get_mut(&id) {
         m.hung = false;
@@ -344,7 +351,7 @@
     simulation.submit(leader, &sample("wk-2", 2, 2.0, 1));
     simulation.until_done("wk-2", 20.0);
     simulation.run(2.0);
-    let starts = simulation.starts;
+    let starts = simulation.counters.starts;
     simulation.lose_state();
     simulation.run(4.0);
     let backup = simulation.backup();
@@ -364,7 +371,7 @@
         let (mut simulation, leader) = six_machines(913);
         simulation.submit(leader, &long("wk-1"));
         simulation.run(2.0);
-        let starts = simulation.starts;
+        let starts = simulation.counters.starts;
         simulation.lose_state();
         simulation.run(pause);
         simulation.lose_state();
@@ -381,7 +388,7 @@
     let (mut simulation, leader) = six_machines(912);
     simulation.submit(leader, &long("wk-1"));
     simulation.run(2.0);
-    let starts = simulation.starts;
+    let starts = simulation.counters.starts;
     // Nothing else tells it: its reads lag, and its writes are held up.
     simulation.nodes[leader].watch_delayed = true;
     simulation.nodes[leader].state = Link::WritesHeld;
@@ -404,7 +411,7 @@
     let (mut simulation, leader) = six_machines(914);
     simulation.submit(leader, &long("wk-1"));
     simulation.run(2.0);
-    let starts = simulation.starts;
+    let starts = simulation.counters.starts;
     simulation.lose_state();
     simulation.nodes[leader].state = Link::Refused;
     // `World` fails if two act at the same time.
@@ -501,7 +508,7 @@
         .unwrap();
     simulation.until_done("wk-2", 20.0);
     simulation.run(3.0);
-    let starts = simulation.starts;
+    let starts = simulation.counters.starts;
     simulation.lose_keys("burlusher/j/wk-1");
     simulation.run(12.0);
     assert_rebuilt(&mut simulation, starts);
@@ -525,7 +532,7 @@
     let (mut simulation, leader) = six_machines(911);
     simulation.submit(leader, &long("wk-1"));
     simulation.run(3.0);
-    let starts = simulation.starts;
+    let starts = simulation.counters.starts;
     simulation.lose_keys("burlusher/j/");
     simulation.force_relisting(leader);
     simulation.run(8.0);
@@ -540,14 +547,14 @@
     let (mut simulation, leader) = six_machines(33);
     assert_eq!(simulation.submit(leader, &long("wk-1")), 201);
     simulation.run(3.0);
-    let starts = simulation.starts;
+    let starts = simulation.counters.starts;
     simulation.kill(leader, Duration::from_secs(60));
     simulation.forget_leases();
     simulation.run(8.0);
     assert_eq!(simulation.leader(), None);
     simulation.until(30.0, "a leader", |simulation| simulation.leader().is_some());
     simulation.until_done("wk-1", 120.0);
-    assert_eq!(simulation.starts, starts);
+    assert_eq!(simulation.counters.starts, starts);
 }
 
 /// A leader reads the store afresh for a sign of a loss, and accepts a job meanwhile: the read is older
@@ -568,14 +575,20 @@
     );
     simulation.run(1.0);
     assert_eq!(simulation.places("wk-000002").len(), 6);
-    let (done, starts) = (simulation.completed.len(), simulation.starts);
+    let (done, starts) = (
+        simulation.checker.completed.len(),
+        simulation.counters.starts,
+    );
     assert!((1..=6).contains(&done), "{done}");
     simulation.finish_listing(leader);
     simulation.run(2.0);
-    assert_eq!(simulation.starts, starts, "nothing is started again");
+    assert_eq!(
+        simulation.counters.starts, starts,
+        "nothing is started again"
+    );
     simulation.until_done("wk-000001", 10.0);
     simulation.until_done("wk-000002", 20.0);
-    assert_eq!(simulation.starts, starts);
+    assert_eq!(simulation.counters.starts, starts);
 }
 
 /// A page of an audit was read before a job ended, and came to the leader after that: no sign of a loss.
--- a/src/core/simulation/scenarios/lost_answers.rs
+++ b/src/core/simulation/scenarios/lost_answers.rs
@@ -10,7 +10,7 @@
 
 /// Jobs come and are called off, one every half second, while this share of answers is lost; users look closely.
 fn lose_answers(simulation: &mut Simulation, share: f64, rounds: u32) {
-    simulation.lost_answer_share = share;
+    simulation.faults.lost_answer_share = share;
     simulation.query_after_answers = true;
     for n in 0..rounds {
         let id = format!("wk-{:06}", n + 1);
@@ -28,7 +28,7 @@
         }
         simulation.run(0.3);
     }
-    simulation.lost_answer_share = 0.0;
+    simulation.faults.lost_answer_share = 0.0;
     simulation.query_after_answers = false;
     for n in 0..rounds {
         let id = format!("wk-{:06}", n + 1);
@@ -46,14 +46,14 @@
         let (mut simulation, leader) = eight_machines(1100 + seed);
         lose_answers(&mut simulation, 0.6, 60);
         assert!(
-            simulation.answers_lost > 40,
+            simulation.counters.answers_lost > 40,
             "{} answers lost",
-            simulation.answers_lost
+            simulation.counters.answers_lost
         );
         assert!(
-            simulation.follow_ups_answered > 100,
+            simulation.counters.follow_ups_answered > 100,
             "{} looks",
-            simulation.follow_ups_answered
+            simulation.counters.follow_ups_answered
         );
         assert_eq!(simulation.terms(), 1, "a leader resigned for its own write");
         assert_eq!(simulation.leader(), Some(leader));
@@ -94,7 +94,7 @@
         simulation.run(2.0);
     }
     simulation.until_done("wk-000001", 90.0);
-    assert_eq!(simulation.starts, 8, "nothing is started twice");
+    assert_eq!(simulation.counters.starts, 8, "nothing is started twice");
     simulation
 }
 
@@ -135,9 +135,9 @@
         assert!(simulation.final_answer(&id).is_some(), "{id} is not over");
     }
     assert!(
-        simulation.follow_ups_answered > 30,
+        simulation.counters.follow_ups_answered > 30,
         "{} looks",
-        simulation.follow_ups_answered
+        simulation.counters.follow_ups_answered
     );
 }
 
@@ -190,8 +190,8 @@
 #[test]
 fn submission_with_lost_answer_accepted_once_seen() {
     let (mut simulation, leader) = eight_machines(1120);
-    simulation.lost_answer_share = 1.0;
-    simulation.lost_answer_prefix = "burlusher/j/";
+    simulation.faults.lost_answer_share = 1.0;
+    simulation.faults.lost_answer_prefix = "burlusher/j/";
     for node in 0..3 {
         let id = format!("wk-{:06}", node + 1);
         let asked = simulation.now;
@@ -205,8 +205,8 @@
             simulation.now - asked
         );
     }
-    assert_eq!(simulation.answers_lost, 3);
-    simulation.lost_answer_share = 0.0;
+    assert_eq!(simulation.counters.answers_lost, 3);
+    simulation.faults.lost_answer_share = 0.0;
     assert_eq!(simulation.leader(), Some(leader));
     for node in 0..3 {
         simulation.until_done(&format!("wk-{:06}", node + 1), 20.0);
--- a/src/core/simulation/scenarios/machine_failures.rs
+++ b/src/core/simulation/scenarios/machine_failures.rs
@@ -9,7 +9,7 @@
 #[test]
 fn resumed_machine_runs_nothing_moved_elsewhere() {
     let (mut simulation, leader) = four_machines(10);
-    simulation.cloud_down = true; // It cannot be deleted either.
+    simulation.faults.cloud_down = true; // It cannot be deleted either.
     simulation.submit(leader, &sample("wk-1", 8, 2.0, 8));
     simulation.run(2.0);
     let id = simulation.places("wk-1")[0].0.clone();
@@ -19,7 +19,7 @@
     simulation.workers.get_mut(&id).unwrap().hung = false;
     simulation.release();
     simulation.until_done("wk-1", 40.0);
-    assert_eq!(simulation.starts, 8);
+    assert_eq!(simulation.counters.starts, 8);
 
     simulation.submit(leader, &sample("wk-2", 8, 2.0, 20));
     simulation.run(2.0);
@@ -52,12 +52,12 @@
     let all: Vec<_> = simulation.workers.keys().cloned().collect();
     simulation.run(20.0);
     // It is tried ever more rarely.
-    let starts = simulation.starts;
+    let starts = simulation.counters.starts;
     simulation.run(15.0);
     assert!(
-        simulation.starts - starts <= 2,
+        simulation.counters.starts - starts <= 2,
         "{} starts",
-        simulation.starts - starts
+        simulation.counters.starts - starts
     );
     assert!(all.iter().all(|id| simulation.workers.contains_key(id)));
     simulation.cancel(leader, "wk-1");
@@ -91,7 +91,7 @@
     let failed =
         |m: &crate::core::simulation::Worker| m.tasks.keys().filter(|k| &*k.job == "wk-2").count();
     assert!(simulation.workers.contains_key(&id) && failed(&simulation.workers[&id]) <= 1);
-    assert_eq!(simulation.starts, 3);
+    assert_eq!(simulation.counters.starts, 3);
 }
 
 /// The only machine that fits has failed with a job that fails everywhere; a sound one that comes later does not
@@ -110,7 +110,7 @@
         201
     );
     simulation.until(200.0, "it has failed five times", |simulation| {
-        simulation.starts >= 5
+        simulation.counters.starts >= 5
     });
     simulation.run(1.5);
     assert_eq!(
--- a/src/core/simulation/scenarios/mixed_faults.rs
+++ b/src/core/simulation/scenarios/mixed_faults.rs
@@ -50,8 +50,8 @@
                     m.partitioned_from.insert(node);
                 }
             }
-            8 => simulation.hold_commands = !simulation.hold_commands,
-            9 => simulation.cloud_down = !simulation.cloud_down,
+            8 => simulation.faults.hold_commands = !simulation.faults.hold_commands,
+            9 => simulation.faults.cloud_down = !simulation.faults.cloud_down,
             10 => {
                 let n = simulation.workers.len().max(1);
                 let i = simulation.random(n);
@@ -113,8 +113,8 @@
         simulation.run(pause);
     }
     // Peace: everything that was accepted ends.
-    simulation.cloud_down = false;
-    simulation.hold_commands = false;
+    simulation.faults.cloud_down = false;
+    simulation.faults.hold_commands = false;
     for n in &mut simulation.nodes {
         n.state = Link::Good;
         n.peers_reachable = true;
@@ -136,7 +136,7 @@
     }
     assert_eq!(simulation.over_the_limit(), 0);
     let key = |t: &TaskKey| ids.iter().any(|i| **i == *t.job);
-    assert!(simulation.completed.iter().any(key));
+    assert!(simulation.checker.completed.iter().any(key));
 }
 
 #[test]
--- a/src/core/simulation/scenarios/old_reports.rs
+++ b/src/core/simulation/scenarios/old_reports.rs
@@ -37,7 +37,7 @@
     simulation.run(0.3);
     assert_eq!(simulation.places("wk-000002").len(), 5);
     // They are not heard from now on, and can't be asked or deleted.
-    simulation.cloud_down = true;
+    simulation.faults.cloud_down = true;
     for id in &idle {
         simulation.workers.get_mut(id).unwrap().partitioned_from = (0..3).collect();
     }
@@ -50,16 +50,19 @@
     simulation.add_machine("small", "a");
     simulation.add_machine("small", "b");
     simulation.run(7.0);
-    assert!(simulation.reports_replayed >= 10, "none was delivered");
+    assert!(
+        simulation.counters.reports_replayed >= 10,
+        "none was delivered"
+    );
     assert_eq!(
-        simulation.starts, 8,
+        simulation.counters.starts, 8,
         "started elsewhere though nothing proves that it is gone"
     );
     simulation
         .workers
         .values_mut()
         .for_each(|m| m.partitioned_from.clear());
-    simulation.cloud_down = false;
+    simulation.faults.cloud_down = false;
     simulation.until_done("wk-000002", 120.0);
 }
 
@@ -78,7 +81,7 @@
     for n in 0..6u32 {
         simulation.until(15.0, "a leader", |simulation| simulation.leader().is_some());
         let leader = simulation.leader().unwrap();
-        simulation.replayed_report_share = 0.5;
+        simulation.faults.replayed_report_share = 0.5;
         let id = format!("wk-{:06}", n + 1);
         while !matches!(
             simulation.submit(leader, &unlimited_job(&id, 5, 2.0, 6)),
@@ -94,17 +97,17 @@
         let machine = simulation.workers.keys().nth(n as usize).unwrap().clone();
         simulation.reboot(&machine, n % 2 == 0);
         simulation.run(1.5);
-        simulation.replayed_report_share = 0.0;
+        simulation.faults.replayed_report_share = 0.0;
         simulation.kill(
             leader,
             Duration::from_millis(if n % 2 == 0 { 300 } else { 6000 }),
         );
         simulation.run(6.0);
         assert!(
-            simulation.reports_replayed > delivered,
+            simulation.counters.reports_replayed > delivered,
             "round {n}: none was kept"
         );
-        delivered = simulation.reports_replayed;
+        delivered = simulation.counters.reports_replayed;
     }
     for n in 0..6 {
         simulation.until_done(&format!("wk-{:06}", n + 1), 90.0);
@@ -115,7 +118,7 @@
 fn late_duplicates_change_nothing() {
     let (mut simulation, leader) = eight_machines(63);
     // From a tenth of a second to three leases late, to any controller.
-    simulation.duplicate_delay = Duration::from_secs(30);
+    simulation.faults.duplicate_delay = Duration::from_secs(30);
     let mut accepted = Vec::new();
     for n in 0..8 {
         let id = format!("wk-{n:06}");
@@ -139,9 +142,9 @@
         }
     }
     // All of them have come, and nothing is started for them.
-    let starts = simulation.starts;
+    let starts = simulation.counters.starts;
     simulation.run(40.0);
-    assert_eq!(simulation.starts, starts);
+    assert_eq!(simulation.counters.starts, starts);
 }
 
 /// A machine was returned, and the next leader does not know its name: a report of it that comes now made
@@ -176,7 +179,7 @@
     simulation.run(5.0);
     let lead = simulation.nodes[next].core.lead.as_ref().unwrap();
     assert!(lead.machines.get(&id).is_none());
-    assert_eq!(simulation.starts, 2);
+    assert_eq!(simulation.counters.starts, 2);
     simulation.until_done("wk-000001", 70.0);
 }
 
@@ -194,9 +197,13 @@
         let copy = simulation.report_of(&id);
         simulation.reboot(&id, from_one);
         simulation.deliver(leader, copy);
-        let before = simulation.starts;
+        let before = simulation.counters.starts;
         simulation.run(6.0);
-        assert_eq!(simulation.starts, before + 1, "its task starts again, once");
+        assert_eq!(
+            simulation.counters.starts,
+            before + 1,
+            "its task starts again, once"
+        );
         simulation.until_done("wk-000001", 30.0);
         assert_eq!(
             machines_in_zone(&simulation, "a").len() + machines_in_zone(&simulation, "b").len(),
@@ -221,7 +228,7 @@
     simulation.run(3.0);
     let (second, _) = simulation.places("wk-000001")[0].clone();
     assert_ne!(first, second);
-    simulation.cloud_down = true;
+    simulation.faults.cloud_down = true;
     simulation.workers.get_mut(&first).unwrap().partitioned_from = (0..3).collect();
     simulation
         .workers
@@ -249,7 +256,7 @@
         .partitioned_from
         .clear();
     simulation.until_done("wk-000001", 60.0);
-    assert_eq!(simulation.starts, 2, "started once more");
+    assert_eq!(simulation.counters.starts, 2, "started once more");
 }
 
 /// A token that nobody gave passed for the sign of a store that has lost data: the leader gave up, and all
@@ -274,7 +281,10 @@
     assert_eq!(lead.machines.get(&id).unwrap().session, 1);
     assert!(simulation.nodes.iter().all(|n| !n.core.incomplete()));
     simulation.until_done("wk-000001", 12.0);
-    assert_eq!((simulation.leader(), simulation.starts), (Some(leader), 4));
+    assert_eq!(
+        (simulation.leader(), simulation.counters.starts),
+        (Some(leader), 4)
+    );
 }
 
 /// A machine that had begun anew, and counted from one, was taken for older than a late copy of its former
@@ -306,7 +316,7 @@
         simulation.run(2.0);
     }
     simulation.until_done("wk-000001", 40.0);
-    assert_eq!(simulation.starts, 7);
+    assert_eq!(simulation.counters.starts, 7);
 }
 
 /// Found by generated histories: a machine that heard nothing of a new leader began another session, which has
@@ -320,7 +330,7 @@
     let zone = simulation.workers[&id].zone.clone();
     let there = simulation.workers.values_mut().filter(|m| m.zone == zone);
     there.for_each(|m| m.inbound_partitioned = true);
-    simulation.cloud_down = true;
+    simulation.faults.cloud_down = true;
     simulation.kill(leader, Duration::from_secs(60));
     simulation.until(8.0, "another leader", |simulation| {
         simulation.leader().is_some()
@@ -350,7 +360,7 @@
     simulation.add_machine("small", "b");
     simulation.run(7.0);
     simulation.until_done("wk-000001", 40.0);
-    assert_eq!(simulation.starts, 5);
+    assert_eq!(simulation.counters.starts, 5);
 }
 
 /// Seen on an own day: reports that a cut had held came when the machines' leases had run out, and
@@ -358,7 +368,7 @@
 #[test]
 fn report_after_session_end_ignored() {
     let (mut simulation, leader) = four_machines(48);
-    simulation.cloud_down = true;
+    simulation.faults.cloud_down = true;
     simulation.submit(leader, &sample("wk-1", 6, 2.0, 60));
     simulation.run(2.0);
     let id = simulation.places("wk-1")[0].0.clone();
--- a/src/core/simulation/scenarios/outages.rs
+++ b/src/core/simulation/scenarios/outages.rs
@@ -25,7 +25,7 @@
         n.state = Link::Good;
     }
     simulation.until_done("wk-1", 20.0);
-    assert_eq!(simulation.starts, 4);
+    assert_eq!(simulation.counters.starts, 4);
 }
 
 #[test]
--- a/src/core/simulation/scenarios/partitions.rs
+++ b/src/core/simulation/scenarios/partitions.rs
@@ -22,10 +22,10 @@
     );
     simulation.run(2.0);
     partition_inbound(&mut simulation, "b", true);
-    let before = simulation.starts;
+    let before = simulation.counters.starts;
     // What runs there is gone when its lease has run out, and only then starts elsewhere.
     simulation.run(9.0);
-    assert_eq!(simulation.starts, before);
+    assert_eq!(simulation.counters.starts, before);
     simulation.run(4.0);
     let lead = simulation.nodes[leader].core.lead.as_ref().unwrap();
     let unheard = |id: &MachineId| lead.machines.get(id).unwrap().unheard.is_some();
@@ -75,7 +75,7 @@
         201
     );
     simulation.until_done("wk-000001", 8.0);
-    assert_eq!(simulation.starts, 8);
+    assert_eq!(simulation.counters.starts, 8);
 }
 
 /// The new leader waited for ever for machines to show its token whose reports kept coming: none of the
@@ -121,7 +121,7 @@
             201
         );
         simulation.run(3.0);
-        let starts = simulation.starts;
+        let starts = simulation.counters.starts;
         (
             simulation.nodes[alone].state,
             simulation.nodes[alone].peers_reachable,
@@ -145,7 +145,10 @@
         ) = (Link::Good, true);
         simulation.release();
         simulation.until_done("wk-000001", 40.0);
-        assert_eq!(simulation.starts, starts, "nothing is started again");
+        assert_eq!(
+            simulation.counters.starts, starts,
+            "nothing is started again"
+        );
     }
 }
 
@@ -173,7 +176,7 @@
     );
     simulation.run(3.0);
     let silent = partition_outbound(&mut simulation, 2, true);
-    simulation.cloud_down = true;
+    simulation.faults.cloud_down = true;
     let calls = simulation.nodes[leader].calls;
     // The leader tells them something now and then, and they answer.
     for n in 3..7 {
@@ -199,7 +202,7 @@
     let lived: usize = (3..7)
         .map(|n| there(&simulation, &format!("wk-{n:06}")))
         .sum();
-    let starts = simulation.starts;
+    let starts = simulation.counters.starts;
     simulation.run(2.0);
     // From two intervals on they get nothing, though they answered just now.
     for n in 7..11 {
@@ -217,10 +220,10 @@
         simulation.cancel(leader, &id);
         simulation.run(0.7);
     }
-    assert!(simulation.starts > starts && lived < 5);
+    assert!(simulation.counters.starts > starts && lived < 5);
     simulation.run(20.0);
     partition_outbound(&mut simulation, 2, false);
-    simulation.cloud_down = false;
+    simulation.faults.cloud_down = false;
     simulation.until_done("wk-000001", 150.0);
 }
 
@@ -295,7 +298,7 @@
 fn commands_go_on_to_machines_that_do_not_report() {
     let (mut simulation, leader) = eight_machines(1340);
     simulation.run(2.0);
-    simulation.cloud_down = true;
+    simulation.faults.cloud_down = true;
     let silent: Vec<MachineId> = simulation.workers.keys().step_by(2).cloned().collect();
     for id in &silent {
         simulation.workers.get_mut(id).unwrap().outbound_partitioned = true;
@@ -365,14 +368,14 @@
     let (mut simulation, leader) = four_machines(29);
     simulation.submit(leader, &sample("wk-1", 8, 2.0, 20));
     simulation.run(3.0);
-    simulation.hold_commands = true;
+    simulation.faults.hold_commands = true;
     simulation.kill(leader, Duration::from_secs(30));
     simulation.until(10.0, "another leader", |simulation| {
         simulation.leader().is_some_and(|l| l != leader)
     });
     simulation.run(6.0);
     assert_eq!(simulation.workers.len(), 4);
-    simulation.hold_commands = false;
+    simulation.faults.hold_commands = false;
     simulation.until_done("wk-1", 40.0);
-    assert_eq!(simulation.starts, 8);
+    assert_eq!(simulation.counters.starts, 8);
 }
--- a/src/core/simulation/scenarios/provisioning.rs
+++ b/src/core/simulation/scenarios/provisioning.rs
@@ -34,7 +34,7 @@
     assert_eq!(simulation.submit(0, &usual), 201);
     // Three batches one after the other on the two spot machines that there are.
     simulation.until_done("wk-1", 150.0);
-    assert_eq!(simulation.rented, (2, 1));
+    assert_eq!(simulation.counters.rented, (2, 1));
     simulation.until_done("wk-2", 150.0);
 }
 
@@ -52,7 +52,7 @@
         next.spot = spot;
         simulation.submit(leader, &next);
         simulation.run(4.0);
-        assert_eq!(simulation.rented, rented);
+        assert_eq!(simulation.counters.rented, rented);
         simulation.until_done("wk-2", 60.0);
     }
 }
@@ -75,7 +75,7 @@
         next.team = "u".into();
         simulation.submit(leader, &next);
         simulation.run(3.0);
-        assert_eq!(simulation.rented.1, rented);
+        assert_eq!(simulation.counters.rented.1, rented);
         simulation
             .workers
             .values_mut()
@@ -90,22 +90,22 @@
 fn cloud_calls_within_limit_through_outage() {
     let (mut simulation, leader) = four_machines(27);
     simulation.capacity.insert(("small".into(), false), 400);
-    simulation.cloud_down = true;
+    simulation.faults.cloud_down = true;
     for n in 1..8 {
         let mut spec = sample(&format!("wk-{n}"), 200, 4.0, 30);
         spec.team = "u".into();
         simulation.submit(leader, &spec);
     }
     simulation.run(10.0);
-    let before = simulation.cloud_calls;
+    let before = simulation.counters.cloud_calls;
     simulation.run(10.0);
     // The limit in these stories is 10 calls a second, with bursts of one second's worth.
     assert!(
-        simulation.cloud_calls - before <= 110,
+        simulation.counters.cloud_calls - before <= 110,
         "{}",
-        simulation.cloud_calls - before
+        simulation.counters.cloud_calls - before
     );
-    simulation.cloud_down = false;
+    simulation.faults.cloud_down = false;
     simulation.until(15.0, "renting goes on", |simulation| {
         simulation.workers.len() > 100
     });
--- a/src/core/simulation/scenarios/scheduling.rs
+++ b/src/core/simulation/scenarios/scheduling.rs
@@ -112,9 +112,9 @@
 
     // A planning and a renting step a second at least, and nothing to do: machines that report
     // nothing new are not looked at.
-    let (before, reports) = (looked(&simulation), simulation.reports);
+    let (before, reports) = (looked(&simulation), simulation.counters.reports);
     simulation.run(3.0);
-    assert!(simulation.reports - reports > 2000);
+    assert!(simulation.counters.reports - reports > 2000);
     let spent = looked(&simulation) - before;
     assert!(spent < 100, "{spent} for reports that tell nothing new");
 
@@ -195,12 +195,12 @@
                 }
             }
         }
-        simulation.cloud_down = leader_ends;
+        simulation.faults.cloud_down = leader_ends;
         if leader_ends {
             simulation.kill(leader, Duration::from_secs(3));
         }
         simulation.run(14.0);
-        simulation.cloud_down = false;
+        simulation.faults.cloud_down = false;
         simulation
             .workers
             .values_mut()
--- a/src/core/simulation/scenarios/submissions.rs
+++ b/src/core/simulation/scenarios/submissions.rs
@@ -21,9 +21,9 @@
         // A late repetition, whatever it carries, gets the state it has now.
         assert_eq!(simulation.submit(node, &sample("wk-1", 6, 900.0, 5)), 200);
     }
-    assert_eq!(simulation.starts, 6);
+    assert_eq!(simulation.counters.starts, 6);
     simulation.run(5.0);
-    assert_eq!(simulation.clears, 6);
+    assert_eq!(simulation.counters.clears, 6);
 }
 
 #[test]
@@ -39,10 +39,10 @@
         assert_eq!(simulation.submit(node, &spec), 422);
     }
     let mut simulation = Simulation::new(2);
-    simulation.cloud_down = true;
+    simulation.faults.cloud_down = true;
     simulation.run(5.0);
     assert_eq!(simulation.submit(0, &sample("wk-1", 1, 2.0, 5)), 503);
-    simulation.cloud_down = false;
+    simulation.faults.cloud_down = false;
     simulation.run(3.0);
     assert_eq!(simulation.submit(0, &sample("wk-1", 1, 2.0, 5)), 201);
 }
--- a/src/core/simulation/store.rs
+++ b/src/core/simulation/store.rs
@@ -196,22 +196,22 @@
 impl Simulation {
     pub(super) fn call_state(&mut self, i: usize, request: &StateRequest) -> StateOutcome {
         if let (StateRequest::Txn(txn), Link::Good) = (request, self.nodes[i].state)
-            && !self.store_outage
-            && self.late_write_share > 0.0
+            && !self.faults.store_outage
+            && self.faults.late_write_share > 0.0
             && !txn.changes.is_empty()
-            && self.rng.random_bool(self.late_write_share)
+            && self.rng.random_bool(self.faults.late_write_share)
         {
             let at = self.now + Duration::from_millis(self.rng.random_range(2000..12000));
-            self.delayed_transactions.push((at, txn.clone()));
+            self.network.delayed_transactions.push((at, txn.clone()));
             return StateOutcome::Unknown("timeout".into());
         }
-        if self.store_outage {
+        if self.faults.store_outage {
             return StateOutcome::Refused("503".into());
         }
         let link = self.nodes[i].state;
         match link {
             Link::Good if self.loses_answer(request) => {
-                self.answers_lost += 1;
+                self.counters.answers_lost += 1;
                 self.state.perform(request);
                 StateOutcome::Unknown("timeout".into())
             }
@@ -226,7 +226,7 @@
             }
             Link::Held | Link::WritesHeld => {
                 if let StateRequest::Txn(txn) = request {
-                    self.held_transactions.push(txn.clone());
+                    self.network.held_transactions.push(txn.clone());
                 }
                 StateOutcome::Unknown("timeout".into())
             }
@@ -238,19 +238,20 @@
         let StateRequest::Txn(txn) = request else {
             return false;
         };
-        let chosen = |c: &Change| c.key().starts_with(self.lost_answer_prefix);
-        self.lost_answer_share > 0.0
+        let chosen = |c: &Change| c.key().starts_with(self.faults.lost_answer_prefix);
+        self.faults.lost_answer_share > 0.0
             && txn.changes.iter().any(chosen)
-            && self.rng.random_bool(self.lost_answer_share)
+            && self.rng.random_bool(self.faults.lost_answer_share)
     }
 
     /// Transactions whose time has come.
     pub(super) fn apply_delayed_transactions(&mut self) {
         let now = self.now;
-        if self.store_outage {
+        if self.faults.store_outage {
             return;
         }
         let due = self
+            .network
             .delayed_transactions
             .extract_if(.., |(at, _)| *at <= now);
         for (_, txn) in due.collect::<Vec<_>>() {
--- a/src/core/simulation/users.rs
+++ b/src/core/simulation/users.rs
@@ -30,7 +30,7 @@
         let ticket = self.ask(node, what);
         for _ in 0..60 {
             self.tick();
-            if let Some(a) = self.answers.remove(&ticket) {
+            if let Some(a) = self.network.answers.remove(&ticket) {
                 return Some(a);
             }
         }
@@ -39,15 +39,15 @@
 
     pub fn submit(&mut self, node: usize, spec: &JobSpec) -> u16 {
         // A repetition may carry anything; the job is what it was.
-        let known = self.specs.contains_key(&*spec.id);
+        let known = self.checker.specs.contains_key(&*spec.id);
         if !known {
-            self.specs.insert(spec.id.to_string(), spec.clone());
+            self.checker.specs.insert(spec.id.to_string(), spec.clone());
         }
         let asked = self.now;
         let answer = self.request(node, Ask::Submit(Box::new(spec.clone())));
         let status = answer.as_ref().map_or(0, |a| a.status);
         if !known && status == 422 {
-            self.specs.remove(&*spec.id);
+            self.checker.specs.remove(&*spec.id);
         }
         self.check_answer(&spec.id, asked, answer.as_ref());
         status
@@ -58,7 +58,9 @@
         let ask = |_| self.ask(node, Ask::Show(id.into()));
         let tickets: Vec<Ticket> = (0..n).map(ask).collect();
         self.run(2.0);
-        let answers = tickets.iter().filter_map(|t| self.answers.remove(t));
+        let answers = tickets
+            .iter()
+            .filter_map(|t| self.network.answers.remove(t));
         answers.map(|a| a.status).collect()
     }
 
@@ -75,7 +77,7 @@
     }
 
     pub fn cancel(&mut self, node: usize, id: &str) -> (u16, Option<JobState>) {
-        self.cancellation_requests.insert(id.into());
+        self.checker.cancellation_requests.insert(id.into());
         let asked = self.now;
         let answer = self.request(node, Ask::Cancel(id.into()));
         let state = self.check_answer(id, asked, answer.as_ref());
@@ -84,15 +86,16 @@
 
     /// Asks to cancel a job, and does not wait for the answer.
     pub fn cancel_without_waiting(&mut self, node: usize, id: &str) {
-        self.cancellation_requests.insert(id.into());
+        self.checker.cancellation_requests.insert(id.into());
         let ticket = self.ask(node, Ask::Cancel(id.into()));
-        self.unawaited_cancellations
+        self.network
+            .unawaited_cancellations
             .insert(ticket, (id.into(), self.now));
     }
 
     /// What its user was told last, if that was final.
     pub fn final_answer(&self, id: &str) -> Option<JobState> {
-        self.final_answers.get(id).map(|(state, _)| *state)
+        self.checker.final_answers.get(id).map(|(state, _)| *state)
     }
 
     /// An operator's word to a node; the answer's status.
@@ -101,7 +104,7 @@
         self.next_ticket += 1;
         self.nodes[node].inbox.push(Command::Settle(ticket));
         self.run(0.2);
-        self.answers.remove(&ticket).map_or(0, |a| a.status)
+        self.network.answers.remove(&ticket).map_or(0, |a| a.status)
     }
 
     /// A snapshot is offered to a node; the answer's status.
@@ -117,7 +120,7 @@
             items: items.collect(),
         });
         self.run(0.2);
-        self.answers.remove(&ticket).map_or(0, |a| a.status)
+        self.network.answers.remove(&ticket).map_or(0, |a| a.status)
     }
 
     /// A status view of a node.
@@ -126,7 +129,7 @@
         self.next_ticket += 1;
         self.nodes[node].inbox.push(Command::Status(ticket));
         self.run(0.1);
-        let answer = self.answers.remove(&ticket);
+        let answer = self.network.answers.remove(&ticket);
         answer.map_or(serde_json::Value::Null, |a| {
             serde_json::from_slice(&a.body).unwrap()
         })
@@ -134,7 +137,7 @@
 
     /// A job that was accepted before this story.
     pub fn register_job(&mut self, spec: &JobSpec) {
-        self.specs.insert(spec.id.to_string(), spec.clone());
+        self.checker.specs.insert(spec.id.to_string(), spec.clone());
     }
 
     pub fn until_done(&mut self, id: &str, seconds: f64) {
@@ -150,15 +153,15 @@
     }
 
     pub fn any_completed(&self, id: &str) -> bool {
-        self.completed.iter().any(|key| &*key.job == id)
+        self.checker.completed.iter().any(|key| &*key.job == id)
     }
 
     /// All tasks of an array have ended with a result.
     pub fn all_completed(&self, id: &str) -> bool {
-        let spec = &self.specs[id];
+        let spec = &self.checker.specs[id];
         (0..spec.tasks).all(|row| {
             let job = spec.id.clone();
-            self.completed.contains(&TaskKey { job, row })
+            self.checker.completed.contains(&TaskKey { job, row })
         })
     }
 
@@ -166,10 +169,17 @@
     pub(super) fn query_everywhere(&mut self, id: &str) {
         for node in 0..self.nodes.len() {
             let mut questions = vec![Ask::Show(id.into())];
-            questions.extend(self.specs.get(id).map(|s| Ask::Submit(Box::new(s.clone()))));
+            questions.extend(
+                self.checker
+                    .specs
+                    .get(id)
+                    .map(|s| Ask::Submit(Box::new(s.clone()))),
+            );
             for what in questions {
                 let ticket = self.ask(node, what);
-                self.follow_up_queries.insert(ticket, (id.into(), self.now));
+                self.network
+                    .follow_up_queries
+                    .insert(ticket, (id.into(), self.now));
             }
         }
     }
--- a/src/core/simulation/worker.rs
+++ b/src/core/simulation/worker.rs
@@ -97,7 +97,7 @@
                 continue;
             };
             let job = parse_task(task).unwrap().job;
-            let spec = &self.specs[&*job];
+            let spec = &self.checker.specs[&*job];
             if spec.one_zone || spec.spread {
                 for (m, key) in self.places(&job) {
                     beside.insert(key, self.workers[&m].zone.clone());
@@ -106,11 +106,10 @@
         }
         let starts = orders.iter().any(|o| matches!(o, Order::Start { .. }));
         // A store that has lost data may have lost this record as well.
-        let kept = self.complete_replicas.is_none()
-            && !self.data_lost_for_good
-            && !self.machines_with_lost_record.contains(id);
+        let kept = self.checker.complete_replicas.is_none()
+            && !self.checker.data_lost_for_good
+            && !self.checker.machines_with_lost_record.contains(id);
         if starts && kept && !self.state.recorded().contains(id) {
-            self.unrecorded_starts += 1;
             panic!("a task starts on {id}, which is not on record");
         }
         let Some(worker) = self.workers.get_mut(id) else {
@@ -128,20 +127,20 @@
                     {
                         continue;
                     }
-                    self.starts += 1;
-                    if let Some(told) = self.cancelled_at.get(&*key.job) {
-                        self.late_starts += 1;
+                    self.counters.starts += 1;
+                    if let Some(told) = self.checker.cancelled_at.get(&*key.job) {
+                        self.counters.late_starts += 1;
                         assert!(
                             now <= *told + self.setup.cancel,
                             "{key} of a cancelled job starts"
                         );
                     }
-                    let spec = &self.specs[&*key.job];
+                    let spec = &self.checker.specs[&*key.job];
                     for a in &spec.awaits {
-                        for row in 0..self.specs[&**a].tasks {
+                        for row in 0..self.checker.specs[&**a].tasks {
                             let job = a.clone();
                             let before = TaskKey { job, row };
-                            let done = self.completed.contains(&before);
+                            let done = self.checker.completed.contains(&before);
                             assert!(done, "{key} starts before {before} is done");
                         }
                     }
@@ -181,7 +180,7 @@
                         .get(&key)
                         .is_some_and(|t| t.attempt == *attempt && t.state == RowState::Exited)
                     {
-                        self.clears += 1;
+                        self.counters.clears += 1;
                         worker.tasks.remove(&key);
                     }
                 }
@@ -214,12 +213,13 @@
             for (key, t) in &mut worker.tasks {
                 if t.state == RowState::Fetching && t.runs <= now {
                     t.state = RowState::Running;
-                    self.late_starts += u32::from(self.cancelled_at.contains_key(&*key.job));
+                    self.counters.late_starts +=
+                        u32::from(self.checker.cancelled_at.contains_key(&*key.job));
                     changed = true;
                 }
                 if t.state == RowState::Running && t.ends.is_some_and(|e| e <= now) {
                     (t.state, t.why) = (RowState::Exited, Some(Why::Done));
-                    self.completed.insert(key.clone());
+                    self.checker.completed.insert(key.clone());
                     changed = true;
                 }
             }
@@ -227,7 +227,7 @@
                 worker.next_report = worker.next_report.min(now + Duration::from_millis(200));
             }
             if let Some((node, ticket, session, sent)) = worker.waiting {
-                if let Some(answer) = self.answers.remove(&ticket) {
+                if let Some(answer) = self.network.answers.remove(&ticket) {
                     worker.waiting = None;
                     if worker.partitioned_from.contains(&node) || worker.inbound_partitioned {
                         continue;
@@ -263,20 +263,23 @@
                     continue;
                 }
                 let report = Box::new(Simulation::report(worker, &id));
-                if !self.duplicate_delay.is_zero() {
+                if !self.faults.duplicate_delay.is_zero() {
                     let at = now
                         + self
+                            .faults
                             .duplicate_delay
                             .mul_f64(self.rng.random_range(0.1..1.0));
                     let to = self.rng.random_range(0..self.setup.nodes);
-                    self.delayed_reports.push((at, to, (*report).clone()));
+                    self.network
+                        .delayed_reports
+                        .push((at, to, (*report).clone()));
                 }
-                if self.replayed_report_share > 0.0
-                    && self.rng.random_bool(self.replayed_report_share)
+                if self.faults.replayed_report_share > 0.0
+                    && self.rng.random_bool(self.faults.replayed_report_share)
                 {
-                    self.reports_to_replay.push((*report).clone());
+                    self.network.reports_to_replay.push((*report).clone());
                 }
-                self.reports += 1;
+                self.counters.reports += 1;
                 let ticket = self.next_ticket;
                 self.next_ticket += 1;
                 worker.waiting = Some((node, ticket, worker.session, now));
@@ -324,22 +327,27 @@
         if worker.inbound_partitioned {
             return DirectOutcome::NotSent("timeout".into());
         }
-        if !self.duplicate_delay.is_zero() {
+        if !self.faults.duplicate_delay.is_zero() {
             let at = self.now
                 + self
+                    .faults
                     .duplicate_delay
                     .mul_f64(self.rng.random_range(0.1..1.0));
-            self.delayed_commands.push((at, id.clone(), body.clone()));
+            self.network
+                .delayed_commands
+                .push((at, id.clone(), body.clone()));
         }
-        if self.late_command_share > 0.0 && self.rng.random_bool(self.late_command_share) {
+        if self.faults.late_command_share > 0.0
+            && self.rng.random_bool(self.faults.late_command_share)
+        {
             let at = self.now + Duration::from_millis(self.rng.random_range(2000..16000));
-            self.commands_delayed += 1;
-            self.delayed_commands.push((at, id.clone(), body));
+            self.counters.commands_delayed += 1;
+            self.network.delayed_commands.push((at, id.clone(), body));
             return unknown;
         }
-        if worker.hung || worker.partitioned_from.contains(&i) || self.hold_commands {
+        if worker.hung || worker.partitioned_from.contains(&i) || self.faults.hold_commands {
             // Held by the network, or by the machine until it resumes.
-            self.held_commands.push((id.clone(), body));
+            self.network.held_commands.push((id.clone(), body));
             return unknown;
         }
         self.direct(id, &body).unwrap_or(unknown)
@@ -354,8 +362,8 @@
             (worker.lease_from, worker.next_report) = (now, now + TICK * 4);
             if from_one {
                 // What was under way to it ends with its connections.
-                self.held_commands.retain(|(to, _)| to != id);
-                self.delayed_commands.retain(|(_, to, _)| to != id);
+                self.network.held_commands.retain(|(to, _)| to != id);
+                self.network.delayed_commands.retain(|(_, to, _)| to != id);
                 (worker.session, worker.seq, worker.token) = (1, 0, 0);
             } else {
                 worker.session += 1;
