--- a/src/core/simulation/cluster.rs
+++ b/src/core/simulation/cluster.rs
@@ -195,6 +195,13 @@
         simulation
     }
 
+    /// A number that no request had before.
+    pub(super) fn new_ticket(&mut self) -> Ticket {
+        let ticket = self.next_ticket;
+        self.next_ticket += 1;
+        ticket
+    }
+
     pub(super) fn clock(&self) -> Now {
         let wall = Duration::from_secs(1_700_000_000) + (self.now - self.start);
         Now {
@@ -239,6 +246,13 @@
         self.checker.leaderships.len()
     }
 
+    /// Adds so many machines that were there before, alternately in zones a and b.
+    pub fn add_machines(&mut self, kind: &str, count: usize) {
+        for n in 0..count {
+            self.add_machine(kind, ["a", "b"][n % 2]);
+        }
+    }
+
     /// Adds a machine that was there before.
     pub fn add_machine(&mut self, kind: &str, zone: &str) -> MachineId {
         let id: MachineId = format!("i-{:06}", self.next_machine).into();
@@ -276,6 +290,21 @@
         }
     }
 
+    /// Runs until a controller leads, and `settle_seconds` more; says which one leads then.
+    pub fn run_until_leader(&mut self, settle_seconds: f64) -> usize {
+        self.until(10.0, "a leader", |simulation| simulation.leader().is_some());
+        self.run(settle_seconds);
+        self.leader().expect("it leads on")
+    }
+
+    /// Runs until a controller other than this one leads; says which. Fails after `seconds`.
+    pub fn run_until_other_leader(&mut self, former: usize, seconds: f64) -> usize {
+        self.until(seconds, "another leader", |simulation| {
+            simulation.leader().is_some_and(|l| l != former)
+        });
+        self.leader().expect("one was found")
+    }
+
     /// Runs until `f` holds; fails after `seconds`.
     pub fn until(&mut self, seconds: f64, what: &str, f: impl Fn(&Simulation) -> bool) {
         let end = self.now + Duration::from_secs_f64(seconds);
--- a/src/core/simulation/faults.rs
+++ b/src/core/simulation/faults.rs
@@ -1,8 +1,10 @@
 //! Faults that a test injects: settings that last until it ends them, and events that it causes by a call.
 
 use super::cluster::{Node, Simulation};
+use super::network::Link;
 use super::store::{Backup, StateService};
 use crate::core::{Command, LEASE_TTL};
+use crate::job::MachineId;
 use crate::state::PREFIX;
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -198,4 +200,37 @@
             (n.seen, n.watch_delayed) = (Some(revision), false);
         }
     }
+
+    /// A worker and all controllers cannot talk to one another.
+    pub fn partition_worker(&mut self, id: &MachineId) {
+        let worker = self.workers.get_mut(id).expect("the worker exists");
+        worker.partitioned_from = (0..self.nodes.len()).collect();
+    }
+
+    /// Every worker can talk to every controller again.
+    pub fn heal_worker_partitions(&mut self) {
+        for worker in self.workers.values_mut() {
+            worker.partitioned_from.clear();
+        }
+    }
+
+    /// How the calls of all controllers to the state service go from now on.
+    pub fn set_store_links(&mut self, link: Link) {
+        for node in &mut self.nodes {
+            node.state = link;
+        }
+    }
+
+    /// Whether controllers reach one another from now on.
+    pub fn set_peers_reachable(&mut self, reachable: bool) {
+        for node in &mut self.nodes {
+            node.peers_reachable = reachable;
+        }
+    }
+
+    /// All controllers reach the state service and one another again.
+    pub fn heal_controllers(&mut self) {
+        self.set_store_links(Link::Good);
+        self.set_peers_reachable(true);
+    }
 }
--- a/src/core/simulation/mixed_versions.rs
+++ b/src/core/simulation/mixed_versions.rs
@@ -359,10 +359,7 @@
     let (mut simulation, leader, large) = with_large_job(64);
     // A node dies between the parts and the job's key: nothing was accepted.
     let other = (leader + 1) % 3;
-    simulation
-        .nodes
-        .iter_mut()
-        .for_each(|n| n.peers_reachable = false);
+    simulation.set_peers_reachable(false);
     simulation.register_job(&large);
     simulation.ask(other, crate::core::Ask::Submit(Box::new(large.clone())));
     simulation.tick();
@@ -374,10 +371,7 @@
     // Without the leader and through it, the first time and repeated.
     let third = (leader + 2) % 3;
     assert_eq!(simulation.submit(third, &large), 201);
-    simulation
-        .nodes
-        .iter_mut()
-        .for_each(|n| n.peers_reachable = true);
+    simulation.set_peers_reachable(true);
     assert_eq!(simulation.submit(leader, &large), 200);
     assert_eq!(
         simulation.show(third, "wk-2"),
@@ -407,10 +401,7 @@
     assert!(parts > 2);
     let (mut simulation, leader, large) = with_large_job(65);
     let other = (leader + 1) % 3;
-    simulation
-        .nodes
-        .iter_mut()
-        .for_each(|n| n.peers_reachable = false);
+    simulation.set_peers_reachable(false);
     simulation.register_job(&large);
     simulation.ask(other, crate::core::Ask::Submit(Box::new(large.clone())));
     simulation.until(2.0, "all parts written", |simulation| {
@@ -429,10 +420,7 @@
     assert_eq!(simulation.show(leader, "wk-2").0, 404);
     // Asked for once more, it is accepted whole.
     assert_eq!(simulation.submit(leader, &large), 201);
-    simulation
-        .nodes
-        .iter_mut()
-        .for_each(|n| n.peers_reachable = true);
+    simulation.set_peers_reachable(true);
     simulation.until_done("wk-2", 60.0);
 }
 
--- a/src/core/simulation/network.rs
+++ b/src/core/simulation/network.rs
@@ -130,8 +130,7 @@
                     });
                     return;
                 }
-                let passed = self.next_ticket;
-                self.next_ticket += 1;
+                let passed = self.new_ticket();
                 self.network.forwards.insert(passed, (i, ticket));
                 let received = self.now;
                 self.nodes[to].inbox.push(Command::User(UserRequest {
@@ -164,8 +163,7 @@
                 }
                 let (_, body) = peer::read_frame(&mut frame.as_slice()).unwrap();
                 let sync = Box::new(link::decode_sync(&body).unwrap());
-                let ticket = self.next_ticket;
-                self.next_ticket += 1;
+                let ticket = self.new_ticket();
                 self.network.syncs.insert(ticket, (i, number, self.now));
                 self.nodes[to].inbox.push(Command::Sync { ticket, sync });
             }
@@ -182,8 +180,7 @@
                     });
                     return;
                 }
-                let ticket = self.next_ticket;
-                self.next_ticket += 1;
+                let ticket = self.new_ticket();
                 self.network
                     .recalls
                     .insert(ticket, (i, peer, recall.clone()));
@@ -249,8 +246,7 @@
 
     /// A report comes to a node late.
     pub fn deliver(&mut self, node: usize, report: Report) {
-        let ticket = self.next_ticket;
-        self.next_ticket += 1;
+        let ticket = self.new_ticket();
         let report = Box::new(report);
         self.nodes[node]
             .inbox
--- a/src/core/simulation/randomized.rs
+++ b/src/core/simulation/randomized.rs
@@ -321,10 +321,7 @@
             ) = (Link::Refused, false)
         }
         Fault::RefuseAll => {
-            simulation
-                .nodes
-                .iter_mut()
-                .for_each(|n| n.state = Link::Refused);
+            simulation.set_store_links(Link::Refused);
         }
         Fault::Lose | Fault::RollBack => {
             if simulation.faults.store_outage {
@@ -337,15 +334,9 @@
             simulation.release();
             simulation.run(0.5);
             // A service that is restored is away for a moment.
-            simulation
-                .nodes
-                .iter_mut()
-                .for_each(|n| n.state = Link::Refused);
+            simulation.set_store_links(Link::Refused);
             simulation.run(1.3);
-            simulation
-                .nodes
-                .iter_mut()
-                .for_each(|n| n.state = Link::Good);
+            simulation.set_store_links(Link::Good);
             match backup {
                 Some(backup) if matches!(fault, Fault::RollBack) => simulation.restore(backup),
                 _ if matches!(fault, Fault::Lose) => simulation.lose_state(),
@@ -388,9 +379,7 @@
 fn run_schedule(seed: u64, steps: &[Step]) {
     let mut simulation =
         Simulation::with_policy(seed, Policy::with("history", "delegate = true").unwrap());
-    for zone in ["a", "b", "a", "b", "a", "b"] {
-        simulation.add_machine("small", zone);
-    }
+    simulation.add_machines("small", 6);
     simulation.until(10.0, "a leader", |simulation| simulation.leader().is_some());
     simulation.run(2.0);
     let mut accepted: Vec<(String, Kind)> = Vec::new();
--- a/src/core/simulation/recorded_decisions.rs
+++ b/src/core/simulation/recorded_decisions.rs
@@ -262,9 +262,7 @@
     let policy = Policy::with("recorded", case.policy).unwrap();
     let mut simulation = Simulation::with_policy(case.seed, policy);
     simulation.recorder = Some(DecisionRecorder::new(simulation.now));
-    for zone in ["a", "b", "a", "b"] {
-        simulation.add_machine("small", zone);
-    }
+    simulation.add_machines("small", 4);
     simulation.until(10.0, "a leader", |simulation| simulation.leader().is_some());
     simulation.run(2.0);
     schedule(&mut simulation, case.seed);
@@ -360,9 +358,7 @@
 /// Forty more machines, which all controllers share; a job of a high rank takes room from one of a
 /// low rank, one that is too large for a single value is accepted, and the leader ends.
 fn many_machines(simulation: &mut Simulation, _seed: u64) {
-    for n in 0..40 {
-        simulation.add_machine("small", ["a", "b"][n % 2]);
-    }
+    simulation.add_machines("small", 40);
     simulation.run(6.0);
     let of_unlimited_team = |id: &str, tasks, rank| {
         let mut spec = sample(id, tasks, 2.0, 12);
--- a/src/core/simulation/scale.rs
+++ b/src/core/simulation/scale.rs
@@ -31,12 +31,8 @@
 fn cluster_with_leader(seed: u64, policy: &str, machines: usize) -> (Simulation, usize) {
     let mut simulation = Simulation::with_policy(seed, Policy::with("scale", policy).unwrap());
     simulation.capacity.clear();
-    for n in 0..machines {
-        simulation.add_machine("small", ["a", "b"][n % 2]);
-    }
-    simulation.until(10.0, "a leader", |simulation| simulation.leader().is_some());
-    simulation.run(5.0);
-    let leader = simulation.leader().unwrap();
+    simulation.add_machines("small", machines);
+    let leader = simulation.run_until_leader(5.0);
     (simulation, leader)
 }
 
@@ -69,10 +65,7 @@
         .unwrap();
     simulation.workers.get_mut(&dead).unwrap().hung = true;
     simulation.kill(leader, Duration::from_secs(600));
-    simulation.until(10.0, "another leader", |simulation| {
-        simulation.leader().is_some_and(|l| l != leader)
-    });
-    let next = simulation.leader().unwrap();
+    let next = simulation.run_until_other_leader(leader, 10.0);
     let (since, changes) = (simulation.now, simulation.changes());
     simulation.nodes[next].busy = Duration::ZERO;
     let fresh = job("wk-999999", 4);
--- a/src/core/simulation/scenarios/bidding.rs
+++ b/src/core/simulation/scenarios/bidding.rs
@@ -11,9 +11,7 @@
 pub fn bidding_cluster(seed: u64, entries: &str) -> (Simulation, usize) {
     let text = format!("bidding = true\nworth = 10\n{entries}");
     let mut simulation = Simulation::with_policy(seed, Policy::with("story", &text).unwrap());
-    simulation.until(10.0, "a leader", |simulation| simulation.leader().is_some());
-    simulation.run(4.0);
-    let leader = simulation.leader().unwrap();
+    let leader = simulation.run_until_leader(4.0);
     (simulation, leader)
 }
 
--- a/src/core/simulation/scenarios/cancellation.rs
+++ b/src/core/simulation/scenarios/cancellation.rs
@@ -237,12 +237,8 @@
         let policy = Policy::with("short", "delegate = true\nidle_keep = 600").unwrap();
         let mut simulation = Simulation::with_setup(1010, policy, setup);
         simulation.capacity.clear();
-        for zone in ["a", "b", "a", "b"] {
-            simulation.add_machine("small", zone);
-        }
-        simulation.until(10.0, "a leader", |simulation| simulation.leader().is_some());
-        simulation.run(4.0);
-        let leader = simulation.leader().unwrap();
+        simulation.add_machines("small", 4);
+        let leader = simulation.run_until_leader(4.0);
         assert_eq!(
             simulation.submit(leader, &unlimited_job("wk-000001", 4, 4.0, 100)),
             201
--- a/src/core/simulation/scenarios/cancellation_at_handover.rs
+++ b/src/core/simulation/scenarios/cancellation_at_handover.rs
@@ -43,7 +43,7 @@
     let on = |simulation: &Simulation, id: &str| simulation.places(id)[0].0.clone();
     let (cut, hung) = (on(&simulation, "wk-000001"), on(&simulation, "wk-000002"));
     simulation.faults.cloud_down = true;
-    simulation.workers.get_mut(&cut).unwrap().partitioned_from = (0..3).collect();
+    simulation.partition_worker(&cut);
     simulation.workers.get_mut(&hung).unwrap().hung = true;
     let cancelled = ["wk-000001", "wk-000002", "wk-000003", "wk-000007"];
     if ends_after_ms < 0 {
@@ -139,12 +139,8 @@
     let mut simulation =
         Simulation::with_setup(1310, Policy::with("handover", &text).unwrap(), setup);
     simulation.capacity.clear();
-    for n in 0..12 {
-        simulation.add_machine("small", ["a", "b"][n % 2]);
-    }
-    simulation.until(10.0, "a leader", |simulation| simulation.leader().is_some());
-    simulation.run(4.0);
-    let leader = simulation.leader().unwrap();
+    simulation.add_machines("small", 12);
+    let leader = simulation.run_until_leader(4.0);
     let id = |n: u32| format!("wk-{n:06}");
     for n in 0..12 {
         assert_eq!(
@@ -212,10 +208,7 @@
         simulation.nodes[from].state,
         simulation.nodes[from].peers_reachable,
     ) = (Link::Good, true);
-    simulation
-        .workers
-        .values_mut()
-        .for_each(|m| m.partitioned_from.clear());
+    simulation.heal_worker_partitions();
     simulation.faults.hold_commands = false;
     simulation.release();
     for n in 0..12 {
--- a/src/core/simulation/scenarios/cancellation_in_outage.rs
+++ b/src/core/simulation/scenarios/cancellation_in_outage.rs
@@ -64,9 +64,7 @@
     };
     let mut simulation = Simulation::with_setup(seed, Policy::with("gap", &text).unwrap(), setup);
     simulation.capacity.clear();
-    for n in 0..JOBS {
-        simulation.add_machine("small", ["a", "b"][n % 2]);
-    }
+    simulation.add_machines("small", JOBS);
     simulation.until(10.0, "a leader", |simulation| simulation.leader().is_some());
     simulation.run(4.0);
     let mut met = 0;
@@ -155,14 +153,8 @@
         }
         simulation.set_store_outage(false);
         simulation.nodes[old].paused = false;
-        simulation
-            .nodes
-            .iter_mut()
-            .for_each(|n| (n.state, n.peers_reachable) = (Link::Good, true));
-        simulation
-            .workers
-            .values_mut()
-            .for_each(|m| m.partitioned_from.clear());
+        simulation.heal_controllers();
+        simulation.heal_worker_partitions();
         simulation.faults.hold_commands = false;
         simulation.network.held_commands.clear();
         simulation.run(LEASE.as_secs_f64() + 3.0);
--- a/src/core/simulation/scenarios/delegation.rs
+++ b/src/core/simulation/scenarios/delegation.rs
@@ -19,12 +19,8 @@
     crate::core::simulation::enable_log();
     let mut simulation = Simulation::with_policy(seed, policy(true));
     simulation.capacity.clear();
-    for i in 0..machines {
-        simulation.add_machine("small", ["a", "b"][i % 2]);
-    }
-    simulation.until(10.0, "a leader", |simulation| simulation.leader().is_some());
-    simulation.run(4.0);
-    let leader = simulation.leader().unwrap();
+    simulation.add_machines("small", machines);
+    let leader = simulation.run_until_leader(4.0);
     (simulation, leader)
 }
 
@@ -122,10 +118,7 @@
         .collect();
     let starts = simulation.counters.starts;
     simulation.kill(leader, Duration::from_secs(30));
-    simulation.until(5.0, "another leader", |simulation| {
-        simulation.leader().is_some_and(|l| l != leader)
-    });
-    let next = simulation.leader().unwrap();
+    let next = simulation.run_until_other_leader(leader, 5.0);
     simulation.until(1.0, "all machines known", |simulation| {
         (simulation.nodes[next].core.lead.as_ref()).is_some_and(|l| l.unresolved == 0)
     });
@@ -333,9 +326,7 @@
     simulation.run(5.0);
     // Nothing is amiss until it has something to say, and cannot.
     simulation.submit(leader, &unlimited_job("wk-1", 120, 1.0, 3));
-    simulation.until(12.0, "another leader", |simulation| {
-        simulation.leader().is_some_and(|l| l != leader)
-    });
+    simulation.run_until_other_leader(leader, 12.0);
     simulation.until_done("wk-1", 30.0);
     assert_eq!(simulation.workers.len(), 40);
 }
@@ -387,15 +378,11 @@
     for leads_with in [true, false] {
         let mut simulation = Simulation::with_policy(509, policy(leads_with));
         simulation.policy = policy(!leads_with).into();
-        for zone in ["a", "b", "a", "b"] {
-            simulation.add_machine("small", zone);
-        }
+        simulation.add_machines("small", 4);
         // All but one are started anew, with the other setting.
         simulation.kill(1, Duration::from_millis(200));
         simulation.kill(2, Duration::from_millis(200));
-        simulation.until(10.0, "a leader", |simulation| simulation.leader().is_some());
-        simulation.run(4.0);
-        let first = simulation.leader().unwrap();
+        let first = simulation.run_until_leader(4.0);
         simulation.submit(first, &unlimited_job("wk-1", 8, 2.0, 5));
         simulation.until_done("wk-1", 30.0);
         for n in 0..3 {
--- a/src/core/simulation/scenarios/dependencies.rs
+++ b/src/core/simulation/scenarios/dependencies.rs
@@ -61,10 +61,7 @@
     simulation.until_done("wk-51", 10.0);
     let mut n = 100;
     for alone in [false, true] {
-        simulation
-            .nodes
-            .iter_mut()
-            .for_each(|n| n.peers_reachable = !alone);
+        simulation.set_peers_reachable(!alone);
         for node in 0..3 {
             n += 1;
             let id = format!("wk-{n}");
@@ -86,10 +83,7 @@
         }
     }
     // What cannot be decided is put off at once.
-    simulation
-        .nodes
-        .iter_mut()
-        .for_each(|n| n.state = Link::Refused);
+    simulation.set_store_links(Link::Refused);
     assert_eq!(
         simulation.submit(0, &after("wk-300", &["wk-777"], 1, 1)),
         503
@@ -163,10 +157,7 @@
     simulation.nodes[leader].state = Link::AnswersLost;
     simulation.cancel_without_waiting(leader, "wk-1");
     simulation.run(0.2);
-    simulation
-        .nodes
-        .iter_mut()
-        .for_each(|n| n.peers_reachable = false);
+    simulation.set_peers_reachable(false);
     let other = follower(leader);
     assert_eq!(simulation.show(other, "wk-3").1, Some(JobState::Cancelled));
     assert!(simulation.nodes[leader].core.leads());
@@ -186,10 +177,7 @@
     simulation.nodes[leader].state = Link::WritesHeld;
     simulation.cancel_without_waiting(leader, "wk-1");
     simulation.run(0.2);
-    simulation
-        .nodes
-        .iter_mut()
-        .for_each(|n| n.peers_reachable = false);
+    simulation.set_peers_reachable(false);
     assert_eq!(
         simulation.submit(other, &after("wk-3", &["wk-2"], 1, 5)),
         201
@@ -218,10 +206,7 @@
     simulation.nodes[leader].state = Link::AnswersLost;
     simulation.cancel_without_waiting(leader, "wk-1");
     simulation.run(0.2);
-    simulation
-        .nodes
-        .iter_mut()
-        .for_each(|n| n.peers_reachable = false);
+    simulation.set_peers_reachable(false);
     assert_eq!(simulation.submit(other, &after("wk-5", &[], 1, 60)), 201);
     assert_eq!(simulation.show(other, "wk-2").1, Some(JobState::Cancelled));
     // It cannot know, and says so at once, or when it has caught up.
@@ -246,10 +231,7 @@
         simulation.submit(leader, &after("wk-1", &[], 2, 3));
         simulation.submit(leader, &after("wk-2", &[], 2, 60));
         simulation.run(1.0);
-        simulation
-            .nodes
-            .iter_mut()
-            .for_each(|n| n.peers_reachable = delay % 2 == 0);
+        simulation.set_peers_reachable(delay % 2 == 0);
         let other = follower(leader);
         for (id, awaits) in [("wk-3", ["wk-1"]), ("wk-4", ["wk-2"])] {
             let spec = after(id, &awaits, 1, 2);
@@ -263,10 +245,7 @@
             simulation.cancel(leader, "wk-2").1,
             Some(JobState::Cancelled)
         );
-        simulation
-            .nodes
-            .iter_mut()
-            .for_each(|n| n.peers_reachable = true);
+        simulation.set_peers_reachable(true);
         simulation.run(2.0);
         for node in 0..3 {
             assert_eq!(simulation.show(node, "wk-4").1, Some(JobState::Cancelled));
--- a/src/core/simulation/scenarios/late_commands.rs
+++ b/src/core/simulation/scenarios/late_commands.rs
@@ -30,7 +30,7 @@
         .collect();
     simulation.faults.cloud_down = true;
     for id in &told {
-        simulation.workers.get_mut(id).unwrap().partitioned_from = (0..3).collect();
+        simulation.partition_worker(id);
     }
     let terms = simulation.terms();
     if deposed {
@@ -55,10 +55,7 @@
         simulation.nodes[leader].state,
         simulation.nodes[leader].peers_reachable,
     ) = (Link::Good, true);
-    simulation
-        .workers
-        .values_mut()
-        .for_each(|m| m.partitioned_from.clear());
+    simulation.heal_worker_partitions();
     simulation.faults.cloud_down = false;
     simulation.until_done("wk-000001", 120.0);
 }
@@ -84,12 +81,7 @@
         let leader = simulation.leader().unwrap();
         simulation.faults.late_command_share = 0.5;
         let id = format!("wk-{:06}", n + 1);
-        while !matches!(
-            simulation.submit(leader, &unlimited_job(&id, 4, 2.0, 5)),
-            200 | 201
-        ) {
-            simulation.run(0.5);
-        }
+        simulation.submit_until_accepted(leader, &unlimited_job(&id, 4, 2.0, 5), 0.5);
         simulation.run(1.0);
         if n % 3 == 1 {
             simulation.cancel_without_waiting((leader + 1) % 3, &id);
--- a/src/core/simulation/scenarios/late_writes.rs
+++ b/src/core/simulation/scenarios/late_writes.rs
@@ -54,7 +54,7 @@
             .iter()
             .any(|(m, _)| *m == last)
     );
-    simulation.workers.get_mut(&last).unwrap().partitioned_from = (0..3).collect();
+    simulation.partition_worker(&last);
     simulation.kill(leader, Duration::from_secs(30));
     simulation.until(8.0, "another leader", |simulation| {
         simulation.leader().is_some()
@@ -117,12 +117,7 @@
     simulation.faults.late_write_share = 0.35;
     for n in 2..8 {
         let id = format!("wk-{n:06}");
-        while !matches!(
-            simulation.submit(leader, &unlimited_job(&id, 6, 2.0, 2)),
-            200 | 201
-        ) {
-            simulation.run(1.0);
-        }
+        simulation.submit_until_accepted(leader, &unlimited_job(&id, 6, 2.0, 2), 1.0);
         simulation.until_done(&id, 40.0);
         assert_eq!(simulation.leader(), Some(leader));
     }
@@ -136,9 +131,7 @@
     // The old leader's cancellation is stuck in the network while another leads.
     simulation.nodes[leader].state = Link::Held;
     let _ = simulation.cancel(leader, "wk-1");
-    simulation.until(10.0, "a new leader", |simulation| {
-        simulation.leader().is_some_and(|l| l != leader)
-    });
+    simulation.run_until_other_leader(leader, 10.0);
     assert!(!simulation.network.held_transactions.is_empty());
     simulation.release();
     simulation.nodes[leader].state = Link::Good;
@@ -151,9 +144,7 @@
     let policy = Policy::with("new", "delegate = true\nidle_keep = 600").unwrap();
     let mut simulation = Simulation::with_policy(1240 + ends_after, policy);
     simulation.boot_time = Duration::from_millis(400);
-    simulation.until(10.0, "a leader", |simulation| simulation.leader().is_some());
-    simulation.run(3.0);
-    let leader = simulation.leader().unwrap();
+    let leader = simulation.run_until_leader(3.0);
     assert_eq!(
         simulation.submit(leader, &unlimited_job("wk-000001", 6, 4.0, 25)),
         201
@@ -185,10 +176,7 @@
     ) = (0.0, Duration::ZERO);
     simulation.run(6.0);
     simulation.release();
-    simulation
-        .workers
-        .values_mut()
-        .for_each(|m| m.partitioned_from.clear());
+    simulation.heal_worker_partitions();
     simulation.faults.cloud_down = false;
     simulation.until_done("wk-000001", 120.0);
     placed
--- a/src/core/simulation/scenarios/leadership.rs
+++ b/src/core/simulation/scenarios/leadership.rs
@@ -28,7 +28,7 @@
     simulation.run(2.0);
     let id = simulation.places("wk-1")[0].0.clone();
     // The machine keeps its tasks but cannot reach the nodes that are left.
-    simulation.workers.get_mut(&id).unwrap().partitioned_from = (0..3).collect();
+    simulation.partition_worker(&id);
     simulation.kill(leader, Duration::from_secs(100));
     simulation.until(8.0, "a new leader", |simulation| {
         simulation.leader().is_some()
@@ -52,9 +52,7 @@
         m.partitioned_from.insert(leader);
     }
     let machines = simulation.workers.len();
-    simulation.until(15.0, "another leader", |simulation| {
-        simulation.leader().is_some_and(|l| l != leader)
-    });
+    simulation.run_until_other_leader(leader, 15.0);
     // The silence of all is a cut, not the loss of each.
     assert_eq!(simulation.workers.len(), machines);
     simulation.until_done("wk-1", 40.0);
@@ -70,9 +68,7 @@
     for m in simulation.workers.values_mut() {
         m.partitioned_from.insert(leader);
     }
-    simulation.until(3.0, "another leader", |simulation| {
-        simulation.leader().is_some_and(|l| l != leader)
-    });
+    simulation.run_until_other_leader(leader, 3.0);
     simulation.until_done("wk-1", 20.0);
     assert_eq!(simulation.workers.len(), 1000);
 }
--- a/src/core/simulation/scenarios/loss_of_store.rs
+++ b/src/core/simulation/scenarios/loss_of_store.rs
@@ -19,12 +19,8 @@
 fn six_machines_with(seed: u64, policy: &str) -> (Simulation, usize) {
     crate::core::simulation::enable_log();
     let mut simulation = Simulation::with_policy(seed, Policy::with("losses", policy).unwrap());
-    for zone in ["a", "b", "a", "b", "a", "b"] {
-        simulation.add_machine("small", zone);
-    }
-    simulation.until(10.0, "a leader", |simulation| simulation.leader().is_some());
-    simulation.run(3.0);
-    let leader = simulation.leader().unwrap();
+    simulation.add_machines("small", 6);
+    let leader = simulation.run_until_leader(3.0);
     (simulation, leader)
 }
 
@@ -394,9 +390,7 @@
     simulation.nodes[leader].state = Link::WritesHeld;
     simulation.lose_state();
     simulation.reissue_lease_id(leader);
-    simulation.until(12.0, "another leader", |simulation| {
-        simulation.leader().is_some_and(|n| n != leader)
-    });
+    simulation.run_until_other_leader(leader, 12.0);
     simulation.run(3.0);
     simulation.nodes[leader].watch_delayed = false;
     simulation.nodes[leader].state = Link::Good;
@@ -415,9 +409,7 @@
     simulation.lose_state();
     simulation.nodes[leader].state = Link::Refused;
     // `World` fails if two act at the same time.
-    simulation.until(12.0, "another leader", |simulation| {
-        simulation.leader().is_some_and(|n| n != leader)
-    });
+    simulation.run_until_other_leader(leader, 12.0);
     simulation.nodes[leader].state = Link::Good;
     assert_rebuilt(&mut simulation, starts);
 }
@@ -456,9 +448,7 @@
     simulation.nodes[third].watch_delayed = true;
     simulation.nodes[third].peers_reachable = false;
     simulation.lose_state();
-    simulation.until(15.0, "another leader", |simulation| {
-        simulation.leader().is_some_and(|n| n != third)
-    });
+    simulation.run_until_other_leader(third, 15.0);
     simulation.nodes[third].watch_delayed = false;
     simulation.nodes[third].peers_reachable = true;
     simulation.run(6.0);
@@ -475,9 +465,9 @@
     simulation.run(3.0);
     let name = simulation.stored("burlusher/i/");
     simulation.pause_leases(true);
-    (0..3).for_each(|n| simulation.nodes[n].state = Link::Refused);
+    simulation.set_store_links(Link::Refused);
     simulation.run(8.0);
-    (0..3).for_each(|n| simulation.nodes[n].state = Link::Good);
+    simulation.set_store_links(Link::Good);
     simulation.pause_leases(false);
     simulation.run(4.0);
     (0..3).for_each(|n| simulation.force_relisting(n));
@@ -661,8 +651,7 @@
         answered += 1;
     }
     assert_eq!(answered, 4);
-    let nodes = simulation.nodes.iter_mut();
-    nodes.for_each(|n| (n.state, n.peers_reachable) = (Link::Good, true));
+    simulation.heal_controllers();
     simulation.until(60.0, "the store is whole", Simulation::store_complete);
     simulation.until_done("wk-000001", 90.0);
 }
--- a/src/core/simulation/scenarios/machine_failures.rs
+++ b/src/core/simulation/scenarios/machine_failures.rs
@@ -101,9 +101,7 @@
     let mut simulation = Simulation::with_policy(1350, policy);
     simulation.capacity.clear();
     simulation.add_machine("small", "a");
-    simulation.until(10.0, "a leader", |simulation| simulation.leader().is_some());
-    simulation.run(4.0);
-    let leader = simulation.leader().unwrap();
+    let leader = simulation.run_until_leader(4.0);
     simulation.broken_jobs.insert("wk-000001".into());
     assert_eq!(
         simulation.submit(leader, &unlimited_job("wk-000001", 1, 4.0, 5)),
--- a/src/core/simulation/scenarios/mixed_faults.rs
+++ b/src/core/simulation/scenarios/mixed_faults.rs
@@ -35,7 +35,7 @@
             }
             4 => {
                 let link = [Link::Refused, Link::AnswersLost][simulation.random(2)];
-                simulation.nodes.iter_mut().for_each(|n| n.state = link);
+                simulation.set_store_links(link);
             }
             5 | 6 => {
                 let n = simulation.workers.len().max(1);
@@ -65,10 +65,7 @@
                 simulation.nodes[i].peers_reachable = !simulation.nodes[i].peers_reachable;
             }
             _ => {
-                simulation
-                    .nodes
-                    .iter_mut()
-                    .for_each(|n| n.state = Link::Good);
+                simulation.set_store_links(Link::Good);
                 simulation.workers.values_mut().for_each(|m| {
                     m.partitioned_from.clear();
                     m.hung = false;
@@ -115,10 +112,7 @@
     // Peace: everything that was accepted ends.
     simulation.faults.cloud_down = false;
     simulation.faults.hold_commands = false;
-    for n in &mut simulation.nodes {
-        n.state = Link::Good;
-        n.peers_reachable = true;
-    }
+    simulation.heal_controllers();
     for m in simulation.workers.values_mut() {
         m.partitioned_from.clear();
         m.hung = false;
@@ -153,9 +147,7 @@
     for seed in 400..412 {
         let entries = "foresight = 20\ntolerance = 0.2";
         let (mut simulation, _) = bidding_cluster(seed, entries);
-        for zone in ["a", "b", "a", "b"] {
-            simulation.add_machine("small", zone);
-        }
+        simulation.add_machines("small", 4);
         simulation.run(2.0);
         inject_mixed_faults(&mut simulation, seed);
     }
@@ -166,9 +158,7 @@
 fn mixed_faults_with_delegation_break_no_rule() {
     for seed in 600..630 {
         let mut simulation = Simulation::with_policy(seed, policy(true));
-        for zone in ["a", "b", "a", "b"] {
-            simulation.add_machine("small", zone);
-        }
+        simulation.add_machines("small", 4);
         simulation.until(10.0, "a leader", |simulation| simulation.leader().is_some());
         simulation.run(2.0);
         inject_mixed_faults(&mut simulation, seed);
--- a/src/core/simulation/scenarios/mod.rs
+++ b/src/core/simulation/scenarios/mod.rs
@@ -42,14 +42,8 @@
 /// Three controllers with a leader, and machines for 16 CPUs.
 pub fn four_machines(seed: u64) -> (Simulation, usize) {
     let mut simulation = Simulation::new(seed);
-    for zone in ["a", "b", "a", "b"] {
-        simulation.add_machine("small", zone);
-    }
-    simulation.until(10.0, "a leader with machines", |simulation| {
-        simulation.leader().is_some()
-    });
-    simulation.run(3.0);
-    let leader = simulation.leader().unwrap();
+    simulation.add_machines("small", 4);
+    let leader = simulation.run_until_leader(3.0);
     (simulation, leader)
 }
 
@@ -57,12 +51,8 @@
 pub fn thousand_machines(seed: u64, kind: &str) -> (Simulation, usize) {
     let mut simulation = Simulation::new(seed);
     simulation.capacity.clear();
-    for i in 0..1000 {
-        simulation.add_machine(kind, ["a", "b"][i % 2]);
-    }
-    simulation.until(10.0, "a leader", |simulation| simulation.leader().is_some());
-    simulation.run(4.0);
-    let leader = simulation.leader().unwrap();
+    simulation.add_machines(kind, 1000);
+    let leader = simulation.run_until_leader(4.0);
     (simulation, leader)
 }
 
@@ -72,12 +62,8 @@
     let policy = Policy::with("added", "delegate = true\nidle_keep = 600").unwrap();
     let mut simulation = Simulation::with_policy(seed, policy);
     simulation.capacity.clear();
-    for zone in ["a", "b", "a", "b", "a", "b", "a", "b"] {
-        simulation.add_machine("small", zone);
-    }
-    simulation.until(10.0, "a leader", |simulation| simulation.leader().is_some());
-    simulation.run(4.0);
-    let leader = simulation.leader().unwrap();
+    simulation.add_machines("small", 8);
+    let leader = simulation.run_until_leader(4.0);
     (simulation, leader)
 }
 
--- a/src/core/simulation/scenarios/old_reports.rs
+++ b/src/core/simulation/scenarios/old_reports.rs
@@ -39,7 +39,7 @@
     // They are not heard from now on, and can't be asked or deleted.
     simulation.faults.cloud_down = true;
     for id in &idle {
-        simulation.workers.get_mut(id).unwrap().partitioned_from = (0..3).collect();
+        simulation.partition_worker(id);
     }
     simulation.kill(leader, Duration::from_secs(30));
     simulation.replay_at_next_leadership(old);
@@ -58,10 +58,7 @@
         simulation.counters.starts, 8,
         "started elsewhere though nothing proves that it is gone"
     );
-    simulation
-        .workers
-        .values_mut()
-        .for_each(|m| m.partitioned_from.clear());
+    simulation.heal_worker_partitions();
     simulation.faults.cloud_down = false;
     simulation.until_done("wk-000002", 120.0);
 }
@@ -83,12 +80,7 @@
         let leader = simulation.leader().unwrap();
         simulation.faults.replayed_report_share = 0.5;
         let id = format!("wk-{:06}", n + 1);
-        while !matches!(
-            simulation.submit(leader, &unlimited_job(&id, 5, 2.0, 6)),
-            200 | 201
-        ) {
-            simulation.run(0.5);
-        }
+        simulation.submit_until_accepted(leader, &unlimited_job(&id, 5, 2.0, 6), 0.5);
         simulation
             .workers
             .values_mut()
@@ -229,12 +221,8 @@
     let (second, _) = simulation.places("wk-000001")[0].clone();
     assert_ne!(first, second);
     simulation.faults.cloud_down = true;
-    simulation.workers.get_mut(&first).unwrap().partitioned_from = (0..3).collect();
-    simulation
-        .workers
-        .get_mut(&second)
-        .unwrap()
-        .partitioned_from = (0..3).collect();
+    simulation.partition_worker(&first);
+    simulation.partition_worker(&second);
     simulation.kill(leader, Duration::from_secs(30));
     simulation.until(8.0, "another leader", |simulation| {
         simulation.leader().is_some()
--- a/src/core/simulation/scenarios/outages.rs
+++ b/src/core/simulation/scenarios/outages.rs
@@ -10,9 +10,7 @@
     let (mut simulation, leader) = four_machines(12);
     simulation.submit(leader, &sample("wk-1", 4, 2.0, 4));
     simulation.run(1.0);
-    for n in &mut simulation.nodes {
-        n.state = Link::Refused;
-    }
+    simulation.set_store_links(Link::Refused);
     simulation.run(2.0);
     assert_eq!(simulation.submit(leader, &sample("wk-2", 1, 2.0, 4)), 503);
     // Shorter than the workers' leases, so that no finished work is lost.
@@ -21,9 +19,7 @@
         assert_eq!(simulation.show(node, "wk-1").0, 503);
         assert_eq!(simulation.show(node, "wk-999").0, 503);
     }
-    for n in &mut simulation.nodes {
-        n.state = Link::Good;
-    }
+    simulation.set_store_links(Link::Good);
     simulation.until_done("wk-1", 20.0);
     assert_eq!(simulation.counters.starts, 4);
 }
@@ -39,9 +35,7 @@
     simulation.nodes[other].state = Link::Good;
 
     simulation.nodes[leader].state = Link::Refused;
-    simulation.until(8.0, "another leader", |simulation| {
-        simulation.leader().is_some_and(|l| l != leader)
-    });
+    simulation.run_until_other_leader(leader, 8.0);
     assert_eq!(simulation.submit(other, &sample("wk-2", 2, 2.0, 3)), 201);
     simulation.until_done("wk-2", 20.0);
 }
@@ -52,17 +46,11 @@
 fn leader_keeps_leading_after_store_outage() {
     let (mut simulation, leader) = thousand_machines(50, "small");
     simulation.run(6.0);
-    simulation
-        .nodes
-        .iter_mut()
-        .for_each(|n| n.state = Link::Refused);
+    simulation.set_store_links(Link::Refused);
     simulation.pause_leases(true);
     simulation.run(6.0);
     assert_eq!(simulation.leader(), None);
-    simulation
-        .nodes
-        .iter_mut()
-        .for_each(|n| n.state = Link::Good);
+    simulation.set_store_links(Link::Good);
     simulation.pause_leases(false);
     simulation.until(2.0, "the same leader", |simulation| {
         simulation.leader() == Some(leader)
--- a/src/core/simulation/scenarios/partitions.rs
+++ b/src/core/simulation/scenarios/partitions.rs
@@ -257,10 +257,7 @@
             m.partitioned_from = (0..3).filter(|n| (*n == inside) != b).collect();
             m.node = if b { inside } else { (inside + 1) % 3 };
         }
-        simulation.until(10.0, "a leader outside", |simulation| {
-            simulation.leader().is_some_and(|l| l != inside)
-        });
-        let next = simulation.leader().unwrap();
+        let next = simulation.run_until_other_leader(inside, 10.0);
         while simulation.cancel(next, "wk-000002").1 != Some(JobState::Cancelled) {
             simulation.run(0.5);
         }
@@ -278,10 +275,7 @@
             simulation.nodes[inside].state,
             simulation.nodes[inside].peers_reachable,
         ) = (Link::Good, true);
-        simulation
-            .workers
-            .values_mut()
-            .for_each(|m| m.partitioned_from.clear());
+        simulation.heal_worker_partitions();
         simulation.release();
         simulation.until_done("wk-000001", 120.0);
         for node in 0..3 {
@@ -370,9 +364,7 @@
     simulation.run(3.0);
     simulation.faults.hold_commands = true;
     simulation.kill(leader, Duration::from_secs(30));
-    simulation.until(10.0, "another leader", |simulation| {
-        simulation.leader().is_some_and(|l| l != leader)
-    });
+    simulation.run_until_other_leader(leader, 10.0);
     simulation.run(6.0);
     assert_eq!(simulation.workers.len(), 4);
     simulation.faults.hold_commands = false;
--- a/src/core/simulation/scenarios/provisioning.rs
+++ b/src/core/simulation/scenarios/provisioning.rs
@@ -76,10 +76,7 @@
         simulation.submit(leader, &next);
         simulation.run(3.0);
         assert_eq!(simulation.counters.rented.1, rented);
-        simulation
-            .workers
-            .values_mut()
-            .for_each(|m| m.partitioned_from.clear());
+        simulation.heal_worker_partitions();
         simulation.until_done("wk-2", 120.0);
     }
 }
--- a/src/core/simulation/scenarios/scheduling.rs
+++ b/src/core/simulation/scenarios/scheduling.rs
@@ -201,10 +201,7 @@
         }
         simulation.run(14.0);
         simulation.faults.cloud_down = false;
-        simulation
-            .workers
-            .values_mut()
-            .for_each(|m| m.partitioned_from.clear());
+        simulation.heal_worker_partitions();
         for n in 1..4 {
             simulation.until_done(&format!("wk-{n:06}"), 120.0);
         }
@@ -218,15 +215,11 @@
     let text = "delegate = true\nidle_keep = 600";
     let mut simulation = Simulation::with_policy(1001, Policy::with("room", text).unwrap());
     simulation.capacity.clear();
-    for zone in ["a", "b", "a"] {
-        simulation.add_machine("small", zone);
-    }
+    simulation.add_machines("small", 3);
     // At two and a half times the price for twice the room: dear to work that has no aim.
     simulation.types[1].price = 9.0;
     simulation.add_machine("large", "a");
-    simulation.until(10.0, "a leader", |simulation| simulation.leader().is_some());
-    simulation.run(4.0);
-    let leader = simulation.leader().unwrap();
+    let leader = simulation.run_until_leader(4.0);
     let mut wide = unlimited_job("wk-900001", 2, 4.0, 20);
     (wide.rank, wide.types) = (Rank::Low, Some(vec!["large".into()]));
     let mut low = unlimited_job("wk-900002", 30, 4.0, 20);
@@ -264,9 +257,7 @@
     let mut simulation = Simulation::with_policy(1360, policy);
     simulation.capacity.clear();
     let first = simulation.add_machine("small", "b");
-    simulation.until(10.0, "a leader", |simulation| simulation.leader().is_some());
-    simulation.run(4.0);
-    let leader = simulation.leader().unwrap();
+    let leader = simulation.run_until_leader(4.0);
     let mut spec = unlimited_job("wk-000001", 2, 4.0, 12);
     spec.one_zone = true;
     assert_eq!(simulation.submit(leader, &spec), 201);
--- a/src/core/simulation/users.rs
+++ b/src/core/simulation/users.rs
@@ -10,8 +10,7 @@
 
 impl Simulation {
     pub fn ask(&mut self, node: usize, what: Ask) -> Ticket {
-        let ticket = self.next_ticket;
-        self.next_ticket += 1;
+        let ticket = self.new_ticket();
         let received = self.now;
         if self.nodes[node].up {
             self.nodes[node].inbox.push(Command::User(UserRequest {
@@ -53,6 +52,13 @@
         status
     }
 
+    /// Submits a job again and again, so many seconds apart, until it is accepted.
+    pub fn submit_until_accepted(&mut self, node: usize, spec: &JobSpec, pause_seconds: f64) {
+        while !matches!(self.submit(node, spec), 200 | 201) {
+            self.run(pause_seconds);
+        }
+    }
+
     /// So many questions in one step; the answers' statuses.
     pub fn query_burst(&mut self, node: usize, id: &str, n: u32) -> Vec<u16> {
         let ask = |_| self.ask(node, Ask::Show(id.into()));
@@ -100,8 +106,7 @@
 
     /// An operator's word to a node; the answer's status.
     pub fn settle(&mut self, node: usize) -> u16 {
-        let ticket = self.next_ticket;
-        self.next_ticket += 1;
+        let ticket = self.new_ticket();
         self.nodes[node].inbox.push(Command::Settle(ticket));
         self.run(0.2);
         self.network.answers.remove(&ticket).map_or(0, |a| a.status)
@@ -111,8 +116,7 @@
     pub fn offer(&mut self, node: usize, store: &str, backup: &Backup) -> u16 {
         let items = backup.0.keys.iter();
         let items = items.map(|(k, e)| (k.clone(), e.value.clone()));
-        let ticket = self.next_ticket;
-        self.next_ticket += 1;
+        let ticket = self.new_ticket();
         self.nodes[node].inbox.push(Command::Offer {
             ticket,
             store: store.into(),
@@ -125,8 +129,7 @@
 
     /// A status view of a node.
     pub fn status(&mut self, node: usize) -> serde_json::Value {
-        let ticket = self.next_ticket;
-        self.next_ticket += 1;
+        let ticket = self.new_ticket();
         self.nodes[node].inbox.push(Command::Status(ticket));
         self.run(0.1);
         let answer = self.network.answers.remove(&ticket);
