--- a/src/core/simulation/checker.rs
+++ b/src/core/simulation/checker.rs
@@ -68,13 +68,29 @@
 /// How long a job may wait while a machine that fits has room and no fault is active.
 pub(super) const STARVATION_LIMIT: Duration = Duration::from_secs(90);
 
+/// The team that may use no more than `TEAM_LIMIT` CPUs.
+pub(super) const LIMITED_TEAM: &str = "t";
+pub(super) const TEAM_LIMIT: f64 = 24.0;
+
+/// What is left of a machine.
+struct Room<'a> {
+    worker: &'a Worker,
+    cpus: f64,
+    ram: f64,
+}
+
+/// What is used on the machines that are up, and what is left of them.
+#[derive(Default)]
+struct Usage<'a> {
+    /// Jobs that have a task somewhere.
+    jobs: BTreeSet<&'a str>,
+    /// CPUs by team.
+    by_team: BTreeMap<&'a str, f64>,
+    room: Vec<Room<'a>>,
+}
+
 /// A task that starts is in a zone that its job allows, given the job's other tasks.
-pub(super) fn check_zone(
-    key: &TaskKey,
-    spec: &JobSpec,
-    zone: &str,
-    beside: &BTreeMap<TaskKey, String>,
-) {
+fn check_zone(key: &TaskKey, spec: &JobSpec, zone: &str, beside: &BTreeMap<TaskKey, String>) {
     let others = || beside.iter().filter(|(k, _)| k.job == key.job && *k != key);
     if spec.one_zone {
         let elsewhere = others().find(|(_, z)| *z != zone);
@@ -91,45 +107,32 @@
 }
 
 impl Simulation {
-    /// Checks an answer against everything said before.
+    /// Checks an answer against everything that was answered before, and takes note of it.
     pub(super) fn check_answer(
         &mut self,
         id: &str,
         asked: Instant,
         answer: Option<&Answer>,
     ) -> Option<JobState> {
-        let a = answer?;
-        if a.status == 404 && !self.checker.data_lost_for_good {
-            assert!(
-                !self.checker.announced_jobs.contains(id),
-                "{id} was forgotten"
-            );
+        let answer = answer?;
+        if answer.status == 404 && !self.checker.data_lost_for_good {
+            let announced = self.checker.announced_jobs.contains(id);
+            assert!(!announced, "{id} was forgotten");
         }
-        if !matches!(a.status, 200 | 201) {
+        if !matches!(answer.status, 200 | 201) {
             return None;
         }
-        let first_told = self.checker.announced_jobs.insert(id.into());
-        let told: JobAnswer = serde_json::from_slice(&a.body).unwrap();
-        let final_state = matches!(told.state, JobState::Done | JobState::Cancelled);
-        if let Some((before, at)) = self
-            .checker
-            .final_answers
-            .get(id)
-            .filter(|_| !self.checker.data_lost_for_good)
-        {
-            // Two answers to questions asked side by side come in any order. What is asked after its user was
-            // told, and what is final, must be the same.
-            if final_state || asked >= *at {
-                assert_eq!(*before, told.state, "{id}: said to be something else");
-            }
-        }
-        if self.query_after_answers
-            && (first_told || final_state && !self.checker.final_answers.contains_key(id))
-        {
+        let first_answer = self.checker.announced_jobs.insert(id.into());
+        let body: JobAnswer = serde_json::from_slice(&answer.body).unwrap();
+        let state = body.state;
+        let is_final = matches!(state, JobState::Done | JobState::Cancelled);
+        self.check_against_final_answer(id, asked, state, is_final);
+        let first_final = is_final && !self.checker.final_answers.contains_key(id);
+        if self.query_after_answers && (first_answer || first_final) {
             self.query_everywhere(id);
         }
-        if final_state {
-            let first = (told.state, self.now);
+        if is_final {
+            let first = (state, self.now);
             self.checker.final_answers.entry(id.into()).or_insert(first);
         } else if let Some(at) = self.dependency_cancelled_at(id) {
             let late = self.now > at + self.setup.cancel;
@@ -138,28 +141,88 @@
                 "{id} is said to live, though a job that it needs is cancelled"
             );
         }
-        if told.state == JobState::Cancelled {
-            self.checker
-                .cancelled_at
-                .entry(id.into())
-                .or_insert(self.now);
-            let asked = self
-                .upstream(id)
-                .iter()
-                .any(|a| self.checker.cancellation_requests.contains(a));
-            assert!(asked, "{id} is said to be cancelled, and nobody asked");
+        match state {
+            JobState::Cancelled => self.check_cancelled(id),
+            JobState::Done => self.check_done(id),
+            _ => {}
         }
-        if told.state == JobState::Done {
-            let spec = &self.checker.specs[id];
-            for row in 0..spec.tasks {
-                let key = TaskKey {
-                    job: spec.id.clone(),
-                    row,
-                };
-                assert!(self.checker.completed.contains(&key), "{key} is not done");
+        Some(state)
+    }
+
+    /// Two answers to questions asked side by side come in any order. What is asked after its user
+    /// was given a final answer, and what is final, must be the same.
+    fn check_against_final_answer(
+        &self,
+        id: &str,
+        asked: Instant,
+        state: JobState,
+        is_final: bool,
+    ) {
+        if self.checker.data_lost_for_good {
+            return;
+        }
+        if let Some((before, at)) = self.checker.final_answers.get(id)
+            && (is_final || asked >= *at)
+        {
+            assert_eq!(*before, state, "{id}: said to be something else");
+        }
+    }
+
+    /// A job that is said to be cancelled, or one that it needs, was asked to be.
+    fn check_cancelled(&mut self, id: &str) {
+        let first = self.checker.cancelled_at.entry(id.into());
+        first.or_insert(self.now);
+        let requests = &self.checker.cancellation_requests;
+        let asked = self.upstream(id).iter().any(|a| requests.contains(a));
+        assert!(asked, "{id} is said to be cancelled, and nobody asked");
+    }
+
+    /// All tasks of a job that is said to be done have ended with a result.
+    fn check_done(&self, id: &str) {
+        let spec = &self.checker.specs[id];
+        for row in 0..spec.tasks {
+            let job = spec.id.clone();
+            let key = TaskKey { job, row };
+            assert!(self.checker.completed.contains(&key), "{key} is not done");
+        }
+    }
+
+    /// A task starts only on a machine that is on record, so that a later leader knows of it.
+    pub(super) fn check_recorded(&self, id: &MachineId) {
+        // A store that has lost data may have lost this record as well.
+        let kept = self.checker.complete_replicas.is_none()
+            && !self.checker.data_lost_for_good
+            && !self.checker.machines_with_lost_record.contains(id);
+        if kept && !self.state.recorded().contains(id) {
+            panic!("a task starts on {id}, which is not on record");
+        }
+    }
+
+    /// A task that starts is of no job that was cancelled too long ago, what its job awaits is done,
+    /// and it is in a zone that its job allows.
+    pub(super) fn check_start(
+        &mut self,
+        key: &TaskKey,
+        zone: &str,
+        beside: &BTreeMap<TaskKey, String>,
+    ) {
+        if let Some(told) = self.checker.cancelled_at.get(&*key.job) {
+            self.counters.late_starts += 1;
+            assert!(
+                self.now <= *told + self.setup.cancel,
+                "{key} of a cancelled job starts"
+            );
+        }
+        let spec = &self.checker.specs[&*key.job];
+        for awaited in &spec.awaits {
+            for row in 0..self.checker.specs[&**awaited].tasks {
+                let job = awaited.clone();
+                let before = TaskKey { job, row };
+                let done = self.checker.completed.contains(&before);
+                assert!(done, "{key} starts before {before} is done");
             }
         }
-        Some(told.state)
+        check_zone(key, spec, zone, beside);
     }
 
     /// A job and all that it needs.
@@ -210,15 +273,22 @@
             self.checker.leaderships.insert(lead.term, this);
         }
         if begun {
-            for report in std::mem::take(&mut self.network.reports_to_replay) {
-                for node in (0..self.nodes.len())
-                    .filter(|n| self.nodes[*n].up)
-                    .collect::<Vec<_>>()
-                {
-                    self.counters.reports_replayed += 1;
-                    self.deliver(node, report.clone());
-                }
-            }
+            self.replay_reports();
+        }
+    }
+
+    /// Once the store holds again what it had lost, no controller has to remember it any more.
+    pub(super) fn note_restored_jobs(&mut self) {
+        if self.checker.complete_replicas.is_none() {
+            return;
+        }
+        let restored = |(key, over): (&String, &bool)| {
+            let stored = self.state.keys.get(key);
+            stored.is_some_and(|e| !over || e.value.get("end").is_some())
+        };
+        if self.checker.jobs_to_restore.iter().all(restored) {
+            self.checker.complete_replicas = None;
+            self.checker.jobs_to_restore.clear();
         }
     }
 
@@ -257,67 +327,70 @@
         if self.checker.data_lost_for_good || self.has_active_faults() {
             return self.checker.starving_since.clear();
         }
-        let mut there: BTreeSet<&str> = BTreeSet::new();
-        let mut used: BTreeMap<&str, f64> = BTreeMap::new();
-        let mut free: Vec<(&Worker, f64, f64)> = Vec::new();
-        for worker in self
-            .workers
-            .values()
-            .filter(|worker| worker.up_at <= self.now)
-        {
+        let could = self.jobs_that_could_start();
+        let now = self.now;
+        let starving = &mut self.checker.starving_since;
+        starving.retain(|id, _| could.contains(id));
+        for id in could {
+            let since = *starving.entry(id.clone()).or_insert(now);
+            assert!(
+                now < since + STARVATION_LIMIT,
+                "{id} waits for 90 s while a machine has room"
+            );
+        }
+    }
+
+    /// Jobs without a task anywhere for which a machine has room now.
+    fn jobs_that_could_start(&self) -> BTreeSet<String> {
+        let usage = self.usage();
+        let jobs = self.checker.announced_jobs.iter();
+        jobs.filter(|id| self.could_start(id, &usage))
+            .cloned()
+            .collect()
+    }
+
+    fn could_start(&self, id: &str, usage: &Usage) -> bool {
+        let Some(spec) = self.checker.specs.get(id) else {
+            return false;
+        };
+        let is_final = |id: &str| self.checker.final_answers.contains_key(id);
+        let over = is_final(id) || self.broken_jobs.contains(id);
+        let ready = spec.awaits.iter().all(|a| is_final(a));
+        let used = usage.by_team.get(LIMITED_TEAM).copied().unwrap_or(0.0);
+        let within = spec.team != LIMITED_TEAM || used + spec.needs.cpus <= TEAM_LIMIT;
+        if over || usage.jobs.contains(id) || !ready || !within || spec.kind == Kind::Gang {
+            return false;
+        }
+        let fits = |room: &Room| {
+            spec.allows_type(&room.worker.kind)
+                && spec.allows_zone(&room.worker.zone)
+                && (spec.spot || !room.worker.spot)
+                && spec.needs.cpus <= room.cpus
+                && spec.needs.ram <= room.ram
+        };
+        !self.all_completed(id) && usage.room.iter().any(fits)
+    }
+
+    /// What is on the machines that are up.
+    fn usage(&self) -> Usage<'_> {
+        let mut usage = Usage::default();
+        for worker in self.workers.values().filter(|m| m.up_at <= self.now) {
             let Some(kind) = self.types.iter().find(|t| t.name == worker.kind) else {
                 continue;
             };
             let (mut cpus, mut ram) = (kind.cpus, kind.ram);
             for (key, _) in (worker.tasks.iter()).filter(|(_, t)| t.state != RowState::Exited) {
                 let spec = &self.checker.specs[&*key.job];
-                there.insert(&key.job);
-                *used.entry(&spec.team).or_default() += spec.needs.cpus;
+                usage.jobs.insert(&key.job);
+                *usage.by_team.entry(&spec.team).or_default() += spec.needs.cpus;
                 (cpus, ram) = (cpus - spec.needs.cpus, ram - spec.needs.ram);
             }
-            free.push((worker, cpus, ram));
-        }
-        let could = |id: &String| {
-            let spec = self.checker.specs.get(id)?;
-            let over = self.checker.final_answers.contains_key(id) || self.broken_jobs.contains(id);
-            let ready = spec
-                .awaits
-                .iter()
-                .all(|a| self.checker.final_answers.contains_key(&**a));
-            let within =
-                spec.team != "t" || used.get("t").copied().unwrap_or(0.0) + spec.needs.cpus <= 24.0;
-            if over || there.contains(id.as_str()) || !ready || !within || spec.kind == Kind::Gang {
-                return None;
-            }
-            let all_done = self.all_completed(id);
-            let fits = |(worker, cpus, ram): &&(&Worker, f64, f64)| {
-                spec.allows_type(&worker.kind)
-                    && spec.allows_zone(&worker.zone)
-                    && (spec.spot || !worker.spot)
-                    && spec.needs.cpus <= *cpus
-                    && spec.needs.ram <= *ram
-            };
-            (!all_done && free.iter().any(|f| fits(&f))).then_some(id.clone())
-        };
-        let could: BTreeSet<String> = self
-            .checker
-            .announced_jobs
-            .iter()
-            .filter_map(could)
-            .collect();
-        let now = self.now;
-        self.checker
-            .starving_since
-            .retain(|id, _| could.contains(id));
-        for id in could {
-            let since = *self.checker.starving_since.entry(id.clone()).or_insert(now);
-            assert!(
-                now < since + STARVATION_LIMIT,
-                "{id} waits for 90 s while a machine has room"
-            );
+            usage.room.push(Room { worker, cpus, ram });
         }
+        usage
     }
 
+    /// What must hold at every tick of what controllers and machines do.
     pub(super) fn check(&self) {
         let acts = |n: &&Node| n.up && !n.paused && n.core.leads();
         let leaders = self.nodes.iter().filter(acts).count();
@@ -356,7 +429,7 @@
             let kind = self.types.iter().find(|t| t.name == worker.kind);
             assert!(room <= kind.map_or(0.0, |t| t.cpus), "{id} holds too much");
         }
-        let t = used.get("t").copied().unwrap_or(0.0);
-        assert!(t <= 24.0, "team t uses {t}");
+        let t = used.get(LIMITED_TEAM).copied().unwrap_or(0.0);
+        assert!(t <= TEAM_LIMIT, "team t uses {t}");
     }
 }
--- a/src/core/simulation/cluster.rs
+++ b/src/core/simulation/cluster.rs
@@ -1,6 +1,6 @@
 //! The simulated cluster: its controllers, and how time passes.
 
-use super::checker::Checker;
+use super::checker::{Checker, LIMITED_TEAM, TEAM_LIMIT};
 use super::counters::Counters;
 use super::faults::Faults;
 use super::network::Link;
@@ -46,7 +46,7 @@
         "services": {"cloud": "127.0.0.1:4", "state": "127.0.0.1:5"},
         "params": {
             "zones": ["a", "b"],
-            "teams": [{"name": "t", "cpus": 0.0, "cpus_max": 24.0}, {"name": "u", "cpus": 8.0}],
+            "teams": [{"name": LIMITED_TEAM, "cpus": 0.0, "cpus_max": TEAM_LIMIT}, {"name": "u", "cpus": 8.0}],
             "objectives": [
                 {"kind": "wait", "class": "urgent", "within_s": 10.0, "share": 0.95}
             ],
@@ -314,67 +314,55 @@
         }
     }
 
+    /// Lets a tick of virtual time pass: what is due arrives, workers and controllers go on, and the
+    /// rules are checked.
     pub fn tick(&mut self) {
         self.now += TICK;
         self.state.expire(self.now);
         for i in 0..self.nodes.len() {
-            if self.nodes[i].restart_at.is_some_and(|t| t <= self.now) {
-                let (state, peers) = (self.nodes[i].state, self.nodes[i].peers_reachable);
-                self.nodes[i] = self.fresh_node(i);
-                self.nodes[i].state = state;
-                self.nodes[i].peers_reachable = peers;
-            }
+            self.restart_if_due(i);
             self.keep_lease(i);
             self.deliver_watch(i);
         }
         self.give_up_syncs();
         self.deliver_delayed();
         self.apply_delayed_transactions();
-        let (now, nodes) = (self.now, &mut self.nodes);
-        for (_, i, answer) in self
-            .network
-            .delayed_answers
-            .extract_if(.., |(at, ..)| *at <= now)
-        {
-            nodes[i].inbox.push(answer);
-        }
+        self.deliver_delayed_answers();
         self.advance_workers();
         for i in 0..self.nodes.len() {
-            if !self.nodes[i].up || self.nodes[i].paused {
-                continue;
-            }
-            let commands = std::mem::take(&mut self.nodes[i].inbox);
-            let clock = self.clock();
-            let begun = Instant::now();
-            let effects = self.nodes[i].core.step(clock, commands);
-            self.nodes[i].busy += begun.elapsed();
-            if let Some(recorder) = &mut self.recorder {
-                recorder.record(self.now, i, &effects);
-            }
-            for e in effects {
-                self.apply_effect(i, e);
-            }
-        }
-        if self.checker.complete_replicas.is_some() {
-            let back = |key: &str, over: &bool| {
-                let stored = self.state.keys.get(key);
-                stored.is_some_and(|e| !over || e.value.get("end").is_some())
-            };
-            if self
-                .checker
-                .jobs_to_restore
-                .iter()
-                .all(|(key, over)| back(key, over))
-            {
-                self.checker.complete_replicas = None;
-                self.checker.jobs_to_restore.clear();
+            if self.nodes[i].up && !self.nodes[i].paused {
+                self.step_controller(i);
             }
         }
+        self.note_restored_jobs();
         self.check_terms();
         self.check();
         self.check_starvation();
     }
 
+    fn restart_if_due(&mut self, i: usize) {
+        if self.nodes[i].restart_at.is_some_and(|t| t <= self.now) {
+            let (state, peers) = (self.nodes[i].state, self.nodes[i].peers_reachable);
+            self.nodes[i] = self.fresh_node(i);
+            self.nodes[i].state = state;
+            self.nodes[i].peers_reachable = peers;
+        }
+    }
+
+    fn step_controller(&mut self, i: usize) {
+        let commands = std::mem::take(&mut self.nodes[i].inbox);
+        let clock = self.clock();
+        let begun = Instant::now();
+        let effects = self.nodes[i].core.step(clock, commands);
+        self.nodes[i].busy += begun.elapsed();
+        if let Some(recorder) = &mut self.recorder {
+            recorder.record(self.now, i, &effects);
+        }
+        for effect in effects {
+            self.apply_effect(i, effect);
+        }
+    }
+
     pub(super) fn keep_lease(&mut self, i: usize) {
         let now = self.now;
         let node = &mut self.nodes[i];
--- a/src/core/simulation/network.rs
+++ b/src/core/simulation/network.rs
@@ -2,14 +2,16 @@
 
 use super::cluster::Simulation;
 use super::store::STORE_TIMEOUT;
-use crate::cloud::CloudOutcome;
-use crate::core::{Ask, Command, Effect, Ticket, UserRequest};
+use crate::cloud::{CloudOutcome, CloudRequest};
+use crate::core::{Ask, CallId, Command, Effect, Pending, Ticket, UserRequest};
 use crate::http::Answer;
 use crate::job::MachineId;
 use crate::link;
 use crate::peer::{self, PeerAnswer, PeerRequest};
 use crate::recall::{self, Recall};
+use crate::state::StateRequest;
 use crate::wire::{DirectBody, JobAnswer, Report, Txn};
+use crate::worker::DirectRequest;
 use rand::RngExt;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -45,205 +47,237 @@
     pub held_commands: Vec<(MachineId, DirectBody)>,
 }
 
-/// How a node's calls to one service go.
+/// How a controller's calls to the state service go.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Link {
+    /// Requests are carried out and answered.
     Good,
+    /// Requests are refused.
     Refused,
     /// Requests are carried out, answers are lost.
     AnswersLost,
     /// Requests are kept by the network and may be let through later.
     Held,
-    /// Only transactions are.
+    /// Transactions are kept so, everything else goes through.
     WritesHeld,
 }
 
 impl Link {
+    /// Whether reads and renewals go through.
     pub(super) fn reads(self) -> bool {
         matches!(self, Link::Good | Link::WritesHeld)
     }
 }
 
+/// The index of a controller, by its name.
+fn node_of(name: &str) -> usize {
+    name[1..].parse().unwrap()
+}
+
+/// What a controller reads of another one's answer to a forwarded request.
+fn peer_answer(answer: &Answer) -> PeerAnswer {
+    let body: Option<JobAnswer> = serde_json::from_slice(&answer.body).ok();
+    PeerAnswer {
+        status: answer.status,
+        state: body.as_ref().map(|b| b.state),
+        retry_after: answer.retry_after,
+        done: None,
+        running: None,
+    }
+}
+
 impl Simulation {
-    pub(super) fn apply_effect(&mut self, i: usize, effect: Effect) {
+    /// Carries out what a step of controller `from` decided.
+    pub(super) fn apply_effect(&mut self, from: usize, effect: Effect) {
         match effect {
-            Effect::Answer { ticket, answer } => {
-                if answer.not_after.is_some_and(|t| self.now >= t) {
-                    return;
-                }
-                if let Some((asker, peer, asked)) = self.network.recalls.remove(&ticket) {
-                    let (_, body) = peer::read_frame(&mut answer.body.as_slice()).unwrap();
-                    let told = recall::decode_recalled(&body).unwrap();
-                    self.nodes[asker].inbox.push(Command::Recalled {
-                        peer,
-                        asked,
-                        answer: Some(Box::new(told)),
-                    });
-                } else if let Some((asker, number, _)) = self.network.syncs.remove(&ticket) {
-                    // What cannot get through is as good as lost.
-                    let through =
-                        self.nodes[asker].peers_reachable && self.nodes[i].peers_reachable;
-                    let frame = peer::read_frame(&mut answer.body.as_slice()).ok();
-                    let synced = frame.and_then(|(_, body)| link::decode_synced(&body));
-                    self.nodes[asker].inbox.push(Command::Synced {
-                        number,
-                        answer: synced.filter(|_| through).map(Box::new),
-                    });
-                } else if let Some((asker, original)) = self.network.forwards.remove(&ticket) {
-                    let told: Option<JobAnswer> = serde_json::from_slice(&answer.body).ok();
-                    self.nodes[asker].inbox.push(Command::Forwarded {
-                        ticket: original,
-                        peer: format!("n{i}"),
-                        answer: Some(PeerAnswer {
-                            status: answer.status,
-                            state: told.as_ref().map(|t| t.state),
-                            retry_after: answer.retry_after,
-                            done: None,
-                            running: None,
-                        }),
-                    });
-                } else if let Some((id, asked)) =
-                    self.network.unawaited_cancellations.remove(&ticket)
-                {
-                    self.check_answer(&id, asked, Some(&answer));
-                } else if let Some((id, asked)) = self.network.follow_up_queries.remove(&ticket) {
-                    let state = self.check_answer(&id, asked, Some(&answer));
-                    self.counters.follow_ups_answered += u32::from(state.is_some());
-                } else {
-                    self.network.answers.insert(ticket, answer);
-                }
-            }
+            Effect::Answer { ticket, answer } => self.deliver_answer(from, ticket, answer),
             Effect::Forward {
                 ticket,
                 peer,
                 request,
-            } => {
-                let to = peer[1..].parse::<usize>().unwrap();
-                if !self.nodes[to].up
-                    || !self.nodes[to].peers_reachable
-                    || !self.nodes[i].peers_reachable
-                {
-                    self.nodes[i].inbox.push(Command::Forwarded {
-                        ticket,
-                        peer,
-                        answer: None,
-                    });
-                    return;
-                }
-                let passed = self.new_ticket();
-                self.network.forwards.insert(passed, (i, ticket));
-                let received = self.now;
-                self.nodes[to].inbox.push(Command::User(UserRequest {
-                    ticket: passed,
-                    forwarded: true,
-                    tried: Vec::new(),
-                    received,
-                    what: match request {
-                        PeerRequest::Submit(s) => Ask::Submit(s),
-                        PeerRequest::Show(id) => Ask::Show(id),
-                        PeerRequest::Cancel(id) => Ask::Cancel(id),
-                    },
-                }));
-            }
+            } => self.forward_request(from, ticket, peer, request),
             Effect::Sync {
                 peer,
                 number,
                 frame,
-            } => {
-                let to = peer[1..].parse::<usize>().unwrap();
-                if !self.nodes[to].up
-                    || !self.nodes[to].peers_reachable
-                    || !self.nodes[i].peers_reachable
-                {
-                    self.nodes[i].inbox.push(Command::Synced {
-                        number,
-                        answer: None,
-                    });
-                    return;
-                }
-                let (_, body) = peer::read_frame(&mut frame.as_slice()).unwrap();
-                let sync = Box::new(link::decode_sync(&body).unwrap());
-                let ticket = self.new_ticket();
-                self.network.syncs.insert(ticket, (i, number, self.now));
-                self.nodes[to].inbox.push(Command::Sync { ticket, sync });
-            }
-            Effect::Recall { peer, recall } => {
-                let to = peer[1..].parse::<usize>().unwrap();
-                if !self.nodes[to].up
-                    || !self.nodes[to].peers_reachable
-                    || !self.nodes[i].peers_reachable
-                {
-                    self.nodes[i].inbox.push(Command::Recalled {
-                        peer,
-                        asked: recall,
-                        answer: None,
-                    });
-                    return;
-                }
-                let ticket = self.new_ticket();
-                self.network
-                    .recalls
-                    .insert(ticket, (i, peer, recall.clone()));
-                self.nodes[to]
-                    .inbox
-                    .push(Command::Recall { ticket, recall });
-            }
-            Effect::ReadAfresh => self.nodes[i].seen = None,
-            Effect::State { call, request } => {
-                let lost = self.counters.answers_lost;
-                let outcome = self.call_state(i, &request);
-                let answer = Command::State { call, outcome };
-                if self.counters.answers_lost > lost {
-                    let at = self.now + STORE_TIMEOUT;
-                    return self.network.delayed_answers.push((at, i, answer));
-                }
-                if self.faults.store_delay.is_zero() {
-                    return self.nodes[i].inbox.push(answer);
-                }
-                let at = self.now
-                    + self
-                        .faults
-                        .store_delay
-                        .mul_f64(self.rng.random_range(0.0..1.0));
-                self.network.delayed_answers.push((at, i, answer));
-            }
+            } => self.send_sync(from, &peer, number, &frame),
+            Effect::Recall { peer, recall } => self.send_recall(from, peer, recall),
+            Effect::State { call, request } => self.send_to_store(from, call, &request),
             Effect::Cloud {
                 call,
                 request,
                 not_after,
-            } => {
-                let outcome = if not_after.is_some_and(|t| self.now >= t) {
-                    CloudOutcome::Trouble("late".into())
-                } else {
-                    self.call_cloud(request)
-                };
-                self.nodes[i].inbox.push(Command::Cloud { call, outcome });
-            }
-            Effect::Direct { call, request, .. } => {
-                // All workers share an address here; the call's machine is the core's own note.
-                let id = match self.nodes[i].core.pending.get(&call) {
-                    Some(crate::core::Pending::Direct(id) | crate::core::Pending::Show(id)) => {
-                        id.clone()
-                    }
-                    _ => return,
-                };
-                let outcome = self.call_worker(i, &id, request);
-                self.nodes[i].inbox.push(Command::Direct { call, outcome });
-            }
+            } => self.send_to_cloud(from, call, request, not_after),
+            Effect::Direct { call, request, .. } => self.send_to_worker(from, call, request),
+            Effect::ReadAfresh => self.nodes[from].seen = None,
             Effect::GiveUpLease => {
-                if let Some(id) = self.nodes[i].lease.take() {
+                if let Some(id) = self.nodes[from].lease.take() {
                     self.state.leases.insert(id, self.now);
                 }
             }
             Effect::ChangeLease => {
-                self.nodes[i].lease = None;
-                self.nodes[i].next_renewal = self.now;
+                self.nodes[from].lease = None;
+                self.nodes[from].next_renewal = self.now;
             }
-            Effect::Stand(stand) => self.nodes[i].stand = stand,
+            Effect::Stand(stand) => self.nodes[from].stand = stand,
             Effect::Ready(_) => {}
         }
     }
 
+    /// Hands an answer to whoever asked: another controller, a user, or whoever fetches it.
+    fn deliver_answer(&mut self, from: usize, ticket: Ticket, answer: Answer) {
+        if answer.not_after.is_some_and(|t| self.now >= t) {
+            return;
+        }
+        if let Some((asker, peer, asked)) = self.network.recalls.remove(&ticket) {
+            let (_, body) = peer::read_frame(&mut answer.body.as_slice()).unwrap();
+            let recalled = recall::decode_recalled(&body).unwrap();
+            self.nodes[asker].inbox.push(Command::Recalled {
+                peer,
+                asked,
+                answer: Some(Box::new(recalled)),
+            });
+        } else if let Some((asker, number, _)) = self.network.syncs.remove(&ticket) {
+            // What cannot get through is as good as lost.
+            let through = self.connected(asker, from);
+            let frame = peer::read_frame(&mut answer.body.as_slice()).ok();
+            let synced = frame.and_then(|(_, body)| link::decode_synced(&body));
+            self.nodes[asker].inbox.push(Command::Synced {
+                number,
+                answer: synced.filter(|_| through).map(Box::new),
+            });
+        } else if let Some((asker, original)) = self.network.forwards.remove(&ticket) {
+            self.nodes[asker].inbox.push(Command::Forwarded {
+                ticket: original,
+                peer: format!("n{from}"),
+                answer: Some(peer_answer(&answer)),
+            });
+        } else if let Some((id, asked)) = self.network.unawaited_cancellations.remove(&ticket) {
+            self.check_answer(&id, asked, Some(&answer));
+        } else if let Some((id, asked)) = self.network.follow_up_queries.remove(&ticket) {
+            let state = self.check_answer(&id, asked, Some(&answer));
+            self.counters.follow_ups_answered += u32::from(state.is_some());
+        } else {
+            self.network.answers.insert(ticket, answer);
+        }
+    }
+
+    /// Whether two controllers can talk to one another.
+    fn connected(&self, one: usize, other: usize) -> bool {
+        self.nodes[one].peers_reachable && self.nodes[other].peers_reachable
+    }
+
+    /// Whether a controller can send something to another one, which has to be up for it.
+    fn reaches(&self, from: usize, to: usize) -> bool {
+        self.nodes[to].up && self.connected(from, to)
+    }
+
+    fn forward_request(&mut self, from: usize, ticket: Ticket, peer: String, request: PeerRequest) {
+        let to = node_of(&peer);
+        if !self.reaches(from, to) {
+            self.nodes[from].inbox.push(Command::Forwarded {
+                ticket,
+                peer,
+                answer: None,
+            });
+            return;
+        }
+        let passed = self.new_ticket();
+        self.network.forwards.insert(passed, (from, ticket));
+        let received = self.now;
+        self.nodes[to].inbox.push(Command::User(UserRequest {
+            ticket: passed,
+            forwarded: true,
+            tried: Vec::new(),
+            received,
+            what: match request {
+                PeerRequest::Submit(spec) => Ask::Submit(spec),
+                PeerRequest::Show(id) => Ask::Show(id),
+                PeerRequest::Cancel(id) => Ask::Cancel(id),
+            },
+        }));
+    }
+
+    fn send_sync(&mut self, from: usize, peer: &str, number: u64, frame: &[u8]) {
+        let to = node_of(peer);
+        if !self.reaches(from, to) {
+            self.nodes[from].inbox.push(Command::Synced {
+                number,
+                answer: None,
+            });
+            return;
+        }
+        let (_, body) = peer::read_frame(&mut { frame }).unwrap();
+        let sync = Box::new(link::decode_sync(&body).unwrap());
+        let ticket = self.new_ticket();
+        self.network.syncs.insert(ticket, (from, number, self.now));
+        self.nodes[to].inbox.push(Command::Sync { ticket, sync });
+    }
+
+    fn send_recall(&mut self, from: usize, peer: String, recall: Recall) {
+        let to = node_of(&peer);
+        if !self.reaches(from, to) {
+            self.nodes[from].inbox.push(Command::Recalled {
+                peer,
+                asked: recall,
+                answer: None,
+            });
+            return;
+        }
+        let ticket = self.new_ticket();
+        self.network
+            .recalls
+            .insert(ticket, (from, peer, recall.clone()));
+        self.nodes[to]
+            .inbox
+            .push(Command::Recall { ticket, recall });
+    }
+
+    fn send_to_store(&mut self, from: usize, call: CallId, request: &StateRequest) {
+        let lost = self.counters.answers_lost;
+        let outcome = self.call_state(from, request);
+        let answer = Command::State { call, outcome };
+        if self.counters.answers_lost > lost {
+            let at = self.now + STORE_TIMEOUT;
+            return self.network.delayed_answers.push((at, from, answer));
+        }
+        if self.faults.store_delay.is_zero() {
+            return self.nodes[from].inbox.push(answer);
+        }
+        let part = self.rng.random_range(0.0..1.0);
+        let at = self.now + self.faults.store_delay.mul_f64(part);
+        self.network.delayed_answers.push((at, from, answer));
+    }
+
+    fn send_to_cloud(
+        &mut self,
+        from: usize,
+        call: CallId,
+        request: CloudRequest,
+        not_after: Option<Instant>,
+    ) {
+        let outcome = if not_after.is_some_and(|t| self.now >= t) {
+            CloudOutcome::Trouble("late".into())
+        } else {
+            self.call_cloud(request)
+        };
+        self.nodes[from]
+            .inbox
+            .push(Command::Cloud { call, outcome });
+    }
+
+    fn send_to_worker(&mut self, from: usize, call: CallId, request: DirectRequest) {
+        // All workers share an address here; the call's machine is the core's own note.
+        let id = match self.nodes[from].core.pending.get(&call) {
+            Some(Pending::Direct(id) | Pending::Show(id)) => id.clone(),
+            _ => return,
+        };
+        let outcome = self.call_worker(from, &id, request);
+        self.nodes[from]
+            .inbox
+            .push(Command::Direct { call, outcome });
+    }
+
     /// A report comes to a node late.
     pub fn deliver(&mut self, node: usize, report: Report) {
         let ticket = self.new_ticket();
@@ -295,6 +329,15 @@
         }
     }
 
+    /// Answers of the state service whose time has come.
+    pub(super) fn deliver_delayed_answers(&mut self) {
+        let now = self.now;
+        let answers = &mut self.network.delayed_answers;
+        for (_, node, answer) in answers.extract_if(.., |(at, ..)| *at <= now) {
+            self.nodes[node].inbox.push(answer);
+        }
+    }
+
     /// Copies of what workers reported arrive at every controller.
     pub fn replay_at_next_leadership(&mut self, reports: Vec<Report>) {
         self.network.reports_to_replay.extend(reports);
@@ -307,6 +350,18 @@
             .collect()
     }
 
+    /// What was kept for the beginning of a leadership arrives at every controller.
+    pub(super) fn replay_reports(&mut self) {
+        for report in std::mem::take(&mut self.network.reports_to_replay) {
+            for node in 0..self.nodes.len() {
+                if self.nodes[node].up {
+                    self.counters.reports_replayed += 1;
+                    self.deliver(node, report.clone());
+                }
+            }
+        }
+    }
+
     /// Lets everything through that was held.
     pub fn release(&mut self) {
         let late = std::mem::take(&mut self.network.delayed_transactions);
--- a/src/core/simulation/worker.rs
+++ b/src/core/simulation/worker.rs
@@ -1,6 +1,5 @@
 //! The simulated workers: what they report, execute and lose.
 
-use super::checker::check_zone;
 use super::cluster::{Simulation, TICK};
 use crate::core::{Command, Ticket};
 use crate::http::Answer;
@@ -14,6 +13,23 @@
 /// A worker's lease.
 pub const LEASE: Duration = Duration::from_secs(10);
 
+/// How often a worker reports.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
+/// A worker reports what has changed within this time.
+const REPORT_OF_CHANGES: Duration = Duration::from_millis(200);
+/// A worker turns to another controller after this long without an answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(4);
+
+/// A report that waits for its answer.
+#[derive(Clone, Copy)]
+pub(super) struct ReportExchange {
+    pub(super) node: usize,
+    pub(super) ticket: Ticket,
+    pub(super) session: u64,
+    pub(super) sent: Instant,
+}
+
+/// A task on a worker.
 #[derive(Clone, Debug)]
 pub struct WorkerTask {
     pub attempt: u64,
@@ -36,7 +52,8 @@
     pub lease_from: Instant,
     pub next_report: Instant,
     pub node: usize,
-    pub waiting: Option<(usize, Ticket, u64, Instant)>,
+    /// The report that it has sent and that has no answer yet.
+    pub(super) waiting: Option<ReportExchange>,
     /// It executes nothing and says nothing.
     pub hung: bool,
     /// It fails every task.
@@ -56,20 +73,21 @@
     name.strip_prefix('n')?.parse().ok()
 }
 
-impl Simulation {
-    pub(super) fn report(worker: &mut Worker, id: &MachineId) -> Report {
-        worker.seq += 1;
+impl Worker {
+    /// Its next report.
+    fn report(&mut self, id: &MachineId) -> Report {
+        self.seq += 1;
         Report {
             machine: id.clone(),
             addr: "127.0.0.1:9000".into(),
-            kind: worker.kind.clone(),
-            zone: worker.zone.clone(),
-            spot: worker.spot,
-            session: worker.session,
-            seq: worker.seq,
-            token: worker.token,
+            kind: self.kind.clone(),
+            zone: self.zone.clone(),
+            spot: self.spot,
+            session: self.session,
+            seq: self.seq,
+            token: self.token,
             notice: None,
-            rows: worker
+            rows: self
                 .tasks
                 .iter()
                 .map(|(k, t)| RowReport {
@@ -83,211 +101,250 @@
         }
     }
 
+    /// Its lease may have run out: then its tasks are gone, and it begins another session. A machine
+    /// that hangs may resume within its lease.
+    fn expire_lease(&mut self, now: Instant) {
+        if now > self.lease_from + LEASE {
+            self.tasks.clear();
+            self.session += 1;
+            self.seq = 0;
+            self.lease_from = now;
+            self.waiting = None;
+        }
+    }
+
+    /// It reports to another controller from now on.
+    fn turn_to_next(&mut self, nodes: usize) {
+        self.node = (self.node + 1) % nodes;
+    }
+}
+
+impl Simulation {
     /// A machine's report as of now, for the network to hold.
     pub fn report_of(&mut self, id: &MachineId) -> Report {
-        Simulation::report(self.workers.get_mut(id).unwrap(), id)
+        self.workers.get_mut(id).unwrap().report(id)
     }
 
+    /// Carries out a controller's orders, and checks each start against the rules.
     pub(super) fn execute(&mut self, id: &MachineId, orders: &[Order]) {
-        let now = self.now;
-        // Where tasks of jobs are that care for zones, as of now.
-        let mut beside: BTreeMap<TaskKey, String> = BTreeMap::new();
-        for o in orders {
-            let Order::Start { task, .. } = o else {
+        let mut beside = self.zones_of_tasks(orders);
+        if orders.iter().any(|o| matches!(o, Order::Start { .. })) {
+            self.check_recorded(id);
+        }
+        if !self.workers.contains_key(id) {
+            return;
+        }
+        for order in orders {
+            match order {
+                Order::Start { task, attempt } => {
+                    self.start_task(id, parse_task(task).unwrap(), *attempt, &mut beside);
+                }
+                Order::Stop { task, attempt, .. } => {
+                    self.stop_task(id, &parse_task(task).unwrap(), *attempt);
+                }
+                Order::Forget { task, attempt } => {
+                    self.forget_task(id, &parse_task(task).unwrap(), *attempt);
+                }
+            }
+        }
+    }
+
+    /// Where the tasks of jobs are that are started now and bound in their choice of zones.
+    fn zones_of_tasks(&self, orders: &[Order]) -> BTreeMap<TaskKey, String> {
+        let mut zones = BTreeMap::new();
+        for order in orders {
+            let Order::Start { task, .. } = order else {
                 continue;
             };
             let job = parse_task(task).unwrap().job;
             let spec = &self.checker.specs[&*job];
             if spec.one_zone || spec.spread {
-                for (m, key) in self.places(&job) {
-                    beside.insert(key, self.workers[&m].zone.clone());
+                for (machine, key) in self.places(&job) {
+                    zones.insert(key, self.workers[&machine].zone.clone());
                 }
             }
         }
-        let starts = orders.iter().any(|o| matches!(o, Order::Start { .. }));
-        // A store that has lost data may have lost this record as well.
-        let kept = self.checker.complete_replicas.is_none()
-            && !self.checker.data_lost_for_good
-            && !self.checker.machines_with_lost_record.contains(id);
-        if starts && kept && !self.state.recorded().contains(id) {
-            panic!("a task starts on {id}, which is not on record");
-        }
-        let Some(worker) = self.workers.get_mut(id) else {
+        zones
+    }
+
+    fn start_task(
+        &mut self,
+        id: &MachineId,
+        key: TaskKey,
+        attempt: u64,
+        beside: &mut BTreeMap<TaskKey, String>,
+    ) {
+        let worker = &self.workers[id];
+        let known = worker.tasks.get(&key);
+        if known.is_some_and(|t| t.attempt == attempt) {
             return;
-        };
+        }
         let zone = worker.zone.clone();
-        for o in orders {
-            match o {
-                Order::Start { task, attempt } => {
-                    let key = parse_task(task).unwrap();
-                    if worker
-                        .tasks
-                        .get(&key)
-                        .is_some_and(|t| t.attempt == *attempt)
-                    {
-                        continue;
-                    }
-                    self.counters.starts += 1;
-                    if let Some(told) = self.checker.cancelled_at.get(&*key.job) {
-                        self.counters.late_starts += 1;
-                        assert!(
-                            now <= *told + self.setup.cancel,
-                            "{key} of a cancelled job starts"
-                        );
-                    }
-                    let spec = &self.checker.specs[&*key.job];
-                    for a in &spec.awaits {
-                        for row in 0..self.checker.specs[&**a].tasks {
-                            let job = a.clone();
-                            let before = TaskKey { job, row };
-                            let done = self.checker.completed.contains(&before);
-                            assert!(done, "{key} starts before {before} is done");
-                        }
-                    }
-                    check_zone(&key, spec, &zone, &beside);
-                    let mut t = WorkerTask {
-                        attempt: *attempt,
-                        state: RowState::Running,
-                        why: None,
-                        ends: (spec.kind != Kind::Service)
-                            .then(|| now + self.image_fetch_time + spec.estimate),
-                        runs: now + self.image_fetch_time,
-                    };
-                    if !self.image_fetch_time.is_zero() {
-                        t.state = RowState::Fetching;
-                    }
-                    if worker.failing || self.broken_jobs.contains(&*key.job) {
-                        (t.state, t.why) = (RowState::Exited, Some(Why::Error));
-                    }
-                    if spec.one_zone || spec.spread {
-                        beside.insert(key.clone(), zone.clone());
-                    }
-                    worker.tasks.insert(key, t);
-                }
-                Order::Stop { task, attempt, .. } => {
-                    let key = parse_task(task).unwrap();
-                    if let Some(t) = worker.tasks.get_mut(&key)
-                        && t.attempt == *attempt
-                        && t.state != RowState::Exited
-                    {
-                        (t.state, t.why) = (RowState::Exited, Some(Why::Stopped));
-                    }
-                }
-                Order::Forget { task, attempt } => {
-                    let key = parse_task(task).unwrap();
-                    if worker
-                        .tasks
-                        .get(&key)
-                        .is_some_and(|t| t.attempt == *attempt && t.state == RowState::Exited)
-                    {
-                        self.counters.clears += 1;
-                        worker.tasks.remove(&key);
-                    }
-                }
-            }
+        self.counters.starts += 1;
+        self.check_start(&key, &zone, beside);
+        let worker = &self.workers[id];
+        let spec = &self.checker.specs[&*key.job];
+        let runs = self.now + self.image_fetch_time;
+        let mut task = WorkerTask {
+            attempt,
+            state: RowState::Running,
+            why: None,
+            ends: (spec.kind != Kind::Service).then(|| runs + spec.estimate),
+            runs,
+        };
+        if !self.image_fetch_time.is_zero() {
+            task.state = RowState::Fetching;
+        }
+        if worker.failing || self.broken_jobs.contains(&*key.job) {
+            (task.state, task.why) = (RowState::Exited, Some(Why::Error));
+        }
+        if spec.one_zone || spec.spread {
+            beside.insert(key.clone(), zone);
         }
+        let worker = self.workers.get_mut(id).expect("it was found above");
+        worker.tasks.insert(key, task);
     }
 
+    fn stop_task(&mut self, id: &MachineId, key: &TaskKey, attempt: u64) {
+        let task = self.workers.get_mut(id).and_then(|w| w.tasks.get_mut(key));
+        if let Some(task) = task
+            && task.attempt == attempt
+            && task.state != RowState::Exited
+        {
+            (task.state, task.why) = (RowState::Exited, Some(Why::Stopped));
+        }
+    }
+
+    fn forget_task(&mut self, id: &MachineId, key: &TaskKey, attempt: u64) {
+        let worker = self.workers.get_mut(id).expect("the orders are its own");
+        let ended = |t: &WorkerTask| t.attempt == attempt && t.state == RowState::Exited;
+        if worker.tasks.get(key).is_some_and(ended) {
+            self.counters.clears += 1;
+            worker.tasks.remove(key);
+        }
+    }
+
+    /// Lets each worker go on by a tick: its tasks, its lease, its reports.
     pub(super) fn advance_workers(&mut self) {
-        let now = self.now;
         let ids: Vec<MachineId> = self.workers.keys().cloned().collect();
         for id in ids {
             let Some(worker) = self.workers.get_mut(&id) else {
                 continue;
             };
-            if now < worker.up_at {
+            if self.now < worker.up_at {
                 continue;
             }
-            // A machine that hangs may resume within its lease; after it, its tasks are gone.
-            if now > worker.lease_from + LEASE {
-                worker.tasks.clear();
-                worker.session += 1;
-                worker.seq = 0;
-                worker.lease_from = now;
-                worker.waiting = None;
-            }
+            worker.expire_lease(self.now);
             if worker.hung {
                 continue;
             }
-            let mut changed = false;
-            for (key, t) in &mut worker.tasks {
-                if t.state == RowState::Fetching && t.runs <= now {
-                    t.state = RowState::Running;
-                    self.counters.late_starts +=
-                        u32::from(self.checker.cancelled_at.contains_key(&*key.job));
-                    changed = true;
-                }
-                if t.state == RowState::Running && t.ends.is_some_and(|e| e <= now) {
-                    (t.state, t.why) = (RowState::Exited, Some(Why::Done));
-                    self.checker.completed.insert(key.clone());
-                    changed = true;
-                }
+            self.advance_tasks(&id);
+            let worker = &self.workers[&id];
+            if let Some(exchange) = worker.waiting {
+                self.await_report_answer(&id, exchange);
+            } else if self.now >= worker.next_report {
+                self.send_report(&id);
             }
-            if changed {
-                worker.next_report = worker.next_report.min(now + Duration::from_millis(200));
+        }
+    }
+
+    fn advance_tasks(&mut self, id: &MachineId) {
+        let now = self.now;
+        let worker = self.workers.get_mut(id).expect("the worker exists");
+        let mut changed = false;
+        for (key, task) in &mut worker.tasks {
+            if task.state == RowState::Fetching && task.runs <= now {
+                task.state = RowState::Running;
+                let late = self.checker.cancelled_at.contains_key(&*key.job);
+                self.counters.late_starts += u32::from(late);
+                changed = true;
             }
-            if let Some((node, ticket, session, sent)) = worker.waiting {
-                if let Some(answer) = self.network.answers.remove(&ticket) {
-                    worker.waiting = None;
-                    if worker.partitioned_from.contains(&node) || worker.inbound_partitioned {
-                        continue;
-                    }
-                    let read = |a: &Answer| serde_json::from_slice::<ReportAnswer>(&a.body).ok();
-                    match (answer.status, read(&answer)) {
-                        (200, Some(a)) if a.token >= worker.token && session == worker.session => {
-                            worker.token = a.token;
-                            worker.lease_from = sent;
-                            self.execute(&id, &a.orders);
-                        }
-                        (200, _) => {}
-                        _ => match redirect_target(&answer) {
-                            Some(other) if other != worker.node => {
-                                worker.node = other;
-                                worker.next_report = now + TICK * 4;
-                            }
-                            _ => worker.node = (worker.node + 1) % self.setup.nodes,
-                        },
-                    }
-                } else if now > sent + Duration::from_secs(4) {
-                    worker.waiting = None;
-                    worker.node = (worker.node + 1) % self.setup.nodes;
-                }
-            } else if now >= worker.next_report {
-                worker.next_report = now + Duration::from_secs(1);
-                let node = worker.node;
-                if !self.nodes[node].up
-                    || worker.partitioned_from.contains(&node)
-                    || worker.outbound_partitioned
-                {
-                    worker.node = (node + 1) % self.setup.nodes;
-                    continue;
-                }
-                let report = Box::new(Simulation::report(worker, &id));
-                if !self.faults.duplicate_delay.is_zero() {
-                    let at = now
-                        + self
-                            .faults
-                            .duplicate_delay
-                            .mul_f64(self.rng.random_range(0.1..1.0));
-                    let to = self.rng.random_range(0..self.setup.nodes);
-                    self.network
-                        .delayed_reports
-                        .push((at, to, (*report).clone()));
-                }
-                if self.faults.replayed_report_share > 0.0
-                    && self.rng.random_bool(self.faults.replayed_report_share)
-                {
-                    self.network.reports_to_replay.push((*report).clone());
-                }
-                self.counters.reports += 1;
-                let ticket = self.next_ticket;
-                self.next_ticket += 1;
-                worker.waiting = Some((node, ticket, worker.session, now));
-                self.nodes[node]
-                    .inbox
-                    .push(Command::Report { ticket, report });
+            if task.state == RowState::Running && task.ends.is_some_and(|e| e <= now) {
+                (task.state, task.why) = (RowState::Exited, Some(Why::Done));
+                self.checker.completed.insert(key.clone());
+                changed = true;
             }
         }
+        if changed {
+            worker.next_report = worker.next_report.min(now + REPORT_OF_CHANGES);
+        }
+    }
+
+    /// Takes in the answer to a report, or turns to another controller if there is none for long.
+    fn await_report_answer(&mut self, id: &MachineId, exchange: ReportExchange) {
+        let nodes = self.setup.nodes;
+        let worker = self.workers.get_mut(id).expect("the worker exists");
+        let Some(answer) = self.network.answers.remove(&exchange.ticket) else {
+            if self.now > exchange.sent + ANSWER_TIMEOUT {
+                worker.waiting = None;
+                worker.turn_to_next(nodes);
+            }
+            return;
+        };
+        worker.waiting = None;
+        if worker.partitioned_from.contains(&exchange.node) || worker.inbound_partitioned {
+            return;
+        }
+        let orders: Option<ReportAnswer> = serde_json::from_slice(&answer.body).ok();
+        match (answer.status, orders) {
+            (200, Some(a)) if a.token >= worker.token && exchange.session == worker.session => {
+                worker.token = a.token;
+                worker.lease_from = exchange.sent;
+                self.execute(id, &a.orders);
+            }
+            (200, _) => {}
+            _ => match redirect_target(&answer) {
+                Some(other) if other != worker.node => {
+                    worker.node = other;
+                    worker.next_report = self.now + TICK * 4;
+                }
+                _ => worker.turn_to_next(nodes),
+            },
+        }
+    }
+
+    fn send_report(&mut self, id: &MachineId) {
+        let now = self.now;
+        let worker = self.workers.get_mut(id).expect("the worker exists");
+        worker.next_report = now + REPORT_INTERVAL;
+        let node = worker.node;
+        if !self.nodes[node].up
+            || worker.partitioned_from.contains(&node)
+            || worker.outbound_partitioned
+        {
+            return worker.turn_to_next(self.setup.nodes);
+        }
+        let report = Box::new(worker.report(id));
+        let session = worker.session;
+        if !self.faults.duplicate_delay.is_zero() {
+            let at = now + self.duplicate_after();
+            let to = self.rng.random_range(0..self.setup.nodes);
+            let copy = (*report).clone();
+            self.network.delayed_reports.push((at, to, copy));
+        }
+        let share = self.faults.replayed_report_share;
+        if share > 0.0 && self.rng.random_bool(share) {
+            self.network.reports_to_replay.push((*report).clone());
+        }
+        self.counters.reports += 1;
+        let ticket = self.new_ticket();
+        let exchange = ReportExchange {
+            node,
+            ticket,
+            session,
+            sent: now,
+        };
+        let worker = self.workers.get_mut(id).expect("the worker exists");
+        worker.waiting = Some(exchange);
+        self.nodes[node]
+            .inbox
+            .push(Command::Report { ticket, report });
+    }
+
+    /// How much later a duplicate arrives.
+    fn duplicate_after(&mut self) -> Duration {
+        let part = self.rng.random_range(0.1..1.0);
+        self.faults.duplicate_delay.mul_f64(part)
     }
 
     /// Executes direct commands as a worker does.
@@ -300,7 +357,7 @@
         }
         let worker = self.workers.get_mut(id)?;
         Some(DirectOutcome::Report {
-            report: Box::new(Simulation::report(worker, id)),
+            report: Box::new(worker.report(id)),
             executed: fits,
         })
     }
@@ -327,12 +384,9 @@
         if worker.inbound_partitioned {
             return DirectOutcome::NotSent("timeout".into());
         }
+        let held = worker.hung || worker.partitioned_from.contains(&i);
         if !self.faults.duplicate_delay.is_zero() {
-            let at = self.now
-                + self
-                    .faults
-                    .duplicate_delay
-                    .mul_f64(self.rng.random_range(0.1..1.0));
+            let at = self.now + self.duplicate_after();
             self.network
                 .delayed_commands
                 .push((at, id.clone(), body.clone()));
@@ -345,7 +399,7 @@
             self.network.delayed_commands.push((at, id.clone(), body));
             return unknown;
         }
-        if worker.hung || worker.partitioned_from.contains(&i) || self.faults.hold_commands {
+        if held || self.faults.hold_commands {
             // Held by the network, or by the machine until it resumes.
             self.network.held_commands.push((id.clone(), body));
             return unknown;
