--- a/crates/membership/src/grant.rs
+++ b/crates/membership/src/grant.rs
@@ -14,16 +14,16 @@
 
 /// What a borrower holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Held {
+pub struct HeldGrant {
     /// The term of the leader who granted it.
     pub term: u64,
     pub until: Instant,
 }
 
-impl Held {
+impl HeldGrant {
     /// From an answer to a request that was sent at `sent`.
-    pub fn new(term: u64, sent: Instant, span: Duration) -> Held {
-        Held {
+    pub fn new(term: u64, sent: Instant, span: Duration) -> HeldGrant {
+        HeldGrant {
             term,
             until: sent + span.saturating_sub(span / DRIFT),
         }
@@ -36,7 +36,7 @@
 
 /// What a leader keeps of one borrower.
 #[derive(Clone, Debug)]
-pub struct Issued {
+pub struct IssuedGrant {
     pub incarnation: u64,
     /// The newest request that was taken in.
     pub number: u64,
@@ -60,9 +60,9 @@
     Old,
 }
 
-impl Issued {
-    pub fn first(incarnation: u64, number: u64, now: Instant) -> Issued {
-        Issued {
+impl IssuedGrant {
+    pub fn first(incarnation: u64, number: u64, now: Instant) -> IssuedGrant {
+        IssuedGrant {
             incarnation,
             number,
             heard: now,
--- a/crates/membership/src/grant/tests.rs
+++ b/crates/membership/src/grant/tests.rs
@@ -11,9 +11,9 @@
     let t = Instant::now();
     let word = t + ms(2600);
     for (sent, worked) in [(0, 0), (0, 900), (100, 2500), (0, 2599)] {
-        let mut issued = Issued::first(1, 1, t + ms(worked));
+        let mut issued = IssuedGrant::first(1, 1, t + ms(worked));
         let span = issued.grant(word, t + ms(worked));
-        let held = Held::new(4, t + ms(sent), span);
+        let held = HeldGrant::new(4, t + ms(sent), span);
         assert!(held.until <= word, "{sent} {worked}");
         assert!(!held.holds(4, word));
         assert!(!held.holds(5, t));
@@ -23,7 +23,7 @@
 #[test]
 fn requests_that_were_held_up_are_known_and_a_new_process_begins_anew() {
     let t = Instant::now();
-    let mut issued = Issued::first(1, 5, t);
+    let mut issued = IssuedGrant::first(1, 5, t);
     assert_eq!(issued.request(1, 5, t + ms(1)), Request::Old);
     assert_eq!(issued.request(1, 7, t + ms(2)), Request::Next);
     assert_eq!(issued.request(1, 6, t + ms(3)), Request::Old);
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -5,13 +5,13 @@
 
 /// What a process can do beyond what all versions can. Versions that never said are without any.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Abilities(pub u32);
+pub struct Capabilities(pub u32);
 
-impl Abilities {
+impl Capabilities {
     /// Answers workers' reports under a grant.
-    pub const REPORTS: Abilities = Abilities(1);
+    pub const REPORTS: Capabilities = Capabilities(1);
 
-    pub fn has(self, other: Abilities) -> bool {
+    pub fn has(self, other: Capabilities) -> bool {
         self.0 & other.0 == other.0
     }
 }
@@ -30,7 +30,7 @@
 pub struct Member {
     pub zone: String,
     pub incarnation: u64,
-    pub abilities: Abilities,
+    pub abilities: Capabilities,
     /// Workers that it serves.
     pub load: u32,
     pub heard: Option<Instant>,
@@ -40,29 +40,32 @@
 
 /// When silence means what.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience {
+pub struct FailureDetectorTimeouts {
     pub suspect: Duration,
     pub lost: Duration,
 }
 
 #[derive(Clone, Debug)]
-pub struct View {
+pub struct MembershipView {
     members: BTreeMap<String, Member>,
-    patience: Patience,
+    patience: FailureDetectorTimeouts,
 }
 
-impl View {
+impl MembershipView {
     /// All others by name and zone.
-    pub fn new(others: impl IntoIterator<Item = (String, String)>, patience: Patience) -> View {
+    pub fn new(
+        others: impl IntoIterator<Item = (String, String)>,
+        patience: FailureDetectorTimeouts,
+    ) -> MembershipView {
         let member = |zone| Member {
             zone,
             incarnation: 0,
-            abilities: Abilities::default(),
+            abilities: Capabilities::default(),
             load: 0,
             heard: None,
             heard_by_others: None,
         };
-        View {
+        MembershipView {
             members: others
                 .into_iter()
                 .map(|(name, zone)| (name, member(zone)))
@@ -84,7 +87,7 @@
         &mut self,
         name: &str,
         incarnation: u64,
-        abilities: Abilities,
+        abilities: Capabilities,
         load: u32,
         now: Instant,
     ) -> bool {
@@ -98,7 +101,7 @@
 
     /// Another member says when it heard this one, and what it was then. What this node heard
     /// itself later than that stands.
-    pub fn told(&mut self, name: &str, abilities: Abilities, load: u32, heard: Instant) {
+    pub fn told(&mut self, name: &str, abilities: Capabilities, load: u32, heard: Instant) {
         let Some(m) = self.members.get_mut(name) else {
             return;
         };
--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -1,7 +1,7 @@
 //! Hollow machines: the stand-ins' workers, whose connections a few threads multiplex.
 
 use crate::connection::Connection;
-use burlusher::wire::{PATH_REPORT, Redirect, ReportAnswer};
+use burlusher::wire::{HeartbeatResponse, PATH_HEARTBEAT, Redirect};
 use burlusher_standin::cloud::Hosting;
 use burlusher_standin::worker::Worker;
 use mio::net::{TcpListener, TcpStream};
@@ -298,7 +298,7 @@
         let Some(link) = &mut self.link else {
             return self.turn(None, now);
         };
-        let bytes = link.ask("POST", PATH_REPORT, &report);
+        let bytes = link.ask("POST", PATH_HEARTBEAT, &report);
         Traffic::add(&traffic.reports, 1);
         Traffic::add(&traffic.sent, bytes);
         self.awaiting = Some(now);
@@ -337,7 +337,7 @@
         }
         match response.status {
             200 => {
-                if let Ok(answer) = serde_json::from_slice::<ReportAnswer>(&response.body) {
+                if let Ok(answer) = serde_json::from_slice::<HeartbeatResponse>(&response.body) {
                     self.worker.take_in(answer, sent);
                 }
             }
--- a/crates/scale/src/hollow/tests.rs
+++ b/crates/scale/src/hollow/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use burlusher::http::{self, Answer, Client, Request};
 use burlusher::job::{JobSpec, Resources};
-use burlusher::wire::{DirectBody, Order, Report, to_json};
+use burlusher::wire::{DirectCommands, Heartbeat, TaskCommand, to_json};
 use burlusher_standin::cloud::Threads;
 use burlusher_standin::scenario::Scenario;
 use burlusher_standin::users::load;
@@ -15,7 +15,7 @@
 /// A controller that answers all reports alike, and keeps them.
 struct Controller {
     addr: SocketAddrV4,
-    reports: Arc<Mutex<Vec<Report>>>,
+    reports: Arc<Mutex<Vec<Heartbeat>>>,
     /// When each of them came.
     times: Arc<Mutex<Vec<Instant>>>,
 }
@@ -158,10 +158,10 @@
     fleet.host(worker.clone(), listener, Duration::ZERO);
     wait("it reports", || !ok.reports.lock().unwrap().is_empty());
     let body = |token| {
-        to_json(&DirectBody {
+        to_json(&DirectCommands {
             token,
             session: 1,
-            orders: vec![Order::Start {
+            orders: vec![TaskCommand::Start {
                 task: format!("{id}/0"),
                 attempt: 1,
             }],
--- a/crates/standin/src/cloud.rs
+++ b/crates/standin/src/cloud.rs
@@ -6,8 +6,8 @@
 use burlusher::http::{self, Answer, Request};
 use burlusher::job::Resources;
 use burlusher::wire::{
-    ListBody, ListedMachine, ListedState, MachineNames, MachineType, PATH_DELETE, PATH_MACHINES,
-    PATH_TYPES, RentBody, TypesBody, to_json,
+    ListedMachine, ListedState, MachineIds, MachineListPage, MachineType, MachineTypeList,
+    PATH_DELETE, PATH_MACHINES, PATH_TYPES, ScaleOutRequest, to_json,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
@@ -155,7 +155,7 @@
         match (r.method.as_str(), path) {
             ("GET", PATH_TYPES) => {
                 let types = self.types.clone();
-                Answer::new(200, to_json(&TypesBody { types }))
+                Answer::new(200, to_json(&MachineTypeList { types }))
             }
             ("GET", PATH_MACHINES) => {
                 let since = query(&r.path, "since").unwrap_or("").to_string();
@@ -180,13 +180,13 @@
                 let machines = listed.collect();
                 Answer::new(
                     200,
-                    to_json(&ListBody {
+                    to_json(&MachineListPage {
                         machines,
                         more: false,
                     }),
                 )
             }
-            ("POST", PATH_DELETE) => match serde_json::from_slice::<MachineNames>(&r.body) {
+            ("POST", PATH_DELETE) => match serde_json::from_slice::<MachineIds>(&r.body) {
                 Ok(names) => {
                     for id in &names.machines {
                         self.take_away(&mut c, id);
@@ -195,7 +195,7 @@
                 }
                 Err(e) => Answer::error(400, &e.to_string()),
             },
-            ("POST", PATH_MACHINES) => match serde_json::from_slice::<RentBody>(&r.body) {
+            ("POST", PATH_MACHINES) => match serde_json::from_slice::<ScaleOutRequest>(&r.body) {
                 Ok(body) if body.count <= 50 => self.rent(&mut c, body),
                 Ok(_) => Answer::error(400, "count: at most 50"),
                 Err(e) => Answer::error(400, &e.to_string()),
@@ -215,8 +215,8 @@
         }
     }
 
-    fn rent(&self, c: &mut Inner, body: RentBody) -> Answer {
-        let names = |machines| Answer::new(200, to_json(&MachineNames { machines }));
+    fn rent(&self, c: &mut Inner, body: ScaleOutRequest) -> Answer {
+        let names = |machines| Answer::new(200, to_json(&MachineIds { machines }));
         if let Some(machines) = c.requests.get(&body.request) {
             return names(machines.clone());
         }
--- a/crates/standin/src/state.rs
+++ b/crates/standin/src/state.rs
@@ -2,7 +2,8 @@
 
 use burlusher::http::{Answer, Request};
 use burlusher::wire::{
-    Change, Event, EventsBody, Item, ItemsBody, LeaseAnswer, LeaseBody, Txn, TxnAnswer, to_json,
+    Change, CompareAndSwap, CompareAndSwapResponse, Item, KeyValuePage, LeaseRequest,
+    LeaseResponse, WatchEvent, WatchResponse, to_json,
 };
 use serde_json::Value;
 use std::collections::{BTreeMap, VecDeque};
@@ -21,7 +22,7 @@
     leases: BTreeMap<u64, (Instant, Duration)>,
     next_lease: u64,
     revision: u64,
-    events: Vec<Event>,
+    events: Vec<WatchEvent>,
     down_until: Option<Instant>,
 }
 
@@ -36,7 +37,7 @@
 
 impl Store {
     fn note(&mut self, put: Option<&Item>, drop: Option<&str>) {
-        self.events.push(Event {
+        self.events.push(WatchEvent {
             put: put.map(|i| i.key.clone()),
             delete: drop.map(str::to_string),
             value: put.map_or(Value::Null, |i| i.value.clone()),
@@ -73,7 +74,7 @@
         }
     }
 
-    fn commit(&mut self, txn: Txn) -> Answer {
+    fn commit(&mut self, txn: CompareAndSwap) -> Answer {
         let version = |key: &str| self.keys.get(key).map_or(0, |i| i.version);
         let failed: Vec<String> = txn
             .conditions
@@ -82,7 +83,7 @@
             .map(|c| c.key.clone())
             .collect();
         let answer = |status, revision, failed| {
-            let body = TxnAnswer { revision, failed };
+            let body = CompareAndSwapResponse { revision, failed };
             Answer::new(status, to_json(&body))
         };
         if !failed.is_empty() {
@@ -203,7 +204,7 @@
                 let revision = s.revision;
                 Answer::new(
                     200,
-                    to_json(&ItemsBody {
+                    to_json(&KeyValuePage {
                         items,
                         more,
                         revision,
@@ -214,14 +215,14 @@
             ("GET", key) if key.starts_with("/kv/") => match s.keys.get(&key[4..]) {
                 Some(item) => Answer::new(200, to_json(item)),
                 None => {
-                    let body = TxnAnswer {
+                    let body = CompareAndSwapResponse {
                         revision: s.revision,
                         failed: Vec::new(),
                     };
                     Answer::new(404, to_json(&body))
                 }
             },
-            ("POST", "/txn") => match serde_json::from_slice::<Txn>(&r.body) {
+            ("POST", "/txn") => match serde_json::from_slice::<CompareAndSwap>(&r.body) {
                 Ok(txn) => {
                     let changes = txn.changes.len() as u64;
                     self.changes.fetch_add(changes, Ordering::Relaxed);
@@ -229,12 +230,12 @@
                 }
                 Err(e) => Answer::error(400, &e.to_string()),
             },
-            ("POST", "/leases") => match serde_json::from_slice::<LeaseBody>(&r.body) {
+            ("POST", "/leases") => match serde_json::from_slice::<LeaseRequest>(&r.body) {
                 Ok(l) => {
                     s.next_lease += 1;
                     let (id, ttl) = (s.next_lease, Duration::from_millis(l.ttl_ms));
                     s.leases.insert(id, (now + ttl, ttl));
-                    Answer::new(200, to_json(&LeaseAnswer { lease: id }))
+                    Answer::new(200, to_json(&LeaseResponse { lease: id }))
                 }
                 Err(e) => Answer::error(400, &e.to_string()),
             },
@@ -248,7 +249,7 @@
                     ("POST", Some(id)) => match s.leases.get_mut(&id) {
                         Some((end, ttl)) => {
                             *end = now + *ttl;
-                            Answer::new(200, to_json(&LeaseAnswer { lease: id }))
+                            Answer::new(200, to_json(&LeaseResponse { lease: id }))
                         }
                         None => Answer::error(404, "no such lease"),
                     },
@@ -273,15 +274,15 @@
             if s.events.len() >= KEPT && s.events.first().is_some_and(|e| e.version > since + 1) {
                 return Answer::error(410, "too old");
             }
-            let named = |e: &&Event| {
+            let named = |e: &&WatchEvent| {
                 let key = e.put.as_ref().or(e.delete.as_ref());
                 e.version > since && key.is_some_and(|k| k.starts_with(&under))
             };
-            let events: Vec<Event> = s.events.iter().filter(named).cloned().collect();
+            let events: Vec<WatchEvent> = s.events.iter().filter(named).cloned().collect();
             let left = until.saturating_duration_since(Instant::now());
             if !events.is_empty() || left.is_zero() {
                 let revision = s.revision;
-                return Answer::new(200, to_json(&EventsBody { revision, events }));
+                return Answer::new(200, to_json(&WatchResponse { revision, events }));
             }
             // Leases end without anybody's doing.
             let nap = left.min(Duration::from_millis(100));
--- a/crates/standin/src/users.rs
+++ b/crates/standin/src/users.rs
@@ -5,8 +5,8 @@
 use crate::scenario::{Job, Scenario};
 use crate::worker::World;
 use burlusher::http::Client;
-use burlusher::job::{JobSpec, Kind, Rank, Resources};
-use burlusher::wire::{JOB_PREFIX, JobAnswer, JobState, PATH_JOBS, submission};
+use burlusher::job::{JobKind, JobSpec, Priority, Resources};
+use burlusher::wire::{JOB_PREFIX, JobState, JobStatus, PATH_JOBS, submission};
 use hdrhistogram::Histogram;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -57,11 +57,11 @@
             id: format!("{JOB_PREFIX}{number:06}").into(),
             class: class.class.clone(),
             team: "all".into(),
-            kind: Kind::Array,
+            kind: JobKind::Array,
             rank: if class.urgent {
-                Rank::High
+                Priority::High
             } else {
-                Rank::Normal
+                Priority::Normal
             },
             tasks: *class.tasks.get_ref(),
             needs: Resources {
@@ -171,7 +171,7 @@
             let answer = self.call(tries, "GET", &path, b"");
             let mut seen = self.seen.lock().expect("no panic holds it");
             let state = match answer {
-                Some((200, body)) => serde_json::from_slice::<JobAnswer>(&body).ok(),
+                Some((200, body)) => serde_json::from_slice::<JobStatus>(&body).ok(),
                 Some((404, _)) => {
                     seen.wrong.push(format!("{id}: accepted, and then unknown"));
                     return;
--- a/crates/standin/src/worker.rs
+++ b/crates/standin/src/worker.rs
@@ -4,8 +4,8 @@
 use burlusher::http::{Answer, Client, Request};
 use burlusher::job::{JobSpec, Resources};
 use burlusher::wire::{
-    DirectBody, Order, PATH_REPORT, Redirect, Report, ReportAnswer, RowReport, RowState, Why,
-    parse_task, to_json,
+    DirectCommands, ExitCause, Heartbeat, HeartbeatResponse, PATH_HEARTBEAT, Redirect, TaskCommand,
+    TaskState, TaskStatus, parse_task_id, to_json,
 };
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -43,9 +43,9 @@
 struct Task {
     job: Arc<(JobSpec, Duration)>,
     attempt: u64,
-    state: RowState,
+    state: TaskState,
     until: Instant,
-    why: Option<Why>,
+    why: Option<ExitCause>,
 }
 
 struct Inner {
@@ -127,8 +127,8 @@
     fn forget_all(&self, w: &mut Inner) {
         let mut records = self.world.records.lock().expect("no panic holds it");
         for (task, t) in std::mem::take(&mut w.tasks) {
-            if t.state == RowState::Running
-                && let Some(key) = parse_task(&task)
+            if t.state == TaskState::Running
+                && let Some(key) = parse_task_id(&task)
             {
                 records.leave(&key.job, key.row, &self.zone, None);
             }
@@ -149,19 +149,19 @@
             w.news = true;
         }
         for (task, t) in &mut w.tasks {
-            let Some(key) = parse_task(task).filter(|_| now >= t.until) else {
+            let Some(key) = parse_task_id(task).filter(|_| now >= t.until) else {
                 continue;
             };
             let mut records = self.world.records.lock().expect("no panic holds it");
             match t.state {
-                RowState::Fetching => {
-                    t.state = RowState::Running;
+                TaskState::Fetching => {
+                    t.state = TaskState::Running;
                     t.until = now + t.job.1;
                     records.start(&key.job, key.row, &self.id);
                 }
-                RowState::Running => {
-                    t.state = RowState::Exited;
-                    t.why = Some(Why::Done);
+                TaskState::Running => {
+                    t.state = TaskState::Exited;
+                    t.why = Some(ExitCause::Done);
                     let ran = Some((t.job.1, t.job.0.needs.cpus));
                     records.leave(&key.job, key.row, &self.zone, ran);
                 }
@@ -171,24 +171,24 @@
         }
     }
 
-    fn execute(&self, w: &mut Inner, orders: Vec<Order>) {
+    fn execute(&self, w: &mut Inner, orders: Vec<TaskCommand>) {
         let now = Instant::now();
         for order in orders {
             w.news = true;
             match order {
-                Order::Start { task, attempt } => {
+                TaskCommand::Start { task, attempt } => {
                     let held = w.tasks.get(&task);
                     if held.is_some_and(|t| t.attempt == attempt) {
                         continue;
                     }
-                    let busy = held.is_some_and(|t| t.state != RowState::Exited);
+                    let busy = held.is_some_and(|t| t.state != TaskState::Exited);
                     let jobs = self.world.jobs.lock().expect("no panic holds it");
-                    let Some(job) = parse_task(&task).and_then(|k| jobs.get(&*k.job).cloned())
+                    let Some(job) = parse_task_id(&task).and_then(|k| jobs.get(&*k.job).cloned())
                     else {
                         continue;
                     };
                     let mut free = self.room;
-                    for t in w.tasks.values().filter(|t| t.state != RowState::Exited) {
+                    for t in w.tasks.values().filter(|t| t.state != TaskState::Exited) {
                         free.sub(&t.job.0.needs);
                     }
                     let image = job.0.image.clone();
@@ -198,7 +198,7 @@
                     } else if job.0.needs.fits(&free) {
                         None
                     } else {
-                        Some(Why::NoRoom)
+                        Some(ExitCause::NoRoom)
                     };
                     let cached = w.images.contains(&image);
                     if !cached {
@@ -208,30 +208,30 @@
                         job,
                         attempt,
                         state: match why {
-                            Some(_) => RowState::Exited,
-                            None => RowState::Fetching,
+                            Some(_) => TaskState::Exited,
+                            None => TaskState::Fetching,
                         },
                         until: if cached { now } else { now + FETCH },
                         why,
                     };
                     w.tasks.insert(task, task_now);
                 }
-                Order::Stop { task, attempt, .. } => {
+                TaskCommand::Stop { task, attempt, .. } => {
                     if let Some(t) = w.tasks.get_mut(&task).filter(|t| t.attempt == attempt)
-                        && t.state != RowState::Exited
+                        && t.state != TaskState::Exited
                     {
-                        if t.state == RowState::Running
-                            && let Some(key) = parse_task(&task)
+                        if t.state == TaskState::Running
+                            && let Some(key) = parse_task_id(&task)
                         {
                             let mut records = self.world.records.lock().expect("no panic");
                             records.leave(&key.job, key.row, &self.zone, None);
                         }
-                        t.state = RowState::Exited;
-                        t.why = Some(Why::Stopped);
+                        t.state = TaskState::Exited;
+                        t.why = Some(ExitCause::Stopped);
                     }
                 }
-                Order::Forget { task, attempt } => {
-                    let exited = |t: &Task| t.attempt == attempt && t.state == RowState::Exited;
+                TaskCommand::Forget { task, attempt } => {
+                    let exited = |t: &Task| t.attempt == attempt && t.state == TaskState::Exited;
                     if w.tasks.get(&task).is_some_and(exited) {
                         w.tasks.remove(&task);
                     }
@@ -240,11 +240,11 @@
         }
     }
 
-    fn report(&self, w: &mut Inner) -> Report {
+    fn report(&self, w: &mut Inner) -> Heartbeat {
         self.advance(w);
         w.seq += 1;
         let left = |t: Instant| t.saturating_duration_since(Instant::now()).as_secs_f64();
-        Report {
+        Heartbeat {
             machine: self.id.as_str().into(),
             addr: self.addr.to_string(),
             kind: self.kind.clone(),
@@ -257,7 +257,7 @@
             rows: w
                 .tasks
                 .iter()
-                .map(|(task, t)| RowReport {
+                .map(|(task, t)| TaskStatus {
                     task: task.clone(),
                     attempt: t.attempt,
                     state: t.state,
@@ -276,7 +276,7 @@
         }
         let mut status = 200;
         if r.method == "POST" {
-            let Ok(body) = serde_json::from_slice::<DirectBody>(&r.body) else {
+            let Ok(body) = serde_json::from_slice::<DirectCommands>(&r.body) else {
                 return Some(Answer::error(400, "malformed"));
             };
             self.advance(&mut w);
@@ -318,10 +318,16 @@
                 continue;
             };
             last = Instant::now();
-            let answer = client.call("POST", PATH_REPORT, &report, Duration::from_secs(4), false);
+            let answer = client.call(
+                "POST",
+                PATH_HEARTBEAT,
+                &report,
+                Duration::from_secs(4),
+                false,
+            );
             let next = match answer {
                 Ok((200, body)) => {
-                    if let Ok(a) = serde_json::from_slice::<ReportAnswer>(&body) {
+                    if let Ok(a) = serde_json::from_slice::<HeartbeatResponse>(&body) {
                         self.take_in(a, last);
                     }
                     continue;
@@ -342,7 +348,7 @@
     }
 
     /// The answer to a report that was sent at this moment.
-    pub fn take_in(&self, answer: ReportAnswer, sent: Instant) {
+    pub fn take_in(&self, answer: HeartbeatResponse, sent: Instant) {
         let mut w = self.inner.lock().expect("no panic holds it");
         if answer.token < w.token || w.gone || Instant::now() > w.answered + self.world.lease {
             return;
--- a/src/archivist.rs
+++ b/src/archivist.rs
@@ -5,9 +5,9 @@
 //! A store that has lost data gets another line in the archive, so that what was kept before is there
 //! when it is needed.
 
-use crate::core::Mirror;
-use crate::state::{PREFIX, StateClient, StateOutcome, StateRequest};
-use crate::wire::{Event, Item, OfferBody};
+use crate::core::StoreCache;
+use crate::state::{PREFIX, StoreClient, StoreOutcome, StoreRequest};
+use crate::wire::{Item, SnapshotPage, WatchEvent};
 use burlusher_snapshot::archive::{Archive, Listed};
 use burlusher_snapshot::image::{Change, Entry, Image};
 use burlusher_snapshot::line::Writer;
@@ -26,8 +26,8 @@
 /// Bytes of items in one request that offers a snapshot.
 const OFFERED: usize = 48 * 1024;
 
-pub struct Archivist {
-    client: StateClient,
+pub struct Snapshotter {
+    client: StoreClient,
     archive: Archive,
     image: Image,
     store: String,
@@ -68,11 +68,11 @@
     now.revision >= before.revision && jobs.all(|k| now.items.contains_key(k))
 }
 
-impl Archivist {
-    pub fn open(state: SocketAddrV4, dir: &Path) -> io::Result<Archivist> {
+impl Snapshotter {
+    pub fn open(state: SocketAddrV4, dir: &Path) -> io::Result<Snapshotter> {
         let now = Instant::now();
-        Ok(Archivist {
-            client: StateClient::new(state),
+        Ok(Snapshotter {
+            client: StoreClient::new(state),
             archive: Archive::open(dir)?,
             image: Image::default(),
             store: String::new(),
@@ -130,7 +130,7 @@
             self.writer = None;
             return Ok(());
         };
-        let change = |e: Event| {
+        let change = |e: WatchEvent| {
             let key = e.put.clone().or(e.delete)?;
             let entry = e.put.and_then(|_| entry(&e.value, e.version));
             Some(Change { key, entry })
@@ -168,14 +168,14 @@
         }
         self.looked = Instant::now();
         let key = format!("{PREFIX}i/{}", self.store);
-        if let StateOutcome::Missing { .. } = self.client.perform(&StateRequest::Get(key)) {
+        if let StoreOutcome::Missing { .. } = self.client.perform(&StoreRequest::Get(key)) {
             self.writer = None;
         }
         Ok(())
     }
 }
 
-fn trouble(outcome: StateOutcome) -> io::Error {
+fn trouble(outcome: StoreOutcome) -> io::Error {
     io::Error::other(format!("state service: {outcome:?}"))
 }
 
@@ -247,7 +247,7 @@
 }
 
 pub fn summary(image: &Image) -> Summary {
-    let mut mirror = Mirror::default();
+    let mut mirror = StoreCache::default();
     mirror.reset(items(image), image.revision);
     Summary {
         live: mirror.jobs.keys().map(|id| id.to_string()).collect(),
@@ -258,12 +258,12 @@
 }
 
 /// A snapshot as requests that offer it to the leader, one after the other.
-pub fn offers(listed: &Listed) -> Result<Vec<OfferBody>, String> {
+pub fn offers(listed: &Listed) -> Result<Vec<SnapshotPage>, String> {
     let line = (listed.line.as_ref())
         .map_err(|faults| format!("{}: nothing to be read: {faults:?}", listed.name))?;
-    let mut mirror = Mirror::default();
+    let mut mirror = StoreCache::default();
     mirror.reset(items(&line.image), line.image.revision);
-    let mut out: Vec<OfferBody> = Vec::new();
+    let mut out: Vec<SnapshotPage> = Vec::new();
     let mut after = String::new();
     loop {
         // Large jobs are whole in it, whatever the parts in which they were stored.
@@ -271,7 +271,7 @@
         if let Some((key, _)) = items.last() {
             after = key.clone();
         }
-        out.push(OfferBody {
+        out.push(SnapshotPage {
             store: line.head.store.clone(),
             last: !more,
             items,
--- a/src/bids.rs
+++ b/src/bids.rs
@@ -6,7 +6,7 @@
 use crate::board::{Board, Offer};
 use crate::fleet::{Market, shop};
 use crate::forecast::{Coming, Forecast, Unmet};
-use crate::job::{JobSpec, Rank};
+use crate::job::{JobSpec, Priority};
 use crate::wire::MachineType;
 use burlusher_market::clear::{self, Cleared};
 use burlusher_market::{Beliefs, Bid, Carry, Lot, Worth};
@@ -116,7 +116,7 @@
     lots: &[Lot],
     now: Instant,
 ) -> (BTreeMap<Offer, u32>, Cleared) {
-    let preempting = asked.iter().any(|a| a.unmet.rank < Rank::Low);
+    let preempting = asked.iter().any(|a| a.unmet.rank < Priority::Low);
     let types = &market.types[..];
     let mut forecast = Forecast::new(board, coming, now, HORIZON, preempting, &market.cut);
     if asked.iter().any(|a| !a.arrives.is_zero()) {
--- a/src/board.rs
+++ b/src/board.rs
@@ -2,8 +2,8 @@
 //! machine. The owner puts a machine again whenever something about it changed, so a step costs
 //! what changed and what is looked for, not all there is.
 
-use crate::guard::{Guard, stands};
-use crate::job::{JobSpec, MachineId, Rank, Resources, TaskKey};
+use crate::guard::{Safeguard, stands};
+use crate::job::{JobSpec, MachineId, Priority, Resources, TaskId};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -14,7 +14,9 @@
 
 /// Whether a job may use machines of this kind, in this zone, ordinary or spot.
 pub fn allows(spec: &JobSpec, (kind, zone, spot): &Offer) -> bool {
-    (spec.spot || !spot || !stands(Guard::Spot)) && spec.allows_type(kind) && spec.allows_zone(zone)
+    (spec.spot || !spot || !stands(Safeguard::Spot))
+        && spec.allows_type(kind)
+        && spec.allows_zone(zone)
 }
 
 /// An image's name in short. Two names of one tag could only make a fetch look cheaper than it is.
@@ -30,7 +32,7 @@
 /// A task that holds room on a machine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Held {
-    pub key: TaskKey,
+    pub key: TaskId,
     pub needs: Resources,
     /// Expected end; `None` for services and overruns, which count as endless.
     pub ends: Option<Instant>,
@@ -38,7 +40,7 @@
     pub since: Option<Instant>,
     /// Time it takes to save when it is stopped, if it can: then no more than that is lost.
     pub saves_in: Option<Duration>,
-    pub rank: Rank,
+    pub rank: Priority,
     pub team: Option<usize>,
     pub stopping: bool,
 }
@@ -117,7 +119,7 @@
     /// What the tasks of each team hold.
     used: BTreeMap<usize, Resources>,
     /// How many tasks of each rank are on machines.
-    ranks: BTreeMap<Rank, usize>,
+    ranks: BTreeMap<Priority, usize>,
     /// Machines and ends looked at so far, by which the stories judge the cost of a step.
     pub looked: Cell<u64>,
 }
@@ -274,7 +276,7 @@
     }
 
     /// Whether any task of a lower rank than this is on a machine.
-    pub fn has_below(&self, rank: Rank) -> bool {
+    pub fn has_below(&self, rank: Priority) -> bool {
         self.ranks.iter().any(|(r, n)| *r > rank && *n > 0)
     }
 
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -3,8 +3,8 @@
 use crate::http::{CallError, Client};
 use crate::job::MachineId;
 use crate::wire::{
-    ListBody, ListedMachine, MachineNames, MachineType, PATH_DELETE, PATH_MACHINES, PATH_TYPES,
-    RentBody, TypesBody, to_json,
+    ListedMachine, MachineIds, MachineListPage, MachineType, MachineTypeList, PATH_DELETE,
+    PATH_MACHINES, PATH_TYPES, ScaleOutRequest, to_json,
 };
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 const CONNECT: Duration = Duration::from_millis(1000);
 const TIMEOUT: Duration = Duration::from_millis(3000);
 /// Most names that one deletion may carry.
-pub const MOST_DELETED: usize = 100;
+pub const MAX_DELETED_PER_CALL: usize = 100;
 /// Machines on one page of the list.
 pub const PAGE: usize = 500;
 
@@ -20,7 +20,7 @@
 pub enum CloudRequest {
     Types,
     List,
-    Rent(RentBody),
+    Rent(ScaleOutRequest),
     Delete(Vec<MachineId>),
 }
 
@@ -81,7 +81,7 @@
         match request {
             CloudRequest::Types => {
                 let body = self.call("GET", PATH_TYPES, b"", true)?;
-                let types = parse::<TypesBody>(&body)?.types;
+                let types = parse::<MachineTypeList>(&body)?.types;
                 let sane = |t: &MachineType| {
                     [t.cpus, t.gpus, t.ram, t.price, t.boot_s, t.fetch_gb_per_s]
                         .iter()
@@ -98,7 +98,7 @@
                         .last()
                         .map_or(String::new(), |m| format!("since={}&", m.id));
                     let path = format!("{PATH_MACHINES}?{after}page={PAGE}");
-                    let page: ListBody = parse(&self.call("GET", &path, b"", true)?)?;
+                    let page: MachineListPage = parse(&self.call("GET", &path, b"", true)?)?;
                     let empty = page.machines.is_empty();
                     all.extend(page.machines);
                     if !page.more || empty {
@@ -109,10 +109,10 @@
             CloudRequest::Rent(body) => {
                 // The request's name makes a repetition harmless.
                 let body = self.call("POST", PATH_MACHINES, &to_json(body), true)?;
-                Ok(CloudOutcome::Rented(parse::<MachineNames>(&body)?.machines))
+                Ok(CloudOutcome::Rented(parse::<MachineIds>(&body)?.machines))
             }
             CloudRequest::Delete(names) => {
-                let body = to_json(&MachineNames {
+                let body = to_json(&MachineIds {
                     machines: names.clone(),
                 });
                 self.call("POST", PATH_DELETE, &body, true)?;
--- a/src/core/barrier.rs
+++ b/src/core/barrier.rs
@@ -8,7 +8,7 @@
 use super::{Core, Pending, Ticket};
 use crate::http::Answer;
 use crate::job::JobSpec;
-use crate::state::{StateOutcome, StateRequest};
+use crate::state::{StoreOutcome, StoreRequest};
 use std::time::{Duration, Instant};
 
 /// The watch brings changes within some ten milliseconds; a user waits 2 s for a poll.
@@ -21,7 +21,7 @@
 }
 
 #[derive(Default)]
-pub struct Barriers {
+pub struct ReadBarriers {
     /// Asked in this step.
     new: Vec<Question>,
     /// The revision that each group waits for, and until when.
@@ -29,7 +29,7 @@
 }
 
 impl Core {
-    pub(super) fn ask_all(&mut self, question: Question) {
+    pub(super) fn queue_barrier_query(&mut self, question: Question) {
         self.barriers.new.push(question);
     }
 
@@ -38,21 +38,21 @@
         let new = std::mem::take(&mut self.barriers.new);
         if !new.is_empty() {
             let key = super::keys::key(super::keys::NOTHING);
-            self.ask_state(Pending::Barrier(new), StateRequest::Get(key));
+            self.ask_state(Pending::Barrier(new), StoreRequest::Get(key));
         }
     }
 
-    pub(super) fn barrier_read(&mut self, questions: Vec<Question>, outcome: StateOutcome) {
-        let StateOutcome::Missing { revision } = outcome else {
+    pub(super) fn barrier_read(&mut self, questions: Vec<Question>, outcome: StoreOutcome) {
+        let StoreOutcome::Missing { revision } = outcome else {
             tracing::debug!("no revision: {outcome:?}");
-            return self.put_off(questions);
+            return self.defer(questions);
         };
         let until = self.now.mono + PATIENCE;
         self.barriers.waiting.push((revision, until, questions));
-        self.tend_barriers();
+        self.answer_barriers();
     }
 
-    fn put_off(&mut self, questions: Vec<Question>) {
+    fn defer(&mut self, questions: Vec<Question>) {
         for q in questions {
             let (Question::Show(ticket, _) | Question::Submit(ticket, ..)) = q;
             self.answer(ticket, Answer::busy("the state cannot be read now", 1));
@@ -60,7 +60,7 @@
     }
 
     /// Answers what the copy is new enough for; what has waited for too long is put off.
-    pub(super) fn tend_barriers(&mut self) {
+    pub(super) fn answer_barriers(&mut self) {
         let (now, revision) = (self.now.mono, self.mirror.revision);
         for (needed, until, questions) in std::mem::take(&mut self.barriers.waiting) {
             if self.mirror.loaded && revision >= needed {
@@ -73,7 +73,7 @@
                     }
                 }
             } else if now >= until {
-                self.put_off(questions);
+                self.defer(questions);
             } else {
                 self.barriers.waiting.push((needed, until, questions));
             }
--- a/src/core/bidding.rs
+++ b/src/core/bidding.rs
@@ -2,8 +2,8 @@
 //! and the awards carried out.
 
 use super::Core;
-use super::lead::Lead;
-use super::scheduling::InLine;
+use super::lead::LeaderState;
+use super::scheduling::QueueEntry;
 use crate::bids::{self, Asked};
 use crate::board::Offer;
 use crate::fleet::{self, Rent};
@@ -24,7 +24,7 @@
 const LEAST_EXPECTED: f64 = 0.5;
 
 impl Core {
-    pub(super) fn fleet_facts(&self, lead: &Lead) -> FleetFacts {
+    pub(super) fn fleet_facts(&self, lead: &LeaderState) -> FleetFacts {
         FleetFacts {
             machines: lead.machines.values().count() as f64,
             zones: self.settings.zones.len() as f64,
@@ -65,7 +65,7 @@
     }
 
     /// What one entry of the queue asks of the markets.
-    pub(super) fn asked(&self, entry: &InLine, unmet: Unmet) -> Asked {
+    pub(super) fn asked(&self, entry: &QueueEntry, unmet: Unmet) -> Asked {
         let run = unmet
             .estimate
             .min(entry.estimate.max(Duration::from_secs(1)));
@@ -77,7 +77,7 @@
     }
 
     /// What is expected to come within `ahead` beyond what is usual, in waves.
-    fn expected(&self, lead: &mut Lead, ahead: Duration) -> Vec<Asked> {
+    fn expected(&self, lead: &mut LeaderState, ahead: Duration) -> Vec<Asked> {
         let now = self.now.mono;
         let mut out = Vec::new();
         let wave = ahead / WAVES;
@@ -88,7 +88,7 @@
             if tasks < LEAST_EXPECTED {
                 continue;
             }
-            let goal = |kind: &str| self.goal(&e.spec.class, kind);
+            let goal = |kind: &str| self.objective_threshold(&e.spec.class, kind);
             // Owners derive deadlines from their estimates: one job's slack stands for all.
             let due = e
                 .spec
@@ -192,7 +192,7 @@
     }
 
     /// Each market as it is believed to be, and what the last clearing made of all bids.
-    pub(super) fn markets_view(&self, lead: &Lead) -> Value {
+    pub(super) fn markets_view(&self, lead: &LeaderState) -> Value {
         let now = self.now.mono;
         let beliefs = &lead.bidding.beliefs;
         let mut markets = Vec::new();
--- a/src/core/commands.rs
+++ b/src/core/commands.rs
@@ -5,28 +5,28 @@
 //! `clear`, a repeated `run` would start the task anew. So a `clear` goes only into the answer of
 //! a report (never executed late), and only while no other command can still arrive.
 
-use super::losses::ASKED_IN_VAIN;
-use super::machine::{EPOCH_BITS, Exited, Machine, Phase, Placement, StopReason};
+use super::losses::MAX_UNANSWERED_PROBES;
+use super::machine::{Exited, Machine, Phase, Placement, StopReason, TOKEN_EPOCH_BITS};
 use super::{Core, Effect, Pending, Ticket, Work};
-use crate::guard::{Guard, stands};
+use crate::guard::{Safeguard, stands};
 use crate::http::Answer;
-use crate::job::{MachineId, TaskKey};
-use crate::wire::{DirectBody, Order, ReportAnswer, to_json};
+use crate::job::{MachineId, TaskId};
+use crate::wire::{DirectCommands, HeartbeatResponse, TaskCommand, to_json};
 use crate::worker::{DirectOutcome, DirectRequest};
 use std::time::Duration;
 
-const ASK_PAUSE: Duration = Duration::from_millis(300);
+const PROBE_RETRY_PAUSE: Duration = Duration::from_millis(300);
 /// More orders than this would make an answer longer than a worker accepts.
-pub(super) const MOST_ORDERS: usize = 400;
+pub(super) const MAX_COMMANDS: usize = 400;
 /// Direct calls on their way at a time: what the threads that make them finish well within the
 /// leader's word, so that none is given up unsent for having queued too long.
-pub(super) const MOST_DIRECT: usize = 2 * crate::service::DIRECT_THREADS;
+pub(super) const MAX_DIRECT_CALLS: usize = 2 * crate::service::DIRECT_THREADS;
 /// After an answer with a new token, a worker's next report has come.
-const TOKEN_SEEN: Duration = Duration::from_millis(900);
+const TOKEN_CONFIRMATION_DELAY: Duration = Duration::from_millis(900);
 
 impl Core {
     /// What the machine should be told, given its newest report.
-    pub(super) fn orders(&self, m: &Machine, in_answer: bool) -> Vec<Order> {
+    pub(super) fn commands_for(&self, m: &Machine, in_answer: bool) -> Vec<TaskCommand> {
         let Some(lead) = &self.lead else {
             return Vec::new();
         };
@@ -37,7 +37,7 @@
             };
             // A start that nobody has seen come to be is mostly there all the same, and begins to run before
             // the next report where nothing stops it.
-            let over = reason == StopReason::Over && stands(Guard::UnseenStops);
+            let over = reason == StopReason::Over && stands(Safeguard::UnseenStops);
             if t.phase == Phase::Unseen && !over {
                 continue;
             }
@@ -46,13 +46,13 @@
             if t.phase == Phase::Saving && !overdue {
                 continue;
             }
-            orders.push(Order::Stop {
+            orders.push(TaskCommand::Stop {
                 task: key.to_string(),
                 attempt: t.attempt,
                 grace: if overdue { 0.0 } else { grace.as_secs_f64() },
             });
         }
-        if in_answer && m.settled() {
+        if in_answer && m.no_command_in_flight() {
             for Exited { key, attempt, .. } in &m.exited {
                 // A completed task is kept in the reports until a later leader would know it
                 // without them.
@@ -61,12 +61,12 @@
                     .get(&key.job)
                     .is_some_and(|r| r.unwritten.contains(&key.row));
                 // Nor is the result of a job that may be known again.
-                let forgotten = lead.may_be_forgotten(self.mirror.knows(&key.job));
+                let forgotten = lead.may_be_of_lost_job(self.mirror.knows(&key.job));
                 if !unwritten
                     && !forgotten
                     && m.tasks.get(key).is_none_or(|t| t.attempt != *attempt)
                 {
-                    orders.push(Order::Forget {
+                    orders.push(TaskCommand::Forget {
                         task: key.to_string(),
                         attempt: *attempt,
                     });
@@ -75,18 +75,18 @@
         }
         for (key, t) in &m.tasks {
             if t.phase == Phase::Unseen && t.stopping.is_none() {
-                orders.push(Order::Start {
+                orders.push(TaskCommand::Start {
                     task: key.to_string(),
                     attempt: t.attempt,
                 });
             }
         }
-        orders.truncate(MOST_ORDERS);
+        orders.truncate(MAX_COMMANDS);
         orders
     }
 
     /// Time to save is given to what can save and is still of use.
-    pub(super) fn grace(&self, m: &Machine, key: &TaskKey, t: &Placement) -> Duration {
+    pub(super) fn grace(&self, m: &Machine, key: &TaskId, t: &Placement) -> Duration {
         if matches!(t.stopping, Some((StopReason::Over, _))) {
             return Duration::ZERO;
         }
@@ -103,9 +103,9 @@
         }
     }
 
-    pub(super) fn answer_report(&mut self, ticket: Ticket, id: &MachineId) {
+    pub(super) fn respond_to_heartbeat(&mut self, ticket: Ticket, id: &MachineId) {
         let until = self.leader_until();
-        let answer = match self.tell(id) {
+        let answer = match self.heartbeat_response(id) {
             Some(body) => Answer::new(200, to_json(&body)).until(until),
             None => Answer::busy("this machine is gone", 30),
         };
@@ -113,12 +113,12 @@
     }
 
     /// What a machine that has reported is told; that it is told is noted.
-    pub(super) fn tell(&mut self, id: &MachineId) -> Option<ReportAnswer> {
+    pub(super) fn heartbeat_response(&mut self, id: &MachineId) -> Option<HeartbeatResponse> {
         let lead = self.lead.as_ref()?;
         let Some(m) = lead.machines.get(id) else {
             // Not taken on before it has shown that it is there.
-            let (token, orders) = (lead.term << EPOCH_BITS, Vec::new());
-            return (!lead.gone.contains(id)).then_some(ReportAnswer { token, orders });
+            let (token, orders) = (lead.term << TOKEN_EPOCH_BITS, Vec::new());
+            return (!lead.gone.contains(id)).then_some(HeartbeatResponse { token, orders });
         };
         // After a `clear`, a copy of the direct command that started the task would start it anew. The answer
         // that clears carries a higher token than that came with, which the worker heeds first.
@@ -130,13 +130,15 @@
         }
         let lead = self.lead.as_ref()?;
         let m = lead.machines.get(id)?;
-        let body = ReportAnswer {
+        let body = HeartbeatResponse {
             token: m.token(lead.term),
-            orders: self.orders(m, true),
+            orders: self.commands_for(m, true),
         };
         let unaware = m.unresolved;
         let starts = body.orders.iter();
-        let count = starts.filter(|o| matches!(o, Order::Start { .. })).count();
+        let count = starts
+            .filter(|o| matches!(o, TaskCommand::Start { .. }))
+            .count();
         let starts = count > 0;
         if (m.answered, m.push) != (starts, false)
             && let Some(m) = self.lead.as_mut().and_then(|l| l.machines.get_mut(id))
@@ -145,19 +147,19 @@
             m.push = false;
         }
         self.stats.work[Work::StartInAnswer as usize] += count as u64;
-        if let Some(m) = (self.lead.as_mut()).and_then(|l| l.machines.get_unnoted(id)) {
+        if let Some(m) = (self.lead.as_mut()).and_then(|l| l.machines.get_mut_quiet(id)) {
             m.freed = false;
             // A worker that sees a new token reports it within half a second, on the connection that
             // it has: that costs less than asking it.
             if unaware {
-                m.claimed_until = Some(self.now.mono + TOKEN_SEEN);
+                m.claimed_until = Some(self.now.mono + TOKEN_CONFIRMATION_DELAY);
             }
         }
         Some(body)
     }
 
     /// Sends machines what should not wait for their next report.
-    pub(super) fn push_commands(&mut self) {
+    pub(super) fn send_direct_commands(&mut self) {
         let now = self.now.mono;
         let Some(until) = self.leader_until() else {
             return;
@@ -174,13 +176,13 @@
         // What is to be stopped is told to a machine that does not report as well: calls may reach it.
         let to_stop = |m: &Machine| {
             let over = |t: &Placement| matches!(t.stopping, Some((StopReason::Over, _)));
-            stands(Guard::MuteStops) && m.tasks.values().any(over)
+            stands(Safeguard::MuteStops) && m.tasks.values().any(over)
         };
         let (mut due, mut mute): (Vec<MachineId>, Vec<MachineId>) = Default::default();
         for m in (lead.machines.to_tell.iter()).filter_map(|id| machines.get(id)) {
             let may = m.session > 0
                 && !m.session_over
-                && m.settled()
+                && m.no_command_in_flight()
                 && m.unheard.is_none()
                 && now >= m.push_after;
             if may && fresh(m) {
@@ -190,8 +192,8 @@
             }
         }
         // Calls to dead machines take their threads for long.
-        let calls = due.into_iter().map(|id| (id, MOST_DIRECT, true));
-        let stops = mute.into_iter().map(|id| (id, MOST_DIRECT / 4, false));
+        let calls = due.into_iter().map(|id| (id, MAX_DIRECT_CALLS, true));
+        let stops = mute.into_iter().map(|id| (id, MAX_DIRECT_CALLS / 4, false));
         for (id, most, all) in calls.chain(stops) {
             let Some(lead) = &self.lead else { return };
             if lead.calls_out >= most {
@@ -200,9 +202,9 @@
             let Some(m) = lead.machines.get(&id) else {
                 continue;
             };
-            let mut orders = self.orders(m, false);
-            orders.retain(|o| all || matches!(o, Order::Stop { .. }));
-            let body = DirectBody {
+            let mut orders = self.commands_for(m, false);
+            orders.retain(|o| all || matches!(o, TaskCommand::Stop { .. }));
+            let body = DirectCommands {
                 token: m.token(term),
                 session: m.session,
                 orders,
@@ -222,7 +224,9 @@
             {
                 m.call = Some(call);
                 let starts = body.orders.iter();
-                let starts = starts.filter(|o| matches!(o, Order::Start { .. })).count();
+                let starts = starts
+                    .filter(|o| matches!(o, TaskCommand::Start { .. }))
+                    .count();
                 if starts > 0 {
                     m.told_under = body.token;
                 }
@@ -236,14 +240,14 @@
                 not_after: until,
             });
         }
-        self.ask_machines();
+        self.probe_machines();
     }
 
     pub(super) fn direct_outcome(&mut self, call: u64, outcome: DirectOutcome) {
         let now = self.now.mono;
         let id = match self.pending.remove(&call) {
             Some(Pending::Direct(id)) => id,
-            Some(Pending::Show(id)) => return self.shown(&id, outcome),
+            Some(Pending::Show(id)) => return self.token_probe_answered(&id, outcome),
             _ => return,
         };
         let Some(lead) = &mut self.lead else { return };
@@ -258,35 +262,35 @@
         m.call = None;
         // Asked after we knew more of it than this tells: it has begun anew.
         let began_anew = match &outcome {
-            DirectOutcome::Report { report, .. } => {
+            DirectOutcome::Heartbeat { report, .. } => {
                 let known = m.asked.take_if(|(_, of)| *of == call);
                 known.is_some_and(|(known, _)| (report.session, report.seq) <= known)
             }
             _ => false,
         };
-        let answers = matches!(outcome, DirectOutcome::Report { .. });
+        let answers = matches!(outcome, DirectOutcome::Heartbeat { .. });
         m.unanswered = if answers { 0 } else { m.unanswered + 1 };
         if answers {
             (lead.touched, lead.missed) = (now, 0);
         } else {
             lead.missed += 1;
         }
-        if !answers && m.unresolved && m.unanswered < ASKED_IN_VAIN {
-            lead.ask_again.insert((now + ASK_PAUSE, id.clone()));
+        if !answers && m.unresolved && m.unanswered < MAX_UNANSWERED_PROBES {
+            lead.ask_again.insert((now + PROBE_RETRY_PAUSE, id.clone()));
         }
         match outcome {
-            DirectOutcome::Report { report, executed } => {
+            DirectOutcome::Heartbeat { report, executed } => {
                 if !executed {
                     tracing::debug!(machine = %id, "machine {id}: direct commands refused");
                     m.push_after = now + Duration::from_millis(500);
                 }
                 let zone = m.zone.clone();
-                lead.calls_reach(&zone);
+                lead.mark_zone_reachable(&zone);
                 if report.machine == id {
                     if began_anew {
-                        self.begins_anew(&id, report.token);
+                        self.machine_restarted(&id, report.token);
                     }
-                    self.absorb(&id, *report, false);
+                    self.apply_heartbeat(&id, *report, false);
                 }
             }
             DirectOutcome::NotSent(e) => {
--- a/src/core/commit.rs
+++ b/src/core/commit.rs
@@ -4,18 +4,18 @@
 //! changes happened. The watch tells them like any other change; a list shows them as values that are equal
 //! and share a version.
 
-use crate::wire::{Change, Condition, Event, Item, Txn};
+use crate::wire::{Change, CompareAndSwap, Condition, Item, WatchEvent};
 use serde_json::Value;
 
 /// The revision at which these events show the transaction to have been committed.
-pub fn committed_in_events(txn: &Txn, events: &[Event]) -> Option<u64> {
+pub fn committed_in_events(txn: &CompareAndSwap, events: &[WatchEvent]) -> Option<u64> {
     let mut groups = events.chunk_by(|a, b| a.version == b.version);
     let group = groups.find(|group| is_commit(txn, group))?;
     Some(group.first()?.version)
 }
 
 /// Whether these events, of one revision, are the changes of the transaction.
-fn is_commit(txn: &Txn, group: &[Event]) -> bool {
+fn is_commit(txn: &CompareAndSwap, group: &[WatchEvent]) -> bool {
     let told = |change: &Change| group.iter().any(|event| same_change(change, event));
     let expected = txn.changes.iter().filter(|c| leaves_event(txn, c));
     let all_told = expected.clone().all(told);
@@ -26,7 +26,7 @@
 }
 
 /// The deletion of a key that is not there changes nothing, and the watch tells nothing of it.
-fn leaves_event(txn: &Txn, change: &Change) -> bool {
+fn leaves_event(txn: &CompareAndSwap, change: &Change) -> bool {
     let absent = |key: &str| {
         txn.conditions
             .iter()
@@ -38,7 +38,7 @@
     }
 }
 
-fn same_change(change: &Change, event: &Event) -> bool {
+fn same_change(change: &Change, event: &WatchEvent) -> bool {
     match change {
         Change::Put { key, value, .. } => {
             event.put.as_ref() == Some(key) && same_value(value, &event.value)
@@ -48,7 +48,7 @@
 }
 
 /// The revision at which a list, ordered by key, shows the transaction to have been committed.
-pub fn committed_in_list(txn: &Txn, items: &[Item]) -> Option<u64> {
+pub fn committed_in_list(txn: &CompareAndSwap, items: &[Item]) -> Option<u64> {
     let find = |key: &str| {
         let at = items.binary_search_by(|item| item.key.as_str().cmp(key));
         at.ok().map(|n| &items[n])
--- a/src/core/commit/tests.rs
+++ b/src/core/commit/tests.rs
@@ -1,9 +1,9 @@
 use super::{committed_in_events, committed_in_list};
-use crate::wire::{Change, Condition, Event, Item, Txn};
+use crate::wire::{Change, CompareAndSwap, Condition, Item, WatchEvent};
 use serde_json::{Value, json};
 
-fn put(key: &str, value: Value, version: u64) -> Event {
-    Event {
+fn put(key: &str, value: Value, version: u64) -> WatchEvent {
+    WatchEvent {
         put: Some(key.into()),
         delete: None,
         value,
@@ -12,8 +12,8 @@
     }
 }
 
-fn dropped(key: &str, version: u64) -> Event {
-    Event {
+fn dropped(key: &str, version: u64) -> WatchEvent {
+    WatchEvent {
         put: None,
         delete: Some(key.into()),
         value: Value::Null,
@@ -32,14 +32,14 @@
 }
 
 /// Writes `a`, which was of version 3, and `b`, and deletes `c` and `d`, of which `d` is not there.
-fn txn() -> Txn {
+fn txn() -> CompareAndSwap {
     let conditions = [("leader", 2), ("a", 3), ("b", 0), ("c", 4), ("d", 0)];
     let condition = |(key, version): (&str, u64)| Condition {
         key: key.into(),
         version,
     };
     let delete = |key: &str| Change::Delete { key: key.into() };
-    Txn {
+    CompareAndSwap {
         conditions: conditions.map(condition).into(),
         changes: vec![
             Change::put("a".into(), json!({"rows": "1-4", "n": 2})),
@@ -50,7 +50,7 @@
     }
 }
 
-fn its_events(version: u64) -> Vec<Event> {
+fn its_events(version: u64) -> Vec<WatchEvent> {
     vec![
         put("a", json!({"n": 2.0, "rows": "1-4"}), version),
         put("b", json!([1.5]), version),
@@ -68,7 +68,7 @@
 
 #[test]
 fn a_revision_with_other_changes_is_somebody_elses() {
-    let of = |edit: &dyn Fn(&mut Vec<Event>)| {
+    let of = |edit: &dyn Fn(&mut Vec<WatchEvent>)| {
         let mut events = its_events(9);
         edit(&mut events);
         committed_in_events(&txn(), &events)
--- a/src/core/custody.rs
+++ b/src/core/custody.rs
@@ -13,44 +13,44 @@
 
 use super::keys::{NOTHING, REBUILDING, identity_key, key, named};
 use super::leadership::{LEASE_TTL, json};
-use super::machine::EPOCH_BITS;
+use super::machine::TOKEN_EPOCH_BITS;
 use super::mirror::{IdentityValue, RebuildingValue};
 use super::{CallId, Core, Effect, Pending, Ticket};
-use crate::guard::{Guard, stands};
+use crate::guard::{Safeguard, stands};
 use crate::http::Answer;
-use crate::recall::{PAGE_BYTES, Recall, Recalled, encode_recalled};
-use crate::state::{StateOutcome, StateRequest};
-use crate::wire::{Change, Condition, Item, Txn};
+use crate::recall::{MemoryPage, MemoryRequest, PAGE_BYTES, encode_recalled};
+use crate::state::{StoreOutcome, StoreRequest};
+use crate::wire::{Change, CompareAndSwap, Condition, Item};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant, SystemTime};
 
 /// How the keys and values are written.
 const FORMAT: u32 = 1;
 /// Names of a store that are told to others.
-const MOST_NAMES: usize = 32;
+const MAX_STORE_IDENTITIES: usize = 32;
 /// The beginning of 2020, in seconds since 1970.
 const EPOCH_S: u64 = 1_577_836_800;
 /// An attempt has the term above 32 bits of its own.
-const MOST_TERM: u64 = u32::MAX as u64;
+const MAX_TERM: u64 = u32::MAX as u64;
 /// A term this far ahead of the time of day was given by nobody.
 const AHEAD_S: u64 = 86_400;
 /// Between two looks at whether the store is still the one it was.
-const LOOK_EVERY: Duration = Duration::from_secs(3);
+const CHECK_INTERVAL: Duration = Duration::from_secs(3);
 /// A controller that begins on a store that was rolled back a moment before knows of nothing that is missing. By
 /// then the others have noticed, whoever led has ceased to act, and the store is marked.
-const OTHERS_NOTICE: Duration = LOOK_EVERY
+const LOSS_DETECTION_DELAY: Duration = CHECK_INTERVAL
     .saturating_add(LEASE_TTL)
     .saturating_add(Duration::from_secs(1));
 /// Jobs that the leader compares with their keys at each look.
-const AUDITED: usize = 100;
+const AUDIT_BATCH: usize = 100;
 /// Between two full reads for a suspicion.
-const AFRESH_EVERY: Duration = Duration::from_secs(1);
+const REREAD_INTERVAL: Duration = Duration::from_secs(1);
 /// Between two questions to a controller of what it knows of an empty store.
-const WORD_EVERY: Duration = Duration::from_millis(200);
+const MEMORY_REQUEST_INTERVAL: Duration = Duration::from_millis(200);
 
 /// A loss of data that this process has noticed, until the store is named anew.
 #[derive(Clone, Debug)]
-pub struct Loss {
+pub struct DataLoss {
     pub since: Instant,
     pub wall: SystemTime,
     pub why: String,
@@ -60,11 +60,11 @@
 }
 
 #[derive(Default)]
-pub struct Custody {
+pub struct StoreIntegrity {
     /// The newest revision that an answer told, and what it was when each call on its way was made.
     newest: u64,
     asked: BTreeMap<CallId, u64>,
-    pub lost: Option<Loss>,
+    pub lost: Option<DataLoss>,
     /// What the store was called that lost data last.
     pub of: Option<String>,
     /// Names that the store has had as long as this process has known it: restored to one of them, it
@@ -83,7 +83,7 @@
     /// When this process read the store for the first time, if that had an identity by then.
     begun_on: Option<Instant>,
     /// What the others know of it, and when they were asked last.
-    words: BTreeMap<String, Recalled>,
+    words: BTreeMap<String, MemoryPage>,
     words_asked: Option<Instant>,
     /// The newest term that a worker has shown, or another controller knows, and since when.
     token_term: u64,
@@ -105,9 +105,9 @@
     audited: String,
 }
 
-impl Custody {
+impl StoreIntegrity {
     /// Somebody knows of this term.
-    pub(super) fn heed_term(&mut self, term: u64, now: Instant) {
+    pub(super) fn observe_term(&mut self, term: u64, now: Instant) {
         if term > self.token_term {
             self.token_term = term;
             self.token_since = Some(now);
@@ -121,14 +121,14 @@
 
 impl Core {
     /// Nothing may be said of what is not in the store, or not final.
-    pub(super) fn incomplete(&self) -> bool {
+    pub(super) fn store_is_incomplete(&self) -> bool {
         self.custody.lost.is_some() || self.mirror.rebuilding.is_some()
     }
 
     /// A sign that the store is not what it was: it is read as a whole.
-    pub(super) fn doubt(&mut self, why: &str) {
+    pub(super) fn suspect_data_loss(&mut self, why: &str) {
         let now = self.now.mono;
-        let lately = |t: Instant| now < t + AFRESH_EVERY;
+        let lately = |t: Instant| now < t + REREAD_INTERVAL;
         if !self.mirror.loaded {
             return;
         }
@@ -140,33 +140,33 @@
         self.custody.doubted = false;
         tracing::warn!("state service: {why}; reading it afresh");
         (self.custody.afresh, self.custody.read) = (Some(now), false);
-        self.out.push(Effect::ReadAfresh);
+        self.out.push(Effect::RereadStore);
     }
 
     /// Answers tell the revision; it never falls while the service keeps its data.
-    pub(super) fn heed_revision(&mut self, call: CallId, outcome: &StateOutcome) {
+    pub(super) fn heed_revision(&mut self, call: CallId, outcome: &StoreOutcome) {
         let asked = self.custody.asked.remove(&call);
-        let (StateOutcome::Committed { revision } | StateOutcome::Missing { revision }) = outcome
+        let (StoreOutcome::Committed { revision } | StoreOutcome::Missing { revision }) = outcome
         else {
             return;
         };
         if asked.is_some_and(|newest| *revision < newest) {
-            self.doubt("its revision went back");
+            self.suspect_data_loss("its revision went back");
         }
         self.custody.newest = self.custody.newest.max(*revision);
     }
 
     /// What was read as a whole is compared with what is remembered.
-    pub(super) fn take_list(&mut self, items: Vec<Item>, revision: u64) {
+    pub(super) fn reconcile_store_list(&mut self, items: Vec<Item>, revision: u64) {
         let now = self.now.mono;
         self.custody.read = true;
         let first = !self.mirror.loaded;
-        match self.mirror.contradicted(&items, revision) {
+        match self.mirror.find_contradiction(&items, revision) {
             // What the store has yet to get back is remembered until it has.
-            None if self.incomplete() || !self.mirror.owed.is_empty() => {
-                self.mirror.rejoin(items, revision);
+            None if self.store_is_incomplete() || !self.mirror.owed.is_empty() => {
+                self.mirror.merge_after_loss(items, revision);
                 if self.custody.lost.is_some() {
-                    self.mirror.expect_name();
+                    self.mirror.expect_new_identity();
                 }
             }
             None => self.mirror.reset(items, revision),
@@ -176,9 +176,9 @@
                 // key that was restored ends with its lease.
                 self.step_down("the state service has lost data");
                 self.lease = None;
-                self.out.push(Effect::ChangeLease);
+                self.out.push(Effect::ReplaceLease);
                 let before = self.mirror.identity.as_ref().map(|(id, _)| id.clone());
-                self.mirror.rejoin(items, revision);
+                self.mirror.merge_after_loss(items, revision);
                 let c = &mut self.custody;
                 c.asked.clear();
                 c.newest = revision;
@@ -193,7 +193,7 @@
                 let begun = loss.marked && loss.named.as_ref().is_some_and(|n| !known(n));
                 if !begun {
                     self.custody.lost = Some(loss);
-                    self.mirror.expect_name();
+                    self.mirror.expect_new_identity();
                 } else {
                     self.custody.lost = None;
                 }
@@ -211,7 +211,8 @@
             self.custody.begun_on.get_or_insert(now);
         }
         self.custody.newest = self.custody.newest.max(revision);
-        let empty = self.nameless() && self.mirror.term == 0 && self.mirror.jobs.is_empty();
+        let empty =
+            self.store_has_no_identity() && self.mirror.term == 0 && self.mirror.jobs.is_empty();
         let since = self.custody.empty_since;
         self.custody.empty_since = empty.then(|| since.unwrap_or(now));
         if empty {
@@ -219,8 +220,8 @@
         }
     }
 
-    fn loss(&self, why: String) -> Loss {
-        Loss {
+    fn loss(&self, why: String) -> DataLoss {
+        DataLoss {
             since: self.now.mono,
             wall: self.now.wall,
             why,
@@ -230,20 +231,20 @@
     }
 
     /// Neither an identity nor a term: a new store, or one that has lost both.
-    fn nameless(&self) -> bool {
+    fn store_has_no_identity(&self) -> bool {
         self.mirror.loaded && self.mirror.identity.is_none() && self.mirror.term_version == 0
     }
 
     /// The store has been read, and may have a new name.
-    pub(super) fn heed_name(&mut self) {
+    pub(super) fn observe_identity(&mut self) {
         // Somebody noticed a loss that this process may have as well.
         let marked = self.mirror.rebuilding.is_some();
         if marked && !self.custody.seen_mark && self.custody.lost.is_none() {
-            self.doubt("it is marked as incomplete");
+            self.suspect_data_loss("it is marked as incomplete");
         }
         self.custody.seen_mark = marked;
         if self.mirror.renamed {
-            self.doubt("it has been given another identity");
+            self.suspect_data_loss("it has been given another identity");
         }
         if let (Some((name, _)), Some(loss)) = (&self.mirror.identity, &mut self.custody.lost) {
             let same = Some(name) == loss.named.as_ref();
@@ -254,10 +255,10 @@
             } else if !same {
                 // Restored to what it was before; or named by somebody who knew of no loss.
                 (loss.named, loss.marked) = (Some(name.clone()), marked);
-                self.mirror.expect_name();
+                self.mirror.expect_new_identity();
             }
         }
-        if !self.nameless() {
+        if !self.store_has_no_identity() {
             self.custody.empty_since = None;
         }
         if let Some((name, _)) = &self.mirror.identity {
@@ -270,12 +271,12 @@
             let all = mark.is_none_or(|of| of.as_ref().is_some_and(|o| c.whole.contains(o)));
             if all && !c.whole.contains(name) {
                 c.whole.push(name.clone());
-                if c.whole.len() > MOST_NAMES {
+                if c.whole.len() > MAX_STORE_IDENTITIES {
                     c.whole.remove(0);
                 }
             }
         }
-        self.heed_older_term();
+        self.check_older_term();
         // The rebuilding that was under way when the loss was noticed here is over.
         if !marked
             && let Some(loss) = &mut self.custody.lost
@@ -288,24 +289,24 @@
 
     /// Every report shows the newest token that its worker has seen; a term newer than the store's
     /// was given by a store that is no more.
-    pub(super) fn heed_token(&mut self, token: u64) {
-        let term = token >> EPOCH_BITS;
+    pub(super) fn observe_fencing_token(&mut self, token: u64) {
+        let term = token >> TOKEN_EPOCH_BITS;
         if term > 0 {
             let oldest = self.custody.oldest_token;
             self.custody.oldest_token = Some(oldest.map_or(term, |t| t.min(term)));
         }
-        self.custody.heed_term(term, self.now.mono);
-        self.heed_newer_term();
-        self.heed_older_term();
+        self.custody.observe_term(term, self.now.mono);
+        self.check_newer_term();
+        self.check_older_term();
     }
 
     /// Whoever leads next can have done so only after our word: a term newer than a leader's own was
     /// given by a store that is no more.
-    pub(super) fn heed_newer_term(&mut self) {
+    pub(super) fn check_newer_term(&mut self) {
         let Some(lead) = &self.lead else { return };
         let (ours, newest) = (lead.term, self.newest_term());
         if newest > ours && self.acting() {
-            self.lose_without_copy(format!(
+            self.declare_data_loss(format!(
                 "term {newest} was there before, and this is term {ours}"
             ));
             self.resign_to_rebuild();
@@ -313,15 +314,15 @@
     }
 
     /// In a store that was taken for new, no worker can have seen a term before its first.
-    fn heed_older_term(&mut self) {
+    fn check_older_term(&mut self) {
         let (Some(first), Some(oldest)) = (self.mirror.first, self.custody.oldest_token) else {
             return;
         };
-        if oldest >= first || self.incomplete() {
+        if oldest >= first || self.store_is_incomplete() {
             return;
         }
         let led = self.lead.is_some();
-        self.lose_without_copy(format!(
+        self.declare_data_loss(format!(
             "it began with term {first}, and a worker has seen {oldest}"
         ));
         if led {
@@ -332,36 +333,36 @@
     /// While a new store may yet prove to be an old one that was wiped, an unknown job is not called
     /// so: each worker reports within this time, and shows the term that it has seen. Nor does a controller
     /// that has just begun call it so, as the others may be about to notice a loss.
-    pub(super) fn unproven(&self) -> bool {
+    pub(super) fn existence_is_uncertain(&self) -> bool {
         let within =
             |since: Option<Instant>, window| since.is_some_and(|t| self.now.mono < t + window);
         let window = self.settings.report * 5 / 2;
-        let others = !self.settings.peers.is_empty() && stands(Guard::JustBegun);
+        let others = !self.settings.peers.is_empty() && stands(Safeguard::JustBegun);
         within(self.custody.seen_empty, window)
-            || others && within(self.custody.begun_on, OTHERS_NOTICE)
-            || self.incomplete()
+            || others && within(self.custody.begun_on, LOSS_DETECTION_DELAY)
+            || self.store_is_incomplete()
     }
 
     /// A loss that shows in something else than the copy, which is as new as the loss.
-    fn lose_without_copy(&mut self, why: String) {
+    fn declare_data_loss(&mut self, why: String) {
         tracing::error!("the state service has lost data: {why}");
         self.custody.losses += 1;
         let mark = self.mirror.rebuilding.as_ref();
         self.custody.of = mark.and_then(|(m, _)| m.of.clone());
         self.custody.lost = Some(self.loss(why));
         self.custody.oldest_token = None;
-        self.mirror.expect_name();
+        self.mirror.expect_new_identity();
     }
 
     /// Gives the lease back, but stands again: the next leader begins to rebuild.
     pub(super) fn resign_to_rebuild(&mut self) {
         self.step_down("the state service has lost data");
         self.lease = None;
-        self.out.push(Effect::GiveUpLease);
+        self.out.push(Effect::ReleaseLease);
     }
 
     /// Whether this process may try to lead, as far as the store is concerned.
-    pub(super) fn may_stand(&mut self) -> bool {
+    pub(super) fn may_campaign(&mut self) -> bool {
         let now = self.now.mono;
         if let Some(loss) = &self.custody.lost {
             return now >= loss.since + LEASE_TTL;
@@ -371,9 +372,9 @@
             let c = &self.custody;
             if c.read && c.afresh > c.token_since {
                 let term = c.token_term;
-                self.lose_without_copy(format!("term {term} was there before"));
+                self.declare_data_loss(format!("term {term} was there before"));
             } else {
-                self.doubt("a worker has seen a newer term");
+                self.suspect_data_loss("a worker has seen a newer term");
             }
             return false;
         }
@@ -385,14 +386,14 @@
         if let Some((name, word)) = words.iter().find(|(_, w)| w.remembers) {
             let (why, term) = (format!("it is empty, and {name} remembers it"), word.term);
             let of = word.stores.last().cloned();
-            self.custody.heed_term(term, now);
-            self.lose_without_copy(why);
+            self.custody.observe_term(term, now);
+            self.declare_data_loss(why);
             self.custody.of = of;
             return false;
         }
         if self.custody.token_term > 0 {
             let term = self.custody.token_term;
-            self.lose_without_copy(format!("it is empty, and a worker has seen term {term}"));
+            self.declare_data_loss(format!("it is empty, and a worker has seen term {term}"));
             return false;
         }
         let all = (self.settings.peers.iter())
@@ -401,7 +402,7 @@
     }
 
     /// Names of terms and the store in the transaction that begins a leadership.
-    pub(super) fn naming(&self) -> Vec<Change> {
+    pub(super) fn identity_changes(&self) -> Vec<Change> {
         let known = self.mirror.identity.as_ref();
         if known.is_some() && self.custody.lost.is_none() {
             return Vec::new();
@@ -410,7 +411,8 @@
         let value = IdentityValue {
             format: FORMAT,
             of: self.custody.lost.as_ref().and(self.custody.of.clone()),
-            first: (self.nameless() && self.custody.lost.is_none()).then_some(self.next_term()),
+            first: (self.store_has_no_identity() && self.custody.lost.is_none())
+                .then_some(self.next_term()),
         };
         let mut out = vec![Change::put(identity_key(&id), json(&value))];
         if let Some((old, _)) = known {
@@ -418,7 +420,7 @@
             out.push(Change::Delete { key });
         }
         if let Some(loss) = &self.custody.lost {
-            out.push(self.mark_of(loss));
+            out.push(self.incomplete_mark(loss));
         }
         out
     }
@@ -428,7 +430,7 @@
         self.mirror.term.max(self.custody.token_term)
     }
 
-    fn since_epoch(&self) -> u64 {
+    fn seconds_since_epoch(&self) -> u64 {
         let since = (self.now.wall.duration_since(SystemTime::UNIX_EPOCH)).unwrap_or_default();
         since.as_secs().saturating_sub(EPOCH_S)
     }
@@ -436,7 +438,7 @@
     /// Whether somebody may have led in this term: none is ahead of the time of day by more than clocks
     /// differ, and leaders that follow one another faster than seconds do.
     pub(super) fn plausible_term(&self, term: u64) -> bool {
-        term <= self.since_epoch().saturating_add(AHEAD_S)
+        term <= self.seconds_since_epoch().saturating_add(AHEAD_S)
     }
 
     /// The term of the next leadership: the seconds since 2020, if those before it were less. Leaders follow
@@ -444,50 +446,50 @@
     /// begun, in a store that was rolled back, knows of none that came after what it reads there. Nor do two
     /// controllers that know the same choose the same: each has terms of its own, one in as many as there are.
     pub(super) fn next_term(&self) -> u64 {
-        let least = (self.newest_term() + 1).max(self.since_epoch());
+        let least = (self.newest_term() + 1).max(self.seconds_since_epoch());
         let peers = self.settings.peers.iter().map(|p| p.name.as_str());
         let rank = peers.filter(|p| *p < self.settings.name.as_str()).count() as u64;
         let controllers = self.settings.peers.len() as u64 + 1;
         let ahead = (rank + controllers - least % controllers) % controllers;
-        (least + ahead).min(MOST_TERM)
+        (least + ahead).min(MAX_TERM)
     }
 
     /// Looks now and then whether the store is the one it was, and asks the others about an empty one.
-    pub(super) fn tend_custody(&mut self) {
+    pub(super) fn check_store_integrity(&mut self) {
         let now = self.now.mono;
         let due = |at: Option<Instant>, every| at.is_none_or(|t| now >= t + every);
         if self.custody.empty_since.is_some()
             && self.custody.lost.is_none()
-            && due(self.custody.words_asked, WORD_EVERY)
+            && due(self.custody.words_asked, MEMORY_REQUEST_INTERVAL)
         {
             self.custody.words_asked = Some(now);
             let answered = |name: &str| self.custody.words.get(name).is_some_and(|w| w.loaded);
             let peers = self.settings.peers.iter().map(|p| p.name.clone());
             let silent: Vec<String> = peers.filter(|name| !answered(name)).collect();
             for peer in silent {
-                let recall = Recall {
+                let recall = MemoryRequest {
                     word_only: true,
                     after: String::new(),
                 };
-                self.out.push(Effect::Recall { peer, recall });
+                self.out.push(Effect::MemoryRequest { peer, recall });
             }
         }
-        if self.custody.doubted && due(self.custody.afresh, AFRESH_EVERY) {
-            self.doubt("there was another sign of a loss");
+        if self.custody.doubted && due(self.custody.afresh, REREAD_INTERVAL) {
+            self.suspect_data_loss("there was another sign of a loss");
         }
         self.mark();
-        if self.state_is_stale() {
+        if self.store_is_stale() {
             self.custody.was_away = true;
             return;
         }
         // Restored while it was away: the revision tells, unless others' changes make up for it first.
         if std::mem::take(&mut self.custody.was_away) && self.mirror.loaded {
-            self.ask_state(Pending::LookAtRevision, StateRequest::Get(key(NOTHING)));
+            self.ask_state(Pending::CheckRevision, StoreRequest::Get(key(NOTHING)));
         }
-        if !self.mirror.loaded || !due(self.custody.looked, LOOK_EVERY) {
+        if !self.mirror.loaded || !due(self.custody.looked, CHECK_INTERVAL) {
             return;
         }
-        if self.acting() && !self.incomplete() {
+        if self.acting() && !self.store_is_incomplete() {
             let after = self.custody.audited.clone();
             self.audit(after, None);
         }
@@ -505,21 +507,21 @@
         match name.filter(|_| self.custody.look_at_name) {
             Some(name) => {
                 let version = self.mirror.identity.as_ref().map_or(0, |(_, v)| *v);
-                self.ask_state(Pending::LookAtName(version), StateRequest::Get(name));
+                self.ask_state(Pending::CheckIdentity(version), StoreRequest::Get(name));
             }
             // Where there is no mark, its absence tells the revision. A store rolled back into its
             // rebuilding shows it again, and no watch tells of that.
             None => {
                 let unmarked = self.mirror.rebuilding.is_none();
                 let look_at = key(if unmarked { REBUILDING } else { NOTHING });
-                self.ask_state(Pending::LookAtRevision, StateRequest::Get(look_at));
+                self.ask_state(Pending::CheckRevision, StoreRequest::Get(look_at));
             }
         }
     }
 
-    pub(super) fn looked_at_revision(&mut self, outcome: StateOutcome) {
-        if matches!(outcome, StateOutcome::Found(_)) && self.mirror.rebuilding.is_none() {
-            self.doubt("it is marked as incomplete, and the watch has not told");
+    pub(super) fn revision_checked(&mut self, outcome: StoreOutcome) {
+        if matches!(outcome, StoreOutcome::Found(_)) && self.mirror.rebuilding.is_none() {
+            self.suspect_data_loss("it is marked as incomplete, and the watch has not told");
         }
     }
 
@@ -528,7 +530,7 @@
     fn mark(&mut self) {
         let now = self.now.mono;
         let led = self.mirror.leader.is_some() && self.lead.is_none();
-        let waited = |loss: &Loss| now >= loss.since + LEASE_TTL;
+        let waited = |loss: &DataLoss| now >= loss.since + LEASE_TTL;
         let (Some(loss), Some(name)) = (&self.custody.lost, &self.mirror.identity) else {
             return;
         };
@@ -541,15 +543,15 @@
             version: 0,
         };
         let conditions = vec![named(name), unmarked];
-        let changes = vec![self.mark_of(loss)];
-        let txn = Txn {
+        let changes = vec![self.incomplete_mark(loss)];
+        let txn = CompareAndSwap {
             conditions,
             changes,
         };
-        self.ask_state(Pending::Mark, StateRequest::Txn(txn));
+        self.ask_state(Pending::Mark, StoreRequest::CompareAndSwap(txn));
     }
 
-    fn mark_of(&self, loss: &Loss) -> Change {
+    fn incomplete_mark(&self, loss: &DataLoss) -> Change {
         let since = loss.wall.duration_since(SystemTime::UNIX_EPOCH);
         let value = RebuildingValue {
             of: self.custody.of.clone(),
@@ -563,23 +565,23 @@
     /// shows, after a small loss that other changes have made up for; and single keys may be lost at
     /// any time.
     fn audit(&mut self, after: String, suspicion: Option<String>) {
-        let request = StateRequest::Page {
+        let request = StoreRequest::Page {
             under: key("j/"),
             after: after.clone(),
-            most: AUDITED,
+            most: AUDIT_BATCH,
         };
         self.ask_state(Pending::Audit { after, suspicion }, request);
     }
 
     /// The copy may have changed after the keys were read, so only the same difference in a second read,
     /// begun after the first was seen, is a sign of a loss.
-    pub(super) fn audited(
+    pub(super) fn jobs_audited(
         &mut self,
         after: String,
         suspicion: Option<String>,
-        outcome: StateOutcome,
+        outcome: StoreOutcome,
     ) {
-        let StateOutcome::Page {
+        let StoreOutcome::Page {
             items,
             more,
             revision,
@@ -592,9 +594,9 @@
         if self.mirror.revision < revision {
             return;
         }
-        if let Some(why) = self.mirror.differs(&items, &after, last.as_deref()) {
+        if let Some(why) = self.mirror.find_difference(&items, &after, last.as_deref()) {
             if suspicion.as_ref() == Some(&why) {
-                self.doubt(&why);
+                self.suspect_data_loss(&why);
             } else if self.acting() {
                 return self.audit(after, Some(why));
             }
@@ -602,22 +604,22 @@
         self.custody.audited = last.unwrap_or_default();
     }
 
-    pub(super) fn looked_at_name(&mut self, version: u64, outcome: StateOutcome) {
+    pub(super) fn identity_checked(&mut self, version: u64, outcome: StoreOutcome) {
         let current = self.mirror.identity.as_ref().map(|(_, v)| *v);
         if current != Some(version) {
             return;
         }
         match outcome {
-            StateOutcome::Missing { .. } => self.doubt("its identity is gone"),
-            StateOutcome::Found(item) if item.version != version => {
-                self.doubt("its identity was written again");
+            StoreOutcome::Missing { .. } => self.suspect_data_loss("its identity is gone"),
+            StoreOutcome::Found(item) if item.version != version => {
+                self.suspect_data_loss("its identity was written again");
             }
             _ => {}
         }
     }
 
     /// Another controller asks what is remembered here.
-    pub(super) fn recall(&mut self, ticket: Ticket, recall: Recall) {
+    pub(super) fn recall(&mut self, ticket: Ticket, recall: MemoryRequest) {
         let remembers = self.mirror.term > 0
             || !self.mirror.jobs.is_empty()
             || !self.mirror.finished.is_empty();
@@ -627,7 +629,7 @@
             self.mirror.memory(&recall.after, PAGE_BYTES)
         };
         let items = items.into_iter().map(|(k, v)| (k, v.to_string()));
-        let told = Recalled {
+        let told = MemoryPage {
             loaded: self.mirror.loaded,
             stores: self.custody.whole.clone(),
             remembers,
@@ -639,7 +641,12 @@
         self.answer(ticket, Answer::new(200, body));
     }
 
-    pub(super) fn recalled(&mut self, peer: String, asked: Recall, answer: Option<Box<Recalled>>) {
+    pub(super) fn recalled(
+        &mut self,
+        peer: String,
+        asked: MemoryRequest,
+        answer: Option<Box<MemoryPage>>,
+    ) {
         if answer.is_some() {
             self.peer_heard = self.now.mono;
         }
@@ -648,7 +655,7 @@
                 self.custody.words.insert(peer, *word);
             }
             None if asked.word_only => {}
-            answer => self.memory_handed_over(&peer, &asked, answer),
+            answer => self.take_memory_page(&peer, &asked, answer),
         }
     }
 }
--- a/src/core/dead_key.rs
+++ b/src/core/dead_key.rs
@@ -3,16 +3,16 @@
 use super::keys::{LEADER, key, named};
 use super::leadership::LEASE_TTL;
 use super::{Core, Pending};
-use crate::state::{StateOutcome, StateRequest};
-use crate::wire::{Change, Condition, Txn};
+use crate::state::{StoreOutcome, StoreRequest};
+use crate::wire::{Change, CompareAndSwap, Condition};
 use std::time::{Duration, Instant};
 
 /// A leader that is not heard for this long has its lease asked for, so often at most.
-const DEAD_KEY: Duration = Duration::from_secs(4);
+const STALE_KEY_CHECK_INTERVAL: Duration = Duration::from_secs(4);
 
 /// A leader key of which it is not sure whether anybody stands behind it.
 #[derive(Clone, Copy, Debug)]
-pub struct DeadKey {
+pub struct StaleLeaderKey {
     version: u64,
     since: Instant,
     asked: Option<Instant>,
@@ -25,18 +25,18 @@
     /// ever, and nobody could lead. Where no leader is heard for long, its lease is asked for. Once that
     /// is not known, nobody can renew it, so whoever it belonged to ceases to act within a lease's time;
     /// after that the key is taken away, unless it is another one by then.
-    pub(super) fn tend_dead_key(&mut self) {
+    pub(super) fn check_stale_leader_key(&mut self) {
         let now = self.now.mono;
         let Some((value, version)) = &self.mirror.leader else {
             self.dead_key = None;
             return;
         };
-        if !self.mirror.loaded || self.state_is_stale() {
+        if !self.mirror.loaded || self.store_is_stale() {
             return;
         }
         let (lease, version) = (value.lease, *version);
         if self.dead_key.is_none_or(|d| d.version != version) {
-            self.dead_key = Some(DeadKey {
+            self.dead_key = Some(StaleLeaderKey {
                 version,
                 since: now,
                 asked: None,
@@ -57,31 +57,34 @@
             }];
             // In a store that has lost data, another leader key may have the same version.
             conditions.extend(self.mirror.identity.as_ref().map(named));
-            let txn = Txn {
+            let txn = CompareAndSwap {
                 conditions,
                 changes: vec![Change::Delete { key: key(LEADER) }],
             };
-            self.ask_state(Pending::Bury, StateRequest::Txn(txn));
+            self.ask_state(Pending::Bury, StoreRequest::CompareAndSwap(txn));
             return;
         }
         // Whoever leads is heard, where controllers work together; an earlier version is not.
         let silent = heard.map_or(d.since, |t| d.since.max(t));
         let every = if heard.is_some() {
-            DEAD_KEY
+            STALE_KEY_CHECK_INTERVAL
         } else {
-            DEAD_KEY * 3
+            STALE_KEY_CHECK_INTERVAL * 3
         };
         let due = now >= silent + every && d.asked.is_none_or(|t| now >= t + every);
         if due && self.lead.is_none() {
             d.asked = Some(now);
-            self.ask_state(Pending::LeaseOf(version), StateRequest::LeaseRuns(lease));
+            self.ask_state(
+                Pending::CheckLeaderLease(version),
+                StoreRequest::CheckLease(lease),
+            );
         }
     }
 
     /// Whether the lease of a leader key of this version runs.
-    pub(super) fn lease_of_leader(&mut self, version: u64, outcome: StateOutcome) {
+    pub(super) fn leader_lease_checked(&mut self, version: u64, outcome: StoreOutcome) {
         let now = self.now.mono;
-        if let (Some(d), StateOutcome::Runs(false)) = (&mut self.dead_key, outcome)
+        if let (Some(d), StoreOutcome::Runs(false)) = (&mut self.dead_key, outcome)
             && d.version == version
         {
             d.gone.get_or_insert(now);
--- a/src/core/delegation.rs
+++ b/src/core/delegation.rs
@@ -13,39 +13,42 @@
 //!   "nothing new" with a token that is still good, which is harmless; the command itself goes to
 //!   the worker directly, or into the next answer that comes by way of the leader.
 
-use super::commands::MOST_DIRECT;
-use super::lead::{Delegate, Lead, PATIENCE};
+use super::commands::MAX_DIRECT_CALLS;
+use super::lead::{Delegate, LeaderState, PATIENCE};
 use super::machine::WORKER_RETRY;
 use super::{Core, Ticket};
 use crate::http::Answer;
 use crate::job::MachineId;
-use crate::link::{self, Heard, MemberTold, Sync, Synced, Told, ToldKind};
-use burlusher_membership::grant::{Issued, Request};
+use crate::link::{
+    self, AnsweredHeartbeat, HeartbeatBatch, HeartbeatBatchResponse, MemberStatus, RelayedOutcome,
+    RelayedResponse,
+};
+use burlusher_membership::grant::{IssuedGrant, Request};
 use burlusher_membership::share::{self, Server};
-use burlusher_membership::view::{Abilities, Standing};
+use burlusher_membership::view::{Capabilities, Standing};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 /// Another controller sees to the machines that it claims for this long; then they are asked from
 /// here.
-const CLAIM: Duration = Duration::from_millis(1500);
+const PROBE_CLAIM: Duration = Duration::from_millis(1500);
 /// Machines that another controller is given to ask at a time: as many as it asks at once, and some
 /// to go on with until its next frame.
-const ASKED_BY_ANOTHER: usize = 3 * MOST_DIRECT / 2;
+const MAX_PROBES_PER_DELEGATE: usize = 3 * MAX_DIRECT_CALLS / 2;
 /// How often loads are compared. A worker that is sent elsewhere is back within half a second.
-const SHARE_EVERY: Duration = Duration::from_millis(1000);
+const REBALANCE_INTERVAL: Duration = Duration::from_millis(1000);
 /// The part of all workers that is moved at a time, at most.
-const MOVED: u32 = 20;
-const FEWEST_MOVED: u32 = 4;
+const MOVED_FRACTION: u32 = 20;
+const MIN_MOVED: u32 = 4;
 /// The leader's part of an even share, where two others or more serve workers: its processor
 /// is needed for what no other one can do.
-const LEADERS_WEIGHT: f64 = 0.25;
+const LEADER_WEIGHT: f64 = 0.25;
 /// Answers in one frame take this much; a worker whose answer does not fit any more asks again.
-const MOST_ANSWERS: usize = 400 * 1024;
+const MAX_RESPONSE_BYTES: usize = 400 * 1024;
 
 /// A frame that is answered at the end of the step.
-pub(super) struct SyncWork {
+pub(super) struct PendingBatch {
     pub ticket: Ticket,
     pub number: u64,
     from: Arc<str>,
@@ -54,7 +57,7 @@
     reports: Vec<(u64, Result<MachineId, Answer>)>,
 }
 
-impl SyncWork {
+impl PendingBatch {
     /// The machines whose reports it answers.
     pub(super) fn machines(&self) -> impl Iterator<Item = &MachineId> {
         self.reports
@@ -63,10 +66,10 @@
     }
 }
 
-impl Lead {
+impl LeaderState {
     /// Takes a machine back from the controller that may answer its reports.
     pub(super) fn recall(&mut self, id: &MachineId) {
-        let Some(m) = self.machines.get_unnoted(id) else {
+        let Some(m) = self.machines.get_mut_quiet(id) else {
             return;
         };
         if m.recalled {
@@ -80,8 +83,8 @@
 
     /// A report came by way of this controller, or to this one itself: no other may answer the
     /// machine from memory any more.
-    pub(super) fn came_by(&mut self, id: &MachineId, via: Option<&Arc<str>>) {
-        let Some(m) = self.machines.get_unnoted(id) else {
+    pub(super) fn record_route(&mut self, id: &MachineId, via: Option<&Arc<str>>) {
+        let Some(m) = self.machines.get_mut_quiet(id) else {
             return;
         };
         if m.via.as_ref() != via {
@@ -93,13 +96,13 @@
     }
 
     /// Of machines that changed, those to which there is something to say now.
-    pub(super) fn recall_changed(&mut self, changed: &[MachineId]) {
+    pub(super) fn revoke_changed(&mut self, changed: &[MachineId]) {
         if self.delegates.by_name.is_empty() {
             return;
         }
         for id in changed {
             let m = self.machines.get(id);
-            if m.is_some_and(|m| m.lent_to.is_some() && !m.calm()) {
+            if m.is_some_and(|m| m.lent_to.is_some() && !m.is_steady()) {
                 self.recall(id);
             }
         }
@@ -107,7 +110,7 @@
 
     /// Until when a machine's silence says nothing, as a controller is not heard either that it may
     /// report to, or was just sent to by another: the worker has yet to find out, and to find the next.
-    pub(super) fn excused(&self, now: Instant) -> Option<Instant> {
+    pub(super) fn silence_excuse(&self, now: Instant) -> Option<Instant> {
         let heard = self.delegates.by_name.values().map(|d| d.issued.heard);
         let late = |at: &Instant| now.saturating_duration_since(*at) > PATIENCE.suspect;
         heard.filter(late).max().map(|at| at + WORKER_RETRY)
@@ -115,39 +118,39 @@
 
     /// Machines for another controller to show the token to, so that all controllers that live
     /// share the work of a takeover, whoever the workers reported to.
-    fn hand_out_asks(&mut self, asking: usize, now: Instant) -> Vec<(MachineId, String)> {
+    fn assign_probes(&mut self, asking: usize, now: Instant) -> Vec<(MachineId, String)> {
         let mut out = Vec::new();
-        while asking + out.len() < ASKED_BY_ANOTHER
-            && let Some(id) = self.next_to_ask(now)
+        while asking + out.len() < MAX_PROBES_PER_DELEGATE
+            && let Some(id) = self.next_probe(now)
         {
-            let Some(m) = self.machines.get_unnoted(&id) else {
+            let Some(m) = self.machines.get_mut_quiet(&id) else {
                 continue;
             };
-            m.claimed_until = Some(now + CLAIM);
+            m.claimed_until = Some(now + PROBE_CLAIM);
             // If nothing comes of it, it is asked from here.
-            self.ask_again.insert((now + CLAIM, id.clone()));
+            self.ask_again.insert((now + PROBE_CLAIM, id.clone()));
             out.push((id, m.addr.clone()));
         }
         out
     }
 
     /// The controller that a worker reporting here is to go to, if it is to go.
-    pub(super) fn move_one(&mut self, id: &MachineId) -> Option<String> {
+    pub(super) fn next_reassignment(&mut self, id: &MachineId) -> Option<String> {
         let to = share::take_one(&mut self.delegates.own_moves)?;
-        if let Some(m) = self.machines.get_unnoted(id) {
+        if let Some(m) = self.machines.get_mut_quiet(id) {
             m.via = Some(to.as_str().into());
         }
         Some(to)
     }
 
     /// Nothing that this controller was lent is answered by it after `until`.
-    fn end_lending(&mut self, name: &Arc<str>, until: Instant) {
+    fn end_delegations(&mut self, name: &Arc<str>, until: Instant) {
         let ids: Vec<MachineId> = (self.machines.values())
             .filter(|m| m.lent_to.as_ref() == Some(name))
             .map(|m| m.id.clone())
             .collect();
         for id in ids {
-            if let Some(m) = self.machines.get_unnoted(&id) {
+            if let Some(m) = self.machines.get_mut_quiet(&id) {
                 m.lease_from = m.lease_from.max(until);
                 (m.lent_to, m.recalled) = (None, false);
             }
@@ -157,17 +160,17 @@
 
 impl Core {
     /// Takes in a frame of a controller that serves workers.
-    pub(super) fn sync(&mut self, ticket: Ticket, sync: Sync) -> Option<SyncWork> {
+    pub(super) fn sync(&mut self, ticket: Ticket, sync: HeartbeatBatch) -> Option<PendingBatch> {
         let now = self.now.mono;
         let known = self.view.heard(
             &sync.from,
             sync.incarnation,
-            Abilities(sync.abilities),
+            Capabilities(sync.abilities),
             sync.load,
             now,
         );
         if !self.delegating || !known || !self.acting() {
-            self.refuse_sync(ticket, sync.number);
+            self.refuse_batch(ticket, sync.number);
             return None;
         }
         let from: Arc<str> = sync.from.as_str().into();
@@ -176,7 +179,7 @@
         let d = (lead.delegates.by_name)
             .entry(from.clone())
             .or_insert_with(|| Delegate {
-                issued: Issued::first(sync.incarnation, 0, now),
+                issued: IssuedGrant::first(sync.incarnation, 0, now),
                 recalls: BTreeMap::new(),
                 moves: Vec::new(),
                 lends: false,
@@ -184,16 +187,16 @@
         match d.issued.request(sync.incarnation, sync.number, now) {
             // Held up on the way: its sender has given it up, and its reports were made long ago.
             Request::Old => {
-                self.refuse_sync(ticket, sync.number);
+                self.refuse_batch(ticket, sync.number);
                 return None;
             }
             // The process that could answer from memory is gone, and this one knows nothing.
             Request::Fresh => {
                 d.recalls.clear();
                 let until = d.issued.until;
-                lead.end_lending(&from, until);
+                lead.end_delegations(&from, until);
             }
-            Request::Next => self.recalls_heard(&from, sync.answered),
+            Request::Next => self.confirm_revocations(&from, sync.answered),
         }
         let lead = self.lead.as_mut()?;
         if !sync.heard.is_empty() || !sync.reports.is_empty() {
@@ -204,19 +207,19 @@
         // What it heard under an earlier term tells nothing in this one.
         if sync.term == term {
             for h in &sync.heard {
-                lead.heard_of(h, &from, now);
+                lead.record_delegated_heartbeat(h, &from, now);
             }
         }
         for id in &sync.mine {
-            if let Some(m) = lead.machines.get_unnoted(id)
+            if let Some(m) = lead.machines.get_mut_quiet(id)
                 && m.unresolved
             {
-                m.claimed_until = Some(now + CLAIM);
+                m.claimed_until = Some(now + PROBE_CLAIM);
                 m.via = Some(from.clone());
             }
         }
         for id in &sync.failed {
-            if let Some(m) = lead.machines.get_unnoted(id)
+            if let Some(m) = lead.machines.get_mut_quiet(id)
                 && m.unresolved
             {
                 m.unanswered += 1;
@@ -231,15 +234,15 @@
                 let known = (self.lead.as_ref()).is_some_and(|l| l.machines.get(&id).is_some());
                 if known {
                     if let Some(lead) = &mut self.lead {
-                        lead.calls_reach(&r.report.zone);
+                        lead.mark_zone_reachable(&r.report.zone);
                     }
-                    self.absorb(&id, *r.report, false);
+                    self.apply_heartbeat(&id, *r.report, false);
                 }
             } else {
-                reports.push((r.name, self.take_report(*r.report, Some(&from))));
+                reports.push((r.name, self.accept_heartbeat(*r.report, Some(&from))));
             }
         }
-        Some(SyncWork {
+        Some(PendingBatch {
             ticket,
             number: sync.number,
             from,
@@ -249,14 +252,14 @@
     }
 
     /// The borrower has taken in our answers up to this one, and said so after that.
-    fn recalls_heard(&mut self, from: &Arc<str>, answered: u64) {
+    fn confirm_revocations(&mut self, from: &Arc<str>, answered: u64) {
         let Some(lead) = &mut self.lead else { return };
         let Some(d) = lead.delegates.by_name.get_mut(from) else {
             return;
         };
         let heard = |_: &MachineId, sent: &mut Option<u64>| sent.is_some_and(|n| n <= answered);
         for (id, _) in d.recalls.extract_if(.., heard) {
-            if let Some(m) = lead.machines.get_unnoted(&id)
+            if let Some(m) = lead.machines.get_mut_quiet(&id)
                 && m.lent_to.as_ref() == Some(from)
             {
                 (m.lent_to, m.recalled) = (None, false);
@@ -265,53 +268,53 @@
     }
 
     /// Not the leader, or none that works like this: nothing is granted.
-    pub(super) fn refuse_sync(&mut self, ticket: Ticket, number: u64) {
-        let answer = Synced {
+    pub(super) fn refuse_batch(&mut self, ticket: Ticket, number: u64) {
+        let answer = HeartbeatBatchResponse {
             number,
             refused: !self.delegating,
-            ..Synced::default()
+            ..HeartbeatBatchResponse::default()
         };
         self.answer(ticket, Answer::new(200, link::encode_synced(&answer)));
     }
 
-    pub(super) fn answer_sync(&mut self, work: SyncWork) {
+    pub(super) fn answer_batch(&mut self, work: PendingBatch) {
         let now = self.now.mono;
         let Some(word) = self.leader_until() else {
-            return self.refuse_sync(work.ticket, work.number);
+            return self.refuse_batch(work.ticket, work.number);
         };
         let mut answers = Vec::new();
         let mut size = 0;
         for (name, taken) in work.reports {
-            let refused = |a: &Answer| ToldKind::Refused {
+            let refused = |a: &Answer| RelayedOutcome::Refused {
                 status: a.status,
                 retry_after: a.retry_after,
             };
             let told = taken.and_then(|id| {
-                if size > MOST_ANSWERS {
+                if size > MAX_RESPONSE_BYTES {
                     return Err(Answer::busy("overloaded", 1));
                 }
                 let gone = || Answer::busy("this machine is gone", 30);
-                let body = self.tell(&id).ok_or_else(gone)?;
+                let body = self.heartbeat_response(&id).ok_or_else(gone)?;
                 size += link::size_of_answer(&body.orders);
-                let calm = body.orders.is_empty() && self.lend(&id, &work.from);
-                Ok(ToldKind::Orders {
+                let calm = body.orders.is_empty() && self.delegate(&id, &work.from);
+                Ok(RelayedOutcome::Orders {
                     token: body.token,
                     orders: body.orders,
                     calm,
                 })
             });
             let kind = told.unwrap_or_else(|a| refused(&a));
-            answers.push(Told { name, kind });
+            answers.push(RelayedResponse { name, kind });
         }
-        let members = self.tell_members(&work.from);
+        let members = self.member_statuses(&work.from);
         let Some(lead) = &mut self.lead else { return };
-        let asks = lead.hand_out_asks(work.asking, now);
+        let asks = lead.assign_probes(work.asking, now);
         let term = lead.term;
         let Some(d) = lead.delegates.by_name.get_mut(&work.from) else {
             return;
         };
         let recalled = d.recalls_for_frame(work.number);
-        let answer = Synced {
+        let answer = HeartbeatBatchResponse {
             number: work.number,
             term,
             grant: d.issued.grant(word, now),
@@ -326,11 +329,11 @@
         self.answer(work.ticket, Answer::new(200, frame).until(Some(word)));
     }
 
-    fn tell_members(&self, to: &str) -> Vec<MemberTold> {
+    fn member_statuses(&self, to: &str) -> Vec<MemberStatus> {
         let now = self.now.mono;
         let others = self.view.members().filter(|(name, _)| *name != to);
         let told = others.filter_map(|(name, m)| {
-            Some(MemberTold {
+            Some(MemberStatus {
                 name: name.to_string(),
                 abilities: m.abilities.0,
                 load: m.load,
@@ -341,18 +344,18 @@
     }
 
     /// Lends a machine to which there is nothing to say.
-    fn lend(&mut self, id: &MachineId, to: &Arc<str>) -> bool {
+    fn delegate(&mut self, id: &MachineId, to: &Arc<str>) -> bool {
         let Some(lead) = &mut self.lead else {
             return false;
         };
-        let Some(m) = lead.machines.get_unnoted(id) else {
+        let Some(m) = lead.machines.get_mut_quiet(id) else {
             return false;
         };
         if m.unresolved {
             return false;
         }
         let free = m.lent_to.as_ref().is_none_or(|t| t == to) && !m.recalled;
-        if !free || !m.calm() {
+        if !free || !m.is_steady() {
             return false;
         }
         m.lent_to = Some(to.clone());
@@ -363,7 +366,7 @@
     }
 
     /// Grants that have run out, silent machines, and who serves how many.
-    pub(super) fn tend_delegates(&mut self) {
+    pub(super) fn check_delegates(&mut self) {
         let now = self.now.mono;
         let report = self.settings.report;
         let Some(lead) = &mut self.lead else { return };
@@ -384,7 +387,7 @@
                 "term {}: {name}'s grant has run out",
                 lead.term
             );
-            lead.end_lending(&name, until);
+            lead.end_delegations(&name, until);
         }
         // Before a silent machine can count as lost, it has to be here again.
         let silent: Vec<MachineId> = (lead.machines.values())
@@ -395,13 +398,13 @@
         for id in silent {
             lead.recall(&id);
         }
-        if (lead.delegates.shared).is_none_or(|t| now >= t + SHARE_EVERY) {
+        if (lead.delegates.shared).is_none_or(|t| now >= t + REBALANCE_INTERVAL) {
             lead.delegates.shared = Some(now);
-            self.share_out();
+            self.rebalance_workers();
         }
     }
 
-    fn share_out(&mut self) {
+    fn rebalance_workers(&mut self) {
         let now = self.now.mono;
         let Some(lead) = &mut self.lead else { return };
         let me = self.settings.name.as_str();
@@ -414,18 +417,14 @@
         }
         let able = |name: &&Arc<str>| {
             self.view.standing(name, now) == Standing::Alive
-                && (self.view.get(name)).is_some_and(|m| m.abilities.has(Abilities::REPORTS))
+                && (self.view.get(name)).is_some_and(|m| m.abilities.has(Capabilities::REPORTS))
         };
         let others: Vec<&Arc<str>> = lead.delegates.by_name.keys().filter(able).collect();
         let load = |name: &str| loads.get(name).copied().unwrap_or(0);
         let leader = Server {
             name: me.to_string(),
             load: load(me),
-            weight: if others.len() > 1 {
-                LEADERS_WEIGHT
-            } else {
-                1.0
-            },
+            weight: if others.len() > 1 { LEADER_WEIGHT } else { 1.0 },
         };
         let mut servers = vec![leader];
         servers.extend(others.iter().map(|name| Server {
@@ -434,7 +433,7 @@
             weight: 1.0,
         }));
         let total: u32 = servers.iter().map(|s| s.load).sum();
-        let moves = share::moves(&servers, (total / MOVED).max(FEWEST_MOVED));
+        let moves = share::moves(&servers, (total / MOVED_FRACTION).max(MIN_MOVED));
         lead.delegates.own_moves.clear();
         for d in lead.delegates.by_name.values_mut() {
             d.moves.clear();
@@ -450,7 +449,7 @@
     }
 
     /// For the status view: name, how it stands, workers, and whether it holds a grant.
-    pub(super) fn members_view(&self) -> serde_json::Value {
+    pub(super) fn members_status(&self) -> serde_json::Value {
         let now = self.now.mono;
         let granted = |name: &str| {
             let d = self.lead.as_ref()?.delegates.by_name.get(name)?;
@@ -465,7 +464,7 @@
             };
             serde_json::json!({
                 "node": name, "zone": m.zone, "standing": standing, "workers": m.load,
-                "takes_reports": m.abilities.has(Abilities::REPORTS),
+                "takes_reports": m.abilities.has(Capabilities::REPORTS),
                 "granted": granted(name),
             })
         });
@@ -491,10 +490,10 @@
     }
 }
 
-impl Lead {
+impl LeaderState {
     /// A report was answered for us: only a machine that was lent can have had one.
-    fn heard_of(&mut self, h: &Heard, from: &Arc<str>, now: Instant) {
-        let Some(m) = self.machines.get_unnoted(&h.machine) else {
+    fn record_delegated_heartbeat(&mut self, h: &AnsweredHeartbeat, from: &Arc<str>, now: Instant) {
+        let Some(m) = self.machines.get_mut_quiet(&h.machine) else {
             return;
         };
         if m.lent_to.as_ref() != Some(from) || m.session != h.session || m.session_over {
--- a/src/core/delegation/tests.rs
+++ b/src/core/delegation/tests.rs
@@ -1,6 +1,6 @@
-use super::super::commands::MOST_ORDERS;
+use super::super::commands::MAX_COMMANDS;
 use super::*;
-use crate::wire::Order;
+use crate::wire::TaskCommand;
 
 const MACHINES: usize = 6000;
 
@@ -10,7 +10,7 @@
 
 fn borrower() -> Delegate {
     Delegate {
-        issued: Issued::first(1, 0, Instant::now()),
+        issued: IssuedGrant::first(1, 0, Instant::now()),
         recalls: (0..MACHINES).map(|n| (machine(n), None)).collect(),
         moves: Vec::new(),
         lends: true,
@@ -46,28 +46,28 @@
 #[test]
 fn the_fullest_answer_to_a_controller_with_6000_workers_can_be_read() {
     let digits = "9".repeat(32);
-    let order = Order::Stop {
+    let order = TaskCommand::Stop {
         task: format!("wk-{digits}/99999"),
         attempt: u64::MAX,
         grace: 3.0,
     };
-    let orders = vec![order; MOST_ORDERS];
-    let answers = MOST_ANSWERS / link::size_of_answer(&orders) + 2;
-    let told = |name| Told {
+    let orders = vec![order; MAX_COMMANDS];
+    let answers = MAX_RESPONSE_BYTES / link::size_of_answer(&orders) + 2;
+    let told = |name| RelayedResponse {
         name,
-        kind: ToldKind::Orders {
+        kind: RelayedOutcome::Orders {
             token: 1,
             orders: orders.clone(),
             calm: false,
         },
     };
-    let synced = Synced {
+    let synced = HeartbeatBatchResponse {
         recalled: borrower().recalls_for_frame(1),
         answers: (0..answers as u64).map(told).collect(),
-        asks: (0..ASKED_BY_ANOTHER)
+        asks: (0..MAX_PROBES_PER_DELEGATE)
             .map(|n| (machine(n), "255.255.255.255:65535".into()))
             .collect(),
-        ..Synced::default()
+        ..HeartbeatBatchResponse::default()
     };
     let frame = link::encode_synced(&synced);
     let (_, body) = crate::peer::read_frame(&mut frame.as_slice()).unwrap();
--- a/src/core/expectation.rs
+++ b/src/core/expectation.rs
@@ -1,7 +1,7 @@
 //! What a leader believes of markets and expects to come: kept from step to step, by it alone.
 
 use crate::board::Offer;
-use crate::job::{JobSpec, Rank};
+use crate::job::{JobSpec, Priority};
 use burlusher_market::clear::Cleared;
 use burlusher_market::{Beliefs, Demand};
 use std::collections::BTreeMap;
@@ -12,7 +12,7 @@
 pub struct Expected {
     pub demand: Demand,
     pub spec: Arc<JobSpec>,
-    pub rank: Rank,
+    pub rank: Priority,
 }
 
 #[derive(Default)]
@@ -28,7 +28,7 @@
 
 impl Bidding {
     /// A job came that this leader has not seen before.
-    pub fn arrived(&mut self, now: Instant, spec: &Arc<JobSpec>, rank: Rank, run: Duration) {
+    pub fn arrived(&mut self, now: Instant, spec: &Arc<JobSpec>, rank: Priority, run: Duration) {
         let e = self
             .expected
             .entry(spec.class.clone())
--- a/src/core/figures.rs
+++ b/src/core/figures.rs
@@ -3,14 +3,14 @@
 use super::{Core, Ticket, WORK};
 use crate::http::Answer;
 use crate::metrics::Page;
-use burlusher_membership::view::{Abilities, Standing};
+use burlusher_membership::view::{Capabilities, Standing};
 use std::collections::BTreeMap;
 
 const QUANTILES: [(&str, f64); 3] = [("0.5", 0.5), ("0.95", 0.95), ("0.99", 0.99)];
 
 impl Core {
     /// `lanes`: commands that wait in the owner's queue, what is urgent first.
-    pub(super) fn answer_figures(&mut self, ticket: Ticket, lanes: [usize; 3]) {
+    pub(super) fn answer_metrics(&mut self, ticket: Ticket, lanes: [usize; 3]) {
         let now = self.now.mono;
         let mut page = Page::default();
         page.gauge(
@@ -56,7 +56,7 @@
             let help = "What the owner has done since this process began";
             page.counter(name, help, self.stats.work[work as usize]);
         }
-        let [losses, incomplete, owed, held] = self.rebuild_figures();
+        let [losses, incomplete, owed, held] = self.rebuild_metrics();
         page.gauge(
             "state_losses",
             "Losses of data of the state service that this process has noticed",
@@ -98,7 +98,8 @@
             "node",
             self.view.members().map(|(name, _)| (name, standing(name))),
         );
-        let able = |abilities: Abilities| f64::from(u8::from(abilities.has(Abilities::REPORTS)));
+        let able =
+            |abilities: Capabilities| f64::from(u8::from(abilities.has(Capabilities::REPORTS)));
         page.gauges(
             "takes_reports",
             "1 for a controller that serves workers for the leader",
@@ -157,7 +158,7 @@
             lead.unresolved as f64,
         );
         page.gauge("jobs", "Jobs that are not over", lead.runs.len() as f64);
-        let tasks = |f: fn(&super::run::Run) -> usize| -> f64 {
+        let tasks = |f: fn(&super::run::JobRun) -> usize| -> f64 {
             lead.runs.values().map(f).sum::<usize>() as f64
         };
         page.gauges(
--- a/src/core/jobs.rs
+++ b/src/core/jobs.rs
@@ -1,25 +1,25 @@
 //! How jobs progress and end: cancellations, and the leader's runs in line with what is durable.
 
 use super::machine::StopReason;
-use super::questions::{being_rebuilt, state_body};
-use super::run::{Pace, Run};
+use super::questions::{rebuilding_answer, state_body};
+use super::run::{JobRun, RuntimeRatio};
 use super::{Core, Effect, Ticket};
-use crate::guard::{Guard, stands};
+use crate::guard::{Safeguard, stands};
 use crate::http::Answer;
-use crate::job::{Final, JobId, Kind};
+use crate::job::{JobId, JobKind, JobOutcome};
 use crate::wire::JobState;
 
 impl Core {
     /// Cancels a live job. Its end is durable before anybody is told.
     pub(super) fn cancel(&mut self, ticket: Ticket, id: &str) {
-        if self.unsaid() {
-            return self.answer(ticket, being_rebuilt());
+        if self.must_withhold_state() {
+            return self.answer(ticket, rebuilding_answer());
         }
         let Some(lead) = &mut self.lead else { return };
         let Some(run) = lead.runs.get_mut(id) else {
             return self.answer(ticket, Answer::busy("not ready", 1));
         };
-        if stands(Guard::Cancelled) {
+        if stands(Safeguard::Cancelled) {
             run.cancel_waiters.push(ticket);
         } else {
             let body = state_body(id, JobState::Cancelled, None, None);
@@ -30,33 +30,33 @@
         }
         if run.ending.is_none() {
             tracing::info!(job = %id, "job {id}: cancelled by its user");
-            run.ending = Some(Final::Cancelled);
+            run.ending = Some(JobOutcome::Cancelled);
             // What they do from now on is of no use to anybody, and what was still to start would start after
             // its user was told. Should the end never be written, a later leader starts them again.
-            if stands(Guard::Early) && stands(Guard::Stopped) {
+            if stands(Safeguard::Early) && stands(Safeguard::Stopped) {
                 let id = Self::job_id(id);
-                run.stop_placed(&id, &mut lead.machines, StopReason::Over, self.now.mono);
+                run.stop_assigned(&id, &mut lead.machines, StopReason::Over, self.now.mono);
             }
-            lead.writes.ends.insert(id.into(), Final::Cancelled);
-            let with_it = self.mirror.pipelines.downstream(&Self::job_id(id));
+            lead.writes.ends.insert(id.into(), JobOutcome::Cancelled);
+            let with_it = self.mirror.pipelines.all_dependents(&Self::job_id(id));
             lead.in_doubt.extend(with_it);
         }
     }
 
     /// Brings the leader's runs in line with the mirror: new jobs begin, finished ones end.
-    pub(super) fn take_in_jobs(&mut self) {
+    pub(super) fn sync_job_runs(&mut self) {
         let changed = std::mem::take(&mut self.mirror.changed);
         for id in changed {
-            self.take_in(&id);
+            self.sync_job_run(&id);
         }
     }
 
-    fn take_in(&mut self, id: &JobId) {
+    fn sync_job_run(&mut self, id: &JobId) {
         let Some(lead) = &mut self.lead else { return };
         let Some(job) = self.mirror.jobs.get(id) else {
-            return self.wind_up(id);
+            return self.finish_job(id);
         };
-        if let Some(root) = self.mirror.pipelines.doomed(id) {
+        if let Some(root) = self.mirror.pipelines.cancelled_dependency(id) {
             // Nothing of it can have started, as not all that it needs is done.
             if lead.writes.followers.insert(id.clone()) {
                 tracing::info!(job = %id, "job {id}: cancelled with {root}, which it needs");
@@ -64,28 +64,31 @@
         }
         if !lead.runs.contains_key(id) {
             let queued = (0..job.spec.tasks).filter(|r| !job.done.contains(*r));
-            let run = Run {
+            let run = JobRun {
                 team: self.settings.team_index(&job.spec.team),
                 queued: queued.collect(),
                 succeeded: job.done.len() > 0,
-                ..Run::default()
+                ..JobRun::default()
             };
             lead.runs.insert(id.clone(), run);
             lead.judge_guarantees = true;
             if job.version > lead.key_version {
                 lead.arrivals.note(self.now.mono, 1);
-                let pace = lead.pace.get(&job.spec.class).map_or(1.0, Pace::factor);
+                let pace = lead
+                    .pace
+                    .get(&job.spec.class)
+                    .map_or(1.0, RuntimeRatio::factor);
                 let (rank, run) = (job.spec.rank, job.spec.estimate.mul_f64(pace));
                 lead.bidding.arrived(self.now.mono, &job.spec, rank, run);
             }
             // Accepted while a cancellation of what it needs is being written.
             let doubtful = |a: &JobId| {
                 let ending = lead.runs.get(a).and_then(|r| r.ending);
-                lead.in_doubt.contains(a) || ending == Some(Final::Cancelled)
+                lead.in_doubt.contains(a) || ending == Some(JobOutcome::Cancelled)
             };
             if job.spec.awaits.iter().any(doubtful) {
                 lead.in_doubt.insert(id.clone());
-                let with_it = self.mirror.pipelines.downstream(id);
+                let with_it = self.mirror.pipelines.all_dependents(id);
                 lead.in_doubt.extend(with_it);
             }
             lead.plan_again = true;
@@ -101,21 +104,21 @@
                 tracing::info!(job = %id, "job {id}: all that it awaits is done");
             }
         }
-        self.adopt(id);
+        self.adopt_job(id);
         let Some(job) = self.mirror.jobs.get(id) else {
             return;
         };
         let before = job.spec.awaits.clone();
         for a in before.iter().chain([id]) {
-            self.flow_back(a);
+            self.propagate_urgency(a);
         }
-        self.end_if_done(id);
+        self.end_if_complete(id);
     }
 
     /// A job's end is durable: its user may know, and whatever is left of it is stopped.
-    fn wind_up(&mut self, id: &JobId) {
+    fn finish_job(&mut self, id: &JobId) {
         let now = self.now.mono;
-        self.adopt(id);
+        self.adopt_job(id);
         let Some(lead) = &mut self.lead else { return };
         let Some(run) = lead.runs.remove(id) else {
             return;
@@ -130,8 +133,8 @@
         if let Some(end) = self.mirror.finished.get(id) {
             tracing::info!(job = %id, "job {id} is over: {end:?}");
         }
-        if stands(Guard::Stopped) {
-            run.stop_placed(id, &mut lead.machines, StopReason::Over, now);
+        if stands(Safeguard::Stopped) {
+            run.stop_assigned(id, &mut lead.machines, StopReason::Over, now);
         }
         if let Some(answer) = self.final_answer(id) {
             for ticket in run.cancel_waiters {
@@ -141,17 +144,17 @@
     }
 
     /// Ends an array whose tasks are all done.
-    pub(super) fn end_if_done(&mut self, id: &str) {
+    pub(super) fn end_if_complete(&mut self, id: &str) {
         let Some(lead) = &mut self.lead else { return };
         let (Some(run), Some(job)) = (lead.runs.get_mut(id), self.mirror.jobs.get(id)) else {
             return;
         };
         let missing = job.spec.tasks.saturating_sub(job.done.len());
-        let all = missing == 0 || missing == 1 && !stands(Guard::AllDone);
-        let all = job.spec.kind != Kind::Service && all;
+        let all = missing == 0 || missing == 1 && !stands(Safeguard::AllDone);
+        let all = job.spec.kind != JobKind::Service && all;
         if all && run.ending.is_none() {
-            run.ending = Some(Final::Done);
-            lead.writes.ends.insert(id.into(), Final::Done);
+            run.ending = Some(JobOutcome::Done);
+            lead.writes.ends.insert(id.into(), JobOutcome::Done);
         }
     }
 }
--- a/src/core/keys.rs
+++ b/src/core/keys.rs
@@ -47,8 +47,8 @@
 }
 
 /// Names one writing of a job's parts; a repeated submission writes its own.
-pub type Stem = u64;
+pub type PartGeneration = u64;
 
-pub fn part_key(id: &str, stem: Stem, n: u32) -> String {
+pub fn part_key(id: &str, stem: PartGeneration, n: u32) -> String {
     key(&format!("s/{id}/{stem}/{n}"))
 }
--- a/src/core/lead.rs
+++ b/src/core/lead.rs
@@ -1,26 +1,26 @@
 //! What only a leader has: its lease and term, the machines and runs that it knows, what it writes, what
 //! is under way at the cloud, and what it has lent. Data; what is done with it is in the modules above.
 
-use super::delegation::SyncWork;
+use super::delegation::PendingBatch;
 use super::expectation::Bidding;
-use super::keys::{Stem, named};
+use super::keys::{PartGeneration, named};
 use super::machine::{Machine, Machines};
-use super::mirror::Left;
+use super::mirror::ResidualTasks;
 use super::rebuild::Rebuild;
-use super::records::Records;
-use super::run::{Arrivals, Pace, Run, Urgency};
+use super::records::MachineRecords;
+use super::run::{ArrivalRate, JobRun, RuntimeRatio, Urgency};
 use super::{CallId, Ticket};
 use crate::board::Board;
-use crate::job::{Final, JobId, MachineId};
-use crate::wire::{Condition, RentBody, Txn};
-use burlusher_membership::grant::Issued;
-use burlusher_membership::view::Patience;
+use crate::job::{JobId, JobOutcome, MachineId};
+use crate::wire::{CompareAndSwap, Condition, ScaleOutRequest};
+use burlusher_membership::grant::IssuedGrant;
+use burlusher_membership::view::FailureDetectorTimeouts;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 /// A controller that serves workers says something at least every `HEARTBEAT`.
-pub(super) const PATIENCE: Patience = Patience {
+pub(super) const PATIENCE: FailureDetectorTimeouts = FailureDetectorTimeouts {
     suspect: Duration::from_millis(1500),
     lost: Duration::from_millis(6000),
 };
@@ -35,7 +35,7 @@
 }
 
 /// What only a leader has.
-pub struct Lead {
+pub struct LeaderState {
     pub key_version: u64,
     pub term: u64,
     pub since: Instant,
@@ -60,16 +60,16 @@
     pub answering: BTreeSet<String>,
     /// Direct calls on their way.
     pub calls_out: usize,
-    pub runs: BTreeMap<JobId, Run>,
+    pub runs: BTreeMap<JobId, JobRun>,
     /// Live jobs that need one whose cancellation is being written: that may be durable already,
     /// and another node may have told their users that they are cancelled.
     pub in_doubt: BTreeSet<JobId>,
     /// How urgent jobs are that are needed by more urgent ones.
     pub urgency: BTreeMap<JobId, Urgency>,
     /// Parts that no job refers to, and since when.
-    pub unclaimed: BTreeMap<(JobId, Stem), Instant>,
+    pub unclaimed: BTreeMap<(JobId, PartGeneration), Instant>,
     pub writes: Writes,
-    pub market: Market,
+    pub market: CloudOperations,
     pub attempts: u64,
     /// Silence proves nothing before this moment.
     pub deaf_until: Instant,
@@ -91,7 +91,7 @@
     pub wanting: bool,
     /// Reports of machines that were freed, and frames with such: their answers wait for the next plan,
     /// so that they say what to start.
-    pub held: Held,
+    pub held: DeferredResponses,
     pub fleet_at: Option<Instant>,
     pub tended: Option<Instant>,
     pub told: Option<Instant>,
@@ -100,8 +100,8 @@
     /// The head of the queue and when it may start, for the status view.
     pub head: Option<(JobId, Option<Duration>)>,
     /// How actual run times compare with estimates, by class.
-    pub pace: BTreeMap<String, Pace>,
-    pub arrivals: Arrivals,
+    pub pace: BTreeMap<String, RuntimeRatio>,
+    pub arrivals: ArrivalRate,
     pub bidding: Bidding,
     /// Controllers that serve workers for this one.
     pub delegates: Delegates,
@@ -111,10 +111,15 @@
     pub rebuild: Option<Rebuild>,
 }
 
-impl Lead {
+impl LeaderState {
     /// A leadership that begins now and knows nothing yet.
-    pub(super) fn new(key_version: u64, term: u64, now: Instant, arrivals: Arrivals) -> Lead {
-        Lead {
+    pub(super) fn new(
+        key_version: u64,
+        term: u64,
+        now: Instant,
+        arrivals: ArrivalRate,
+    ) -> LeaderState {
+        LeaderState {
             key_version,
             term,
             since: now,
@@ -133,7 +138,7 @@
             urgency: BTreeMap::new(),
             unclaimed: BTreeMap::new(),
             writes: Writes::default(),
-            market: Market::default(),
+            market: CloudOperations::default(),
             attempts: 0,
             deaf_until: now,
             acted: now,
@@ -145,7 +150,7 @@
             plan_again: true,
             judge_guarantees: true,
             wanting: false,
-            held: Held::default(),
+            held: DeferredResponses::default(),
             fleet_at: None,
             tended: None,
             told: None,
@@ -166,7 +171,7 @@
     }
 
     /// A worker is heard, here or by way of another controller.
-    pub(super) fn heard_one(&mut self, via: Option<&Arc<str>>, now: Instant) {
+    pub(super) fn record_heartbeat(&mut self, via: Option<&Arc<str>>, now: Instant) {
         self.last_report = Some(now);
         if via.is_none() {
             (self.touched, self.missed) = (now, 0);
@@ -174,22 +179,22 @@
     }
 
     /// Whether a machine may be given tasks now.
-    pub fn takes_tasks(&self, m: &Machine, now: Instant, report: Duration) -> bool {
+    pub fn accepts_tasks(&self, m: &Machine, now: Instant, report: Duration) -> bool {
         m.usable(now, report * 9 / 4) && !m.avoided(now) && !m.unresolved
     }
 }
 
 #[derive(Default)]
-pub struct Held {
+pub struct DeferredResponses {
     pub reports: Vec<(Ticket, MachineId)>,
-    pub syncs: Vec<SyncWork>,
+    pub syncs: Vec<PendingBatch>,
 }
 
 /// One durable change of the leader's.
 #[derive(Clone, Debug)]
 pub enum WriteOp {
     /// With what may be left of it on machines.
-    End(JobId, Final, Option<Left>),
+    End(JobId, JobOutcome, Option<ResidualTasks>),
     Progress(JobId, Vec<u32>),
     /// Pages of machines, and who is on them.
     Pages(Vec<usize>, Vec<MachineId>),
@@ -204,18 +209,18 @@
 /// Changes that wait for the next transaction, and the one that is on its way.
 #[derive(Default)]
 pub struct Writes {
-    pub ends: BTreeMap<JobId, Final>,
+    pub ends: BTreeMap<JobId, JobOutcome>,
     /// Jobs cancelled with one that they need: that is durable already, and these follow.
     pub followers: BTreeSet<JobId>,
     /// Jobs with done tasks that are not written yet, and since when.
     pub progress: BTreeMap<JobId, Instant>,
-    pub records: Records,
+    pub records: MachineRecords,
     pub types: bool,
     /// The mark of an incomplete store is to be taken off.
     pub rebuilt: bool,
     /// How many parts are written of large jobs that are owed.
     pub owed_parts: BTreeMap<JobId, usize>,
-    pub sent: Option<Sent>,
+    pub sent: Option<InFlightWrite>,
     /// Nothing is sent before the copy is as new as this: a write was refused for what had changed then.
     pub after: u64,
     /// Writes refused for that in a row.
@@ -227,8 +232,8 @@
 }
 
 /// The transaction that is on its way, or whose outcome is unknown.
-pub struct Sent {
-    pub txn: Txn,
+pub struct InFlightWrite {
+    pub txn: CompareAndSwap,
     pub ops: Vec<WriteOp>,
     pub call: Option<CallId>,
     pub again_at: Instant,
@@ -236,19 +241,24 @@
     pub committed: Option<u64>,
     /// It was refused for what the state service held at some revision: whether that is its own first copy
     /// is known when this process's copy of the store has come as far.
-    pub refused: Option<Refused>,
+    pub refused: Option<RefusedWrite>,
 }
 
 /// A refused transaction, until it is known who made the change for which it was refused.
-pub struct Refused {
+pub struct RefusedWrite {
     pub keys: Vec<String>,
     pub revision: u64,
     pub since: Instant,
 }
 
-impl Sent {
-    pub fn new(txn: Txn, ops: Vec<WriteOp>, call: CallId, now: Instant) -> Sent {
-        Sent {
+impl InFlightWrite {
+    pub fn new(
+        txn: CompareAndSwap,
+        ops: Vec<WriteOp>,
+        call: CallId,
+        now: Instant,
+    ) -> InFlightWrite {
+        InFlightWrite {
             txn,
             ops,
             call: Some(call),
@@ -261,8 +271,8 @@
 
 /// What is known and under way at the cloud.
 #[derive(Default)]
-pub struct Market {
-    pub rents: BTreeMap<String, RentOp>,
+pub struct CloudOperations {
+    pub rents: BTreeMap<String, ScaleOutOperation>,
     pub next_rent: u64,
     pub list_asked: Option<Instant>,
     pub listing: bool,
@@ -272,8 +282,8 @@
     pub delete_calls: usize,
 }
 
-pub struct RentOp {
-    pub body: RentBody,
+pub struct ScaleOutOperation {
+    pub body: ScaleOutRequest,
     pub since: Instant,
     pub call: Option<u64>,
     pub again_at: Instant,
@@ -281,7 +291,7 @@
 
 /// One controller that serves workers.
 pub struct Delegate {
-    pub issued: Issued,
+    pub issued: IssuedGrant,
     /// Machines not to be answered from memory, each with the answer that first said so.
     pub recalls: BTreeMap<MachineId, Option<u64>>,
     /// Workers it is to send elsewhere.
@@ -304,7 +314,7 @@
 
 impl Delegates {
     /// How long after a report the leader may hear of it, where another controller answered it.
-    pub(super) fn told_late(&self) -> Duration {
+    pub(super) fn delegation_delay(&self) -> Duration {
         if self.by_name.is_empty() {
             Duration::ZERO
         } else {
--- a/src/core/leadership.rs
+++ b/src/core/leadership.rs
@@ -5,49 +5,49 @@
 
 use super::commit::{committed_in_events, committed_in_list};
 use super::keys::{LEADER, TERM, identity_key, key, named};
-use super::lead::{Lead, Lease};
+use super::lead::{LeaderState, Lease};
 use super::mirror::{LeaderValue, TermValue};
-use super::records::Records;
-use super::run::Arrivals;
-use super::{Core, Effect, Pending, Stand, Ticket};
-use crate::guard::{Guard, stands};
+use super::records::MachineRecords;
+use super::run::ArrivalRate;
+use super::{Core, Effect, LeadershipProof, Pending, Ticket};
+use crate::guard::{Safeguard, stands};
 use crate::http::Answer;
-use crate::state::{StateOutcome, StateRequest};
-use crate::wire::{Change, Condition, Event, Item, Txn};
+use crate::state::{StoreOutcome, StoreRequest};
+use crate::wire::{Change, CompareAndSwap, Condition, Item, WatchEvent};
 use std::time::{Duration, Instant};
 
 /// How long leadership outlives its last renewal.
 pub const LEASE_TTL: Duration = Duration::from_millis(3000);
 /// The leader stops acting this long before its lease can end: for drift of the clocks, and for
 /// the way from a decision to the wire.
-const SAFETY: Duration = Duration::from_millis(350);
+const LEASE_SAFETY_MARGIN: Duration = Duration::from_millis(350);
 /// After giving leadership up, the others get this long to take it.
-const ABSTAIN: Duration = Duration::from_secs(12);
+const CANDIDACY_PAUSE: Duration = Duration::from_secs(12);
 /// A controller gives leadership up for deafness at most this often.
-const RESIGN_AGAIN: Duration = Duration::from_secs(90);
+const RESIGN_INTERVAL: Duration = Duration::from_secs(90);
 /// Direct calls that fail one after another, while no worker is heard here, before that means
 /// something: single machines may be gone.
-const MOST_MISSED: u32 = 8;
+const MAX_FAILED_CALLS: u32 = 8;
 /// A leader that could not act for longer than this begins to listen anew.
-const UNABLE: Duration = Duration::from_millis(1000);
+const INABILITY_THRESHOLD: Duration = Duration::from_millis(1000);
 
 impl Core {
     /// Until when this process may act as the leader.
     pub(super) fn leader_until(&self) -> Option<Instant> {
         let lead = self.lead.as_ref()?;
-        if !stands(Guard::Word) {
+        if !stands(Safeguard::Word) {
             return Some(self.now.mono + LEASE_TTL);
         }
         let lease = self.lease.as_ref()?;
         // The service's clock may run faster than ours by 0.1% at the most.
-        Some(lease.kept.min(lead.stands) + LEASE_TTL - LEASE_TTL / 1000 - SAFETY)
+        Some(lease.kept.min(lead.stands) + LEASE_TTL - LEASE_TTL / 1000 - LEASE_SAFETY_MARGIN)
     }
 
     pub(super) fn acting(&self) -> bool {
         self.leader_until().is_some_and(|t| self.now.mono < t)
     }
 
-    pub(super) fn lease_kept(&mut self, id: u64, sent: Instant, stands: Option<u64>) {
+    pub(super) fn lease_renewed(&mut self, id: u64, sent: Instant, stands: Option<u64>) {
         self.state_ok = self.now.mono;
         if let Some(lead) = &mut self.lead
             && stands == Some(lead.key_version)
@@ -73,7 +73,7 @@
             .is_some_and(|l| l.key_version == key_version)
         {
             self.step_down("the leader key is not there any more");
-            self.doubt("a leader key is gone before its lease");
+            self.suspect_data_loss("a leader key is gone before its lease");
         }
     }
 
@@ -82,39 +82,39 @@
         self.step_down("the lease has ended");
         // It was to run for longer.
         if kept.is_some_and(|t| self.now.mono < t + LEASE_TTL * 9 / 10) {
-            self.doubt("it does not know a lease that should still run");
+            self.suspect_data_loss("it does not know a lease that should still run");
         }
     }
 
     pub(super) fn listed(&mut self, items: Vec<Item>, revision: u64) {
         self.state_ok = self.now.mono;
-        self.heed_commit(|txn| committed_in_list(txn, &items));
-        self.take_list(items, revision);
+        self.observe_commit(|txn| committed_in_list(txn, &items));
+        self.reconcile_store_list(items, revision);
         tracing::info!(
             "state: read afresh at revision {revision}: {} jobs, {} finished, {} machines",
             self.mirror.jobs.len(),
             self.mirror.finished.len(),
             self.mirror.machines.len()
         );
-        self.mirror_changed();
+        self.store_cache_changed();
     }
 
-    pub(super) fn changed(&mut self, events: Vec<Event>, revision: u64) {
+    pub(super) fn changed(&mut self, events: Vec<WatchEvent>, revision: u64) {
         self.state_ok = self.now.mono;
         if revision < self.mirror.revision {
-            return self.doubt("its revision went back");
+            return self.suspect_data_loss("its revision went back");
         }
         if events.is_empty() {
             self.mirror.heed_revision(revision);
             // A list may have told of our key before the copy was known to be as new.
             if self.lead.is_none() && self.holds_leader_key() {
-                self.mirror_changed();
+                self.store_cache_changed();
             }
-            return self.settle_write();
+            return self.resolve_write();
         }
-        self.heed_commit(|txn| committed_in_events(txn, &events));
+        self.observe_commit(|txn| committed_in_events(txn, &events));
         self.mirror.apply(events, revision);
-        self.mirror_changed();
+        self.store_cache_changed();
     }
 
     /// The leader key is this process's, and hangs on the lease that it has.
@@ -126,12 +126,12 @@
         })
     }
 
-    fn mirror_changed(&mut self) {
-        self.heed_name();
+    fn store_cache_changed(&mut self) {
+        self.observe_identity();
         if !self.mirror.types.is_empty() && self.types.is_empty() {
             self.types = self.mirror.types.clone();
             if let Some(lead) = &mut self.lead {
-                lead.machines.note_all();
+                lead.machines.mark_all_changed();
             }
         }
         let mine = self.holds_leader_key();
@@ -143,25 +143,25 @@
             tracing::warn!("the leader key of another hangs on this process's lease");
             self.step_down("its lease is another's");
             self.lease = None;
-            self.out.push(Effect::ChangeLease);
+            self.out.push(Effect::ReplaceLease);
         }
         let version = self.mirror.leader.as_ref().map(|(_, v)| *v);
         match (&self.lead, mine) {
             // Restored together with what else a store held long ago.
             (None, true) if self.custody.lost.is_some() => self.resign_to_rebuild(),
             (None, true) => self.begin_leadership(version.unwrap_or_default()),
-            (Some(l), true) if Some(l.key_version) == version => self.take_in_jobs(),
+            (Some(l), true) if Some(l.key_version) == version => self.sync_job_runs(),
             (Some(_), _) => self.step_down("the leader key is not ours any more"),
             // A leader begins with all there is.
             (None, false) => self.mirror.changed.clear(),
         }
-        self.settle_write();
+        self.resolve_write();
     }
 
     /// Begins a leadership if this key gives one. A leadership has a term that no other has, for workers,
     /// controllers, attempts and writes alike: the transaction that writes the leader key raises the term, so
     /// both have one version, and this process leads but once in it. Where a leadership ended and its key
-    /// stands, the key is written again, with the next term (`tend_leadership`).
+    /// stands, the key is written again, with the next term (`advance_leadership`).
     fn begin_leadership(&mut self, key_version: u64) {
         // A list is as old as its first page: what a former leader wrote last may be missing in it.
         if self.mirror.revision >= key_version && self.has_unused_term(key_version) {
@@ -174,12 +174,12 @@
     fn has_unused_term(&self, key_version: u64) -> bool {
         let m = &self.mirror;
         let raised = m.term_version == key_version && m.stored_term == m.term;
-        raised && m.term > self.led_term || !stands(Guard::Term)
+        raised && m.term > self.led_term || !stands(Safeguard::Term)
     }
 
     /// The version that the leader key has if a leadership may begin now: 0 where there is none, that of our
     /// own key where its term has been used.
-    fn vacancy(&self) -> Option<u64> {
+    fn vacant_leader_version(&self) -> Option<u64> {
         if !self.mirror.loaded || self.lead.is_some() {
             return None;
         }
@@ -193,21 +193,21 @@
     }
 
     /// Called at the end of every batch of commands.
-    pub(super) fn tend_leadership(&mut self) {
+    pub(super) fn advance_leadership(&mut self) {
         if self.acting() {
-            self.note_acting();
-            self.resign_if_unheard();
+            self.record_activity();
+            self.resign_if_isolated();
         } else {
-            self.tend_dead_key();
-            self.try_to_lead();
+            self.check_stale_leader_key();
+            self.campaign();
         }
     }
 
     /// Notes that this leader is able to act; its machines' silence counts anew where it was not for a while.
-    fn note_acting(&mut self) {
+    fn record_activity(&mut self) {
         let (now, back_after) = (self.now.mono, self.settings.report);
         let Some(lead) = &mut self.lead else { return };
-        if now > lead.acted + UNABLE {
+        if now > lead.acted + INABILITY_THRESHOLD {
             // The state service was away, and reports were answered with 503 meanwhile: the
             // workers went from node to node, and their silence proves nothing.
             let paused = now.saturating_duration_since(lead.acted);
@@ -222,19 +222,19 @@
     }
 
     /// Workers are cut off from this node though the state service is not: another controller may reach them.
-    fn resign_if_unheard(&mut self) {
+    fn resign_if_isolated(&mut self) {
         let now = self.now.mono;
-        let unheard = self.lead.as_ref().is_some_and(|l| self.is_unheard(l));
+        let unheard = self.lead.as_ref().is_some_and(|l| self.is_isolated(l));
         // Where no other controller hears them either, passing leadership around would only
         // keep all of them from finding out that the machines are gone.
-        let again = self.resigned.is_none_or(|t| now > t + RESIGN_AGAIN);
+        let again = self.resigned.is_none_or(|t| now > t + RESIGN_INTERVAL);
         if unheard && again && !self.settings.peers.is_empty() {
             self.resigned = Some(now);
             self.resign("no worker reports here");
         }
     }
 
-    fn is_unheard(&self, lead: &Lead) -> bool {
+    fn is_isolated(&self, lead: &LeaderState) -> bool {
         let now = self.now.mono;
         let known = lead.machines.values().any(|m| m.session > 0);
         if !known && lead.unresolved == 0 {
@@ -252,23 +252,23 @@
         };
         // Others hear them for this one, but what it has to say to them itself, commands
         // foremost, does not get through.
-        let unheeded = lead.missed >= MOST_MISSED
+        let unheeded = lead.missed >= MAX_FAILED_CALLS
             && now.saturating_duration_since(lead.touched.max(lead.deaf_until)) > after;
         waited > after || unheeded
     }
 
     /// Writes the leader key and raises the term, if a leadership may begin now.
-    fn try_to_lead(&mut self) {
+    fn campaign(&mut self) {
         let now = self.now.mono;
         let lease_fresh = self.lease.is_some_and(|l| now < l.kept + LEASE_TTL / 2);
         let trying = self
             .pending
             .values()
             .any(|p| matches!(p, Pending::TakeOver));
-        let (Some(leader_version), Some(lease)) = (self.vacancy(), self.lease) else {
+        let (Some(leader_version), Some(lease)) = (self.vacant_leader_version(), self.lease) else {
             return;
         };
-        if !lease_fresh || trying || now < self.candidate_after || !self.may_stand() {
+        if !lease_fresh || trying || now < self.candidate_after || !self.may_campaign() {
             return;
         }
         let value = LeaderValue {
@@ -291,37 +291,38 @@
             },
             Change::put(key(TERM), json(&TermValue { term })),
         ];
-        changes.extend(self.naming());
-        let txn = Txn {
+        changes.extend(self.identity_changes());
+        let txn = CompareAndSwap {
             conditions,
             changes,
         };
         self.stood = now;
-        self.ask_state(Pending::TakeOver, StateRequest::Txn(txn));
+        self.ask_state(Pending::TakeOver, StoreRequest::CompareAndSwap(txn));
     }
 
     /// The watch tells the outcome with everything that came before it; this only paces retries.
-    pub(super) fn took_over(&mut self, outcome: StateOutcome) {
+    pub(super) fn campaign_outcome(&mut self, outcome: StoreOutcome) {
         let pause = match outcome {
-            StateOutcome::Committed { .. } => Duration::from_millis(1500),
-            StateOutcome::Conflict { failed, revision } => {
-                if self.names_store(&failed) {
-                    self.doubt("its identity is gone");
-                } else if self.mirror.revision >= revision && self.vacancy().is_some() {
+            StoreOutcome::Committed { .. } => Duration::from_millis(1500),
+            StoreOutcome::Conflict { failed, revision } => {
+                if self.contains_identity_key(&failed) {
+                    self.suspect_data_loss("its identity is gone");
+                } else if self.mirror.revision >= revision && self.vacant_leader_version().is_some()
+                {
                     // Refused for versions that differ, though the copy is as new as the refusal.
-                    self.doubt("it has other versions of what a leader begins with");
+                    self.suspect_data_loss("it has other versions of what a leader begins with");
                 }
                 Duration::from_millis(300)
             }
-            StateOutcome::Invalid(e) => {
+            StoreOutcome::Invalid(e) => {
                 tracing::info!("taking over: {e}");
                 Duration::from_millis(500)
             }
-            StateOutcome::Refused(_) | StateOutcome::Unknown(_) => Duration::from_millis(400),
-            StateOutcome::Found(_)
-            | StateOutcome::Missing { .. }
-            | StateOutcome::Page { .. }
-            | StateOutcome::Runs(_) => Duration::ZERO,
+            StoreOutcome::Refused(_) | StoreOutcome::Unknown(_) => Duration::from_millis(400),
+            StoreOutcome::Found(_)
+            | StoreOutcome::Missing { .. }
+            | StoreOutcome::Page { .. }
+            | StoreOutcome::Runs(_) => Duration::ZERO,
         };
         self.candidate_after = self.candidate_after.max(self.now.mono + pause);
     }
@@ -332,13 +333,13 @@
         tracing::info!(term = term, "leading from term {term} on");
         self.leaderships += 1;
         self.led_term = self.led_term.max(term);
-        let arrivals = Arrivals::new(self.now, self.mirror.jobs.values());
-        let mut lead = Lead::new(key_version, term, now, arrivals);
+        let arrivals = ArrivalRate::new(self.now, self.mirror.jobs.values());
+        let mut lead = LeaderState::new(key_version, term, now, arrivals);
         lead.stands = self.stood;
         lead.deaf_after = self.settings.report * 2;
         lead.identity = self.mirror.identity.clone();
         let records = &mut lead.writes.records;
-        *records = Records::new(&self.mirror, self.settings.value_bytes);
+        *records = MachineRecords::new(&self.mirror, self.settings.value_bytes);
         for (id, value) in &self.mirror.machines {
             if !records.has(id) {
                 records.add(id, value.clone());
@@ -350,32 +351,32 @@
             version: key_version,
         }];
         conditions.extend(lead.named());
-        self.out.push(Effect::Stand(Some(Stand {
+        self.out.push(Effect::LeadershipProof(Some(LeadershipProof {
             key_version,
             conditions,
         })));
         self.lead = Some(lead);
-        self.recover();
+        self.start_recovery();
         self.mirror.changed = self.mirror.jobs.keys().cloned().collect();
-        self.take_in_jobs();
-        self.begin_rebuild();
+        self.sync_job_runs();
+        self.start_rebuild();
     }
 
     pub(super) fn step_down(&mut self, why: &str) {
         let Some(lead) = self.lead.take() else { return };
-        self.out.push(Effect::Stand(None));
+        self.out.push(Effect::LeadershipProof(None));
         tracing::warn!(
             term = lead.term,
             "term {}: no longer leading: {why}",
             lead.term
         );
-        self.relay.succeed(&lead);
+        self.relay.adopt_workers(&lead);
         self.candidate_after = self.now.mono + Duration::from_millis(200);
         for (ticket, _) in lead.held.reports {
             self.redirect(ticket);
         }
         for work in lead.held.syncs {
-            self.refuse_sync(work.ticket, work.number);
+            self.refuse_batch(work.ticket, work.number);
         }
         let waiting: Vec<Ticket> = lead
             .runs
@@ -395,10 +396,10 @@
                     | Pending::TakeOver
                     | Pending::Types
                     | Pending::Show(_)
-                    | Pending::LookAtName(_)
-                    | Pending::LookAtRevision
+                    | Pending::CheckIdentity(_)
+                    | Pending::CheckRevision
                     | Pending::Mark
-                    | Pending::LeaseOf(_)
+                    | Pending::CheckLeaderLease(_)
                     | Pending::Bury
                     | Pending::Audit { .. }
             )
@@ -408,12 +409,12 @@
     pub(super) fn resign(&mut self, why: &str) {
         self.step_down(why);
         self.lease = None;
-        self.candidate_after = self.now.mono + ABSTAIN;
-        self.out.push(Effect::GiveUpLease);
+        self.candidate_after = self.now.mono + CANDIDACY_PAUSE;
+        self.out.push(Effect::ReleaseLease);
     }
 
     /// Whether the store's identity is among these keys.
-    pub(super) fn names_store(&self, keys: &[String]) -> bool {
+    pub(super) fn contains_identity_key(&self, keys: &[String]) -> bool {
         let name = self.mirror.identity.as_ref();
         name.is_some_and(|(id, _)| keys.contains(&identity_key(id)))
     }
--- a/src/core/losses.rs
+++ b/src/core/losses.rs
@@ -3,17 +3,17 @@
 use super::Core;
 use super::leadership::LEASE_TTL;
 use super::machine::{Machine, Placement, StopReason, WORKER_RETRY};
-use crate::job::{Kind, MachineId, TaskKey};
+use crate::job::{JobKind, MachineId, TaskId};
 use crate::settings::Settings;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant, SystemTime};
 
 /// A machine that may hold old tasks is asked this often, so far apart, before it counts as dead:
 /// one lost packet condemns none, and all old tasks that nobody has shown wait for the dead ones.
-pub(super) const ASKED_IN_VAIN: u32 = 2;
+pub(super) const MAX_UNANSWERED_PROBES: u32 = 2;
 /// Added to the time after which a leader that hears nobody resigns: for a takeover costs more
 /// than a moment's silence.
-const DEAF_MARGIN: Duration = Duration::from_millis(1000);
+const RESIGN_MARGIN: Duration = Duration::from_millis(1000);
 /// Between two looks at what cancelled jobs have left.
 const FORGET_EVERY: Duration = Duration::from_millis(250);
 /// Added to a worker's lease before its tasks count as gone: for drift, and for slow timers.
@@ -21,25 +21,25 @@
 
 /// So many machines are hardly ever all silent for this long: with reports spread over their
 /// interval, one in 400 times.
-fn hush(report: Duration, machines: u32) -> Duration {
+fn longest_common_silence(report: Duration, machines: u32) -> Duration {
     (report * 6 / machines.max(1)).min(report * 2)
 }
 
 /// From when a worker was last answered until its lease has run out for certain.
-pub(super) fn run_out(lease: Duration) -> Duration {
+pub(super) fn lease_expiry(lease: Duration) -> Duration {
     lease + lease / 500 + LEASE_MARGIN
 }
 
 /// From when a cancellation is durable until nothing of its job can be left, whatever fails meanwhile: the
 /// leader's word, within which a worker may be answered by a controller that does not know of it yet, and
 /// then the worker's lease. `docs/design.md`, "A cancellation in the gap".
-pub fn gone_after(lease: Duration) -> Duration {
+pub fn cancellation_bound(lease: Duration) -> Duration {
     LEASE_TTL + lease + lease / 500 + Duration::from_millis(500)
 }
 
 /// What operators are told where a cancellation may take less than that.
-pub fn late_cancellations(settings: &Settings) -> Option<String> {
-    let (needs, given) = (gone_after(settings.lease), settings.cancel);
+pub fn cancellation_warning(settings: &Settings) -> Option<String> {
+    let (needs, given) = (cancellation_bound(settings.lease), settings.cancel);
     (needs > given).then(|| {
         format!(
             "params.workers.cancel_s: {} s is less than the {:.1} s in which a lease of {} s is certain to have run out; \
@@ -63,14 +63,14 @@
             return;
         }
         self.cancelled_forgotten = Some(now);
-        let gone = run_out(self.settings.lease).max(self.settings.cancel);
+        let gone = lease_expiry(self.settings.lease).max(self.settings.cancel);
         if let Ok(since) = (self.now.wall - gone).duration_since(SystemTime::UNIX_EPOCH) {
-            self.mirror.nothing_left_before(since.as_millis() as u64);
+            self.mirror.expire_residual_tasks(since.as_millis() as u64);
         }
     }
 
     /// Losses, notices and the cloud's list.
-    pub(super) fn tend_machines(&mut self) {
+    pub(super) fn check_machines(&mut self) {
         let now = self.now.mono;
         let Some(lead) = &mut self.lead else { return };
         if lead
@@ -80,10 +80,10 @@
             return;
         }
         lead.tended = Some(now);
-        self.tend_delegates();
+        self.check_delegates();
         let Some(lead) = &mut self.lead else { return };
         let report = self.settings.report;
-        let run_out = run_out(self.settings.lease);
+        let lease_expiry = lease_expiry(self.settings.lease);
         let fresh =
             |m: &Machine| m.session > 0 && now.saturating_duration_since(m.seen) < report * 2;
         let mut zones: BTreeMap<&str, (u32, u32, Instant)> = BTreeMap::new();
@@ -100,19 +100,20 @@
             }
         }
         // What others hear is told a little later.
-        let told_late = lead.delegates.told_late();
+        let told_late = lead.delegates.delegation_delay();
         // A zone from which next to nothing comes is cut off; its machines work on and their
         // leases protect them, so they are not given up for their silence. The first sign is
         // that nobody is heard at all for longer than so many machines ever keep silent together:
         // half of them are still fresh when the first ones are silent for too long.
         let reachable = |zone: &str| {
             zones.get(zone).is_some_and(|(all, up, newest)| {
-                let pause = hush(report, *up).max(report / 3) + told_late;
+                let pause = longest_common_silence(report, *up).max(report / 3) + told_late;
                 up * 2 >= *all && *up > 0 && now.saturating_duration_since(*newest) <= pause
             })
         };
         let sessions = lead.machines.values().filter(|m| m.session > 0).count();
-        lead.deaf_after = hush(report, sessions as u32).max(report / 2) + DEAF_MARGIN;
+        lead.deaf_after =
+            longest_common_silence(report, sessions as u32).max(report / 2) + RESIGN_MARGIN;
         // After a cut, the machines behind it need a moment to be heard again.
         let back: BTreeMap<String, Instant> = zones
             .keys()
@@ -126,13 +127,13 @@
             back.get(zone)
                 .map_or(Duration::ZERO, |t| now.saturating_duration_since(*t))
         };
-        let excused = lead.excused(now);
+        let excused = lead.silence_excuse(now);
         let mut over = Vec::new();
         let mut silent = Vec::new();
         for m in lead.machines.values() {
             if (m.session > 0 || m.unresolved)
                 && !m.session_over
-                && now > m.lease_from + run_out
+                && now > m.lease_from + lease_expiry
                 // Who may answer it in our name may have renewed its lease since.
                 && m.lent_to.is_none()
             {
@@ -157,7 +158,7 @@
             let deaf = untold.is_some_and(|t| now > t + report * 5 / 2 + WORKER_RETRY);
             let in_vain = m.unresolved
                 && (m.session == 0 || deaf)
-                && m.unanswered >= ASKED_IN_VAIN
+                && m.unanswered >= MAX_UNANSWERED_PROBES
                 && lead.answering.contains(&m.zone);
             if in_vain && m.deleting.is_none() && reachable(&m.zone) {
                 silent.push((m.id.clone(), "it does not answer"));
@@ -168,7 +169,7 @@
             if taken && m.deleting.is_none() && quiet > report * 5 / 4 {
                 silent.push((m.id.clone(), "it was to be taken and is silent"));
             }
-            if m.deleting.is_none() && quiet > run_out && expected {
+            if m.deleting.is_none() && quiet > lease_expiry && expected {
                 silent.push((m.id.clone(), "its lease ran out"));
             }
             // A new leader first hears from those that came up before it led.
@@ -189,7 +190,7 @@
         let turned: Vec<MachineId> = lead
             .machines
             .values()
-            .filter(|m| m.open != lead.takes_tasks(m, now, report))
+            .filter(|m| m.open != lead.accepts_tasks(m, now, report))
             .map(|m| m.id.clone())
             .collect();
         for id in turned {
@@ -201,19 +202,19 @@
             silent.extend(faulty.map(|m| (m.id.clone(), "it is faulty")));
         }
         for id in over {
-            self.session_over(&id);
+            self.machine_lease_expired(&id);
         }
         for (id, why) in silent {
             self.machine_lost(&id);
-            self.give_up_machine(&id, why);
+            self.release_machine(&id, why);
         }
-        self.heed_notices();
-        self.tend_cloud();
+        self.move_tasks_off_reclaimed();
+        self.call_cloud();
     }
 
-    pub(super) fn session_over(&mut self, id: &MachineId) {
+    pub(super) fn machine_lease_expired(&mut self, id: &MachineId) {
         let now = self.now.mono;
-        let run_out = run_out(self.settings.lease);
+        let lease_expiry = lease_expiry(self.settings.lease);
         let Some(lead) = &mut self.lead else { return };
         let term = lead.term;
         let Some(m) = lead.machines.get_mut(id) else {
@@ -221,22 +222,22 @@
         };
         // Whatever session an earlier leader could know of is over; one that was heard of since may run, and
         // holds nothing of theirs.
-        if m.unresolved && now <= m.session_since + run_out {
-            m.not_heard_by(term);
+        if m.unresolved && now <= m.session_since + lease_expiry {
+            m.require_token_proof(term);
         } else {
             m.session_over = true;
         }
-        let tasks: Vec<TaskKey> = m.tasks.keys().cloned().collect();
+        let tasks: Vec<TaskId> = m.tasks.keys().cloned().collect();
         tracing::warn!(
             machine = %id, "machine {id}: its lease has run out, {} tasks lost",
             tasks.len()
         );
-        self.lose(id, tasks, "the lease ran out");
-        self.resolve(id, "its lease ran out");
+        self.tasks_lost(id, tasks, "the lease ran out");
+        self.resolve_machine(id, "its lease ran out");
     }
 
     /// The machine is deleted; until that is confirmed, its tasks stay where they are.
-    pub(super) fn give_up_machine(&mut self, id: &MachineId, why: &'static str) {
+    pub(super) fn release_machine(&mut self, id: &MachineId, why: &'static str) {
         let now = self.now.mono;
         let Some(lead) = &mut self.lead else { return };
         let Some(m) = lead.machines.get_mut(id) else {
@@ -263,9 +264,9 @@
             return;
         };
         tracing::info!(machine = %id, "machine {id} is gone: {how}");
-        let tasks: Vec<TaskKey> = m.tasks.keys().cloned().collect();
-        self.lose(id, tasks, "its machine is gone");
-        self.resolve(id, how);
+        let tasks: Vec<TaskId> = m.tasks.keys().cloned().collect();
+        self.tasks_lost(id, tasks, "its machine is gone");
+        self.resolve_machine(id, how);
         let Some(lead) = &mut self.lead else { return };
         lead.machines.remove(id);
         lead.gone.insert(id.clone());
@@ -276,11 +277,11 @@
 
     /// Work that will not end before its machine is taken is stopped, to save or to start anew
     /// elsewhere.
-    fn heed_notices(&mut self) {
+    fn move_tasks_off_reclaimed(&mut self) {
         let now = self.now.mono;
         let Some(lead) = &mut self.lead else { return };
         let jobs = &self.mirror.jobs;
-        let hopeless = |key: &TaskKey, t: &Placement, left: Duration| {
+        let hopeless = |key: &TaskId, t: &Placement, left: Duration| {
             let Some(job) = jobs.get(&key.job) else {
                 return false;
             };
@@ -289,7 +290,7 @@
                 .map_or(Duration::ZERO, |s| now.saturating_duration_since(s));
             let rest = job.spec.estimate.saturating_sub(ran);
             let hopeless = t.running_since.is_none() || rest > left.mul_f64(1.5);
-            let saves = !job.spec.checkpoint.is_zero() || job.spec.kind == Kind::Service;
+            let saves = !job.spec.checkpoint.is_zero() || job.spec.kind == JobKind::Service;
             // What cannot save may be lucky and end in time; stopping it early only pays where it
             // has hardly begun.
             t.stopping.is_none()
--- a/src/core/machine.rs
+++ b/src/core/machine.rs
@@ -2,15 +2,15 @@
 //! imports nothing of theirs.
 
 use crate::board::ImageTag;
-use crate::guard::{Guard, stands};
-use crate::job::{JobId, MachineId, Resources, TaskKey};
-use crate::wire::{Report, RowState};
+use crate::guard::{Safeguard, stands};
+use crate::job::{JobId, MachineId, Resources, TaskId};
+use crate::wire::{Heartbeat, TaskState};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Tokens are `term << EPOCH_BITS | epoch`; see `Machine::epoch`.
-pub const EPOCH_BITS: u32 = 20;
+/// Tokens are `term << TOKEN_EPOCH_BITS | epoch`; see `Machine::epoch`.
+pub const TOKEN_EPOCH_BITS: u32 = 20;
 /// A worker that gets no answer at one node tries the next one this much later (the protocol's
 /// 4 s and 1 s): after a cut it takes that long until all are heard again.
 pub const WORKER_RETRY: Duration = Duration::from_secs(5);
@@ -37,10 +37,10 @@
 }
 
 impl Phase {
-    pub(super) fn of(state: RowState) -> Phase {
+    pub(super) fn of(state: TaskState) -> Phase {
         match state {
-            RowState::Fetching => Phase::Fetching,
-            RowState::Saving => Phase::Saving,
+            TaskState::Fetching => Phase::Fetching,
+            TaskState::Saving => Phase::Saving,
             _ => Phase::Running,
         }
     }
@@ -80,7 +80,7 @@
 /// A task that ended on a machine and is still in its reports.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Exited {
-    pub key: TaskKey,
+    pub key: TaskId,
     pub attempt: u64,
     /// It may have been started by a direct command that came with this token, or with a lower one.
     pub told_under: u64,
@@ -103,7 +103,7 @@
     pub session_since: Instant,
     /// Its tasks were counted out when its lease had run out; the session is over.
     pub session_over: bool,
-    pub tasks: BTreeMap<TaskKey, Placement>,
+    pub tasks: BTreeMap<TaskId, Placement>,
     /// Exited tasks in its newest report.
     pub exited: Vec<Exited>,
     /// The token under which it was last told directly to start something.
@@ -179,18 +179,18 @@
 
     pub fn get_mut(&mut self, id: &MachineId) -> Option<&mut Machine> {
         let m = self.all.get_mut(id)?;
-        Some(m.note_in(&mut self.noted))
+        Some(m.mark_changed(&mut self.noted))
     }
 
     /// For what neither the board nor commands depend on: that it was heard, and when.
-    pub(super) fn get_unnoted(&mut self, id: &MachineId) -> Option<&mut Machine> {
+    pub(super) fn get_mut_quiet(&mut self, id: &MachineId) -> Option<&mut Machine> {
         self.all.get_mut(id)
     }
 
     /// The machine of this id, made first if there is none.
     pub fn get_or_add(&mut self, id: &MachineId, make: impl FnOnce() -> Machine) -> &mut Machine {
         let m = self.all.entry(id.clone()).or_insert_with(make);
-        m.note_in(&mut self.noted)
+        m.mark_changed(&mut self.noted)
     }
 
     pub fn remove(&mut self, id: &MachineId) -> Option<Machine> {
@@ -204,22 +204,22 @@
     }
 
     /// What the board shows now; no change of the machine itself.
-    pub fn set_open(&mut self, id: &MachineId, open: bool) {
+    pub fn set_schedulable(&mut self, id: &MachineId, open: bool) {
         if let Some(m) = self.all.get_mut(id) {
             m.open = open;
         }
     }
 
     /// The types of machines changed, and with them what each is good for.
-    pub fn note_all(&mut self) {
+    pub fn mark_all_changed(&mut self) {
         for m in self.all.values_mut() {
-            m.note_in(&mut self.noted);
+            m.mark_changed(&mut self.noted);
         }
     }
 
     /// Those that changed since the last call, or are gone; the ones that have something to be
     /// told join the others of that kind.
-    pub fn take_noted(&mut self) -> Vec<MachineId> {
+    pub fn take_changed(&mut self) -> Vec<MachineId> {
         let noted = std::mem::take(&mut self.noted);
         for id in &noted {
             if let Some(m) = self.all.get_mut(id) {
@@ -324,16 +324,16 @@
     }
 
     pub fn token(&self, term: u64) -> u64 {
-        (term << EPOCH_BITS) | self.epoch
+        (term << TOKEN_EPOCH_BITS) | self.epoch
     }
 
     /// Whether a report says only what is known, under this term's token: most reports do, and
     /// with a thousand machines that each hold dozens of tasks, taking them in anew every time
     /// was most of a leader's work.
-    pub(super) fn tells_nothing_new(&self, report: &Report, term: u64) -> bool {
+    pub(super) fn is_unchanged_by(&self, report: &Heartbeat, term: u64) -> bool {
         let calm = report.session == self.session
             && report.seq > self.seq
-            && report.token >= (term << EPOCH_BITS).max(self.shown)
+            && report.token >= (term << TOKEN_EPOCH_BITS).max(self.shown)
             && !self.session_over
             && self.recorded
             && self.doubt.is_none()
@@ -345,13 +345,13 @@
             && self.spot == report.spot
             && self.addr == report.addr
             && report.rows.len() == self.tasks.len() + self.exited.len();
-        let is = |key: &TaskKey, text: &str| {
+        let is = |key: &TaskId, text: &str| {
             text.strip_prefix(&*key.job)
                 .and_then(|rest| rest.strip_prefix('/'))
                 .is_some_and(|row| row.parse() == Ok(key.row))
         };
         calm && report.rows.iter().all(|row| {
-            if row.state == RowState::Exited {
+            if row.state == TaskState::Exited {
                 let mut exited = self.exited.iter();
                 return exited.any(|e| e.attempt == row.attempt && is(&e.key, &row.task));
             }
@@ -364,11 +364,11 @@
 
     /// Nothing is open between it and the leader: a report that says the same as its last one
     /// would be answered with no orders.
-    pub(super) fn calm(&self) -> bool {
+    pub(super) fn is_steady(&self) -> bool {
         self.session > 0
             && self.recorded
             && !self.session_over
-            && self.settled()
+            && self.no_command_in_flight()
             && !self.answered
             && !self.push
             && self.unheard.is_none()
@@ -379,18 +379,18 @@
     }
 
     /// What it is told may not reach it: a later token shows that it does.
-    pub(super) fn not_heard_by(&mut self, term: u64) {
+    pub(super) fn require_token_proof(&mut self, term: u64) {
         self.epoch += 1;
         self.unheard = Some(self.token(term));
     }
 
     /// No command that was sent can still arrive.
-    pub(super) fn settled(&self) -> bool {
+    pub(super) fn no_command_in_flight(&self) -> bool {
         self.call.is_none() && self.doubt.is_none()
     }
 
     /// Notes that it is about to change, once until that is taken notice of.
-    pub(super) fn note_in(&mut self, noted: &mut Vec<MachineId>) -> &mut Machine {
+    pub(super) fn mark_changed(&mut self, noted: &mut Vec<MachineId>) -> &mut Machine {
         if !self.noted {
             self.noted = true;
             noted.push(self.id.clone());
@@ -401,7 +401,7 @@
     /// It can be given tasks now.
     pub fn usable(&self, now: Instant, patience: Duration) -> bool {
         self.session > 0
-            && (self.recorded || !stands(Guard::Recorded))
+            && (self.recorded || !stands(Safeguard::Recorded))
             && !self.session_over
             && self.deleting.is_none()
             && self.notice.is_none()
@@ -409,7 +409,7 @@
             && self.unheard.is_none()
             && now.saturating_duration_since(self.seen) < patience
             // Answers to direct commands keep no lease: without reports, what is started dies with it.
-            && (now.saturating_duration_since(self.lease_from) < patience || !stands(Guard::Mute))
+            && (now.saturating_duration_since(self.lease_from) < patience || !stands(Safeguard::Mute))
     }
 
     /// Its latest failures speak against giving it tasks now.
--- a/src/core/mirror.rs
+++ b/src/core/mirror.rs
@@ -5,18 +5,18 @@
 //! machines that may hold a task), `m/<machine>` (such machines one by one, from earlier versions),
 //! `i/<identity>` (which store this is) and `rebuilding` (it has lost data that is being brought back).
 //!
-//! When the store has lost data, the copy outlives it: `rejoin` keeps what is remembered and notes
+//! When the store has lost data, the copy outlives it: `merge_after_loss` keeps what is remembered and notes
 //! what of it the store does not hold. What others remember joins by the same rules (`remember`), which
 //! do not depend on order: ends are final, done rows unite, a machine once known is known.
 
 use super::keys::{LEADER, REBUILDING, TERM, TYPES, done_key};
-use super::parts::{self, Head, PartValue, Parts};
-use super::pipelines::Pipelines;
-use super::versions::Versions;
-use crate::guard::{Guard, stands};
-use crate::job::{Final, JobId, JobSpec, MachineId};
+use super::parts::{self, LargeJobParts, PartValue, PartedJob};
+use super::pipelines::DependencyGraph;
+use super::versions::KeyVersions;
+use crate::guard::{Safeguard, stands};
+use crate::job::{JobId, JobOutcome, JobSpec, MachineId};
 use crate::state::PREFIX;
-use crate::wire::{Change, Event, Item, MachineType};
+use crate::wire::{Change, Item, MachineType, WatchEvent};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
@@ -29,12 +29,12 @@
 pub use row_set::RowSet;
 use stored::is_over;
 pub use stored::{
-    DoneValue, IdentityValue, JobValue, LeaderValue, Left, MachineValue, PageValue,
-    RebuildingValue, TermValue,
+    DoneValue, IdentityValue, JobValue, LeaderValue, MachineValue, PageValue, RebuildingValue,
+    ResidualTasks, TermValue,
 };
 
 #[derive(Clone, Debug)]
-pub struct Job {
+pub struct JobRecord {
     pub spec: Arc<JobSpec>,
     pub submitted: SystemTime,
     pub version: u64,
@@ -44,10 +44,10 @@
     pub pieces: BTreeMap<u32, u32>,
 }
 
-impl Job {
+impl JobRecord {
     /// First rows of the pieces of this size that are to be written for these rows to be on
     /// record: theirs, and all that a stored piece under one of these keys reaches over.
-    pub fn pieces_to_write(&self, rows: &BTreeSet<u32>, piece: u32) -> BTreeSet<u32> {
+    pub fn ranges_to_write(&self, rows: &BTreeSet<u32>, piece: u32) -> BTreeSet<u32> {
         let mut bases: BTreeSet<u32> = rows.iter().map(|r| r / piece * piece).collect();
         let mut look: Vec<u32> = bases.iter().copied().collect();
         while let Some(base) = look.pop() {
@@ -65,7 +65,7 @@
 }
 
 #[derive(Default)]
-pub struct Mirror {
+pub struct StoreCache {
     /// False until the first full list has been read.
     pub loaded: bool,
     pub revision: u64,
@@ -76,12 +76,12 @@
     pub stored_term: u64,
     pub term_version: u64,
     pub types: Vec<MachineType>,
-    pub jobs: BTreeMap<JobId, Job>,
+    pub jobs: BTreeMap<JobId, JobRecord>,
     /// Finished jobs stay for ever, as little more than their ids.
-    pub finished: BTreeMap<JobId, Final>,
+    pub finished: BTreeMap<JobId, JobOutcome>,
     pub machines: BTreeMap<MachineId, MachineValue>,
     /// Who awaits whom among the live jobs.
-    pub pipelines: Pipelines,
+    pub pipelines: DependencyGraph,
     /// Which of them are on which page.
     pub pages: BTreeMap<usize, BTreeSet<MachineId>>,
     /// Those under keys of their own.
@@ -93,7 +93,7 @@
     /// Keys of pieces and parts of jobs that are over: the leader clears them when there is room.
     pub litter: BTreeSet<String>,
     /// Jobs too large for one value.
-    pub parts: Parts,
+    pub parts: LargeJobParts,
     /// Which store this is a copy of, and the version of the key that says so.
     pub identity: Option<(String, u64)>,
     /// Its first term, if it was taken for new: a worker that has seen an earlier one proves it was not.
@@ -109,14 +109,14 @@
     /// begun before them does not contradict them.
     ahead: BTreeMap<JobId, u64>,
     /// On which a leader's changes depend.
-    pub versions: Versions,
+    pub versions: KeyVersions,
     /// What may be left of jobs that were cancelled lately.
-    pub left: BTreeMap<JobId, Left>,
+    pub left: BTreeMap<JobId, ResidualTasks>,
     /// What was cancelled before (milliseconds since 1970) is on no machine any more.
     nothing_left_before_ms: u64,
 }
 
-impl Mirror {
+impl StoreCache {
     /// Replaces everything, except that what is final stays final. A list may have been begun before
     /// what this process wrote since, and does not know what it has yet to write: jobs newer than the
     /// list stay, and so does what was done of all.
@@ -125,9 +125,9 @@
         let before = std::mem::take(&mut self.jobs);
         let ahead = std::mem::take(&mut self.ahead);
         let mut versions = std::mem::take(&mut self.versions);
-        versions.begin_again();
+        versions.clear_observed();
         let left = std::mem::take(&mut self.left);
-        *self = Mirror {
+        *self = StoreCache {
             finished,
             ahead,
             versions,
@@ -136,7 +136,7 @@
             changed: before.keys().cloned().collect(),
             loaded: true,
             revision,
-            ..Mirror::default()
+            ..StoreCache::default()
         };
         for item in items {
             self.put(&item.key, item.value, item.version);
@@ -153,7 +153,13 @@
     }
 
     /// This process wrote how a job ended.
-    pub fn end_written(&mut self, id: &JobId, end: Final, left: Option<Left>, revision: u64) {
+    pub fn end_written(
+        &mut self,
+        id: &JobId,
+        end: JobOutcome,
+        left: Option<ResidualTasks>,
+        revision: u64,
+    ) {
         if revision > self.revision {
             self.ahead.insert(id.clone(), revision);
         }
@@ -161,10 +167,10 @@
     }
 
     /// What of a job may be on machines, if it is cancelled now.
-    pub fn left_of(&self, id: &JobId, now: SystemTime) -> Option<Left> {
+    pub fn residual_of(&self, id: &JobId, now: SystemTime) -> Option<ResidualTasks> {
         let job = self.jobs.get(id)?;
         let at = now.duration_since(SystemTime::UNIX_EPOCH);
-        Some(Left {
+        Some(ResidualTasks {
             team: job.spec.team.clone(),
             needs: job.spec.needs,
             tasks: job.spec.tasks.saturating_sub(job.done.len()),
@@ -173,12 +179,12 @@
     }
 
     /// What was cancelled before this moment is on no machine any more.
-    pub fn nothing_left_before(&mut self, at_ms: u64) {
+    pub fn expire_residual_tasks(&mut self, at_ms: u64) {
         self.nothing_left_before_ms = at_ms;
         self.left.retain(|_, l| l.at_ms >= at_ms);
     }
 
-    pub fn apply(&mut self, events: Vec<Event>, revision: u64) {
+    pub fn apply(&mut self, events: Vec<WatchEvent>, revision: u64) {
         for e in events {
             if let Some(key) = e.put {
                 self.put(&key, e.value, e.version);
@@ -194,12 +200,12 @@
         self.revision = self.revision.max(revision);
         let revision = self.revision;
         self.ahead.retain(|_, at| *at > revision);
-        self.versions.caught_up(revision);
+        self.versions.drop_confirmed(revision);
     }
 
     /// This process wrote this.
-    pub fn wrote(&mut self, changes: &[Change], revision: u64) {
-        self.versions.wrote(changes, revision, self.revision);
+    pub fn record_write(&mut self, changes: &[Change], revision: u64) {
+        self.versions.record_write(changes, revision, self.revision);
     }
 
     fn put(&mut self, key: &str, value: serde_json::Value, version: u64) {
@@ -207,13 +213,13 @@
             return;
         };
         // How a job ended is never written again.
-        if name.starts_with("j/") && is_over(&value) && stands(Guard::Forget) {
+        if name.starts_with("j/") && is_over(&value) && stands(Safeguard::Forget) {
             self.versions.forget(key);
         } else {
             self.versions.put(key, version);
         }
         let read = match name.split_once('/') {
-            None => self.put_single(name, value, version),
+            None => self.put_singleton(name, value, version),
             Some(("j", id)) => serde_json::from_value(value).map(|v| self.put_job(id, v, version)),
             Some(("m", id)) => serde_json::from_value(value).map(|v| {
                 self.machines.insert(MachineId::from(id), v);
@@ -228,7 +234,7 @@
                 if let Some((id, base)) = rest.split_once('/')
                     && let Ok(base) = base.parse()
                 {
-                    self.put_done(JobId::from(id), base, v.rows);
+                    self.put_done_ranges(JobId::from(id), base, v.rows);
                 }
             }),
             Some(("s", rest)) => serde_json::from_value(value).map(|v: PartValue| {
@@ -260,7 +266,7 @@
         }
     }
 
-    fn put_single(
+    fn put_singleton(
         &mut self,
         name: &str,
         value: serde_json::Value,
@@ -314,7 +320,7 @@
                 submitted_ms,
             } => {
                 if !self.finished.contains_key(&id) && !self.jobs.contains_key(&id) {
-                    let head = Head {
+                    let head = PartedJob {
                         stem,
                         count,
                         submitted_ms,
@@ -334,7 +340,10 @@
                 self.changed.extend(awaits.iter().cloned());
                 self.changed.extend(self.pipelines.end(&id, awaits, end));
                 let pieces = job.map(|j| j.pieces).unwrap_or_default();
-                let early = self.take_orphans(&id).into_iter().map(|(base, _)| base);
+                let early = self
+                    .take_orphaned_ranges(&id)
+                    .into_iter()
+                    .map(|(base, _)| base);
                 let bases = pieces.into_keys().chain(early);
                 self.litter.extend(bases.map(|base| done_key(&id, base)));
                 self.litter.extend(self.parts.end(&id));
@@ -351,14 +360,14 @@
                 }
                 let mut done = RowSet::default();
                 let mut pieces = BTreeMap::new();
-                for (base, rows) in self.take_orphans(&id) {
+                for (base, rows) in self.take_orphaned_ranges(&id) {
                     pieces.insert(base, done.add_ranges(base, &rows, spec.tasks));
                 }
                 let doomed = self.pipelines.begin(&id, &spec.awaits, &self.finished);
                 self.changed.extend(doomed);
                 self.jobs.insert(
                     id,
-                    Job {
+                    JobRecord {
                         submitted: SystemTime::UNIX_EPOCH + Duration::from_millis(submitted_ms),
                         spec: Arc::new(*spec),
                         version,
@@ -372,9 +381,13 @@
 
     /// How a job has ended, as far as that is durable: by its own end, or by that of a job that
     /// it needs.
-    pub fn end_of(&self, id: &str) -> Option<Final> {
+    pub fn outcome_of(&self, id: &str) -> Option<JobOutcome> {
         let own = self.finished.get(id).copied();
-        own.or_else(|| self.pipelines.doomed(id).map(|_| Final::Cancelled))
+        own.or_else(|| {
+            self.pipelines
+                .cancelled_dependency(id)
+                .map(|_| JobOutcome::Cancelled)
+        })
     }
 
     /// Whether a job with this id was ever accepted, as far as is known here.
@@ -384,10 +397,11 @@
 
     /// Whether nothing that a live job awaits keeps it from starting.
     pub fn ready(&self, id: &JobId) -> bool {
-        self.pipelines.missing(id) == 0 && self.pipelines.doomed(id).is_none()
+        self.pipelines.unfinished_dependencies(id) == 0
+            && self.pipelines.cancelled_dependency(id).is_none()
     }
 
-    fn take_orphans(&mut self, id: &JobId) -> Vec<(u32, String)> {
+    fn take_orphaned_ranges(&mut self, id: &JobId) -> Vec<(u32, String)> {
         let all = (id.clone(), 0)..=(id.clone(), u32::MAX);
         let bases: Vec<u32> = self
             .orphans
@@ -414,7 +428,7 @@
         }
     }
 
-    fn put_done(&mut self, id: JobId, base: u32, rows: String) {
+    fn put_done_ranges(&mut self, id: JobId, base: u32, rows: String) {
         if let Some(job) = self.jobs.get_mut(&id) {
             let end = job.done.add_ranges(base, &rows, job.spec.tasks);
             job.pieces.insert(base, end);
--- a/src/core/mirror/loss.rs
+++ b/src/core/mirror/loss.rs
@@ -1,18 +1,18 @@
 //! Whether what is stored can be what the copy was made of; and the copy of a store that has lost data.
 
 use super::super::keys::{TERM, identity_key, job_key, key as stored_key};
-use super::super::parts::Parts;
-use super::super::versions::Versions;
-use super::{Mirror, is_over};
+use super::super::parts::LargeJobParts;
+use super::super::versions::KeyVersions;
+use super::{StoreCache, is_over};
 use crate::job::JobId;
 use crate::wire::Item;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
 
-impl Mirror {
+impl StoreCache {
     /// Why what is stored cannot be what this copy was made of, if so. A list that was begun before
     /// this process's own newest writes does not hold them, and is no contradiction.
-    pub fn contradicted(&self, items: &[Item], revision: u64) -> Option<String> {
+    pub fn find_contradiction(&self, items: &[Item], revision: u64) -> Option<String> {
         if revision < self.revision {
             let before = self.revision;
             return Some(format!(
@@ -51,7 +51,12 @@
 
     /// How jobs' keys, from after one and up to another, do not say what the copy does; the copy is as
     /// new as they are.
-    pub fn differs(&self, items: &[Item], after: &str, last: Option<&str>) -> Option<String> {
+    pub fn find_difference(
+        &self,
+        items: &[Item],
+        after: &str,
+        last: Option<&str>,
+    ) -> Option<String> {
         let prefix = stored_key("j/");
         let name = |key: &str| JobId::from(key.strip_prefix(&prefix).unwrap_or(""));
         for i in items {
@@ -78,7 +83,7 @@
 
     /// The store has lost data: what is remembered stays, what is stored joins it, and what of the
     /// first is not among the second is owed to the store. Versions begin anew.
-    pub fn rejoin(&mut self, items: Vec<Item>, revision: u64) {
+    pub fn merge_after_loss(&mut self, items: Vec<Item>, revision: u64) {
         let prefix = stored_key("j/");
         let stored: BTreeMap<JobId, bool> = (items.iter())
             .filter_map(|i| Some((JobId::from(i.key.strip_prefix(&prefix)?), is_over(&i.value))))
@@ -93,8 +98,8 @@
         (self.revision, self.term_version) = (revision, 0);
         (self.pages, self.alone) = Default::default();
         (self.orphans, self.litter, self.ahead) = Default::default();
-        self.parts = Parts::default();
-        self.versions = Versions::default();
+        self.parts = LargeJobParts::default();
+        self.versions = KeyVersions::default();
         for item in items {
             self.put(&item.key, item.value, item.version);
         }
@@ -111,7 +116,7 @@
 
     /// The store has lost data and goes by a name all the same: it gets another one, so that no write
     /// that was meant for what is lost can come to be applied.
-    pub fn expect_name(&mut self) {
+    pub fn expect_new_identity(&mut self) {
         self.expects_name = self.identity.is_some();
     }
 }
--- a/src/core/mirror/memory.rs
+++ b/src/core/mirror/memory.rs
@@ -2,7 +2,7 @@
 //! order: ends are final, done rows unite, a machine once known is known.
 
 use super::super::keys::{TERM, TYPES, done_key, job_key, key as stored_key, page_key};
-use super::{DoneValue, JobValue, Mirror, PageValue, RowSet, TermValue};
+use super::{DoneValue, JobValue, PageValue, RowSet, StoreCache, TermValue};
 use crate::job::{JobId, MachineId};
 use crate::state::PREFIX;
 use crate::wire::to_json;
@@ -42,7 +42,7 @@
     pub jobs: usize,
 }
 
-impl Mirror {
+impl StoreCache {
     /// Takes in what others remember, as far as it is not known here.
     pub fn remember(&mut self, items: Vec<(String, serde_json::Value)>) -> Remembered {
         let mut new = Remembered::default();
@@ -57,7 +57,7 @@
                     serde_json::from_value(value).map(|v| self.types = v)
                 }
                 Some(("j", id)) => serde_json::from_value(value).map(|v| {
-                    new.jobs += usize::from(self.remember_job(id, v));
+                    new.jobs += usize::from(self.merge_job(id, v));
                 }),
                 Some(("p", _)) => serde_json::from_value(value).map(|v: PageValue| {
                     for (id, m) in v.machines {
@@ -91,7 +91,7 @@
     }
 
     /// Says whether anything of it was new.
-    fn remember_job(&mut self, id: &str, value: JobValue) -> bool {
+    fn merge_job(&mut self, id: &str, value: JobValue) -> bool {
         let job = JobId::from(id);
         let known = match &value {
             JobValue::Over { .. } => self.finished.contains_key(&job),
--- a/src/core/mirror/stored.rs
+++ b/src/core/mirror/stored.rs
@@ -1,7 +1,7 @@
 //! Values as they are stored, under the keys that `mirror` lists.
 
-use super::super::keys::Stem;
-use crate::job::{Final, JobSpec, MachineId, Resources};
+use super::super::keys::PartGeneration;
+use crate::job::{JobOutcome, JobSpec, MachineId, Resources};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -59,21 +59,21 @@
     /// A live job, as long as that many parts under keys of their own.
     Parted {
         parts: u32,
-        stem: Stem,
+        stem: PartGeneration,
         submitted_ms: u64,
     },
     Over {
-        end: Final,
+        end: JobOutcome,
         /// Earlier versions neither write nor read this.
         #[serde(default, skip_serializing_if = "Option::is_none")]
-        left: Option<Left>,
+        left: Option<ResidualTasks>,
     },
 }
 
 /// What of a cancelled job may still be on machines: it counts towards its team's limit until their leases
 /// have run out, also for a leader that never knew the job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Left {
+pub struct ResidualTasks {
     pub team: String,
     pub needs: Resources,
     /// Those that were not done when its end was written, and when that was (milliseconds since 1970).
@@ -83,7 +83,7 @@
 
 /// Whether a job's stored form says how it ended; only that of one that is over has an end.
 pub(super) fn is_over(value: &serde_json::Value) -> bool {
-    Final::deserialize(&value["end"]).is_ok()
+    JobOutcome::deserialize(&value["end"]).is_ok()
 }
 
 impl JobValue {
--- a/src/core/mirror/tests.rs
+++ b/src/core/mirror/tests.rs
@@ -47,16 +47,16 @@
 #[test]
 fn what_is_left_of_cancelled_jobs_is_known_until_its_time_is_over() {
     let cancelled = |at_ms: u64| JobValue::Over {
-        end: Final::Cancelled,
-        left: Some(Left {
+        end: JobOutcome::Cancelled,
+        left: Some(ResidualTasks {
             team: "t".into(),
             needs: Resources::default(),
             tasks: 1,
             at_ms,
         }),
     };
-    let mut mirror = Mirror::default();
-    mirror.nothing_left_before(10_000);
+    let mut mirror = StoreCache::default();
+    mirror.expire_residual_tasks(10_000);
     for n in 0..8000 {
         mirror.put_job(&format!("wk-{n:06}"), cancelled(9000 + n), n + 1);
     }
@@ -64,6 +64,6 @@
     mirror.reset(Vec::new(), 9000);
     mirror.put_job("wk-100000", cancelled(9999), 9001);
     assert_eq!(mirror.left.len(), 7000, "a list changes nothing of that");
-    mirror.nothing_left_before(16_500);
+    mirror.expire_residual_tasks(16_500);
     assert_eq!(mirror.left.len(), 500);
 }
