--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -60,23 +60,23 @@
 mod writes;
 
 pub use leadership::LEASE_TTL;
-pub use losses::late_cancellations;
-pub use mirror::Mirror;
+pub use losses::cancellation_warning;
+pub use mirror::StoreCache;
 pub use questions::{Ask, UserRequest};
-pub use submissions::most_tasks;
+pub use submissions::max_unfinished_tasks;
 
 use crate::cloud::{CloudOutcome, CloudRequest};
 use crate::http::Answer;
 use crate::job::{JobId, JobSpec, MachineId};
-use crate::link::{Sync, Synced};
+use crate::link::{HeartbeatBatch, HeartbeatBatchResponse};
 use crate::peer::{PeerAnswer, PeerRequest};
 use crate::policy::{Entry, FleetFacts, Policy};
-use crate::recall::{Recall, Recalled};
+use crate::recall::{MemoryPage, MemoryRequest};
 use crate::settings::Settings;
-use crate::state::{Budget, StateOutcome, StateRequest};
-use crate::wire::{Condition, Event, Item, MachineType, Report};
+use crate::state::{RateLimiter, StoreOutcome, StoreRequest};
+use crate::wire::{Condition, Heartbeat, Item, MachineType, WatchEvent};
 use crate::worker::{DirectOutcome, DirectRequest};
-use burlusher_membership::view::View;
+use burlusher_membership::view::MembershipView;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -107,19 +107,19 @@
         ticket: Ticket,
         lanes: [usize; 3],
     },
-    Report {
+    Heartbeat {
         ticket: Ticket,
-        report: Box<Report>,
+        report: Box<Heartbeat>,
     },
     /// A controller that serves workers for the leader.
-    Sync {
+    HeartbeatBatch {
         ticket: Ticket,
-        sync: Box<Sync>,
+        sync: Box<HeartbeatBatch>,
     },
     /// The leader's answer to our frame of this number, or `None` if it gave none.
-    Synced {
+    HeartbeatBatchResponse {
         number: u64,
-        answer: Option<Box<Synced>>,
+        answer: Option<Box<HeartbeatBatchResponse>>,
     },
     /// A peer's answer to a request passed on to it, or `None` if it gave none.
     Forwarded {
@@ -129,7 +129,7 @@
     },
     /// The lease is granted or renewed by a request sent at `sent`; and since then the leader key of
     /// this version was seen to stand.
-    LeaseKept {
+    LeaseRenewed {
         lease: u64,
         sent: Instant,
         stands: Option<u64>,
@@ -145,19 +145,19 @@
         revision: u64,
     },
     Changed {
-        events: Vec<Event>,
+        events: Vec<WatchEvent>,
         revision: u64,
     },
     /// Another controller asks what is remembered here.
-    Recall {
+    MemoryRequest {
         ticket: Ticket,
-        recall: Recall,
+        recall: MemoryRequest,
     },
     /// What a peer remembers, or `None` if it gave no answer.
-    Recalled {
+    MemoryPage {
         peer: String,
-        asked: Recall,
-        answer: Option<Box<Recalled>>,
+        asked: MemoryRequest,
+        answer: Option<Box<MemoryPage>>,
     },
     /// An operator takes an incomplete store as it is.
     Settle(Ticket),
@@ -170,7 +170,7 @@
     },
     State {
         call: CallId,
-        outcome: StateOutcome,
+        outcome: StoreOutcome,
     },
     Cloud {
         call: CallId,
@@ -194,14 +194,14 @@
         request: PeerRequest,
     },
     /// A frame for the leader, whose answer is wanted.
-    Sync {
+    HeartbeatBatch {
         peer: String,
         number: u64,
         frame: Vec<u8>,
     },
     State {
         call: CallId,
-        request: StateRequest,
+        request: StoreRequest,
     },
     Cloud {
         call: CallId,
@@ -215,26 +215,26 @@
         not_after: Instant,
     },
     /// Ask a peer what it remembers.
-    Recall {
+    MemoryRequest {
         peer: String,
-        recall: Recall,
+        recall: MemoryRequest,
     },
     /// Read the state service as a whole, and watch it from there on.
-    ReadAfresh,
+    RereadStore,
     /// End the lease, and with it leadership, so that another controller can take over.
-    GiveUpLease,
+    ReleaseLease,
     /// Take another lease, and leave this one alone: in a store that has lost data it may be
     /// somebody else's by now.
-    ChangeLease,
+    ReplaceLease,
     /// With each renewal of the lease, see whether these still hold; or nothing any more.
-    Stand(Option<Stand>),
+    LeadershipProof(Option<LeadershipProof>),
     /// What `/ready` says from now on.
     Ready(bool),
 }
 
 /// What a leader's word rests on, beside its lease.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Stand {
+pub struct LeadershipProof {
     pub key_version: u64,
     pub conditions: Vec<Condition>,
 }
@@ -248,14 +248,14 @@
         since: Instant,
         tries: u32,
         /// Where it does not fit into one value.
-        parts: Option<Box<parts::Writing>>,
+        parts: Option<Box<parts::PartWrite>>,
     },
     /// The parts of a job that is to be accepted.
     Parts {
         ticket: Ticket,
         spec: Box<JobSpec>,
         since: Instant,
-        parts: Box<parts::Writing>,
+        parts: Box<parts::PartWrite>,
         /// How many of them are in this transaction.
         sent: usize,
     },
@@ -266,8 +266,8 @@
     Barrier(Vec<barrier::Question>),
     TakeOver,
     /// Whether the store's identity is still of this version.
-    LookAtName(u64),
-    LookAtRevision,
+    CheckIdentity(u64),
+    CheckRevision,
     /// Some jobs, compared with what is known of them; from after this key on, and what was seen to
     /// differ when they were read before.
     Audit {
@@ -277,7 +277,7 @@
     /// The mark that tells another leader of a loss.
     Mark,
     /// Whether the lease runs on which a leader key of this version hangs.
-    LeaseOf(u64),
+    CheckLeaderLease(u64),
     /// A leader key that hangs on none is taken away.
     Bury,
     Write,
@@ -315,15 +315,15 @@
     pending: BTreeMap<CallId, Pending>,
     /// Creations of jobs on their way, and when each is looked at next.
     unanswered_creations: VecDeque<(Instant, CallId)>,
-    mirror: Mirror,
+    mirror: StoreCache,
     /// When it was last looked whether cancelled jobs can still have something left.
     cancelled_forgotten: Option<Instant>,
     lease: Option<lead::Lease>,
-    lead: Option<lead::Lead>,
+    lead: Option<lead::LeaderState>,
     /// Whether controllers serve workers for the one that leads.
     delegating: bool,
     relay: relay::Relay,
-    view: View,
+    view: MembershipView,
     /// How many leaderships this process has begun, and the newest term in which it has led.
     leaderships: u64,
     led_term: u64,
@@ -333,10 +333,10 @@
     candidate_after: Instant,
     /// When this process last gave leadership up.
     resigned: Option<Instant>,
-    dead_key: Option<dead_key::DeadKey>,
+    dead_key: Option<dead_key::StaleLeaderKey>,
     forwards: BTreeMap<Ticket, UserRequest>,
-    barriers: barrier::Barriers,
-    custody: custody::Custody,
+    barriers: barrier::ReadBarriers,
+    custody: custody::StoreIntegrity,
     /// Peers that gave no answer lately, and until when they are not asked.
     peers_down: BTreeMap<String, Instant>,
     types: Vec<MachineType>,
@@ -348,11 +348,11 @@
     ready: Option<bool>,
     scratch: crate::plan::Scratch,
     /// What the cloud's limit allows the leader now.
-    cloud_budget: Budget,
+    cloud_budget: RateLimiter,
     /// Reads for users who ask about jobs that the state service's limit allows.
-    read_budget: Budget,
+    read_budget: RateLimiter,
     /// Changes that the state service's limit allows the leader now.
-    write_budget: Budget,
+    write_budget: RateLimiter,
     pub stats: Stats,
 }
 
@@ -360,7 +360,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Work {
     Step,
-    Report,
+    Heartbeat,
     Question,
     Change,
     FrameIn,
@@ -375,7 +375,7 @@
 
 pub const WORK: [(Work, &str); 12] = [
     (Work::Step, "steps"),
-    (Work::Report, "reports"),
+    (Work::Heartbeat, "reports"),
     (Work::Question, "requests"),
     (Work::Change, "changes"),
     (Work::FrameIn, "frames_in"),
@@ -418,9 +418,11 @@
 impl Stats {
     fn note_command(&mut self, command: &Command) {
         let work = match command {
-            Command::Report { .. } => Work::Report,
+            Command::Heartbeat { .. } => Work::Heartbeat,
             Command::User(_) => Work::Question,
-            Command::Sync { .. } | Command::Synced { .. } | Command::Recall { .. } => Work::FrameIn,
+            Command::HeartbeatBatch { .. }
+            | Command::HeartbeatBatchResponse { .. }
+            | Command::MemoryRequest { .. } => Work::FrameIn,
             Command::Changed { events, .. } => {
                 self.work[Work::Change as usize] += events.len() as u64;
                 return;
@@ -435,7 +437,9 @@
             Effect::State { .. } => Work::StateCall,
             Effect::Cloud { .. } => Work::CloudCall,
             Effect::Direct { .. } => Work::DirectCall,
-            Effect::Sync { .. } | Effect::Forward { .. } | Effect::Recall { .. } => Work::FrameOut,
+            Effect::HeartbeatBatch { .. }
+            | Effect::Forward { .. }
+            | Effect::MemoryRequest { .. } => Work::FrameOut,
             _ => return,
         };
         self.work[work as usize] += 1;
@@ -461,14 +465,14 @@
 impl Core {
     pub fn new(settings: Arc<Settings>, policy: Arc<Policy>, nonce: u64, now: Now) -> Core {
         // Less than all, as the others ask for machine types, and an old leader for more.
-        let cloud_budget = Budget::new(settings.cloud_rps * 0.85, now.mono);
+        let cloud_budget = RateLimiter::new(settings.cloud_rps * 0.85, now.mono);
         let writes = settings.state_write_rps * writes::WRITE_SHARE;
-        let write_budget = Budget::new(writes, now.mono);
+        let write_budget = RateLimiter::new(writes, now.mono);
         let share = settings.state_rps / (settings.peers.len() as f64 + 1.0);
-        let read_budget = Budget::new(share * QUESTIONS_SHARE, now.mono);
+        let read_budget = RateLimiter::new(share * QUESTIONS_SHARE, now.mono);
         let delegating = policy.fleet_truth(Entry::Delegate, &FleetFacts::default());
         let others = (settings.peers.iter()).map(|p| (p.name.clone(), p.zone.clone()));
-        let view = View::new(others, lead::PATIENCE);
+        let view = MembershipView::new(others, lead::PATIENCE);
         Core {
             write_budget,
             read_budget,
@@ -482,7 +486,7 @@
             next_call: 1,
             pending: BTreeMap::new(),
             unanswered_creations: VecDeque::new(),
-            mirror: Mirror::default(),
+            mirror: StoreCache::default(),
             cancelled_forgotten: None,
             lease: None,
             lead: None,
@@ -535,26 +539,30 @@
         for command in commands {
             self.stats.note_command(&command);
             match command {
-                Command::User(request) => self.user(request),
+                Command::User(request) => self.serve_user(request),
                 Command::Status(ticket) => self.answer_status(ticket),
-                Command::Figures { ticket, lanes } => self.answer_figures(ticket, lanes),
-                Command::Report { ticket, report } => reports.extend(self.report(ticket, report)),
-                Command::Sync { ticket, sync } => syncs.extend(self.sync(ticket, *sync)),
-                Command::Synced { number, answer } => self.synced(number, answer),
+                Command::Figures { ticket, lanes } => self.answer_metrics(ticket, lanes),
+                Command::Heartbeat { ticket, report } => {
+                    reports.extend(self.report(ticket, report))
+                }
+                Command::HeartbeatBatch { ticket, sync } => syncs.extend(self.sync(ticket, *sync)),
+                Command::HeartbeatBatchResponse { number, answer } => {
+                    self.batch_answered(number, answer)
+                }
                 Command::Forwarded {
                     ticket,
                     peer,
                     answer,
-                } => self.forwarded(ticket, peer, answer),
-                Command::LeaseKept {
+                } => self.forward_outcome(ticket, peer, answer),
+                Command::LeaseRenewed {
                     lease,
                     sent,
                     stands,
-                } => self.lease_kept(lease, sent, stands),
+                } => self.lease_renewed(lease, sent, stands),
                 Command::Deposed { key_version } => self.deposed(key_version),
                 Command::LeaseLost => self.lease_lost(),
-                Command::Recall { ticket, recall } => self.recall(ticket, recall),
-                Command::Recalled {
+                Command::MemoryRequest { ticket, recall } => self.recall(ticket, recall),
+                Command::MemoryPage {
                     peer,
                     asked,
                     answer,
@@ -565,7 +573,7 @@
                     store,
                     last,
                     items,
-                } => self.offered(ticket, &store, last, items),
+                } => self.merge_snapshot(ticket, &store, last, items),
                 Command::Listed { items, revision } => self.listed(items, revision),
                 Command::Changed { events, revision } => self.changed(events, revision),
                 Command::State { call, outcome } => self.state_outcome(call, outcome),
@@ -573,25 +581,25 @@
                 Command::Direct { call, outcome } => self.direct_outcome(call, outcome),
             }
         }
-        self.tend_custody();
-        self.tend_leadership();
-        self.tend_barriers();
-        self.settle_creations();
-        reports.extend(self.take_over_reports());
+        self.check_store_integrity();
+        self.advance_leadership();
+        self.answer_barriers();
+        self.resolve_creations();
+        reports.extend(self.drain_waiting_heartbeats());
         if self.acting() {
-            self.tend_rebuild();
-            self.tend_machines();
+            self.advance_rebuild();
+            self.check_machines();
             self.schedule();
-            let mut due = lead::Held { reports, syncs };
-            self.hold_answers(&mut due);
+            let mut due = lead::DeferredResponses { reports, syncs };
+            self.defer_responses(&mut due);
             for (ticket, machine) in due.reports {
-                self.answer_report(ticket, &machine);
+                self.respond_to_heartbeat(ticket, &machine);
             }
             for work in due.syncs {
-                self.answer_sync(work);
+                self.answer_batch(work);
             }
-            self.push_commands();
-            self.flush_writes();
+            self.send_direct_commands();
+            self.send_writes();
         } else {
             if let Some(lead) = &mut self.lead {
                 let held = std::mem::take(&mut lead.held);
@@ -602,14 +610,14 @@
                 self.redirect(ticket);
             }
             for work in syncs {
-                self.refuse_sync(work.ticket, work.number);
+                self.refuse_batch(work.ticket, work.number);
             }
-            self.tend_relay();
+            self.advance_relay();
         }
         self.send_barrier();
-        self.tend_types();
-        self.probe_peers();
-        self.tend_readiness();
+        self.refresh_machine_types();
+        self.probe_unreachable_peers();
+        self.update_readiness();
         for effect in &self.out {
             self.stats.note_effect(effect);
         }
@@ -621,7 +629,7 @@
         let now = self.now.mono;
         let idle = if self.lead.is_some() {
             let most = Duration::from_millis(100);
-            self.plan_in().map_or(most, |d| d.min(most))
+            self.until_next_plan().map_or(most, |d| d.min(most))
         } else {
             self.relay.idle_for(now).min(Duration::from_millis(200))
         };
@@ -640,7 +648,7 @@
         id
     }
 
-    fn ask_state(&mut self, pending: Pending, request: StateRequest) -> CallId {
+    fn ask_state(&mut self, pending: Pending, request: StoreRequest) -> CallId {
         let call = self.call(pending);
         self.custody.call(call);
         self.out.push(Effect::State { call, request });
@@ -651,8 +659,8 @@
         self.out.push(Effect::Answer { ticket, answer });
     }
 
-    fn state_outcome(&mut self, call: CallId, outcome: StateOutcome) {
-        if !matches!(outcome, StateOutcome::Refused(_) | StateOutcome::Unknown(_)) {
+    fn state_outcome(&mut self, call: CallId, outcome: StoreOutcome) {
+        if !matches!(outcome, StoreOutcome::Refused(_) | StoreOutcome::Unknown(_)) {
             self.state_ok = self.now.mono;
         }
         self.heed_revision(call, &outcome);
@@ -663,22 +671,24 @@
                 since,
                 tries,
                 parts,
-            }) => self.created(ticket, spec, since, tries, parts, outcome),
+            }) => self.creation_outcome(ticket, spec, since, tries, parts, outcome),
             Some(Pending::Parts {
                 ticket,
                 spec,
                 since,
                 parts,
                 sent,
-            }) => self.parts_written(ticket, spec, since, parts, sent, outcome),
+            }) => self.parts_outcome(ticket, spec, since, parts, sent, outcome),
             Some(Pending::Read { id, purpose }) => self.read(id, purpose, outcome),
             Some(Pending::Barrier(questions)) => self.barrier_read(questions, outcome),
-            Some(Pending::TakeOver) => self.took_over(outcome),
-            Some(Pending::Audit { after, suspicion }) => self.audited(after, suspicion, outcome),
-            Some(Pending::LookAtName(version)) => self.looked_at_name(version, outcome),
-            Some(Pending::LeaseOf(version)) => self.lease_of_leader(version, outcome),
-            Some(Pending::LookAtRevision) => self.looked_at_revision(outcome),
-            Some(Pending::Write) => self.written(call, outcome),
+            Some(Pending::TakeOver) => self.campaign_outcome(outcome),
+            Some(Pending::Audit { after, suspicion }) => {
+                self.jobs_audited(after, suspicion, outcome)
+            }
+            Some(Pending::CheckIdentity(version)) => self.identity_checked(version, outcome),
+            Some(Pending::CheckLeaderLease(version)) => self.leader_lease_checked(version, outcome),
+            Some(Pending::CheckRevision) => self.revision_checked(outcome),
+            Some(Pending::Write) => self.write_outcome(call, outcome),
             _ => {}
         }
     }
@@ -686,7 +696,7 @@
     /// A node that reaches neither the state service nor any other controller serves nobody. One
     /// that reaches others passes requests on; and when the others cannot serve either, leaving
     /// the balancer would only lengthen the outage.
-    fn tend_readiness(&mut self) {
+    fn update_readiness(&mut self) {
         let now = self.now.mono;
         let patience = Duration::from_secs(3);
         let alone = now > self.state_ok + patience && now > self.peer_heard + patience;
@@ -699,7 +709,7 @@
     }
 
     /// Every controller knows the machine types, for it has to judge submissions alone at times.
-    fn tend_types(&mut self) {
+    fn refresh_machine_types(&mut self) {
         let now = self.now.mono;
         let every = if self.types.is_empty() {
             Duration::from_secs(2)
@@ -720,11 +730,11 @@
         });
     }
 
-    fn learn_types(&mut self, types: Vec<MachineType>) {
+    fn set_machine_types(&mut self, types: Vec<MachineType>) {
         if !types.is_empty() && types != self.types {
             if let Some(lead) = &mut self.lead {
                 lead.writes.types = true;
-                lead.machines.note_all();
+                lead.machines.mark_all_changed();
             }
             self.types = types;
         }
--- a/src/core/parts.rs
+++ b/src/core/parts.rs
@@ -3,7 +3,7 @@
 //! that it is accepted, is written last, on the condition that every part is still as it was
 //! written. So parts that no job refers to may be cleared at any time.
 
-use super::keys::{Stem, part_key};
+use super::keys::{PartGeneration, part_key};
 use crate::job::{JobId, JobSpec};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -14,7 +14,7 @@
 }
 
 /// The parts of a key's name after `s/`.
-pub fn parse(rest: &str) -> Option<(JobId, Stem, u32)> {
+pub fn parse(rest: &str) -> Option<(JobId, PartGeneration, u32)> {
     let (id, rest) = rest.split_once('/')?;
     let (stem, n) = rest.split_once('/')?;
     Some((JobId::from(id), stem.parse().ok()?, n.parse().ok()?))
@@ -39,39 +39,39 @@
 
 /// Parts on their way, and which of them are stored at which version.
 #[derive(Clone, Debug)]
-pub struct Writing {
-    pub stem: Stem,
+pub struct PartWrite {
+    pub stem: PartGeneration,
     pub parts: Vec<String>,
     pub versions: Vec<u64>,
 }
 
 /// An accepted job, some parts of which have not been read yet.
 #[derive(Clone, Copy, Debug)]
-pub struct Head {
-    pub stem: Stem,
+pub struct PartedJob {
+    pub stem: PartGeneration,
     pub count: u32,
     pub submitted_ms: u64,
     pub version: u64,
 }
 
 #[derive(Default)]
-pub struct Parts {
+pub struct LargeJobParts {
     /// What is stored, by job and writing. Texts are dropped once their job has been read.
-    texts: BTreeMap<(JobId, Stem), BTreeMap<u32, String>>,
-    heads: BTreeMap<JobId, Head>,
+    texts: BTreeMap<(JobId, PartGeneration), BTreeMap<u32, String>>,
+    heads: BTreeMap<JobId, PartedJob>,
     /// Which writing a live job was read from.
-    used: BTreeMap<JobId, Stem>,
+    used: BTreeMap<JobId, PartGeneration>,
 }
 
-impl Parts {
-    pub fn put(&mut self, id: &JobId, stem: Stem, n: u32, text: String) {
+impl LargeJobParts {
+    pub fn put(&mut self, id: &JobId, stem: PartGeneration, n: u32, text: String) {
         let read = self.used.get(id) == Some(&stem);
         let text = if read { String::new() } else { text };
         let parts = self.texts.entry((id.clone(), stem)).or_default();
         parts.insert(n, text);
     }
 
-    pub fn delete(&mut self, id: &JobId, stem: Stem, n: u32) {
+    pub fn delete(&mut self, id: &JobId, stem: PartGeneration, n: u32) {
         let key = (id.clone(), stem);
         if let Some(parts) = self.texts.get_mut(&key) {
             parts.remove(&n);
@@ -81,14 +81,14 @@
         }
     }
 
-    pub fn expect(&mut self, id: &JobId, head: Head) {
+    pub fn expect(&mut self, id: &JobId, head: PartedJob) {
         if !self.used.contains_key(id) {
             self.heads.insert(id.clone(), head);
         }
     }
 
     /// The job, if it is accepted and all its parts are there.
-    pub fn complete(&mut self, id: &JobId) -> Option<(Head, JobSpec)> {
+    pub fn complete(&mut self, id: &JobId) -> Option<(PartedJob, JobSpec)> {
         let head = *self.heads.get(id)?;
         let parts = self.texts.get_mut(&(id.clone(), head.stem))?;
         let all = (0..head.count).map(|n| parts.get(&n).map(String::as_str));
@@ -109,20 +109,20 @@
     pub fn end(&mut self, id: &JobId) -> Vec<String> {
         self.heads.remove(id);
         self.used.remove(id);
-        let all = (id.clone(), 0)..=(id.clone(), Stem::MAX);
+        let all = (id.clone(), 0)..=(id.clone(), PartGeneration::MAX);
         let stored = self.texts.range(all).map(|((_, stem), _)| *stem);
-        let stems: Vec<Stem> = stored.collect();
+        let stems: Vec<PartGeneration> = stored.collect();
         stems.iter().flat_map(|s| self.keys(id, *s)).collect()
     }
 
     /// Writings that no accepted job refers to.
-    pub fn unclaimed(&self) -> impl Iterator<Item = &(JobId, Stem)> {
+    pub fn unclaimed(&self) -> impl Iterator<Item = &(JobId, PartGeneration)> {
         self.texts.keys().filter(|(id, stem)| {
             self.used.get(id) != Some(stem) && self.heads.get(id).map(|h| h.stem) != Some(*stem)
         })
     }
 
-    pub fn keys(&self, id: &JobId, stem: Stem) -> Vec<String> {
+    pub fn keys(&self, id: &JobId, stem: PartGeneration) -> Vec<String> {
         let parts = self.texts.get(&(id.clone(), stem));
         let numbers = parts.into_iter().flat_map(|p| p.keys());
         numbers.map(|n| part_key(id, stem, *n)).collect()
--- a/src/core/pipelines.rs
+++ b/src/core/pipelines.rs
@@ -6,11 +6,11 @@
 //! later, without anything more being written. A change costs what is downstream of it: a reverse
 //! index leads there, and each job has a count of what it still waits for.
 
-use crate::job::{Final, JobId};
+use crate::job::{JobId, JobOutcome};
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Default)]
-pub struct Pipelines {
+pub struct DependencyGraph {
     /// Live jobs, by each job that they await and that is not over.
     needed_by: BTreeMap<JobId, BTreeSet<JobId>>,
     /// How many of the jobs that a live job awaits are not done. Not listed: none.
@@ -19,19 +19,19 @@
     doomed: BTreeMap<JobId, JobId>,
 }
 
-impl Pipelines {
+impl DependencyGraph {
     /// A job is live; returns the jobs that need it and are cancelled with it, itself included.
     pub fn begin(
         &mut self,
         id: &JobId,
         awaits: &[JobId],
-        finished: &BTreeMap<JobId, Final>,
+        finished: &BTreeMap<JobId, JobOutcome>,
     ) -> Vec<JobId> {
         let mut root = None;
         for a in awaits {
             match finished.get(a) {
-                Some(Final::Done) => {}
-                Some(Final::Cancelled) => root = Some(a.clone()),
+                Some(JobOutcome::Done) => {}
+                Some(JobOutcome::Cancelled) => root = Some(a.clone()),
                 None => {
                     if let Some(r) = self.doomed.get(a) {
                         root = Some(r.clone());
@@ -48,13 +48,13 @@
             }
         }
         match root {
-            Some(root) => self.doom(id, &root),
+            Some(root) => self.cancel_downstream(id, &root),
             None => Vec::new(),
         }
     }
 
     /// A job is over; returns the jobs that may start now, or are cancelled with it.
-    pub fn end(&mut self, id: &JobId, awaits: &[JobId], end: Final) -> Vec<JobId> {
+    pub fn end(&mut self, id: &JobId, awaits: &[JobId], end: JobOutcome) -> Vec<JobId> {
         self.missing.remove(id);
         self.doomed.remove(id);
         for a in awaits {
@@ -70,8 +70,8 @@
         let mut changed = Vec::new();
         for job in jobs {
             match end {
-                Final::Cancelled => changed.extend(self.doom(&job, id)),
-                Final::Done => {
+                JobOutcome::Cancelled => changed.extend(self.cancel_downstream(&job, id)),
+                JobOutcome::Done => {
                     if let Some(n) = self.missing.get_mut(&job) {
                         *n -= 1;
                         if *n == 0 {
@@ -86,7 +86,7 @@
     }
 
     /// A job and all that needs it are cancelled with `root`. Chains may be long: no recursion.
-    fn doom(&mut self, id: &JobId, root: &JobId) -> Vec<JobId> {
+    fn cancel_downstream(&mut self, id: &JobId, root: &JobId) -> Vec<JobId> {
         let mut changed = Vec::new();
         let mut next = vec![id.clone()];
         while let Some(job) = next.pop() {
@@ -94,36 +94,36 @@
                 continue;
             }
             self.doomed.insert(job.clone(), root.clone());
-            next.extend(self.needed_by(&job).cloned());
+            next.extend(self.dependents(&job).cloned());
             changed.push(job);
         }
         changed
     }
 
     /// All that needs a job, directly or through others.
-    pub fn downstream(&self, id: &JobId) -> BTreeSet<JobId> {
+    pub fn all_dependents(&self, id: &JobId) -> BTreeSet<JobId> {
         let mut found = BTreeSet::new();
-        let mut next: Vec<&JobId> = self.needed_by(id).collect();
+        let mut next: Vec<&JobId> = self.dependents(id).collect();
         while let Some(job) = next.pop() {
             if found.insert(job.clone()) {
-                next.extend(self.needed_by(job));
+                next.extend(self.dependents(job));
             }
         }
         found
     }
 
     /// Live jobs that name this one.
-    pub fn needed_by(&self, id: &JobId) -> impl Iterator<Item = &JobId> {
+    pub fn dependents(&self, id: &JobId) -> impl Iterator<Item = &JobId> {
         self.needed_by.get(id).into_iter().flatten()
     }
 
     /// How many of the jobs that a live job awaits are not done.
-    pub fn missing(&self, id: &JobId) -> usize {
+    pub fn unfinished_dependencies(&self, id: &JobId) -> usize {
         self.missing.get(id).copied().unwrap_or(0)
     }
 
     /// The cancelled job with which a live one is cancelled.
-    pub fn doomed(&self, id: &str) -> Option<&JobId> {
+    pub fn cancelled_dependency(&self, id: &str) -> Option<&JobId> {
         self.doomed.get(id)
     }
 }
--- a/src/core/pipelines/tests.rs
+++ b/src/core/pipelines/tests.rs
@@ -9,7 +9,7 @@
 fn a_diamond_is_ready_once_and_withdrawn_whole_in_whatever_order_it_is_told() {
     let edges: [(u32, &[u32]); 4] = [(1, &[]), (2, &[1]), (3, &[1]), (4, &[2, 3])];
     for turn in 0..4 {
-        let mut p = Pipelines::default();
+        let mut p = DependencyGraph::default();
         let mut finished = BTreeMap::new();
         let awaits = |n: u32| -> Vec<JobId> {
             let found = edges.iter().find(|e| e.0 == n).unwrap();
@@ -19,8 +19,8 @@
             let n = edges[(i + turn) % 4].0;
             assert!(p.begin(&id(n), &awaits(n), &finished).is_empty());
         }
-        assert_eq!(p.downstream(&id(1)).len(), 3);
-        let over = |p: &mut Pipelines, finished: &mut BTreeMap<_, _>, n: u32, end| {
+        assert_eq!(p.all_dependents(&id(1)).len(), 3);
+        let over = |p: &mut DependencyGraph, finished: &mut BTreeMap<_, _>, n: u32, end| {
             finished.insert(id(n), end);
             let mut changed = p.end(&id(n), &awaits(n), end);
             // Told once more, as events are, it changes nothing.
@@ -28,29 +28,41 @@
             changed.sort();
             changed
         };
-        assert_eq!(over(&mut p, &mut finished, 1, Final::Done), [id(2), id(3)]);
-        assert!(over(&mut p, &mut finished, 2, Final::Done).is_empty());
-        assert_eq!((p.missing(&id(4)), p.missing(&id(3))), (1, 0));
+        assert_eq!(
+            over(&mut p, &mut finished, 1, JobOutcome::Done),
+            [id(2), id(3)]
+        );
+        assert!(over(&mut p, &mut finished, 2, JobOutcome::Done).is_empty());
+        assert_eq!(
+            (
+                p.unfinished_dependencies(&id(4)),
+                p.unfinished_dependencies(&id(3))
+            ),
+            (1, 0)
+        );
         if turn % 2 == 0 {
-            assert_eq!(over(&mut p, &mut finished, 3, Final::Done), [id(4)]);
+            assert_eq!(over(&mut p, &mut finished, 3, JobOutcome::Done), [id(4)]);
         } else {
-            assert_eq!(over(&mut p, &mut finished, 3, Final::Cancelled), [id(4)]);
-            assert_eq!(p.doomed("wk-4"), Some(&id(3)));
+            assert_eq!(
+                over(&mut p, &mut finished, 3, JobOutcome::Cancelled),
+                [id(4)]
+            );
+            assert_eq!(p.cancelled_dependency("wk-4"), Some(&id(3)));
             // What is submitted later is withdrawn as well, directly and through others.
             assert_eq!(p.begin(&id(5), &[id(4)], &finished), [id(5)]);
             assert_eq!(p.begin(&id(6), &[id(3)], &finished), [id(6)]);
-            assert!(over(&mut p, &mut finished, 4, Final::Cancelled).is_empty());
+            assert!(over(&mut p, &mut finished, 4, JobOutcome::Cancelled).is_empty());
         }
     }
 }
 
 #[test]
 fn a_chain_of_ten_thousand_is_withdrawn_without_recursion() {
-    let mut p = Pipelines::default();
+    let mut p = DependencyGraph::default();
     let finished = BTreeMap::new();
     for n in 1..10_000 {
         p.begin(&id(n), &[id(n - 1)], &finished);
     }
-    assert_eq!(p.downstream(&id(0)).len(), 9_999);
-    assert_eq!(p.end(&id(0), &[], Final::Cancelled).len(), 9_999);
+    assert_eq!(p.all_dependents(&id(0)).len(), 9_999);
+    assert_eq!(p.end(&id(0), &[], JobOutcome::Cancelled).len(), 9_999);
 }
--- a/src/core/questions.rs
+++ b/src/core/questions.rs
@@ -4,19 +4,19 @@
 use super::barrier::Question;
 use super::keys::job_key;
 use super::mirror::JobValue;
-use super::run::Run;
+use super::run::JobRun;
 use super::{Core, Effect, Pending, ReadPurpose, Ticket};
-use crate::guard::{Guard, stands};
+use crate::guard::{Safeguard, stands};
 use crate::http::Answer;
-use crate::job::{Final, JobSpec, MachineId, TaskKey};
+use crate::job::{JobOutcome, JobSpec, MachineId, TaskId};
 use crate::peer::{PeerAnswer, PeerRequest};
-use crate::state::{StateOutcome, StateRequest};
-use crate::wire::{JobAnswer, JobState, to_json};
+use crate::state::{StoreOutcome, StoreRequest};
+use crate::wire::{JobState, JobStatus, to_json};
 use std::time::{Duration, Instant};
 
 /// The lease is renewed more often than this while the state service answers.
 const STALE: Duration = Duration::from_millis(1100);
-const PROBE_EVERY: Duration = Duration::from_millis(1000);
+const PROBE_INTERVAL: Duration = Duration::from_millis(1000);
 const PROBE_ID: &str = "wk-0";
 
 #[derive(Debug)]
@@ -45,7 +45,7 @@
     done: Option<u32>,
     running: Option<u32>,
 ) -> Vec<u8> {
-    to_json(&JobAnswer {
+    to_json(&JobStatus {
         id: id.to_string(),
         state,
         done,
@@ -53,35 +53,35 @@
     })
 }
 
-pub(super) fn final_state(end: Final) -> JobState {
+pub(super) fn final_state(end: JobOutcome) -> JobState {
     match end {
-        Final::Done => JobState::Done,
-        Final::Cancelled => JobState::Cancelled,
+        JobOutcome::Done => JobState::Done,
+        JobOutcome::Cancelled => JobState::Cancelled,
     }
 }
 
-pub(super) fn being_rebuilt() -> Answer {
+pub(super) fn rebuilding_answer() -> Answer {
     Answer::busy("the state service has lost data and is being rebuilt", 1)
 }
 
 impl Core {
     pub(super) fn final_answer(&self, id: &str) -> Option<Answer> {
-        let end = self.mirror.end_of(id)?;
+        let end = self.mirror.outcome_of(id)?;
         let body = state_body(id, final_state(end), None, None);
         Some(Answer::new(200, body))
     }
 
     /// The store has lost data, and somebody may remember more than is known here: what is not final
     /// can't be told.
-    pub(super) fn unsaid(&self) -> bool {
-        self.incomplete() && !self.knows_enough()
+    pub(super) fn must_withhold_state(&self) -> bool {
+        self.store_is_incomplete() && !self.may_report_state()
     }
 
     /// The state of a live job, which only an acting leader may tell from memory, and only while
     /// no end of it, or cancellation of one that it needs, is being written: that write may be
     /// committed already, and another node may have told the user.
     fn live_answer(&self, id: &str) -> Option<Answer> {
-        if !self.acting() || self.unsaid() {
+        if !self.acting() || self.must_withhold_state() {
             return None;
         }
         let job = self.mirror.jobs.get(id)?;
@@ -100,10 +100,10 @@
         Some(Answer::new(200, body).until(self.leader_until()))
     }
 
-    pub(super) fn running_of(&self, id: &str, run: &Run) -> u32 {
+    pub(super) fn running_of(&self, id: &str, run: &JobRun) -> u32 {
         let Some(lead) = &self.lead else { return 0 };
         let running = |(row, machine): (&u32, &MachineId)| {
-            let key = TaskKey {
+            let key = TaskId {
                 job: Self::job_id(id),
                 row: *row,
             };
@@ -115,7 +115,7 @@
         run.placed.iter().filter(|x| running(*x)).count() as u32
     }
 
-    pub(super) fn user(&mut self, request: UserRequest) {
+    pub(super) fn serve_user(&mut self, request: UserRequest) {
         let id = match &request.what {
             Ask::Submit(spec) => spec.id.to_string(),
             Ask::Malformed(id, _) | Ask::Show(id) | Ask::Cancel(id) => id.clone(),
@@ -125,9 +125,9 @@
             return self.answer(request.ticket, answer);
         }
         if self.acting() {
-            return self.user_at_leader(&id, request);
+            return self.serve_as_leader(&id, request);
         }
-        if !stands(Guard::FreshRead) && matches!(request.what, Ask::Show(_)) {
+        if !stands(Safeguard::FreshRead) && matches!(request.what, Ask::Show(_)) {
             return match self.mirror.jobs.contains_key(id.as_str()) {
                 true => self.show_fresh(request.ticket, &id),
                 false => self.answer(request.ticket, Answer::error(404, "no such job")),
@@ -136,22 +136,22 @@
         if request.forwarded {
             // From a node that cannot reach the leader, or the state service: what needs no
             // leader is done here, if it can be.
-            if self.state_is_stale() {
+            if self.store_is_stale() {
                 return self.answer(request.ticket, Answer::busy("not the leader", 1));
             }
-            return self.user_without_leader(request);
+            return self.serve_without_leader(request);
         }
         if let Ask::Malformed(id, answer) = request.what {
-            return self.reread(id, ReadPurpose::Reject(request.ticket, answer));
+            return self.read_job_key(id, ReadPurpose::Reject(request.ticket, answer));
         }
-        self.pass_on(request);
+        self.forward_request(request);
     }
 
     /// Passes a request to the leader; without the state service, to whoever may serve it. When
     /// nobody is left to ask, it is served here as well as can be.
-    fn pass_on(&mut self, mut request: UserRequest) {
+    fn forward_request(&mut self, mut request: UserRequest) {
         let now = self.now.mono;
-        let stale = self.state_is_stale();
+        let stale = self.store_is_stale();
         let leader = self.leader_name();
         let reachable = |name: &str| self.peers_down.get(name).is_none_or(|t| now >= *t);
         // A submission needs no leader, and cannot wait to find out that there is none.
@@ -168,7 +168,7 @@
             .min_by_key(|p| leader != Some(*p))
             .map(str::to_string);
         let Some(peer) = peer else {
-            return self.user_without_leader(request);
+            return self.serve_without_leader(request);
         };
         let message = match &request.what {
             Ask::Submit(spec) => PeerRequest::Submit(spec.clone()),
@@ -186,14 +186,14 @@
     }
 
     /// The state service has not been heard for longer than it ever takes.
-    pub(super) fn state_is_stale(&self) -> bool {
+    pub(super) fn store_is_stale(&self) -> bool {
         self.now.mono > self.state_ok + STALE
     }
 
     /// Without the state service, this node finds out whether others serve.
-    pub(super) fn probe_peers(&mut self) {
+    pub(super) fn probe_unreachable_peers(&mut self) {
         let now = self.now.mono;
-        if !self.state_is_stale() || self.probed.is_some_and(|at| now < at + PROBE_EVERY) {
+        if !self.store_is_stale() || self.probed.is_some_and(|at| now < at + PROBE_INTERVAL) {
             return;
         }
         let n = self.settings.peers.len();
@@ -211,16 +211,16 @@
         });
     }
 
-    fn user_at_leader(&mut self, id: &str, request: UserRequest) {
+    fn serve_as_leader(&mut self, id: &str, request: UserRequest) {
         let ticket = request.ticket;
         match request.what {
             // A leader that may just be losing its lease lets another node accept the job.
             Ask::Submit(spec)
                 if !request.forwarded
-                    && self.state_is_stale()
+                    && self.store_is_stale()
                     && !self.mirror.jobs.contains_key(id) =>
             {
-                self.pass_on(UserRequest {
+                self.forward_request(UserRequest {
                     what: Ask::Submit(spec),
                     ..request
                 });
@@ -231,17 +231,17 @@
             },
             Ask::Malformed(id, answer) => match self.live_answer(&id) {
                 Some(known) => self.answer(ticket, known),
-                None => self.reread(id, ReadPurpose::Reject(ticket, answer)),
+                None => self.read_job_key(id, ReadPurpose::Reject(ticket, answer)),
             },
             Ask::Show(id) => match self.live_answer(&id) {
                 Some(answer) => self.answer(ticket, answer),
-                None => self.read_for_question(id, ticket),
+                None => self.read_for_query(id, ticket),
             },
             Ask::Cancel(id) => {
                 if self.mirror.jobs.contains_key(id.as_str()) {
                     self.cancel(ticket, &id);
                 } else {
-                    self.reread(id, ReadPurpose::Cancel(ticket));
+                    self.read_job_key(id, ReadPurpose::Cancel(ticket));
                 }
             }
         }
@@ -249,23 +249,30 @@
 
     /// The leader cannot be reached: jobs are accepted and read directly on the state service.
     /// Nothing is cancelled here, since the leader would not know it in time.
-    fn user_without_leader(&mut self, request: UserRequest) {
+    fn serve_without_leader(&mut self, request: UserRequest) {
         let ticket = request.ticket;
         // Nobody else is left to ask, and the state service would not be heard either: queued for it,
         // the request would be answered when its user has long gone.
-        if self.state_is_stale() {
+        if self.store_is_stale() {
             let answer = Answer::busy("the state service is not reached", 1);
             return self.answer(ticket, answer);
         }
         match request.what {
             Ask::Submit(spec) => self.accept(ticket, spec, request.received, false),
-            Ask::Show(id) => self.read_for_question(id, ticket),
-            Ask::Malformed(id, answer) => self.reread(id, ReadPurpose::Reject(ticket, answer)),
+            Ask::Show(id) => self.read_for_query(id, ticket),
+            Ask::Malformed(id, answer) => {
+                self.read_job_key(id, ReadPurpose::Reject(ticket, answer))
+            }
             Ask::Cancel(_) => self.answer(ticket, Answer::busy("no leader", 1)),
         }
     }
 
-    pub(super) fn forwarded(&mut self, ticket: Ticket, peer: String, answer: Option<PeerAnswer>) {
+    pub(super) fn forward_outcome(
+        &mut self,
+        ticket: Ticket,
+        peer: String,
+        answer: Option<PeerAnswer>,
+    ) {
         if answer.is_some() {
             self.peer_heard = self.now.mono;
         }
@@ -282,7 +289,9 @@
                 let body = match (a.state, &request.what) {
                     (Some(state), _) => state_body(&id, state, a.done, a.running),
                     // The leader's reason does not come along; this node mostly knows it too.
-                    (None, Ask::Submit(spec)) if a.status == 422 => self.refusal_of(spec).body,
+                    (None, Ask::Submit(spec)) if a.status == 422 => {
+                        self.rejection_reason(spec).body
+                    }
                     (None, _) => crate::wire::error_body("see the status"),
                 };
                 let mut answer = Answer::new(a.status, body);
@@ -294,30 +303,30 @@
                 .insert(peer, self.now.mono + Duration::from_secs(1));
         }
         // Meanwhile this node may have become the leader itself.
-        if self.acting() && !self.state_is_stale() {
-            self.user(request);
+        if self.acting() && !self.store_is_stale() {
+            self.serve_user(request);
         } else {
-            self.pass_on(request);
+            self.forward_request(request);
         }
     }
 
     /// Reads a job's key for a user's question, within the budget for these. Without a leader every
     /// question takes a read. Queued for the state service's limit they kept it busy for many
     /// seconds after their askers had gone, and submissions waited behind them.
-    fn read_for_question(&mut self, id: String, ticket: Ticket) {
+    fn read_for_query(&mut self, id: String, ticket: Ticket) {
         if self.read_budget.try_take(self.now.mono) {
-            self.reread(id, ReadPurpose::Show(ticket));
+            self.read_job_key(id, ReadPurpose::Show(ticket));
         } else {
             self.answer(ticket, Answer::busy("too many questions now", 1));
         }
     }
 
-    pub(super) fn reread(&mut self, id: String, purpose: ReadPurpose) {
+    pub(super) fn read_job_key(&mut self, id: String, purpose: ReadPurpose) {
         let key = job_key(&id);
-        self.ask_state(Pending::Read { id, purpose }, StateRequest::Get(key));
+        self.ask_state(Pending::Read { id, purpose }, StoreRequest::Get(key));
     }
 
-    pub(super) fn read(&mut self, id: String, purpose: ReadPurpose, outcome: StateOutcome) {
+    pub(super) fn read(&mut self, id: String, purpose: ReadPurpose, outcome: StoreOutcome) {
         let ticket = match &purpose {
             ReadPurpose::Show(t)
             | ReadPurpose::Accepted(t)
@@ -326,9 +335,9 @@
         };
         let accepted = matches!(purpose, ReadPurpose::Accepted(_));
         match outcome {
-            StateOutcome::Missing { .. } if self.mirror.jobs.contains_key(id.as_str()) => {
-                if !self.incomplete() {
-                    self.doubt("it has forgotten a job");
+            StoreOutcome::Missing { .. } if self.mirror.jobs.contains_key(id.as_str()) => {
+                if !self.store_is_incomplete() {
+                    self.suspect_data_loss("it has forgotten a job");
                     let answer = Answer::busy("the state service may have lost data", 1);
                     return self.answer(ticket, answer);
                 }
@@ -341,14 +350,14 @@
                     _ => self.show_fresh(ticket, &id),
                 }
             }
-            StateOutcome::Missing { .. } if self.unproven() => {
+            StoreOutcome::Missing { .. } if self.existence_is_uncertain() => {
                 // It may have been accepted all the same.
                 let answer = Answer::busy("whether it was accepted cannot be told yet", 3);
                 self.answer(ticket, answer);
             }
-            StateOutcome::Missing { .. } => match purpose {
+            StoreOutcome::Missing { .. } => match purpose {
                 ReadPurpose::Reject(_, answer) => self.answer(ticket, answer),
-                _ if stands(Guard::Unknown) => {
+                _ if stands(Safeguard::Unknown) => {
                     self.answer(ticket, Answer::error(404, "no such job"));
                 }
                 _ => {
@@ -356,7 +365,7 @@
                     self.answer(ticket, Answer::new(200, body));
                 }
             },
-            StateOutcome::Found(item) => {
+            StoreOutcome::Found(item) => {
                 let value: JobValue = match serde_json::from_value(item.value) {
                     Ok(v) => v,
                     Err(e) => {
@@ -365,7 +374,7 @@
                     }
                 };
                 self.mirror.put_job(&id, value, item.version);
-                self.take_in_jobs();
+                self.sync_job_runs();
                 let settled = self.final_answer(&id).is_some()
                     || self.mirror.jobs.contains_key(id.as_str()) && !self.awaits_others(&id);
                 if accepted && settled {
@@ -382,7 +391,7 @@
                     self.answer(ticket, Answer::busy("the leader changed", 1));
                 } else if self.awaits_others(&id) || !self.mirror.jobs.contains_key(id.as_str()) {
                     // Its own key does not tell how those that it needs have ended.
-                    self.ask_all(Question::Show(ticket, id));
+                    self.queue_barrier_query(Question::Show(ticket, id));
                 } else {
                     self.show_fresh(ticket, &id);
                 }
@@ -410,7 +419,7 @@
         let known = self.final_answer(id).or_else(|| self.live_answer(id));
         known.unwrap_or_else(|| match self.mirror.jobs.get(id) {
             None => Answer::busy("the state cannot be read now", 1),
-            Some(_) if self.unsaid() => being_rebuilt(),
+            Some(_) if self.must_withhold_state() => rebuilding_answer(),
             Some(job) => {
                 let done = job.done.len();
                 let state = if done > 0 {
--- a/src/core/rebuild.rs
+++ b/src/core/rebuild.rs
@@ -13,16 +13,16 @@
 //!   nothing is held; or when an operator settles it.
 
 use super::keys::{job_key, part_key};
-use super::lead::{Lead, WriteOp};
+use super::lead::{LeaderState, WriteOp};
 use super::leadership::json;
-use super::losses::run_out;
+use super::losses::lease_expiry;
 use super::machine::{Machine, StopReason};
 use super::mirror::{JobValue, MachineValue};
 use super::parts::{self, PartValue};
 use super::{Core, Effect, Ticket};
 use crate::http::Answer;
-use crate::job::{JobId, MachineId, Resources, TaskKey};
-use crate::recall::{Recall, Recalled};
+use crate::job::{JobId, MachineId, Resources, TaskId};
+use crate::recall::{MemoryPage, MemoryRequest};
 use crate::wire::{Change, to_json};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -35,11 +35,11 @@
 /// Added to twice the lag of the cloud's list.
 const LIST_MARGIN: Duration = Duration::from_millis(200);
 /// Held tasks that one view shows; the rest is counted.
-const MOST_SHOWN: usize = 100;
+const MAX_LISTED_TASKS: usize = 100;
 
 /// How far a controller has handed over its memory.
 #[derive(Clone, Debug, Default)]
-struct Memory {
+struct PeerMemory {
     /// The key after which it goes on.
     after: String,
     /// Asked, and not answered yet.
@@ -62,7 +62,7 @@
     /// Why it is known to have lost data, and when that was noticed (milliseconds since 1970).
     why: String,
     since_ms: u64,
-    memories: BTreeMap<String, Memory>,
+    memories: BTreeMap<String, PeerMemory>,
     /// A copy of the lost store was held here, or by whoever handed over theirs.
     copy: bool,
     /// An operator takes it as it is.
@@ -89,17 +89,17 @@
         self.settled || (self.copy && self.memories.values().all(|m| m.passes > 0))
     }
 
-    fn asked_twice(&self) -> bool {
+    fn all_queried_twice(&self) -> bool {
         self.settled || self.memories.values().all(|m| m.passes > 1)
     }
 
-    pub fn hold(&mut self, key: &TaskKey, machine: &MachineId) {
+    pub fn hold(&mut self, key: &TaskId, machine: &MachineId) {
         let rows = self.held.entry(key.job.clone()).or_default();
         rows.insert((key.row, machine.clone()));
     }
 
     /// The task is not on the machine any more.
-    pub fn let_go(&mut self, key: &TaskKey, machine: &MachineId) {
+    pub fn remove_held(&mut self, key: &TaskId, machine: &MachineId) {
         if let Some(rows) = self.held.get_mut(&key.job) {
             rows.remove(&(key.row, machine.clone()));
             if rows.is_empty() {
@@ -108,7 +108,7 @@
         }
     }
 
-    pub fn keep_result(&mut self, key: &TaskKey) {
+    pub fn record_result(&mut self, key: &TaskId) {
         let rows = self.held_done.entry(key.job.clone()).or_default();
         rows.insert(key.row);
     }
@@ -122,21 +122,21 @@
     }
 }
 
-impl Lead {
+impl LeaderState {
     /// Whether a task is of a job that may have been accepted all the same.
-    pub(super) fn may_be_forgotten(&self, known: bool) -> bool {
+    pub(super) fn may_be_of_lost_job(&self, known: bool) -> bool {
         !known && self.rebuild.as_ref().is_some_and(|r| !r.settled)
     }
 }
 
 impl Core {
     /// Called when a leadership begins, and when the mark appears.
-    pub(super) fn begin_rebuild(&mut self) {
+    pub(super) fn start_rebuild(&mut self) {
         let Some((mark, _)) = &self.mirror.rebuilding else {
             return;
         };
         let peers = self.settings.peers.iter();
-        let memories = peers.map(|p| (p.name.clone(), Memory::default()));
+        let memories = peers.map(|p| (p.name.clone(), PeerMemory::default()));
         let own = match &mark.of {
             Some(of) => self.custody.whole.contains(of),
             None => self.custody.had_copy,
@@ -177,28 +177,28 @@
     }
 
     /// Until the workers' leases have run out, a machine unknown to everybody may hold tasks.
-    fn leases_run_out(&self, lead: &Lead) -> bool {
-        self.now.mono > lead.since + run_out(self.settings.lease)
+    fn worker_leases_expired(&self, lead: &LeaderState) -> bool {
+        self.now.mono > lead.since + lease_expiry(self.settings.lease)
     }
 
     /// Whether the leader may speak of what is not final.
-    pub(super) fn knows_enough(&self) -> bool {
+    pub(super) fn may_report_state(&self) -> bool {
         let Some(lead) = &self.lead else { return false };
-        let complete = |r: &Rebuild| r.complete() || self.leases_run_out(lead);
+        let complete = |r: &Rebuild| r.complete() || self.worker_leases_expired(lead);
         self.acting() && lead.rebuild.as_ref().is_some_and(complete)
     }
 
     /// Whether tasks may be started, as far as a loss of data is concerned.
-    pub(super) fn may_start(&self, lead: &Lead) -> bool {
+    pub(super) fn may_start_tasks(&self, lead: &LeaderState) -> bool {
         let Some(r) = &lead.rebuild else { return true };
         let up = |id: &MachineId| lead.machines.get(id).is_none_or(|m| m.session > 0);
         let heard = lead.unresolved == 0 && r.booting.iter().all(up);
         let seen_all = r.complete() && r.listed && heard;
-        seen_all || self.leases_run_out(lead)
+        seen_all || self.worker_leases_expired(lead)
     }
 
     /// Called in every step of an acting leader.
-    pub(super) fn tend_rebuild(&mut self) {
+    pub(super) fn advance_rebuild(&mut self) {
         let now = self.now.mono;
         if self.mirror.rebuilding.is_none() {
             if let Some(lead) = &mut self.lead
@@ -214,10 +214,10 @@
             return;
         }
         if self.lead.as_ref().is_some_and(|l| l.rebuild.is_none()) {
-            self.begin_rebuild();
+            self.start_rebuild();
         }
         let Some(lead) = &self.lead else { return };
-        let starts = self.may_start(lead);
+        let starts = self.may_start_tasks(lead);
         let Some(lead) = &mut self.lead else { return };
         let (term, since) = (lead.term, lead.since);
         let Some(r) = &mut lead.rebuild else { return };
@@ -237,12 +237,12 @@
                 continue;
             }
             m.asked = true;
-            let recall = Recall {
+            let recall = MemoryRequest {
                 word_only: false,
                 after: m.after.clone(),
             };
             let peer = peer.clone();
-            self.out.push(Effect::Recall { peer, recall });
+            self.out.push(Effect::MemoryRequest { peer, recall });
         }
         if r.complete() && r.complete_at.is_none() {
             r.complete_at = Some(now);
@@ -256,16 +256,16 @@
         let w = &lead.writes;
         let written = self.mirror.owed.is_empty() && w.progress.is_empty() && w.ends.is_empty();
         let quiet = r.held.is_empty() && r.held_done.is_empty();
-        let over = r.complete() && r.asked_twice() && starts && (quiet || r.settled);
-        lead.writes.rebuilt = over && written && w.records.written();
+        let over = r.complete() && r.all_queried_twice() && starts && (quiet || r.settled);
+        lead.writes.rebuilt = over && written && w.records.all_written();
     }
 
     /// A page of another controller's memory, or no answer.
-    pub(super) fn memory_handed_over(
+    pub(super) fn take_memory_page(
         &mut self,
         peer: &str,
-        asked: &Recall,
-        answer: Option<Box<Recalled>>,
+        asked: &MemoryRequest,
+        answer: Option<Box<MemoryPage>>,
     ) {
         let now = self.now.mono;
         let memory = (self.lead.as_mut())
@@ -298,7 +298,7 @@
             Some((key, value.ok()?))
         });
         let jobs = self.join(read.collect());
-        self.custody.heed_term(told.term, now);
+        self.custody.observe_term(told.term, now);
         let Some(r) = self.lead.as_mut().and_then(|l| l.rebuild.as_mut()) else {
             return;
         };
@@ -313,18 +313,18 @@
             m.had_copy = same;
             r.copy |= same && m.passes > 0;
         }
-        self.heed_newer_term();
+        self.check_newer_term();
     }
 
     /// Takes in what somebody else remembers; says how many jobs, or ends of jobs, were new.
     fn join(&mut self, items: Vec<(String, serde_json::Value)>) -> usize {
         let now = self.now.mono;
         let new = self.mirror.remember(items);
-        self.take_in_jobs();
+        self.sync_job_runs();
         for (id, rows) in new.done {
             for row in rows {
                 let job = id.clone();
-                self.task_done(&TaskKey { job, row }, None);
+                self.task_completed(&TaskId { job, row }, None);
             }
         }
         for id in new.machines {
@@ -344,14 +344,14 @@
 
     /// Whether starts wait for a list of the cloud that can be asked for now, the last one having been
     /// asked for too early.
-    pub(super) fn list_is_due(&self, lead: &Lead, asked: Option<Instant>) -> bool {
+    pub(super) fn machine_list_due(&self, lead: &LeaderState, asked: Option<Instant>) -> bool {
         let from = lead.since + self.settings.list_lag * 2 + LIST_MARGIN;
         let waits = lead.rebuild.as_ref().is_some_and(|r| !r.listed);
         waits && self.now.mono >= from && asked.is_none_or(|t| t < from)
     }
 
     /// A list of the cloud was read while a store is rebuilt: whatever it shows may hold tasks.
-    pub(super) fn heed_list(
+    pub(super) fn observe_machine_list(
         &mut self,
         sent: Instant,
         unknown: Vec<(MachineId, MachineValue)>,
@@ -375,7 +375,7 @@
     }
 
     /// A job has become known that tasks on machines are of.
-    pub(super) fn adopt(&mut self, id: &JobId) {
+    pub(super) fn adopt_job(&mut self, id: &JobId) {
         let now = self.now.mono;
         if !self.mirror.knows(id) {
             return;
@@ -392,7 +392,7 @@
         let job = self.mirror.jobs.get(id);
         let mut adopted = Vec::new();
         for (row, machine) in held {
-            let key = TaskKey {
+            let key = TaskId {
                 job: id.clone(),
                 row,
             };
@@ -420,17 +420,17 @@
         }
         lead.plan_again = true;
         for (key, machine) in adopted {
-            self.stop_doubles(&key, &machine);
+            self.stop_duplicates(&key, &machine);
         }
         for row in done {
             let job = id.clone();
-            self.task_done(&TaskKey { job, row }, None);
+            self.task_completed(&TaskId { job, row }, None);
         }
     }
 
     /// Held tasks are of some team, and nothing tells of which: they count towards each of them with
     /// all that their machines have.
-    pub(super) fn held_room(&self, lead: &Lead) -> Resources {
+    pub(super) fn held_resources(&self, lead: &LeaderState) -> Resources {
         let mut room = Resources::default();
         let machines = lead.rebuild.iter().flat_map(Rebuild::held_machines);
         for m in machines.filter_map(|id| lead.machines.get(id)) {
@@ -442,7 +442,11 @@
     }
 
     /// The changes that bring one owed job back: its key, or the next parts of a large one.
-    pub(super) fn owed_changes(&self, id: &JobId, most: usize) -> Option<(Vec<Change>, WriteOp)> {
+    pub(super) fn missing_job_changes(
+        &self,
+        id: &JobId,
+        most: usize,
+    ) -> Option<(Vec<Change>, WriteOp)> {
         let value = self.mirror.job_value(id)?;
         let bytes = self.settings.value_bytes / 16 * 15;
         let size = to_json(&value).len();
@@ -510,7 +514,7 @@
         );
         for (job, rows) in held {
             for (row, machine) in rows {
-                let key = TaskKey {
+                let key = TaskId {
                     job: job.clone(),
                     row,
                 };
@@ -528,7 +532,7 @@
 
     /// A snapshot, or a page of one, offered as one more memory; `store` is the one that it is of, and
     /// `last` says that with this page it is whole.
-    pub(super) fn offered(
+    pub(super) fn merge_snapshot(
         &mut self,
         ticket: Ticket,
         store: &str,
@@ -560,7 +564,7 @@
     }
 
     /// For the status view.
-    pub(super) fn rebuild_view(&self) -> serde_json::Value {
+    pub(super) fn rebuild_status(&self) -> serde_json::Value {
         if let Some(loss) = &self.custody.lost {
             return serde_json::json!({"lost": loss.why, "waits": "for a new leader"});
         }
@@ -587,7 +591,7 @@
             .held_done
             .iter()
             .flat_map(|(job, rows)| rows.iter().map(move |row| format!("{job}/{row} done")));
-        let waits = if self.may_start(lead) {
+        let waits = if self.may_start_tasks(lead) {
             None
         } else if !r.complete() {
             Some("for what other controllers remember")
@@ -603,23 +607,23 @@
             "memories": memories.collect::<Vec<_>>(),
             "from_snapshots": r.offered, "adopted": r.adopted,
             "held_tasks": r.held_tasks(), "held_results": r.held_done.values().map(BTreeSet::len).sum::<usize>(),
-            "held": held.chain(done).take(MOST_SHOWN).collect::<Vec<_>>(),
+            "held": held.chain(done).take(MAX_LISTED_TASKS).collect::<Vec<_>>(),
         })
     }
 
     /// What monitoring is told: losses noticed, jobs to write back, tasks held.
-    pub(super) fn rebuild_figures(&self) -> [f64; 4] {
+    pub(super) fn rebuild_metrics(&self) -> [f64; 4] {
         let r = self.lead.as_ref().and_then(|l| l.rebuild.as_ref());
         [
             self.custody.losses as f64,
-            f64::from(u8::from(self.incomplete())),
+            f64::from(u8::from(self.store_is_incomplete())),
             self.mirror.owed.len() as f64,
             r.map_or(0, Rebuild::held_tasks) as f64,
         ]
     }
 }
 
-impl Lead {
+impl LeaderState {
     /// A machine that may hold tasks and is on nobody's record here.
     fn expect_machine(&mut self, id: &MachineId, value: &MachineValue, now: Instant) {
         let since = self.since;
--- a/src/core/records.rs
+++ b/src/core/records.rs
@@ -10,14 +10,14 @@
 //! first, and those that take them on follow.
 
 use super::keys::{machine_key, page_key};
-use super::mirror::{MachineValue, Mirror, PageValue};
+use super::mirror::{MachineValue, PageValue, StoreCache};
 use crate::job::MachineId;
 use crate::wire::{Change, to_json};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
 /// A machine that is gone may stay on record this long: a new leader would only ask in vain.
-const FORGET_DELAY: Duration = Duration::from_secs(2);
+const STALE_PAGE_DELAY: Duration = Duration::from_secs(2);
 
 #[derive(Default)]
 struct Page {
@@ -27,7 +27,7 @@
 
 /// The pages as they are or will be in the state service, and what is to be written of them.
 #[derive(Default)]
-pub struct Records {
+pub struct MachineRecords {
     /// Bytes that a page may have.
     limit: usize,
     pages: Vec<Page>,
@@ -57,13 +57,13 @@
     id.len() + to_json(value).len() + 4
 }
 
-impl Records {
+impl MachineRecords {
     /// What a new leader finds on record.
-    pub fn new(mirror: &Mirror, value_bytes: usize) -> Records {
-        let mut r = Records {
+    pub fn new(mirror: &StoreCache, value_bytes: usize) -> MachineRecords {
+        let mut r = MachineRecords {
             limit: value_bytes / 8 * 7,
             alone: mirror.alone.clone(),
-            ..Records::default()
+            ..MachineRecords::default()
         };
         for (&n, ids) in &mirror.pages {
             // A page far beyond any number written here is not ours; it stays as it is.
@@ -109,7 +109,7 @@
     /// Takes a machine that is gone off its page, to be written when convenient.
     pub fn remove(&mut self, id: &MachineId, now: Instant) {
         if self.alone.remove(id) {
-            self.drop_alone(id.clone());
+            self.delete_single_key(id.clone());
         }
         let Some(n) = self.home.remove(id) else {
             return;
@@ -129,7 +129,7 @@
         }
         self.refused.retain(|_, until| now < *until);
         let fits = |n: usize| self.pieces(n) <= most && !self.refused.contains_key(&n);
-        let late = |since: Instant| !only_new && now >= since + FORGET_DELAY;
+        let late = |since: Instant| !only_new && now >= since + STALE_PAGE_DELAY;
         let due = self.due.iter().copied().find(|n| fits(*n));
         let n = due.or_else(|| {
             let mut stale = self.stale.iter();
@@ -216,12 +216,12 @@
     }
 
     /// Whether all machines that may hold tasks are on record.
-    pub fn written(&self) -> bool {
+    pub fn all_written(&self) -> bool {
         self.due.is_empty() && self.bound.is_empty()
     }
 
     /// The pages were not written after all.
-    pub fn again(&mut self, pages: Vec<usize>) {
+    pub fn requeue(&mut self, pages: Vec<usize>) {
         match pages.as_slice() {
             [n] => {
                 self.due.insert(*n);
@@ -231,18 +231,18 @@
     }
 
     /// The service refuses this page; it is tried again later.
-    pub fn put_off(&mut self, n: usize, until: Instant) {
+    pub fn defer(&mut self, n: usize, until: Instant) {
         self.refused.insert(n, until);
         self.due.insert(n);
     }
 
     /// This key of a single machine is to be deleted.
-    pub fn drop_alone(&mut self, id: MachineId) {
+    pub fn delete_single_key(&mut self, id: MachineId) {
         self.to_drop.insert(id);
     }
 
     /// The next key of a single machine to delete.
-    pub fn next_alone(&mut self) -> Option<Change> {
+    pub fn next_single_key_deletion(&mut self) -> Option<Change> {
         let id = self.to_drop.pop_first()?;
         Some(Change::Delete {
             key: machine_key(&id),
--- a/src/core/records/tests.rs
+++ b/src/core/records/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::wire::{Event, Item};
+use crate::wire::{Item, WatchEvent};
 
 fn value(i: usize) -> MachineValue {
     MachineValue {
@@ -10,12 +10,12 @@
     }
 }
 
-fn told(mirror: &mut Mirror, change: Change, version: u64) {
+fn told(mirror: &mut StoreCache, change: Change, version: u64) {
     let (put, delete, value) = match change {
         Change::Put { key, value, .. } => (Some(key), None, value),
         Change::Delete { key } => (None, Some(key), serde_json::Value::Null),
     };
-    let event = Event {
+    let event = WatchEvent {
         put,
         delete,
         value,
@@ -29,7 +29,7 @@
 /// one and all at once, and those of an earlier version's keys too.
 #[test]
 fn a_thousand_machines_are_on_record_in_a_few_pages_and_leave_it_again() {
-    let mut mirror = Mirror::default();
+    let mut mirror = StoreCache::default();
     let old = Item {
         key: machine_key("i-old"),
         value: serde_json::to_value(value(0)).unwrap(),
@@ -38,7 +38,7 @@
     };
     mirror.reset(vec![old], 1);
     let now = Instant::now();
-    let mut r = Records::new(&mirror, 8192);
+    let mut r = MachineRecords::new(&mirror, 8192);
     let ids: Vec<MachineId> = (0..1000).map(|i| format!("i-{i:06}").into()).collect();
     let (mut version, mut writes) = (1, 0);
     for (i, id) in ids.iter().enumerate() {
@@ -58,19 +58,23 @@
     assert_eq!(mirror.machines.len(), 1001);
 
     // Another leader takes over what it finds and forgets most of it.
-    let mut r = Records::new(&mirror, 8192);
+    let mut r = MachineRecords::new(&mirror, 8192);
     for id in ids.iter().skip(10) {
         r.remove(id, now);
     }
     r.remove(&"i-old".into(), now);
     assert!(r.next(now, false, 9).is_none());
-    while let Some(write) = r.next(now + FORGET_DELAY, false, 9) {
+    while let Some(write) = r.next(now + STALE_PAGE_DELAY, false, 9) {
         version += 1;
         for change in write.changes {
             told(&mut mirror, change, version);
         }
     }
-    told(&mut mirror, r.next_alone().unwrap(), version + 1);
+    told(
+        &mut mirror,
+        r.next_single_key_deletion().unwrap(),
+        version + 1,
+    );
     let left: Vec<&MachineId> = mirror.machines.keys().collect();
     assert_eq!(left, ids.iter().take(10).collect::<Vec<_>>());
 }
--- a/src/core/recovery.rs
+++ b/src/core/recovery.rs
@@ -4,25 +4,25 @@
 //! task of an old job that nobody has shown yet is started only when each of those machines has
 //! shown all it has, or can have nothing.
 
-use super::commands::MOST_DIRECT;
-use super::lead::Lead;
+use super::commands::MAX_DIRECT_CALLS;
+use super::lead::LeaderState;
 use super::leadership::LEASE_TTL;
 use super::machine::Machine;
 use super::{Core, Effect, Pending};
-use crate::job::{MachineId, TaskKey};
+use crate::job::{MachineId, TaskId};
 use crate::worker::DirectRequest;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
 /// Between two questions to a machine of which older reports come.
-const ASK_AGAIN: Duration = Duration::from_secs(2);
+const RESTART_PROBE_INTERVAL: Duration = Duration::from_secs(2);
 /// So long a new leader waits for other controllers to say which machines they see to.
-const OTHERS_FIRST: Duration = Duration::from_millis(400);
+const DELEGATE_HEAD_START: Duration = Duration::from_millis(400);
 
-impl Lead {
+impl LeaderState {
     /// A machine that has yet to show the token and that nobody is about. Those that were not asked
     /// yet come first: one that did not answer takes a call for long.
-    pub(super) fn next_to_ask(&mut self, now: Instant) -> Option<MachineId> {
+    pub(super) fn next_probe(&mut self, now: Instant) -> Option<MachineId> {
         loop {
             let id = self.to_ask.pop().or_else(|| {
                 self.ask_again.first().filter(|(at, _)| *at <= now)?;
@@ -42,7 +42,7 @@
     }
 
     /// A machine in this zone has answered a call.
-    pub(super) fn calls_reach(&mut self, zone: &str) {
+    pub(super) fn mark_zone_reachable(&mut self, zone: &str) {
         if !self.answering.contains(zone) {
             self.answering.insert(zone.to_string());
         }
@@ -51,7 +51,7 @@
 
 impl Core {
     /// Begins a leadership: all recorded machines are asked at once.
-    pub(super) fn recover(&mut self) {
+    pub(super) fn start_recovery(&mut self) {
         let now = self.now.mono;
         let Some(lead) = &mut self.lead else { return };
         for (id, value) in &self.mirror.machines {
@@ -90,43 +90,43 @@
         let ours = |id: &MachineId| self.relay.serves(id, now);
         if self.delegating && turns.iter().any(ours) {
             let others: Vec<MachineId> = turns.extract_if(.., |id| !ours(id)).collect();
-            let later = now + OTHERS_FIRST;
+            let later = now + DELEGATE_HEAD_START;
             lead.ask_again = others.into_iter().map(|id| (later, id)).collect();
         }
         lead.to_hear = lead.unresolved;
         lead.to_ask = turns;
-        self.ask_machines();
+        self.probe_machines();
     }
 
     /// Asks as many machines as there are calls to spare; those that have reported meanwhile
     /// need not be asked.
-    pub(super) fn ask_machines(&mut self) {
+    pub(super) fn probe_machines(&mut self) {
         let now = self.now.mono;
         while let Some(lead) = &mut self.lead
-            && lead.calls_out < MOST_DIRECT
-            && let Some(id) = lead.next_to_ask(now)
+            && lead.calls_out < MAX_DIRECT_CALLS
+            && let Some(id) = lead.next_probe(now)
         {
-            self.ask_machine(&id);
+            self.probe_machine(&id);
         }
     }
 
     /// A report came that is older than what is known: a copy that comes late, or the machine has begun
     /// anew and counts from one. Its answer to a question that is asked now tells which.
-    pub(super) fn ask_whether_it_began_anew(&mut self, id: &MachineId) {
+    pub(super) fn probe_for_restart(&mut self, id: &MachineId) {
         let now = self.now.mono;
         let Some(lead) = &mut self.lead else { return };
-        let free = lead.calls_out < MOST_DIRECT;
-        let Some(m) = lead.machines.get_unnoted(id) else {
+        let free = lead.calls_out < MAX_DIRECT_CALLS;
+        let Some(m) = lead.machines.get_mut_quiet(id) else {
             return;
         };
         if !free || m.call.is_some() || m.session == 0 || now < m.push_after {
             return;
         }
-        m.push_after = now + ASK_AGAIN;
+        m.push_after = now + RESTART_PROBE_INTERVAL;
         // Shown with the question: what was sent to its former life is refused from then on.
         m.epoch += 1;
-        self.ask_machine(id);
-        if let Some(m) = (self.lead.as_mut()).and_then(|l| l.machines.get_unnoted(id))
+        self.probe_machine(id);
+        if let Some(m) = (self.lead.as_mut()).and_then(|l| l.machines.get_mut_quiet(id))
             && let Some(call) = m.call
         {
             m.asked = Some(((m.session, m.seq), call));
@@ -134,7 +134,7 @@
     }
 
     /// The machine has begun anew, with nothing of what was on it, and counts its reports from one.
-    pub(super) fn begins_anew(&mut self, id: &MachineId, seen: u64) {
+    pub(super) fn machine_restarted(&mut self, id: &MachineId, seen: u64) {
         let Some(lead) = &mut self.lead else { return };
         let term = lead.term;
         let Some(m) = lead.machines.get_mut(id) else {
@@ -145,13 +145,13 @@
         (m.doubt, m.answered, m.session_over) = (None, false, false);
         m.exited.clear();
         m.images.clear();
-        m.not_heard_by(term);
+        m.require_token_proof(term);
         let tasks = m.tasks.keys().cloned().collect();
-        self.lose(id, tasks, "it has begun anew");
+        self.tasks_lost(id, tasks, "it has begun anew");
     }
 
     /// Shows a machine the new token and asks what it has.
-    fn ask_machine(&mut self, id: &MachineId) {
+    fn probe_machine(&mut self, id: &MachineId) {
         let Some(until) = self.leader_until() else {
             return;
         };
@@ -178,23 +178,23 @@
     }
 
     /// What this machine has, of which nothing was certain before.
-    fn stop_doubles_of(&mut self, id: &MachineId) {
+    fn stop_duplicates_on(&mut self, id: &MachineId) {
         let Some(lead) = &self.lead else { return };
         let Some(m) = lead.machines.get(id) else {
             return;
         };
-        let double = |key: &&TaskKey| {
+        let double = |key: &&TaskId| {
             let run = lead.runs.get(&key.job);
-            run.is_some_and(|r| !r.holders(key.row).is_empty())
+            run.is_some_and(|r| !r.assigned_machines(key.row).is_empty())
         };
-        let doubles: Vec<TaskKey> = m.tasks.keys().filter(double).cloned().collect();
+        let doubles: Vec<TaskId> = m.tasks.keys().filter(double).cloned().collect();
         for key in doubles {
-            self.stop_doubles(&key, id);
+            self.stop_duplicates(&key, id);
         }
     }
 
     /// A machine has shown everything, or has nothing.
-    pub(super) fn resolve(&mut self, id: &MachineId, how: &str) {
+    pub(super) fn resolve_machine(&mut self, id: &MachineId, how: &str) {
         let Some(lead) = &mut self.lead else { return };
         let machine = lead.machines.get_mut(id);
         let known = machine.is_some_and(|m| {
@@ -204,7 +204,7 @@
         if known {
             lead.unresolved -= 1;
             lead.plan_again = true;
-            self.stop_doubles_of(id);
+            self.stop_duplicates_on(id);
             let Some(lead) = &mut self.lead else { return };
             tracing::debug!(term = lead.term, machine = %id, "term {}: machine {id} is known: {how}", lead.term);
             let took = (self.now.mono - lead.since).as_millis();
--- a/src/core/relay.rs
+++ b/src/core/relay.rs
@@ -7,41 +7,44 @@
 //! at the very moment at which a new leader has most to do. When it comes, the workers need not
 //! look for it, and this controller shows them its token.
 
-use super::commands::MOST_DIRECT;
-use super::lead::{HEARTBEAT, Lead};
+use super::commands::MAX_DIRECT_CALLS;
+use super::lead::{HEARTBEAT, LeaderState};
 use super::report_queue::{ReportQueue, Waiting};
-use super::reports::led_to;
+use super::reports::redirect_to;
 use super::{Core, Effect, Pending, Ticket};
-use crate::guard::{Guard, stands};
+use crate::guard::{Safeguard, stands};
 use crate::http::Answer;
 use crate::job::MachineId;
-use crate::link::{self, Heard, Relayed, Sync, Synced, Told, ToldKind};
-use crate::wire::{DirectBody, Report, ReportAnswer, to_json};
+use crate::link::{
+    self, AnsweredHeartbeat, HeartbeatBatch, HeartbeatBatchResponse, RelayedHeartbeat,
+    RelayedOutcome, RelayedResponse,
+};
+use crate::wire::{DirectCommands, Heartbeat, HeartbeatResponse, to_json};
 use crate::worker::{DirectOutcome, DirectRequest};
 use burlusher_membership::digest::{Digest, Digester};
-use burlusher_membership::grant::Held;
+use burlusher_membership::grant::HeldGrant;
 use burlusher_membership::share;
-use burlusher_membership::view::Abilities;
+use burlusher_membership::view::Capabilities;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
 /// A leader that granted in this term may be dead with its key still there, for the lease's time
 /// less what passed before its word was over. Until then reports wait: sent on to it, their workers
 /// would go from node to node.
-const HOPE: Duration = Duration::from_millis(1800);
+const LEADER_WAIT: Duration = Duration::from_millis(1800);
 /// A leader at work answers a frame in a small part of this.
 const LATE: Duration = Duration::from_millis(350);
 /// Reports that come closer together than this go together, as far as a frame takes them.
 const GATHER: Duration = Duration::from_millis(50);
 /// A worker waits 4 s for an answer, and its report was under way for a moment.
-const LONGEST_WAIT: Duration = Duration::from_millis(3000);
-const LATEST_ANSWER: Duration = Duration::from_millis(3400);
+const MAX_WAIT: Duration = Duration::from_millis(3000);
+const RESPONSE_DEADLINE: Duration = Duration::from_millis(3400);
 /// After failures in a row, the leader is left alone for this long, doubled each time up to the
 /// longest: it may be a version that drops the connection. One that granted just now is asked at
 /// the shortest pace: a lost packet, or a cut that may end.
 const BACK_OFF: Duration = Duration::from_millis(200);
-const HOPEFUL_BACK_OFF: Duration = Duration::from_millis(300);
-const LONGEST_BACK_OFF: Duration = Duration::from_secs(5);
+const SHORT_BACK_OFF: Duration = Duration::from_millis(300);
+const MAX_BACK_OFF: Duration = Duration::from_secs(5);
 /// A leader that does not work like this is asked again after this long.
 const REFUSED: Duration = Duration::from_secs(10);
 
@@ -67,7 +70,7 @@
 #[derive(Default)]
 pub struct Relay {
     incarnation: u64,
-    pub(super) grant: Option<Held>,
+    pub(super) grant: Option<HeldGrant>,
     workers: BTreeMap<MachineId, Worker>,
     /// Workers that were answered here, of which the leader has yet to be told.
     untold: BTreeSet<MachineId>,
@@ -131,7 +134,7 @@
     }
 
     /// This controller led until now: the workers that reported to it stay with it.
-    pub fn succeed(&mut self, lead: &Lead) {
+    pub fn adopt_workers(&mut self, lead: &LeaderState) {
         self.grant = None;
         for m in lead.machines.values() {
             if m.session > 0 && m.via.is_none() && !m.session_over {
@@ -148,7 +151,7 @@
         }
     }
 
-    fn digest(&self, r: &Report) -> Digest {
+    fn digest(&self, r: &Heartbeat) -> Digest {
         let mut d = Digester::new(self.incarnation);
         d.text(&r.addr);
         d.number(u64::from(r.spot) + 2 * u64::from(r.notice.is_some()));
@@ -162,7 +165,7 @@
 
     /// The token to answer this report with, if it says what the last one said and that was all
     /// that the leader wanted to hear.
-    fn same_again(&mut self, report: &Report, now: Instant) -> Option<u64> {
+    fn steady_answer(&mut self, report: &Heartbeat, now: Instant) -> Option<u64> {
         let digest = self.digest(report);
         let w = self.workers.get_mut(&report.machine)?;
         let (said, token) = w.calm?;
@@ -184,14 +187,14 @@
     }
 
     /// A worker that is to go elsewhere.
-    fn move_one(&mut self, id: &MachineId) -> Option<String> {
+    fn next_reassignment(&mut self, id: &MachineId) -> Option<String> {
         let to = share::take_one(&mut self.moves)?;
         self.workers.remove(id);
         Some(to)
     }
 
     /// The leader's word for an answer: what was lent under an earlier one is void.
-    fn hold(&mut self, held: Held, now: Instant) {
+    fn hold(&mut self, held: HeldGrant, now: Instant) {
         let unbroken = self.grant.is_some_and(|g| g.holds(held.term, now));
         if !unbroken {
             // The leader has counted everything lent as back when the grant ran out.
@@ -208,7 +211,7 @@
     }
 
     /// Machines whose reports were answered here, as many as a frame takes.
-    fn heard_for_frame(&mut self, now: Instant) -> Vec<Heard> {
+    fn heard_for_frame(&mut self, now: Instant) -> Vec<AnsweredHeartbeat> {
         let mut heard = Vec::new();
         let mut size = 0;
         while size < link::MOST_HEARD_BYTES
@@ -216,7 +219,7 @@
         {
             if let Some(w) = self.workers.get(&id) {
                 size += link::size_of_heard(&id);
-                heard.push(Heard {
+                heard.push(AnsweredHeartbeat {
                     machine: id,
                     session: w.session,
                     seq: w.seq,
@@ -236,7 +239,7 @@
         self.acknowledged
     }
 
-    fn sweep(&mut self, now: Instant, lease: Duration) {
+    fn drop_expired_workers(&mut self, now: Instant, lease: Duration) {
         if self.swept.is_some_and(|t| now < t + Duration::from_secs(5)) {
             return;
         }
@@ -248,28 +251,28 @@
 
 impl Core {
     /// A worker reports here, and another controller leads, or none.
-    pub(super) fn report_to_follower(&mut self, ticket: Ticket, report: Box<Report>) {
+    pub(super) fn relay_heartbeat(&mut self, ticket: Ticket, report: Box<Heartbeat>) {
         let now = self.now.mono;
-        self.heed_token(report.token);
+        self.observe_fencing_token(report.token);
         if !self.delegating {
             return self.redirect(ticket);
         }
         if let Some(grant) = self.relay.grant
-            && (grant.holds(self.mirror.term, now) || !stands(Guard::Grant))
-            && let Some(token) = self.relay.same_again(&report, now)
+            && (grant.holds(self.mirror.term, now) || !stands(Safeguard::Grant))
+            && let Some(token) = self.relay.steady_answer(&report, now)
         {
-            let answer = match self.relay.move_one(&report.machine) {
-                Some(to) => led_to(&to),
+            let answer = match self.relay.next_reassignment(&report.machine) {
+                Some(to) => redirect_to(&to),
                 None => {
                     let orders = Vec::new();
-                    let body = to_json(&ReportAnswer { token, orders });
-                    let until = stands(Guard::Grant).then_some(grant.until);
+                    let body = to_json(&HeartbeatResponse { token, orders });
+                    let until = stands(Safeguard::Grant).then_some(grant.until);
                     Answer::new(200, body).until(until)
                 }
             };
             return self.answer(ticket, answer);
         }
-        if self.state_is_stale() || !self.leader_may_answer() {
+        if self.store_is_stale() || !self.may_wait_for_leader() {
             return self.redirect(ticket);
         }
         if !self.relay.waiting.has_room(&self.settings) {
@@ -284,16 +287,17 @@
 
     /// Whether it is of use to let reports wait for the leader's answer: there is none, or one that
     /// has not failed to answer, or one that granted in this term and may be gone.
-    fn leader_may_answer(&self) -> bool {
+    fn may_wait_for_leader(&self) -> bool {
         let now = self.now.mono;
         let term = self.mirror.term;
-        let hopeful = (self.relay.grant).is_some_and(|g| g.term == term && now < g.until + HOPE);
+        let hopeful =
+            (self.relay.grant).is_some_and(|g| g.term == term && now < g.until + LEADER_WAIT);
         let failing = self.relay.asked_in == term && self.relay.not_before.is_some();
         self.leader_name().is_none() || hopeful || !failing
     }
 
     /// This controller has come to lead: what waited for a leader is answered here.
-    pub(super) fn take_over_reports(&mut self) -> Vec<(Ticket, MachineId)> {
+    pub(super) fn drain_waiting_heartbeats(&mut self) -> Vec<(Ticket, MachineId)> {
         if !self.acting() || self.relay.waiting.is_empty() {
             return Vec::new();
         }
@@ -303,7 +307,7 @@
                 Some(ticket) => out.extend(self.report(ticket, w.report)),
                 None => {
                     let id = w.report.machine.clone();
-                    self.absorb(&id, *w.report, false);
+                    self.apply_heartbeat(&id, *w.report, false);
                 }
             }
         }
@@ -311,13 +315,13 @@
     }
 
     /// Called at the end of each step of a controller that does not lead.
-    pub(super) fn tend_relay(&mut self) {
+    pub(super) fn advance_relay(&mut self) {
         if !self.delegating {
             return;
         }
         let now = self.now.mono;
-        self.relay.sweep(now, self.settings.lease);
-        while let Some(w) = self.relay.waiting.pop_overdue(now, LONGEST_WAIT) {
+        self.relay.drop_expired_workers(now, self.settings.lease);
+        while let Some(w) = self.relay.waiting.pop_overdue(now, MAX_WAIT) {
             if let Some(ticket) = w.ticket {
                 self.answer(ticket, Answer::busy("no leader yet", 1));
             }
@@ -327,7 +331,7 @@
             self.relay.asked_in = self.mirror.term;
             (self.relay.failures, self.relay.not_before) = (0, None);
         }
-        self.show_token();
+        self.send_token_probes();
         let me = self.settings.name.as_str();
         let leader = self.leader_name().filter(|n| *n != me);
         let Some(leader) = leader.map(str::to_string) else {
@@ -344,31 +348,31 @@
         let early = relay.last_sent.is_some_and(|t| now < t + pause)
             || relay.not_before.is_some_and(|t| now < t);
         let known = self.settings.peers.iter().any(|p| p.name == leader);
-        if relay.sent.is_some() || early || !known || self.state_is_stale() {
+        if relay.sent.is_some() || early || !known || self.store_is_stale() {
             return;
         }
-        self.send_sync(leader);
+        self.send_batch(leader);
     }
 
-    fn send_sync(&mut self, leader: String) {
+    fn send_batch(&mut self, leader: String) {
         let now = self.now.mono;
         let term = self.mirror.term;
         let recent = self.settings.report * 5 / 2;
         let relay = &mut self.relay;
         relay.number += 1;
         relay.last_sent = Some(now);
-        let mut sync = Sync {
+        let mut sync = HeartbeatBatch {
             from: self.settings.name.clone(),
             incarnation: relay.incarnation,
             number: relay.number,
-            abilities: Abilities::REPORTS.0,
+            abilities: Capabilities::REPORTS.0,
             load: (relay.workers.values())
                 .filter(|w| now.saturating_duration_since(w.seen) < recent)
                 .count() as u32,
             to_show: (relay.to_show.len() + relay.shows_out) as u32,
             term: relay.grant.map_or(0, |g| g.term),
             failed: relay.failed_for_frame(),
-            ..Sync::default()
+            ..HeartbeatBatch::default()
         };
         if relay.introduced != term {
             let lately = |w: &&Worker| now.saturating_duration_since(w.seen) < recent;
@@ -381,7 +385,7 @@
         sync.answered = relay.acknowledge();
         let reports = relay.waiting.take_frame();
         sync.reports = (reports.iter().enumerate())
-            .map(|(n, w)| Relayed {
+            .map(|(n, w)| RelayedHeartbeat {
                 name: w.ticket.map_or(0, |_| n as u64 + 1),
                 report: w.report.clone(),
             })
@@ -394,7 +398,7 @@
             to: leader.clone(),
             reports,
         });
-        self.out.push(Effect::Sync {
+        self.out.push(Effect::HeartbeatBatch {
             peer: leader,
             number,
             frame,
@@ -402,7 +406,11 @@
     }
 
     /// The leader's answer to our frame, or that there is none.
-    pub(super) fn synced(&mut self, number: u64, answer: Option<Box<Synced>>) {
+    pub(super) fn batch_answered(
+        &mut self,
+        number: u64,
+        answer: Option<Box<HeartbeatBatchResponse>>,
+    ) {
         let now = self.now.mono;
         let Some(sent) = self.relay.sent.take_if(|s| s.number == number) else {
             return;
@@ -410,32 +418,32 @@
         let Some(answer) = answer.filter(|a| a.number == number) else {
             self.relay.failures += 1;
             let wait = BACK_OFF * 2u32.pow(self.relay.failures.min(6));
-            let hopeful = (self.relay.grant).is_some_and(|g| now < g.until + HOPE);
+            let hopeful = (self.relay.grant).is_some_and(|g| now < g.until + LEADER_WAIT);
             if hopeful {
-                self.relay.not_before = Some(now + HOPEFUL_BACK_OFF);
+                self.relay.not_before = Some(now + SHORT_BACK_OFF);
             } else if self.relay.failures > 1 {
-                self.relay.not_before = Some(now + wait.min(LONGEST_BACK_OFF));
+                self.relay.not_before = Some(now + wait.min(MAX_BACK_OFF));
             }
             tracing::debug!("{} gives no answer for our workers", sent.to);
-            return self.wait_again(sent.reports);
+            return self.requeue_heartbeats(sent.reports);
         };
         self.relay.failures = 0;
         self.relay.not_before = None;
         self.peer_heard = now;
         if answer.refused {
             self.relay.not_before = Some(now + REFUSED);
-            return self.wait_again(sent.reports);
+            return self.requeue_heartbeats(sent.reports);
         }
         // It does not lead, or not yet, or not any more.
         let succeeded = (self.relay.grant).is_some_and(|g| g.term > answer.term);
         if answer.grant.is_zero() || succeeded {
-            return self.wait_again(sent.reports);
+            return self.requeue_heartbeats(sent.reports);
         }
-        let held = Held::new(answer.term, sent.at, answer.grant);
-        self.view.heard(&sent.to, 0, Abilities::REPORTS, 0, now);
+        let held = HeldGrant::new(answer.term, sent.at, answer.grant);
+        self.view.heard(&sent.to, 0, Capabilities::REPORTS, 0, now);
         for m in &answer.members {
             let at = now.checked_sub(m.age).unwrap_or(now);
-            (self.view).told(&m.name, Abilities(m.abilities), m.load, at);
+            (self.view).told(&m.name, Capabilities(m.abilities), m.load, at);
         }
         self.relay.hold(held, now);
         self.relay.answered = number;
@@ -447,27 +455,33 @@
         }
         if self.relay.introduced != answer.term {
             self.relay.introduced = answer.term;
-            self.begin_to_show(answer.term, &sent.reports);
+            self.begin_token_probes(answer.term, &sent.reports);
         }
         for (id, addr) in answer.asks {
             let session = self.relay.workers.get(&id).map_or(0, |w| w.session);
             self.relay.to_show.push((id, session, addr));
         }
-        let mut told: BTreeMap<u64, Told> =
+        let mut told: BTreeMap<u64, RelayedResponse> =
             answer.answers.into_iter().map(|t| (t.name, t)).collect();
         for (n, w) in sent.reports.into_iter().enumerate() {
             let Some(ticket) = w.ticket else { continue };
             match told.remove(&(n as u64 + 1)) {
-                Some(t) => self.hand_out(ticket, w, t.kind, held),
+                Some(t) => self.deliver_response(ticket, w, t.kind, held),
                 None => self.answer(ticket, Answer::busy("no answer", 1)),
             }
         }
     }
 
-    fn hand_out(&mut self, ticket: Ticket, w: Waiting, told: ToldKind, held: Held) {
+    fn deliver_response(
+        &mut self,
+        ticket: Ticket,
+        w: Waiting,
+        told: RelayedOutcome,
+        held: HeldGrant,
+    ) {
         let r = &w.report;
         match told {
-            ToldKind::Refused {
+            RelayedOutcome::Refused {
                 status,
                 retry_after,
             } => {
@@ -476,7 +490,7 @@
                 answer.retry_after = retry_after;
                 self.answer(ticket, answer);
             }
-            ToldKind::Orders {
+            RelayedOutcome::Orders {
                 token,
                 orders,
                 calm,
@@ -491,18 +505,18 @@
                     calm: calm.then_some((digest, token)),
                 };
                 self.relay.workers.insert(r.machine.clone(), worker);
-                let body = to_json(&ReportAnswer { token, orders });
+                let body = to_json(&HeartbeatResponse { token, orders });
                 // Before the leader's word is over, and before the worker stops to wait.
-                let until = held.until.min(w.received + LATEST_ANSWER);
+                let until = held.until.min(w.received + RESPONSE_DEADLINE);
                 self.answer(ticket, Answer::new(200, body).until(Some(until)));
             }
         }
     }
 
     /// Reports whose frame came to nothing wait on, or their workers are led to the leader.
-    fn wait_again(&mut self, reports: Vec<Waiting>) {
+    fn requeue_heartbeats(&mut self, reports: Vec<Waiting>) {
         self.relay.waiting.put_back(reports);
-        if !self.leader_may_answer() {
+        if !self.may_wait_for_leader() {
             for w in self.relay.waiting.take_all() {
                 if let Some(ticket) = w.ticket {
                     self.redirect(ticket);
@@ -514,9 +528,9 @@
     /// A new leader's token is shown to the workers that report here, so that whatever an earlier
     /// one sent is refused by them, and the leader knows what each of them has. Those whose reports
     /// wait here see it in the answers to these.
-    fn begin_to_show(&mut self, term: u64, answered: &[Waiting]) {
+    fn begin_token_probes(&mut self, term: u64, answered: &[Waiting]) {
         let now = self.now.mono;
-        let token = term << super::machine::EPOCH_BITS;
+        let token = term << super::machine::TOKEN_EPOCH_BITS;
         let recent = self.settings.report * 5 / 2;
         let relay = &mut self.relay;
         let waiting = relay.waiting.iter().chain(answered);
@@ -537,15 +551,15 @@
         );
     }
 
-    fn show_token(&mut self) {
+    fn send_token_probes(&mut self) {
         let now = self.now.mono;
         let Some(grant) = self.relay.grant.filter(|g| now < g.until) else {
             self.relay.to_show.clear();
             self.relay.failed.clear();
             return;
         };
-        let token = grant.term << super::machine::EPOCH_BITS;
-        while self.relay.shows_out < MOST_DIRECT
+        let token = grant.term << super::machine::TOKEN_EPOCH_BITS;
+        while self.relay.shows_out < MAX_DIRECT_CALLS
             && let Some((id, session, addr)) = self.relay.to_show.pop()
         {
             let seen = |w: &Worker| w.token >= token;
@@ -557,7 +571,7 @@
             let request = if session == 0 {
                 DirectRequest::Status { token }
             } else {
-                DirectRequest::Commands(DirectBody {
+                DirectRequest::Commands(DirectCommands {
                     token,
                     session,
                     orders: Vec::new(),
@@ -575,9 +589,9 @@
     }
 
     /// A worker's answer to the token; without one, the leader is told, and asks it once more.
-    pub(super) fn shown(&mut self, id: &MachineId, outcome: DirectOutcome) {
+    pub(super) fn token_probe_answered(&mut self, id: &MachineId, outcome: DirectOutcome) {
         self.relay.shows_out = self.relay.shows_out.saturating_sub(1);
-        let DirectOutcome::Report { report, .. } = outcome else {
+        let DirectOutcome::Heartbeat { report, .. } = outcome else {
             self.relay.failed.push(id.clone());
             return;
         };
--- a/src/core/renting.rs
+++ b/src/core/renting.rs
@@ -1,24 +1,24 @@
 //! Renting: calls to the cloud within its limit, and what its answers and its list say of machines.
 
-use super::lead::RentOp;
+use super::lead::ScaleOutOperation;
 use super::machine::Machine;
 use super::mirror::MachineValue;
 use super::{Core, Effect, Pending};
 use crate::board::Offer;
-use crate::cloud::{CloudOutcome, CloudRequest, MOST_DELETED, PAGE};
+use crate::cloud::{CloudOutcome, CloudRequest, MAX_DELETED_PER_CALL, PAGE};
 use crate::job::MachineId;
-use crate::wire::{ListedMachine, ListedState, RentBody};
+use crate::wire::{ListedMachine, ListedState, ScaleOutRequest};
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
 /// Deletions on their way at a time.
-const MOST_DELETIONS: usize = 2;
+const MAX_DELETE_CALLS: usize = 2;
 
 impl Core {
     /// Sends the calls that the cloud's limit allows now. What would have to wait stays here: a
     /// call that queues elsewhere outlives the leader's word for it, is asked again, and so makes
     /// the queue longer still.
-    pub(super) fn tend_cloud(&mut self) {
+    pub(super) fn call_cloud(&mut self) {
         let now = self.now.mono;
         let Some(lead) = &mut self.lead else { return };
         let hurry = lead.machines.values().any(|m| {
@@ -29,7 +29,7 @@
         let every = Duration::from_secs_f64(3.0 * pages / self.settings.cloud_rps);
         let every = every.max(Duration::from_secs(if hurry { 2 } else { 6 }));
         let asked = lead.market.list_asked;
-        let awaited = (self.lead.as_ref()).is_some_and(|l| self.list_is_due(l, asked));
+        let awaited = (self.lead.as_ref()).is_some_and(|l| self.machine_list_due(l, asked));
         let Some(lead) = &mut self.lead else { return };
         let list = !lead.market.listing && (awaited || asked.is_none_or(|t| now >= t + every));
         if list && self.cloud_budget.try_take(now) {
@@ -39,9 +39,12 @@
             self.ask_cloud(Pending::List { sent: now }, CloudRequest::List);
         }
         let Some(lead) = &mut self.lead else { return };
-        if lead.market.delete_calls < MOST_DELETIONS {
+        if lead.market.delete_calls < MAX_DELETE_CALLS {
             let due = lead.market.deletions.iter().filter(|(_, at)| **at <= now);
-            let names: Vec<MachineId> = due.map(|d| d.0.clone()).take(MOST_DELETED).collect();
+            let names: Vec<MachineId> = due
+                .map(|d| d.0.clone())
+                .take(MAX_DELETED_PER_CALL)
+                .collect();
             if !names.is_empty() && self.cloud_budget.try_take(now) {
                 lead.market.delete_calls += 1;
                 for id in &names {
@@ -99,7 +102,7 @@
             offer.1,
             if offer.2 { "spot" } else { "ordinary" }
         );
-        let body = RentBody {
+        let body = ScaleOutRequest {
             request: name.clone(),
             kind: offer.0,
             zone: offer.1,
@@ -108,7 +111,7 @@
         };
         lead.market.rents.insert(
             name,
-            RentOp {
+            ScaleOutOperation {
                 body,
                 since: now,
                 call: None,
@@ -121,7 +124,7 @@
         let now = self.now.mono;
         let pending = self.pending.remove(&call);
         if let (Some(Pending::Types), CloudOutcome::Types(types)) = (&pending, &outcome) {
-            return self.learn_types(types.clone());
+            return self.set_machine_types(types.clone());
         }
         if let CloudOutcome::Trouble(e) | CloudOutcome::Invalid(e) = &outcome {
             tracing::info!("cloud: {e}");
@@ -135,7 +138,7 @@
                     for _ in 0..list.len() / PAGE {
                         self.cloud_budget.take(now);
                     }
-                    self.machine_list(sent, list);
+                    self.observe_listed_machines(sent, list);
                 }
             }
             Some(Pending::Delete(names)) => {
@@ -156,12 +159,12 @@
                     }
                 }
             }
-            Some(Pending::Rent(name)) => self.rented(&name, outcome),
+            Some(Pending::Rent(name)) => self.scale_out_outcome(&name, outcome),
             _ => {}
         }
     }
 
-    fn rented(&mut self, name: &str, outcome: CloudOutcome) {
+    fn scale_out_outcome(&mut self, name: &str, outcome: CloudOutcome) {
         let now = self.now.mono;
         let Some(lead) = &mut self.lead else { return };
         let Some(op) = lead.market.rents.get_mut(name) else {
@@ -202,7 +205,7 @@
         }
     }
 
-    fn machine_list(&mut self, sent: Instant, list: Vec<ListedMachine>) {
+    fn observe_listed_machines(&mut self, sent: Instant, list: Vec<ListedMachine>) {
         let now = self.now.mono;
         let lag = self.settings.list_lag * 2 + Duration::from_secs(2);
         let Some(lead) = &mut self.lead else { return };
@@ -258,7 +261,7 @@
                 gone.push(l.id);
             }
         }
-        self.heed_list(sent, unknown, booting);
+        self.observe_machine_list(sent, unknown, booting);
         for id in &gone {
             // It stopped by itself, but stays in the list until it is deleted.
             self.machine_gone(id, "the cloud lists it as failed");
--- a/src/core/report_queue.rs
+++ b/src/core/report_queue.rs
@@ -3,7 +3,7 @@
 use super::Ticket;
 use crate::link;
 use crate::settings::Settings;
-use crate::wire::Report;
+use crate::wire::Heartbeat;
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
@@ -17,7 +17,7 @@
 pub(super) struct Waiting {
     /// `None`: the report came as an answer to a direct command.
     pub ticket: Option<Ticket>,
-    pub report: Box<Report>,
+    pub report: Box<Heartbeat>,
     pub received: Instant,
 }
 
@@ -71,21 +71,21 @@
     }
 
     pub fn push(&mut self, waiting: Waiting) {
-        self.frame_bytes += link::size_of_report(&waiting.report);
+        self.frame_bytes += link::encoded_heartbeat_size(&waiting.report);
         self.reports.push_back(waiting);
     }
 
     /// Puts reports back that were taken out, in the order in which they came.
     pub fn put_back(&mut self, reports: Vec<Waiting>) {
         for waiting in reports.into_iter().rev() {
-            self.frame_bytes += link::size_of_report(&waiting.report);
+            self.frame_bytes += link::encoded_heartbeat_size(&waiting.report);
             self.reports.push_front(waiting);
         }
     }
 
     fn pop(&mut self) -> Option<Waiting> {
         let waiting = self.reports.pop_front()?;
-        self.frame_bytes -= link::size_of_report(&waiting.report);
+        self.frame_bytes -= link::encoded_heartbeat_size(&waiting.report);
         Some(waiting)
     }
 
@@ -103,7 +103,7 @@
         let mut taken = Vec::new();
         let mut size = 0;
         while let Some(next) = self.reports.front() {
-            size += link::size_of_report(&next.report);
+            size += link::encoded_heartbeat_size(&next.report);
             if size > link::FULL && !taken.is_empty() {
                 break;
             }
--- a/src/core/report_queue/tests.rs
+++ b/src/core/report_queue/tests.rs
@@ -2,7 +2,7 @@
 use crate::core::simulation::{SETUP, settings};
 
 fn waiting(number: u64, received: Instant) -> Waiting {
-    let report = Report {
+    let report = Heartbeat {
         machine: format!("i-{number:06}").into(),
         addr: "10.0.0.1:9000".into(),
         kind: "small".into(),
@@ -62,7 +62,10 @@
     assert!(queue.exceeds_a_frame());
     let first = queue.take_frame();
     let count = first.len() as u64;
-    let size: usize = first.iter().map(|w| link::size_of_report(&w.report)).sum();
+    let size: usize = first
+        .iter()
+        .map(|w| link::encoded_heartbeat_size(&w.report))
+        .sum();
     assert!(size <= link::FULL && size + 200 > link::FULL, "{size}");
     queue.put_back(first);
     let mut all = Vec::new();
--- a/src/core/reports.rs
+++ b/src/core/reports.rs
@@ -1,13 +1,13 @@
 //! Reports: what machines say, compared with what is known, and what follows for their tasks.
 
-use super::machine::{EPOCH_BITS, Exited, Machine, Phase, Placement, StopReason};
+use super::machine::{Exited, Machine, Phase, Placement, StopReason, TOKEN_EPOCH_BITS};
 use super::mirror::MachineValue;
 use super::{Core, Ticket, note};
 use crate::board::image_tag;
-use crate::guard::{Guard, stands};
+use crate::guard::{Safeguard, stands};
 use crate::http::Answer;
-use crate::job::{JobId, Kind, MachineId, Resources, TaskKey};
-use crate::wire::{Redirect, Report, RowReport, RowState, Why, parse_task, to_json};
+use crate::job::{JobId, JobKind, MachineId, Resources, TaskId};
+use crate::wire::{ExitCause, Heartbeat, Redirect, TaskState, TaskStatus, parse_task_id, to_json};
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -15,11 +15,11 @@
 
 /// A machine on which a task failed gets none for twice this, doubled with each failure in a row, so many times:
 /// not for so long that work waits for it beyond a minute and a half.
-const FIRST_AVOIDED: Duration = Duration::from_secs(5);
-const MOST_AVOIDED: u32 = 3;
+const INITIAL_AVOIDANCE: Duration = Duration::from_secs(5);
+const MAX_AVOIDANCE_DOUBLINGS: u32 = 3;
 
 /// The worker is to report to that controller.
-pub(super) fn led_to(controller: &str) -> Answer {
+pub(super) fn redirect_to(controller: &str) -> Answer {
     let leader = Some(controller);
     Answer::new(421, to_json(&Redirect { leader }))
 }
@@ -29,17 +29,17 @@
     pub(super) fn report(
         &mut self,
         ticket: Ticket,
-        report: Box<Report>,
+        report: Box<Heartbeat>,
     ) -> Option<(Ticket, MachineId)> {
         if !self.acting() {
-            if self.sane(&report) {
-                self.report_to_follower(ticket, report);
+            if self.is_well_formed(&report) {
+                self.relay_heartbeat(ticket, report);
             } else {
                 self.answer(ticket, Answer::error(400, "malformed report"));
             }
             return None;
         }
-        match self.take_report(*report, None) {
+        match self.accept_heartbeat(*report, None) {
             Ok(machine) => Some((ticket, machine)),
             Err(answer) => {
                 self.answer(ticket, answer);
@@ -50,50 +50,50 @@
 
     /// What no worker says changes nothing: a token that nobody gave, above all, would pass for the sign of a
     /// store that has lost data.
-    fn sane(&self, report: &Report) -> bool {
+    fn is_well_formed(&self, report: &Heartbeat) -> bool {
         let id = &report.machine;
         !id.is_empty()
             && id.len() <= 100
             && id.bytes().all(|b| b.is_ascii_graphic() && b != b'/')
             && report.addr.parse::<SocketAddrV4>().is_ok()
             && report.session > 0
-            && self.plausible_term(report.token >> EPOCH_BITS)
+            && self.plausible_term(report.token >> TOKEN_EPOCH_BITS)
     }
 
     /// A report that came here, or by way of another controller; what comes back is the machine,
     /// or why the report is not answered as it would like.
-    pub(super) fn take_report(
+    pub(super) fn accept_heartbeat(
         &mut self,
-        report: Report,
+        report: Heartbeat,
         via: Option<&Arc<str>>,
     ) -> Result<MachineId, Answer> {
         let now = self.now.mono;
         let id = report.machine.clone();
-        if !self.sane(&report) {
+        if !self.is_well_formed(&report) {
             return Err(Answer::error(400, "malformed report"));
         }
         let no_leader = || Answer::busy("no leader here", 1);
-        self.heed_token(report.token);
+        self.observe_fencing_token(report.token);
         let lead = self.lead.as_mut().ok_or_else(no_leader)?;
         if lead.gone.contains(&id) {
             // Sent before the machine was deleted, and held up on the way.
             return Err(Answer::busy("this machine is gone", 30));
         }
         let term = lead.term;
-        let proven = report.token >= term << EPOCH_BITS;
-        if let Some(m) = lead.machines.get_unnoted(&id)
+        let proven = report.token >= term << TOKEN_EPOCH_BITS;
+        if let Some(m) = lead.machines.get_mut_quiet(&id)
             && !m.unresolved
-            && m.tells_nothing_new(&report, term)
+            && m.is_unchanged_by(&report, term)
         {
             m.seq = report.seq;
             m.seen = now;
             m.lease_from = now;
-            lead.heard_one(via, now);
-            lead.came_by(&id, via);
+            lead.record_heartbeat(via, now);
+            lead.record_route(&id, via);
             if via.is_none()
-                && let Some(to) = lead.move_one(&id)
+                && let Some(to) = lead.next_reassignment(&id)
             {
-                return Err(led_to(&to));
+                return Err(redirect_to(&to));
             }
             return Ok(id);
         }
@@ -116,7 +116,7 @@
                 same && m.via.as_ref() == via && !m.session_over
             });
         let token = report.token;
-        if !again && !self.absorb(&id, report, true) {
+        if !again && !self.apply_heartbeat(&id, report, true) {
             if let Some(m) = (self.lead.as_mut()).and_then(|l| l.machines.get_mut(&id))
                 && token < m.shown
                 && !m.unresolved
@@ -124,7 +124,7 @@
                 // If it is of another life, that one has a lease of its own.
                 m.lease_from = m.lease_from.max(now);
             }
-            self.ask_whether_it_began_anew(&id);
+            self.probe_for_restart(&id);
             return Err(Answer::busy("an older report", 1));
         }
         let lease = self.settings.lease;
@@ -148,26 +148,31 @@
         if proven || !unaware {
             // What does not show our token may be of any age: it tells what may be there, and not that
             // a worker is heard.
-            lead.heard_one(via, now);
+            lead.record_heartbeat(via, now);
         }
-        lead.came_by(&id, via);
+        lead.record_route(&id, via);
         Ok(id)
     }
 
     pub(super) fn redirect(&mut self, ticket: Ticket) {
         let me = self.settings.name.as_str();
         // Without the state service, what is known of the leader may be old.
-        let stale = self.state_is_stale();
+        let stale = self.store_is_stale();
         let leader = self.leader_name().filter(|n| *n != me && !stale);
         let answer = match leader {
-            Some(leader) => led_to(leader),
+            Some(leader) => redirect_to(leader),
             None => Answer::busy("no leader here", 1),
         };
         self.answer(ticket, answer);
     }
 
     /// Compares a report with what is known; false if it is older than one seen before.
-    pub(super) fn absorb(&mut self, id: &MachineId, report: Report, answered: bool) -> bool {
+    pub(super) fn apply_heartbeat(
+        &mut self,
+        id: &MachineId,
+        report: Heartbeat,
+        answered: bool,
+    ) -> bool {
         let now = self.now.mono;
         let Some(lead) = &mut self.lead else {
             return false;
@@ -193,7 +198,7 @@
             }
             if m.session > 0 && !m.unresolved {
                 // Its lease ran out while it was answered: it may not hear what it is told.
-                m.not_heard_by(term);
+                m.require_token_proof(term);
             }
             m.session_over = false;
             m.doubt = None;
@@ -222,7 +227,7 @@
         m.shown = report.token;
         m.seen = now;
         // With our term's token seen, whatever the predecessors sent is refused from now on.
-        let knows_us = report.token >= term << EPOCH_BITS || !stands(Guard::Proof);
+        let knows_us = report.token >= term << TOKEN_EPOCH_BITS || !stands(Safeguard::Proof);
         m.addr = report.addr;
         m.spot = report.spot;
         m.notice = report
@@ -246,21 +251,21 @@
         }
         // A report that answers direct commands may have been made before the worker read our
         // last answer, so what that one started may be yet to come.
-        let complete = m.settled() && !m.answered;
-        self.lose(id, lost, "its session ended");
+        let complete = m.no_command_in_flight() && !m.answered;
+        self.tasks_lost(id, lost, "its session ended");
         let mut seen = BTreeSet::new();
         let mut exited = Vec::new();
         for row in report.rows {
-            let Some(key) = parse_task(&row.task) else {
+            let Some(key) = parse_task_id(&row.task) else {
                 tracing::warn!(machine = %id, "machine {id}: unreadable task {:?}", row.task);
                 continue;
             };
-            if row.state == RowState::Exited {
+            if row.state == TaskState::Exited {
                 exited.push((key.clone(), row.attempt));
-                self.row_exited(id, &key, &row);
+                self.task_exited(id, &key, &row);
             } else {
                 seen.insert(key.clone());
-                self.row_live(id, &key, &row);
+                self.task_live(id, &key, &row);
             }
         }
         let Some(lead) = &mut self.lead else {
@@ -287,10 +292,10 @@
         };
         if untaken && m.unheard.is_none() && absent(m) {
             tracing::info!(machine = %id, "machine {id}: neither answers nor calls reach it");
-            m.not_heard_by(term);
+            m.require_token_proof(term);
         }
         let unheard = m.unheard.is_some();
-        let missing: Vec<TaskKey> = m
+        let missing: Vec<TaskId> = m
             .tasks
             .iter()
             .filter(|(k, t)| {
@@ -306,17 +311,17 @@
         if !unheard && complete && absent(m) {
             m.push = true;
         }
-        self.lose(id, missing, "it is not on the machine any more");
+        self.tasks_lost(id, missing, "it is not on the machine any more");
         if knows_us {
-            self.resolve(id, "it reported");
+            self.resolve_machine(id, "it reported");
         }
         true
     }
 
-    fn row_live(&mut self, id: &MachineId, key: &TaskKey, row: &RowReport) {
+    fn task_live(&mut self, id: &MachineId, key: &TaskId, row: &TaskStatus) {
         let now = self.now.mono;
         let Some(lead) = &mut self.lead else { return };
-        let forgotten = lead.may_be_forgotten(self.mirror.knows(&key.job));
+        let forgotten = lead.may_be_of_lost_job(self.mirror.knows(&key.job));
         let Some(m) = lead.machines.get_mut(id) else {
             return;
         };
@@ -368,7 +373,7 @@
                 m.push = true;
             }
             m.tasks.insert(key.clone(), t);
-            self.stop_doubles(key, id);
+            self.stop_duplicates(key, id);
         }
         let Some(lead) = &mut self.lead else { return };
         let Some(m) = lead.machines.get_mut(id) else {
@@ -403,25 +408,25 @@
         t.phase = phase;
     }
 
-    fn row_exited(&mut self, id: &MachineId, key: &TaskKey, row: &RowReport) {
+    fn task_exited(&mut self, id: &MachineId, key: &TaskId, row: &TaskStatus) {
         let now = self.now.mono;
         let Some(lead) = &mut self.lead else { return };
-        let forgotten = lead.may_be_forgotten(self.mirror.knows(&key.job));
+        let forgotten = lead.may_be_of_lost_job(self.mirror.knows(&key.job));
         let Some(m) = lead.machines.get_mut(id) else {
             return;
         };
         let ours = m.tasks.get(key).is_some_and(|t| t.attempt == row.attempt);
-        let why = row.why.unwrap_or(Why::Other);
+        let why = row.why.unwrap_or(ExitCause::Other);
         if forgotten && let Some(r) = &mut lead.rebuild {
-            r.let_go(key, id);
-            if why == Why::Done {
-                r.keep_result(key);
+            r.remove_held(key, id);
+            if why == ExitCause::Done {
+                r.record_result(key);
             }
         }
         if !ours {
             // Seen before, or started by an earlier leader. A completed task stays completed.
-            if why == Why::Done {
-                self.task_done(key, None);
+            if why == ExitCause::Done {
+                self.task_completed(key, None);
             }
             return;
         }
@@ -433,29 +438,29 @@
         lead.plan_again = true;
         tracing::debug!(task = %key, machine = %id, "task {key} attempt {} on {id} ended: {why:?}", t.attempt);
         let ran = t.running_since.map(|s| now.saturating_duration_since(s));
-        if why == Why::Done {
+        if why == ExitCause::Done {
             m.faults.failed_jobs.clear();
             m.faults.failures = 0;
             self.note_run_time(id, key, ran);
-            self.task_done(key, Some(id));
+            self.task_completed(key, Some(id));
             return;
         }
         let mut hold = None;
         match why {
-            Why::Error => {
+            ExitCause::Error => {
                 self.note_failure(id, key);
                 hold = Some(self.retry_delay(&key.job));
             }
-            Why::NoRoom => {
+            ExitCause::NoRoom => {
                 // Its account and ours differ; the next report tells.
                 m.push_after = now + Duration::from_secs(1);
                 hold = Some(Duration::from_secs(1));
             }
-            Why::Busy => hold = Some(Duration::from_secs(2)),
-            Why::Unknown => hold = Some(Duration::from_secs(3)),
+            ExitCause::Busy => hold = Some(Duration::from_secs(2)),
+            ExitCause::Unknown => hold = Some(Duration::from_secs(3)),
             // Tasks of a gang end like this when one of it is missing.
-            Why::Other => hold = Some(Duration::from_millis(500)),
-            Why::Done | Why::Stopped => {}
+            ExitCause::Other => hold = Some(Duration::from_millis(500)),
+            ExitCause::Done | ExitCause::Stopped => {}
         }
         if let Some(lead) = &mut self.lead
             && let Some(run) = lead.runs.get_mut(&key.job)
@@ -463,7 +468,7 @@
             if let Some(d) = hold {
                 run.held.insert(key.row, now + d);
             }
-            if run.let_go(key.row, id) {
+            if run.unassign(key.row, id) {
                 run.queued.insert(key.row);
             }
         }
@@ -471,13 +476,13 @@
 
     /// A task that is on several machines goes on on one of them only. Which of them have it is certain
     /// when all of them have shown this term's token; `fresh` is about to be certain.
-    pub(super) fn stop_doubles(&mut self, key: &TaskKey, fresh: &MachineId) {
+    pub(super) fn stop_duplicates(&mut self, key: &TaskId, fresh: &MachineId) {
         let now = self.now.mono;
         let Some(lead) = &mut self.lead else { return };
         let Some(run) = lead.runs.get(&key.job) else {
             return;
         };
-        let holders = run.holders(key.row);
+        let holders = run.assigned_machines(key.row);
         let machines = &mut lead.machines;
         let unsure = |id: &&MachineId| machines.get(id).is_some_and(|m| m.unresolved);
         if holders.len() < 2 || holders.iter().any(unsure) {
@@ -512,7 +517,7 @@
         Duration::from_millis(250 << failures.min(7))
     }
 
-    fn note_failure(&mut self, id: &MachineId, key: &TaskKey) {
+    fn note_failure(&mut self, id: &MachineId, key: &TaskId) {
         let now = self.now.mono;
         let Some(lead) = &mut self.lead else { return };
         let Some(run) = lead.runs.get_mut(&key.job) else {
@@ -521,8 +526,8 @@
         *run.failures.entry(id.clone()).or_default() += 1;
         // A job that has failed on several machines and succeeded on none speaks against itself.
         tracing::warn!(task = %key, machine = %id, "task {key} failed on {id}");
-        run.failed_again(now);
-        if run.suspect() {
+        run.record_retry_failure(now);
+        if run.is_suspect() {
             // The machines it was tried on are cleared of its failures.
             for machine in run.failures.keys() {
                 if let Some(m) = lead.machines.get_mut(machine) {
@@ -540,12 +545,12 @@
         };
         m.faults.failures += 1;
         m.faults.failed_jobs.insert(key.job.clone());
-        let most = if stands(Guard::Avoid) {
-            MOST_AVOIDED
+        let most = if stands(Safeguard::Avoid) {
+            MAX_AVOIDANCE_DOUBLINGS
         } else {
             u32::MAX
         };
-        let pause = FIRST_AVOIDED * 2u32.pow(m.faults.failures.min(most).min(10));
+        let pause = INITIAL_AVOIDANCE * 2u32.pow(m.faults.failures.min(most).min(10));
         m.faults.avoid_until = Some(now + pause);
     }
 
@@ -556,7 +561,7 @@
             .faults
             .failed_jobs
             .iter()
-            .filter(|j| lead.runs.get(*j).is_none_or(|r| !r.suspect()))
+            .filter(|j| lead.runs.get(*j).is_none_or(|r| !r.is_suspect()))
             .count();
         (believable >= 2 && m.faults.failures >= 2)
             || (believable >= 1
@@ -568,7 +573,7 @@
             || m.faults.pace.faulty()
     }
 
-    pub(super) fn task_done(&mut self, key: &TaskKey, on: Option<&MachineId>) {
+    pub(super) fn task_completed(&mut self, key: &TaskId, on: Option<&MachineId>) {
         let now = self.now.mono;
         let Some(lead) = &mut self.lead else { return };
         let (Some(job), Some(run)) = (
@@ -581,9 +586,9 @@
             return;
         }
         run.succeeded = true;
-        if job.spec.kind == Kind::Service {
+        if job.spec.kind == JobKind::Service {
             // A replica that ends is started again.
-            if on.is_some_and(|id| run.let_go(key.row, id)) {
+            if on.is_some_and(|id| run.unassign(key.row, id)) {
                 run.queued.insert(key.row);
             }
             return;
@@ -602,11 +607,11 @@
                 m.push = true;
             }
         }
-        self.end_if_done(&key.job);
+        self.end_if_complete(&key.job);
     }
 
     /// These tasks are not on the machine any more, without a result.
-    pub(super) fn lose(&mut self, id: &MachineId, tasks: Vec<TaskKey>, why: &str) {
+    pub(super) fn tasks_lost(&mut self, id: &MachineId, tasks: Vec<TaskId>, why: &str) {
         let now = self.now.mono;
         let Some(lead) = &mut self.lead else { return };
         for key in tasks {
@@ -621,10 +626,10 @@
             }
             lead.plan_again = true;
             if let Some(r) = &mut lead.rebuild {
-                r.let_go(&key, id);
+                r.remove_held(&key, id);
             }
             if let Some(run) = lead.runs.get_mut(&key.job)
-                && run.let_go(key.row, id)
+                && run.unassign(key.row, id)
             {
                 run.queued.insert(key.row);
                 tracing::debug!(task = %key, machine = %id, "task {key} attempt {} lost on {id}: {why}", t.attempt);
--- a/src/core/run.rs
+++ b/src/core/run.rs
@@ -2,15 +2,15 @@
 //! planning, reports and users' requests act on.
 
 use super::machine::{Machines, StopReason};
-use super::mirror::Job;
+use super::mirror::JobRecord;
 use super::{Now, Ticket};
-use crate::job::{Final, JobId, MachineId, Rank, TaskKey};
+use crate::job::{JobId, JobOutcome, MachineId, Priority, TaskId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant, SystemTime};
 
 /// A live job as its leader knows it.
 #[derive(Default)]
-pub struct Run {
+pub struct JobRun {
     /// Its team, by its place in the settings, and whether it lies within that team's guarantee.
     pub team: Option<usize>,
     pub guaranteed: bool,
@@ -24,7 +24,7 @@
     /// Done rows that are not in the state service yet.
     pub unwritten: BTreeSet<u32>,
     /// The end that is being written. Nothing is started any more.
-    pub ending: Option<Final>,
+    pub ending: Option<JobOutcome>,
     pub cancel_waiters: Vec<Ticket>,
     /// Machines on which its tasks failed, and how often.
     pub failures: BTreeMap<MachineId, u32>,
@@ -45,7 +45,7 @@
 /// mostly its owner has made a mistake, and only a cancellation helps.
 const PROBE_PAUSE: Duration = Duration::from_secs(2);
 
-impl Run {
+impl JobRun {
     /// The row is, or may be, on this machine.
     pub fn hold(&mut self, row: u32, machine: &MachineId) {
         self.queued.remove(&row);
@@ -64,7 +64,7 @@
     }
 
     /// The row is not on this machine any more. Says whether it was, and is on no other one.
-    pub fn let_go(&mut self, row: u32, machine: &MachineId) -> bool {
+    pub fn unassign(&mut self, row: u32, machine: &MachineId) -> bool {
         let mut also = self.also.remove(&row).unwrap_or_default();
         let first = self.placed.get(&row) == Some(machine);
         also.retain(|m| m != machine);
@@ -88,7 +88,7 @@
     }
 
     /// Where a row is or may be, if that is more than one machine.
-    pub fn holders(&self, row: u32) -> Vec<&MachineId> {
+    pub fn assigned_machines(&self, row: u32) -> Vec<&MachineId> {
         let Some(also) = self.also.get(&row) else {
             return Vec::new();
         };
@@ -97,7 +97,7 @@
 
     /// Stops what is placed of the job. An end is told to machines even where they were told to
     /// stop before; other reasons only once.
-    pub fn stop_placed(
+    pub fn stop_assigned(
         &self,
         id: &JobId,
         machines: &mut Machines,
@@ -107,7 +107,7 @@
         let also = self.also.iter();
         let also = also.flat_map(|(row, all)| all.iter().map(move |m| (row, m)));
         for (row, machine) in self.placed.iter().chain(also) {
-            let key = TaskKey {
+            let key = TaskId {
                 job: id.clone(),
                 row: *row,
             };
@@ -121,34 +121,34 @@
         }
     }
 
-    pub fn suspect(&self) -> bool {
+    pub fn is_suspect(&self) -> bool {
         !self.succeeded && self.failures.len() >= SUSPECT
     }
 
     /// A suspect job has failed once more: it waits twice as long. What was started together
     /// with the last try and fails after it counts with it.
-    pub fn failed_again(&mut self, now: Instant) {
-        if self.suspect() && self.probe_at.is_none_or(|t| now >= t) {
+    pub fn record_retry_failure(&mut self, now: Instant) {
+        if self.is_suspect() && self.probe_at.is_none_or(|t| now >= t) {
             self.probe_at = Some(now + PROBE_PAUSE * (1 << self.probes.min(5)));
             self.probes += 1;
         }
     }
 
     /// Whether nothing of a suspect job is to be started now: it is tried with one task at a time.
-    pub fn rests(&self, now: Instant) -> bool {
+    pub fn is_backing_off(&self, now: Instant) -> bool {
         let early = self.probe_at.is_some_and(|t| now < t);
-        self.suspect() && (early || !self.placed.is_empty())
+        self.is_suspect() && (early || !self.placed.is_empty())
     }
 }
 
 /// How a class's run times compare with its estimates.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Pace {
+pub struct RuntimeRatio {
     pub actual: f64,
     pub estimated: f64,
 }
 
-impl Pace {
+impl RuntimeRatio {
     /// Older experience fades, and little experience counts little.
     pub fn factor(&self) -> f64 {
         const PRIOR_S: f64 = 60.0;
@@ -167,22 +167,22 @@
 
 /// How often jobs arrive; older experience fades.
 #[derive(Clone, Copy, Debug)]
-pub struct Arrivals {
+pub struct ArrivalRate {
     at: Instant,
     seconds: f64,
     jobs: f64,
 }
 
-impl Arrivals {
+impl ArrivalRate {
     /// What a new leader expects: as many as came in the last half minute and are not over yet,
     /// and one in two minutes beside them. Without those, each takeover would keep idle machines
     /// as if hardly any job came.
-    pub fn new<'a>(now: Now, jobs: impl Iterator<Item = &'a Job>) -> Arrivals {
-        let young = |j: &&Job| {
+    pub fn new<'a>(now: Now, jobs: impl Iterator<Item = &'a JobRecord>) -> ArrivalRate {
+        let young = |j: &&JobRecord| {
             let age = now.wall.duration_since(j.submitted).unwrap_or_default();
             age < RECENT
         };
-        Arrivals {
+        ArrivalRate {
             at: now.mono,
             seconds: RECENT.as_secs_f64() * 2.0,
             jobs: jobs.filter(young).count() as f64 * 2.0 + 0.5,
@@ -207,7 +207,7 @@
 /// How urgent a job is, in itself or for the sake of those that need it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Urgency {
-    pub rank: Rank,
+    pub rank: Priority,
     /// When it should be done, so that all after it can be done by their deadlines.
     pub due: Option<SystemTime>,
     /// Others need it.
@@ -215,7 +215,7 @@
 }
 
 impl Urgency {
-    pub fn own(job: &Job) -> Urgency {
+    pub fn own(job: &JobRecord) -> Urgency {
         Urgency {
             rank: job.spec.rank,
             due: job.spec.deadline.map(|d| job.submitted + d),
--- a/src/core/scheduling.rs
+++ b/src/core/scheduling.rs
@@ -1,16 +1,16 @@
 //! Snapshots for `plan` and `fleet`, and their decisions carried out.
 
-use super::delegation::SyncWork;
-use super::lead::{Held as Waiters, Lead};
+use super::delegation::PendingBatch;
+use super::lead::{DeferredResponses as Waiters, LeaderState};
 use super::machine::{Machine, Phase, Placement, StopReason};
-use super::mirror::Job;
-use super::run::{Pace, Run, Urgency};
+use super::mirror::JobRecord;
+use super::run::{JobRun, RuntimeRatio, Urgency};
 use super::{Core, Work};
 use crate::board::{Board, Held, Host, Offer, Use, image_tag};
 use crate::fleet;
 use crate::forecast::{Coming, Unmet};
-use crate::guard::{Guard, stands};
-use crate::job::{JobId, Kind, MachineId, Rank, Resources, TaskKey};
+use crate::guard::{Safeguard, stands};
+use crate::job::{JobId, JobKind, MachineId, Priority, Resources, TaskId};
 use crate::plan::{self, TeamUse, Waiting};
 use crate::policy::{Entry, JobFacts, MachineFacts};
 use crate::settings::Team;
@@ -21,10 +21,10 @@
 /// Steps are this far apart at least, so that a flood of small changes is planned together.
 const PLAN_PAUSE: Duration = Duration::from_millis(60);
 /// Without any change, waiting still changes what is best.
-const PLAN_EVERY: Duration = Duration::from_millis(1000);
+const PLAN_INTERVAL: Duration = Duration::from_millis(1000);
 /// Machines that a new leader has not heard for so long hold nobody up any more.
 const RECOVERY: Duration = Duration::from_secs(8);
-const FLEET_EVERY: Duration = Duration::from_millis(1000);
+const SCALING_INTERVAL: Duration = Duration::from_millis(1000);
 
 /// A policy's `dearest` from here on allows machines of any price.
 const ANY_PRICE: f64 = 100.0;
@@ -33,15 +33,15 @@
 const NO_DEADLINE_S: f64 = 1e6;
 
 /// A job in the queue.
-pub(super) struct InLine<'a> {
+pub(super) struct QueueEntry<'a> {
     id: &'a JobId,
-    job: &'a Job,
-    run: &'a Run,
+    job: &'a JobRecord,
+    run: &'a JobRun,
     team: usize,
     pub estimate: Duration,
     pub facts: JobFacts,
     /// Its own, or that of a job that needs it.
-    rank: Rank,
+    rank: Priority,
     /// It was passed for too long, and comes first with one task.
     overdue: bool,
     order: f64,
@@ -49,23 +49,23 @@
 
 pub(super) struct View<'a> {
     now: Instant,
-    lead: &'a Lead,
-    jobs: &'a BTreeMap<JobId, Job>,
+    lead: &'a LeaderState,
+    jobs: &'a BTreeMap<JobId, JobRecord>,
     core: &'a Core,
 }
 
 impl View<'_> {
-    fn estimate(&self, job: &Job) -> Duration {
+    fn estimate(&self, job: &JobRecord) -> Duration {
         let factor = self
             .lead
             .pace
             .get(&job.spec.class)
-            .map_or(1.0, Pace::factor);
+            .map_or(1.0, RuntimeRatio::factor);
         job.spec.estimate.mul_f64(factor)
     }
 
     /// Expected time to a task's end; `None` for services and overruns.
-    fn ends_in(&self, m: &Machine, key: &TaskKey, t: &Placement) -> Option<Duration> {
+    fn ends_in(&self, m: &Machine, key: &TaskId, t: &Placement) -> Option<Duration> {
         if t.stopping.is_some() {
             return Some(Duration::from_secs(1));
         }
@@ -87,7 +87,7 @@
 }
 
 impl Core {
-    pub(super) fn note_run_time(&mut self, id: &MachineId, key: &TaskKey, ran: Option<Duration>) {
+    pub(super) fn note_run_time(&mut self, id: &MachineId, key: &TaskId, ran: Option<Duration>) {
         let Some(lead) = &mut self.lead else { return };
         let (Some(job), Some(ran)) = (self.mirror.jobs.get(&key.job), ran) else {
             return;
@@ -115,7 +115,7 @@
     /// Answers that wait for the next plan, and those of this step that will: what is placed on a
     /// machine that something just ended on then goes into the answer to its report, and takes no call
     /// to it. They wait no longer than plans are apart at least.
-    pub(super) fn hold_answers(&mut self, now_due: &mut Waiters) {
+    pub(super) fn defer_responses(&mut self, now_due: &mut Waiters) {
         let Some(lead) = &mut self.lead else { return };
         let before = std::mem::take(&mut lead.held);
         // At a takeover all machines are new, and their answers show them the token: no time to lose.
@@ -129,13 +129,13 @@
         let freed = |id: &MachineId| machines.get(id).is_some_and(|m| m.freed);
         let mut held = before;
         (held.reports).extend(now_due.reports.extract_if(.., |(_, id)| freed(id)));
-        let some = |w: &mut SyncWork| w.machines().any(freed);
+        let some = |w: &mut PendingBatch| w.machines().any(freed);
         held.syncs.extend(now_due.syncs.extract_if(.., some));
         lead.held = held;
     }
 
     /// Until the next plan, if answers wait for it.
-    pub(super) fn plan_in(&self) -> Option<Duration> {
+    pub(super) fn until_next_plan(&self) -> Option<Duration> {
         let lead = self.lead.as_ref()?;
         let held = !lead.held.reports.is_empty() || !lead.held.syncs.is_empty();
         let at = lead.planned? + PLAN_PAUSE;
@@ -148,21 +148,21 @@
         let since = lead.planned.map(|t| now.saturating_duration_since(t));
         let due = match since {
             None => true,
-            Some(d) => (lead.plan_again && d >= PLAN_PAUSE) || d >= PLAN_EVERY,
+            Some(d) => (lead.plan_again && d >= PLAN_PAUSE) || d >= PLAN_INTERVAL,
         };
         if due {
             self.stats.work[Work::Plan as usize] += 1;
-            self.regroup_gangs();
+            self.restart_broken_gangs();
             self.place();
         }
         let Some(lead) = &self.lead else { return };
-        if lead.fleet_at.is_none_or(|t| now >= t + FLEET_EVERY) {
-            self.tend_fleet();
+        if lead.fleet_at.is_none_or(|t| now >= t + SCALING_INTERVAL) {
+            self.scale_machines();
         }
-        self.log_standing();
+        self.log_summary();
     }
 
-    fn view<'a>(&'a self, lead: &'a Lead) -> View<'a> {
+    fn view<'a>(&'a self, lead: &'a LeaderState) -> View<'a> {
         View {
             now: self.now.mono,
             lead,
@@ -172,14 +172,14 @@
     }
 
     /// What every team uses, tasks in doubt and tasks not seen yet included.
-    fn team_use(&self, lead: &Lead, board: &Board) -> Vec<TeamUse> {
+    fn team_use(&self, lead: &LeaderState, board: &Board) -> Vec<TeamUse> {
         let teams = &self.settings.teams;
         let of = |(i, t): (usize, &Team)| {
             let held = board.used(i);
             TeamUse {
                 cpus: held.cpus,
                 gpus: held.gpus,
-                cpus_max: t.cpus_max.filter(|_| stands(Guard::Limit)),
+                cpus_max: t.cpus_max.filter(|_| stands(Safeguard::Limit)),
                 gpus_max: t.gpus_max,
                 cpus_own: t.cpus,
                 gpus_own: t.gpus,
@@ -187,7 +187,7 @@
         };
         let mut used: Vec<TeamUse> = teams.iter().enumerate().map(of).collect();
         if lead.rebuild.is_some() {
-            let held = self.held_room(lead);
+            let held = self.held_resources(lead);
             for team in &mut used {
                 team.cpus += held.cpus;
                 team.gpus += held.gpus;
@@ -198,7 +198,7 @@
         }
         // Old tasks that nobody has shown yet may run on machines that have not reported: no
         // more than those machines hold, and no more than there are.
-        let hidden = self.hidden(lead);
+        let hidden = self.unobserved_resources(lead);
         let mut unseen = vec![Resources::default(); teams.len()];
         for (id, run) in lead.runs.iter().filter(|(_, r)| !r.queued.is_empty()) {
             if let Some(job) = self.mirror.jobs.get(id)
@@ -210,7 +210,12 @@
             }
         }
         // So may tasks of jobs that were cancelled shortly before.
-        for left in self.mirror.left.values().filter(|_| stands(Guard::Left)) {
+        for left in self
+            .mirror
+            .left
+            .values()
+            .filter(|_| stands(Safeguard::Left))
+        {
             if let Some(team) = self.settings.team_index(&left.team) {
                 unseen[team].add(&left.needs.times(f64::from(left.tasks)));
             }
@@ -223,7 +228,7 @@
     }
 
     /// What machines hold, or may hold, that the leader has not heard of yet.
-    fn hidden(&self, lead: &Lead) -> Resources {
+    fn unobserved_resources(&self, lead: &LeaderState) -> Resources {
         let mut hidden = Resources::default();
         if lead.unresolved == 0 {
             return hidden;
@@ -246,12 +251,12 @@
 
     /// Finds the jobs that fit into their team's guarantee together with the team's earlier unfinished
     /// ones. That changes only when a job comes, becomes ready or ends.
-    fn judge_guarantees(&mut self) {
+    fn update_guarantees(&mut self) {
         let Some(lead) = &mut self.lead else { return };
         if !std::mem::take(&mut lead.judge_guarantees) {
             return;
         }
-        let mut jobs: Vec<(SystemTime, &JobId, &Job, &mut Run)> = Vec::new();
+        let mut jobs: Vec<(SystemTime, &JobId, &JobRecord, &mut JobRun)> = Vec::new();
         for (id, run) in &mut lead.runs {
             run.guaranteed = false;
             if let Some(job) = self.mirror.jobs.get(id)
@@ -277,7 +282,7 @@
     }
 
     /// The tightest aim of a kind that the users state for a class, in seconds; 0 for none.
-    pub(super) fn goal(&self, class: &str, kind: &str) -> f64 {
+    pub(super) fn objective_threshold(&self, class: &str, kind: &str) -> f64 {
         let objectives = self.settings.objectives.iter();
         objectives
             .filter(|o| o.kind == kind && o.class == class)
@@ -288,8 +293,8 @@
 
     pub(super) fn facts(
         &self,
-        job: &Job,
-        run: &Run,
+        job: &JobRecord,
+        run: &JobRun,
         urgency: &Urgency,
         estimate: Duration,
         guaranteed: bool,
@@ -303,7 +308,7 @@
             since.unwrap_or_default().as_secs_f64()
         };
         let deadline_left = urgency.due.map(|d| wall(d) - wall(self.now.wall));
-        let goal = |kind: &str| self.goal(&job.spec.class, kind);
+        let goal = |kind: &str| self.objective_threshold(&job.spec.class, kind);
         let spec = &job.spec;
         JobFacts {
             wait: wait.as_secs_f64(),
@@ -316,10 +321,10 @@
             ram: spec.needs.ram,
             image_gb: spec.image_gb,
             rank: match urgency.rank {
-                Rank::Production => 0.0,
-                Rank::High => 1.0,
-                Rank::Normal => 2.0,
-                Rank::Low => 3.0,
+                Priority::Production => 0.0,
+                Priority::High => 1.0,
+                Priority::Normal => 2.0,
+                Priority::Low => 3.0,
             },
             guaranteed,
             start_goal: goal("wait"),
@@ -334,20 +339,20 @@
     }
 
     /// Whether the job's unseen tasks may run somewhere that has not reported yet.
-    pub(super) fn held_by_recovery(lead: &Lead, job: &Job) -> bool {
-        lead.unresolved > 0 && job.version < lead.key_version && stands(Guard::Unseen)
+    pub(super) fn blocked_by_recovery(lead: &LeaderState, job: &JobRecord) -> bool {
+        lead.unresolved > 0 && job.version < lead.key_version && stands(Safeguard::Unseen)
     }
 
     /// Jobs with waiting tasks that may be started, in the queue's order: within the guarantee
     /// first, then by rank, then by the policy.
-    fn line<'a>(&'a self, view: &View<'a>, with_held: bool) -> Vec<InLine<'a>> {
+    fn job_queue<'a>(&'a self, view: &View<'a>, with_held: bool) -> Vec<QueueEntry<'a>> {
         let lead = view.lead;
         let mut line = Vec::new();
         for (id, run) in &lead.runs {
             let Some(job) = view.jobs.get(id) else {
                 continue;
             };
-            let held = Self::held_by_recovery(lead, job) && !with_held;
+            let held = Self::blocked_by_recovery(lead, job) && !with_held;
             if run.ending.is_some() || run.queued.is_empty() || held || !self.mirror.ready(id) {
                 continue;
             }
@@ -360,15 +365,15 @@
             // What was tried and failed was not passed.
             let overdue = run.failures.is_empty()
                 && self.policy.truth(Entry::Overdue, &facts)
-                && stands(Guard::Overdue);
+                && stands(Safeguard::Overdue);
             // Among those that were passed for too long, the one that has waited longest.
-            let longest_first = overdue && stands(Guard::Longest);
+            let longest_first = overdue && stands(Safeguard::Longest);
             let order = if longest_first {
                 facts.submitted
             } else {
                 self.policy.number(Entry::Order, &facts)
             };
-            line.push(InLine {
+            line.push(QueueEntry {
                 overdue,
                 rank: urgency.rank,
                 id,
@@ -383,10 +388,10 @@
         line.sort_by(|a, b| {
             // A suspect job is never the head for which room is kept. Where more of a high rank waits for too long
             // than there is room for, what is overdue of a low one would be passed for ever by rank.
-            let precedence = |x: &InLine| {
-                let by_rank = !x.overdue || !stands(Guard::Longest);
+            let precedence = |x: &QueueEntry| {
+                let by_rank = !x.overdue || !stands(Safeguard::Longest);
                 let rank = by_rank.then_some((!x.facts.guaranteed, x.rank));
-                (x.run.suspect(), !x.overdue, rank)
+                (x.run.is_suspect(), !x.overdue, rank)
             };
             precedence(a)
                 .cmp(&precedence(b))
@@ -399,8 +404,8 @@
     /// Puts what changed about machines on the board.
     pub(super) fn refresh_board(&mut self) {
         let Some(lead) = &mut self.lead else { return };
-        let changed = lead.machines.take_noted();
-        lead.recall_changed(&changed);
+        let changed = lead.machines.take_changed();
+        lead.revoke_changed(&changed);
         let mut board = std::mem::take(&mut lead.board);
         let mut opened = Vec::with_capacity(changed.len());
         if let Some(lead) = &self.lead {
@@ -418,7 +423,7 @@
         }
         let Some(lead) = &mut self.lead else { return };
         for (id, open) in opened {
-            lead.machines.set_open(&id, open);
+            lead.machines.set_schedulable(&id, open);
         }
         lead.board = board;
     }
@@ -433,7 +438,7 @@
             free.sub(&task.needs);
         }
         let unresolved = m.unresolved;
-        let usage = if view.lead.takes_tasks(m, now, self.settings.report) {
+        let usage = if view.lead.accepts_tasks(m, now, self.settings.report) {
             Use::Open
         } else if m.deleting.is_some() || m.notice.is_some() || m.session_over {
             Use::Closed
@@ -459,7 +464,7 @@
                 saves_in: job
                     .filter(|j| !j.spec.checkpoint.is_zero())
                     .map(|j| j.spec.save),
-                rank: job.map_or(Rank::Low, |j| view.lead.urgency_of(&key.job, j).rank),
+                rank: job.map_or(Priority::Low, |j| view.lead.urgency_of(&key.job, j).rank),
                 team: task.team,
                 stopping: task.stopping.is_some(),
             }
@@ -482,33 +487,33 @@
         let now = self.now.mono;
         let lead = view.lead;
         let mut queue = Vec::new();
-        if !self.may_start(lead) {
+        if !self.may_start_tasks(lead) {
             return queue;
         }
-        for entry in self.line(view, false) {
+        for entry in self.job_queue(view, false) {
             let (job, run) = (entry.job, entry.run);
-            let whole = job.spec.kind == Kind::Gang;
+            let whole = job.spec.kind == JobKind::Gang;
             let held = |t: &Instant| now < *t;
             // A gang starts whole: not while some of it is still elsewhere or held back.
             if whole && (!run.placed.is_empty() || run.held.values().any(held)) {
                 continue;
             }
             // All rows of a job with a mistake, tried again and again, filled machines and queues.
-            if run.rests(now) {
+            if run.is_backing_off(now) {
                 continue;
             }
             let mut zones = BTreeMap::new();
             if job.spec.one_zone || job.spec.spread {
                 // Also where a row only may be.
                 let also = run.also.values().flatten();
-                let also = also.filter(|_| stands(Guard::Zones));
+                let also = also.filter(|_| stands(Safeguard::Zones));
                 for machine in run.placed.values().chain(also) {
                     if let Some(m) = lead.machines.get(machine) {
                         *zones.entry(m.zone.clone()).or_insert(0) += 1;
                     }
                 }
             }
-            let avoid = if run.suspect() {
+            let avoid = if run.is_suspect() {
                 Vec::new()
             } else {
                 let slots = run.failures.keys().filter_map(|m| board.slot(m));
@@ -522,7 +527,7 @@
                 queued: &run.queued,
                 held: &run.held,
                 whole,
-                probe: run.suspect() || (entry.overdue && job.spec.kind == Kind::Array),
+                probe: run.is_suspect() || (entry.overdue && job.spec.kind == JobKind::Array),
                 estimate: entry.estimate,
                 zones,
                 avoid,
@@ -541,14 +546,14 @@
     }
 
     /// What is left of a gang that lost a task is stopped, so that it starts whole again.
-    fn regroup_gangs(&mut self) {
+    fn restart_broken_gangs(&mut self) {
         let now = self.now.mono;
-        if self.lead.as_ref().is_some_and(|l| !self.may_start(l)) {
+        if self.lead.as_ref().is_some_and(|l| !self.may_start_tasks(l)) {
             return;
         }
         let Some(lead) = &mut self.lead else { return };
         for (id, job) in &self.mirror.jobs {
-            if job.spec.kind != Kind::Gang || Self::held_by_recovery(lead, job) {
+            if job.spec.kind != JobKind::Gang || Self::blocked_by_recovery(lead, job) {
                 continue;
             }
             let Some(run) = lead.runs.get(id) else {
@@ -557,13 +562,13 @@
             if run.queued.is_empty() || run.ending.is_some() {
                 continue;
             }
-            run.stop_placed(id, &mut lead.machines, StopReason::Regrouped, now);
+            run.stop_assigned(id, &mut lead.machines, StopReason::Regrouped, now);
         }
     }
 
     fn place(&mut self) {
         let now = self.now.mono;
-        self.judge_guarantees();
+        self.update_guarantees();
         self.refresh_board();
         let Some(lead) = &mut self.lead else { return };
         let mut board = std::mem::take(&mut lead.board);
@@ -592,7 +597,7 @@
             else {
                 continue;
             };
-            let key = TaskKey {
+            let key = TaskId {
                 job: spec.id.clone(),
                 row: s.row,
             };
@@ -602,9 +607,9 @@
             run.held.remove(&s.row);
             run.placed.insert(s.row, m.id.clone());
             // The tasks of a gang find one another by their attempt.
-            if spec.kind != Kind::Gang || gang_attempt != Some(s.job) {
+            if spec.kind != JobKind::Gang || gang_attempt != Some(s.job) {
                 lead.attempts += 1;
-                gang_attempt = (spec.kind == Kind::Gang).then_some(s.job);
+                gang_attempt = (spec.kind == JobKind::Gang).then_some(s.job);
             }
             // Unique for ever, as terms are: an attempt is never used twice.
             let attempt = (lead.term << 32) | lead.attempts;
@@ -638,9 +643,9 @@
         }
     }
 
-    fn tend_fleet(&mut self) {
+    fn scale_machines(&mut self) {
         let now = self.now.mono;
-        self.judge_guarantees();
+        self.update_guarantees();
         self.refresh_board();
         let Some(lead) = &mut self.lead else { return };
         lead.fleet_at = Some(now);
@@ -656,7 +661,7 @@
         // A new leader bids when it knows what is there: until then all that runs seems to wait.
         let known = lead.unresolved == 0 || now.saturating_duration_since(lead.since) > RECOVERY;
         let mut asked = Vec::new();
-        let unmet = self.unmet(&view, |entry, unmet| {
+        let unmet = self.pending_demand(&view, |entry, unmet| {
             if bidding {
                 asked.push(self.asked(entry, unmet.clone()));
             }
@@ -708,12 +713,12 @@
             }
         }
         for id in returns {
-            self.give_up_machine(&id, "it is idle");
+            self.release_machine(&id, "it is idle");
         }
     }
 
     /// One line on how things stand, for the log.
-    fn log_standing(&mut self) {
+    fn log_summary(&mut self) {
         let now = self.now.mono;
         let Some(lead) = &mut self.lead else { return };
         if lead.told.is_some_and(|t| now < t + Duration::from_secs(10)) {
@@ -753,7 +758,7 @@
         );
     }
 
-    fn idle_keep(&self, lead: &Lead, id: &MachineId) -> Duration {
+    fn idle_keep(&self, lead: &LeaderState, id: &MachineId) -> Duration {
         let Some(m) = lead.machines.get(id) else {
             return Duration::ZERO;
         };
@@ -780,7 +785,7 @@
     }
 
     /// Machines that were asked for and not named yet.
-    fn coming(&self, lead: &Lead) -> Vec<Coming> {
+    fn coming(&self, lead: &LeaderState) -> Vec<Coming> {
         let rents = lead.market.rents.values();
         let coming = rents.filter_map(|op| {
             let t = self.type_of(&op.body.kind)?;
@@ -796,7 +801,7 @@
 
     /// Offers that are too dear for a job. Work on idle time is not worth machines that cost a
     /// multiple of others, neither renting them nor keeping them from being returned.
-    fn shunned(&self, job: &Job, facts: &JobFacts) -> Vec<Offer> {
+    fn shunned(&self, job: &JobRecord, facts: &JobFacts) -> Vec<Offer> {
         let times = self.policy.number(Entry::Dearest, facts);
         if times >= ANY_PRICE {
             return Vec::new();
@@ -805,7 +810,7 @@
     }
 
     /// What waits for room, in the queue's order, within the teams' limits.
-    fn unmet(&self, view: &View, mut told: impl FnMut(&InLine, &Unmet)) -> Vec<Unmet> {
+    fn pending_demand(&self, view: &View, mut told: impl FnMut(&QueueEntry, &Unmet)) -> Vec<Unmet> {
         let lead = view.lead;
         let teams = self.team_use(lead, &lead.board);
         let mut spare: Vec<f64> = teams
@@ -820,14 +825,14 @@
         let mut out = Vec::new();
         // Machines that a new leader has not heard of yet may be running what it does not see;
         // what they cannot hold waits for certain, and renting for it need not wait.
-        let mut hidden = self.hidden(lead);
-        for entry in self.line(view, true) {
-            if entry.run.suspect() {
+        let mut hidden = self.unobserved_resources(lead);
+        for entry in self.job_queue(view, true) {
+            if entry.run.is_suspect() {
                 continue;
             }
             let spec = &entry.job.spec;
             let mut tasks = entry.run.queued.len() as u32;
-            if Self::held_by_recovery(lead, entry.job) {
+            if Self::blocked_by_recovery(lead, entry.job) {
                 let there = spec.needs.count_in(&hidden).min(tasks);
                 hidden.sub(&spec.needs.times(f64::from(there)));
                 tasks -= there;
@@ -850,8 +855,8 @@
                     tasks,
                     estimate: match spec.kind {
                         // Nothing of these gives its room to another of them.
-                        Kind::Service | Kind::Gang => Duration::MAX / 4,
-                        Kind::Array => entry.estimate,
+                        JobKind::Service | JobKind::Gang => Duration::MAX / 4,
+                        JobKind::Array => entry.estimate,
                     },
                     patience: patience(Entry::Patience),
                     spot_patience: patience(Entry::SpotPatience),
--- a/src/core/simulation/checker.rs
+++ b/src/core/simulation/checker.rs
@@ -3,10 +3,10 @@
 use super::cluster::{Node, Simulation};
 use super::network::Link;
 use super::worker::Worker;
-use crate::guard::{Guard, stands};
+use crate::guard::{Safeguard, stands};
 use crate::http::Answer;
-use crate::job::{JobSpec, Kind, MachineId, TaskKey};
-use crate::wire::{JobAnswer, JobState, RowState};
+use crate::job::{JobKind, JobSpec, MachineId, TaskId};
+use crate::wire::{JobState, JobStatus, TaskState};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
@@ -41,7 +41,7 @@
     /// When jobs that wait were looked for last.
     pub(super) last_starvation_check: Instant,
     /// Tasks that ended with a result.
-    pub completed: BTreeSet<TaskKey>,
+    pub completed: BTreeSet<TaskId>,
 }
 
 impl Checker {
@@ -90,7 +90,7 @@
 }
 
 /// A task that starts is in a zone that its job allows, given the job's other tasks.
-fn check_zone(key: &TaskKey, spec: &JobSpec, zone: &str, beside: &BTreeMap<TaskKey, String>) {
+fn check_zone(key: &TaskId, spec: &JobSpec, zone: &str, beside: &BTreeMap<TaskId, String>) {
     let others = || beside.iter().filter(|(k, _)| k.job == key.job && *k != key);
     if spec.one_zone {
         let elsewhere = others().find(|(_, z)| *z != zone);
@@ -123,7 +123,7 @@
             return None;
         }
         let first_answer = self.checker.announced_jobs.insert(id.into());
-        let body: JobAnswer = serde_json::from_slice(&answer.body).unwrap();
+        let body: JobStatus = serde_json::from_slice(&answer.body).unwrap();
         let state = body.state;
         let is_final = matches!(state, JobState::Done | JobState::Cancelled);
         self.check_against_final_answer(id, asked, state, is_final);
@@ -182,7 +182,7 @@
         let spec = &self.checker.specs[id];
         for row in 0..spec.tasks {
             let job = spec.id.clone();
-            let key = TaskKey { job, row };
+            let key = TaskId { job, row };
             assert!(self.checker.completed.contains(&key), "{key} is not done");
         }
     }
@@ -202,9 +202,9 @@
     /// and it is in a zone that its job allows.
     pub(super) fn check_start(
         &mut self,
-        key: &TaskKey,
+        key: &TaskId,
         zone: &str,
-        beside: &BTreeMap<TaskKey, String>,
+        beside: &BTreeMap<TaskId, String>,
     ) {
         if let Some(told) = self.checker.cancelled_at.get(&*key.job) {
             self.counters.late_starts += 1;
@@ -217,7 +217,7 @@
         for awaited in &spec.awaits {
             for row in 0..self.checker.specs[&**awaited].tasks {
                 let job = awaited.clone();
-                let before = TaskKey { job, row };
+                let before = TaskId { job, row };
                 let done = self.checker.completed.contains(&before);
                 assert!(done, "{key} starts before {before} is done");
             }
@@ -251,7 +251,7 @@
     pub fn store_complete(&self) -> bool {
         let marked = self.state.keys.contains_key("burlusher/rebuilding");
         let leader = self.leader().map(|n| &self.nodes[n].core);
-        !marked && leader.is_some_and(|c| !c.incomplete())
+        !marked && leader.is_some_and(|c| !c.store_is_incomplete())
     }
 
     /// Every leadership has a term that no other has. At the beginning of one, what was kept for it arrives.
@@ -358,7 +358,7 @@
         let ready = spec.awaits.iter().all(|a| is_final(a));
         let used = usage.by_team.get(LIMITED_TEAM).copied().unwrap_or(0.0);
         let within = spec.team != LIMITED_TEAM || used + spec.needs.cpus <= TEAM_LIMIT;
-        if over || usage.jobs.contains(id) || !ready || !within || spec.kind == Kind::Gang {
+        if over || usage.jobs.contains(id) || !ready || !within || spec.kind == JobKind::Gang {
             return false;
         }
         let fits = |room: &Room| {
@@ -379,7 +379,7 @@
                 continue;
             };
             let (mut cpus, mut ram) = (kind.cpus, kind.ram);
-            for (key, _) in (worker.tasks.iter()).filter(|(_, t)| t.state != RowState::Exited) {
+            for (key, _) in (worker.tasks.iter()).filter(|(_, t)| t.state != TaskState::Exited) {
                 let spec = &self.checker.specs[&*key.job];
                 usage.jobs.insert(&key.job);
                 *usage.by_team.entry(&spec.team).or_default() += spec.needs.cpus;
@@ -394,9 +394,9 @@
     pub(super) fn check(&self) {
         let acts = |n: &&Node| n.up && !n.paused && n.core.leads();
         let leaders = self.nodes.iter().filter(acts).count();
-        let one = leaders <= 1 || !stands(Guard::Word);
+        let one = leaders <= 1 || !stands(Safeguard::Word);
         assert!(one, "{leaders} leaders act at the same time");
-        let mut at: BTreeMap<&TaskKey, &MachineId> = BTreeMap::new();
+        let mut at: BTreeMap<&TaskId, &MachineId> = BTreeMap::new();
         let mut used: BTreeMap<&str, f64> = BTreeMap::new();
         for (id, worker) in &self.workers {
             if self.now < worker.up_at {
@@ -406,7 +406,7 @@
             for (key, t) in &worker.tasks {
                 let beyond = self.checker.data_lost_for_good
                     && self.checker.machines_with_lost_record.contains(id);
-                if t.state == RowState::Exited || beyond {
+                if t.state == TaskState::Exited || beyond {
                     continue;
                 }
                 if let Some(other) = at.insert(key, id) {
--- a/src/core/simulation/cluster.rs
+++ b/src/core/simulation/cluster.rs
@@ -8,12 +8,12 @@
 use super::store::{LIMITS, StateService};
 use super::worker::{LEASE, Worker};
 use crate::core::simulation::recorded_decisions::DecisionRecorder;
-use crate::core::{Command, Core, LEASE_TTL, Now, Stand, Ticket};
+use crate::core::{Command, Core, LEASE_TTL, LeadershipProof, Now, Ticket};
 use crate::job::MachineId;
 use crate::policy::Policy;
 use crate::settings::Settings;
-use crate::state::StateOutcome;
-use crate::wire::{Item, MachineType, Txn};
+use crate::state::StoreOutcome;
+use crate::wire::{CompareAndSwap, Item, MachineType};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
@@ -75,7 +75,7 @@
     pub calls: u32,
     pub(super) inbox: Vec<Command>,
     pub(super) lease: Option<u64>,
-    pub(super) stand: Option<Stand>,
+    pub(super) stand: Option<LeadershipProof>,
     pub(super) next_renewal: Instant,
     /// A full read that the service has begun to answer: what it tells is as old as that.
     pub(super) reading: Option<(Vec<Item>, u64)>,
@@ -376,18 +376,18 @@
                 self.state.leases.insert(id, now + LEASE_TTL);
                 let mut stands = None;
                 if let Some(stand) = &node.stand {
-                    let txn = Txn {
+                    let txn = CompareAndSwap {
                         conditions: stand.conditions.clone(),
                         changes: Vec::new(),
                     };
                     let key_version = stand.key_version;
-                    if let StateOutcome::Committed { .. } = self.state.txn(&txn) {
+                    if let StoreOutcome::Committed { .. } = self.state.txn(&txn) {
                         stands = Some(key_version);
                     } else {
                         node.inbox.push(Command::Deposed { key_version });
                     }
                 }
-                node.inbox.push(Command::LeaseKept {
+                node.inbox.push(Command::LeaseRenewed {
                     lease: id,
                     sent: now,
                     stands,
@@ -402,7 +402,7 @@
                 let id = self.state.next_lease;
                 self.state.leases.insert(id, now + LEASE_TTL);
                 node.lease = Some(id);
-                node.inbox.push(Command::LeaseKept {
+                node.inbox.push(Command::LeaseRenewed {
                     lease: id,
                     sent: now,
                     stands: None,
--- a/src/core/simulation/faults.rs
+++ b/src/core/simulation/faults.rs
@@ -81,7 +81,7 @@
         let unanswered: Vec<_> = unanswered.map(|(_, r)| r).collect();
         for (asker, peer, asked) in unanswered.into_iter().filter(|r| r.0 != i) {
             let answer = None;
-            self.nodes[asker].inbox.push(Command::Recalled {
+            self.nodes[asker].inbox.push(Command::MemoryPage {
                 peer,
                 asked,
                 answer,
@@ -132,7 +132,7 @@
         let current =
             |n: &Node| n.up && n.core.mirror.loaded && n.seen >= Some(self.state.revision);
         let up = (0..self.nodes.len()).filter(|i| current(&self.nodes[*i]));
-        let leads = |n: &Node| n.up && n.core.leads() && !n.core.incomplete();
+        let leads = |n: &Node| n.up && n.core.leads() && !n.core.store_is_incomplete();
         if self.nodes.iter().any(leads) && !self.state.keys.contains_key("burlusher/rebuilding") {
             self.checker.survivors = up.clone().collect();
         }
--- a/src/core/simulation/mixed_versions.rs
+++ b/src/core/simulation/mixed_versions.rs
@@ -2,11 +2,13 @@
 //! serve side by side, and each works on what the other wrote. The literals here were written by
 //! that version's own encoders.
 
-use crate::core::mirror::{DoneValue, JobValue, LeaderValue, Mirror, PageValue, RowSet, TermValue};
+use crate::core::mirror::{
+    DoneValue, JobValue, LeaderValue, PageValue, RowSet, StoreCache, TermValue,
+};
 use crate::core::simulation::{LIMITS, NEXT_LIMITS, Simulation};
-use crate::job::{Final, JobSpec, Kind, Rank, Resources, sample};
+use crate::job::{JobKind, JobOutcome, JobSpec, Priority, Resources, sample};
 use crate::peer::{self, PeerAnswer, PeerRequest};
-use crate::wire::{Event, JobState};
+use crate::wire::{JobState, WatchEvent};
 use serde::Deserialize;
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
@@ -36,7 +38,7 @@
 #[allow(dead_code)]
 enum ProductionJob {
     Live { spec: Value, submitted_ms: u64 },
-    Over { end: Final },
+    Over { end: JobOutcome },
 }
 
 /// How production keeps machines in memory, page by page.
@@ -47,7 +49,7 @@
 }
 
 impl ProductionMachines {
-    fn told(&mut self, event: &Event) {
+    fn told(&mut self, event: &WatchEvent) {
         let key = event.put.as_ref().or(event.delete.as_ref()).unwrap();
         let Some(n) = key.strip_prefix("burlusher/p/") else {
             return;
@@ -79,8 +81,8 @@
         id: "wk-000412".into(),
         class: "train".into(),
         team: "vision".into(),
-        kind: Kind::Array,
-        rank: Rank::High,
+        kind: JobKind::Array,
+        rank: Priority::High,
         tasks: 16,
         needs: Resources {
             cpus: 8.0,
@@ -111,8 +113,8 @@
     let ours = JobValue::live(Box::new(spec()), 1_700_000_000_123);
     assert_eq!(serde_json::to_value(ours).unwrap(), value(LIVE));
     for (end, text) in [
-        (Final::Done, r#"{"end":"Done"}"#),
-        (Final::Cancelled, r#"{"end":"Cancelled"}"#),
+        (JobOutcome::Done, r#"{"end":"Done"}"#),
+        (JobOutcome::Cancelled, r#"{"end":"Cancelled"}"#),
     ] {
         assert_eq!(
             serde_json::to_value(JobValue::Over { end, left: None }).unwrap(),
@@ -144,7 +146,7 @@
     let stored = serde_json::to_value(JobValue::live(Box::new(spec.clone()), 7)).unwrap();
     assert!(serde_json::from_value::<ProductionJob>(stored.clone()).is_err());
     assert!(serde_json::from_value::<ProductionJob>(value(LIVE)).is_ok());
-    let mut mirror = Mirror::default();
+    let mut mirror = StoreCache::default();
     mirror.put_job("wk-000412", serde_json::from_value(stored).unwrap(), 3);
     assert_eq!(*mirror.jobs["wk-000412"].spec, spec);
     assert!(!mirror.ready(&"wk-000412".into()));
@@ -210,7 +212,7 @@
             simulation
                 .checker
                 .completed
-                .insert(crate::job::TaskKey { job, row });
+                .insert(crate::job::TaskId { job, row });
         }
     }
     simulation
@@ -343,7 +345,7 @@
         simulation
             .checker
             .completed
-            .insert(crate::job::TaskKey { job, row });
+            .insert(crate::job::TaskId { job, row });
         simulation.put(&format!("burlusher/j/{id}"), json!({"end": "Done"}));
         large.awaits.push(id.into());
     }
--- a/src/core/simulation/network.rs
+++ b/src/core/simulation/network.rs
@@ -8,9 +8,9 @@
 use crate::job::MachineId;
 use crate::link;
 use crate::peer::{self, PeerAnswer, PeerRequest};
-use crate::recall::{self, Recall};
-use crate::state::StateRequest;
-use crate::wire::{DirectBody, JobAnswer, Report, Txn};
+use crate::recall::{self, MemoryRequest};
+use crate::state::StoreRequest;
+use crate::wire::{CompareAndSwap, DirectCommands, Heartbeat, JobStatus};
 use crate::worker::DirectRequest;
 use rand::RngExt;
 use std::collections::BTreeMap;
@@ -24,27 +24,27 @@
     /// Frames of controllers that serve workers: who sent them, their numbers, and when.
     pub(super) syncs: BTreeMap<Ticket, (usize, u64, Instant)>,
     /// Requests between controllers for what they remember: who asked whom, and for what.
-    pub(super) recalls: BTreeMap<Ticket, (usize, String, Recall)>,
+    pub(super) recalls: BTreeMap<Ticket, (usize, String, MemoryRequest)>,
     /// Answers that nobody has fetched yet.
     pub(super) answers: BTreeMap<Ticket, Answer>,
     /// Duplicates of reports: when each arrives, and at which controller.
-    pub(super) delayed_reports: Vec<(Instant, usize, Report)>,
+    pub(super) delayed_reports: Vec<(Instant, usize, Heartbeat)>,
     /// Direct commands that are late or duplicates: when each arrives, and at which machine.
-    pub(super) delayed_commands: Vec<(Instant, MachineId, DirectBody)>,
+    pub(super) delayed_commands: Vec<(Instant, MachineId, DirectCommands)>,
     /// Transactions that are carried out late.
-    pub(super) delayed_transactions: Vec<(Instant, Txn)>,
+    pub(super) delayed_transactions: Vec<(Instant, CompareAndSwap)>,
     /// Answers of the state service: when each arrives, and at which controller.
     pub(super) delayed_answers: Vec<(Instant, usize, Command)>,
     /// Reports that arrive everywhere when the next leadership begins.
-    pub(super) reports_to_replay: Vec<Report>,
+    pub(super) reports_to_replay: Vec<Heartbeat>,
     /// Questions asked because of an answer to somebody else.
     pub(super) follow_up_queries: BTreeMap<Ticket, (String, Instant)>,
     /// Cancellations whose answers nobody waits for, and what they were about.
     pub(super) unawaited_cancellations: BTreeMap<Ticket, (String, Instant)>,
     /// Transactions that are held until `Simulation::release`.
-    pub held_transactions: Vec<Txn>,
+    pub held_transactions: Vec<CompareAndSwap>,
     /// Direct commands that are held until then.
-    pub held_commands: Vec<(MachineId, DirectBody)>,
+    pub held_commands: Vec<(MachineId, DirectCommands)>,
 }
 
 /// How a controller's calls to the state service go.
@@ -76,7 +76,7 @@
 
 /// What a controller reads of another one's answer to a forwarded request.
 fn peer_answer(answer: &Answer) -> PeerAnswer {
-    let body: Option<JobAnswer> = serde_json::from_slice(&answer.body).ok();
+    let body: Option<JobStatus> = serde_json::from_slice(&answer.body).ok();
     PeerAnswer {
         status: answer.status,
         state: body.as_ref().map(|b| b.state),
@@ -96,12 +96,12 @@
                 peer,
                 request,
             } => self.forward_request(from, ticket, peer, request),
-            Effect::Sync {
+            Effect::HeartbeatBatch {
                 peer,
                 number,
                 frame,
-            } => self.send_sync(from, &peer, number, &frame),
-            Effect::Recall { peer, recall } => self.send_recall(from, peer, recall),
+            } => self.send_batch(from, &peer, number, &frame),
+            Effect::MemoryRequest { peer, recall } => self.send_recall(from, peer, recall),
             Effect::State { call, request } => self.send_to_store(from, call, &request),
             Effect::Cloud {
                 call,
@@ -109,17 +109,17 @@
                 not_after,
             } => self.send_to_cloud(from, call, request, not_after),
             Effect::Direct { call, request, .. } => self.send_to_worker(from, call, request),
-            Effect::ReadAfresh => self.nodes[from].seen = None,
-            Effect::GiveUpLease => {
+            Effect::RereadStore => self.nodes[from].seen = None,
+            Effect::ReleaseLease => {
                 if let Some(id) = self.nodes[from].lease.take() {
                     self.state.leases.insert(id, self.now);
                 }
             }
-            Effect::ChangeLease => {
+            Effect::ReplaceLease => {
                 self.nodes[from].lease = None;
                 self.nodes[from].next_renewal = self.now;
             }
-            Effect::Stand(stand) => self.nodes[from].stand = stand,
+            Effect::LeadershipProof(stand) => self.nodes[from].stand = stand,
             Effect::Ready(_) => {}
         }
     }
@@ -132,7 +132,7 @@
         if let Some((asker, peer, asked)) = self.network.recalls.remove(&ticket) {
             let (_, body) = peer::read_frame(&mut answer.body.as_slice()).unwrap();
             let recalled = recall::decode_recalled(&body).unwrap();
-            self.nodes[asker].inbox.push(Command::Recalled {
+            self.nodes[asker].inbox.push(Command::MemoryPage {
                 peer,
                 asked,
                 answer: Some(Box::new(recalled)),
@@ -142,10 +142,12 @@
             let through = self.connected(asker, from);
             let frame = peer::read_frame(&mut answer.body.as_slice()).ok();
             let synced = frame.and_then(|(_, body)| link::decode_synced(&body));
-            self.nodes[asker].inbox.push(Command::Synced {
-                number,
-                answer: synced.filter(|_| through).map(Box::new),
-            });
+            self.nodes[asker]
+                .inbox
+                .push(Command::HeartbeatBatchResponse {
+                    number,
+                    answer: synced.filter(|_| through).map(Box::new),
+                });
         } else if let Some((asker, original)) = self.network.forwards.remove(&ticket) {
             self.nodes[asker].inbox.push(Command::Forwarded {
                 ticket: original,
@@ -198,26 +200,30 @@
         }));
     }
 
-    fn send_sync(&mut self, from: usize, peer: &str, number: u64, frame: &[u8]) {
+    fn send_batch(&mut self, from: usize, peer: &str, number: u64, frame: &[u8]) {
         let to = node_of(peer);
         if !self.reaches(from, to) {
-            self.nodes[from].inbox.push(Command::Synced {
-                number,
-                answer: None,
-            });
+            self.nodes[from]
+                .inbox
+                .push(Command::HeartbeatBatchResponse {
+                    number,
+                    answer: None,
+                });
             return;
         }
         let (_, body) = peer::read_frame(&mut { frame }).unwrap();
         let sync = Box::new(link::decode_sync(&body).unwrap());
         let ticket = self.new_ticket();
         self.network.syncs.insert(ticket, (from, number, self.now));
-        self.nodes[to].inbox.push(Command::Sync { ticket, sync });
+        self.nodes[to]
+            .inbox
+            .push(Command::HeartbeatBatch { ticket, sync });
     }
 
-    fn send_recall(&mut self, from: usize, peer: String, recall: Recall) {
+    fn send_recall(&mut self, from: usize, peer: String, recall: MemoryRequest) {
         let to = node_of(&peer);
         if !self.reaches(from, to) {
-            self.nodes[from].inbox.push(Command::Recalled {
+            self.nodes[from].inbox.push(Command::MemoryPage {
                 peer,
                 asked: recall,
                 answer: None,
@@ -230,10 +236,10 @@
             .insert(ticket, (from, peer, recall.clone()));
         self.nodes[to]
             .inbox
-            .push(Command::Recall { ticket, recall });
+            .push(Command::MemoryRequest { ticket, recall });
     }
 
-    fn send_to_store(&mut self, from: usize, call: CallId, request: &StateRequest) {
+    fn send_to_store(&mut self, from: usize, call: CallId, request: &StoreRequest) {
         let lost = self.counters.answers_lost;
         let outcome = self.call_state(from, request);
         let answer = Command::State { call, outcome };
@@ -279,12 +285,12 @@
     }
 
     /// A report comes to a node late.
-    pub fn deliver(&mut self, node: usize, report: Report) {
+    pub fn deliver(&mut self, node: usize, report: Heartbeat) {
         let ticket = self.new_ticket();
         let report = Box::new(report);
         self.nodes[node]
             .inbox
-            .push(Command::Report { ticket, report });
+            .push(Command::Heartbeat { ticket, report });
     }
 
     /// Frames that nobody answered within a second.
@@ -295,10 +301,12 @@
             .syncs
             .extract_if(.., |_, (_, _, at)| *at < late)
         {
-            self.nodes[asker].inbox.push(Command::Synced {
-                number,
-                answer: None,
-            });
+            self.nodes[asker]
+                .inbox
+                .push(Command::HeartbeatBatchResponse {
+                    number,
+                    answer: None,
+                });
         }
     }
 
@@ -339,12 +347,12 @@
     }
 
     /// Copies of what workers reported arrive at every controller.
-    pub fn replay_at_next_leadership(&mut self, reports: Vec<Report>) {
+    pub fn replay_at_next_leadership(&mut self, reports: Vec<Heartbeat>) {
         self.network.reports_to_replay.extend(reports);
     }
 
     /// Commands of which copies are under way.
-    pub fn delayed_command_copies(&self) -> Vec<(MachineId, DirectBody)> {
+    pub fn delayed_command_copies(&self) -> Vec<(MachineId, DirectCommands)> {
         let all = self.network.delayed_commands.iter();
         all.map(|(_, id, body)| (id.clone(), body.clone()))
             .collect()
--- a/src/core/simulation/randomized.rs
+++ b/src/core/simulation/randomized.rs
@@ -5,8 +5,8 @@
 //! `HISTORY_SEED=1` others.
 
 use crate::core::simulation::{Backup, Link, Simulation};
-use crate::guard::{Guard, OUT};
-use crate::job::{Kind, sample};
+use crate::guard::{OUT, Safeguard};
+use crate::job::{JobKind, sample};
 use crate::policy::Policy;
 use crate::wire::JobState;
 use proptest::prelude::*;
@@ -100,7 +100,7 @@
 #[derive(Clone, Debug)]
 struct Step {
     fault: Fault,
-    job: Option<(u32, f64, u64, Kind)>,
+    job: Option<(u32, f64, u64, JobKind)>,
     cancel: Option<usize>,
     then_ms: u64,
 }
@@ -152,7 +152,7 @@
         2 => (node.clone(), 100..3000u64).prop_map(|(node, ms)| Fault::Lag { node, ms }),
         2 => (0..20usize).prop_map(Fault::CancelAsRefused),
     ];
-    let kind = prop_oneof![3 => Just(Kind::Array), 1 => Just(Kind::Service)];
+    let kind = prop_oneof![3 => Just(JobKind::Array), 1 => Just(JobKind::Service)];
     let job = (1..6u32, 1..4u32, 1..14u64, kind).prop_map(|(n, c, s, k)| (n, f64::from(c), s, k));
     (
         fault,
@@ -172,7 +172,7 @@
     simulation: &mut Simulation,
     fault: &Fault,
     backup: Option<&Backup>,
-    accepted: &[(String, Kind)],
+    accepted: &[(String, JobKind)],
     wanted: &mut Vec<String>,
 ) {
     match fault {
@@ -240,7 +240,7 @@
             }
         }
         Fault::CancelAtEnd(job) => {
-            if let Some((id, Kind::Array)) = accepted.get(*job) {
+            if let Some((id, JobKind::Array)) = accepted.get(*job) {
                 // Until its last task has ended on its machine, which nobody has been told yet.
                 for _ in 0..200 {
                     if simulation.all_completed(id) {
@@ -382,7 +382,7 @@
     simulation.add_machines("small", 6);
     simulation.until(10.0, "a leader", |simulation| simulation.leader().is_some());
     simulation.run(2.0);
-    let mut accepted: Vec<(String, Kind)> = Vec::new();
+    let mut accepted: Vec<(String, JobKind)> = Vec::new();
     let mut services: Vec<String> = Vec::new();
     let mut backup = None;
     let mut wanted: Vec<String> = Vec::new();
@@ -410,7 +410,7 @@
             spec.kind = kind;
             spec.spot = n % 2 == 0;
             (spec.one_zone, spec.spread) = (n % 5 == 1, n % 5 == 3);
-            if kind == Kind::Service {
+            if kind == JobKind::Service {
                 services.push(id.clone());
             }
             if matches!(simulation.submit(n % 3, &spec), 200 | 201) {
@@ -475,7 +475,7 @@
     for (id, kind) in &accepted {
         match simulation.show(0, id) {
             (200, Some(JobState::Done | JobState::Cancelled)) => {}
-            (200, state) if *kind == Kind::Service => panic!("{id} is said to be {state:?}"),
+            (200, state) if *kind == JobKind::Service => panic!("{id} is said to be {state:?}"),
             (200, _) => simulation.until_done(id, 200.0),
             (status, _) => panic!("{id} is answered with {status}"),
         }
@@ -511,17 +511,17 @@
 /// The checker finds what follows when a guard is taken out, by the rule that it keeps.
 #[test]
 fn checker_detects_each_disabled_guard() {
-    const FAULTS: [(Guard, &str, u8); 10] = [
-        (Guard::Unseen, " and on ", 0),
-        (Guard::Limit, "team t uses", 0),
-        (Guard::Spot, "is on a spot machine", 0),
-        (Guard::Stopped, "of a cancelled job is on", 0),
-        (Guard::Accepted, "was forgotten", 6),
-        (Guard::Unknown, "was invented", 0),
-        (Guard::AllDone, "is not done", 0),
-        (Guard::Cancelled, "said to be", 6),
-        (Guard::Term, "two leaderships have term", 0),
-        (Guard::FreshRead, "was forgotten", 0),
+    const FAULTS: [(Safeguard, &str, u8); 10] = [
+        (Safeguard::Unseen, " and on ", 0),
+        (Safeguard::Limit, "team t uses", 0),
+        (Safeguard::Spot, "is on a spot machine", 0),
+        (Safeguard::Stopped, "of a cancelled job is on", 0),
+        (Safeguard::Accepted, "was forgotten", 6),
+        (Safeguard::Unknown, "was invented", 0),
+        (Safeguard::AllDone, "is not done", 0),
+        (Safeguard::Cancelled, "said to be", 6),
+        (Safeguard::Term, "two leaderships have term", 0),
+        (Safeguard::FreshRead, "was forgotten", 0),
     ];
     for (guard, rule, seed) in FAULTS {
         OUT.set(Some(guard));
@@ -541,9 +541,9 @@
     }
 }
 
-const SHORT: (u32, f64, u64, Kind) = (1, 1.0, 1, Kind::Array);
+const SHORT: (u32, f64, u64, JobKind) = (1, 1.0, 1, JobKind::Array);
 
-fn step(fault: Fault, job: Option<(u32, f64, u64, Kind)>, then_ms: u64) -> Step {
+fn step(fault: Fault, job: Option<(u32, f64, u64, JobKind)>, then_ms: u64) -> Step {
     Step {
         fault,
         job,
@@ -613,7 +613,7 @@
         &[
             step(Fault::CutOff(0), None, 2676),
             step(Fault::Calm, None, 1975),
-            step(Fault::Calm, Some((1, 1.0, 1, Kind::Service)), 3026),
+            step(Fault::Calm, Some((1, 1.0, 1, JobKind::Service)), 3026),
             step(Fault::Lag { node: 0, ms: 1576 }, None, 975),
             step(Fault::Freeze(0), None, 2475),
             step(Fault::Lose, Some(SHORT), 425),
--- a/src/core/simulation/recorded_decisions.rs
+++ b/src/core/simulation/recorded_decisions.rs
@@ -21,14 +21,14 @@
 use crate::cloud::CloudRequest;
 use crate::core::simulation::scenarios::mixed_faults::inject_mixed_faults;
 use crate::core::simulation::{Link, NEXT_LIMITS, Simulation};
-use crate::core::{Effect, Stand};
+use crate::core::{Effect, LeadershipProof};
 use crate::http::Answer;
-use crate::job::{JobSpec, Kind, Rank, sample};
+use crate::job::{JobKind, JobSpec, Priority, sample};
 use crate::peer;
 use crate::policy::Policy;
 use crate::recall;
-use crate::state::StateRequest;
-use crate::wire::{MachineNames, to_json};
+use crate::state::StoreRequest;
+use crate::wire::{MachineIds, to_json};
 use crate::worker::DirectRequest;
 use serde_json::{Value, json};
 use siphasher::sip::SipHasher13;
@@ -135,7 +135,7 @@
                 peer,
                 request,
             } => json!([FORWARD, ticket, peer, text(&peer::encode_request(request))]),
-            Effect::Sync {
+            Effect::HeartbeatBatch {
                 peer,
                 number,
                 frame,
@@ -162,14 +162,14 @@
                     }
                 }
             }
-            Effect::Recall { peer, recall } => {
+            Effect::MemoryRequest { peer, recall } => {
                 json!([RECALL, peer, text(&recall::encode_recall(recall))])
             }
-            Effect::ReadAfresh => json!([READ_AFRESH]),
-            Effect::GiveUpLease => json!([GIVE_UP_LEASE]),
-            Effect::ChangeLease => json!([CHANGE_LEASE]),
-            Effect::Stand(None) => json!([STAND_ON_NOTHING]),
-            Effect::Stand(Some(Stand {
+            Effect::RereadStore => json!([READ_AFRESH]),
+            Effect::ReleaseLease => json!([GIVE_UP_LEASE]),
+            Effect::ReplaceLease => json!([CHANGE_LEASE]),
+            Effect::LeadershipProof(None) => json!([STAND_ON_NOTHING]),
+            Effect::LeadershipProof(Some(LeadershipProof {
                 key_version,
                 conditions,
             })) => json!([STAND_ON_CONDITIONS, key_version, text(&to_json(conditions))]),
@@ -193,12 +193,12 @@
     }
 }
 
-fn state_content(call: u64, request: &StateRequest) -> Value {
+fn state_content(call: u64, request: &StoreRequest) -> Value {
     match request {
-        StateRequest::Get(key) => json!([STATE_GET, call, key]),
-        StateRequest::Txn(txn) => json!([STATE_TRANSACTION, call, text(&to_json(txn))]),
-        StateRequest::Page { under, after, most } => json!([STATE_PAGE, call, under, after, most]),
-        StateRequest::LeaseRuns(lease) => json!([STATE_LEASE_RUNS, call, lease]),
+        StoreRequest::Get(key) => json!([STATE_GET, call, key]),
+        StoreRequest::CompareAndSwap(txn) => json!([STATE_TRANSACTION, call, text(&to_json(txn))]),
+        StoreRequest::Page { under, after, most } => json!([STATE_PAGE, call, under, after, most]),
+        StoreRequest::CheckLease(lease) => json!([STATE_LEASE_RUNS, call, lease]),
     }
 }
 
@@ -208,7 +208,7 @@
         CloudRequest::List => json!([CLOUD_LIST, call, not_after]),
         CloudRequest::Rent(body) => json!([CLOUD_RENT, call, not_after, text(&to_json(body))]),
         CloudRequest::Delete(names) => {
-            let body = MachineNames {
+            let body = MachineIds {
                 machines: names.clone(),
             };
             json!([CLOUD_DELETE, call, not_after, text(&to_json(&body))])
@@ -291,9 +291,9 @@
 fn jobs_of_all_kinds() -> Vec<JobSpec> {
     let array = sample("wk-1", 6, 1.0, 12);
     let mut service = sample("wk-2", 2, 1.0, 1);
-    service.kind = Kind::Service;
+    service.kind = JobKind::Service;
     let mut gang = sample("wk-3", 3, 2.0, 8);
-    gang.kind = Kind::Gang;
+    gang.kind = JobKind::Gang;
     gang.team = "u".into();
     let mut one_zone = sample("wk-4", 3, 1.0, 6);
     one_zone.one_zone = true;
@@ -301,7 +301,7 @@
     spread.spread = true;
     let mut urgent = sample("wk-6", 2, 2.0, 5);
     urgent.class = "urgent".into();
-    urgent.rank = Rank::High;
+    urgent.rank = Priority::High;
     urgent.spot = true;
     let mut dependent = sample("wk-7", 2, 1.0, 4);
     dependent.awaits = vec!["wk-1".into(), "wk-6".into()];
@@ -365,12 +365,12 @@
         (spec.team, spec.rank) = ("u".into(), rank);
         spec
     };
-    simulation.submit(0, &of_unlimited_team("wk-1", 120, Rank::Low));
+    simulation.submit(0, &of_unlimited_team("wk-1", 120, Priority::Low));
     simulation.run(5.0);
-    simulation.submit(1, &of_unlimited_team("wk-2", 60, Rank::Production));
+    simulation.submit(1, &of_unlimited_team("wk-2", 60, Priority::Production));
     simulation.run(3.0);
     simulation.limit(NEXT_LIMITS);
-    let mut large = of_unlimited_team("wk-3", 4, Rank::Normal);
+    let mut large = of_unlimited_team("wk-3", 4, Priority::Normal);
     large.image = "x".repeat(3 * NEXT_LIMITS.0);
     simulation.submit(2, &large);
     if let Some(leader) = simulation.leader() {
--- a/src/core/simulation/scenarios/cancellation.rs
+++ b/src/core/simulation/scenarios/cancellation.rs
@@ -1,9 +1,9 @@
 //! Cancellations: one outcome for each, nothing started after it, everything stopped in time.
 
 use super::{eight_machines, fails_without, follower, four_machines, unlimited_job};
-use crate::core::losses::late_cancellations;
+use crate::core::losses::cancellation_warning;
 use crate::core::simulation::{Link, Setup, Simulation, settings};
-use crate::guard::Guard;
+use crate::guard::Safeguard;
 use crate::job::{MachineId, sample};
 use crate::policy::Policy;
 use crate::wire::JobState;
@@ -173,9 +173,11 @@
 #[test]
 fn no_start_after_confirmed_cancellation() {
     cancelled_while_it_starts(600);
-    fails_without(Guard::Early, "it starts after its user was told", || {
-        cancelled_while_it_starts(600)
-    });
+    fails_without(
+        Safeguard::Early,
+        "it starts after its user was told",
+        || cancelled_while_it_starts(600),
+    );
 }
 
 /// Machines that hang at the cancellation and go on later: within their lease or after it, with the leader
@@ -265,7 +267,7 @@
     // Operators are warned of it.
     let warned = |cancel: u64| {
         let cancel = Duration::from_secs(cancel);
-        late_cancellations(&settings("n0", Setup { nodes: 3, cancel }))
+        cancellation_warning(&settings("n0", Setup { nodes: 3, cancel }))
     };
     assert!(warned(20).is_none());
     assert!(
@@ -275,7 +277,7 @@
     );
     let waited = cancelled_in_less_than_a_lease();
     assert!(waited > 3, "told before it is certain");
-    fails_without(Guard::InTime, "of a cancelled job is on", || {
+    fails_without(Safeguard::InTime, "of a cancelled job is on", || {
         cancelled_in_less_than_a_lease();
     });
 }
@@ -345,7 +347,7 @@
 #[test]
 fn many_short_jobs_leave_no_residue() {
     many_short_jobs();
-    fails_without(Guard::Forget, "versions are kept", many_short_jobs);
+    fails_without(Safeguard::Forget, "versions are kept", many_short_jobs);
 }
 
 /// Starts that went out with the answer to a report, and that no report has shown, when their job is cancelled.
@@ -378,7 +380,7 @@
 fn unreported_starts_stopped_by_cancellation() {
     cancelled_before_a_report_shows_it();
     fails_without(
-        Guard::UnseenStops,
+        Safeguard::UnseenStops,
         "it starts after its user was told",
         cancelled_before_a_report_shows_it,
     );
--- a/src/core/simulation/scenarios/cancellation_at_handover.rs
+++ b/src/core/simulation/scenarios/cancellation_at_handover.rs
@@ -2,10 +2,10 @@
 
 use super::{eight_machines, fails_without, unlimited_job};
 use crate::core::simulation::{Link, Setup, Simulation};
-use crate::guard::Guard;
+use crate::guard::Safeguard;
 use crate::job::sample;
 use crate::policy::Policy;
-use crate::wire::DirectBody;
+use crate::wire::DirectCommands;
 use std::time::Duration;
 
 /// Every team is at its limit, or has all that the machines hold, when jobs are cancelled on machines that are cut
@@ -107,7 +107,7 @@
     for ends_after_ms in [-4000, -3000, 0, 100, 500, 2000] {
         limits_at_a_change_of_leader(ends_after_ms);
     }
-    fails_without(Guard::Left, "team t uses", || {
+    fails_without(Safeguard::Left, "team t uses", || {
         limits_at_a_change_of_leader(0)
     });
 }
@@ -240,7 +240,7 @@
         met > 10,
         "{met} were confirmed before their tasks were gone"
     );
-    for (guard, handover) in [(Guard::Stopped, Moves), (Guard::Grant, Alone)] {
+    for (guard, handover) in [(Safeguard::Stopped, Moves), (Safeguard::Grant, Alone)] {
         fails_without(guard, "of a cancelled job is on", || {
             cancelled_around_a_handover(handover, true);
         });
@@ -335,7 +335,7 @@
     // They are heard, and what they show is of no job that is known; they hear nothing.
     let token = simulation.nodes[next].core.lead.as_ref().unwrap().term << 20;
     for (id, _) in simulation.places("wk-000001") {
-        let body = DirectBody {
+        let body = DirectCommands {
             token,
             session: simulation.workers[&id].session,
             orders: Vec::new(),
--- a/src/core/simulation/scenarios/cancellation_in_outage.rs
+++ b/src/core/simulation/scenarios/cancellation_in_outage.rs
@@ -6,7 +6,7 @@
 use super::unlimited_job;
 use crate::core::leadership::LEASE_TTL;
 use crate::core::simulation::{LEASE, Link, Setup, Simulation};
-use crate::guard::{Guard, OUT};
+use crate::guard::{OUT, Safeguard};
 use crate::policy::Policy;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::time::Duration;
@@ -244,7 +244,7 @@
 /// Each guard that keeps it, taken out by itself, is found by the rule.
 #[test]
 fn checker_detects_disabled_guards_in_outage() {
-    for guard in [Guard::Word, Guard::Grant, Guard::Stopped] {
+    for guard in [Safeguard::Word, Safeguard::Grant, Safeguard::Stopped] {
         OUT.set(Some(guard));
         let found = rows().into_iter().enumerate().find_map(|(n, gap)| {
             let played = catch_unwind(AssertUnwindSafe(|| play(gap, 700 + n as u64)));
--- a/src/core/simulation/scenarios/delegation.rs
+++ b/src/core/simulation/scenarios/delegation.rs
@@ -5,7 +5,7 @@
 use super::unlimited_job;
 use crate::core::simulation::Simulation;
 use crate::core::{Command, Effect, Now, Work};
-use crate::job::{Kind, MachineId};
+use crate::job::{JobKind, MachineId};
 use crate::policy::Policy;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -198,7 +198,7 @@
         let (mut simulation, leader) = delegating_cluster(504, 4);
         let other = (leader + 1) % 3;
         let mut service = unlimited_job("wk-1", 4, 2.0, 0);
-        service.kind = Kind::Service;
+        service.kind = JobKind::Service;
         simulation.submit(leader, &service);
         simulation.until(5.0, "replicas", |simulation| {
             simulation.places("wk-1").len() == 4
--- a/src/core/simulation/scenarios/late_commands.rs
+++ b/src/core/simulation/scenarios/late_commands.rs
@@ -2,9 +2,9 @@
 
 use super::{eight_machines, fails_without, four_machines, unlimited_job};
 use crate::core::simulation::Link;
-use crate::guard::Guard;
+use crate::guard::Safeguard;
 use crate::job::{MachineId, sample};
-use crate::wire::{JobState, Order};
+use crate::wire::{JobState, TaskCommand};
 use std::time::Duration;
 
 /// A leader's starts are held up on their way; it ends, or is deposed, another one begins and hears the others,
@@ -67,7 +67,7 @@
             commands_of_a_former_leader(after_s, deposed);
         }
     }
-    fails_without(Guard::Unseen, " and on ", || {
+    fails_without(Safeguard::Unseen, " and on ", || {
         commands_of_a_former_leader(3.0, false);
     });
 }
@@ -121,7 +121,7 @@
     let cleared = simulation.workers.values().all(|m| m.tasks.is_empty());
     assert!(cleared && simulation.counters.clears >= 8, "all is cleared");
     let copies = simulation.delayed_command_copies();
-    let starts = |o: &Order| matches!(o, Order::Start { .. });
+    let starts = |o: &TaskCommand| matches!(o, TaskCommand::Start { .. });
     assert!(copies.iter().any(|(_, b)| b.orders.iter().any(starts)));
     let before = simulation.counters.starts;
     for (id, body) in copies {
--- a/src/core/simulation/scenarios/late_writes.rs
+++ b/src/core/simulation/scenarios/late_writes.rs
@@ -2,7 +2,7 @@
 
 use super::{eight_machines, fails_without, four_machines, unlimited_job};
 use crate::core::simulation::{Link, Simulation};
-use crate::guard::Guard;
+use crate::guard::Safeguard;
 use crate::job::{MachineId, sample};
 use crate::policy::Policy;
 use std::time::Duration;
@@ -195,7 +195,7 @@
         placed > 20,
         "only {placed} tasks were placed when the leader ended"
     );
-    fails_without(Guard::Recorded, "which is not on record", || {
+    fails_without(Safeguard::Recorded, "which is not on record", || {
         new_machines_while_writes_lag(0.9, Duration::ZERO, 5);
     });
 }
--- a/src/core/simulation/scenarios/loss_of_store.rs
+++ b/src/core/simulation/scenarios/loss_of_store.rs
@@ -4,10 +4,10 @@
 use super::fails_without;
 use crate::core::simulation::{Link, Simulation};
 use crate::core::{Core, Effect, Pending};
-use crate::guard::Guard;
+use crate::guard::Safeguard;
 use crate::job::{JobSpec, sample};
 use crate::policy::Policy;
-use crate::state::StateOutcome;
+use crate::state::StoreOutcome;
 use crate::wire::{Item, JobState};
 use std::time::Duration;
 
@@ -588,7 +588,7 @@
     let (mut simulation, leader) = six_machines(32);
     assert_eq!(simulation.submit(leader, &sample("wk-1", 2, 1.0, 2)), 201);
     let stored = simulation.stored("burlusher/j/");
-    let page = |revision| StateOutcome::Page {
+    let page = |revision| StoreOutcome::Page {
         items: (stored.iter())
             .map(|(key, value)| Item {
                 key: key.clone(),
@@ -603,16 +603,16 @@
     simulation.until_done("wk-1", 10.0);
     let core = &mut simulation.nodes[leader].core;
     core.out.clear();
-    core.audited(String::new(), None, page(1));
+    core.jobs_audited(String::new(), None, page(1));
     let suspicion = core.pending.values().find_map(|p| match p {
         Pending::Audit { suspicion, .. } => suspicion.clone(),
         _ => None,
     });
     assert!(suspicion.is_some(), "it is read once more");
-    let afresh = |core: &Core| core.out.iter().any(|e| matches!(e, Effect::ReadAfresh));
+    let afresh = |core: &Core| core.out.iter().any(|e| matches!(e, Effect::RereadStore));
     assert!(!afresh(core));
     // The same once more, though it was asked for after that: lost.
-    core.audited(String::new(), suspicion, page(1));
+    core.jobs_audited(String::new(), suspicion, page(1));
     assert!(afresh(core));
 }
 
@@ -660,7 +660,7 @@
 fn restarted_controller_calls_no_job_unknown() {
     restart_on_rolled_back_store();
     fails_without(
-        Guard::JustBegun,
+        Safeguard::JustBegun,
         "was forgotten",
         restart_on_rolled_back_store,
     );
--- a/src/core/simulation/scenarios/lost_answers.rs
+++ b/src/core/simulation/scenarios/lost_answers.rs
@@ -4,7 +4,7 @@
 
 use super::{eight_machines, fails_without, unlimited_job};
 use crate::core::simulation::{Link, Simulation};
-use crate::guard::Guard;
+use crate::guard::Safeguard;
 use crate::wire::JobState;
 use std::time::Duration;
 
@@ -64,7 +64,7 @@
 fn leader_keeps_leading_when_answers_lost() {
     lose_answers_of_leader();
     fails_without(
-        Guard::OwnWrite,
+        Safeguard::OwnWrite,
         "resigned for its own write",
         lose_answers_of_leader,
     );
@@ -103,7 +103,7 @@
     for link in [Link::Good, Link::AnswersLost, Link::WritesHeld] {
         step_down_with_the_key_standing(link);
     }
-    fails_without(Guard::Term, "two leaderships have term", || {
+    fails_without(Safeguard::Term, "two leaderships have term", || {
         step_down_with_the_key_standing(Link::Good);
     });
 }
@@ -144,7 +144,11 @@
 #[test]
 fn no_controller_answers_older_than_another() {
     query_lagging_controllers();
-    fails_without(Guard::FreshRead, "was forgotten", query_lagging_controllers);
+    fails_without(
+        Safeguard::FreshRead,
+        "was forgotten",
+        query_lagging_controllers,
+    );
 }
 
 /// A write that is refused is not told as if it had been carried out: its job goes on, whoever leads next.
@@ -180,7 +184,7 @@
 fn conflict_not_reported_as_success() {
     writes_are_refused();
     fails_without(
-        Guard::Conflict,
+        Safeguard::Conflict,
         "told of what is not durable",
         writes_are_refused,
     );
--- a/src/core/simulation/scenarios/machine_failures.rs
+++ b/src/core/simulation/scenarios/machine_failures.rs
@@ -2,7 +2,7 @@
 
 use super::{fails_without, four_machines, unlimited_job};
 use crate::core::simulation::Simulation;
-use crate::guard::Guard;
+use crate::guard::Safeguard;
 use crate::job::sample;
 use crate::policy::Policy;
 
@@ -122,7 +122,7 @@
 fn failed_machine_avoided_only_briefly() {
     only_machine_has_failed();
     fails_without(
-        Guard::Avoid,
+        Safeguard::Avoid,
         "waits for 90 s while",
         only_machine_has_failed,
     );
--- a/src/core/simulation/scenarios/mixed_faults.rs
+++ b/src/core/simulation/scenarios/mixed_faults.rs
@@ -4,7 +4,7 @@
 use super::delegation::policy;
 use super::four_machines;
 use crate::core::simulation::{Link, NEXT_LIMITS, Simulation};
-use crate::job::{TaskKey, sample};
+use crate::job::{TaskId, sample};
 use crate::wire::JobState;
 use std::time::Duration;
 
@@ -129,7 +129,7 @@
         }
     }
     assert_eq!(simulation.over_the_limit(), 0);
-    let key = |t: &TaskKey| ids.iter().any(|i| **i == *t.job);
+    let key = |t: &TaskId| ids.iter().any(|i| **i == *t.job);
     assert!(simulation.checker.completed.iter().any(key));
 }
 
