--- a/src/core/simulation/scenarios/mod.rs
+++ b/src/core/simulation/scenarios/mod.rs
@@ -22,13 +22,13 @@
 mod submissions;
 
 use crate::core::simulation::Simulation;
-use crate::guard::{Guard, OUT};
+use crate::guard::{OUT, Safeguard};
 use crate::job::{JobSpec, MachineId, sample};
 use crate::policy::Policy;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
 /// The same with a guard taken out breaks this rule.
-pub fn fails_without(guard: Guard, rule: &str, scenario: impl Fn()) {
+pub fn fails_without(guard: Safeguard, rule: &str, scenario: impl Fn()) {
     OUT.set(Some(guard));
     let said = catch_unwind(AssertUnwindSafe(scenario)).err();
     OUT.set(None);
--- a/src/core/simulation/scenarios/old_reports.rs
+++ b/src/core/simulation/scenarios/old_reports.rs
@@ -2,9 +2,9 @@
 
 use super::{eight_machines, fails_without, four_machines, machines_in_zone, unlimited_job};
 use crate::core::simulation::Simulation;
-use crate::guard::Guard;
+use crate::guard::Safeguard;
 use crate::job::{MachineId, sample};
-use crate::wire::{JobState, Report};
+use crate::wire::{Heartbeat, JobState};
 use std::time::Duration;
 
 /// Reports made before tasks were started reach every controller as the next leader begins, before its first
@@ -25,7 +25,7 @@
     .collect();
     assert_eq!(idle.len(), 5);
     // They say that their machines are to be taken: nothing new is started on these.
-    let old = idle.iter().map(|id| Report {
+    let old = idle.iter().map(|id| Heartbeat {
         notice: Some(60.0),
         ..simulation.report_of(id)
     });
@@ -66,7 +66,7 @@
 #[test]
 fn old_reports_at_takeover_prove_nothing() {
     old_reports_as_a_leader_begins();
-    fails_without(Guard::Proof, " and on ", old_reports_as_a_leader_begins);
+    fails_without(Safeguard::Proof, " and on ", old_reports_as_a_leader_begins);
 }
 
 /// The same through six changes of leader, with every report of some seconds kept for the next, machines that
@@ -267,7 +267,12 @@
     }
     let lead = simulation.nodes[leader].core.lead.as_ref().unwrap();
     assert_eq!(lead.machines.get(&id).unwrap().session, 1);
-    assert!(simulation.nodes.iter().all(|n| !n.core.incomplete()));
+    assert!(
+        simulation
+            .nodes
+            .iter()
+            .all(|n| !n.core.store_is_incomplete())
+    );
     simulation.until_done("wk-000001", 12.0);
     assert_eq!(
         (simulation.leader(), simulation.counters.starts),
@@ -286,7 +291,7 @@
         simulation.run(3.0);
         simulation.report_of(&id)
     };
-    let same_session = Report {
+    let same_session = Heartbeat {
         session: 1,
         seq: 1000,
         ..simulation.report_of(&id)
--- a/src/core/simulation/scenarios/partitions.rs
+++ b/src/core/simulation/scenarios/partitions.rs
@@ -2,8 +2,8 @@
 
 use super::{eight_machines, fails_without, four_machines, machines_in_zone, unlimited_job};
 use crate::core::simulation::{LEASE, Link, Simulation};
-use crate::guard::Guard;
-use crate::job::{MachineId, Rank, sample};
+use crate::guard::Safeguard;
+use crate::job::{MachineId, Priority, sample};
 use crate::wire::JobState;
 use std::time::Duration;
 
@@ -302,7 +302,7 @@
     for n in 0..24u32 {
         let id = format!("wk-{n:06}");
         let mut spec = unlimited_job(&id, 16, 1.0, 60);
-        spec.rank = Rank::High;
+        spec.rank = Priority::High;
         assert_eq!(simulation.submit(leader, &spec), 201);
         simulation.run(0.2);
         let there = simulation
@@ -323,7 +323,7 @@
 fn unreporting_machines_answering_commands_get_no_work() {
     commands_go_on_to_machines_that_do_not_report();
     fails_without(
-        Guard::Mute,
+        Safeguard::Mute,
         "work is started to die with the lease",
         commands_go_on_to_machines_that_do_not_report,
     );
--- a/src/core/simulation/scenarios/scheduling.rs
+++ b/src/core/simulation/scenarios/scheduling.rs
@@ -2,8 +2,8 @@
 
 use super::{eight_machines, fails_without, four_machines, thousand_machines, unlimited_job};
 use crate::core::simulation::Simulation;
-use crate::guard::Guard;
-use crate::job::{Kind, MachineId, Rank, sample};
+use crate::guard::Safeguard;
+use crate::job::{JobKind, MachineId, Priority, sample};
 use crate::policy::Policy;
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 fn service_keeps_replicas_until_cancelled() {
     let (mut simulation, leader) = four_machines(20);
     let mut spec = sample("wk-1", 3, 2.0, 0);
-    spec.kind = Kind::Service;
+    spec.kind = JobKind::Service;
     spec.spread = true;
     simulation.submit(leader, &spec);
     simulation.run(4.0);
@@ -32,7 +32,7 @@
     simulation.run(1.0);
     simulation.capacity.clear();
     let mut gang = sample("wk-1", 4, 4.0, 15);
-    gang.kind = Kind::Gang;
+    gang.kind = JobKind::Gang;
     assert_eq!(simulation.submit(leader, &gang), 201);
     simulation.run(2.0);
     // Three machines are free, but four are needed.
@@ -74,7 +74,7 @@
     }
     simulation.submit(leader, &sample("wk-1", 1, 4.0, 4));
     let mut low = sample("wk-2", 1, 1.0, 4);
-    low.rank = Rank::Low;
+    low.rank = Priority::Low;
     simulation.submit(leader, &low);
     let mut own = sample("wk-3", 2, 4.0, 4);
     own.team = "u".into();
@@ -221,14 +221,14 @@
     simulation.add_machine("large", "a");
     let leader = simulation.run_until_leader(4.0);
     let mut wide = unlimited_job("wk-900001", 2, 4.0, 20);
-    (wide.rank, wide.types) = (Rank::Low, Some(vec!["large".into()]));
+    (wide.rank, wide.types) = (Priority::Low, Some(vec!["large".into()]));
     let mut low = unlimited_job("wk-900002", 30, 4.0, 20);
-    low.rank = Rank::Low;
+    low.rank = Priority::Low;
     let mut n = 0;
     for round in 0..70 {
         n += 1;
         let mut urgent = unlimited_job(&format!("wk-{n:06}"), 3, 4.0, 4);
-        urgent.rank = Rank::High;
+        urgent.rank = Priority::High;
         urgent.types = Some(vec!["small".into()]);
         simulation.submit(leader, &urgent);
         if round == 3 {
@@ -244,7 +244,7 @@
 fn no_job_starves_while_machine_has_room() {
     overload_with_urgent_work();
     fails_without(
-        Guard::Overdue,
+        Safeguard::Overdue,
         "waits for 90 s while",
         overload_with_urgent_work,
     );
@@ -284,18 +284,22 @@
 #[test]
 fn possible_task_zone_counts_for_one_zone_job() {
     one_zone_job_with_uncertain_task();
-    fails_without(Guard::Zones, "apart from", one_zone_job_with_uncertain_task);
+    fails_without(
+        Safeguard::Zones,
+        "apart from",
+        one_zone_job_with_uncertain_task,
+    );
 }
 
 /// More of a high rank than its team may use, without end: a job of a low rank begins within four minutes.
 fn a_low_rank_behind_more_than_the_limit() {
     let (mut simulation, leader) = eight_machines(1370);
     let mut low = sample("wk-900001", 4, 4.0, 5);
-    low.rank = Rank::Low;
+    low.rank = Priority::Low;
     let mut submitted = None;
     for n in 0..560u32 {
         let mut urgent = sample(&format!("wk-{n:06}"), 1, 4.0, 8);
-        urgent.rank = Rank::High;
+        urgent.rank = Priority::High;
         simulation.submit_without_waiting(leader, &urgent);
         simulation.register_job(&urgent);
         simulation.run(0.6);
@@ -319,7 +323,7 @@
 fn low_rank_job_starts_behind_full_team_limit() {
     a_low_rank_behind_more_than_the_limit();
     fails_without(
-        Guard::Longest,
+        Safeguard::Longest,
         "it has not begun",
         a_low_rank_behind_more_than_the_limit,
     );
@@ -330,11 +334,11 @@
 fn large_low_rank_job_eventually_starts() {
     let (mut simulation, leader) = eight_machines(69);
     let mut large = unlimited_job("wk-000001", 40, 4.0, 3);
-    large.rank = Rank::Low;
+    large.rank = Priority::Low;
     let begun = simulation.now;
     for n in 0..110 {
         let mut small = unlimited_job(&format!("wk-{:06}", n + 2), 8, 4.0, 3);
-        small.rank = Rank::High;
+        small.rank = Priority::High;
         assert_eq!(simulation.submit(leader, &small), 201);
         if n == 3 {
             assert_eq!(simulation.submit(leader, &large), 201);
--- a/src/core/simulation/scenarios/size.rs
+++ b/src/core/simulation/scenarios/size.rs
@@ -1,17 +1,19 @@
 //! Scenarios of size: 6,000 machines on one controller, which is half as many again as the largest site has.
 
 use super::{eight_machines, unlimited_job};
-use crate::core::commands::MOST_DIRECT;
-use crate::core::mirror::{JobValue, Left, MachineValue, PageValue};
+use crate::core::commands::MAX_DIRECT_CALLS;
+use crate::core::mirror::{JobValue, MachineValue, PageValue, ResidualTasks};
 use crate::core::simulation::Simulation;
 use crate::core::simulation::{SETUP, settings};
 use crate::core::{Command, Core, Effect, Now, Ticket};
-use crate::job::{Final, MachineId, Resources, sample};
-use crate::link::{self, Relayed, Synced, Told, ToldKind};
+use crate::job::{JobOutcome, MachineId, Resources, sample};
+use crate::link::{
+    self, HeartbeatBatchResponse, RelayedHeartbeat, RelayedOutcome, RelayedResponse,
+};
 use crate::peer;
 use crate::policy::Policy;
 use crate::settings::Settings;
-use crate::wire::{Event, Report, RowReport, RowState};
+use crate::wire::{Heartbeat, TaskState, TaskStatus, WatchEvent};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime};
@@ -41,15 +43,15 @@
     format!("i-{number:06}").into()
 }
 
-fn heartbeat(number: usize) -> Box<Report> {
-    let row = |row| RowReport {
+fn heartbeat(number: usize) -> Box<Heartbeat> {
+    let row = |row| TaskStatus {
         task: format!("wk-{number:06}/{row}"),
         attempt: 1,
-        state: RowState::Running,
+        state: TaskState::Running,
         why: None,
         saved: None,
     };
-    Box::new(Report {
+    Box::new(Heartbeat {
         machine: machine(number),
         addr: "10.0.0.1:9000".into(),
         kind: "small".into(),
@@ -77,7 +79,7 @@
 
 /// Heartbeats of so many machines at once; the tickets that are answered at once, with their status.
 fn heartbeats(core: &mut Core, now: Now, count: usize) -> Vec<(Ticket, u16, Option<u32>)> {
-    let report = |n: usize| Command::Report {
+    let report = |n: usize| Command::Heartbeat {
         ticket: n as Ticket + 1,
         report: heartbeat(n),
     };
@@ -158,7 +160,7 @@
             .as_ref()
             .unwrap()
             .calls_out;
-        assert!(out <= MOST_DIRECT);
+        assert!(out <= MAX_DIRECT_CALLS);
         simulation.tick();
         rounds += 1;
         assert!(
@@ -167,7 +169,10 @@
             left(&simulation)
         );
     }
-    assert!(rounds <= MACHINES.div_ceil(MOST_DIRECT) + 5, "{rounds}");
+    assert!(
+        rounds <= MACHINES.div_ceil(MAX_DIRECT_CALLS) + 5,
+        "{rounds}"
+    );
     let calls = simulation.nodes[leader].calls as usize;
     assert!(
         (MACHINES - REPORTING..=MACHINES).contains(&calls),
@@ -221,21 +226,21 @@
 }
 
 /// The leader's answer to a frame: nothing to do for anybody.
-fn answer(sync: &link::Sync) -> Synced {
-    let told = |r: &Relayed| Told {
+fn answer(sync: &link::HeartbeatBatch) -> HeartbeatBatchResponse {
+    let told = |r: &RelayedHeartbeat| RelayedResponse {
         name: r.name,
-        kind: ToldKind::Orders {
+        kind: RelayedOutcome::Orders {
             token: 1 << 20,
             orders: Vec::new(),
             calm: true,
         },
     };
-    Synced {
+    HeartbeatBatchResponse {
         number: sync.number,
         term: 1,
         grant: Duration::from_secs(2),
         answers: sync.reports.iter().map(told).collect(),
-        ..Synced::default()
+        ..HeartbeatBatchResponse::default()
     }
 }
 
@@ -245,7 +250,7 @@
     let begun = now.mono;
     heartbeats(&mut core, now, MACHINES);
     let leader = serde_json::json!({"name": "n1", "nonce": 2, "lease": 3});
-    let key = Event {
+    let key = WatchEvent {
         put: Some("burlusher/leader".into()),
         value: leader,
         version: 2,
@@ -260,11 +265,11 @@
     while answered < MACHINES {
         for effect in core.step(now, std::mem::take(&mut commands)) {
             match effect {
-                Effect::Sync { number, frame, .. } => {
+                Effect::HeartbeatBatch { number, frame, .. } => {
                     let (_, body) = peer::read_frame(&mut frame.as_slice()).unwrap();
                     let answer = answer(&link::decode_sync(&body).unwrap());
                     let answer = Some(Box::new(answer));
-                    commands.push(Command::Synced { number, answer });
+                    commands.push(Command::HeartbeatBatchResponse { number, answer });
                     frames += 1;
                 }
                 Effect::Answer { answer, .. } => {
@@ -301,8 +306,8 @@
     let at = simulation.nodes[leader].core.now.wall;
     let at = at.duration_since(SystemTime::UNIX_EPOCH).unwrap();
     let later = JobValue::Over {
-        end: Final::Cancelled,
-        left: Some(Left {
+        end: JobOutcome::Cancelled,
+        left: Some(ResidualTasks {
             team: "u".into(),
             needs: Resources {
                 cpus: 0.001,
--- a/src/core/simulation/scenarios/submissions.rs
+++ b/src/core/simulation/scenarios/submissions.rs
@@ -3,7 +3,7 @@
 use super::{eight_machines, follower, four_machines, unlimited_job};
 use crate::core::Ask;
 use crate::core::simulation::{Link, Simulation};
-use crate::job::{JobSpec, Kind, sample};
+use crate::job::{JobKind, JobSpec, sample};
 use crate::wire::JobState;
 use std::time::Duration;
 
@@ -35,7 +35,7 @@
         assert_eq!(simulation.submit(node, &spec), 422);
         assert_eq!(simulation.submit(node, &sample("wk-2", 1, 9.0, 5)), 422);
         let mut spec = sample("wk-3", 4, 8.0, 0);
-        spec.kind = Kind::Service;
+        spec.kind = JobKind::Service;
         assert_eq!(simulation.submit(node, &spec), 422);
     }
     let mut simulation = Simulation::new(2);
@@ -164,7 +164,7 @@
         |j: &mut JobSpec| (j.types, j.zone) = (Some(vec!["large".into()]), Some("b".into())),
         |j: &mut JobSpec| (j.types, j.needs.cpus) = (Some(vec!["small".into()]), 5.0),
         |j: &mut JobSpec| (j.needs.cpus, j.needs.ram) = (4.0, 40.0),
-        |j: &mut JobSpec| (j.team, j.kind, j.tasks) = ("t".into(), Kind::Service, 13),
+        |j: &mut JobSpec| (j.team, j.kind, j.tasks) = ("t".into(), JobKind::Service, 13),
     ]
     .iter()
     .enumerate()
--- a/src/core/simulation/store.rs
+++ b/src/core/simulation/store.rs
@@ -3,8 +3,8 @@
 use super::cluster::Simulation;
 use super::network::Link;
 use crate::job::MachineId;
-use crate::state::{PREFIX, StateOutcome, StateRequest};
-use crate::wire::{Change, Event, Item, Txn};
+use crate::state::{PREFIX, StoreOutcome, StoreRequest};
+use crate::wire::{Change, CompareAndSwap, Item, WatchEvent};
 use rand::RngExt;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -31,7 +31,7 @@
     pub(super) limits: Limits,
     pub(super) keys: BTreeMap<String, Entry>,
     pub(super) revision: u64,
-    pub(super) events: Vec<Event>,
+    pub(super) events: Vec<WatchEvent>,
     pub(super) leases: BTreeMap<u64, Instant>,
     pub(super) next_lease: u64,
     /// Transactions over the limits.
@@ -41,7 +41,7 @@
 impl StateService {
     pub(super) fn drop_key(&mut self, key: &str) {
         if self.keys.remove(key).is_some() {
-            self.events.push(Event {
+            self.events.push(WatchEvent {
                 put: None,
                 delete: Some(key.into()),
                 value: serde_json::Value::Null,
@@ -96,21 +96,21 @@
         keys.map(item).collect()
     }
 
-    pub(super) fn perform(&mut self, request: &StateRequest) -> StateOutcome {
+    pub(super) fn perform(&mut self, request: &StoreRequest) -> StoreOutcome {
         match request {
-            StateRequest::LeaseRuns(id) => StateOutcome::Runs(self.leases.contains_key(id)),
-            StateRequest::Get(key) => match self.keys.get(key) {
-                Some(e) => StateOutcome::Found(Item {
+            StoreRequest::CheckLease(id) => StoreOutcome::Runs(self.leases.contains_key(id)),
+            StoreRequest::Get(key) => match self.keys.get(key) {
+                Some(e) => StoreOutcome::Found(Item {
                     key: key.clone(),
                     value: e.value.clone(),
                     version: e.version,
                     lease: e.lease,
                 }),
-                None => StateOutcome::Missing {
+                None => StoreOutcome::Missing {
                     revision: self.revision,
                 },
             },
-            StateRequest::Page { under, after, most } => {
+            StoreRequest::Page { under, after, most } => {
                 let keys = self.keys.iter();
                 let mut found = keys.filter(|(k, _)| k.starts_with(under.as_str()) && *k > after);
                 let item = |(k, e): (&String, &Entry)| Item {
@@ -119,17 +119,17 @@
                     version: e.version,
                     lease: e.lease,
                 };
-                StateOutcome::Page {
+                StoreOutcome::Page {
                     items: found.by_ref().take(*most).map(item).collect(),
                     more: found.next().is_some(),
                     revision: self.revision,
                 }
             }
-            StateRequest::Txn(txn) => self.txn(txn),
+            StoreRequest::CompareAndSwap(txn) => self.txn(txn),
         }
     }
 
-    pub(super) fn txn(&mut self, txn: &Txn) -> StateOutcome {
+    pub(super) fn txn(&mut self, txn: &CompareAndSwap) -> StoreOutcome {
         let (bytes, ops) = self.limits;
         let too_large = |c: &Change| match c {
             Change::Put { value, .. } => value.to_string().len() > bytes,
@@ -140,7 +140,7 @@
             || txn.changes.iter().any(too_large)
         {
             self.refused += 1;
-            return StateOutcome::Invalid("400 over the limit".into());
+            return StoreOutcome::Invalid("400 over the limit".into());
         }
         let failed: Vec<String> = txn
             .conditions
@@ -149,7 +149,7 @@
             .map(|c| c.key.clone())
             .collect();
         if !failed.is_empty() {
-            return StateOutcome::Conflict {
+            return StoreOutcome::Conflict {
                 failed,
                 revision: self.revision,
             };
@@ -159,7 +159,7 @@
             _ => true,
         };
         if !txn.changes.iter().all(lease_ok) {
-            return StateOutcome::Invalid("no such lease".into());
+            return StoreOutcome::Invalid("no such lease".into());
         }
         if !txn.changes.is_empty() {
             self.revision += 1;
@@ -172,7 +172,7 @@
                         version: self.revision,
                         lease: *lease,
                     };
-                    self.events.push(Event {
+                    self.events.push(WatchEvent {
                         put: Some(key.clone()),
                         delete: None,
                         value: value.clone(),
@@ -184,7 +184,7 @@
                 Change::Delete { key } => self.drop_key(key),
             }
         }
-        StateOutcome::Committed {
+        StoreOutcome::Committed {
             revision: self.revision,
         }
     }
@@ -194,8 +194,8 @@
 pub struct Backup(pub(super) StateService);
 
 impl Simulation {
-    pub(super) fn call_state(&mut self, i: usize, request: &StateRequest) -> StateOutcome {
-        if let (StateRequest::Txn(txn), Link::Good) = (request, self.nodes[i].state)
+    pub(super) fn call_state(&mut self, i: usize, request: &StoreRequest) -> StoreOutcome {
+        if let (StoreRequest::CompareAndSwap(txn), Link::Good) = (request, self.nodes[i].state)
             && !self.faults.store_outage
             && self.faults.late_write_share > 0.0
             && !txn.changes.is_empty()
@@ -203,39 +203,39 @@
         {
             let at = self.now + Duration::from_millis(self.rng.random_range(2000..12000));
             self.network.delayed_transactions.push((at, txn.clone()));
-            return StateOutcome::Unknown("timeout".into());
+            return StoreOutcome::Unknown("timeout".into());
         }
         if self.faults.store_outage {
-            return StateOutcome::Refused("503".into());
+            return StoreOutcome::Refused("503".into());
         }
         let link = self.nodes[i].state;
         match link {
             Link::Good if self.loses_answer(request) => {
                 self.counters.answers_lost += 1;
                 self.state.perform(request);
-                StateOutcome::Unknown("timeout".into())
+                StoreOutcome::Unknown("timeout".into())
             }
             Link::Good => self.state.perform(request),
-            Link::Refused => StateOutcome::Refused("503".into()),
+            Link::Refused => StoreOutcome::Refused("503".into()),
             Link::AnswersLost => {
                 self.state.perform(request);
-                StateOutcome::Unknown("timeout".into())
+                StoreOutcome::Unknown("timeout".into())
             }
-            Link::WritesHeld if !matches!(request, StateRequest::Txn(_)) => {
+            Link::WritesHeld if !matches!(request, StoreRequest::CompareAndSwap(_)) => {
                 self.state.perform(request)
             }
             Link::Held | Link::WritesHeld => {
-                if let StateRequest::Txn(txn) = request {
+                if let StoreRequest::CompareAndSwap(txn) = request {
                     self.network.held_transactions.push(txn.clone());
                 }
-                StateOutcome::Unknown("timeout".into())
+                StoreOutcome::Unknown("timeout".into())
             }
         }
     }
 
     /// Whether the answer to this request is to be lost.
-    pub(super) fn loses_answer(&mut self, request: &StateRequest) -> bool {
-        let StateRequest::Txn(txn) = request else {
+    pub(super) fn loses_answer(&mut self, request: &StoreRequest) -> bool {
+        let StoreRequest::CompareAndSwap(txn) = request else {
             return false;
         };
         let chosen = |c: &Change| c.key().starts_with(self.faults.lost_answer_prefix);
@@ -277,7 +277,7 @@
             lease: None,
         };
         let limits = std::mem::replace(&mut self.state.limits, (usize::MAX, 1));
-        self.state.txn(&Txn {
+        self.state.txn(&CompareAndSwap {
             conditions: Vec::new(),
             changes: vec![change],
         });
@@ -285,7 +285,7 @@
     }
 
     /// What the service has told its watchers, from the so-many-th change on.
-    pub fn events(&self, from: usize) -> Vec<Event> {
+    pub fn events(&self, from: usize) -> Vec<WatchEvent> {
         self.state.events[from..].to_vec()
     }
 
--- a/src/core/simulation/users.rs
+++ b/src/core/simulation/users.rs
@@ -4,7 +4,7 @@
 use super::store::Backup;
 use crate::core::{Ask, Command, Ticket, UserRequest};
 use crate::http::Answer;
-use crate::job::{JobSpec, TaskKey};
+use crate::job::{JobSpec, TaskId};
 use crate::wire::JobState;
 use std::time::Duration;
 
@@ -164,7 +164,7 @@
         let spec = &self.checker.specs[id];
         (0..spec.tasks).all(|row| {
             let job = spec.id.clone();
-            self.checker.completed.contains(&TaskKey { job, row })
+            self.checker.completed.contains(&TaskId { job, row })
         })
     }
 
--- a/src/core/simulation/worker.rs
+++ b/src/core/simulation/worker.rs
@@ -3,8 +3,11 @@
 use super::cluster::{Simulation, TICK};
 use crate::core::{Command, Ticket};
 use crate::http::Answer;
-use crate::job::{Kind, MachineId, TaskKey};
-use crate::wire::{DirectBody, Order, Report, ReportAnswer, RowReport, RowState, Why, parse_task};
+use crate::job::{JobKind, MachineId, TaskId};
+use crate::wire::{
+    DirectCommands, ExitCause, Heartbeat, HeartbeatResponse, TaskCommand, TaskState, TaskStatus,
+    parse_task_id,
+};
 use crate::worker::{DirectOutcome, DirectRequest};
 use rand::RngExt;
 use std::collections::{BTreeMap, BTreeSet};
@@ -33,8 +36,8 @@
 #[derive(Clone, Debug)]
 pub struct WorkerTask {
     pub attempt: u64,
-    pub state: RowState,
-    pub why: Option<Why>,
+    pub state: TaskState,
+    pub why: Option<ExitCause>,
     pub ends: Option<Instant>,
     /// When it has its image.
     pub runs: Instant,
@@ -48,7 +51,7 @@
     pub session: u64,
     pub seq: u64,
     pub token: u64,
-    pub tasks: BTreeMap<TaskKey, WorkerTask>,
+    pub tasks: BTreeMap<TaskId, WorkerTask>,
     pub lease_from: Instant,
     pub next_report: Instant,
     pub node: usize,
@@ -75,9 +78,9 @@
 
 impl Worker {
     /// Its next report.
-    fn report(&mut self, id: &MachineId) -> Report {
+    fn report(&mut self, id: &MachineId) -> Heartbeat {
         self.seq += 1;
-        Report {
+        Heartbeat {
             machine: id.clone(),
             addr: "127.0.0.1:9000".into(),
             kind: self.kind.clone(),
@@ -90,7 +93,7 @@
             rows: self
                 .tasks
                 .iter()
-                .map(|(k, t)| RowReport {
+                .map(|(k, t)| TaskStatus {
                     task: k.to_string(),
                     attempt: t.attempt,
                     state: t.state,
@@ -121,14 +124,17 @@
 
 impl Simulation {
     /// A machine's report as of now, for the network to hold.
-    pub fn report_of(&mut self, id: &MachineId) -> Report {
+    pub fn report_of(&mut self, id: &MachineId) -> Heartbeat {
         self.workers.get_mut(id).unwrap().report(id)
     }
 
     /// Carries out a controller's orders, and checks each start against the rules.
-    pub(super) fn execute(&mut self, id: &MachineId, orders: &[Order]) {
+    pub(super) fn execute(&mut self, id: &MachineId, orders: &[TaskCommand]) {
         let mut beside = self.zones_of_tasks(orders);
-        if orders.iter().any(|o| matches!(o, Order::Start { .. })) {
+        if orders
+            .iter()
+            .any(|o| matches!(o, TaskCommand::Start { .. }))
+        {
             self.check_recorded(id);
         }
         if !self.workers.contains_key(id) {
@@ -136,27 +142,27 @@
         }
         for order in orders {
             match order {
-                Order::Start { task, attempt } => {
-                    self.start_task(id, parse_task(task).unwrap(), *attempt, &mut beside);
+                TaskCommand::Start { task, attempt } => {
+                    self.start_task(id, parse_task_id(task).unwrap(), *attempt, &mut beside);
                 }
-                Order::Stop { task, attempt, .. } => {
-                    self.stop_task(id, &parse_task(task).unwrap(), *attempt);
+                TaskCommand::Stop { task, attempt, .. } => {
+                    self.stop_task(id, &parse_task_id(task).unwrap(), *attempt);
                 }
-                Order::Forget { task, attempt } => {
-                    self.forget_task(id, &parse_task(task).unwrap(), *attempt);
+                TaskCommand::Forget { task, attempt } => {
+                    self.forget_task(id, &parse_task_id(task).unwrap(), *attempt);
                 }
             }
         }
     }
 
     /// Where the tasks of jobs are that are started now and bound in their choice of zones.
-    fn zones_of_tasks(&self, orders: &[Order]) -> BTreeMap<TaskKey, String> {
+    fn zones_of_tasks(&self, orders: &[TaskCommand]) -> BTreeMap<TaskId, String> {
         let mut zones = BTreeMap::new();
         for order in orders {
-            let Order::Start { task, .. } = order else {
+            let TaskCommand::Start { task, .. } = order else {
                 continue;
             };
-            let job = parse_task(task).unwrap().job;
+            let job = parse_task_id(task).unwrap().job;
             let spec = &self.checker.specs[&*job];
             if spec.one_zone || spec.spread {
                 for (machine, key) in self.places(&job) {
@@ -170,9 +176,9 @@
     fn start_task(
         &mut self,
         id: &MachineId,
-        key: TaskKey,
+        key: TaskId,
         attempt: u64,
-        beside: &mut BTreeMap<TaskKey, String>,
+        beside: &mut BTreeMap<TaskId, String>,
     ) {
         let worker = &self.workers[id];
         let known = worker.tasks.get(&key);
@@ -187,16 +193,16 @@
         let runs = self.now + self.image_fetch_time;
         let mut task = WorkerTask {
             attempt,
-            state: RowState::Running,
+            state: TaskState::Running,
             why: None,
-            ends: (spec.kind != Kind::Service).then(|| runs + spec.estimate),
+            ends: (spec.kind != JobKind::Service).then(|| runs + spec.estimate),
             runs,
         };
         if !self.image_fetch_time.is_zero() {
-            task.state = RowState::Fetching;
+            task.state = TaskState::Fetching;
         }
         if worker.failing || self.broken_jobs.contains(&*key.job) {
-            (task.state, task.why) = (RowState::Exited, Some(Why::Error));
+            (task.state, task.why) = (TaskState::Exited, Some(ExitCause::Error));
         }
         if spec.one_zone || spec.spread {
             beside.insert(key.clone(), zone);
@@ -205,19 +211,19 @@
         worker.tasks.insert(key, task);
     }
 
-    fn stop_task(&mut self, id: &MachineId, key: &TaskKey, attempt: u64) {
+    fn stop_task(&mut self, id: &MachineId, key: &TaskId, attempt: u64) {
         let task = self.workers.get_mut(id).and_then(|w| w.tasks.get_mut(key));
         if let Some(task) = task
             && task.attempt == attempt
-            && task.state != RowState::Exited
+            && task.state != TaskState::Exited
         {
-            (task.state, task.why) = (RowState::Exited, Some(Why::Stopped));
+            (task.state, task.why) = (TaskState::Exited, Some(ExitCause::Stopped));
         }
     }
 
-    fn forget_task(&mut self, id: &MachineId, key: &TaskKey, attempt: u64) {
+    fn forget_task(&mut self, id: &MachineId, key: &TaskId, attempt: u64) {
         let worker = self.workers.get_mut(id).expect("the orders are its own");
-        let ended = |t: &WorkerTask| t.attempt == attempt && t.state == RowState::Exited;
+        let ended = |t: &WorkerTask| t.attempt == attempt && t.state == TaskState::Exited;
         if worker.tasks.get(key).is_some_and(ended) {
             self.counters.clears += 1;
             worker.tasks.remove(key);
@@ -253,14 +259,14 @@
         let worker = self.workers.get_mut(id).expect("the worker exists");
         let mut changed = false;
         for (key, task) in &mut worker.tasks {
-            if task.state == RowState::Fetching && task.runs <= now {
-                task.state = RowState::Running;
+            if task.state == TaskState::Fetching && task.runs <= now {
+                task.state = TaskState::Running;
                 let late = self.checker.cancelled_at.contains_key(&*key.job);
                 self.counters.late_starts += u32::from(late);
                 changed = true;
             }
-            if task.state == RowState::Running && task.ends.is_some_and(|e| e <= now) {
-                (task.state, task.why) = (RowState::Exited, Some(Why::Done));
+            if task.state == TaskState::Running && task.ends.is_some_and(|e| e <= now) {
+                (task.state, task.why) = (TaskState::Exited, Some(ExitCause::Done));
                 self.checker.completed.insert(key.clone());
                 changed = true;
             }
@@ -285,7 +291,7 @@
         if worker.partitioned_from.contains(&exchange.node) || worker.inbound_partitioned {
             return;
         }
-        let orders: Option<ReportAnswer> = serde_json::from_slice(&answer.body).ok();
+        let orders: Option<HeartbeatResponse> = serde_json::from_slice(&answer.body).ok();
         match (answer.status, orders) {
             (200, Some(a)) if a.token >= worker.token && exchange.session == worker.session => {
                 worker.token = a.token;
@@ -338,7 +344,7 @@
         worker.waiting = Some(exchange);
         self.nodes[node]
             .inbox
-            .push(Command::Report { ticket, report });
+            .push(Command::Heartbeat { ticket, report });
     }
 
     /// How much later a duplicate arrives.
@@ -348,7 +354,7 @@
     }
 
     /// Executes direct commands as a worker does.
-    pub fn direct(&mut self, id: &MachineId, body: &DirectBody) -> Option<DirectOutcome> {
+    pub fn direct(&mut self, id: &MachineId, body: &DirectCommands) -> Option<DirectOutcome> {
         let worker = self.workers.get_mut(id)?;
         let fits = body.token >= worker.token && body.session == worker.session;
         if fits {
@@ -356,7 +362,7 @@
             self.execute(id, &body.orders);
         }
         let worker = self.workers.get_mut(id)?;
-        Some(DirectOutcome::Report {
+        Some(DirectOutcome::Heartbeat {
             report: Box::new(worker.report(id)),
             executed: fits,
         })
@@ -375,7 +381,7 @@
         };
         let body = match request {
             DirectRequest::Commands(body) => body,
-            DirectRequest::Status { token } => DirectBody {
+            DirectRequest::Status { token } => DirectCommands {
                 token,
                 session: worker.session,
                 orders: Vec::new(),
@@ -425,11 +431,11 @@
         }
     }
 
-    pub fn places(&self, id: &str) -> Vec<(MachineId, TaskKey)> {
+    pub fn places(&self, id: &str) -> Vec<(MachineId, TaskId)> {
         let mut out = Vec::new();
         for (m, worker) in &self.workers {
             for (key, t) in &worker.tasks {
-                if &*key.job == id && t.state != RowState::Exited {
+                if &*key.job == id && t.state != TaskState::Exited {
                     out.push((m.clone(), key.clone()));
                 }
             }
--- a/src/core/status.rs
+++ b/src/core/status.rs
@@ -3,12 +3,12 @@
 use super::machine::{Machine, Phase};
 use super::{Core, Ticket};
 use crate::http::Answer;
-use crate::job::{Final, JobId, JobSpec};
+use crate::job::{JobId, JobOutcome, JobSpec};
 use serde_json::{Value, json};
 use std::time::SystemTime;
 
 /// Jobs shown in one view; the rest is counted.
-const MOST_JOBS: usize = 200;
+const MAX_LISTED_JOBS: usize = 200;
 
 impl Core {
     pub(super) fn answer_status(&mut self, ticket: Ticket) {
@@ -20,14 +20,14 @@
                 "leads": false,
                 "leader": self.leader_name(),
                 "state_service_heard_s": self.since(self.state_ok),
-                "members": self.members_view(),
+                "members": self.members_status(),
             })
         };
         let mut body = view;
         body["accept_ms"] = quantiles(&self.stats.accept);
         body["start_ms"] = quantiles(&self.stats.start);
         body["step_us"] = quantiles(&self.stats.step);
-        body["rebuild"] = self.rebuild_view();
+        body["rebuild"] = self.rebuild_status();
         body["up_s"] = json!(self.since(self.started));
         self.answer(ticket, Answer::new(200, body.to_string().into_bytes()));
     }
@@ -48,7 +48,7 @@
         let jobs: Vec<Value> = lead
             .runs
             .keys()
-            .take(MOST_JOBS)
+            .take(MAX_LISTED_JOBS)
             .map(|id| self.job_view(id))
             .collect();
         let refused: Vec<String> = self
@@ -67,7 +67,7 @@
             "machines_not_heard_yet": lead.unresolved,
             "refused_offers": refused,
             "bidding": self.markets_view(lead),
-            "members": self.members_view(),
+            "members": self.members_status(),
             "reports_by_others": {"taken_in": lead.delegates.relayed, "answered": lead.delegates.answered},
             "machines": machines,
             "jobs_live": lead.runs.len(),
@@ -139,7 +139,7 @@
 
     /// The jobs that one awaits and that are not done.
     fn awaited<'a>(&self, spec: &'a JobSpec) -> Vec<&'a JobId> {
-        let done = |a: &&JobId| self.mirror.finished.get(*a) != Some(&Final::Done);
+        let done = |a: &&JobId| self.mirror.finished.get(*a) != Some(&JobOutcome::Done);
         spec.awaits.iter().filter(done).collect()
     }
 
@@ -154,7 +154,7 @@
         if run.ending.is_some() {
             return "its end is being written".into();
         }
-        if let Some(root) = self.mirror.pipelines.doomed(id) {
+        if let Some(root) = self.mirror.pipelines.cancelled_dependency(id) {
             return format!("it is cancelled with {root}, which it needs");
         }
         if let Some((first, others)) = self.awaited(&job.spec).split_first() {
@@ -166,14 +166,14 @@
         if run.queued.is_empty() {
             return "nothing waits".into();
         }
-        if Self::held_by_recovery(lead, job) {
+        if Self::blocked_by_recovery(lead, job) {
             return format!(
                 "its tasks may be on {} machines that have not reported to this leader",
                 lead.unresolved
             );
         }
         let failures: u32 = run.failures.values().sum();
-        if run.suspect() {
+        if run.is_suspect() {
             return format!(
                 "its tasks failed {failures} times and never succeeded; it is tried now and then"
             );
--- a/src/core/submissions.rs
+++ b/src/core/submissions.rs
@@ -2,38 +2,42 @@
 //! create-only key; its user is told when that is durable.
 
 use super::barrier::Question;
-use super::keys::{Stem, job_key, part_key};
+use super::keys::{PartGeneration, job_key, part_key};
 use super::leadership::json;
 use super::mirror::JobValue;
-use super::parts::{self, PartValue, Writing};
-use super::questions::{being_rebuilt, final_state, state_body};
-use super::writes::MOST_TXN_BYTES;
+use super::parts::{self, PartValue, PartWrite};
+use super::questions::{final_state, rebuilding_answer, state_body};
+use super::writes::MAX_TRANSACTION_BYTES;
 use super::{Core, Pending, ReadPurpose, Ticket, note};
-use crate::guard::{Guard, stands};
+use crate::guard::{Safeguard, stands};
 use crate::http::Answer;
-use crate::job::{JobId, JobSpec, Kind};
+use crate::job::{JobId, JobKind, JobSpec};
 use crate::settings::Settings;
-use crate::state::{StateOutcome, StateRequest};
-use crate::wire::{Change, Condition, JobState, Txn, to_json};
+use crate::state::{StoreOutcome, StoreRequest};
+use crate::wire::{Change, CompareAndSwap, Condition, JobState, to_json};
 use std::time::{Duration, Instant, SystemTime};
 
 /// The state service answers within some ten milliseconds. A creation without an answer for so long is settled
 /// as soon as this process's copy of the store shows the job, and looked at so often until then.
-const SETTLE_AFTER: Duration = Duration::from_millis(60);
+const CREATION_CHECK_INTERVAL: Duration = Duration::from_millis(60);
 /// A submission takes 5 s at the most: its parts are written once more where no answer came within this.
-const PARTS_AGAIN: Duration = Duration::from_millis(2500);
+const PARTS_RETRY_WINDOW: Duration = Duration::from_millis(2500);
 /// The part of the memory that unfinished jobs may take, and what a task of theirs takes: a row
 /// in the sets of its job, a little more while it is placed.
 const JOBS_SHARE: f64 = 0.25;
 const BYTES_PER_TASK: f64 = 32.0;
 
 /// How many tasks unfinished jobs may have.
-pub fn most_tasks(settings: &Settings) -> u64 {
+pub fn max_unfinished_tasks(settings: &Settings) -> u64 {
     (settings.memory_mb * 1e6 * JOBS_SHARE / BYTES_PER_TASK) as u64
 }
 
 /// The stored form of a newly accepted job; of a large one what its key holds, given its parts.
-pub(super) fn creation(spec: &JobSpec, submitted_ms: u64, parts: Option<&Writing>) -> Txn {
+pub(super) fn creation(
+    spec: &JobSpec,
+    submitted_ms: u64,
+    parts: Option<&PartWrite>,
+) -> CompareAndSwap {
     let value = match parts {
         None => JobValue::live(Box::new(spec.clone()), submitted_ms),
         Some(w) => JobValue::Parted {
@@ -57,7 +61,7 @@
             version: *version,
         }));
     }
-    Txn {
+    CompareAndSwap {
         conditions,
         changes: vec![Change::Put {
             key,
@@ -69,7 +73,7 @@
 
 impl Core {
     /// 422 for what can never run, 503 while that cannot be told.
-    fn judge(&self, spec: &JobSpec) -> Result<(), Answer> {
+    fn validate_placement(&self, spec: &JobSpec) -> Result<(), Answer> {
         let never = |text: &str| Err(Answer::error(422, text));
         let Some(team) = self.settings.team(&spec.team) else {
             return never("unknown team");
@@ -92,8 +96,8 @@
             return never("a task fits no allowed machine type");
         }
         let n = match spec.kind {
-            Kind::Array => 1.0,
-            Kind::Service | Kind::Gang => f64::from(spec.tasks),
+            JobKind::Array => 1.0,
+            JobKind::Service | JobKind::Gang => f64::from(spec.tasks),
         };
         let over = |need: f64, max: Option<f64>| max.is_some_and(|m| need * n > m + 1e-6);
         if over(spec.needs.cpus, team.cpus_max) || over(spec.needs.gpus, team.gpus_max) {
@@ -103,10 +107,10 @@
     }
 
     /// 422 for what it awaits wrongly.
-    fn judge_awaits(&self, spec: &JobSpec) -> Result<(), Answer> {
+    fn validate_dependencies(&self, spec: &JobSpec) -> Result<(), Answer> {
         let service = |a: &JobId| {
             let job = self.mirror.jobs.get(a);
-            job.is_some_and(|j| j.spec.kind == Kind::Service)
+            job.is_some_and(|j| j.spec.kind == JobKind::Service)
         };
         let never = |text: String| Err(Answer::error(422, &text));
         if spec.awaits.contains(&spec.id) {
@@ -119,15 +123,17 @@
     }
 
     /// A job that is awaited and, as far as this node knows, was never accepted.
-    fn unknown_awaited<'a>(&self, spec: &'a JobSpec) -> Option<&'a JobId> {
+    fn unknown_dependency<'a>(&self, spec: &'a JobSpec) -> Option<&'a JobId> {
         spec.awaits.iter().find(|a| !self.mirror.knows(a))
     }
 
     /// Why a submission was refused for good.
-    pub(super) fn refusal_of(&self, spec: &JobSpec) -> Answer {
-        let judged = self.judge(spec).and_then(|()| self.judge_awaits(spec));
+    pub(super) fn rejection_reason(&self, spec: &JobSpec) -> Answer {
+        let judged = self
+            .validate_placement(spec)
+            .and_then(|()| self.validate_dependencies(spec));
         judged.err().unwrap_or_else(|| {
-            let text = match self.unknown_awaited(spec) {
+            let text = match self.unknown_dependency(spec) {
                 Some(a) => format!("it awaits {a}, which was never accepted"),
                 None => "it can never run, the leader's log says why".into(),
             };
@@ -145,30 +151,32 @@
         informed: bool,
     ) {
         // It may be over, and somebody remember that: accepted anew, it would be said to wait.
-        if self.unsaid() {
-            return self.answer(ticket, being_rebuilt());
+        if self.must_withhold_state() {
+            return self.answer(ticket, rebuilding_answer());
         }
-        let judged = self.judge(&spec).and_then(|()| self.judge_awaits(&spec));
+        let judged = self
+            .validate_placement(&spec)
+            .and_then(|()| self.validate_dependencies(&spec));
         if let Err(answer) = judged {
             if answer.status == 503 {
                 return self.answer(ticket, answer);
             }
             let id = spec.id.to_string();
-            return self.reread(id, ReadPurpose::Reject(ticket, answer));
+            return self.read_job_key(id, ReadPurpose::Reject(ticket, answer));
         }
-        if self.unknown_awaited(&spec).is_some() {
+        if self.unknown_dependency(&spec).is_some() {
             // This node's copy lags a little behind what other nodes accept, and users submit a
             // job as soon as those that it needs are accepted.
             if !informed {
-                return self.ask_all(Question::Submit(ticket, spec, received));
+                return self.queue_barrier_query(Question::Submit(ticket, spec, received));
             }
-            let answer = self.refusal_of(&spec);
+            let answer = self.rejection_reason(&spec);
             tracing::info!(
                 job = %spec.id, "job {} refused: {}",
                 spec.id,
                 String::from_utf8_lossy(&answer.body)
             );
-            return self.reread(spec.id.to_string(), ReadPurpose::Reject(ticket, answer));
+            return self.read_job_key(spec.id.to_string(), ReadPurpose::Reject(ticket, answer));
         }
         // A job more than the memory is for would end the process, and every other job with it.
         let live: u64 = self
@@ -177,7 +185,7 @@
             .values()
             .map(|j| u64::from(j.spec.tasks))
             .sum();
-        let most = most_tasks(&self.settings);
+        let most = max_unfinished_tasks(&self.settings);
         if !self.mirror.jobs.is_empty() && live + u64::from(spec.tasks) > most {
             return self.answer(ticket, Answer::busy("too many unfinished tasks", 30));
         }
@@ -193,17 +201,17 @@
         }
         let id = spec.id.to_string();
         if self.mirror.knows(&id) {
-            return self.reread(id, ReadPurpose::Show(ticket));
+            return self.read_job_key(id, ReadPurpose::Show(ticket));
         }
         let text = String::from_utf8(to_json(&spec)).unwrap_or_default();
         let parts = parts::cut(&text, most);
         // The job's key is written on a condition for each part.
         if parts.len() > self.settings.txn_ops * 4 - 1 {
             let answer = Answer::error(422, "too large to be kept");
-            return self.reread(id, ReadPurpose::Reject(ticket, answer));
+            return self.read_job_key(id, ReadPurpose::Reject(ticket, answer));
         }
-        let parts = Box::new(Writing {
-            stem: self.next_stem(),
+        let parts = Box::new(PartWrite {
+            stem: self.next_part_generation(),
             parts,
             versions: Vec::new(),
         });
@@ -211,7 +219,7 @@
     }
 
     /// Another process, or this one later, writes under another stem.
-    fn next_stem(&self) -> Stem {
+    fn next_part_generation(&self) -> PartGeneration {
         self.nonce.wrapping_add(self.next_call) >> 1
     }
 
@@ -221,10 +229,10 @@
         ticket: Ticket,
         spec: Box<JobSpec>,
         since: Instant,
-        parts: Box<Writing>,
+        parts: Box<PartWrite>,
     ) {
         let from = parts.versions.len();
-        let by_bytes = MOST_TXN_BYTES / self.settings.value_bytes.max(1);
+        let by_bytes = MAX_TRANSACTION_BYTES / self.settings.value_bytes.max(1);
         let most = self.settings.txn_ops.min(by_bytes).max(1);
         let next = parts.parts.iter().enumerate().skip(from).take(most);
         let put = |(n, text): (usize, &String)| Change::Put {
@@ -234,7 +242,7 @@
         };
         let changes: Vec<Change> = next.map(put).collect();
         let sent = changes.len();
-        let txn = Txn {
+        let txn = CompareAndSwap {
             conditions: Vec::new(),
             changes,
         };
@@ -245,20 +253,20 @@
             parts,
             sent,
         };
-        self.ask_state(pending, StateRequest::Txn(txn));
+        self.ask_state(pending, StoreRequest::CompareAndSwap(txn));
     }
 
-    pub(super) fn parts_written(
+    pub(super) fn parts_outcome(
         &mut self,
         ticket: Ticket,
         spec: Box<JobSpec>,
         since: Instant,
-        mut parts: Box<Writing>,
+        mut parts: Box<PartWrite>,
         sent: usize,
-        outcome: StateOutcome,
+        outcome: StoreOutcome,
     ) {
         match outcome {
-            StateOutcome::Committed { revision } => {
+            StoreOutcome::Committed { revision } => {
                 parts.versions.extend(std::iter::repeat_n(revision, sent));
                 if parts.versions.len() < parts.parts.len() {
                     self.write_parts(ticket, spec, since, parts);
@@ -267,11 +275,11 @@
                 }
             }
             // Some may be written late: they are written anew under other names.
-            StateOutcome::Unknown(e)
-                if self.now.mono.saturating_duration_since(since) < PARTS_AGAIN =>
+            StoreOutcome::Unknown(e)
+                if self.now.mono.saturating_duration_since(since) < PARTS_RETRY_WINDOW =>
             {
                 tracing::info!(job = %spec.id, "job {}: no answer to its parts: {e}", spec.id);
-                parts.stem = self.next_stem();
+                parts.stem = self.next_part_generation();
                 parts.versions.clear();
                 self.write_parts(ticket, spec, since, parts);
             }
@@ -296,7 +304,7 @@
         spec: Box<JobSpec>,
         since: Instant,
         tries: u32,
-        parts: Option<Box<Writing>>,
+        parts: Option<Box<PartWrite>>,
     ) {
         let ms = self.submitted_ms(since);
         let txn = creation(&spec, ms, parts.as_deref());
@@ -307,43 +315,43 @@
             tries,
             parts,
         };
-        let call = self.ask_state(pending, StateRequest::Txn(txn));
-        let look_at = self.now.mono + SETTLE_AFTER;
+        let call = self.ask_state(pending, StoreRequest::CompareAndSwap(txn));
+        let look_at = self.now.mono + CREATION_CHECK_INTERVAL;
         self.unanswered_creations.push_back((look_at, call));
     }
 
     /// Settles creations without an answer whose job is in the store: it is accepted, whoever wrote it, and a
     /// fresh read tells how it stands.
-    pub(super) fn settle_creations(&mut self) {
+    pub(super) fn resolve_creations(&mut self) {
         let now = self.now.mono;
         while let Some((_, call)) = self.unanswered_creations.pop_front_if(|(at, _)| *at <= now) {
             let Some(Pending::Create { ticket, spec, .. }) = self.pending.get(&call) else {
                 continue;
             };
             if !self.mirror.knows(&spec.id) {
-                let look_at = now + SETTLE_AFTER;
+                let look_at = now + CREATION_CHECK_INTERVAL;
                 self.unanswered_creations.push_back((look_at, call));
                 continue;
             }
             let (ticket, id) = (*ticket, spec.id.to_string());
             tracing::info!(job = %id, "job {id}: no answer to its creation, and it is in the store");
             self.pending.remove(&call);
-            self.reread(id, ReadPurpose::Accepted(ticket));
+            self.read_job_key(id, ReadPurpose::Accepted(ticket));
         }
     }
 
-    pub(super) fn created(
+    pub(super) fn creation_outcome(
         &mut self,
         ticket: Ticket,
         spec: Box<JobSpec>,
         since: Instant,
         tries: u32,
-        parts: Option<Box<Writing>>,
-        outcome: StateOutcome,
+        parts: Option<Box<PartWrite>>,
+        outcome: StoreOutcome,
     ) {
         let waited = self.now.mono.saturating_duration_since(since);
         match outcome {
-            StateOutcome::Committed { revision } => {
+            StoreOutcome::Committed { revision } => {
                 let id = spec.id.clone();
                 let ms = self.submitted_ms(since);
                 tracing::info!(
@@ -363,34 +371,34 @@
                     },
                 };
                 self.mirror.put_job(&id, value, revision);
-                self.take_in_jobs();
+                self.sync_job_runs();
                 // What names a cancelled job is accepted all the same.
                 let state = self
                     .mirror
-                    .end_of(&id)
+                    .outcome_of(&id)
                     .map_or(JobState::Queued, final_state);
                 self.answer(ticket, Answer::new(201, state_body(&id, state, None, None)));
             }
-            StateOutcome::Conflict { .. } if stands(Guard::Conflict) => {
-                self.reread(spec.id.to_string(), ReadPurpose::Show(ticket));
+            StoreOutcome::Conflict { .. } if stands(Safeguard::Conflict) => {
+                self.read_job_key(spec.id.to_string(), ReadPurpose::Show(ticket));
             }
-            StateOutcome::Conflict { .. } => {
+            StoreOutcome::Conflict { .. } => {
                 let body = state_body(&spec.id, JobState::Queued, None, None);
                 self.answer(ticket, Answer::new(201, body));
             }
-            StateOutcome::Unknown(_) if !stands(Guard::Accepted) => {
+            StoreOutcome::Unknown(_) if !stands(Safeguard::Accepted) => {
                 let body = state_body(&spec.id, JobState::Queued, None, None);
                 self.answer(ticket, Answer::new(201, body));
             }
-            StateOutcome::Unknown(e) if tries < 2 && waited < Duration::from_secs(3) => {
+            StoreOutcome::Unknown(e) if tries < 2 && waited < Duration::from_secs(3) => {
                 tracing::info!(job = %spec.id, "job {}: no answer to its creation: {e}", spec.id);
                 self.create(ticket, spec, since, tries + 1, parts);
             }
-            StateOutcome::Refused(e) if tries < 1 => {
+            StoreOutcome::Refused(e) if tries < 1 => {
                 tracing::debug!(job = %spec.id, "job {}: creation refused: {e}", spec.id);
                 self.create(ticket, spec, since, tries + 1, parts);
             }
-            StateOutcome::Invalid(e) => {
+            StoreOutcome::Invalid(e) => {
                 tracing::error!(job = %spec.id, "job {}: the state service refuses it: {e}", spec.id);
                 self.answer(ticket, Answer::error(422, "too large to be kept"));
             }
--- a/src/core/urgency.rs
+++ b/src/core/urgency.rs
@@ -2,9 +2,9 @@
 //! about on the last job of a pipeline; both flow back from there through all that it needs.
 
 use super::Core;
-use super::lead::Lead;
-use super::mirror::Job;
-use super::run::{Pace, Urgency};
+use super::lead::LeaderState;
+use super::mirror::JobRecord;
+use super::run::{RuntimeRatio, Urgency};
 use crate::job::JobId;
 use std::time::Duration;
 
@@ -14,9 +14,9 @@
 /// A job takes as long as the slowest of its tasks.
 const SLOWEST: f64 = 1.3;
 
-impl Lead {
+impl LeaderState {
     /// What a job owes to those that need it, or to itself.
-    pub fn urgency_of(&self, id: &JobId, job: &Job) -> Urgency {
+    pub fn urgency_of(&self, id: &JobId, job: &JobRecord) -> Urgency {
         let flowed = self.urgency.get(id).copied();
         flowed.unwrap_or_else(|| Urgency::own(job))
     }
@@ -24,16 +24,19 @@
 
 impl Core {
     /// How long a job takes from the end of the last one before it, when room is there at once.
-    fn stage(&self, lead: &Lead, job: &Job) -> Duration {
+    fn stage(&self, lead: &LeaderState, job: &JobRecord) -> Duration {
         let rates = self.types.iter().map(|t| t.fetch_gb_per_s);
         let slowest = rates.fold(f64::INFINITY, f64::min).max(0.01);
-        let pace = lead.pace.get(&job.spec.class).map_or(1.0, Pace::factor);
+        let pace = lead
+            .pace
+            .get(&job.spec.class)
+            .map_or(1.0, RuntimeRatio::factor);
         let fetch = Duration::from_secs_f64((job.spec.image_gb / slowest).min(600.0));
         job.spec.estimate.mul_f64(pace * SLOWEST) + fetch + HANDOVER
     }
 
     /// Works out anew what a job owes to those that need it, and then those before it.
-    pub(super) fn flow_back(&mut self, from: &JobId) {
+    pub(super) fn propagate_urgency(&mut self, from: &JobId) {
         let mut next = vec![from.clone()];
         while let Some(id) = next.pop() {
             let (Some(lead), Some(job)) = (&self.lead, self.mirror.jobs.get(&id)) else {
@@ -41,11 +44,11 @@
             };
             let own = Urgency::own(job);
             let mut u = own;
-            for after in self.mirror.pipelines.needed_by(&id) {
+            for after in self.mirror.pipelines.dependents(&id) {
                 let Some(job) = self.mirror.jobs.get(after) else {
                     continue;
                 };
-                if self.mirror.pipelines.doomed(after).is_some() {
+                if self.mirror.pipelines.cancelled_dependency(after).is_some() {
                     continue;
                 }
                 let theirs = lead.urgency_of(after, job);
--- a/src/core/versions.rs
+++ b/src/core/versions.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 #[derive(Default)]
-pub struct Versions {
+pub struct KeyVersions {
     /// What the state service has told, by key.
     told: BTreeMap<String, u64>,
     /// What this process wrote and the watch has yet to tell: since which revision, and whether the key
@@ -14,7 +14,7 @@
     ahead: BTreeMap<String, (u64, bool)>,
 }
 
-impl Versions {
+impl KeyVersions {
     /// 0: the key is not there.
     pub fn of(&self, key: &str) -> u64 {
         match self.ahead.get(key) {
@@ -38,7 +38,7 @@
     }
 
     /// This process wrote it, which its copy, of this revision, may not show yet.
-    pub fn wrote(&mut self, changes: &[Change], revision: u64, copy: u64) {
+    pub fn record_write(&mut self, changes: &[Change], revision: u64, copy: u64) {
         for change in changes.iter().filter(|_| revision > copy) {
             let there = matches!(change, Change::Put { .. });
             self.ahead.insert(change.key().into(), (revision, there));
@@ -46,7 +46,7 @@
     }
 
     /// The copy has come as far as this revision.
-    pub fn caught_up(&mut self, revision: u64) {
+    pub fn drop_confirmed(&mut self, revision: u64) {
         self.ahead.retain(|_, (at, _)| *at > revision);
     }
 
@@ -57,7 +57,7 @@
     }
 
     /// Another list of all there is takes the place of what was told.
-    pub fn begin_again(&mut self) {
+    pub fn clear_observed(&mut self) {
         self.told.clear();
     }
 }
--- a/src/core/writes.rs
+++ b/src/core/writes.rs
@@ -2,38 +2,38 @@
 //! at a time, and each takes effect here when it is known to be committed.
 
 use super::keys::{LEADER, REBUILDING, TYPES, done_key, job_key, key, machine_key};
-use super::lead::{Lead, Refused, Sent, WriteOp};
+use super::lead::{InFlightWrite, LeaderState, RefusedWrite, WriteOp};
 use super::leadership::json;
-use super::losses::gone_after;
+use super::losses::cancellation_bound;
 use super::mirror::{DoneValue, JobValue};
-use super::records::Records;
+use super::records::MachineRecords;
 use super::{CallId, Core, Pending};
-use crate::guard::{Guard, stands};
-use crate::job::{Final, JobId};
-use crate::state::{StateOutcome, StateRequest};
-use crate::wire::{Change, Condition, Txn, to_json};
+use crate::guard::{Safeguard, stands};
+use crate::job::{JobId, JobOutcome};
+use crate::state::{StoreOutcome, StoreRequest};
+use crate::wire::{Change, CompareAndSwap, Condition, to_json};
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
 /// A submission takes 5 s at the most; its parts wait this long for their job.
-const UNCLAIMED: Duration = Duration::from_secs(60);
+const UNCLAIMED_PARTS_TTL: Duration = Duration::from_secs(60);
 /// Done ranges may wait this long to be written together; users may be told 3 s late.
 const PROGRESS_DELAY: Duration = Duration::from_millis(2000);
 /// The part of the state service's changes that the leader's own writes may take; the rest is
 /// for accepting jobs, which must not wait behind them.
 pub(super) const WRITE_SHARE: f64 = 0.7;
 /// A transaction may have 64 KiB; this leaves room for its frame.
-pub(super) const MOST_TXN_BYTES: usize = 56 * 1024;
+pub(super) const MAX_TRANSACTION_BYTES: usize = 56 * 1024;
 /// What a condition takes of that, beside its key.
 const CONDITION_BYTES: usize = 48;
 /// Writes in a row refused for what somebody else has changed, before all is read afresh; and before another
 /// controller is let try.
-const CONFLICTS_TO_DOUBT: u32 = 3;
-const MOST_CONFLICTS: u32 = 6;
+const CONFLICTS_BEFORE_REREAD: u32 = 3;
+const MAX_CONFLICTS: u32 = 6;
 /// The watch tells within moments what a write was refused for; after this, all is read afresh.
-const SETTLE_WITHIN: Duration = Duration::from_secs(2);
+const CONFLICT_SETTLE_TIMEOUT: Duration = Duration::from_secs(2);
 /// What the service refuses by itself is tried again after this long.
-const ASIDE: Duration = Duration::from_secs(30);
+const QUARANTINE: Duration = Duration::from_secs(30);
 
 /// A transaction in the making.
 #[derive(Default)]
@@ -52,7 +52,7 @@
     fn add(&mut self, mut new: Vec<Change>) -> bool {
         let size = |c: &Change| to_json(c).len() + 2 + c.key().len() + CONDITION_BYTES;
         let size: usize = new.iter().map(size).sum();
-        if self.changes.len() + new.len() > self.most || self.bytes + size > MOST_TXN_BYTES {
+        if self.changes.len() + new.len() > self.most || self.bytes + size > MAX_TRANSACTION_BYTES {
             return false;
         }
         self.bytes += size;
@@ -61,18 +61,18 @@
     }
 
     /// Adds pages of machines: those with new ones, or also those that are merely out of date.
-    fn pages(&mut self, records: &mut Records, now: Instant, only_new: bool) {
+    fn pages(&mut self, records: &mut MachineRecords, now: Instant, only_new: bool) {
         while self.changes.len() < self.most
             && let Some(write) = records.next(now, only_new, self.most - self.changes.len())
         {
             if !self.add(write.changes) {
-                return records.again(write.pages);
+                return records.requeue(write.pages);
             }
             self.ops.push(WriteOp::Pages(write.pages, write.machines));
         }
         while !only_new
             && self.changes.len() < self.most
-            && let Some(change) = records.next_alone()
+            && let Some(change) = records.next_single_key_deletion()
         {
             self.changes.push(change);
         }
@@ -82,14 +82,14 @@
 impl Core {
     /// Sends the next transaction when none is on its way: at once when idle, and what gathers
     /// meanwhile goes together in the one after it.
-    pub(super) fn flush_writes(&mut self) {
+    pub(super) fn send_writes(&mut self) {
         let now = self.now.mono;
         let Some(lead) = &mut self.lead else { return };
         if let Some(sent) = &mut lead.writes.sent {
             if let Some(refused) = &mut sent.refused {
-                if now >= refused.since + SETTLE_WITHIN {
+                if now >= refused.since + CONFLICT_SETTLE_TIMEOUT {
                     refused.since = now;
-                    self.doubt("a write was refused, and the watch does not tell why");
+                    self.suspect_data_loss("a write was refused, and the watch does not tell why");
                 }
                 return;
             }
@@ -99,7 +99,7 @@
             // No answer, or refused: the very same again. Should the first copy be applied as well,
             // the second of the two finds other versions, and changes nothing.
             let txn = sent.txn.clone();
-            let call = self.ask_state(Pending::Write, StateRequest::Txn(txn));
+            let call = self.ask_state(Pending::Write, StoreRequest::CompareAndSwap(txn));
             if let Some(sent) = self.lead.as_mut().and_then(|l| l.writes.sent.as_mut()) {
                 sent.call = Some(call);
             }
@@ -108,24 +108,24 @@
         if self.mirror.revision < lead.writes.after || self.write_budget.left(now) < 1.0 {
             return;
         }
-        let Some((txn, ops)) = self.gather() else {
+        let Some((txn, ops)) = self.build_transaction() else {
             return;
         };
-        let call = self.ask_state(Pending::Write, StateRequest::Txn(txn.clone()));
+        let call = self.ask_state(Pending::Write, StoreRequest::CompareAndSwap(txn.clone()));
         if let Some(lead) = &mut self.lead {
-            lead.writes.sent = Some(Sent::new(txn, ops, call, now));
+            lead.writes.sent = Some(InFlightWrite::new(txn, ops, call, now));
         }
     }
 
     /// Parts that no job has referred to for long are of a submission that came to nothing.
-    fn find_litter(&mut self) {
+    fn collect_garbage_keys(&mut self) {
         let now = self.now.mono;
         let Some(lead) = &mut self.lead else { return };
         let mut since = std::mem::take(&mut lead.unclaimed);
         for (id, stem) in self.mirror.parts.unclaimed() {
             let name = (id.clone(), *stem);
             let first = since.remove(&name).unwrap_or(now);
-            if now >= first + UNCLAIMED {
+            if now >= first + UNCLAIMED_PARTS_TTL {
                 let keys = self.mirror.parts.keys(id, *stem);
                 self.mirror.litter.extend(keys);
             }
@@ -133,31 +133,31 @@
         }
     }
 
-    fn gather(&mut self) -> Option<(Txn, Vec<WriteOp>)> {
-        self.find_litter();
+    fn build_transaction(&mut self) -> Option<(CompareAndSwap, Vec<WriteOp>)> {
+        self.collect_garbage_keys();
         let now = self.now.mono;
-        let piece = self.piece();
+        let piece = self.range_size();
         let most = self.settings.txn_ops.saturating_sub(1).max(1);
         let most = most.min(self.write_budget.left(now) as usize);
         // Told of a cancellation, a user counts on its tasks being gone in `cancel_s`. Where that is less than
         // what a lease takes to run out, they have to be gone before.
-        let in_time = gone_after(self.settings.lease) <= self.settings.cancel;
+        let in_time = cancellation_bound(self.settings.lease) <= self.settings.cancel;
         let lead = self.lead.as_mut()?;
-        let left_over: BTreeSet<JobId> = if in_time || !stands(Guard::InTime) {
+        let left_over: BTreeSet<JobId> = if in_time || !stands(Safeguard::InTime) {
             BTreeSet::new()
         } else {
             let cancelled = lead
                 .writes
                 .ends
                 .iter()
-                .filter(|(_, end)| **end == Final::Cancelled);
+                .filter(|(_, end)| **end == JobOutcome::Cancelled);
             let jobs = &self.mirror.jobs;
             let left = cancelled.filter(|(id, _)| {
                 let placed = lead.runs.get(*id).is_some_and(|r| !r.placed.is_empty());
                 placed
                     || jobs
                         .get(*id)
-                        .is_some_and(|j| Self::held_by_recovery(lead, j))
+                        .is_some_and(|j| Self::blocked_by_recovery(lead, j))
             });
             left.map(|(id, _)| id.clone()).collect()
         };
@@ -178,8 +178,11 @@
             if w.aside.contains_key(&key) || left_over.contains(id) {
                 continue;
             }
-            let cancelled = *end == Final::Cancelled;
-            let left = self.mirror.left_of(id, self.now.wall).filter(|_| cancelled);
+            let cancelled = *end == JobOutcome::Cancelled;
+            let left = self
+                .mirror
+                .residual_of(id, self.now.wall)
+                .filter(|_| cancelled);
             let (end, told) = (*end, left.clone());
             if !batch.add(vec![put(key, json(&JobValue::Over { end, left }))]) {
                 break;
@@ -188,7 +191,7 @@
         }
         batch.pages(&mut w.records, now, true);
         let owed = std::mem::take(&mut self.mirror.owed);
-        self.gather_owed(&mut batch, &owed);
+        self.add_missing_jobs(&mut batch, &owed);
         self.mirror.owed = owed;
         let lead = self.lead.as_mut()?;
         let w = &mut lead.writes;
@@ -201,7 +204,7 @@
             };
             // From the last row down: a piece of an earlier version may reach further than ours
             // under the same key, and what it tells beyond is to be on record elsewhere first.
-            for base in job.pieces_to_write(&run.unwritten, piece).into_iter().rev() {
+            for base in job.ranges_to_write(&run.unwritten, piece).into_iter().rev() {
                 let key = done_key(id, base);
                 if w.aside.contains_key(&key) {
                     continue 'jobs;
@@ -218,7 +221,7 @@
             }
         }
         for id in &w.followers {
-            let end = Final::Cancelled;
+            let end = JobOutcome::Cancelled;
             let key = job_key(id);
             if w.aside.contains_key(&key) || w.ends.contains_key(id) {
                 continue;
@@ -271,7 +274,7 @@
             version: self.mirror.versions.of(c.key()),
         }));
         Some((
-            Txn {
+            CompareAndSwap {
                 conditions,
                 changes,
             },
@@ -280,7 +283,7 @@
     }
 
     /// What the store has lost, ends of jobs first: these are final, and some user was told of them.
-    fn gather_owed(&self, batch: &mut Batch, owed: &BTreeSet<JobId>) {
+    fn add_missing_jobs(&self, batch: &mut Batch, owed: &BTreeSet<JobId>) {
         let Some(lead) = &self.lead else { return };
         let w = &lead.writes;
         let over = |id: &&JobId| self.mirror.finished.contains_key(*id);
@@ -291,7 +294,7 @@
                 continue;
             }
             let room = batch.most.saturating_sub(batch.changes.len());
-            let Some((changes, op)) = self.owed_changes(id, room) else {
+            let Some((changes, op)) = self.missing_job_changes(id, room) else {
                 continue;
             };
             if !batch.add(changes) {
@@ -302,53 +305,53 @@
     }
 
     /// Rows per stored piece, so that even every other row of a piece fits into one value.
-    fn piece(&self) -> u32 {
+    fn range_size(&self) -> u32 {
         let rows = (self.settings.value_bytes as u32 / 4).clamp(64, 2048);
         1 << rows.ilog2()
     }
 
-    pub(super) fn written(&mut self, call: CallId, outcome: StateOutcome) {
+    pub(super) fn write_outcome(&mut self, call: CallId, outcome: StoreOutcome) {
         let now = self.now.mono;
         let Some(lead) = &mut self.lead else { return };
-        let ours = |s: &Sent| s.call == Some(call);
+        let ours = |s: &InFlightWrite| s.call == Some(call);
         if !lead.writes.sent.as_ref().is_some_and(ours) {
             return;
         }
-        let retry = |lead: &mut Lead, pause| {
+        let retry = |lead: &mut LeaderState, pause| {
             if let Some(sent) = &mut lead.writes.sent {
                 sent.call = None;
                 sent.again_at = now + pause;
             }
         };
         match outcome {
-            StateOutcome::Committed { revision } => self.write_committed(revision),
-            StateOutcome::Conflict { revision, .. } if !stands(Guard::Conflict) => {
+            StoreOutcome::Committed { revision } => self.write_committed(revision),
+            StoreOutcome::Conflict { revision, .. } if !stands(Safeguard::Conflict) => {
                 self.write_committed(revision);
             }
-            StateOutcome::Conflict { failed, revision } => {
-                let renamed = self.names_store(&failed);
+            StoreOutcome::Conflict { failed, revision } => {
+                let renamed = self.contains_identity_key(&failed);
                 if renamed {
-                    self.doubt("its identity is gone");
+                    self.suspect_data_loss("its identity is gone");
                 }
                 if renamed || failed.contains(&key(LEADER)) {
                     let failed = failed.join(", ");
                     return self.step_down(&format!("a write was refused: {failed} changed"));
                 }
                 if let Some(sent) = self.lead.as_mut().and_then(|l| l.writes.sent.as_mut()) {
-                    sent.refused = Some(Refused {
+                    sent.refused = Some(RefusedWrite {
                         keys: failed,
                         revision,
                         since: now,
                     });
                 }
-                self.settle_write();
+                self.resolve_write();
             }
-            StateOutcome::Invalid(e) => {
+            StoreOutcome::Invalid(e) => {
                 // It was not executed, and would be refused for ever: its limits are lower than
                 // the settings say. Fewer changes go together, down to one; a change that is
                 // refused by itself is set aside, as the others must not wait for it.
                 let w = &mut lead.writes;
-                let Some(Sent { txn, ops, .. }) = w.sent.take() else {
+                let Some(InFlightWrite { txn, ops, .. }) = w.sent.take() else {
                     return;
                 };
                 let keys: Vec<&str> = txn.changes.iter().map(Change::key).collect();
@@ -359,37 +362,37 @@
                 w.most = Some((keys.len() / 2).max(1));
                 if let [key] = keys[..] {
                     tracing::error!("state service refuses {key}, set aside: {e}");
-                    w.aside.insert(key.to_string(), now + ASIDE);
+                    w.aside.insert(key.to_string(), now + QUARANTINE);
                 }
                 for op in ops {
                     if let WriteOp::Pages(pages, _) = op {
                         match pages[..] {
-                            [n] if alone => w.records.put_off(n, now + ASIDE),
-                            _ => w.records.again(pages),
+                            [n] if alone => w.records.defer(n, now + QUARANTINE),
+                            _ => w.records.requeue(pages),
                         }
                     }
                 }
-                self.delete_again(&txn);
+                self.requeue_deletions(&txn);
             }
-            StateOutcome::Refused(e) => {
+            StoreOutcome::Refused(e) => {
                 tracing::debug!("write refused: {e}");
                 retry(lead, Duration::from_millis(250));
             }
-            StateOutcome::Unknown(e) => {
+            StoreOutcome::Unknown(e) => {
                 tracing::info!("write without an answer: {e}");
                 retry(lead, Duration::from_millis(50));
             }
-            StateOutcome::Found(_)
-            | StateOutcome::Missing { .. }
-            | StateOutcome::Page { .. }
-            | StateOutcome::Runs(_) => {
+            StoreOutcome::Found(_)
+            | StoreOutcome::Missing { .. }
+            | StoreOutcome::Page { .. }
+            | StoreOutcome::Runs(_) => {
                 retry(lead, Duration::from_millis(250));
             }
         }
     }
 
     /// Notes whether what the state service shows is the transaction that is on its way.
-    pub(super) fn heed_commit(&mut self, committed: impl Fn(&Txn) -> Option<u64>) {
+    pub(super) fn observe_commit(&mut self, committed: impl Fn(&CompareAndSwap) -> Option<u64>) {
         if let Some(sent) = self.lead.as_mut().and_then(|l| l.writes.sent.as_mut())
             && sent.committed.is_none()
         {
@@ -400,26 +403,26 @@
     /// Settles the transaction on its way, once this process's copy of the store tells what became of it. It
     /// was committed where the copy shows exactly its changes, whether an answer has told so, was lost, or
     /// was a refusal of its second copy. Otherwise it was refused for a change of somebody else's.
-    pub(super) fn settle_write(&mut self) {
+    pub(super) fn resolve_write(&mut self) {
         let revision = self.mirror.revision;
         let Some(sent) = self.lead.as_ref().and_then(|l| l.writes.sent.as_ref()) else {
             return;
         };
-        if let Some(at) = sent.committed.filter(|_| stands(Guard::OwnWrite)) {
+        if let Some(at) = sent.committed.filter(|_| stands(Safeguard::OwnWrite)) {
             return self.write_committed(at);
         }
-        let known = |r: &&Refused| revision >= r.revision;
+        let known = |r: &&RefusedWrite| revision >= r.revision;
         let Some(refused) = sent.refused.as_ref().filter(known) else {
             return;
         };
         let (failed, at) = (refused.keys.join(", "), refused.revision);
-        let conflicts = self.write_again(at);
-        if conflicts >= MOST_CONFLICTS {
+        let conflicts = self.rebuild_write(at);
+        if conflicts >= MAX_CONFLICTS {
             self.resign(&format!(
                 "writes are refused again and again: {failed} changed"
             ));
-        } else if conflicts >= CONFLICTS_TO_DOUBT {
-            self.doubt("it has other versions of what is known here");
+        } else if conflicts >= CONFLICTS_BEFORE_REREAD {
+            self.suspect_data_loss("it has other versions of what is known here");
         } else {
             tracing::info!("a write was refused, {failed} changed; it is made anew");
         }
@@ -432,55 +435,55 @@
         let Some(sent) = lead.writes.sent.take() else {
             return;
         };
-        self.mirror.wrote(&sent.txn.changes, revision);
+        self.mirror.record_write(&sent.txn.changes, revision);
         for op in sent.ops {
-            self.durable(op, revision);
+            self.apply_committed(op, revision);
         }
     }
 
     /// A key that a transaction would change was changed by somebody else. Nothing counts as written; what is
     /// to be said is worked out anew when this copy shows what the service had then. Says how often in a
     /// row.
-    fn write_again(&mut self, revision: u64) -> u32 {
+    fn rebuild_write(&mut self, revision: u64) -> u32 {
         let Some(lead) = &mut self.lead else { return 0 };
         let w = &mut lead.writes;
-        let Some(Sent { txn, ops, .. }) = w.sent.take() else {
+        let Some(InFlightWrite { txn, ops, .. }) = w.sent.take() else {
             return 0;
         };
         for op in ops {
             if let WriteOp::Pages(pages, _) = op {
-                w.records.again(pages);
+                w.records.requeue(pages);
             }
         }
         (w.after, w.conflicts) = (revision, w.conflicts + 1);
         let conflicts = w.conflicts;
-        self.delete_again(&txn);
+        self.requeue_deletions(&txn);
         conflicts
     }
 
     /// Deletions that were not carried out, other than of whole pages.
-    fn delete_again(&mut self, txn: &Txn) {
+    fn requeue_deletions(&mut self, txn: &CompareAndSwap) {
         let Some(lead) = &mut self.lead else { return };
         for change in &txn.changes {
             let Change::Delete { key: name } = change else {
                 continue;
             };
             if let Some(id) = name.strip_prefix(&machine_key("")) {
-                lead.writes.records.drop_alone(id.into());
+                lead.writes.records.delete_single_key(id.into());
             } else if name.starts_with(&key("d/")) || name.starts_with(&key("s/")) {
                 self.mirror.litter.insert(name.clone());
             }
         }
     }
 
-    fn durable(&mut self, op: WriteOp, revision: u64) {
+    fn apply_committed(&mut self, op: WriteOp, revision: u64) {
         let Some(lead) = &mut self.lead else { return };
         match op {
             WriteOp::End(id, end, left) => {
                 lead.writes.ends.remove(&id);
                 lead.writes.followers.remove(&id);
                 self.mirror.end_written(&id, end, left, revision);
-                self.take_in_jobs();
+                self.sync_job_runs();
             }
             WriteOp::Progress(id, rows) => {
                 if let Some(run) = lead.runs.get_mut(&id) {
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -48,7 +48,7 @@
 }
 
 /// Most machines that one request may name.
-const MOST_PER_REQUEST: u32 = 50;
+const MAX_MACHINES_PER_REQUEST: u32 = 50;
 
 /// Which machines to rent so that no waiting task waits longer than its job's patience: spot ones
 /// first, for those that may use them and would wait longer than is worth one of these.
@@ -126,7 +126,7 @@
     let mut rents = Vec::new();
     for (offer, mut count) in wanted {
         while count > 0 {
-            let part = count.min(MOST_PER_REQUEST);
+            let part = count.min(MAX_MACHINES_PER_REQUEST);
             let offer = offer.clone();
             rents.push(Rent { offer, count: part });
             count -= part;
--- a/src/forecast.rs
+++ b/src/forecast.rs
@@ -1,7 +1,7 @@
 //! The forecast: what running tasks and booting machines will give, laid out over the queue. Pure.
 
 use crate::board::{Board, Class, Offer, Use, allows};
-use crate::job::{JobSpec, Rank, Resources};
+use crate::job::{JobSpec, Priority, Resources};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -11,7 +11,7 @@
 pub struct Unmet {
     pub spec: Arc<JobSpec>,
     /// What it counts as where work of lower rank yields to it.
-    pub rank: Rank,
+    pub rank: Priority,
     pub tasks: u32,
     /// Expected run time of a task.
     pub estimate: Duration,
@@ -56,7 +56,7 @@
 }
 
 /// Slots on the board are below this, machines that are on their way above.
-const ON_ITS_WAY: usize = 1 << 32;
+const BOOTING_INDEX_BASE: usize = 1 << 32;
 /// From here on: room that work of the lowest rank yields when others ask for it.
 const YIELDED: usize = 1 << 33;
 /// Stopping a task and starting another takes about this long.
@@ -105,16 +105,16 @@
             .flat_map(|c| (0..c.count).map(move |_| c))
             .collect();
         for (i, c) in coming.iter().enumerate() {
-            gains.push(((c.ready_in, ON_ITS_WAY + i), c.room));
-            boots.insert(ON_ITS_WAY + i, c.ready_in);
+            gains.push(((c.ready_in, BOOTING_INDEX_BASE + i), c.room));
+            boots.insert(BOOTING_INDEX_BASE + i, c.ready_in);
         }
         let mut yielded = Vec::new();
-        if preempting && board.has_below(Rank::Normal) {
+        if preempting && board.has_below(Priority::Normal) {
             for (slot, h) in board.hosts().filter(|(_, h)| h.usage == Use::Open) {
                 for t in h
                     .tasks
                     .iter()
-                    .filter(|t| t.rank == Rank::Low && !t.stopping)
+                    .filter(|t| t.rank == Priority::Low && !t.stopping)
                 {
                     gains.push(((YIELDS_AFTER, YIELDED + yielded.len()), t.needs));
                     yielded.push(slot);
@@ -138,8 +138,8 @@
     fn class(&self, unit: usize) -> usize {
         if unit >= YIELDED {
             self.board.host(self.yielded[unit - YIELDED]).class
-        } else if unit >= ON_ITS_WAY {
-            self.board.classes.len() + unit - ON_ITS_WAY
+        } else if unit >= BOOTING_INDEX_BASE {
+            self.board.classes.len() + unit - BOOTING_INDEX_BASE
         } else {
             self.board.host(unit).class
         }
@@ -180,7 +180,7 @@
         let usable = |f: &Self, at: Duration, unit: usize| {
             // A machine that boots counts however late it comes, or it is rented again.
             let in_time = at <= patience || f.boots.get(&unit) == Some(&at);
-            let yields = unit < YIELDED || u.rank < Rank::Low;
+            let yields = unit < YIELDED || u.rank < Priority::Low;
             in_time && yields && allowed[f.class(unit)]
         };
         while left > 0 && from <= last {
@@ -235,7 +235,7 @@
     let Some(horizon) = unmet.iter().map(&patience).max() else {
         return Vec::new();
     };
-    let preempting = unmet.iter().any(|u| u.rank < Rank::Low);
+    let preempting = unmet.iter().any(|u| u.rank < Priority::Low);
     let mut forecast = Forecast::new(board, coming, now, horizon, preempting, cut);
     let left = |u: &'a Unmet| {
         (
--- a/src/guard.rs
+++ b/src/guard.rs
@@ -3,7 +3,7 @@
 
 /// What keeps a rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Guard {
+pub enum Safeguard {
     /// Old tasks that nobody has shown wait for every machine that may have them.
     Unseen,
     /// A team uses no more than its limit.
@@ -65,17 +65,17 @@
 #[cfg(test)]
 thread_local! {
     /// The one that is taken out in this test.
-    pub static OUT: std::cell::Cell<Option<Guard>> = const { std::cell::Cell::new(None) };
+    pub static OUT: std::cell::Cell<Option<Safeguard>> = const { std::cell::Cell::new(None) };
 }
 
 /// Whether a guard is in force.
 #[cfg(test)]
-pub fn stands(guard: Guard) -> bool {
+pub fn stands(guard: Safeguard) -> bool {
     OUT.get() != Some(guard)
 }
 
 #[cfg(not(test))]
 #[inline(always)]
-pub fn stands(_: Guard) -> bool {
+pub fn stands(_: Safeguard) -> bool {
     true
 }
--- a/src/http/tests.rs
+++ b/src/http/tests.rs
@@ -169,7 +169,7 @@
     };
     // Other tests need some too.
     let needed = 2 * wanted as u64 + 1000;
-    // SAFETY: both calls only read or write the structure that they are given.
+    // LEASE_SAFETY_MARGIN: both calls only read or write the structure that they are given.
     unsafe {
         assert_eq!(libc::getrlimit(libc::RLIMIT_NOFILE, &mut limit), 0);
         if limit.rlim_cur < needed {
--- a/src/job.rs
+++ b/src/job.rs
@@ -10,19 +10,19 @@
 
 /// One task of a job: the job's id and the task's number.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct TaskKey {
+pub struct TaskId {
     pub job: JobId,
     pub row: u32,
 }
 
-impl fmt::Display for TaskKey {
+impl fmt::Display for TaskId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}/{}", self.job, self.row)
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Kind {
+pub enum JobKind {
     /// Independent tasks, each of which runs to completion.
     Array,
     /// Replicas that run until the job is cancelled.
@@ -33,7 +33,7 @@
 
 /// Higher ranks are served first; the derived order puts the highest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Rank {
+pub enum Priority {
     Production,
     High,
     Normal,
@@ -116,8 +116,8 @@
     pub id: JobId,
     pub class: String,
     pub team: String,
-    pub kind: Kind,
-    pub rank: Rank,
+    pub kind: JobKind,
+    pub rank: Priority,
     pub tasks: u32,
     pub needs: Resources,
     pub image: String,
@@ -162,7 +162,7 @@
 
 /// How a job ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Final {
+pub enum JobOutcome {
     Done,
     Cancelled,
 }
@@ -174,8 +174,8 @@
         id: id.into(),
         class: "c".into(),
         team: "t".into(),
-        kind: Kind::Array,
-        rank: Rank::Normal,
+        kind: JobKind::Array,
+        rank: Priority::Normal,
         tasks,
         needs: Resources {
             cpus,
--- a/src/link.rs
+++ b/src/link.rs
@@ -7,13 +7,13 @@
 //! kinds drop the connection, and are left alone.
 
 use crate::job::MachineId;
-use crate::wire::{Order, Report, RowReport, RowState, Why};
+use crate::wire::{ExitCause, Heartbeat, TaskCommand, TaskState, TaskStatus};
 use std::time::Duration;
 use zerocopy::byteorder::little_endian::{U16, U32, U64};
 use zerocopy::{FromBytes, Immutable, IntoBytes, KnownLayout, Unaligned};
 
-pub const KIND_SYNC: u8 = 6;
-pub const KIND_SYNCED: u8 = 7;
+pub const KIND_HEARTBEAT_BATCH: u8 = 6;
+pub const KIND_HEARTBEAT_BATCH_RESPONSE: u8 = 7;
 
 /// A body is filled up to this; the rest goes into the next frame.
 pub const FULL: usize = 56 * 1024;
@@ -26,7 +26,7 @@
 
 /// From a controller that serves workers.
 #[derive(Clone, Debug, Default)]
-pub struct Sync {
+pub struct HeartbeatBatch {
     pub from: String,
     /// Tells this process from an earlier one of the same name.
     pub incarnation: u64,
@@ -46,13 +46,13 @@
     /// Machines that gave no answer when they were shown the token.
     pub failed: Vec<MachineId>,
     /// Machines whose reports it answered itself.
-    pub heard: Vec<Heard>,
+    pub heard: Vec<AnsweredHeartbeat>,
     /// Reports for the leader to take in.
-    pub reports: Vec<Relayed>,
+    pub reports: Vec<RelayedHeartbeat>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Heard {
+pub struct AnsweredHeartbeat {
     pub machine: MachineId,
     pub session: u64,
     pub seq: u64,
@@ -61,15 +61,15 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Relayed {
+pub struct RelayedHeartbeat {
     /// Names the report in the answer; 0: the answer to a direct command, which wants none.
     pub name: u64,
-    pub report: Box<Report>,
+    pub report: Box<Heartbeat>,
 }
 
 /// The leader's answer.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Synced {
+pub struct HeartbeatBatchResponse {
     /// Of the frame that it answers.
     pub number: u64,
     pub term: u64,
@@ -79,17 +79,17 @@
     pub refused: bool,
     /// Reports of these machines are not to be answered from memory any more.
     pub recalled: Vec<MachineId>,
-    pub answers: Vec<Told>,
+    pub answers: Vec<RelayedResponse>,
     /// Workers to show the token to, and their addresses.
     pub asks: Vec<(MachineId, String)>,
     /// So many workers are to be sent to that controller.
     pub moves: Vec<(String, u32)>,
     /// What the leader knows of the others: name, abilities, load, and how long ago it heard them.
-    pub members: Vec<MemberTold>,
+    pub members: Vec<MemberStatus>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct MemberTold {
+pub struct MemberStatus {
     pub name: String,
     pub abilities: u32,
     pub load: u32,
@@ -98,16 +98,16 @@
 
 /// The answer to one report.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Told {
+pub struct RelayedResponse {
     pub name: u64,
-    pub kind: ToldKind,
+    pub kind: RelayedOutcome,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum ToldKind {
+pub enum RelayedOutcome {
     Orders {
         token: u64,
-        orders: Vec<Order>,
+        orders: Vec<TaskCommand>,
         /// Until it is recalled, a report that says the same may be answered with this token and
         /// no orders.
         calm: bool,
@@ -120,7 +120,7 @@
 
 #[derive(FromBytes, IntoBytes, Immutable, KnownLayout, Unaligned)]
 #[repr(C)]
-struct SyncFixed {
+struct HeartbeatBatchHeader {
     incarnation: U64,
     number: U64,
     answered: U64,
@@ -136,7 +136,7 @@
 
 #[derive(FromBytes, IntoBytes, Immutable, KnownLayout, Unaligned)]
 #[repr(C)]
-struct HeardFixed {
+struct AnsweredHeartbeatHeader {
     session: U64,
     seq: U64,
     age_ms: U32,
@@ -144,7 +144,7 @@
 
 #[derive(FromBytes, IntoBytes, Immutable, KnownLayout, Unaligned)]
 #[repr(C)]
-struct ReportFixed {
+struct HeartbeatHeader {
     name: U64,
     session: U64,
     seq: U64,
@@ -156,7 +156,7 @@
 
 #[derive(FromBytes, IntoBytes, Immutable, KnownLayout, Unaligned)]
 #[repr(C)]
-struct RowFixed {
+struct TaskStatusHeader {
     attempt: U64,
     state: u8,
     why: u8,
@@ -165,7 +165,7 @@
 
 #[derive(FromBytes, IntoBytes, Immutable, KnownLayout, Unaligned)]
 #[repr(C)]
-struct SyncedFixed {
+struct HeartbeatBatchResponseHeader {
     number: U64,
     term: U64,
     grant_ms: U32,
@@ -179,7 +179,7 @@
 
 #[derive(FromBytes, IntoBytes, Immutable, KnownLayout, Unaligned)]
 #[repr(C)]
-struct ToldFixed {
+struct RelayedResponseHeader {
     name: U64,
     token: U64,
     /// 200 and orders, or why not.
@@ -191,7 +191,7 @@
 
 #[derive(FromBytes, IntoBytes, Immutable, KnownLayout, Unaligned)]
 #[repr(C)]
-struct OrderFixed {
+struct CommandHeader {
     verb: u8,
     attempt: U64,
     grace_ms: U32,
@@ -199,7 +199,7 @@
 
 #[derive(FromBytes, IntoBytes, Immutable, KnownLayout, Unaligned)]
 #[repr(C)]
-struct MemberFixed {
+struct MemberStatusHeader {
     abilities: U32,
     load: U32,
     age_ms: U32,
@@ -280,21 +280,21 @@
     }
 }
 
-const STATES: [RowState; 5] = [
-    RowState::Fetching,
-    RowState::Waiting,
-    RowState::Running,
-    RowState::Saving,
-    RowState::Exited,
+const STATES: [TaskState; 5] = [
+    TaskState::Fetching,
+    TaskState::Waiting,
+    TaskState::Running,
+    TaskState::Saving,
+    TaskState::Exited,
 ];
-const CAUSES: [Why; 7] = [
-    Why::Done,
-    Why::Stopped,
-    Why::Error,
-    Why::NoRoom,
-    Why::Busy,
-    Why::Unknown,
-    Why::Other,
+const CAUSES: [ExitCause; 7] = [
+    ExitCause::Done,
+    ExitCause::Stopped,
+    ExitCause::Error,
+    ExitCause::NoRoom,
+    ExitCause::Busy,
+    ExitCause::Unknown,
+    ExitCause::Other,
 ];
 
 fn index<T: PartialEq>(all: &[T], x: &T) -> u8 {
@@ -308,7 +308,7 @@
 
 /// The bytes that a machine which was heard of takes in a frame.
 pub fn size_of_heard(machine: &MachineId) -> usize {
-    size_of::<HeardFixed>() + size_of_name(machine)
+    size_of::<AnsweredHeartbeatHeader>() + size_of_name(machine)
 }
 
 /// How many of these machines, the first ones, a list of names in a frame takes.
@@ -322,24 +322,25 @@
 }
 
 /// The bytes that the answer to a report takes in a frame.
-pub fn size_of_answer(orders: &[Order]) -> usize {
-    let size_of_order = |order: &Order| {
-        let (Order::Start { task, .. } | Order::Stop { task, .. } | Order::Forget { task, .. }) =
-            order;
-        size_of::<OrderFixed>() + size_of::<U16>() + task.len()
+pub fn size_of_answer(orders: &[TaskCommand]) -> usize {
+    let size_of_order = |order: &TaskCommand| {
+        let (TaskCommand::Start { task, .. }
+        | TaskCommand::Stop { task, .. }
+        | TaskCommand::Forget { task, .. }) = order;
+        size_of::<CommandHeader>() + size_of::<U16>() + task.len()
     };
-    size_of::<ToldFixed>() + orders.iter().map(size_of_order).sum::<usize>()
+    size_of::<RelayedResponseHeader>() + orders.iter().map(size_of_order).sum::<usize>()
 }
 
 /// Roughly the bytes that a report takes in a frame.
-pub fn size_of_report(r: &Report) -> usize {
+pub fn encoded_heartbeat_size(r: &Heartbeat) -> usize {
     let rows: usize = r.rows.iter().map(|row| row.task.len() + 13).sum();
     64 + r.machine.len() + r.addr.len() + r.kind.len() + r.zone.len() + rows
 }
 
-pub fn encode_sync(s: &Sync) -> Vec<u8> {
+pub fn encode_sync(s: &HeartbeatBatch) -> Vec<u8> {
     let mut out = Out::default();
-    out.put(&SyncFixed {
+    out.put(&HeartbeatBatchHeader {
         incarnation: U64::new(s.incarnation),
         number: U64::new(s.number),
         answered: U64::new(s.answered),
@@ -357,16 +358,16 @@
         out.text(id);
     }
     for h in &s.heard {
-        out.put(&HeardFixed {
+        out.put(&AnsweredHeartbeatHeader {
             session: U64::new(h.session),
             seq: U64::new(h.seq),
             age_ms: ms(h.age),
         });
         out.text(&h.machine);
     }
-    for Relayed { name, report: r } in &s.reports {
+    for RelayedHeartbeat { name, report: r } in &s.reports {
         let notice = |s: f64| ms(Duration::from_secs_f64(s.clamp(0.0, 1e6)));
-        out.put(&ReportFixed {
+        out.put(&HeartbeatHeader {
             name: U64::new(*name),
             session: U64::new(r.session),
             seq: U64::new(r.seq),
@@ -382,7 +383,7 @@
             out.text(text);
         }
         for row in &r.rows {
-            out.put(&RowFixed {
+            out.put(&TaskStatusHeader {
                 attempt: U64::new(row.attempt),
                 state: index(&STATES, &row.state),
                 why: row.why.map_or(u8::MAX, |w| index(&CAUSES, &w)),
@@ -391,20 +392,20 @@
             out.text(&row.task);
         }
     }
-    crate::peer::frame(KIND_SYNC, &out.0)
+    crate::peer::frame(KIND_HEARTBEAT_BATCH, &out.0)
 }
 
-fn decode_report(b: &mut In) -> Option<Relayed> {
-    let f = b.get::<ReportFixed>()?;
+fn decode_report(b: &mut In) -> Option<RelayedHeartbeat> {
+    let f = b.get::<HeartbeatHeader>()?;
     let mut text = || b.text().map(str::to_string);
     let (machine, addr, kind, zone) = (text()?, text()?, text()?, text()?);
     let rows = b.list(f.rows, |b| {
-        let row = b.get::<RowFixed>()?;
+        let row = b.get::<TaskStatusHeader>()?;
         let why = match row.why {
             u8::MAX => None,
             n => Some(*CAUSES.get(usize::from(n))?),
         };
-        Some(RowReport {
+        Some(TaskStatus {
             attempt: row.attempt.get(),
             state: *STATES.get(usize::from(row.state))?,
             why,
@@ -412,7 +413,7 @@
             task: b.text()?.to_string(),
         })
     })?;
-    let report = Report {
+    let report = Heartbeat {
         machine: machine.into(),
         addr,
         kind,
@@ -424,16 +425,16 @@
         notice: (f.notice_ms.get() != NONE).then(|| span(f.notice_ms).as_secs_f64()),
         rows,
     };
-    Some(Relayed {
+    Some(RelayedHeartbeat {
         name: f.name.get(),
         report: Box::new(report),
     })
 }
 
-pub fn decode_sync(body: &[u8]) -> Option<Sync> {
+pub fn decode_sync(body: &[u8]) -> Option<HeartbeatBatch> {
     let mut b = In(body);
-    let f = b.get::<SyncFixed>()?;
-    let sync = Sync {
+    let f = b.get::<HeartbeatBatchHeader>()?;
+    let sync = HeartbeatBatch {
         incarnation: f.incarnation.get(),
         number: f.number.get(),
         answered: f.answered.get(),
@@ -445,8 +446,8 @@
         mine: b.list(f.mine, |b| b.text().map(MachineId::from))?,
         failed: b.list(f.failed, |b| b.text().map(MachineId::from))?,
         heard: b.list(f.heard, |b| {
-            let h = b.get::<HeardFixed>()?;
-            Some(Heard {
+            let h = b.get::<AnsweredHeartbeatHeader>()?;
+            Some(AnsweredHeartbeat {
                 session: h.session.get(),
                 seq: h.seq.get(),
                 age: span(h.age_ms),
@@ -458,9 +459,9 @@
     b.0.is_empty().then_some(sync)
 }
 
-pub fn encode_synced(s: &Synced) -> Vec<u8> {
+pub fn encode_synced(s: &HeartbeatBatchResponse) -> Vec<u8> {
     let mut out = Out::default();
-    out.put(&SyncedFixed {
+    out.put(&HeartbeatBatchResponseHeader {
         number: U64::new(s.number),
         term: U64::new(s.term),
         grant_ms: ms(s.grant),
@@ -476,17 +477,17 @@
     }
     for told in &s.answers {
         let (token, status, calm, retry, orders) = match &told.kind {
-            ToldKind::Orders {
+            RelayedOutcome::Orders {
                 token,
                 orders,
                 calm,
             } => (*token, 200, *calm, None, orders.as_slice()),
-            ToldKind::Refused {
+            RelayedOutcome::Refused {
                 status,
                 retry_after,
             } => (0, *status, false, *retry_after, [].as_slice()),
         };
-        out.put(&ToldFixed {
+        out.put(&RelayedResponseHeader {
             name: U64::new(told.name),
             token: U64::new(token),
             status: U16::new(status),
@@ -496,15 +497,15 @@
         });
         for order in orders {
             let (verb, task, attempt, grace) = match order {
-                Order::Start { task, attempt } => (0, task, *attempt, 0.0),
-                Order::Stop {
+                TaskCommand::Start { task, attempt } => (0, task, *attempt, 0.0),
+                TaskCommand::Stop {
                     task,
                     attempt,
                     grace,
                 } => (1, task, *attempt, *grace),
-                Order::Forget { task, attempt } => (2, task, *attempt, 0.0),
+                TaskCommand::Forget { task, attempt } => (2, task, *attempt, 0.0),
             };
-            out.put(&OrderFixed {
+            out.put(&CommandHeader {
                 verb,
                 attempt: U64::new(attempt),
                 grace_ms: ms(Duration::from_secs_f64(grace.clamp(0.0, 1e6))),
@@ -521,54 +522,54 @@
         out.text(to);
     }
     for m in &s.members {
-        out.put(&MemberFixed {
+        out.put(&MemberStatusHeader {
             abilities: U32::new(m.abilities),
             load: U32::new(m.load),
             age_ms: ms(m.age),
         });
         out.text(&m.name);
     }
-    crate::peer::frame(KIND_SYNCED, &out.0)
+    crate::peer::frame(KIND_HEARTBEAT_BATCH_RESPONSE, &out.0)
 }
 
-fn decode_told(b: &mut In) -> Option<Told> {
-    let f = b.get::<ToldFixed>()?;
+fn decode_told(b: &mut In) -> Option<RelayedResponse> {
+    let f = b.get::<RelayedResponseHeader>()?;
     let orders = b.list(f.orders, |b| {
-        let o = b.get::<OrderFixed>()?;
+        let o = b.get::<CommandHeader>()?;
         let (task, attempt) = (b.text()?.to_string(), o.attempt.get());
         Some(match o.verb {
-            0 => Order::Start { task, attempt },
-            1 => Order::Stop {
+            0 => TaskCommand::Start { task, attempt },
+            1 => TaskCommand::Stop {
                 task,
                 attempt,
                 grace: span(o.grace_ms).as_secs_f64(),
             },
-            2 => Order::Forget { task, attempt },
+            2 => TaskCommand::Forget { task, attempt },
             _ => return None,
         })
     })?;
     let retry = f.retry_after.get();
     let kind = match f.status.get() {
-        200 => ToldKind::Orders {
+        200 => RelayedOutcome::Orders {
             token: f.token.get(),
             orders,
             calm: f.calm != 0,
         },
-        status => ToldKind::Refused {
+        status => RelayedOutcome::Refused {
             status,
             retry_after: (retry != NONE).then_some(retry),
         },
     };
-    Some(Told {
+    Some(RelayedResponse {
         name: f.name.get(),
         kind,
     })
 }
 
-pub fn decode_synced(body: &[u8]) -> Option<Synced> {
+pub fn decode_synced(body: &[u8]) -> Option<HeartbeatBatchResponse> {
     let mut b = In(body);
-    let f = b.get::<SyncedFixed>()?;
-    let synced = Synced {
+    let f = b.get::<HeartbeatBatchResponseHeader>()?;
+    let synced = HeartbeatBatchResponse {
         number: f.number.get(),
         term: f.term.get(),
         grant: span(f.grant_ms),
@@ -581,8 +582,8 @@
             Some((b.text()?.to_string(), n))
         })?,
         members: b.list(f.members, |b| {
-            let m = b.get::<MemberFixed>()?;
-            Some(MemberTold {
+            let m = b.get::<MemberStatusHeader>()?;
+            Some(MemberStatus {
                 abilities: m.abilities.get(),
                 load: m.load.get(),
                 age: span(m.age_ms),
--- a/src/link/tests.rs
+++ b/src/link/tests.rs
@@ -6,14 +6,14 @@
 
 #[test]
 fn frames_come_back_as_they_went_and_cut_ones_are_refused() {
-    let row = |state, why, saved| RowReport {
+    let row = |state, why, saved| TaskStatus {
         task: "wk-000001/7".into(),
         attempt: u64::MAX - 3,
         state,
         why,
         saved,
     };
-    let report = Report {
+    let report = Heartbeat {
         machine: "i-000001".into(),
         addr: "10.0.0.1:9000".into(),
         kind: "g8".into(),
@@ -24,11 +24,11 @@
         token: 1 << 40,
         notice: Some(7.5),
         rows: vec![
-            row(RowState::Running, None, None),
-            row(RowState::Exited, Some(Why::Error), Some(false)),
+            row(TaskState::Running, None, None),
+            row(TaskState::Exited, Some(ExitCause::Error), Some(false)),
         ],
     };
-    let sync = Sync {
+    let sync = HeartbeatBatch {
         from: "n1".into(),
         incarnation: 5,
         number: 6,
@@ -39,45 +39,45 @@
         term: 9,
         mine: vec!["i-000001".into()],
         failed: vec!["i-000003".into()],
-        heard: vec![Heard {
+        heard: vec![AnsweredHeartbeat {
             machine: "i-000002".into(),
             session: 1,
             seq: 12,
             age: Duration::from_millis(250),
         }],
-        reports: vec![Relayed {
+        reports: vec![RelayedHeartbeat {
             name: 3,
             report: Box::new(report),
         }],
     };
     let bytes = body(&encode_sync(&sync));
     let back = decode_sync(&bytes).unwrap();
-    // `Report` has no equality of its own.
+    // `Heartbeat` has no equality of its own.
     assert_eq!(format!("{back:?}"), format!("{sync:?}"));
     assert!((0..bytes.len()).all(|cut| decode_sync(&bytes[..cut]).is_none()));
-    let order = |grace| Order::Stop {
+    let order = |grace| TaskCommand::Stop {
         task: "wk-000001/7".into(),
         attempt: 4,
         grace,
     };
-    let synced = Synced {
+    let synced = HeartbeatBatchResponse {
         number: 6,
         term: 9,
         grant: Duration::from_millis(2400),
         refused: false,
         recalled: vec!["i-000002".into()],
         answers: vec![
-            Told {
+            RelayedResponse {
                 name: 3,
-                kind: ToldKind::Orders {
+                kind: RelayedOutcome::Orders {
                     token: 77,
                     orders: vec![order(1.5)],
                     calm: true,
                 },
             },
-            Told {
+            RelayedResponse {
                 name: 4,
-                kind: ToldKind::Refused {
+                kind: RelayedOutcome::Refused {
                     status: 503,
                     retry_after: Some(30),
                 },
@@ -85,7 +85,7 @@
         ],
         asks: vec![("i-000009".into(), "10.0.0.9:9000".into())],
         moves: vec![("n2".into(), 20)],
-        members: vec![MemberTold {
+        members: vec![MemberStatus {
             name: "n2".into(),
             abilities: 1,
             load: 7,
@@ -111,42 +111,42 @@
 
 #[test]
 fn the_sizes_of_entries_are_those_that_they_take_in_a_frame() {
-    let empty = body(&encode_sync(&Sync::default())).len();
-    let sync = Sync {
+    let empty = body(&encode_sync(&HeartbeatBatch::default())).len();
+    let sync = HeartbeatBatch {
         mine: vec![machine(1)],
-        heard: vec![Heard {
+        heard: vec![AnsweredHeartbeat {
             machine: machine(2),
             session: 1,
             seq: 1,
             age: Duration::ZERO,
         }],
-        ..Sync::default()
+        ..HeartbeatBatch::default()
     };
     let size = size_of_name(&machine(1)) + size_of_heard(&machine(2));
     assert_eq!(body(&encode_sync(&sync)).len(), empty + size);
-    let orders = vec![Order::Start {
+    let orders = vec![TaskCommand::Start {
         task: "wk-000001/7".into(),
         attempt: 4,
     }];
-    let empty = body(&encode_synced(&Synced::default())).len();
+    let empty = body(&encode_synced(&HeartbeatBatchResponse::default())).len();
     let size = size_of_answer(&orders);
-    let synced = Synced {
-        answers: vec![Told {
+    let synced = HeartbeatBatchResponse {
+        answers: vec![RelayedResponse {
             name: 1,
-            kind: ToldKind::Orders {
+            kind: RelayedOutcome::Orders {
                 token: 1,
                 orders,
                 calm: false,
             },
         }],
-        ..Synced::default()
+        ..HeartbeatBatchResponse::default()
     };
     assert_eq!(body(&encode_synced(&synced)).len(), empty + size);
 }
 
 #[test]
 fn the_fullest_frame_of_a_controller_with_6000_workers_can_be_read() {
-    let heard = |number| Heard {
+    let heard = |number| AnsweredHeartbeat {
         machine: machine(number),
         session: 1,
         seq: u64::MAX,
@@ -154,16 +154,16 @@
     };
     let most_heard = MOST_HEARD_BYTES / size_of_heard(&machine(0)) + 1;
     // A report as long as a request may be takes no more than that in a frame.
-    let row = RowReport {
+    let row = TaskStatus {
         task: "wk-000001/7".into(),
         attempt: 1,
-        state: RowState::Running,
+        state: TaskState::Running,
         why: None,
         saved: None,
     };
-    let report = |rows| Relayed {
+    let report = |rows| RelayedHeartbeat {
         name: 1,
-        report: Box::new(Report {
+        report: Box::new(Heartbeat {
             machine: machine(1),
             addr: "10.0.0.1:9000".into(),
             kind: "g8".into(),
@@ -176,14 +176,14 @@
             rows: vec![row.clone(); rows],
         }),
     };
-    let bytes_of_row = size_of::<RowFixed>() + size_of::<U16>() + row.task.len();
-    let sync = Sync {
+    let bytes_of_row = size_of::<TaskStatusHeader>() + size_of::<U16>() + row.task.len();
+    let sync = HeartbeatBatch {
         from: "n1".into(),
         mine: names(),
         failed: names(),
         heard: (0..most_heard).map(heard).collect(),
         reports: vec![report(crate::http::MAX_BODY / bytes_of_row)],
-        ..Sync::default()
+        ..HeartbeatBatch::default()
     };
     assert!(sync.mine.len() > 2000 && sync.heard.len() > 4000);
     let back = decode_sync(&body(&encode_sync(&sync))).unwrap();
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,6 +1,6 @@
 //! The command line; everything else is in the library.
 
-use burlusher::archivist::{self, Archivist};
+use burlusher::archivist::{self, Snapshotter};
 use burlusher::logging::LogFormat;
 use burlusher::{http, policy::Policy, service, settings::Settings, wire};
 use burlusher_snapshot::archive::{Archive, Listed};
@@ -299,7 +299,7 @@
         Snapshot::Take { archive, config } => {
             let settings = Settings::load(&config)?;
             let taken =
-                Archivist::open(settings.state_addr, &archive.dir).and_then(|mut a| a.take());
+                Snapshotter::open(settings.state_addr, &archive.dir).and_then(|mut a| a.take());
             let revision = taken.map_err(|e| e.to_string())?;
             println!("{}", serde_json::json!({"revision": revision}));
             Ok(())
@@ -317,7 +317,7 @@
                 if body.len() > http::MAX_BODY {
                     return Err("a job in it is too large for this way: start a controller with --snapshots and this folder".into());
                 }
-                let answer = call(&node, "POST", wire::PATH_OFFER, &body)?;
+                let answer = call(&node, "POST", wire::PATH_SNAPSHOT, &body)?;
                 let answer: serde_json::Value =
                     serde_json::from_str(&answer).map_err(|e| e.to_string())?;
                 new += answer["new_jobs"].as_u64().unwrap_or(0);
@@ -341,7 +341,7 @@
         } => {
             burlusher::logging::start(log_format, std::env::var("LOG_LEVEL").ok().as_deref())?;
             let (settings, policy) = files.load()?;
-            if let Some(warning) = burlusher::core::late_cancellations(&settings) {
+            if let Some(warning) = burlusher::core::cancellation_warning(&settings) {
                 tracing::warn!("{warning}");
             }
             let run = service::run(settings, policy, snapshots.as_deref());
@@ -354,7 +354,7 @@
         } => {
             burlusher::logging::start(log_format, std::env::var("LOG_LEVEL").ok().as_deref())?;
             let settings = Settings::load(&config)?;
-            let archivist = Archivist::open(settings.state_addr, &dir);
+            let archivist = Snapshotter::open(settings.state_addr, &dir);
             archivist
                 .map_err(|e| format!("{}: {e}", dir.display()))?
                 .run()
@@ -377,10 +377,10 @@
                 settings.memory_mb,
                 settings.sockets,
                 service::most_connections(&settings),
-                burlusher::core::most_tasks(&settings),
+                burlusher::core::max_unfinished_tasks(&settings),
                 policy.describe()
             );
-            if let Some(warning) = burlusher::core::late_cancellations(&settings) {
+            if let Some(warning) = burlusher::core::cancellation_warning(&settings) {
                 eprintln!("warning: {warning}");
             }
             Ok(())
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -4,7 +4,7 @@
 //! header, then a body of the length and layout that the header's kind implies. Numbers are
 //! little-endian. Text comes last, its parts in the order in which their lengths are listed.
 
-use crate::job::{JobId, JobSpec, Kind, Rank, Resources};
+use crate::job::{JobId, JobKind, JobSpec, Priority, Resources};
 use crate::wire::JobState;
 use std::io::{self, Read, Write};
 use std::time::Duration;
@@ -122,15 +122,15 @@
     let fixed = SpecFrame {
         tasks: U32::new(s.tasks),
         kind: match s.kind {
-            Kind::Array => 0,
-            Kind::Service => 1,
-            Kind::Gang => 2,
+            JobKind::Array => 0,
+            JobKind::Service => 1,
+            JobKind::Gang => 2,
         },
         rank: match s.rank {
-            Rank::Production => 0,
-            Rank::High => 1,
-            Rank::Normal => 2,
-            Rank::Low => 3,
+            Priority::Production => 0,
+            Priority::High => 1,
+            Priority::Normal => 2,
+            Priority::Low => 3,
         },
         flags: flag(s.one_zone, ONE_ZONE) | flag(s.spread, SPREAD) | flag(s.spot, SPOT),
         reserved: 0,
@@ -210,16 +210,16 @@
         class,
         team,
         kind: match f.kind {
-            0 => Kind::Array,
-            1 => Kind::Service,
-            2 => Kind::Gang,
+            0 => JobKind::Array,
+            1 => JobKind::Service,
+            2 => JobKind::Gang,
             _ => return None,
         },
         rank: match f.rank {
-            0 => Rank::Production,
-            1 => Rank::High,
-            2 => Rank::Normal,
-            3 => Rank::Low,
+            0 => Priority::Production,
+            1 => Priority::High,
+            2 => Priority::Normal,
+            3 => Priority::Low,
             _ => return None,
         },
         tasks: f.tasks.get(),
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -6,8 +6,8 @@
         id: "wk-000001".into(),
         class: "Besançon".into(),
         team: "t".into(),
-        kind: Kind::Service,
-        rank: Rank::Low,
+        kind: JobKind::Service,
+        rank: Priority::Low,
         tasks: 9,
         needs: Resources {
             cpus: 0.5,
--- a/src/plan.rs
+++ b/src/plan.rs
@@ -5,7 +5,7 @@
 //! later entries that fills the free room best without delaying that reservation.
 
 use crate::board::{Board, Class, ImageTag, Offer, Use};
-use crate::job::{JobSpec, Rank, Resources, TaskKey};
+use crate::job::{JobSpec, Priority, Resources, TaskId};
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::sync::Arc;
@@ -15,14 +15,14 @@
 pub const LOOKAHEAD: usize = 50;
 /// The dynamic program's tables have at most this many units a side, which bounds its memory and
 /// time; where the entries together are larger, its unit is coarser.
-const MOST_UNITS: usize = 128;
+const MAX_KNAPSACK_UNITS: usize = 128;
 
 /// A job with queued entries. Jobs come in the order of the queue.
 #[derive(Clone)]
 pub struct Waiting<'a> {
     pub spec: Arc<JobSpec>,
     /// What it counts as where work of lower rank may be stopped for it.
-    pub rank: Rank,
+    pub rank: Priority,
     pub image: ImageTag,
     pub team: usize,
     /// Rows that wait, and those of them that may not be started before some moment.
@@ -131,7 +131,7 @@
 pub struct Plan {
     pub starts: Vec<Start>,
     /// Tasks to stop, with their machines.
-    pub stops: Vec<(usize, TaskKey)>,
+    pub stops: Vec<(usize, TaskId)>,
     /// The head's job, and when it may start, if it has to wait.
     pub head: Option<(usize, Option<Duration>)>,
 }
@@ -153,7 +153,7 @@
 
 /// An entry as the dynamic program sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Item {
+pub struct Candidate {
     pub size: usize,
     /// Room it still holds at the shadow time.
     pub shadow_size: usize,
@@ -163,7 +163,7 @@
 /// Algorithm 7 of the thesis (Max-Slowdown): the set with the greatest total size within `n`
 /// whose shadow sizes stay within `extra`; among equals, the least shadow size, then the greatest
 /// merit; where all are equal, the set closer to the head ("bypassed first").
-pub fn choose(items: &[Item], n: usize, extra: usize, scratch: &mut Scratch) -> Vec<usize> {
+pub fn choose(items: &[Candidate], n: usize, extra: usize, scratch: &mut Scratch) -> Vec<usize> {
     let size: usize = items.iter().map(|i| i.size).sum();
     let shadow: usize = items.iter().map(|i| i.shadow_size).sum();
     if size <= n && shadow <= extra {
@@ -671,8 +671,8 @@
     let wanted = |unit: f64| -> usize { entries.iter().map(|e| size(&queue[e.0], unit)).sum() };
     // No set uses more room than all entries together, so the tables need no more units.
     let side = total(unit).min(wanted(unit));
-    if side > MOST_UNITS {
-        unit *= side as f64 / MOST_UNITS as f64;
+    if side > MAX_KNAPSACK_UNITS {
+        unit *= side as f64 / MAX_KNAPSACK_UNITS as f64;
     }
     let n = total(unit);
     if n == 0 {
@@ -691,11 +691,11 @@
             .sum();
         (n + gained).saturating_sub(size(&queue[head], unit))
     });
-    let items: Vec<Item> = entries
+    let items: Vec<Candidate> = entries
         .iter()
         .map(|(job, _, outlasts)| {
             let size = size(&queue[*job], unit);
-            Item {
+            Candidate {
                 size,
                 shadow_size: if *outlasts { size } else { 0 },
                 merit: queue[*job].merit,
@@ -738,7 +738,7 @@
 /// Room that comes by itself this soon is waited for.
 const SOON: Duration = Duration::from_secs(4);
 /// Entries of the head's job that may be helped in one step.
-const MOST_PREEMPTED: usize = 16;
+const MAX_PREEMPTED_TASKS: usize = 16;
 
 /// What could be stopped on one machine, the youngest first.
 struct Victims {
@@ -815,7 +815,7 @@
         .filter_map(|(&slot, v)| price(v, board.host(slot)).map(|(loss, n)| (loss, slot, n)))
         .collect();
     let per = w.per_entry() as usize;
-    let mut wanted = waiting.min(MOST_PREEMPTED.max(per));
+    let mut wanted = waiting.min(MAX_PREEMPTED_TASKS.max(per));
     while wanted > 0
         && teams[w.team].takes(&needs, 1)
         && let Some((loss, slot, n)) = offers.pop_first()
--- a/src/plan/tests.rs
+++ b/src/plan/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 use crate::board::{Held, Host};
-use crate::job::Rank;
+use crate::job::Priority;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
-fn item(size: usize, shadow_size: usize) -> Item {
-    Item {
+fn item(size: usize, shadow_size: usize) -> Candidate {
+    Candidate {
         size,
         shadow_size,
         merit: 1.0,
@@ -42,10 +42,10 @@
     let mut rng = SmallRng::seed_from_u64(7);
     let mut s = Scratch::default();
     for _ in 0..400 {
-        let items: Vec<Item> = (0..rng.random_range(1..9))
+        let items: Vec<Candidate> = (0..rng.random_range(1..9))
             .map(|_| {
                 let size = rng.random_range(1..6);
-                Item {
+                Candidate {
                     size,
                     shadow_size: if rng.random_bool(0.5) { size } else { 0 },
                     merit: rng.random_range(1..5) as f32,
@@ -54,7 +54,7 @@
             .collect();
         let (n, extra) = (rng.random_range(0..14), rng.random_range(0..14));
         let value = |set: &[usize]| {
-            let sum = |f: fn(&Item) -> usize| set.iter().map(|&i| f(&items[i])).sum::<usize>();
+            let sum = |f: fn(&Candidate) -> usize| set.iter().map(|&i| f(&items[i])).sum::<usize>();
             let merit: f32 = set.iter().map(|&i| items[i].merit).sum();
             (sum(|i| i.size), sum(|i| i.shadow_size), merit)
         };
@@ -160,7 +160,7 @@
 
 fn held(cpus: f64, ends: Option<Instant>, since: Instant) -> Held {
     Held {
-        key: TaskKey {
+        key: TaskId {
             job: "wk-0".into(),
             row: cpus as u32,
         },
@@ -168,7 +168,7 @@
         ends,
         since: Some(since),
         saves_in: None,
-        rank: Rank::Low,
+        rank: Priority::Low,
         team: None,
         stopping: false,
     }
@@ -308,10 +308,10 @@
         let p = plan(&mut b, &mut queue, &mut teams, now, &mut Scratch::default());
         p.stops.iter().map(|s| s.1.row).collect::<Vec<_>>()
     };
-    assert_eq!(stops(Rank::Low, 100.0, false, &w), [1]);
-    assert_eq!(stops(Rank::Normal, 100.0, true, &w), [0u32; 0]);
-    assert_eq!(stops(Rank::Production, 4.0, true, &w), [1]);
-    assert_eq!(stops(Rank::Production, 0.0, false, &w), [0u32; 0]);
+    assert_eq!(stops(Priority::Low, 100.0, false, &w), [1]);
+    assert_eq!(stops(Priority::Normal, 100.0, true, &w), [0u32; 0]);
+    assert_eq!(stops(Priority::Production, 4.0, true, &w), [1]);
+    assert_eq!(stops(Priority::Production, 0.0, false, &w), [0u32; 0]);
     w.may_preempt = false;
-    assert_eq!(stops(Rank::Low, 100.0, false, &w), [0u32; 0]);
+    assert_eq!(stops(Priority::Low, 100.0, false, &w), [0u32; 0]);
 }
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -15,8 +15,8 @@
 use winnow::token::{take_till, take_while};
 
 const BUILT_IN: &str = include_str!("policy.default");
-const MOST_NESTING: u32 = 40;
-const LARGEST_FILE: usize = 64 * 1024;
+const MAX_NESTING: u32 = 40;
+const MAX_FILE_BYTES: usize = 64 * 1024;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Type {
@@ -350,7 +350,7 @@
 
     fn expression(&mut self) -> Result<Node, Fault> {
         self.nesting += 1;
-        if self.nesting > MOST_NESTING {
+        if self.nesting > MAX_NESTING {
             return self.fail("nested too deeply");
         }
         let at = self.at();
@@ -432,7 +432,7 @@
         };
         if let Some(wrap) = wrap {
             self.nesting += 1;
-            if self.nesting > MOST_NESTING {
+            if self.nesting > MAX_NESTING {
                 return self.fail("nested too deeply");
             }
             let inner = self.unary()?;
@@ -629,8 +629,8 @@
 }
 
 fn parse(text: &str) -> Result<Vec<(Entry, Node, String)>, Fault> {
-    if text.len() > LARGEST_FILE {
-        return Err((LARGEST_FILE, "the file is too large".into()));
+    if text.len() > MAX_FILE_BYTES {
+        return Err((MAX_FILE_BYTES, "the file is too large".into()));
     }
     let mut p = Reader {
         input: LocatingSlice::new(text),
--- a/src/recall.rs
+++ b/src/recall.rs
@@ -7,8 +7,8 @@
 use zerocopy::byteorder::little_endian::{U32, U64};
 use zerocopy::{FromBytes, Immutable, IntoBytes, KnownLayout, Unaligned};
 
-pub const KIND_RECALL: u8 = 8;
-pub const KIND_RECALLED: u8 = 9;
+pub const KIND_MEMORY_REQUEST: u8 = 8;
+pub const KIND_MEMORY_PAGE: u8 = 9;
 
 /// A page of a memory is filled up to this: a few of them hold thousands of jobs, and one takes a
 /// controller well under its share's hundredth part of a second.
@@ -16,7 +16,7 @@
 
 /// Asks for what a controller remembers, from after a key on.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Recall {
+pub struct MemoryRequest {
     /// No items are wanted: only what it knows of the store.
     pub word_only: bool,
     pub after: String,
@@ -24,7 +24,7 @@
 
 /// A page of it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Recalled {
+pub struct MemoryPage {
     /// It has read the store at least once.
     pub loaded: bool,
     /// The stores of which it remembers all, as one continued another; the newest last.
@@ -41,13 +41,13 @@
 
 #[derive(FromBytes, IntoBytes, Immutable, KnownLayout, Unaligned)]
 #[repr(C)]
-struct RecallFixed {
+struct MemoryRequestHeader {
     word_only: u8,
 }
 
 #[derive(FromBytes, IntoBytes, Immutable, KnownLayout, Unaligned)]
 #[repr(C)]
-struct RecalledFixed {
+struct MemoryPageHeader {
     term: U64,
     loaded: u8,
     remembers: u8,
@@ -56,26 +56,28 @@
     items: U32,
 }
 
-pub fn encode_recall(r: &Recall) -> Vec<u8> {
+pub fn encode_recall(r: &MemoryRequest) -> Vec<u8> {
     let mut out = Out::default();
-    out.put(&RecallFixed {
+    out.put(&MemoryRequestHeader {
         word_only: u8::from(r.word_only),
     });
     out.text(&r.after);
-    peer::frame(KIND_RECALL, &out.0)
+    peer::frame(KIND_MEMORY_REQUEST, &out.0)
 }
 
-pub fn decode_recall(body: &[u8]) -> Option<Recall> {
+pub fn decode_recall(body: &[u8]) -> Option<MemoryRequest> {
     let mut rest = In(body);
-    let fixed: &RecallFixed = rest.get()?;
+    let fixed: &MemoryRequestHeader = rest.get()?;
     let word_only = fixed.word_only != 0;
     let after = rest.text()?.to_string();
-    rest.0.is_empty().then_some(Recall { word_only, after })
+    rest.0
+        .is_empty()
+        .then_some(MemoryRequest { word_only, after })
 }
 
-pub fn encode_recalled(r: &Recalled) -> Vec<u8> {
+pub fn encode_recalled(r: &MemoryPage) -> Vec<u8> {
     let mut out = Out::default();
-    out.put(&RecalledFixed {
+    out.put(&MemoryPageHeader {
         term: U64::new(r.term),
         loaded: u8::from(r.loaded),
         remembers: u8::from(r.remembers),
@@ -90,16 +92,16 @@
         out.text(key);
         out.long_text(value);
     }
-    peer::frame(KIND_RECALLED, &out.0)
+    peer::frame(KIND_MEMORY_PAGE, &out.0)
 }
 
-pub fn decode_recalled(body: &[u8]) -> Option<Recalled> {
+pub fn decode_recalled(body: &[u8]) -> Option<MemoryPage> {
     let mut rest = In(body);
-    let fixed: &RecalledFixed = rest.get()?;
+    let fixed: &MemoryPageHeader = rest.get()?;
     let stores = rest.list(fixed.stores, |r| Some(r.text()?.to_string()))?;
     let item = |r: &mut In| Some((r.text()?.to_string(), r.long_text()?.to_string()));
     let items = rest.list(fixed.items, item)?;
-    rest.0.is_empty().then_some(Recalled {
+    rest.0.is_empty().then_some(MemoryPage {
         loaded: fixed.loaded != 0,
         stores,
         remembers: fixed.remembers != 0,
--- a/src/recall/tests.rs
+++ b/src/recall/tests.rs
@@ -3,11 +3,11 @@
 /// What comes from the network is never believed beyond what is there.
 #[test]
 fn frames_of_memory_come_back_whole_and_cut_ones_not_at_all() {
-    let asked = Recall {
+    let asked = MemoryRequest {
         word_only: true,
         after: "burlusher/j/wk-000412".into(),
     };
-    let told = Recalled {
+    let told = MemoryPage {
         loaded: true,
         stores: vec!["4e".into(), "4f".into()],
         remembers: true,
--- a/src/service.rs
+++ b/src/service.rs
@@ -12,17 +12,17 @@
 mod renewal;
 mod routes;
 
-use crate::archivist::{self, Archivist};
+use crate::archivist::{self, Snapshotter};
 use crate::cloud::{CloudClient, CloudOutcome, CloudRequest};
-use crate::core::{Command, Core, Effect, Now, Stand, Ticket, Work, note};
+use crate::core::{Command, Core, Effect, LeadershipProof, Now, Ticket, Work, note};
 use crate::http::{Answer, Limits, Server};
 use crate::link;
 use crate::peer::{self, PeerRequest};
 use crate::policy::Policy;
-use crate::recall::{self, Recall};
+use crate::recall::{self, MemoryRequest};
 use crate::settings::Settings;
-use crate::state::{Budget, StateClient, StateOutcome, StateRequest};
-use crate::wire::Txn;
+use crate::state::{RateLimiter, StoreClient, StoreOutcome, StoreRequest};
+use crate::wire::CompareAndSwap;
 use crate::worker::{self, DirectOutcome, DirectRequest};
 use inbox::{ANSWER_TIMEOUT, Inbox};
 use peers::{MOST_PEER_CONNECTIONS, serve_peers};
@@ -106,7 +106,7 @@
     }
 }
 
-fn paced(budget: &Mutex<Budget>) {
+fn wait_for_rate_limit(budget: &Mutex<RateLimiter>) {
     let wait = budget
         .lock()
         .map(|mut b| b.take(Instant::now()))
@@ -116,13 +116,13 @@
     }
 }
 
-type StateCall = (u64, StateRequest);
+type StateCall = (u64, StoreRequest);
 type CloudCall = (u64, CloudRequest, Option<Instant>);
 type DirectCall = (u64, SocketAddrV4, DirectRequest, Instant);
 
 enum PeerCall {
     Pass(Ticket, PeerRequest),
-    Recall(Recall),
+    MemoryRequest(MemoryRequest),
 }
 type SyncCall = (String, u64, Vec<u8>);
 type AnswerCall = (Ticket, Answer);
@@ -135,7 +135,7 @@
     sync: Sender<SyncCall>,
     answers: Sender<Vec<AnswerCall>>,
     watch: Arc<Watch>,
-    keeper: Arc<Keeper>,
+    keeper: Arc<LeaseKeeper>,
     ready: Arc<AtomicBool>,
 }
 
@@ -148,9 +148,9 @@
     let back = TcpListener::bind(settings.peer_listen)?;
     let inbox_side = Inbox::new(ANSWER_TIMEOUT);
     let ready = Arc::new(AtomicBool::new(false));
-    let keeper = Arc::new(Keeper::default());
+    let keeper = Arc::new(LeaseKeeper::default());
     let share = settings.state_rps / (settings.peers.len() as f64 + 1.0);
-    let budget = Arc::new(Mutex::new(Budget::new(share * 0.6, Instant::now())));
+    let budget = Arc::new(Mutex::new(RateLimiter::new(share * 0.6, Instant::now())));
 
     let watch = Arc::new(Watch::new(&settings, &inbox_side));
     let outbox = Outbox {
@@ -184,7 +184,7 @@
         if let Some((items, revision)) = archivist::remembered(dir)? {
             core.remember(items, revision);
         }
-        let mut archivist = Archivist::open(state_addr, dir)?;
+        let mut archivist = Snapshotter::open(state_addr, dir)?;
         spawn("archivist", move || archivist.run())?;
     }
     own(core, &inbox_side, outbox)
@@ -264,26 +264,26 @@
                 let _ = tx.send(PeerCall::Pass(ticket, request));
             }
         }
-        Effect::Recall { peer, recall } => {
+        Effect::MemoryRequest { peer, recall } => {
             if let Some(tx) = out.peers.get(&peer) {
-                let _ = tx.send(PeerCall::Recall(recall));
+                let _ = tx.send(PeerCall::MemoryRequest(recall));
             }
         }
-        Effect::ReadAfresh => {
+        Effect::RereadStore => {
             if let Err(e) = out.watch.begin() {
                 tracing::error!("the state service cannot be read afresh: {e}");
             }
         }
-        Effect::Sync {
+        Effect::HeartbeatBatch {
             peer,
             number,
             frame,
         } => {
             let _ = out.sync.send((peer, number, frame));
         }
-        Effect::GiveUpLease => out.keeper.give_up.store(true, Ordering::Relaxed),
-        Effect::ChangeLease => out.keeper.change.store(true, Ordering::Relaxed),
-        Effect::Stand(stand) => *lock(&out.keeper.stand) = stand,
+        Effect::ReleaseLease => out.keeper.give_up.store(true, Ordering::Relaxed),
+        Effect::ReplaceLease => out.keeper.change.store(true, Ordering::Relaxed),
+        Effect::LeadershipProof(stand) => *lock(&out.keeper.stand) = stand,
         Effect::Ready(yes) => out.ready.store(yes, Ordering::Relaxed),
     }
 }
@@ -303,14 +303,14 @@
 fn state_pool(
     settings: &Settings,
     inbox: &Inbox,
-    budget: Arc<Mutex<Budget>>,
+    budget: Arc<Mutex<RateLimiter>>,
 ) -> io::Result<Sender<StateCall>> {
     let addr = settings.state_addr;
     pool("state", STATE_THREADS, || {
         let (inbox, budget) = (inbox.clone(), budget.clone());
-        let mut client = StateClient::new(addr);
+        let mut client = StoreClient::new(addr);
         Box::new(move |(call, request): StateCall| {
-            paced(&budget);
+            wait_for_rate_limit(&budget);
             let outcome = client.perform(&request);
             inbox.put(Command::State { call, outcome });
         })
@@ -337,7 +337,7 @@
     pool("direct", DIRECT_THREADS, || {
         let inbox = inbox.clone();
         Box::new(move |(call, addr, request, not_after): DirectCall| {
-            inbox.renewal().yield_to_renewal();
+            inbox.renewal().yield_to_lease_renewal();
             let outcome = if Instant::now() >= not_after {
                 DirectOutcome::NotSent("the leader's time was over".into())
             } else {
@@ -361,17 +361,17 @@
             Box::new(move |call: PeerCall| {
                 let (ticket, request) = match call {
                     PeerCall::Pass(ticket, request) => (ticket, request),
-                    PeerCall::Recall(asked) => {
+                    PeerCall::MemoryRequest(asked) => {
                         let frame = recall::encode_recall(&asked);
                         let decode = |kind, body: &[u8]| {
-                            (kind == recall::KIND_RECALLED)
+                            (kind == recall::KIND_MEMORY_PAGE)
                                 .then(|| recall::decode_recalled(body))?
                         };
                         let answer = exchange(&mut kept, addr, &frame, RECALL_TIMEOUT, decode);
                         if let Err(e) = &answer {
                             tracing::debug!("peer {name}: no memory: {e}");
                         }
-                        return inbox.put(Command::Recalled {
+                        return inbox.put(Command::MemoryPage {
                             peer: name.clone(),
                             asked,
                             answer: answer.ok().map(Box::new),
@@ -409,7 +409,7 @@
                 _ => None,
             };
             let decode = |kind, body: &[u8]| {
-                (kind == link::KIND_SYNCED).then(|| link::decode_synced(body))?
+                (kind == link::KIND_HEARTBEAT_BATCH_RESPONSE).then(|| link::decode_synced(body))?
             };
             let answer = match addrs.get(&peer) {
                 Some(addr) => exchange(&mut stream, *addr, &frame, SYNC_TIMEOUT, decode),
@@ -419,7 +419,7 @@
             if let Err(e) = &answer {
                 tracing::debug!("peer {peer}: {e}");
             }
-            inbox.put(Command::Synced {
+            inbox.put(Command::HeartbeatBatchResponse {
                 number,
                 answer: answer.ok().map(Box::new),
             });
@@ -463,29 +463,29 @@
 
 /// What the owner asks of the thread that keeps the lease.
 #[derive(Default)]
-struct Keeper {
+struct LeaseKeeper {
     give_up: AtomicBool,
     change: AtomicBool,
-    stand: Mutex<Option<Stand>>,
+    stand: Mutex<Option<LeadershipProof>>,
 }
 
-impl Keeper {
+impl LeaseKeeper {
     /// The lease is not to be renewed again.
     fn interrupted(&self) -> bool {
         self.give_up.load(Ordering::Relaxed) || self.change.load(Ordering::Relaxed)
     }
 
     /// Whether what the leader's word rests on still holds; `None` where nobody leads, or cannot tell.
-    fn stands(&self, client: &mut StateClient, inbox: &Inbox) -> Option<u64> {
+    fn stands(&self, client: &mut StoreClient, inbox: &Inbox) -> Option<u64> {
         let stand = lock(&self.stand).clone()?;
-        let txn = Txn {
+        let txn = CompareAndSwap {
             conditions: stand.conditions,
             changes: Vec::new(),
         };
         let key_version = stand.key_version;
-        match client.perform(&StateRequest::Txn(txn)) {
-            StateOutcome::Committed { .. } => Some(key_version),
-            StateOutcome::Conflict { .. } => {
+        match client.perform(&StoreRequest::CompareAndSwap(txn)) {
+            StoreOutcome::Committed { .. } => Some(key_version),
+            StoreOutcome::Conflict { .. } => {
                 inbox.put(Command::Deposed { key_version });
                 None
             }
@@ -498,10 +498,10 @@
 }
 
 /// Renews the lease well before it ends, whatever the owner is busy with.
-fn keep_lease(settings: &Settings, inbox: &Inbox, keeper: Arc<Keeper>) -> io::Result<()> {
+fn keep_lease(settings: &Settings, inbox: &Inbox, keeper: Arc<LeaseKeeper>) -> io::Result<()> {
     let (addr, inbox) = (settings.state_addr, inbox.clone());
     spawn("lease", move || {
-        let mut client = StateClient::new(addr);
+        let mut client = StoreClient::new(addr);
         let ttl = crate::core::LEASE_TTL;
         let mut lease: Option<u64> = None;
         let mut due = Instant::now();
@@ -525,7 +525,7 @@
                 None => match client.grant(ttl) {
                     Ok(id) => {
                         lease = Some(id);
-                        inbox.put(Command::LeaseKept {
+                        inbox.put(Command::LeaseRenewed {
                             lease: id,
                             sent,
                             stands: None,
@@ -543,7 +543,7 @@
                         if stands.is_none() && lock(&keeper.stand).is_some() {
                             pause = Duration::from_millis(150);
                         }
-                        inbox.put(Command::LeaseKept {
+                        inbox.put(Command::LeaseRenewed {
                             lease: id,
                             sent,
                             stands,
@@ -615,7 +615,7 @@
     }
 
     fn run(&self, number: u64) {
-        let mut client = StateClient::new(self.addr);
+        let mut client = StoreClient::new(self.addr);
         let mut at: Option<u64> = None;
         while *lock(&self.newest) == number {
             let trouble = match at {
@@ -649,7 +649,7 @@
             if let Some(e) = trouble {
                 tracing::debug!("watch: {e:?}");
                 let pause = match e {
-                    StateOutcome::Refused(_) => 250,
+                    StoreOutcome::Refused(_) => 250,
                     _ => 100,
                 };
                 std::thread::sleep(Duration::from_millis(pause));
@@ -661,7 +661,7 @@
 /// Keeps the allocator from setting memory aside for every thread: there are many threads here,
 /// little memory, and one core.
 pub fn limit_memory_pools() {
-    // SAFETY: `mallopt` only sets a parameter of the C library's allocator, and is called before
+    // LEASE_SAFETY_MARGIN: `mallopt` only sets a parameter of the C library's allocator, and is called before
     // other threads are started.
     #[cfg(target_env = "gnu")]
     unsafe {
--- a/src/service/gate.rs
+++ b/src/service/gate.rs
@@ -20,7 +20,7 @@
     bytes: usize,
 }
 
-pub struct Gate<T> {
+pub struct AdmissionGate<T> {
     state: Mutex<State<T>>,
 }
 
@@ -34,9 +34,9 @@
     Full(T),
 }
 
-impl<T> Gate<T> {
-    pub fn new(places: usize) -> Gate<T> {
-        Gate {
+impl<T> AdmissionGate<T> {
+    pub fn new(places: usize) -> AdmissionGate<T> {
+        AdmissionGate {
             state: Mutex::new(State {
                 free: places,
                 queue: VecDeque::new(),
--- a/src/service/inbox.rs
+++ b/src/service/inbox.rs
@@ -1,9 +1,9 @@
 //! The way into the owner's queue, and the way of its answers back to those who asked.
 
-use super::gate::{Entry, Gate};
+use super::gate::{AdmissionGate, Entry};
 use super::lanes::{Lanes, SHARES};
 use super::lock;
-use super::renewal::Precedence;
+use super::renewal::LeaseRenewalPriority;
 use crate::core::{Command, Ticket};
 use crate::http::{Answer, Responder};
 use std::collections::BTreeMap;
@@ -31,7 +31,7 @@
     /// Figures for monitoring, which are of this content type.
     Typed(Responder, &'static str),
     /// A worker's report, which has a place at the gate.
-    Report(Responder),
+    Heartbeat(Responder),
     /// A thread that waits for it.
     Thread(SyncSender<Answer>),
 }
@@ -53,8 +53,8 @@
     tickets: AtomicU64,
     /// Who waits for an answer of the owner.
     waiting: Mutex<BTreeMap<Ticket, Waiting>>,
-    reports: Gate<RawReport>,
-    renewal: Precedence,
+    reports: AdmissionGate<RawReport>,
+    renewal: LeaseRenewalPriority,
     answer_timeout: Duration,
 }
 
@@ -72,14 +72,14 @@
                 filled: Condvar::new(),
                 tickets: AtomicU64::new(1),
                 waiting: Mutex::default(),
-                reports: Gate::new(REPORTS_AT_A_TIME),
-                renewal: Precedence::new(),
+                reports: AdmissionGate::new(REPORTS_AT_A_TIME),
+                renewal: LeaseRenewalPriority::new(),
                 answer_timeout,
             }),
         }
     }
 
-    pub fn renewal(&self) -> &Precedence {
+    pub fn renewal(&self) -> &LeaseRenewalPriority {
         &self.shared.renewal
     }
 
@@ -144,7 +144,7 @@
         let report = RawReport { body, responder };
         match self.shared.reports.enter(report, bytes, Instant::now()) {
             Entry::Inside(report) => {
-                if !self.pass_on(report) {
+                if !self.forward_request(report) {
                     self.leave_gate();
                 }
             }
@@ -154,7 +154,7 @@
     }
 
     /// Reads a report that has a place at the gate. False: it was answered at once.
-    fn pass_on(&self, report: RawReport) -> bool {
+    fn forward_request(&self, report: RawReport) -> bool {
         let RawReport { body, responder } = report;
         let report = match serde_json::from_slice(&body) {
             Ok(report) => report,
@@ -163,11 +163,11 @@
                 return false;
             }
         };
-        let command = |ticket| Command::Report { ticket, report };
-        match self.enqueue(command, Reply::Report(responder)) {
+        let command = |ticket| Command::Heartbeat { ticket, report };
+        match self.enqueue(command, Reply::Heartbeat(responder)) {
             Ok(_) => true,
             Err((reply, answer)) => {
-                if let Reply::Report(responder) = reply {
+                if let Reply::Heartbeat(responder) = reply {
                     responder.answer(&answer);
                 }
                 false
@@ -178,7 +178,7 @@
     /// Gives a report's place to those that wait, until one of them needs it for longer.
     fn leave_gate(&self) {
         while let Some(next) = self.shared.reports.leave() {
-            if self.pass_on(next) {
+            if self.forward_request(next) {
                 return;
             }
         }
@@ -198,7 +198,7 @@
             Reply::Typed(responder, content_type) => {
                 responder.answer(&answer.of_type(content_type));
             }
-            Reply::Report(responder) => {
+            Reply::Heartbeat(responder) => {
                 responder.answer(&answer);
                 self.leave_gate();
             }
--- a/src/service/peers.rs
+++ b/src/service/peers.rs
@@ -6,7 +6,7 @@
 use crate::link;
 use crate::peer::{self, PeerAnswer, PeerRequest};
 use crate::recall;
-use crate::wire::JobAnswer;
+use crate::wire::JobStatus;
 use std::io;
 use std::net::{TcpListener, TcpStream};
 use std::sync::Arc;
@@ -57,10 +57,10 @@
     stream.set_write_timeout(Some(Duration::from_secs(2)))?;
     loop {
         let (kind, body) = peer::read_frame(&mut stream)?;
-        if kind == link::KIND_SYNC {
+        if kind == link::KIND_HEARTBEAT_BATCH {
             let sync = link::decode_sync(&body).ok_or(io::ErrorKind::InvalidData)?;
             let sync = Box::new(sync);
-            let answer = inbox.ask_and_wait(|ticket| Command::Sync { ticket, sync });
+            let answer = inbox.ask_and_wait(|ticket| Command::HeartbeatBatch { ticket, sync });
             // Too late, or no frame at all: the asker counts it as no answer.
             if answer.expired() || answer.status != 200 {
                 return Ok(());
@@ -68,9 +68,9 @@
             peer::write_frame(&mut stream, &answer.body)?;
             continue;
         }
-        if kind == recall::KIND_RECALL {
+        if kind == recall::KIND_MEMORY_REQUEST {
             let recall = recall::decode_recall(&body).ok_or(io::ErrorKind::InvalidData)?;
-            let answer = inbox.ask_and_wait(|ticket| Command::Recall { ticket, recall });
+            let answer = inbox.ask_and_wait(|ticket| Command::MemoryRequest { ticket, recall });
             if answer.status != 200 {
                 return Ok(());
             }
@@ -97,7 +97,7 @@
         if answer.expired() {
             return Ok(());
         }
-        let told: Option<JobAnswer> = serde_json::from_slice(&answer.body).ok();
+        let told: Option<JobStatus> = serde_json::from_slice(&answer.body).ok();
         let frame = peer::encode_answer(&PeerAnswer {
             status: answer.status,
             state: told.as_ref().map(|t| t.state),
--- a/src/service/renewal.rs
+++ b/src/service/renewal.rs
@@ -7,7 +7,7 @@
 /// as many threads want the processor, and the one that renews the lease had its turn only after
 /// the lease had ended: the next leader fared no better. So when a renewal is late, the others
 /// wait for it, though not for long: it may be the state service that does not answer.
-pub struct Precedence {
+pub struct LeaseRenewalPriority {
     start: Instant,
     /// When the renewal is due, in milliseconds from the start.
     due_ms: AtomicU64,
@@ -18,9 +18,9 @@
 const LONGEST_YIELD: Duration = Duration::from_millis(400);
 const YIELD_STEP: Duration = Duration::from_millis(25);
 
-impl Precedence {
-    pub fn new() -> Precedence {
-        Precedence {
+impl LeaseRenewalPriority {
+    pub fn new() -> LeaseRenewalPriority {
+        LeaseRenewalPriority {
             start: Instant::now(),
             due_ms: AtomicU64::new(u64::MAX),
         }
@@ -40,7 +40,7 @@
     }
 
     /// Called by a thread that has work which can wait.
-    pub fn yield_to_renewal(&self) {
+    pub fn yield_to_lease_renewal(&self) {
         while self.is_late() {
             std::thread::sleep(YIELD_STEP);
         }
--- a/src/service/routes.rs
+++ b/src/service/routes.rs
@@ -4,8 +4,8 @@
 use crate::core::{Ask, Command, UserRequest};
 use crate::http::{Answer, Class, Handler, Request, Responder};
 use crate::wire::{
-    self, OfferBody, PATH_CANCEL, PATH_JOBS, PATH_METRICS, PATH_OFFER, PATH_READY, PATH_REPORT,
-    PATH_SETTLE, PATH_STATUS,
+    self, PATH_CANCEL, PATH_HEARTBEAT, PATH_JOBS, PATH_METRICS, PATH_READY, PATH_SETTLE,
+    PATH_SNAPSHOT, PATH_STATUS, SnapshotPage,
 };
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,9 +13,9 @@
 
 const OTHER_PATHS: [&str; 7] = [
     PATH_SETTLE,
-    PATH_OFFER,
+    PATH_SNAPSHOT,
     PATH_READY,
-    PATH_REPORT,
+    PATH_HEARTBEAT,
     PATH_JOBS,
     PATH_STATUS,
     PATH_METRICS,
@@ -69,7 +69,7 @@
     }
 
     fn offer(&self, body: &[u8], responder: Responder) {
-        match serde_json::from_slice::<OfferBody>(body) {
+        match serde_json::from_slice::<SnapshotPage>(body) {
             Ok(offer) => {
                 let command = |ticket| Command::Offer {
                     ticket,
@@ -114,7 +114,7 @@
 impl Handler for Routes {
     fn class(&self, request: &Request) -> Class {
         match (request.method.as_str(), path_of(request)) {
-            ("POST", PATH_REPORT) => Class::Worker,
+            ("POST", PATH_HEARTBEAT) => Class::Worker,
             (_, PATH_READY) => Class::HealthCheck,
             _ => Class::Other,
         }
@@ -128,11 +128,11 @@
         let public = Reply::Public;
         match (request.method.as_str(), path_of(&request)) {
             ("GET", PATH_READY) => responder.answer(&self.health()),
-            ("POST", PATH_REPORT) => self.inbox.report(request.body, responder),
+            ("POST", PATH_HEARTBEAT) => self.inbox.report(request.body, responder),
             ("POST", PATH_JOBS) => self.submit(&request.body, responder),
             ("GET", PATH_STATUS) => self.inbox.ask(Command::Status, public(responder)),
             ("POST", PATH_SETTLE) => self.inbox.ask(Command::Settle, public(responder)),
-            ("POST", PATH_OFFER) => self.offer(&request.body, responder),
+            ("POST", PATH_SNAPSHOT) => self.offer(&request.body, responder),
             ("GET", PATH_METRICS) => self.figures(responder),
             (method, path) => {
                 let job = (path.strip_prefix(PATH_JOBS)).and_then(|p| p.strip_prefix('/'));
--- a/src/service/tests.rs
+++ b/src/service/tests.rs
@@ -1,4 +1,4 @@
-use super::gate::{Entry, Gate};
+use super::gate::{AdmissionGate, Entry};
 use super::lanes::{Lanes, SHARES};
 use super::*;
 use crate::core::{Ask, UserRequest};
@@ -22,7 +22,7 @@
 }
 
 fn report() -> Command {
-    Command::Report {
+    Command::Heartbeat {
         ticket: 0,
         report: serde_json::from_str(REPORT).unwrap(),
     }
@@ -51,7 +51,7 @@
 
 #[test]
 fn a_gate_lets_in_as_many_as_it_has_places() {
-    let gate = Gate::new(2);
+    let gate = AdmissionGate::new(2);
     let now = Instant::now();
     let (mut inside, mut done) = (VecDeque::new(), Vec::new());
     for n in 0..8 {
@@ -74,7 +74,7 @@
 
 #[test]
 fn who_waits_at_a_gate_too_long_or_with_too_much_is_sent_away() {
-    let gate = Gate::new(0);
+    let gate = AdmissionGate::new(0);
     let begun = Instant::now();
     let after = |seconds| begun + Duration::from_secs(seconds);
     assert_eq!(gate.enter('a', 10 << 20, begun), Entry::Waits);
@@ -148,7 +148,7 @@
     let front = Front::new(2000);
     let count = PLACES + 10;
     let reports: Vec<TcpStream> = (0..count)
-        .map(|_| front.send("POST", wire::PATH_REPORT, REPORT))
+        .map(|_| front.send("POST", wire::PATH_HEARTBEAT, REPORT))
         .collect();
     front.reports_arrive(PLACES);
     // Neither they nor those at the gate keep others waiting.
@@ -183,14 +183,14 @@
     let front = Front::new(8000);
     let (mut streams, mut worked_on) = (Vec::new(), 0);
     for _ in 0..count {
-        streams.push(front.send("POST", wire::PATH_REPORT, REPORT));
+        streams.push(front.send("POST", wire::PATH_HEARTBEAT, REPORT));
     }
     front.reports_arrive(PLACES);
     while worked_on < count {
         assert!(front.inbox.waiting()[2] <= PLACES);
         assert!(worked_on > count / 2 || front.is_healthy());
         for command in front.inbox.next(Duration::from_secs(20)) {
-            let Command::Report { ticket, .. } = command else {
+            let Command::Heartbeat { ticket, .. } = command else {
                 panic!("not a report: {command:?}");
             };
             front.inbox.answer(ticket, Answer::new(200, Vec::new()));
@@ -205,10 +205,10 @@
 fn a_place_at_the_gate_is_not_lost_to_a_broken_report() {
     let front = Front::new(2000);
     for _ in 0..PLACES + 10 {
-        let answer = read(front.send("POST", wire::PATH_REPORT, "{"));
+        let answer = read(front.send("POST", wire::PATH_HEARTBEAT, "{"));
         assert!(answer.starts_with("HTTP/1.1 400"), "{answer}");
     }
-    let _report = front.send("POST", wire::PATH_REPORT, REPORT);
+    let _report = front.send("POST", wire::PATH_HEARTBEAT, REPORT);
     front.reports_arrive(1);
 }
 
--- a/src/state.rs
+++ b/src/state.rs
@@ -2,7 +2,8 @@
 
 use crate::http::{CallError, Client};
 use crate::wire::{
-    Event, EventsBody, Item, ItemsBody, LeaseAnswer, LeaseBody, Txn, TxnAnswer, to_json,
+    CompareAndSwap, CompareAndSwapResponse, Item, KeyValuePage, LeaseRequest, LeaseResponse,
+    WatchEvent, WatchResponse, to_json,
 };
 use serde::de::DeserializeOwned;
 use std::net::SocketAddrV4;
@@ -14,9 +15,9 @@
 const TIMEOUT: Duration = Duration::from_millis(1500);
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum StateRequest {
+pub enum StoreRequest {
     Get(String),
-    Txn(Txn),
+    CompareAndSwap(CompareAndSwap),
     /// Some items under a prefix, from after a key on.
     Page {
         under: String,
@@ -24,11 +25,11 @@
         most: usize,
     },
     /// Whether a lease, somebody else's, still runs: asked by renewing it, as there is no other way.
-    LeaseRuns(u64),
+    CheckLease(u64),
 }
 
 #[derive(Clone, Debug)]
-pub enum StateOutcome {
+pub enum StoreOutcome {
     Found(Item),
     /// A page, in the order of keys; with whether there is more.
     Page {
@@ -58,55 +59,55 @@
     Unknown(String),
 }
 
-pub struct StateClient {
+pub struct StoreClient {
     http: Client,
 }
 
-fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, StateOutcome> {
+fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, StoreOutcome> {
     serde_json::from_slice(body)
-        .map_err(|e| StateOutcome::Unknown(format!("malformed answer: {e}")))
+        .map_err(|e| StoreOutcome::Unknown(format!("malformed answer: {e}")))
 }
 
-fn failed(e: CallError) -> StateOutcome {
+fn failed(e: CallError) -> StoreOutcome {
     match e {
-        CallError::NotSent(e) => StateOutcome::Refused(e),
-        CallError::Unknown(e) => StateOutcome::Unknown(e),
+        CallError::NotSent(e) => StoreOutcome::Refused(e),
+        CallError::Unknown(e) => StoreOutcome::Unknown(e),
     }
 }
 
-fn by_status(status: u16, body: &[u8]) -> StateOutcome {
+fn by_status(status: u16, body: &[u8]) -> StoreOutcome {
     let text = String::from_utf8_lossy(&body[..body.len().min(200)]);
     match status {
-        429 | 503 => StateOutcome::Refused(format!("{status}")),
-        400..=499 => StateOutcome::Invalid(format!("{status} {text}")),
-        _ => StateOutcome::Unknown(format!("{status} {text}")),
+        429 | 503 => StoreOutcome::Refused(format!("{status}")),
+        400..=499 => StoreOutcome::Invalid(format!("{status} {text}")),
+        _ => StoreOutcome::Unknown(format!("{status} {text}")),
     }
 }
 
-impl StateClient {
-    pub fn new(addr: SocketAddrV4) -> StateClient {
-        StateClient {
+impl StoreClient {
+    pub fn new(addr: SocketAddrV4) -> StoreClient {
+        StoreClient {
             http: Client::new(addr, CONNECT),
         }
     }
 
-    pub fn perform(&mut self, request: &StateRequest) -> StateOutcome {
-        let run = |c: &mut StateClient| -> Result<StateOutcome, StateOutcome> {
+    pub fn perform(&mut self, request: &StoreRequest) -> StoreOutcome {
+        let run = |c: &mut StoreClient| -> Result<StoreOutcome, StoreOutcome> {
             match request {
-                StateRequest::Get(key) => {
+                StoreRequest::Get(key) => {
                     let (status, body) = c
                         .http
                         .call("GET", &format!("/kv/{key}"), b"", TIMEOUT, true)
                         .map_err(failed)?;
                     match status {
-                        200 => Ok(StateOutcome::Found(parse(&body)?)),
-                        404 => Ok(StateOutcome::Missing {
-                            revision: parse::<TxnAnswer>(&body)?.revision,
+                        200 => Ok(StoreOutcome::Found(parse(&body)?)),
+                        404 => Ok(StoreOutcome::Missing {
+                            revision: parse::<CompareAndSwapResponse>(&body)?.revision,
                         }),
                         s => Ok(by_status(s, &body)),
                     }
                 }
-                StateRequest::Page { under, after, most } => {
+                StoreRequest::Page { under, after, most } => {
                     let since = if after.is_empty() {
                         String::new()
                     } else {
@@ -120,26 +121,26 @@
                     if status != 200 {
                         return Err(by_status(status, &body));
                     }
-                    let page: ItemsBody = parse(&body)?;
-                    Ok(StateOutcome::Page {
+                    let page: KeyValuePage = parse(&body)?;
+                    Ok(StoreOutcome::Page {
                         items: page.items,
                         more: page.more,
                         revision: page.revision,
                     })
                 }
-                StateRequest::LeaseRuns(lease) => c.renew(*lease).map(StateOutcome::Runs),
-                StateRequest::Txn(txn) => {
+                StoreRequest::CheckLease(lease) => c.renew(*lease).map(StoreOutcome::Runs),
+                StoreRequest::CompareAndSwap(txn) => {
                     let (status, body) = c
                         .http
                         .call("POST", "/txn", &to_json(txn), TIMEOUT, false)
                         .map_err(failed)?;
                     match status {
-                        200 => Ok(StateOutcome::Committed {
-                            revision: parse::<TxnAnswer>(&body)?.revision,
+                        200 => Ok(StoreOutcome::Committed {
+                            revision: parse::<CompareAndSwapResponse>(&body)?.revision,
                         }),
                         409 => {
-                            let told: TxnAnswer = parse(&body)?;
-                            Ok(StateOutcome::Conflict {
+                            let told: CompareAndSwapResponse = parse(&body)?;
+                            Ok(StoreOutcome::Conflict {
                                 failed: told.failed,
                                 revision: told.revision,
                             })
@@ -152,8 +153,8 @@
         run(self).unwrap_or_else(|e| e)
     }
 
-    pub fn grant(&mut self, ttl: Duration) -> Result<u64, StateOutcome> {
-        let body = to_json(&LeaseBody {
+    pub fn grant(&mut self, ttl: Duration) -> Result<u64, StoreOutcome> {
+        let body = to_json(&LeaseRequest {
             ttl_ms: ttl.as_millis() as u64,
         });
         let (status, body) = self
@@ -161,13 +162,13 @@
             .call("POST", "/leases", &body, TIMEOUT, true)
             .map_err(failed)?;
         match status {
-            200 => Ok(parse::<LeaseAnswer>(&body)?.lease),
+            200 => Ok(parse::<LeaseResponse>(&body)?.lease),
             s => Err(by_status(s, &body)),
         }
     }
 
     /// `Ok(false)` when the lease has ended.
-    pub fn renew(&mut self, lease: u64) -> Result<bool, StateOutcome> {
+    pub fn renew(&mut self, lease: u64) -> Result<bool, StoreOutcome> {
         let path = format!("/leases/{lease}/renew");
         let timeout = Duration::from_millis(900);
         let (status, body) = self
@@ -189,7 +190,7 @@
     }
 
     /// All items under the prefix, and a revision that the list is no older than.
-    pub fn list(&mut self) -> Result<(Vec<Item>, u64), StateOutcome> {
+    pub fn list(&mut self) -> Result<(Vec<Item>, u64), StoreOutcome> {
         let mut items: Vec<Item> = Vec::new();
         let mut first = None;
         loop {
@@ -204,7 +205,7 @@
             if status != 200 {
                 return Err(by_status(status, &body));
             }
-            let page: ItemsBody = parse(&body)?;
+            let page: KeyValuePage = parse(&body)?;
             // Changes made while the pages are read are told once more by the watch.
             let revision = *first.get_or_insert(page.revision);
             let empty = page.items.is_empty();
@@ -220,7 +221,7 @@
         &mut self,
         since: u64,
         wait: Duration,
-    ) -> Result<Option<(u64, Vec<Event>)>, StateOutcome> {
+    ) -> Result<Option<(u64, Vec<WatchEvent>)>, StoreOutcome> {
         let path = format!(
             "/changes?under={PREFIX}&since={since}&wait_ms={}",
             wait.as_millis()
@@ -231,7 +232,7 @@
             .map_err(failed)?;
         match status {
             200 => {
-                let b: EventsBody = parse(&body)?;
+                let b: WatchResponse = parse(&body)?;
                 Ok(Some((b.revision, b.events)))
             }
             410 => Ok(None),
@@ -241,17 +242,17 @@
 }
 
 /// Spreads calls over time so that one process stays within its part of a shared limit.
-pub struct Budget {
+pub struct RateLimiter {
     per_second: f64,
     burst: f64,
     left: f64,
     at: Instant,
 }
 
-impl Budget {
-    pub fn new(per_second: f64, now: Instant) -> Budget {
+impl RateLimiter {
+    pub fn new(per_second: f64, now: Instant) -> RateLimiter {
         let burst = per_second.max(1.0);
-        Budget {
+        RateLimiter {
             per_second,
             burst,
             left: burst,
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,7 +1,7 @@
 //! The JSON forms of the protocol. Only this module knows the protocol's own names; everything
 //! else uses the field's terms.
 
-use crate::job::{JobId, JobSpec, Kind, MachineId, Rank, Resources, TaskKey};
+use crate::job::{JobId, JobKind, JobSpec, MachineId, Priority, Resources, TaskId};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::BTreeSet;
@@ -12,11 +12,11 @@
 pub const PATH_STATUS: &str = "/api/status";
 /// For operators, while the state service is rebuilt after a loss of data (`core::rebuild`).
 pub const PATH_SETTLE: &str = "/api/rebuild/settle";
-pub const PATH_OFFER: &str = "/api/rebuild/memory";
+pub const PATH_SNAPSHOT: &str = "/api/rebuild/memory";
 /// Our own, like the status: figures for monitoring.
 pub const PATH_METRICS: &str = "/metrics";
 pub const PATH_READY: &str = "/ready";
-pub const PATH_REPORT: &str = "/hello";
+pub const PATH_HEARTBEAT: &str = "/hello";
 pub const PATH_COMMANDS: &str = "/do";
 pub const PATH_TYPES: &str = "/flavors";
 pub const PATH_MACHINES: &str = "/hosts";
@@ -25,14 +25,14 @@
 
 /// No amount or duration that a user may state is larger than this.
 const MOST: f64 = 1e9;
-const MOST_TASKS: u64 = 100_000;
-const LONGEST_NAME: usize = 200;
+const MAX_TASKS: u64 = 100_000;
+const MAX_NAME_BYTES: usize = 200;
 
 // ---------------------------------------------------------------- operators
 
 /// A page of a snapshot of that store, as keys and values of the state service; `last` with the last.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct OfferBody {
+pub struct SnapshotPage {
     pub store: String,
     pub last: bool,
     pub items: Vec<(String, Value)>,
@@ -134,8 +134,8 @@
     if let Some(a) = awaits.iter().find(|a| !is_job_id(a)) {
         return Err(format!("awaits: {a:?} is not a job id"));
     }
-    if b.rows == 0 || b.rows > MOST_TASKS {
-        return Err(format!("rows: must be 1 to {MOST_TASKS}"));
+    if b.rows == 0 || b.rows > MAX_TASKS {
+        return Err(format!("rows: must be 1 to {MAX_TASKS}"));
     }
     let amounts = [
         ("cpus", b.cpus),
@@ -155,23 +155,26 @@
     let mut names = vec![&b.crop, &b.steward, &b.seedstock];
     names.extend(b.parcel.iter());
     names.extend(b.breeds.iter().flatten());
-    if names.iter().any(|n| n.is_empty() || n.len() > LONGEST_NAME) {
-        return Err(format!("a name must have 1 to {LONGEST_NAME} bytes"));
+    if names
+        .iter()
+        .any(|n| n.is_empty() || n.len() > MAX_NAME_BYTES)
+    {
+        return Err(format!("a name must have 1 to {MAX_NAME_BYTES} bytes"));
     }
     Ok(JobSpec {
         id: b.name_id.into(),
         class: b.crop,
         team: b.steward,
         kind: match b.shape {
-            ShapeWord::Array => Kind::Array,
-            ShapeWord::Service => Kind::Service,
-            ShapeWord::Ensemble => Kind::Gang,
+            ShapeWord::Array => JobKind::Array,
+            ShapeWord::Service => JobKind::Service,
+            ShapeWord::Ensemble => JobKind::Gang,
         },
         rank: match b.rank {
-            RankWord::Production => Rank::Production,
-            RankWord::Urgent => Rank::High,
-            RankWord::Standard => Rank::Normal,
-            RankWord::Low => Rank::Low,
+            RankWord::Production => Priority::Production,
+            RankWord::Urgent => Priority::High,
+            RankWord::Standard => Priority::Normal,
+            RankWord::Low => Priority::Low,
         },
         tasks: b.rows as u32,
         needs: Resources {
@@ -202,15 +205,15 @@
         crop: spec.class.clone(),
         steward: spec.team.clone(),
         shape: match spec.kind {
-            Kind::Array => ShapeWord::Array,
-            Kind::Service => ShapeWord::Service,
-            Kind::Gang => ShapeWord::Ensemble,
+            JobKind::Array => ShapeWord::Array,
+            JobKind::Service => ShapeWord::Service,
+            JobKind::Gang => ShapeWord::Ensemble,
         },
         rank: match spec.rank {
-            Rank::Production => RankWord::Production,
-            Rank::High => RankWord::Urgent,
-            Rank::Normal => RankWord::Standard,
-            Rank::Low => RankWord::Low,
+            Priority::Production => RankWord::Production,
+            Priority::High => RankWord::Urgent,
+            Priority::Normal => RankWord::Standard,
+            Priority::Low => RankWord::Low,
         },
         rows: u64::from(spec.tasks),
         cpus: spec.needs.cpus,
@@ -252,7 +255,7 @@
 
 /// The answer to all three calls about a job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct JobAnswer {
+pub struct JobStatus {
     #[serde(rename = "name_id")]
     pub id: String,
     #[serde(rename = "standing")]
@@ -280,7 +283,7 @@
 // ---------------------------------------------------------------- workers
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
-pub enum RowState {
+pub enum TaskState {
     #[serde(rename = "fetching")]
     Fetching,
     #[serde(rename = "waiting")]
@@ -294,7 +297,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
-pub enum Why {
+pub enum ExitCause {
     #[serde(rename = "done")]
     Done,
     #[serde(rename = "stopped")]
@@ -313,21 +316,21 @@
 }
 
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct RowReport {
+pub struct TaskStatus {
     #[serde(rename = "row")]
     pub task: String,
     #[serde(rename = "sowing")]
     pub attempt: u64,
     #[serde(rename = "standing")]
-    pub state: RowState,
+    pub state: TaskState,
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
-    pub why: Option<Why>,
+    pub why: Option<ExitCause>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
 }
 
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Report {
+pub struct Heartbeat {
     #[serde(rename = "drone")]
     pub machine: MachineId,
     #[serde(rename = "endpoint")]
@@ -347,13 +350,13 @@
     #[serde(rename = "reclaim_s", default, skip_serializing_if = "Option::is_none")]
     pub notice: Option<f64>,
     #[serde(rename = "rows", default)]
-    pub rows: Vec<RowReport>,
+    pub rows: Vec<TaskStatus>,
 }
 
-pub fn parse_task(text: &str) -> Option<TaskKey> {
+pub fn parse_task_id(text: &str) -> Option<TaskId> {
     let (job, row) = text.split_once('/')?;
     let row: u32 = row.parse().ok()?;
-    (is_job_id(job) && u64::from(row) < MOST_TASKS).then(|| TaskKey {
+    (is_job_id(job) && u64::from(row) < MAX_TASKS).then(|| TaskId {
         job: JobId::from(job),
         row,
     })
@@ -361,7 +364,7 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb")]
-pub enum Order {
+pub enum TaskCommand {
     #[serde(rename = "run")]
     Start {
         #[serde(rename = "row")]
@@ -388,11 +391,11 @@
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct ReportAnswer {
+pub struct HeartbeatResponse {
     #[serde(rename = "deed")]
     pub token: u64,
     #[serde(rename = "orders")]
-    pub orders: Vec<Order>,
+    pub orders: Vec<TaskCommand>,
 }
 
 #[derive(Serialize, Deserialize)]
@@ -407,13 +410,13 @@
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct DirectBody {
+pub struct DirectCommands {
     #[serde(rename = "deed")]
     pub token: u64,
     #[serde(rename = "tenure")]
     pub session: u64,
     #[serde(rename = "orders")]
-    pub orders: Vec<Order>,
+    pub orders: Vec<TaskCommand>,
 }
 
 // ---------------------------------------------------------------- cloud
@@ -453,13 +456,13 @@
 }
 
 #[derive(Deserialize, Serialize)]
-pub struct TypesBody {
+pub struct MachineTypeList {
     #[serde(rename = "breeds")]
     pub types: Vec<MachineType>,
 }
 
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
-pub struct RentBody {
+pub struct ScaleOutRequest {
     #[serde(rename = "hire")]
     pub request: String,
     #[serde(rename = "breed")]
@@ -472,7 +475,7 @@
 }
 
 #[derive(Deserialize, Serialize, Clone, Debug)]
-pub struct MachineNames {
+pub struct MachineIds {
     #[serde(rename = "drones")]
     pub machines: Vec<MachineId>,
 }
@@ -506,7 +509,7 @@
 }
 
 #[derive(Deserialize, Serialize)]
-pub struct ListBody {
+pub struct MachineListPage {
     #[serde(rename = "drones")]
     pub machines: Vec<ListedMachine>,
     #[serde(default)]
@@ -528,7 +531,7 @@
 }
 
 #[derive(Deserialize, Serialize)]
-pub struct ItemsBody {
+pub struct KeyValuePage {
     pub items: Vec<Item>,
     #[serde(default)]
     pub more: bool,
@@ -578,7 +581,7 @@
 }
 
 #[derive(Serialize, Deserialize, Clone, Debug, Default, PartialEq)]
-pub struct Txn {
+pub struct CompareAndSwap {
     #[serde(rename = "if")]
     pub conditions: Vec<Condition>,
     #[serde(rename = "apply")]
@@ -586,7 +589,7 @@
 }
 
 #[derive(Deserialize, Serialize, Default)]
-pub struct TxnAnswer {
+pub struct CompareAndSwapResponse {
     #[serde(rename = "ledger", default)]
     pub revision: u64,
     #[serde(default)]
@@ -594,18 +597,18 @@
 }
 
 #[derive(Serialize, Deserialize)]
-pub struct LeaseBody {
+pub struct LeaseRequest {
     pub ttl_ms: u64,
 }
 
 #[derive(Serialize, Deserialize)]
-pub struct LeaseAnswer {
+pub struct LeaseResponse {
     #[serde(rename = "tenancy")]
     pub lease: u64,
 }
 
 #[derive(Deserialize, Serialize, Clone, Debug)]
-pub struct Event {
+pub struct WatchEvent {
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub put: Option<String>,
     #[serde(rename = "drop", default, skip_serializing_if = "Option::is_none")]
@@ -619,11 +622,11 @@
 }
 
 #[derive(Deserialize, Serialize)]
-pub struct EventsBody {
+pub struct WatchResponse {
     #[serde(rename = "ledger")]
     pub revision: u64,
     #[serde(rename = "news", default)]
-    pub events: Vec<Event>,
+    pub events: Vec<WatchEvent>,
 }
 
 #[cfg(test)]
--- a/src/worker.rs
+++ b/src/worker.rs
@@ -1,7 +1,7 @@
 //! The client of a worker's own address: direct commands.
 
 use crate::http::{CallError, Client};
-use crate::wire::{DirectBody, PATH_COMMANDS, Report, to_json};
+use crate::wire::{DirectCommands, Heartbeat, PATH_COMMANDS, to_json};
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 
 #[derive(Clone, Debug)]
 pub enum DirectRequest {
-    Commands(DirectBody),
+    Commands(DirectCommands),
     /// Asks for a report; with a token, shows it to the worker at once.
     Status {
         token: u64,
@@ -20,7 +20,10 @@
 #[derive(Clone, Debug)]
 pub enum DirectOutcome {
     /// The worker's report after the commands; `executed` is false if it refused them all.
-    Report { report: Box<Report>, executed: bool },
+    Heartbeat {
+        report: Box<Heartbeat>,
+        executed: bool,
+    },
     /// The request never left, so nothing will come of it.
     NotSent(String),
     /// The commands may have been executed, or may be at any later time.
@@ -28,8 +31,8 @@
 }
 
 fn parse(status: u16, body: &[u8]) -> DirectOutcome {
-    match (status, serde_json::from_slice::<Report>(body)) {
-        (200 | 409, Ok(report)) => DirectOutcome::Report {
+    match (status, serde_json::from_slice::<Heartbeat>(body)) {
+        (200 | 409, Ok(report)) => DirectOutcome::Heartbeat {
             report: Box::new(report),
             executed: status == 200,
         },
@@ -54,13 +57,15 @@
         DirectRequest::Status { token } => {
             // An empty list of commands has no effect but the token's. Most workers are in their
             // first session; one that is not answers with its report, which says which it is in.
-            let show = |session| DirectBody {
+            let show = |session| DirectCommands {
                 token: *token,
                 session,
                 orders: Vec::new(),
             };
             match command(&mut http, &show(1)) {
-                DirectOutcome::Report { report, executed } if !executed && report.session > 1 => {
+                DirectOutcome::Heartbeat { report, executed }
+                    if !executed && report.session > 1 =>
+                {
                     command(&mut http, &show(report.session))
                 }
                 other => other,
@@ -69,7 +74,7 @@
     }
 }
 
-fn command(http: &mut Client, body: &DirectBody) -> DirectOutcome {
+fn command(http: &mut Client, body: &DirectCommands) -> DirectOutcome {
     match http.call("POST", PATH_COMMANDS, &to_json(body), TIMEOUT, false) {
         Ok((status, answer)) => parse(status, &answer),
         Err(e) => failed(e),
