--- a/crates/scale/src/hollow/tests.rs
+++ b/crates/scale/src/hollow/tests.rs
@@ -119,7 +119,7 @@
     );
     let last = |c: &Controller| to_json(c.reports.lock().unwrap().last().unwrap()).len();
     assert!(last(&hollow).abs_diff(last(&threads)) <= 3);
-    let known = hollow.reports.lock().unwrap().last().unwrap().token;
+    let known = hollow.reports.lock().unwrap().last().unwrap().fencing_token;
     assert_eq!(known, 7, "answers are taken in");
     assert!(fleet.traffic.sent.load(Ordering::Relaxed) > 0);
 }
@@ -159,9 +159,9 @@
     wait("it reports", || !ok.reports.lock().unwrap().is_empty());
     let body = |token| {
         to_json(&DirectCommands {
-            token,
-            session: 1,
-            orders: vec![TaskCommand::Start {
+            fencing_token: token,
+            incarnation: 1,
+            commands: vec![TaskCommand::Start {
                 task: format!("{id}/0"),
                 attempt: 1,
             }],
@@ -173,7 +173,7 @@
         answer.unwrap().0
     };
     wait("it has the token", || {
-        ok.reports.lock().unwrap().last().unwrap().token == 7
+        ok.reports.lock().unwrap().last().unwrap().fencing_token == 7
     });
     assert_eq!(tell(6), 409, "an older token is refused");
     assert_eq!(tell(8), 200);
--- a/crates/standin/src/cloud.rs
+++ b/crates/standin/src/cloud.rs
@@ -166,7 +166,7 @@
                     ListedMachine {
                         id: w.id.as_str().into(),
                         addr: Some(w.addr.to_string()),
-                        kind: w.kind.clone(),
+                        machine_type: w.kind.clone(),
                         zone: w.zone.clone(),
                         spot: w.spot,
                         state: if up {
@@ -217,7 +217,7 @@
 
     fn rent(&self, c: &mut Inner, body: ScaleOutRequest) -> Answer {
         let names = |machines| Answer::new(200, to_json(&MachineIds { machines }));
-        if let Some(machines) = c.requests.get(&body.request) {
+        if let Some(machines) = c.requests.get(&body.request_id) {
             return names(machines.clone());
         }
         let gone: Vec<String> = c
@@ -229,7 +229,7 @@
         for id in gone {
             self.take_away(c, &id);
         }
-        let offer = (body.kind, body.zone, body.spot);
+        let offer = (body.machine_type, body.zone, body.spot);
         let most = self.most.get(&offer).copied().unwrap_or(0);
         let held = c.rented.get(&offer).copied().unwrap_or(0);
         let count = body.count.min(most.saturating_sub(held));
@@ -253,7 +253,7 @@
             true => c.count.1 += got,
             false => c.count.0 += got,
         }
-        c.requests.insert(body.request, machines.clone());
+        c.requests.insert(body.request_id, machines.clone());
         names(machines)
     }
 
--- a/crates/standin/src/users.rs
+++ b/crates/standin/src/users.rs
@@ -57,31 +57,31 @@
             id: format!("{JOB_PREFIX}{number:06}").into(),
             class: class.class.clone(),
             team: "all".into(),
-            kind: JobKind::Array,
-            rank: if class.urgent {
+            job_kind: JobKind::Array,
+            priority: if class.urgent {
                 Priority::High
             } else {
                 Priority::Normal
             },
             tasks: *class.tasks.get_ref(),
-            needs: Resources {
+            resources: Resources {
                 cpus: class.cpus,
                 gpus: 0.0,
                 ram: class.ram_gb,
             },
             image: format!("image-of-{}", class.class),
             image_gb: 0.3,
-            types: None,
+            machine_types: None,
             zone: None,
             one_zone: false,
             spread: false,
             spot: class.spot,
             // Owners estimate roughly.
             estimate: Duration::from_secs_f64(class.run_s),
-            checkpoint: Duration::ZERO,
-            save: Duration::ZERO,
+            checkpoint_interval: Duration::ZERO,
+            checkpoint_duration: Duration::ZERO,
             deadline: class.deadline_s.map(Duration::from_secs_f64),
-            awaits: Vec::new(),
+            dependencies: Vec::new(),
         },
     }
 }
--- a/crates/standin/src/worker.rs
+++ b/crates/standin/src/worker.rs
@@ -130,7 +130,7 @@
             if t.state == TaskState::Running
                 && let Some(key) = parse_task_id(&task)
             {
-                records.leave(&key.job, key.row, &self.zone, None);
+                records.leave(&key.job, key.index, &self.zone, None);
             }
         }
     }
@@ -157,13 +157,13 @@
                 TaskState::Fetching => {
                     t.state = TaskState::Running;
                     t.until = now + t.job.1;
-                    records.start(&key.job, key.row, &self.id);
+                    records.start(&key.job, key.index, &self.id);
                 }
                 TaskState::Running => {
                     t.state = TaskState::Exited;
                     t.why = Some(ExitCause::Done);
-                    let ran = Some((t.job.1, t.job.0.needs.cpus));
-                    records.leave(&key.job, key.row, &self.zone, ran);
+                    let ran = Some((t.job.1, t.job.0.resources.cpus));
+                    records.leave(&key.job, key.index, &self.zone, ran);
                 }
                 _ => continue,
             }
@@ -189,13 +189,13 @@
                     };
                     let mut free = self.room;
                     for t in w.tasks.values().filter(|t| t.state != TaskState::Exited) {
-                        free.sub(&t.job.0.needs);
+                        free.sub(&t.job.0.resources);
                     }
                     let image = job.0.image.clone();
                     let why = if busy {
                         // Another attempt of it is here: this one is refused, and not kept.
                         continue;
-                    } else if job.0.needs.fits(&free) {
+                    } else if job.0.resources.fits(&free) {
                         None
                     } else {
                         Some(ExitCause::NoRoom)
@@ -224,7 +224,7 @@
                             && let Some(key) = parse_task_id(&task)
                         {
                             let mut records = self.world.records.lock().expect("no panic");
-                            records.leave(&key.job, key.row, &self.zone, None);
+                            records.leave(&key.job, key.index, &self.zone, None);
                         }
                         t.state = TaskState::Exited;
                         t.why = Some(ExitCause::Stopped);
@@ -247,22 +247,22 @@
         Heartbeat {
             machine: self.id.as_str().into(),
             addr: self.addr.to_string(),
-            kind: self.kind.clone(),
+            machine_type: self.kind.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
-            session: w.session,
-            seq: w.seq,
-            token: w.token,
-            notice: w.taken_at.map(left),
-            rows: w
+            incarnation: w.session,
+            sequence: w.seq,
+            fencing_token: w.token,
+            reclaim_in_s: w.taken_at.map(left),
+            tasks: w
                 .tasks
                 .iter()
                 .map(|(task, t)| TaskStatus {
                     task: task.clone(),
                     attempt: t.attempt,
                     state: t.state,
-                    why: t.why,
-                    saved: None,
+                    cause: t.why,
+                    checkpointed: None,
                 })
                 .collect(),
         }
@@ -280,11 +280,11 @@
                 return Some(Answer::error(400, "malformed"));
             };
             self.advance(&mut w);
-            if body.token < w.token || body.session != w.session {
+            if body.fencing_token < w.token || body.incarnation != w.session {
                 status = 409;
             } else {
-                w.token = body.token;
-                self.execute(&mut w, body.orders);
+                w.token = body.fencing_token;
+                self.execute(&mut w, body.commands);
             }
         }
         let report = self.report(&mut w);
@@ -350,11 +350,14 @@
     /// The answer to a report that was sent at this moment.
     pub fn take_in(&self, answer: HeartbeatResponse, sent: Instant) {
         let mut w = self.inner.lock().expect("no panic holds it");
-        if answer.token < w.token || w.gone || Instant::now() > w.answered + self.world.lease {
+        if answer.fencing_token < w.token
+            || w.gone
+            || Instant::now() > w.answered + self.world.lease
+        {
             return;
         }
-        w.token = answer.token;
+        w.token = answer.fencing_token;
         w.answered = sent;
-        self.execute(&mut w, answer.orders);
+        self.execute(&mut w, answer.commands);
     }
 }
--- a/src/bids.rs
+++ b/src/bids.rs
@@ -41,7 +41,7 @@
 pub fn nominal(types: &[MachineType], spec: &JobSpec, run: Duration) -> f64 {
     let mut lowest = f64::INFINITY;
     for t in types.iter().filter(|t| spec.allows_type(&t.name)) {
-        let slots = spec.needs.count_in(&t.room());
+        let slots = spec.resources.count_in(&t.room());
         if slots == 0 || !t.zones.iter().any(|z| spec.allows_zone(z)) {
             continue;
         }
@@ -148,7 +148,7 @@
         let run = a.unmet.estimate.min(LONGEST_RUN);
         let carry = |lot: &Lot| {
             let t = types.iter().find(|t| t.name == lot.offer.0)?;
-            let slots = spec.needs.count_in(&t.room());
+            let slots = spec.resources.count_in(&t.room());
             let fetch = spec.image_gb / t.fetch_gb_per_s.max(0.01);
             (slots > 0 && a.unmet.takes(&lot.offer)).then(|| Carry {
                 slots,
--- a/src/core/bidding.rs
+++ b/src/core/bidding.rs
@@ -98,9 +98,9 @@
                 estimate: run.as_secs_f64(),
                 tasks: size,
                 waiting: size,
-                cpus: e.spec.needs.cpus,
-                gpus: e.spec.needs.gpus,
-                ram: e.spec.needs.ram,
+                cpus: e.spec.resources.cpus,
+                gpus: e.spec.resources.gpus,
+                ram: e.spec.resources.ram,
                 image_gb: e.spec.image_gb,
                 rank: e.rank as u8 as f64,
                 start_goal: goal("wait"),
@@ -225,7 +225,7 @@
         let now = self.now.mono;
         let Some(lead) = &mut self.lead else { return };
         if let Some(m) = lead.machines.get(id) {
-            let offer = (m.kind.clone(), m.zone.clone(), m.spot);
+            let offer = (m.machine_type.clone(), m.zone.clone(), m.spot);
             lead.bidding.beliefs.lost(&offer, 1, now);
         }
     }
--- a/src/core/commands.rs
+++ b/src/core/commands.rs
@@ -57,9 +57,9 @@
                 // A completed task is kept in the reports until a later leader would know it
                 // without them.
                 let unwritten = lead
-                    .runs
+                    .job_runs
                     .get(&key.job)
-                    .is_some_and(|r| r.unwritten.contains(&key.row));
+                    .is_some_and(|r| r.unpersisted_done.contains(&key.index));
                 // Nor is the result of a job that may be known again.
                 let forgotten = lead.may_be_of_lost_job(self.mirror.knows(&key.job));
                 if !unwritten
@@ -93,11 +93,11 @@
         let Some(job) = self.mirror.jobs.get(&key.job) else {
             return Duration::ZERO;
         };
-        if job.spec.checkpoint.is_zero() {
+        if job.spec.checkpoint_interval.is_zero() {
             return Duration::ZERO;
         }
-        let grace = job.spec.save.mul_f64(1.5) + Duration::from_secs(1);
-        match m.notice {
+        let grace = job.spec.checkpoint_duration.mul_f64(1.5) + Duration::from_secs(1);
+        match m.reclaim_at {
             Some(at) => grace.min(at.saturating_duration_since(self.now.mono)),
             None => grace,
         }
@@ -118,33 +118,36 @@
         let Some(m) = lead.machines.get(id) else {
             // Not taken on before it has shown that it is there.
             let (token, orders) = (lead.term << TOKEN_EPOCH_BITS, Vec::new());
-            return (!lead.gone.contains(id)).then_some(HeartbeatResponse { token, orders });
+            return (!lead.deleted_machines.contains(id)).then_some(HeartbeatResponse {
+                fencing_token: token,
+                commands: orders,
+            });
         };
         // After a `clear`, a copy of the direct command that started the task would start it anew. The answer
         // that clears carries a higher token than that came with, which the worker heeds first.
         let token = m.token(lead.term);
-        if m.exited.iter().any(|e| e.told_under >= token)
+        if m.exited.iter().any(|e| e.started_under_token >= token)
             && let Some(m) = self.lead.as_mut().and_then(|l| l.machines.get_mut(id))
         {
-            m.epoch += 1;
+            m.token_epoch += 1;
         }
         let lead = self.lead.as_ref()?;
         let m = lead.machines.get(id)?;
         let body = HeartbeatResponse {
-            token: m.token(lead.term),
-            orders: self.commands_for(m, true),
+            fencing_token: m.token(lead.term),
+            commands: self.commands_for(m, true),
         };
         let unaware = m.unresolved;
-        let starts = body.orders.iter();
+        let starts = body.commands.iter();
         let count = starts
             .filter(|o| matches!(o, TaskCommand::Start { .. }))
             .count();
         let starts = count > 0;
-        if (m.answered, m.push) != (starts, false)
+        if (m.start_unconfirmed, m.needs_push) != (starts, false)
             && let Some(m) = self.lead.as_mut().and_then(|l| l.machines.get_mut(id))
         {
-            m.answered = starts;
-            m.push = false;
+            m.start_unconfirmed = starts;
+            m.needs_push = false;
         }
         self.stats.work[Work::StartInAnswer as usize] += count as u64;
         if let Some(m) = (self.lead.as_mut()).and_then(|l| l.machines.get_mut_quiet(id)) {
@@ -168,22 +171,22 @@
         let Some(lead) = &mut self.lead else { return };
         let term = lead.term;
         let silent = self.settings.report * 2;
-        let fresh = |m: &Machine| now.saturating_duration_since(m.seen) < silent;
+        let fresh = |m: &Machine| now.saturating_duration_since(m.last_heartbeat) < silent;
         let machines = &lead.machines.all;
         lead.machines
-            .to_tell
-            .retain(|id| machines.get(id).is_some_and(|m| m.push));
+            .to_push
+            .retain(|id| machines.get(id).is_some_and(|m| m.needs_push));
         // What is to be stopped is told to a machine that does not report as well: calls may reach it.
         let to_stop = |m: &Machine| {
             let over = |t: &Placement| matches!(t.stopping, Some((StopReason::Over, _)));
             stands(Safeguard::MuteStops) && m.tasks.values().any(over)
         };
         let (mut due, mut mute): (Vec<MachineId>, Vec<MachineId>) = Default::default();
-        for m in (lead.machines.to_tell.iter()).filter_map(|id| machines.get(id)) {
-            let may = m.session > 0
-                && !m.session_over
+        for m in (lead.machines.to_push.iter()).filter_map(|id| machines.get(id)) {
+            let may = m.incarnation > 0
+                && !m.lease_expired
                 && m.no_command_in_flight()
-                && m.unheard.is_none()
+                && m.unconfirmed_token.is_none()
                 && now >= m.push_after;
             if may && fresh(m) {
                 due.push(m.id.clone());
@@ -196,7 +199,7 @@
         let stops = mute.into_iter().map(|id| (id, MAX_DIRECT_CALLS / 4, false));
         for (id, most, all) in calls.chain(stops) {
             let Some(lead) = &self.lead else { return };
-            if lead.calls_out >= most {
+            if lead.direct_calls_in_flight >= most {
                 break;
             }
             let Some(m) = lead.machines.get(&id) else {
@@ -205,33 +208,33 @@
             let mut orders = self.commands_for(m, false);
             orders.retain(|o| all || matches!(o, TaskCommand::Stop { .. }));
             let body = DirectCommands {
-                token: m.token(term),
-                session: m.session,
-                orders,
+                fencing_token: m.token(term),
+                incarnation: m.incarnation,
+                commands: orders,
             };
             let addr = m.addr.parse();
             let Some(m) = self.lead.as_mut().and_then(|l| l.machines.get_mut(&id)) else {
                 continue;
             };
-            m.push = false;
+            m.needs_push = false;
             let Ok(addr) = addr else { continue };
-            if body.orders.is_empty() {
+            if body.commands.is_empty() {
                 continue;
             }
             let call = self.call(Pending::Direct(id.clone()));
             if let Some(lead) = &mut self.lead
                 && let Some(m) = lead.machines.get_mut(&id)
             {
-                m.call = Some(call);
-                let starts = body.orders.iter();
+                m.call_in_flight = Some(call);
+                let starts = body.commands.iter();
                 let starts = starts
                     .filter(|o| matches!(o, TaskCommand::Start { .. }))
                     .count();
                 if starts > 0 {
-                    m.told_under = body.token;
+                    m.started_under_token = body.fencing_token;
                 }
                 self.stats.work[Work::StartByCall as usize] += starts as u64;
-                lead.calls_out += 1;
+                lead.direct_calls_in_flight += 1;
             }
             self.out.push(Effect::Direct {
                 call,
@@ -252,31 +255,32 @@
         };
         let Some(lead) = &mut self.lead else { return };
         let term = lead.term;
-        lead.calls_out = lead.calls_out.saturating_sub(1);
+        lead.direct_calls_in_flight = lead.direct_calls_in_flight.saturating_sub(1);
         let Some(m) = lead.machines.get_mut(&id) else {
             return;
         };
-        if m.call != Some(call) {
+        if m.call_in_flight != Some(call) {
             return;
         }
-        m.call = None;
+        m.call_in_flight = None;
         // Asked after we knew more of it than this tells: it has begun anew.
         let began_anew = match &outcome {
             DirectOutcome::Heartbeat { report, .. } => {
-                let known = m.asked.take_if(|(_, of)| *of == call);
-                known.is_some_and(|(known, _)| (report.session, report.seq) <= known)
+                let known = m.restart_probe.take_if(|(_, of)| *of == call);
+                known.is_some_and(|(known, _)| (report.incarnation, report.sequence) <= known)
             }
             _ => false,
         };
         let answers = matches!(outcome, DirectOutcome::Heartbeat { .. });
-        m.unanswered = if answers { 0 } else { m.unanswered + 1 };
+        m.failed_calls = if answers { 0 } else { m.failed_calls + 1 };
         if answers {
-            (lead.touched, lead.missed) = (now, 0);
+            (lead.last_direct_contact, lead.failed_direct_calls) = (now, 0);
         } else {
-            lead.missed += 1;
+            lead.failed_direct_calls += 1;
         }
-        if !answers && m.unresolved && m.unanswered < MAX_UNANSWERED_PROBES {
-            lead.ask_again.insert((now + PROBE_RETRY_PAUSE, id.clone()));
+        if !answers && m.unresolved && m.failed_calls < MAX_UNANSWERED_PROBES {
+            lead.probe_retries
+                .insert((now + PROBE_RETRY_PAUSE, id.clone()));
         }
         match outcome {
             DirectOutcome::Heartbeat { report, executed } => {
@@ -288,7 +292,7 @@
                 lead.mark_zone_reachable(&zone);
                 if report.machine == id {
                     if began_anew {
-                        self.machine_restarted(&id, report.token);
+                        self.machine_restarted(&id, report.fencing_token);
                     }
                     self.apply_heartbeat(&id, *report, false);
                 }
@@ -301,8 +305,8 @@
                 tracing::info!(machine = %id, "machine {id}: direct commands without an answer: {e}");
                 // They may be executed at any later time, until the worker has seen a higher
                 // token; the next answer to a report carries one.
-                m.epoch += 1;
-                m.doubt = Some(m.token(term));
+                m.token_epoch += 1;
+                m.doubtful_until_token = Some(m.token(term));
                 m.push_after = now + Duration::from_secs(3);
             }
         }
--- a/src/core/delegation.rs
+++ b/src/core/delegation.rs
@@ -72,12 +72,13 @@
         let Some(m) = self.machines.get_mut_quiet(id) else {
             return;
         };
-        if m.recalled {
+        if m.revoked {
             return;
         }
-        if let Some(d) = (m.lent_to.as_ref()).and_then(|to| self.delegates.by_name.get_mut(to)) {
-            m.recalled = true;
-            d.recalls.insert(id.clone(), None);
+        if let Some(d) = (m.delegated_to.as_ref()).and_then(|to| self.delegates.by_name.get_mut(to))
+        {
+            m.revoked = true;
+            d.revocations.insert(id.clone(), None);
         }
     }
 
@@ -90,7 +91,7 @@
         if m.via.as_ref() != via {
             m.via = via.cloned();
         }
-        if m.lent_to.is_some() && m.lent_to.as_ref() != via {
+        if m.delegated_to.is_some() && m.delegated_to.as_ref() != via {
             self.recall(id);
         }
     }
@@ -102,7 +103,7 @@
         }
         for id in changed {
             let m = self.machines.get(id);
-            if m.is_some_and(|m| m.lent_to.is_some() && !m.is_steady()) {
+            if m.is_some_and(|m| m.delegated_to.is_some() && !m.is_steady()) {
                 self.recall(id);
             }
         }
@@ -128,7 +129,7 @@
             };
             m.claimed_until = Some(now + PROBE_CLAIM);
             // If nothing comes of it, it is asked from here.
-            self.ask_again.insert((now + PROBE_CLAIM, id.clone()));
+            self.probe_retries.insert((now + PROBE_CLAIM, id.clone()));
             out.push((id, m.addr.clone()));
         }
         out
@@ -136,7 +137,7 @@
 
     /// The controller that a worker reporting here is to go to, if it is to go.
     pub(super) fn next_reassignment(&mut self, id: &MachineId) -> Option<String> {
-        let to = share::take_one(&mut self.delegates.own_moves)?;
+        let to = share::take_one(&mut self.delegates.own_reassignments)?;
         if let Some(m) = self.machines.get_mut_quiet(id) {
             m.via = Some(to.as_str().into());
         }
@@ -146,13 +147,13 @@
     /// Nothing that this controller was lent is answered by it after `until`.
     fn end_delegations(&mut self, name: &Arc<str>, until: Instant) {
         let ids: Vec<MachineId> = (self.machines.values())
-            .filter(|m| m.lent_to.as_ref() == Some(name))
+            .filter(|m| m.delegated_to.as_ref() == Some(name))
             .map(|m| m.id.clone())
             .collect();
         for id in ids {
             if let Some(m) = self.machines.get_mut_quiet(&id) {
-                m.lease_from = m.lease_from.max(until);
-                (m.lent_to, m.recalled) = (None, false);
+                m.lease_renewed = m.lease_renewed.max(until);
+                (m.delegated_to, m.revoked) = (None, false);
             }
         }
     }
@@ -180,9 +181,9 @@
             .entry(from.clone())
             .or_insert_with(|| Delegate {
                 issued: IssuedGrant::first(sync.incarnation, 0, now),
-                recalls: BTreeMap::new(),
-                moves: Vec::new(),
-                lends: false,
+                revocations: BTreeMap::new(),
+                reassignments: Vec::new(),
+                has_delegations: false,
             });
         match d.issued.request(sync.incarnation, sync.number, now) {
             // Held up on the way: its sender has given it up, and its reports were made long ago.
@@ -192,7 +193,7 @@
             }
             // The process that could answer from memory is gone, and this one knows nothing.
             Request::Fresh => {
-                d.recalls.clear();
+                d.revocations.clear();
                 let until = d.issued.until;
                 lead.end_delegations(&from, until);
             }
@@ -200,10 +201,10 @@
         }
         let lead = self.lead.as_mut()?;
         if !sync.heard.is_empty() || !sync.reports.is_empty() {
-            lead.last_report = Some(now);
+            lead.last_heartbeat = Some(now);
         }
-        lead.delegates.relayed += sync.reports.len() as u64;
-        lead.delegates.answered += sync.heard.len() as u64;
+        lead.delegates.relayed_heartbeats += sync.reports.len() as u64;
+        lead.delegates.delegated_answers += sync.heard.len() as u64;
         // What it heard under an earlier term tells nothing in this one.
         if sync.term == term {
             for h in &sync.heard {
@@ -222,9 +223,9 @@
             if let Some(m) = lead.machines.get_mut_quiet(id)
                 && m.unresolved
             {
-                m.unanswered += 1;
+                m.failed_calls += 1;
                 m.claimed_until = None;
-                lead.ask_again.insert((now, id.clone()));
+                lead.probe_retries.insert((now, id.clone()));
             }
         }
         let mut reports = Vec::new();
@@ -258,11 +259,11 @@
             return;
         };
         let heard = |_: &MachineId, sent: &mut Option<u64>| sent.is_some_and(|n| n <= answered);
-        for (id, _) in d.recalls.extract_if(.., heard) {
+        for (id, _) in d.revocations.extract_if(.., heard) {
             if let Some(m) = lead.machines.get_mut_quiet(&id)
-                && m.lent_to.as_ref() == Some(from)
+                && m.delegated_to.as_ref() == Some(from)
             {
-                (m.lent_to, m.recalled) = (None, false);
+                (m.delegated_to, m.revoked) = (None, false);
             }
         }
     }
@@ -295,11 +296,11 @@
                 }
                 let gone = || Answer::busy("this machine is gone", 30);
                 let body = self.heartbeat_response(&id).ok_or_else(gone)?;
-                size += link::size_of_answer(&body.orders);
-                let calm = body.orders.is_empty() && self.delegate(&id, &work.from);
+                size += link::size_of_answer(&body.commands);
+                let calm = body.commands.is_empty() && self.delegate(&id, &work.from);
                 Ok(RelayedOutcome::Orders {
-                    token: body.token,
-                    orders: body.orders,
+                    token: body.fencing_token,
+                    orders: body.commands,
                     calm,
                 })
             });
@@ -322,7 +323,7 @@
             recalled,
             answers,
             asks,
-            moves: std::mem::take(&mut d.moves),
+            moves: std::mem::take(&mut d.reassignments),
             members,
         };
         let frame = link::encode_synced(&answer);
@@ -354,13 +355,13 @@
         if m.unresolved {
             return false;
         }
-        let free = m.lent_to.as_ref().is_none_or(|t| t == to) && !m.recalled;
+        let free = m.delegated_to.as_ref().is_none_or(|t| t == to) && !m.revoked;
         if !free || !m.is_steady() {
             return false;
         }
-        m.lent_to = Some(to.clone());
+        m.delegated_to = Some(to.clone());
         if let Some(d) = lead.delegates.by_name.get_mut(to) {
-            d.lends = true;
+            d.has_delegations = true;
         }
         true
     }
@@ -375,9 +376,9 @@
         }
         let mut ended = Vec::new();
         for (name, d) in &mut lead.delegates.by_name {
-            if d.lends && now >= d.issued.until {
-                d.lends = false;
-                d.recalls.clear();
+            if d.has_delegations && now >= d.issued.until {
+                d.has_delegations = false;
+                d.revocations.clear();
                 ended.push((name.clone(), d.issued.until));
             }
         }
@@ -391,15 +392,15 @@
         }
         // Before a silent machine can count as lost, it has to be here again.
         let silent: Vec<MachineId> = (lead.machines.values())
-            .filter(|m| m.lent_to.is_some() && !m.recalled)
-            .filter(|m| now.saturating_duration_since(m.seen) > report * 7 / 4)
+            .filter(|m| m.delegated_to.is_some() && !m.revoked)
+            .filter(|m| now.saturating_duration_since(m.last_heartbeat) > report * 7 / 4)
             .map(|m| m.id.clone())
             .collect();
         for id in silent {
             lead.recall(&id);
         }
-        if (lead.delegates.shared).is_none_or(|t| now >= t + REBALANCE_INTERVAL) {
-            lead.delegates.shared = Some(now);
+        if (lead.delegates.last_rebalance).is_none_or(|t| now >= t + REBALANCE_INTERVAL) {
+            lead.delegates.last_rebalance = Some(now);
             self.rebalance_workers();
         }
     }
@@ -411,7 +412,7 @@
         let mut loads: BTreeMap<&str, u32> = BTreeMap::new();
         let fresh = self.settings.report * 2;
         for m in lead.machines.values() {
-            if m.session > 0 && now.saturating_duration_since(m.seen) < fresh {
+            if m.incarnation > 0 && now.saturating_duration_since(m.last_heartbeat) < fresh {
                 *loads.entry(m.via.as_deref().unwrap_or(me)).or_default() += 1;
             }
         }
@@ -434,16 +435,16 @@
         }));
         let total: u32 = servers.iter().map(|s| s.load).sum();
         let moves = share::moves(&servers, (total / MOVED_FRACTION).max(MIN_MOVED));
-        lead.delegates.own_moves.clear();
+        lead.delegates.own_reassignments.clear();
         for d in lead.delegates.by_name.values_mut() {
-            d.moves.clear();
+            d.reassignments.clear();
         }
         for m in moves {
             tracing::debug!("{} workers of {} are to go to {}", m.count, m.from, m.to);
             if m.from == me {
-                lead.delegates.own_moves.push((m.to, m.count));
+                lead.delegates.own_reassignments.push((m.to, m.count));
             } else if let Some(d) = lead.delegates.by_name.get_mut(m.from.as_str()) {
-                d.moves.push((m.to, m.count));
+                d.reassignments.push((m.to, m.count));
             }
         }
     }
@@ -476,13 +477,13 @@
     /// Machines to take back, as many as a frame takes. One that was told once is told again in every answer
     /// until the borrower has taken in one of them: whichever that is, it told all of these.
     fn recalls_for_frame(&mut self, number: u64) -> Vec<MachineId> {
-        let told = self.recalls.iter().filter(|(_, since)| since.is_some());
-        let new = self.recalls.iter().filter(|(_, since)| since.is_none());
+        let told = self.revocations.iter().filter(|(_, since)| since.is_some());
+        let new = self.revocations.iter().filter(|(_, since)| since.is_none());
         let mut recalled: Vec<MachineId> = told.chain(new).map(|(id, _)| id.clone()).collect();
         recalled.truncate(link::names_that_fit(&recalled));
         recalled.sort_unstable();
         for id in &recalled {
-            if let Some(since) = self.recalls.get_mut(id) {
+            if let Some(since) = self.revocations.get_mut(id) {
                 since.get_or_insert(number);
             }
         }
@@ -496,14 +497,14 @@
         let Some(m) = self.machines.get_mut_quiet(&h.machine) else {
             return;
         };
-        if m.lent_to.as_ref() != Some(from) || m.session != h.session || m.session_over {
+        if m.delegated_to.as_ref() != Some(from) || m.incarnation != h.session || m.lease_expired {
             return;
         }
         let at = now.checked_sub(h.age).unwrap_or(now);
-        m.lease_from = m.lease_from.max(at);
-        if h.seq > m.seq {
-            m.seq = h.seq;
-            m.seen = m.seen.max(at);
+        m.lease_renewed = m.lease_renewed.max(at);
+        if h.seq > m.sequence {
+            m.sequence = h.seq;
+            m.last_heartbeat = m.last_heartbeat.max(at);
             m.via = Some(from.clone());
         }
     }
--- a/src/core/delegation/tests.rs
+++ b/src/core/delegation/tests.rs
@@ -11,9 +11,9 @@
 fn borrower() -> Delegate {
     Delegate {
         issued: IssuedGrant::first(1, 0, Instant::now()),
-        recalls: (0..MACHINES).map(|n| (machine(n), None)).collect(),
-        moves: Vec::new(),
-        lends: true,
+        revocations: (0..MACHINES).map(|n| (machine(n), None)).collect(),
+        reassignments: Vec::new(),
+        has_delegations: true,
     }
 }
 
@@ -24,15 +24,15 @@
     let mut borrower = borrower();
     let first = borrower.recalls_for_frame(1);
     assert!(!first.is_empty() && first.len() < MACHINES);
-    borrower.recalls.insert("a-comes-first".into(), None);
+    borrower.revocations.insert("a-comes-first".into(), None);
     assert_eq!(borrower.recalls_for_frame(2), first);
     let mut taken_back = 0;
     for number in 2.. {
         let acknowledged =
             |_: &MachineId, since: &mut Option<u64>| since.is_some_and(|n| n < number);
-        taken_back += borrower.recalls.extract_if(.., acknowledged).count();
+        taken_back += borrower.revocations.extract_if(.., acknowledged).count();
         let told = borrower.recalls_for_frame(number);
-        let since = |id: &MachineId| borrower.recalls[id];
+        let since = |id: &MachineId| borrower.revocations[id];
         assert!(told.iter().all(|id| since(id) == Some(number)));
         if told.is_empty() {
             break;
--- a/src/core/figures.rs
+++ b/src/core/figures.rs
@@ -130,12 +130,12 @@
         let mut reporting: BTreeMap<&str, u32> = BTreeMap::new();
         let (mut up, mut booting, mut lent) = (0, 0, 0);
         for m in lead.machines.values() {
-            if m.session == 0 {
+            if m.incarnation == 0 {
                 booting += 1;
                 continue;
             }
             up += 1;
-            lent += u32::from(m.lent_to.is_some());
+            lent += u32::from(m.delegated_to.is_some());
             *reporting
                 .entry(m.via.as_deref().unwrap_or(&self.settings.name))
                 .or_default() += 1;
@@ -157,9 +157,9 @@
             "Machines that may hold tasks of an earlier term and have not shown the new token",
             lead.unresolved as f64,
         );
-        page.gauge("jobs", "Jobs that are not over", lead.runs.len() as f64);
+        page.gauge("jobs", "Jobs that are not over", lead.job_runs.len() as f64);
         let tasks = |f: fn(&super::run::JobRun) -> usize| -> f64 {
-            lead.runs.values().map(f).sum::<usize>() as f64
+            lead.job_runs.values().map(f).sum::<usize>() as f64
         };
         page.gauges(
             "tasks",
@@ -178,17 +178,17 @@
         page.gauge(
             "direct_calls",
             "Calls to workers on their way",
-            lead.calls_out as f64,
+            lead.direct_calls_in_flight as f64,
         );
         page.counter(
             "reports_passed_on",
             "Reports in this term that came by way of other controllers",
-            lead.delegates.relayed,
+            lead.delegates.relayed_heartbeats,
         );
         page.counter(
             "reports_answered_by_others",
             "Reports in this term that other controllers answered alone",
-            lead.delegates.answered,
+            lead.delegates.delegated_answers,
         );
     }
 }
--- a/src/core/jobs.rs
+++ b/src/core/jobs.rs
@@ -16,7 +16,7 @@
             return self.answer(ticket, rebuilding_answer());
         }
         let Some(lead) = &mut self.lead else { return };
-        let Some(run) = lead.runs.get_mut(id) else {
+        let Some(run) = lead.job_runs.get_mut(id) else {
             return self.answer(ticket, Answer::busy("not ready", 1));
         };
         if stands(Safeguard::Cancelled) {
@@ -39,7 +39,7 @@
             }
             lead.writes.ends.insert(id.into(), JobOutcome::Cancelled);
             let with_it = self.mirror.pipelines.all_dependents(&Self::job_id(id));
-            lead.in_doubt.extend(with_it);
+            lead.cancellation_pending.extend(with_it);
         }
     }
 
@@ -62,7 +62,7 @@
                 tracing::info!(job = %id, "job {id}: cancelled with {root}, which it needs");
             }
         }
-        if !lead.runs.contains_key(id) {
+        if !lead.job_runs.contains_key(id) {
             let queued = (0..job.spec.tasks).filter(|r| !job.done.contains(*r));
             let run = JobRun {
                 team: self.settings.team_index(&job.spec.team),
@@ -70,36 +70,36 @@
                 succeeded: job.done.len() > 0,
                 ..JobRun::default()
             };
-            lead.runs.insert(id.clone(), run);
-            lead.judge_guarantees = true;
+            lead.job_runs.insert(id.clone(), run);
+            lead.guarantees_changed = true;
             if job.version > lead.key_version {
                 lead.arrivals.note(self.now.mono, 1);
                 let pace = lead
-                    .pace
+                    .runtime_ratios
                     .get(&job.spec.class)
                     .map_or(1.0, RuntimeRatio::factor);
-                let (rank, run) = (job.spec.rank, job.spec.estimate.mul_f64(pace));
+                let (rank, run) = (job.spec.priority, job.spec.estimate.mul_f64(pace));
                 lead.bidding.arrived(self.now.mono, &job.spec, rank, run);
             }
             // Accepted while a cancellation of what it needs is being written.
             let doubtful = |a: &JobId| {
-                let ending = lead.runs.get(a).and_then(|r| r.ending);
-                lead.in_doubt.contains(a) || ending == Some(JobOutcome::Cancelled)
+                let ending = lead.job_runs.get(a).and_then(|r| r.ending);
+                lead.cancellation_pending.contains(a) || ending == Some(JobOutcome::Cancelled)
             };
-            if job.spec.awaits.iter().any(doubtful) {
-                lead.in_doubt.insert(id.clone());
+            if job.spec.dependencies.iter().any(doubtful) {
+                lead.cancellation_pending.insert(id.clone());
                 let with_it = self.mirror.pipelines.all_dependents(id);
-                lead.in_doubt.extend(with_it);
+                lead.cancellation_pending.extend(with_it);
             }
             lead.plan_again = true;
         }
-        if !job.spec.awaits.is_empty() && self.mirror.ready(id) {
-            let Some(run) = lead.runs.get_mut(id) else {
+        if !job.spec.dependencies.is_empty() && self.mirror.ready(id) {
+            let Some(run) = lead.job_runs.get_mut(id) else {
                 return;
             };
             if run.ready.is_none() {
                 run.ready = Some(self.now);
-                lead.judge_guarantees = true;
+                lead.guarantees_changed = true;
                 lead.plan_again = true;
                 tracing::info!(job = %id, "job {id}: all that it awaits is done");
             }
@@ -108,7 +108,7 @@
         let Some(job) = self.mirror.jobs.get(id) else {
             return;
         };
-        let before = job.spec.awaits.clone();
+        let before = job.spec.dependencies.clone();
         for a in before.iter().chain([id]) {
             self.propagate_urgency(a);
         }
@@ -120,15 +120,15 @@
         let now = self.now.mono;
         self.adopt_job(id);
         let Some(lead) = &mut self.lead else { return };
-        let Some(run) = lead.runs.remove(id) else {
+        let Some(run) = lead.job_runs.remove(id) else {
             return;
         };
         lead.writes.ends.remove(id);
         lead.writes.followers.remove(id);
         lead.writes.progress.remove(id);
-        lead.in_doubt.remove(id);
-        lead.urgency.remove(id);
-        lead.judge_guarantees = true;
+        lead.cancellation_pending.remove(id);
+        lead.inherited_urgency.remove(id);
+        lead.guarantees_changed = true;
         lead.plan_again = true;
         if let Some(end) = self.mirror.finished.get(id) {
             tracing::info!(job = %id, "job {id} is over: {end:?}");
@@ -146,12 +146,12 @@
     /// Ends an array whose tasks are all done.
     pub(super) fn end_if_complete(&mut self, id: &str) {
         let Some(lead) = &mut self.lead else { return };
-        let (Some(run), Some(job)) = (lead.runs.get_mut(id), self.mirror.jobs.get(id)) else {
+        let (Some(run), Some(job)) = (lead.job_runs.get_mut(id), self.mirror.jobs.get(id)) else {
             return;
         };
         let missing = job.spec.tasks.saturating_sub(job.done.len());
         let all = missing == 0 || missing == 1 && !stands(Safeguard::AllDone);
-        let all = job.spec.kind != JobKind::Service && all;
+        let all = job.spec.job_kind != JobKind::Service && all;
         if all && run.ending.is_none() {
             run.ending = Some(JobOutcome::Done);
             lead.writes.ends.insert(id.into(), JobOutcome::Done);
--- a/src/core/lead.rs
+++ b/src/core/lead.rs
@@ -31,7 +31,7 @@
 pub struct Lease {
     pub id: u64,
     /// When the last successful renewal was sent.
-    pub kept: Instant,
+    pub renewed_at: Instant,
 }
 
 /// What only a leader has.
@@ -41,66 +41,66 @@
     pub since: Instant,
     /// When it was last seen that the leader key stands, by when that was asked. Renewals of the lease
     /// alone prove nothing: in a store that has lost data its number may have been given again.
-    pub stands: Instant,
+    pub leader_key_confirmed: Instant,
     pub machines: Machines,
     /// What placing and renting see of the machines.
     pub board: Board,
     /// Machines that are gone; what still arrives from them is old.
-    pub gone: BTreeSet<MachineId>,
+    pub deleted_machines: BTreeSet<MachineId>,
     /// How many machines there are that an earlier leader may have given tasks that we have not seen yet.
     pub unresolved: usize,
     /// Those of them that are still to be asked, the next one last.
-    pub to_ask: Vec<MachineId>,
+    pub to_probe: Vec<MachineId>,
     /// Those that did not answer and are asked once more, and when.
-    pub ask_again: BTreeSet<(Instant, MachineId)>,
+    pub probe_retries: BTreeSet<(Instant, MachineId)>,
     /// How many there were when this leader began, until nearly all are known.
-    pub to_hear: usize,
+    pub initially_unresolved: usize,
     /// Zones in which a machine has answered a call: elsewhere, a call without an answer says nothing of
     /// the machine.
-    pub answering: BTreeSet<String>,
+    pub reachable_zones: BTreeSet<String>,
     /// Direct calls on their way.
-    pub calls_out: usize,
-    pub runs: BTreeMap<JobId, JobRun>,
+    pub direct_calls_in_flight: usize,
+    pub job_runs: BTreeMap<JobId, JobRun>,
     /// Live jobs that need one whose cancellation is being written: that may be durable already,
     /// and another node may have told their users that they are cancelled.
-    pub in_doubt: BTreeSet<JobId>,
+    pub cancellation_pending: BTreeSet<JobId>,
     /// How urgent jobs are that are needed by more urgent ones.
-    pub urgency: BTreeMap<JobId, Urgency>,
+    pub inherited_urgency: BTreeMap<JobId, Urgency>,
     /// Parts that no job refers to, and since when.
-    pub unclaimed: BTreeMap<(JobId, PartGeneration), Instant>,
+    pub unclaimed_parts: BTreeMap<(JobId, PartGeneration), Instant>,
     pub writes: Writes,
-    pub market: CloudOperations,
+    pub cloud: CloudOperations,
     pub attempts: u64,
     /// Silence proves nothing before this moment.
-    pub deaf_until: Instant,
+    pub silence_excused_until: Instant,
     /// When this leader was last able to act.
-    pub acted: Instant,
-    pub last_report: Option<Instant>,
+    pub last_able_to_act: Instant,
+    pub last_heartbeat: Option<Instant>,
     /// When a worker last reported here or answered a direct call, and how many such calls have
     /// failed since.
-    pub touched: Instant,
-    pub missed: u32,
+    pub last_direct_contact: Instant,
+    pub failed_direct_calls: u32,
     /// With as many machines as there are, silence for this long means that this node does not
     /// hear them.
-    pub deaf_after: Duration,
-    pub planned: Option<Instant>,
+    pub silence_limit: Duration,
+    pub last_plan: Option<Instant>,
     pub plan_again: bool,
     /// Which jobs lie within their team's guarantee is to be found out again.
-    pub judge_guarantees: bool,
+    pub guarantees_changed: bool,
     /// Work waited for room at the last plan.
-    pub wanting: bool,
+    pub has_pending_demand: bool,
     /// Reports of machines that were freed, and frames with such: their answers wait for the next plan,
     /// so that they say what to start.
-    pub held: DeferredResponses,
-    pub fleet_at: Option<Instant>,
-    pub tended: Option<Instant>,
-    pub told: Option<Instant>,
+    pub deferred_responses: DeferredResponses,
+    pub last_scaling: Option<Instant>,
+    pub last_machine_check: Option<Instant>,
+    pub last_status_log: Option<Instant>,
     /// Zones that are heard, and since when without a break.
-    pub zones_back: BTreeMap<String, Instant>,
+    pub zone_reachable_since: BTreeMap<String, Instant>,
     /// The head of the queue and when it may start, for the status view.
-    pub head: Option<(JobId, Option<Duration>)>,
+    pub queue_head: Option<(JobId, Option<Duration>)>,
     /// How actual run times compare with estimates, by class.
-    pub pace: BTreeMap<String, RuntimeRatio>,
+    pub runtime_ratios: BTreeMap<String, RuntimeRatio>,
     pub arrivals: ArrivalRate,
     pub bidding: Bidding,
     /// Controllers that serve workers for this one.
@@ -123,40 +123,40 @@
             key_version,
             term,
             since: now,
-            stands: now,
+            leader_key_confirmed: now,
             machines: Machines::default(),
             board: Board::default(),
-            gone: BTreeSet::new(),
+            deleted_machines: BTreeSet::new(),
             unresolved: 0,
-            to_ask: Vec::new(),
-            ask_again: BTreeSet::new(),
-            to_hear: 0,
-            answering: BTreeSet::new(),
-            calls_out: 0,
-            runs: BTreeMap::new(),
-            in_doubt: BTreeSet::new(),
-            urgency: BTreeMap::new(),
-            unclaimed: BTreeMap::new(),
+            to_probe: Vec::new(),
+            probe_retries: BTreeSet::new(),
+            initially_unresolved: 0,
+            reachable_zones: BTreeSet::new(),
+            direct_calls_in_flight: 0,
+            job_runs: BTreeMap::new(),
+            cancellation_pending: BTreeSet::new(),
+            inherited_urgency: BTreeMap::new(),
+            unclaimed_parts: BTreeMap::new(),
             writes: Writes::default(),
-            market: CloudOperations::default(),
+            cloud: CloudOperations::default(),
             attempts: 0,
-            deaf_until: now,
-            acted: now,
-            last_report: None,
-            touched: now,
-            missed: 0,
-            deaf_after: Duration::ZERO,
-            planned: None,
+            silence_excused_until: now,
+            last_able_to_act: now,
+            last_heartbeat: None,
+            last_direct_contact: now,
+            failed_direct_calls: 0,
+            silence_limit: Duration::ZERO,
+            last_plan: None,
             plan_again: true,
-            judge_guarantees: true,
-            wanting: false,
-            held: DeferredResponses::default(),
-            fleet_at: None,
-            tended: None,
-            told: None,
-            zones_back: BTreeMap::new(),
-            head: None,
-            pace: BTreeMap::new(),
+            guarantees_changed: true,
+            has_pending_demand: false,
+            deferred_responses: DeferredResponses::default(),
+            last_scaling: None,
+            last_machine_check: None,
+            last_status_log: None,
+            zone_reachable_since: BTreeMap::new(),
+            queue_head: None,
+            runtime_ratios: BTreeMap::new(),
             arrivals,
             bidding: Bidding::default(),
             delegates: Delegates::default(),
@@ -172,9 +172,9 @@
 
     /// A worker is heard, here or by way of another controller.
     pub(super) fn record_heartbeat(&mut self, via: Option<&Arc<str>>, now: Instant) {
-        self.last_report = Some(now);
+        self.last_heartbeat = Some(now);
         if via.is_none() {
-            (self.touched, self.missed) = (now, 0);
+            (self.last_direct_contact, self.failed_direct_calls) = (now, 0);
         }
     }
 
@@ -215,20 +215,20 @@
     /// Jobs with done tasks that are not written yet, and since when.
     pub progress: BTreeMap<JobId, Instant>,
     pub records: MachineRecords,
-    pub types: bool,
+    pub machine_types: bool,
     /// The mark of an incomplete store is to be taken off.
-    pub rebuilt: bool,
+    pub rebuild_complete: bool,
     /// How many parts are written of large jobs that are owed.
-    pub owed_parts: BTreeMap<JobId, usize>,
-    pub sent: Option<InFlightWrite>,
+    pub missing_parts_written: BTreeMap<JobId, usize>,
+    pub in_flight: Option<InFlightWrite>,
     /// Nothing is sent before the copy is as new as this: a write was refused for what had changed then.
-    pub after: u64,
+    pub minimum_revision: u64,
     /// Writes refused for that in a row.
     pub conflicts: u32,
     /// Changes that a transaction may have, if the service refused one of those allowed.
-    pub most: Option<usize>,
+    pub max_changes: Option<usize>,
     /// Keys that the service refuses to have put, and until when that is not tried again.
-    pub aside: BTreeMap<String, Instant>,
+    pub quarantined_keys: BTreeMap<String, Instant>,
 }
 
 /// The transaction that is on its way, or whose outcome is unknown.
@@ -236,7 +236,7 @@
     pub txn: CompareAndSwap,
     pub ops: Vec<WriteOp>,
     pub call: Option<CallId>,
-    pub again_at: Instant,
+    pub retry_at: Instant,
     /// Where the state service shows it to have been committed.
     pub committed: Option<u64>,
     /// It was refused for what the state service held at some revision: whether that is its own first copy
@@ -246,7 +246,7 @@
 
 /// A refused transaction, until it is known who made the change for which it was refused.
 pub struct RefusedWrite {
-    pub keys: Vec<String>,
+    pub conflicting_keys: Vec<String>,
     pub revision: u64,
     pub since: Instant,
 }
@@ -262,7 +262,7 @@
             txn,
             ops,
             call: Some(call),
-            again_at: now,
+            retry_at: now,
             committed: None,
             refused: None,
         }
@@ -272,44 +272,44 @@
 /// What is known and under way at the cloud.
 #[derive(Default)]
 pub struct CloudOperations {
-    pub rents: BTreeMap<String, ScaleOutOperation>,
-    pub next_rent: u64,
-    pub list_asked: Option<Instant>,
-    pub listing: bool,
+    pub scale_outs: BTreeMap<String, ScaleOutOperation>,
+    pub next_request: u64,
+    pub list_requested: Option<Instant>,
+    pub list_in_flight: bool,
     /// How many machines the newest list had.
-    pub listed: usize,
+    pub listed_machines: usize,
     pub deletions: BTreeMap<MachineId, Instant>,
-    pub delete_calls: usize,
+    pub delete_calls_in_flight: usize,
 }
 
 pub struct ScaleOutOperation {
     pub body: ScaleOutRequest,
     pub since: Instant,
     pub call: Option<u64>,
-    pub again_at: Instant,
+    pub retry_at: Instant,
 }
 
 /// One controller that serves workers.
 pub struct Delegate {
     pub issued: IssuedGrant,
     /// Machines not to be answered from memory, each with the answer that first said so.
-    pub recalls: BTreeMap<MachineId, Option<u64>>,
+    pub revocations: BTreeMap<MachineId, Option<u64>>,
     /// Workers it is to send elsewhere.
-    pub moves: Vec<(String, u32)>,
+    pub reassignments: Vec<(String, u32)>,
     /// Machines may be lent to it.
-    pub lends: bool,
+    pub has_delegations: bool,
 }
 
 #[derive(Default)]
 pub struct Delegates {
     pub by_name: BTreeMap<Arc<str>, Delegate>,
     /// Workers that report here and are to go elsewhere.
-    pub own_moves: Vec<(String, u32)>,
-    pub shared: Option<Instant>,
+    pub own_reassignments: Vec<(String, u32)>,
+    pub last_rebalance: Option<Instant>,
     /// Reports taken in that came by way of others, for the status view.
-    pub relayed: u64,
+    pub relayed_heartbeats: u64,
     /// Those answered by others.
-    pub answered: u64,
+    pub delegated_answers: u64,
 }
 
 impl Delegates {
--- a/src/core/leadership.rs
+++ b/src/core/leadership.rs
@@ -40,7 +40,11 @@
         }
         let lease = self.lease.as_ref()?;
         // The service's clock may run faster than ours by 0.1% at the most.
-        Some(lease.kept.min(lead.stands) + LEASE_TTL - LEASE_TTL / 1000 - LEASE_SAFETY_MARGIN)
+        Some(
+            lease.renewed_at.min(lead.leader_key_confirmed) + LEASE_TTL
+                - LEASE_TTL / 1000
+                - LEASE_SAFETY_MARGIN,
+        )
     }
 
     pub(super) fn acting(&self) -> bool {
@@ -52,15 +56,18 @@
         if let Some(lead) = &mut self.lead
             && stands == Some(lead.key_version)
         {
-            lead.stands = lead.stands.max(sent);
+            lead.leader_key_confirmed = lead.leader_key_confirmed.max(sent);
         }
         match &mut self.lease {
-            Some(l) if l.id == id => l.kept = l.kept.max(sent),
+            Some(l) if l.id == id => l.renewed_at = l.renewed_at.max(sent),
             _ => {
                 if self.lead.is_some() {
                     self.step_down("a new lease replaced the leader's");
                 }
-                self.lease = Some(Lease { id, kept: sent });
+                self.lease = Some(Lease {
+                    id,
+                    renewed_at: sent,
+                });
             }
         }
     }
@@ -78,7 +85,7 @@
     }
 
     pub(super) fn lease_lost(&mut self) {
-        let kept = self.lease.take().map(|l| l.kept);
+        let kept = self.lease.take().map(|l| l.renewed_at);
         self.step_down("the lease has ended");
         // It was to run for longer.
         if kept.is_some_and(|t| self.now.mono < t + LEASE_TTL * 9 / 10) {
@@ -207,18 +214,18 @@
     fn record_activity(&mut self) {
         let (now, back_after) = (self.now.mono, self.settings.report);
         let Some(lead) = &mut self.lead else { return };
-        if now > lead.acted + INABILITY_THRESHOLD {
+        if now > lead.last_able_to_act + INABILITY_THRESHOLD {
             // The state service was away, and reports were answered with 503 meanwhile: the
             // workers went from node to node, and their silence proves nothing.
-            let paused = now.saturating_duration_since(lead.acted);
+            let paused = now.saturating_duration_since(lead.last_able_to_act);
             tracing::info!(
                 term = lead.term,
                 "term {}: acts again after {paused:?}",
                 lead.term
             );
-            lead.deaf_until = lead.deaf_until.max(now + back_after);
+            lead.silence_excused_until = lead.silence_excused_until.max(now + back_after);
         }
-        lead.acted = now;
+        lead.last_able_to_act = now;
     }
 
     /// Workers are cut off from this node though the state service is not: another controller may reach them.
@@ -236,31 +243,38 @@
 
     fn is_isolated(&self, lead: &LeaderState) -> bool {
         let now = self.now.mono;
-        let known = lead.machines.values().any(|m| m.session > 0);
+        let known = lead.machines.values().any(|m| m.incarnation > 0);
         if !known && lead.unresolved == 0 {
             return false;
         }
-        let silent = lead.last_report.unwrap_or(lead.since).max(lead.deaf_until);
+        let silent = lead
+            .last_heartbeat
+            .unwrap_or(lead.since)
+            .max(lead.silence_excused_until);
         let waited = now.saturating_duration_since(silent.max(lead.since));
         // Until the workers have found a new leader, little comes in any case.
         let longest = self.settings.report * 2 + Duration::from_secs(2);
         let settled = now.saturating_duration_since(lead.since) > longest;
         let after = if settled {
-            lead.deaf_after.min(longest)
+            lead.silence_limit.min(longest)
         } else {
             longest
         };
         // Others hear them for this one, but what it has to say to them itself, commands
         // foremost, does not get through.
-        let unheeded = lead.missed >= MAX_FAILED_CALLS
-            && now.saturating_duration_since(lead.touched.max(lead.deaf_until)) > after;
+        let unheeded = lead.failed_direct_calls >= MAX_FAILED_CALLS
+            && now.saturating_duration_since(
+                lead.last_direct_contact.max(lead.silence_excused_until),
+            ) > after;
         waited > after || unheeded
     }
 
     /// Writes the leader key and raises the term, if a leadership may begin now.
     fn campaign(&mut self) {
         let now = self.now.mono;
-        let lease_fresh = self.lease.is_some_and(|l| now < l.kept + LEASE_TTL / 2);
+        let lease_fresh = self
+            .lease
+            .is_some_and(|l| now < l.renewed_at + LEASE_TTL / 2);
         let trying = self
             .pending
             .values()
@@ -335,8 +349,8 @@
         self.led_term = self.led_term.max(term);
         let arrivals = ArrivalRate::new(self.now, self.mirror.jobs.values());
         let mut lead = LeaderState::new(key_version, term, now, arrivals);
-        lead.stands = self.stood;
-        lead.deaf_after = self.settings.report * 2;
+        lead.leader_key_confirmed = self.stood;
+        lead.silence_limit = self.settings.report * 2;
         lead.identity = self.mirror.identity.clone();
         let records = &mut lead.writes.records;
         *records = MachineRecords::new(&self.mirror, self.settings.value_bytes);
@@ -345,7 +359,7 @@
                 records.add(id, value.clone());
             }
         }
-        lead.writes.types = !self.types.is_empty() && self.types != self.mirror.types;
+        lead.writes.machine_types = !self.types.is_empty() && self.types != self.mirror.types;
         let mut conditions = vec![Condition {
             key: key(LEADER),
             version: key_version,
@@ -372,14 +386,14 @@
         );
         self.relay.adopt_workers(&lead);
         self.candidate_after = self.now.mono + Duration::from_millis(200);
-        for (ticket, _) in lead.held.reports {
+        for (ticket, _) in lead.deferred_responses.reports {
             self.redirect(ticket);
         }
-        for work in lead.held.syncs {
+        for work in lead.deferred_responses.syncs {
             self.refuse_batch(work.ticket, work.number);
         }
         let waiting: Vec<Ticket> = lead
-            .runs
+            .job_runs
             .into_values()
             .flat_map(|r| r.cancel_waiters)
             .collect();
--- a/src/core/losses.rs
+++ b/src/core/losses.rs
@@ -74,29 +74,30 @@
         let now = self.now.mono;
         let Some(lead) = &mut self.lead else { return };
         if lead
-            .tended
+            .last_machine_check
             .is_some_and(|t| now < t + Duration::from_millis(250))
         {
             return;
         }
-        lead.tended = Some(now);
+        lead.last_machine_check = Some(now);
         self.check_delegates();
         let Some(lead) = &mut self.lead else { return };
         let report = self.settings.report;
         let lease_expiry = lease_expiry(self.settings.lease);
-        let fresh =
-            |m: &Machine| m.session > 0 && now.saturating_duration_since(m.seen) < report * 2;
+        let fresh = |m: &Machine| {
+            m.incarnation > 0 && now.saturating_duration_since(m.last_heartbeat) < report * 2
+        };
         let mut zones: BTreeMap<&str, (u32, u32, Instant)> = BTreeMap::new();
         for m in lead
             .machines
             .values()
-            .filter(|m| m.session > 0 || m.unresolved)
+            .filter(|m| m.incarnation > 0 || m.unresolved)
         {
             let z = zones.entry(&m.zone).or_insert((0, 0, lead.since));
             z.0 += 1;
             z.1 += u32::from(fresh(m));
-            if m.session > 0 {
-                z.2 = z.2.max(m.seen);
+            if m.incarnation > 0 {
+                z.2 = z.2.max(m.last_heartbeat);
             }
         }
         // What others hear is told a little later.
@@ -111,15 +112,15 @@
                 up * 2 >= *all && *up > 0 && now.saturating_duration_since(*newest) <= pause
             })
         };
-        let sessions = lead.machines.values().filter(|m| m.session > 0).count();
-        lead.deaf_after =
+        let sessions = lead.machines.values().filter(|m| m.incarnation > 0).count();
+        lead.silence_limit =
             longest_common_silence(report, sessions as u32).max(report / 2) + RESIGN_MARGIN;
         // After a cut, the machines behind it need a moment to be heard again.
         let back: BTreeMap<String, Instant> = zones
             .keys()
             .filter(|z| reachable(z))
             .map(|z| {
-                let since = lead.zones_back.get(*z).copied().unwrap_or(now);
+                let since = lead.zone_reachable_since.get(*z).copied().unwrap_or(now);
                 (z.to_string(), since)
             })
             .collect();
@@ -131,20 +132,24 @@
         let mut over = Vec::new();
         let mut silent = Vec::new();
         for m in lead.machines.values() {
-            if (m.session > 0 || m.unresolved)
-                && !m.session_over
-                && now > m.lease_from + lease_expiry
+            if (m.incarnation > 0 || m.unresolved)
+                && !m.lease_expired
+                && now > m.lease_renewed + lease_expiry
                 // Who may answer it in our name may have renewed its lease since.
-                && m.lent_to.is_none()
+                && m.delegated_to.is_none()
             {
                 over.push(m.id.clone());
             }
-            let since = m.seen.max(lead.deaf_until).max(lead.since);
+            let since = m
+                .last_heartbeat
+                .max(lead.silence_excused_until)
+                .max(lead.since);
             // Its controller is not heard: the worker has to find another one first.
             let since = excused.map_or(since, |t| since.max(t));
             let quiet = now.saturating_duration_since(since);
-            let expected = m.session > 0 || m.unresolved;
-            let heard = heard_for(&m.zone).min(now.saturating_duration_since(lead.deaf_until));
+            let expected = m.incarnation > 0 || m.unresolved;
+            let heard =
+                heard_for(&m.zone).min(now.saturating_duration_since(lead.silence_excused_until));
             let all_heard = heard >= (report * 5 / 4).max(WORKER_RETRY);
             if expected && m.deleting.is_none() && quiet > report * 5 / 2 && all_heard {
                 silent.push((m.id.clone(), "it is silent"));
@@ -154,17 +159,17 @@
             // One that has reported is not dead, whatever becomes of calls to it, unless its reports
             // never show what it was answered: they may be copies. Nor are those dead to which no call
             // gets through, a zone cut off one way.
-            let untold = m.answered_since;
+            let untold = m.unproven_since;
             let deaf = untold.is_some_and(|t| now > t + report * 5 / 2 + WORKER_RETRY);
             let in_vain = m.unresolved
-                && (m.session == 0 || deaf)
-                && m.unanswered >= MAX_UNANSWERED_PROBES
-                && lead.answering.contains(&m.zone);
+                && (m.incarnation == 0 || deaf)
+                && m.failed_calls >= MAX_UNANSWERED_PROBES
+                && lead.reachable_zones.contains(&m.zone);
             if in_vain && m.deleting.is_none() && reachable(&m.zone) {
                 silent.push((m.id.clone(), "it does not answer"));
             }
             let taken = m
-                .notice
+                .reclaim_at
                 .is_some_and(|t| now > t + Duration::from_millis(500));
             if taken && m.deleting.is_none() && quiet > report * 5 / 4 {
                 silent.push((m.id.clone(), "it was to be taken and is silent"));
@@ -178,7 +183,7 @@
                 let boot = self
                     .types
                     .iter()
-                    .find(|t| t.name == m.kind)
+                    .find(|t| t.name == m.machine_type)
                     .map_or(60.0, |t| t.boot_s);
                 let limit = Duration::from_secs_f64((boot * 2.5 + 10.0).min(86400.0));
                 if m.age + now.saturating_duration_since(m.known_since) > limit {
@@ -186,11 +191,11 @@
                 }
             }
         }
-        lead.zones_back = back;
+        lead.zone_reachable_since = back;
         let turned: Vec<MachineId> = lead
             .machines
             .values()
-            .filter(|m| m.open != lead.accepts_tasks(m, now, report))
+            .filter(|m| m.schedulable != lead.accepts_tasks(m, now, report))
             .map(|m| m.id.clone())
             .collect();
         for id in turned {
@@ -222,10 +227,10 @@
         };
         // Whatever session an earlier leader could know of is over; one that was heard of since may run, and
         // holds nothing of theirs.
-        if m.unresolved && now <= m.session_since + lease_expiry {
+        if m.unresolved && now <= m.incarnation_since + lease_expiry {
             m.require_token_proof(term);
         } else {
-            m.session_over = true;
+            m.lease_expired = true;
         }
         let tasks: Vec<TaskId> = m.tasks.keys().cloned().collect();
         tracing::warn!(
@@ -246,12 +251,12 @@
         if m.deleting.is_none() {
             tracing::info!(
                 machine = %id, "machine {id} ({} in {}, {}): given up: {why}",
-                m.kind,
+                m.machine_type,
                 m.zone,
                 if m.spot { "spot" } else { "ordinary" }
             );
             m.deleting = Some(why);
-            lead.market.deletions.insert(id.clone(), now);
+            lead.cloud.deletions.insert(id.clone(), now);
             lead.plan_again = true;
         }
     }
@@ -269,8 +274,8 @@
         self.resolve_machine(id, how);
         let Some(lead) = &mut self.lead else { return };
         lead.machines.remove(id);
-        lead.gone.insert(id.clone());
-        lead.market.deletions.remove(id);
+        lead.deleted_machines.insert(id.clone());
+        lead.cloud.deletions.remove(id);
         lead.writes.records.remove(id, now);
         lead.plan_again = true;
     }
@@ -290,7 +295,8 @@
                 .map_or(Duration::ZERO, |s| now.saturating_duration_since(s));
             let rest = job.spec.estimate.saturating_sub(ran);
             let hopeless = t.running_since.is_none() || rest > left.mul_f64(1.5);
-            let saves = !job.spec.checkpoint.is_zero() || job.spec.kind == JobKind::Service;
+            let saves =
+                !job.spec.checkpoint_interval.is_zero() || job.spec.job_kind == JobKind::Service;
             // What cannot save may be lucky and end in time; stopping it early only pays where it
             // has hardly begun.
             t.stopping.is_none()
@@ -299,7 +305,7 @@
         };
         let mut moved = Vec::new();
         for m in lead.machines.values() {
-            let Some(at) = m.notice else { continue };
+            let Some(at) = m.reclaim_at else { continue };
             let left = at.saturating_duration_since(now);
             let tasks = m.tasks.iter().filter(|(key, t)| hopeless(key, t, left));
             moved.extend(tasks.map(|(key, _)| (m.id.clone(), key.clone())));
@@ -309,7 +315,7 @@
                 && let Some(t) = m.tasks.get_mut(&key)
             {
                 t.stop(StopReason::Moved, now);
-                m.push = true;
+                m.needs_push = true;
             }
         }
     }
--- a/src/core/machine.rs
+++ b/src/core/machine.rs
@@ -55,7 +55,7 @@
     pub running_since: Option<Instant>,
     pub stopping: Option<(StopReason, Instant)>,
     /// What it takes; kept here as it holds its room even after its job is over.
-    pub needs: Resources,
+    pub resources: Resources,
     /// The team whose limit it counts toward, by its place in the settings.
     pub team: Option<usize>,
 }
@@ -83,83 +83,83 @@
     pub key: TaskId,
     pub attempt: u64,
     /// It may have been started by a direct command that came with this token, or with a lower one.
-    pub told_under: u64,
+    pub started_under_token: u64,
 }
 
 pub struct Machine {
     pub id: MachineId,
     pub addr: String,
-    pub kind: String,
+    pub machine_type: String,
     pub zone: String,
     pub spot: bool,
     /// 0 until its first report.
-    pub session: u64,
-    pub seq: u64,
-    pub seen: Instant,
+    pub incarnation: u64,
+    pub sequence: u64,
+    pub last_heartbeat: Instant,
     /// Receipt of the last report answered 200: its lease cannot have begun later.
-    pub lease_from: Instant,
+    pub lease_renewed: Instant,
     /// When its session was first heard of: it has its lease from when it began, and need not have been
     /// answered since.
-    pub session_since: Instant,
+    pub incarnation_since: Instant,
     /// Its tasks were counted out when its lease had run out; the session is over.
-    pub session_over: bool,
+    pub lease_expired: bool,
     pub tasks: BTreeMap<TaskId, Placement>,
     /// Exited tasks in its newest report.
     pub exited: Vec<Exited>,
     /// The token under which it was last told directly to start something.
-    pub told_under: u64,
+    pub started_under_token: u64,
     /// It gets no tasks before it has shown this token: its last session ended although it was answered,
     /// or starts do not come to be, so what it is told may not reach it.
-    pub unheard: Option<u64>,
+    pub unconfirmed_token: Option<u64>,
     /// It has yet to show this term's token, and since when it has been answered with it.
-    pub answered_since: Option<Instant>,
+    pub unproven_since: Option<Instant>,
     /// An earlier leader may have given it tasks that we have not seen yet.
     pub unresolved: bool,
     /// Something ended on it, or it came up, since it was last told anything.
     pub freed: bool,
     /// Its session and sequence when a call was made to find out whether it has begun anew, and that
     /// call.
-    pub asked: Option<((u64, u64), u64)>,
+    pub restart_probe: Option<((u64, u64), u64)>,
     /// The highest token that it has shown in this life of its: what shows a lower one is older, or of
     /// another life.
-    pub shown: u64,
+    pub highest_token: u64,
     /// It is in the state service and may get tasks.
     pub recorded: bool,
     /// Raised to outdate direct commands that got no answer: the worker refuses them once it has
     /// seen the higher token.
-    pub epoch: u64,
+    pub token_epoch: u64,
     /// Direct commands may still arrive until the worker shows this token.
-    pub doubt: Option<u64>,
-    pub call: Option<u64>,
+    pub doubtful_until_token: Option<u64>,
+    pub call_in_flight: Option<u64>,
     /// The last answer to a report carried starts that no later report has confirmed or denied.
-    pub answered: bool,
+    pub start_unconfirmed: bool,
     /// It has something to be told before its next report.
-    pub push: bool,
+    pub needs_push: bool,
     pub push_after: Instant,
     /// Direct calls in a row that got no answer.
-    pub unanswered: u32,
-    pub notice: Option<Instant>,
+    pub failed_calls: u32,
+    pub reclaim_at: Option<Instant>,
     pub known_since: Instant,
     pub up_since: Option<Instant>,
     pub age: Duration,
-    pub listed: Option<Instant>,
+    pub listed_since: Option<Instant>,
     pub deleting: Option<&'static str>,
     pub idle_since: Instant,
     /// Images on it or being fetched, the latest used last.
     pub images: Vec<(ImageTag, f64)>,
-    pub faults: Faults,
+    pub fault_history: Faults,
     /// Whether the board shows it as open for tasks; time alone may change that.
-    pub open: bool,
+    pub schedulable: bool,
     /// The controller that its newest report came by; `None`: it reports to this one.
     pub via: Option<Arc<str>>,
     /// A controller that may answer its reports from memory.
-    pub lent_to: Option<Arc<str>>,
+    pub delegated_to: Option<Arc<str>>,
     /// That controller is told, or has yet to be told, not to.
-    pub recalled: bool,
+    pub revoked: bool,
     /// Another controller shows it the token; until then it is not asked from here.
     pub claimed_until: Option<Instant>,
     /// It is among those whose change has been noted.
-    noted: bool,
+    change_noted: bool,
 }
 
 /// All machines by id. Whoever changes one gets it from here, and that is noted: planning and
@@ -168,8 +168,8 @@
 pub struct Machines {
     pub(super) all: BTreeMap<MachineId, Machine>,
     /// For the board, and for commands that should not wait for a report.
-    noted: Vec<MachineId>,
-    pub(super) to_tell: BTreeSet<MachineId>,
+    changed: Vec<MachineId>,
+    pub(super) to_push: BTreeSet<MachineId>,
 }
 
 impl Machines {
@@ -179,7 +179,7 @@
 
     pub fn get_mut(&mut self, id: &MachineId) -> Option<&mut Machine> {
         let m = self.all.get_mut(id)?;
-        Some(m.mark_changed(&mut self.noted))
+        Some(m.mark_changed(&mut self.changed))
     }
 
     /// For what neither the board nor commands depend on: that it was heard, and when.
@@ -190,12 +190,12 @@
     /// The machine of this id, made first if there is none.
     pub fn get_or_add(&mut self, id: &MachineId, make: impl FnOnce() -> Machine) -> &mut Machine {
         let m = self.all.entry(id.clone()).or_insert_with(make);
-        m.mark_changed(&mut self.noted)
+        m.mark_changed(&mut self.changed)
     }
 
     pub fn remove(&mut self, id: &MachineId) -> Option<Machine> {
-        self.noted.push(id.clone());
-        self.to_tell.remove(id);
+        self.changed.push(id.clone());
+        self.to_push.remove(id);
         self.all.remove(id)
     }
 
@@ -206,26 +206,26 @@
     /// What the board shows now; no change of the machine itself.
     pub fn set_schedulable(&mut self, id: &MachineId, open: bool) {
         if let Some(m) = self.all.get_mut(id) {
-            m.open = open;
+            m.schedulable = open;
         }
     }
 
     /// The types of machines changed, and with them what each is good for.
     pub fn mark_all_changed(&mut self) {
         for m in self.all.values_mut() {
-            m.mark_changed(&mut self.noted);
+            m.mark_changed(&mut self.changed);
         }
     }
 
     /// Those that changed since the last call, or are gone; the ones that have something to be
     /// told join the others of that kind.
     pub fn take_changed(&mut self) -> Vec<MachineId> {
-        let noted = std::mem::take(&mut self.noted);
+        let noted = std::mem::take(&mut self.changed);
         for id in &noted {
             if let Some(m) = self.all.get_mut(id) {
-                m.noted = false;
-                if m.push {
-                    self.to_tell.insert(id.clone());
+                m.change_noted = false;
+                if m.needs_push {
+                    self.to_push.insert(id.clone());
                 }
             }
         }
@@ -240,7 +240,7 @@
     pub failed_jobs: BTreeSet<JobId>,
     pub failures: u32,
     pub avoid_until: Option<Instant>,
-    pub pace: Slowness,
+    pub slowness: Slowness,
 }
 
 /// Run times on a machine against those of the same jobs everywhere.
@@ -279,78 +279,78 @@
         Machine {
             id,
             addr: String::new(),
-            kind: kind.into(),
+            machine_type: kind.into(),
             zone: zone.into(),
             spot,
-            session: 0,
-            seq: 0,
-            seen: now,
-            lease_from: now,
-            session_since: now,
-            session_over: false,
+            incarnation: 0,
+            sequence: 0,
+            last_heartbeat: now,
+            lease_renewed: now,
+            incarnation_since: now,
+            lease_expired: false,
             tasks: BTreeMap::new(),
             exited: Vec::new(),
-            told_under: 0,
-            unheard: None,
-            answered_since: None,
+            started_under_token: 0,
+            unconfirmed_token: None,
+            unproven_since: None,
             unresolved: false,
             freed: false,
-            asked: None,
-            shown: 0,
+            restart_probe: None,
+            highest_token: 0,
             recorded: false,
-            epoch: 0,
-            doubt: None,
-            call: None,
-            answered: false,
-            push: false,
+            token_epoch: 0,
+            doubtful_until_token: None,
+            call_in_flight: None,
+            start_unconfirmed: false,
+            needs_push: false,
             push_after: now,
-            unanswered: 0,
-            notice: None,
+            failed_calls: 0,
+            reclaim_at: None,
             known_since: now,
             up_since: None,
             age: Duration::ZERO,
-            listed: None,
+            listed_since: None,
             deleting: None,
             idle_since: now,
             images: Vec::new(),
-            faults: Faults::default(),
-            open: false,
+            fault_history: Faults::default(),
+            schedulable: false,
             via: None,
-            lent_to: None,
-            recalled: false,
+            delegated_to: None,
+            revoked: false,
             claimed_until: None,
-            noted: false,
+            change_noted: false,
         }
     }
 
     pub fn token(&self, term: u64) -> u64 {
-        (term << TOKEN_EPOCH_BITS) | self.epoch
+        (term << TOKEN_EPOCH_BITS) | self.token_epoch
     }
 
     /// Whether a report says only what is known, under this term's token: most reports do, and
     /// with a thousand machines that each hold dozens of tasks, taking them in anew every time
     /// was most of a leader's work.
     pub(super) fn is_unchanged_by(&self, report: &Heartbeat, term: u64) -> bool {
-        let calm = report.session == self.session
-            && report.seq > self.seq
-            && report.token >= (term << TOKEN_EPOCH_BITS).max(self.shown)
-            && !self.session_over
+        let calm = report.incarnation == self.incarnation
+            && report.sequence > self.sequence
+            && report.fencing_token >= (term << TOKEN_EPOCH_BITS).max(self.highest_token)
+            && !self.lease_expired
             && self.recorded
-            && self.doubt.is_none()
-            && !self.answered
-            && self.unheard.is_none()
-            && self.notice.is_none()
-            && report.notice.is_none()
+            && self.doubtful_until_token.is_none()
+            && !self.start_unconfirmed
+            && self.unconfirmed_token.is_none()
+            && self.reclaim_at.is_none()
+            && report.reclaim_in_s.is_none()
             && self.up_since.is_some()
             && self.spot == report.spot
             && self.addr == report.addr
-            && report.rows.len() == self.tasks.len() + self.exited.len();
+            && report.tasks.len() == self.tasks.len() + self.exited.len();
         let is = |key: &TaskId, text: &str| {
             text.strip_prefix(&*key.job)
                 .and_then(|rest| rest.strip_prefix('/'))
-                .is_some_and(|row| row.parse() == Ok(key.row))
+                .is_some_and(|row| row.parse() == Ok(key.index))
         };
-        calm && report.rows.iter().all(|row| {
+        calm && report.tasks.iter().all(|row| {
             if row.state == TaskState::Exited {
                 let mut exited = self.exited.iter();
                 return exited.any(|e| e.attempt == row.attempt && is(&e.key, &row.task));
@@ -365,14 +365,14 @@
     /// Nothing is open between it and the leader: a report that says the same as its last one
     /// would be answered with no orders.
     pub(super) fn is_steady(&self) -> bool {
-        self.session > 0
+        self.incarnation > 0
             && self.recorded
-            && !self.session_over
+            && !self.lease_expired
             && self.no_command_in_flight()
-            && !self.answered
-            && !self.push
-            && self.unheard.is_none()
-            && self.notice.is_none()
+            && !self.start_unconfirmed
+            && !self.needs_push
+            && self.unconfirmed_token.is_none()
+            && self.reclaim_at.is_none()
             && self.deleting.is_none()
             && self.exited.is_empty()
             && (self.tasks.values()).all(|t| t.phase != Phase::Unseen && t.stopping.is_none())
@@ -380,19 +380,19 @@
 
     /// What it is told may not reach it: a later token shows that it does.
     pub(super) fn require_token_proof(&mut self, term: u64) {
-        self.epoch += 1;
-        self.unheard = Some(self.token(term));
+        self.token_epoch += 1;
+        self.unconfirmed_token = Some(self.token(term));
     }
 
     /// No command that was sent can still arrive.
     pub(super) fn no_command_in_flight(&self) -> bool {
-        self.call.is_none() && self.doubt.is_none()
+        self.call_in_flight.is_none() && self.doubtful_until_token.is_none()
     }
 
     /// Notes that it is about to change, once until that is taken notice of.
     pub(super) fn mark_changed(&mut self, noted: &mut Vec<MachineId>) -> &mut Machine {
-        if !self.noted {
-            self.noted = true;
+        if !self.change_noted {
+            self.change_noted = true;
             noted.push(self.id.clone());
         }
         self
@@ -400,21 +400,21 @@
 
     /// It can be given tasks now.
     pub fn usable(&self, now: Instant, patience: Duration) -> bool {
-        self.session > 0
+        self.incarnation > 0
             && (self.recorded || !stands(Safeguard::Recorded))
-            && !self.session_over
+            && !self.lease_expired
             && self.deleting.is_none()
-            && self.notice.is_none()
-            && self.doubt.is_none()
-            && self.unheard.is_none()
-            && now.saturating_duration_since(self.seen) < patience
+            && self.reclaim_at.is_none()
+            && self.doubtful_until_token.is_none()
+            && self.unconfirmed_token.is_none()
+            && now.saturating_duration_since(self.last_heartbeat) < patience
             // Answers to direct commands keep no lease: without reports, what is started dies with it.
-            && (now.saturating_duration_since(self.lease_from) < patience || !stands(Safeguard::Mute))
+            && (now.saturating_duration_since(self.lease_renewed) < patience || !stands(Safeguard::Mute))
     }
 
     /// Its latest failures speak against giving it tasks now.
     pub fn avoided(&self, now: Instant) -> bool {
-        self.faults.avoid_until.is_some_and(|t| now < t)
+        self.fault_history.avoid_until.is_some_and(|t| now < t)
     }
 
     pub fn use_image(&mut self, image: ImageTag, gb: f64, cache_gb: f64) {
--- a/src/core/mirror.rs
+++ b/src/core/mirror.rs
@@ -145,7 +145,9 @@
             if let Some(known) = self.jobs.get_mut(&id) {
                 known.done.join(&job.done);
             } else if job.version > revision && !self.finished.contains_key(&id) {
-                let doomed = self.pipelines.begin(&id, &job.spec.awaits, &self.finished);
+                let doomed = self
+                    .pipelines
+                    .begin(&id, &job.spec.dependencies, &self.finished);
                 self.changed.extend(doomed);
                 self.jobs.insert(id, job);
             }
@@ -172,7 +174,7 @@
         let at = now.duration_since(SystemTime::UNIX_EPOCH);
         Some(ResidualTasks {
             team: job.spec.team.clone(),
-            needs: job.spec.needs,
+            needs: job.spec.resources,
             tasks: job.spec.tasks.saturating_sub(job.done.len()),
             at_ms: at.unwrap_or_default().as_millis() as u64,
         })
@@ -335,7 +337,7 @@
                     self.left.insert(id.clone(), left);
                 }
                 let job = self.jobs.remove(&id);
-                let awaits = job.as_ref().map_or(&[][..], |j| &j.spec.awaits);
+                let awaits = job.as_ref().map_or(&[][..], |j| &j.spec.dependencies);
                 // What it needs owes it nothing any more.
                 self.changed.extend(awaits.iter().cloned());
                 self.changed.extend(self.pipelines.end(&id, awaits, end));
@@ -363,7 +365,9 @@
                 for (base, rows) in self.take_orphaned_ranges(&id) {
                     pieces.insert(base, done.add_ranges(base, &rows, spec.tasks));
                 }
-                let doomed = self.pipelines.begin(&id, &spec.awaits, &self.finished);
+                let doomed = self
+                    .pipelines
+                    .begin(&id, &spec.dependencies, &self.finished);
                 self.changed.extend(doomed);
                 self.jobs.insert(
                     id,
--- a/src/core/mirror/stored.rs
+++ b/src/core/mirror/stored.rs
@@ -88,7 +88,7 @@
 
 impl JobValue {
     pub fn live(spec: Box<JobSpec>, submitted_ms: u64) -> JobValue {
-        if spec.awaits.is_empty() {
+        if spec.dependencies.is_empty() {
             JobValue::Live { spec, submitted_ms }
         } else {
             JobValue::Awaiting {
@@ -102,7 +102,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineValue {
     pub addr: String,
-    pub kind: String,
+    #[serde(rename = "kind")]
+    pub machine_type: String,
     pub zone: String,
     pub spot: bool,
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -530,7 +530,7 @@
             tracing::warn!("this process stood still for {} ms", late.as_millis());
             if let Some(lead) = &mut self.lead {
                 // The machines' silence proves nothing.
-                lead.deaf_until = now.mono + self.settings.report * 2;
+                lead.silence_excused_until = now.mono + self.settings.report * 2;
             }
         }
         self.forget_cancelled();
@@ -602,7 +602,7 @@
             self.send_writes();
         } else {
             if let Some(lead) = &mut self.lead {
-                let held = std::mem::take(&mut lead.held);
+                let held = std::mem::take(&mut lead.deferred_responses);
                 reports.extend(held.reports);
                 syncs.extend(held.syncs);
             }
@@ -733,7 +733,7 @@
     fn set_machine_types(&mut self, types: Vec<MachineType>) {
         if !types.is_empty() && types != self.types {
             if let Some(lead) = &mut self.lead {
-                lead.writes.types = true;
+                lead.writes.machine_types = true;
                 lead.machines.mark_all_changed();
             }
             self.types = types;
--- a/src/core/questions.rs
+++ b/src/core/questions.rs
@@ -86,8 +86,8 @@
         }
         let job = self.mirror.jobs.get(id)?;
         let lead = self.lead.as_ref()?;
-        let run = lead.runs.get(id)?;
-        if run.ending.is_some() || lead.in_doubt.contains(id) {
+        let run = lead.job_runs.get(id)?;
+        if run.ending.is_some() || lead.cancellation_pending.contains(id) {
             return None;
         }
         let running = self.running_of(id, run);
@@ -105,7 +105,7 @@
         let running = |(row, machine): (&u32, &MachineId)| {
             let key = TaskId {
                 job: Self::job_id(id),
-                row: *row,
+                index: *row,
             };
             lead.machines
                 .get(machine)
@@ -405,7 +405,7 @@
 
     fn awaits_others(&self, id: &str) -> bool {
         let job = self.mirror.jobs.get(id);
-        job.is_some_and(|j| !j.spec.awaits.is_empty())
+        job.is_some_and(|j| !j.spec.dependencies.is_empty())
     }
 
     /// Answers with what was read after the question came: nobody can have been told anything
--- a/src/core/rebuild.rs
+++ b/src/core/rebuild.rs
@@ -95,13 +95,13 @@
 
     pub fn hold(&mut self, key: &TaskId, machine: &MachineId) {
         let rows = self.held.entry(key.job.clone()).or_default();
-        rows.insert((key.row, machine.clone()));
+        rows.insert((key.index, machine.clone()));
     }
 
     /// The task is not on the machine any more.
     pub fn remove_held(&mut self, key: &TaskId, machine: &MachineId) {
         if let Some(rows) = self.held.get_mut(&key.job) {
-            rows.remove(&(key.row, machine.clone()));
+            rows.remove(&(key.index, machine.clone()));
             if rows.is_empty() {
                 self.held.remove(&key.job);
             }
@@ -110,7 +110,7 @@
 
     pub fn record_result(&mut self, key: &TaskId) {
         let rows = self.held_done.entry(key.job.clone()).or_default();
-        rows.insert(key.row);
+        rows.insert(key.index);
     }
 
     pub fn held_machines(&self) -> BTreeSet<&MachineId> {
@@ -167,13 +167,13 @@
         lead.rebuild = Some(rebuild);
         // Done rows are written again, whichever of them are stored.
         for (id, job) in self.mirror.jobs.iter().filter(|(_, j)| j.done.len() > 0) {
-            if let Some(run) = lead.runs.get_mut(id) {
+            if let Some(run) = lead.job_runs.get_mut(id) {
                 let rows = (0..job.spec.tasks).filter(|r| job.done.contains(*r));
-                run.unwritten = rows.collect();
+                run.unpersisted_done = rows.collect();
                 lead.writes.progress.insert(id.clone(), lead.since);
             }
         }
-        lead.writes.types = !self.types.is_empty();
+        lead.writes.machine_types = !self.types.is_empty();
     }
 
     /// Until the workers' leases have run out, a machine unknown to everybody may hold tasks.
@@ -191,7 +191,7 @@
     /// Whether tasks may be started, as far as a loss of data is concerned.
     pub(super) fn may_start_tasks(&self, lead: &LeaderState) -> bool {
         let Some(r) = &lead.rebuild else { return true };
-        let up = |id: &MachineId| lead.machines.get(id).is_none_or(|m| m.session > 0);
+        let up = |id: &MachineId| lead.machines.get(id).is_none_or(|m| m.incarnation > 0);
         let heard = lead.unresolved == 0 && r.booting.iter().all(up);
         let seen_all = r.complete() && r.listed && heard;
         seen_all || self.worker_leases_expired(lead)
@@ -257,7 +257,7 @@
         let written = self.mirror.owed.is_empty() && w.progress.is_empty() && w.ends.is_empty();
         let quiet = r.held.is_empty() && r.held_done.is_empty();
         let over = r.complete() && r.all_queried_twice() && starts && (quiet || r.settled);
-        lead.writes.rebuilt = over && written && w.records.all_written();
+        lead.writes.rebuild_complete = over && written && w.records.all_written();
     }
 
     /// A page of another controller's memory, or no answer.
@@ -324,7 +324,7 @@
         for (id, rows) in new.done {
             for row in rows {
                 let job = id.clone();
-                self.task_completed(&TaskId { job, row }, None);
+                self.task_completed(&TaskId { job, index: row }, None);
             }
         }
         for id in new.machines {
@@ -332,7 +332,7 @@
                 continue;
             };
             let Some(lead) = &mut self.lead else { break };
-            if lead.machines.get(&id).is_some() || lead.gone.contains(&id) {
+            if lead.machines.get(&id).is_some() || lead.deleted_machines.contains(&id) {
                 continue;
             }
             tracing::info!(machine = %id, "machine {id}: another controller remembers it");
@@ -394,7 +394,7 @@
         for (row, machine) in held {
             let key = TaskId {
                 job: id.clone(),
-                row,
+                index: row,
             };
             let Some(m) = lead.machines.get_mut(&machine) else {
                 continue;
@@ -402,19 +402,19 @@
             let Some(t) = m.tasks.get_mut(&key) else {
                 continue;
             };
-            let run = lead.runs.get_mut(id);
+            let run = lead.job_runs.get_mut(id);
             match (job, run) {
                 (Some(job), Some(run))
                     if row < job.spec.tasks && run.ending.is_none() && !job.done.contains(row) =>
                 {
-                    t.needs = job.spec.needs;
+                    t.resources = job.spec.resources;
                     t.team = self.settings.team_index(&job.spec.team);
                     run.hold(row, &machine);
                     adopted.push((key, machine));
                 }
                 _ => {
                     t.stop(StopReason::Over, now);
-                    m.push = true;
+                    m.needs_push = true;
                 }
             }
         }
@@ -424,7 +424,7 @@
         }
         for row in done {
             let job = id.clone();
-            self.task_completed(&TaskId { job, row }, None);
+            self.task_completed(&TaskId { job, index: row }, None);
         }
     }
 
@@ -434,7 +434,7 @@
         let mut room = Resources::default();
         let machines = lead.rebuild.iter().flat_map(Rebuild::held_machines);
         for m in machines.filter_map(|id| lead.machines.get(id)) {
-            if let Some(t) = self.type_of(&m.kind) {
+            if let Some(t) = self.type_of(&m.machine_type) {
                 room.add(&t.room());
             }
         }
@@ -467,7 +467,12 @@
         let lead = self.lead.as_ref()?;
         // This leadership's own writing of it.
         let stem = lead.term;
-        let from = lead.writes.owed_parts.get(id).copied().unwrap_or(0);
+        let from = lead
+            .writes
+            .missing_parts_written
+            .get(id)
+            .copied()
+            .unwrap_or(0);
         if from < texts.len() {
             let next = texts.iter().enumerate().skip(from).take(most.max(1));
             let part = |(n, text): (usize, &String)| {
@@ -516,13 +521,13 @@
             for (row, machine) in rows {
                 let key = TaskId {
                     job: job.clone(),
-                    row,
+                    index: row,
                 };
                 if let Some(m) = lead.machines.get_mut(&machine)
                     && let Some(t) = m.tasks.get_mut(&key)
                 {
                     t.stop(StopReason::Over, now);
-                    m.push = true;
+                    m.needs_push = true;
                 }
             }
         }
@@ -628,16 +633,22 @@
     fn expect_machine(&mut self, id: &MachineId, value: &MachineValue, now: Instant) {
         let since = self.since;
         let m = self.machines.get_or_add(id, || {
-            let mut m = Machine::new(id.clone(), &value.kind, &value.zone, value.spot, now);
+            let mut m = Machine::new(
+                id.clone(),
+                &value.machine_type,
+                &value.zone,
+                value.spot,
+                now,
+            );
             m.addr = value.addr.clone();
             m
         });
-        if m.session > 0 {
+        if m.incarnation > 0 {
             return;
         }
         // Nobody but this leader has answered it since.
-        m.lease_from = since;
+        m.lease_renewed = since;
         self.unresolved += usize::from(!std::mem::replace(&mut m.unresolved, true));
-        self.to_ask.push(id.clone());
+        self.to_probe.push(id.clone());
     }
 }
--- a/src/core/records/tests.rs
+++ b/src/core/records/tests.rs
@@ -4,7 +4,7 @@
 fn value(i: usize) -> MachineValue {
     MachineValue {
         addr: format!("10.1.0.{}:9000", i % 250),
-        kind: "betonniere".into(),
+        machine_type: "betonniere".into(),
         zone: "saint-brieuc".into(),
         spot: i.is_multiple_of(2),
     }
--- a/src/core/recovery.rs
+++ b/src/core/recovery.rs
@@ -24,9 +24,9 @@
     /// yet come first: one that did not answer takes a call for long.
     pub(super) fn next_probe(&mut self, now: Instant) -> Option<MachineId> {
         loop {
-            let id = self.to_ask.pop().or_else(|| {
-                self.ask_again.first().filter(|(at, _)| *at <= now)?;
-                self.ask_again.pop_first().map(|(_, id)| id)
+            let id = self.to_probe.pop().or_else(|| {
+                self.probe_retries.first().filter(|(at, _)| *at <= now)?;
+                self.probe_retries.pop_first().map(|(_, id)| id)
             })?;
             let m = self.machines.get(&id);
             let Some(m) = m.filter(|m| m.unresolved) else {
@@ -34,8 +34,8 @@
             };
             if let Some(later) = m.claimed_until.filter(|t| now < *t) {
                 // Another controller is about it.
-                self.ask_again.insert((later, id));
-            } else if m.call.is_none() {
+                self.probe_retries.insert((later, id));
+            } else if m.call_in_flight.is_none() {
                 return Some(id);
             }
         }
@@ -43,8 +43,8 @@
 
     /// A machine in this zone has answered a call.
     pub(super) fn mark_zone_reachable(&mut self, zone: &str) {
-        if !self.answering.contains(zone) {
-            self.answering.insert(zone.to_string());
+        if !self.reachable_zones.contains(zone) {
+            self.reachable_zones.insert(zone.to_string());
         }
     }
 }
@@ -55,14 +55,20 @@
         let now = self.now.mono;
         let Some(lead) = &mut self.lead else { return };
         for (id, value) in &self.mirror.machines {
-            let mut m = Machine::new(id.clone(), &value.kind, &value.zone, value.spot, now);
+            let mut m = Machine::new(
+                id.clone(),
+                &value.machine_type,
+                &value.zone,
+                value.spot,
+                now,
+            );
             m.addr = value.addr.clone();
             // Remembered only, if the store has lost data.
             m.recorded = lead.writes.records.known(id);
             // The predecessor stopped answering reports before our key could be created, so the
             // machine's lease runs from now at the latest; or, if it gave its lease back, from when its
             // last grant to another controller ran out.
-            m.lease_from = now + LEASE_TTL;
+            m.lease_renewed = now + LEASE_TTL;
             m.unresolved = true;
             lead.machines.get_or_add(id, || m);
             lead.unresolved += 1;
@@ -91,10 +97,10 @@
         if self.delegating && turns.iter().any(ours) {
             let others: Vec<MachineId> = turns.extract_if(.., |id| !ours(id)).collect();
             let later = now + DELEGATE_HEAD_START;
-            lead.ask_again = others.into_iter().map(|id| (later, id)).collect();
+            lead.probe_retries = others.into_iter().map(|id| (later, id)).collect();
         }
-        lead.to_hear = lead.unresolved;
-        lead.to_ask = turns;
+        lead.initially_unresolved = lead.unresolved;
+        lead.to_probe = turns;
         self.probe_machines();
     }
 
@@ -103,7 +109,7 @@
     pub(super) fn probe_machines(&mut self) {
         let now = self.now.mono;
         while let Some(lead) = &mut self.lead
-            && lead.calls_out < MAX_DIRECT_CALLS
+            && lead.direct_calls_in_flight < MAX_DIRECT_CALLS
             && let Some(id) = lead.next_probe(now)
         {
             self.probe_machine(&id);
@@ -115,21 +121,21 @@
     pub(super) fn probe_for_restart(&mut self, id: &MachineId) {
         let now = self.now.mono;
         let Some(lead) = &mut self.lead else { return };
-        let free = lead.calls_out < MAX_DIRECT_CALLS;
+        let free = lead.direct_calls_in_flight < MAX_DIRECT_CALLS;
         let Some(m) = lead.machines.get_mut_quiet(id) else {
             return;
         };
-        if !free || m.call.is_some() || m.session == 0 || now < m.push_after {
+        if !free || m.call_in_flight.is_some() || m.incarnation == 0 || now < m.push_after {
             return;
         }
         m.push_after = now + RESTART_PROBE_INTERVAL;
         // Shown with the question: what was sent to its former life is refused from then on.
-        m.epoch += 1;
+        m.token_epoch += 1;
         self.probe_machine(id);
         if let Some(m) = (self.lead.as_mut()).and_then(|l| l.machines.get_mut_quiet(id))
-            && let Some(call) = m.call
+            && let Some(call) = m.call_in_flight
         {
-            m.asked = Some(((m.session, m.seq), call));
+            m.restart_probe = Some(((m.incarnation, m.sequence), call));
         }
     }
 
@@ -141,8 +147,8 @@
             return;
         };
         tracing::warn!(machine = %id, "machine {id} has begun anew");
-        (m.session, m.seq, m.shown) = (0, 0, seen);
-        (m.doubt, m.answered, m.session_over) = (None, false, false);
+        (m.incarnation, m.sequence, m.highest_token) = (0, 0, seen);
+        (m.doubtful_until_token, m.start_unconfirmed, m.lease_expired) = (None, false, false);
         m.exited.clear();
         m.images.clear();
         m.require_token_proof(term);
@@ -165,8 +171,8 @@
         let Some(m) = lead.machines.get_mut(id) else {
             return;
         };
-        m.call = Some(call);
-        lead.calls_out += 1;
+        m.call_in_flight = Some(call);
+        lead.direct_calls_in_flight += 1;
         self.out.push(Effect::Direct {
             call,
             addr,
@@ -184,8 +190,8 @@
             return;
         };
         let double = |key: &&TaskId| {
-            let run = lead.runs.get(&key.job);
-            run.is_some_and(|r| !r.assigned_machines(key.row).is_empty())
+            let run = lead.job_runs.get(&key.job);
+            run.is_some_and(|r| !r.assigned_machines(key.index).is_empty())
         };
         let doubles: Vec<TaskId> = m.tasks.keys().filter(double).cloned().collect();
         for key in doubles {
@@ -198,7 +204,7 @@
         let Some(lead) = &mut self.lead else { return };
         let machine = lead.machines.get_mut(id);
         let known = machine.is_some_and(|m| {
-            m.lease_from = m.lease_from.max(m.session_since);
+            m.lease_renewed = m.lease_renewed.max(m.incarnation_since);
             std::mem::take(&mut m.unresolved)
         });
         if known {
@@ -209,8 +215,8 @@
             tracing::debug!(term = lead.term, machine = %id, "term {}: machine {id} is known: {how}", lead.term);
             let took = (self.now.mono - lead.since).as_millis();
             // What is left then are machines that died with the last leader.
-            if lead.to_hear > 0 && lead.unresolved * 100 <= lead.to_hear {
-                let all = std::mem::take(&mut lead.to_hear);
+            if lead.initially_unresolved > 0 && lead.unresolved * 100 <= lead.initially_unresolved {
+                let all = std::mem::take(&mut lead.initially_unresolved);
                 tracing::info!(
                     term = lead.term,
                     "term {}: 99 % of {all} machines known after {took} ms",
--- a/src/core/relay.rs
+++ b/src/core/relay.rs
@@ -137,13 +137,13 @@
     pub fn adopt_workers(&mut self, lead: &LeaderState) {
         self.grant = None;
         for m in lead.machines.values() {
-            if m.session > 0 && m.via.is_none() && !m.session_over {
+            if m.incarnation > 0 && m.via.is_none() && !m.lease_expired {
                 let w = Worker {
-                    session: m.session,
-                    seq: m.seq,
+                    session: m.incarnation,
+                    seq: m.sequence,
                     addr: m.addr.clone(),
                     token: m.token(lead.term),
-                    seen: m.seen,
+                    seen: m.last_heartbeat,
                     calm: None,
                 };
                 self.workers.insert(m.id.clone(), w);
@@ -154,8 +154,8 @@
     fn digest(&self, r: &Heartbeat) -> Digest {
         let mut d = Digester::new(self.incarnation);
         d.text(&r.addr);
-        d.number(u64::from(r.spot) + 2 * u64::from(r.notice.is_some()));
-        for row in &r.rows {
+        d.number(u64::from(r.spot) + 2 * u64::from(r.reclaim_in_s.is_some()));
+        for row in &r.tasks {
             d.text(&row.task);
             d.number(row.attempt);
             d.number(row.state as u64);
@@ -169,17 +169,17 @@
         let digest = self.digest(report);
         let w = self.workers.get_mut(&report.machine)?;
         let (said, token) = w.calm?;
-        let same = report.session == w.session
-            && report.seq > w.seq
+        let same = report.incarnation == w.session
+            && report.sequence > w.seq
             // The worker would drop an answer with a lower token than it has seen, and yet stay
             // here while its lease runs out.
-            && report.token == token
-            && report.notice.is_none()
+            && report.fencing_token == token
+            && report.reclaim_in_s.is_none()
             && digest == said;
         if !same {
             return None;
         }
-        (w.seq, w.seen) = (report.seq, now);
+        (w.seq, w.seen) = (report.sequence, now);
         if !self.untold.contains(&report.machine) {
             self.untold.insert(report.machine.clone());
         }
@@ -253,7 +253,7 @@
     /// A worker reports here, and another controller leads, or none.
     pub(super) fn relay_heartbeat(&mut self, ticket: Ticket, report: Box<Heartbeat>) {
         let now = self.now.mono;
-        self.observe_fencing_token(report.token);
+        self.observe_fencing_token(report.fencing_token);
         if !self.delegating {
             return self.redirect(ticket);
         }
@@ -265,7 +265,10 @@
                 Some(to) => redirect_to(&to),
                 None => {
                     let orders = Vec::new();
-                    let body = to_json(&HeartbeatResponse { token, orders });
+                    let body = to_json(&HeartbeatResponse {
+                        fencing_token: token,
+                        commands: orders,
+                    });
                     let until = stands(Safeguard::Grant).then_some(grant.until);
                     Answer::new(200, body).until(until)
                 }
@@ -497,15 +500,18 @@
             } => {
                 let digest = self.relay.digest(r);
                 let worker = Worker {
-                    session: r.session,
-                    seq: r.seq,
+                    session: r.incarnation,
+                    seq: r.sequence,
                     addr: r.addr.clone(),
-                    token: r.token,
+                    token: r.fencing_token,
                     seen: w.received,
                     calm: calm.then_some((digest, token)),
                 };
                 self.relay.workers.insert(r.machine.clone(), worker);
-                let body = to_json(&HeartbeatResponse { token, orders });
+                let body = to_json(&HeartbeatResponse {
+                    fencing_token: token,
+                    commands: orders,
+                });
                 // Before the leader's word is over, and before the worker stops to wait.
                 let until = held.until.min(w.received + RESPONSE_DEADLINE);
                 self.answer(ticket, Answer::new(200, body).until(Some(until)));
@@ -572,9 +578,9 @@
                 DirectRequest::Status { token }
             } else {
                 DirectRequest::Commands(DirectCommands {
-                    token,
-                    session,
-                    orders: Vec::new(),
+                    fencing_token: token,
+                    incarnation: session,
+                    commands: Vec::new(),
                 })
             };
             let call = self.call(Pending::Show(id));
@@ -599,10 +605,10 @@
             return;
         }
         if let Some(w) = self.relay.workers.get_mut(id)
-            && report.session == w.session
+            && report.incarnation == w.session
         {
-            w.seq = w.seq.max(report.seq);
-            w.token = w.token.max(report.token);
+            w.seq = w.seq.max(report.sequence);
+            w.token = w.token.max(report.fencing_token);
         }
         self.relay.waiting.push(Waiting {
             ticket: None,
--- a/src/core/renting.rs
+++ b/src/core/renting.rs
@@ -22,48 +22,53 @@
         let now = self.now.mono;
         let Some(lead) = &mut self.lead else { return };
         let hurry = lead.machines.values().any(|m| {
-            m.session == 0 || now.saturating_duration_since(m.seen) > self.settings.report * 2
+            m.incarnation == 0
+                || now.saturating_duration_since(m.last_heartbeat) > self.settings.report * 2
         });
         // A list takes a call for each page of machines: no more than a third of what is allowed.
-        let pages = 1.0 + lead.market.listed as f64 / PAGE as f64;
+        let pages = 1.0 + lead.cloud.listed_machines as f64 / PAGE as f64;
         let every = Duration::from_secs_f64(3.0 * pages / self.settings.cloud_rps);
         let every = every.max(Duration::from_secs(if hurry { 2 } else { 6 }));
-        let asked = lead.market.list_asked;
+        let asked = lead.cloud.list_requested;
         let awaited = (self.lead.as_ref()).is_some_and(|l| self.machine_list_due(l, asked));
         let Some(lead) = &mut self.lead else { return };
-        let list = !lead.market.listing && (awaited || asked.is_none_or(|t| now >= t + every));
+        let list =
+            !lead.cloud.list_in_flight && (awaited || asked.is_none_or(|t| now >= t + every));
         if list && self.cloud_budget.try_take(now) {
             let Some(lead) = &mut self.lead else { return };
-            lead.market.listing = true;
-            lead.market.list_asked = Some(now);
+            lead.cloud.list_in_flight = true;
+            lead.cloud.list_requested = Some(now);
             self.ask_cloud(Pending::List { sent: now }, CloudRequest::List);
         }
         let Some(lead) = &mut self.lead else { return };
-        if lead.market.delete_calls < MAX_DELETE_CALLS {
-            let due = lead.market.deletions.iter().filter(|(_, at)| **at <= now);
+        if lead.cloud.delete_calls_in_flight < MAX_DELETE_CALLS {
+            let due = lead.cloud.deletions.iter().filter(|(_, at)| **at <= now);
             let names: Vec<MachineId> = due
                 .map(|d| d.0.clone())
                 .take(MAX_DELETED_PER_CALL)
                 .collect();
             if !names.is_empty() && self.cloud_budget.try_take(now) {
-                lead.market.delete_calls += 1;
+                lead.cloud.delete_calls_in_flight += 1;
                 for id in &names {
                     let again = now + Duration::from_secs(4);
-                    lead.market.deletions.insert(id.clone(), again);
+                    lead.cloud.deletions.insert(id.clone(), again);
                 }
                 let request = CloudRequest::Delete(names.clone());
                 self.ask_cloud(Pending::Delete(names), request);
             }
         }
         let Some(lead) = &self.lead else { return };
-        let due = lead.market.rents.iter();
-        let due = due.filter(|(_, r)| r.call.is_none() && now >= r.again_at);
+        let due = lead.cloud.scale_outs.iter();
+        let due = due.filter(|(_, r)| r.call.is_none() && now >= r.retry_at);
         let rents: Vec<String> = due.map(|(name, _)| name.clone()).collect();
         for name in rents {
             if !self.cloud_budget.try_take(now) {
                 return;
             }
-            let op = self.lead.as_ref().and_then(|l| l.market.rents.get(&name));
+            let op = self
+                .lead
+                .as_ref()
+                .and_then(|l| l.cloud.scale_outs.get(&name));
             let Some(body) = op.map(|op| op.body.clone()) else {
                 return;
             };
@@ -71,7 +76,7 @@
             let op = self
                 .lead
                 .as_mut()
-                .and_then(|l| l.market.rents.get_mut(&name));
+                .and_then(|l| l.cloud.scale_outs.get_mut(&name));
             if let Some(op) = op {
                 op.call = Some(call);
             }
@@ -93,9 +98,9 @@
     pub(super) fn rent(&mut self, offer: Offer, count: u32) {
         let now = self.now.mono;
         let Some(lead) = &mut self.lead else { return };
-        lead.market.next_rent += 1;
+        lead.cloud.next_request += 1;
         // Terms are unique for ever, and so is the number within one.
-        let name = format!("burlusher-{}-{}", lead.term, lead.market.next_rent);
+        let name = format!("burlusher-{}-{}", lead.term, lead.cloud.next_request);
         tracing::info!(
             "renting {count} of {} in {}, {}: {name}",
             offer.0,
@@ -103,19 +108,19 @@
             if offer.2 { "spot" } else { "ordinary" }
         );
         let body = ScaleOutRequest {
-            request: name.clone(),
-            kind: offer.0,
+            request_id: name.clone(),
+            machine_type: offer.0,
             zone: offer.1,
             spot: offer.2,
             count,
         };
-        lead.market.rents.insert(
+        lead.cloud.scale_outs.insert(
             name,
             ScaleOutOperation {
                 body,
                 since: now,
                 call: None,
-                again_at: now,
+                retry_at: now,
             },
         );
     }
@@ -132,9 +137,9 @@
         let Some(lead) = &mut self.lead else { return };
         match pending {
             Some(Pending::List { sent }) => {
-                lead.market.listing = false;
+                lead.cloud.list_in_flight = false;
                 if let CloudOutcome::Listed(list) = outcome {
-                    lead.market.listed = list.len();
+                    lead.cloud.listed_machines = list.len();
                     for _ in 0..list.len() / PAGE {
                         self.cloud_budget.take(now);
                     }
@@ -142,18 +147,19 @@
                 }
             }
             Some(Pending::Delete(names)) => {
-                lead.market.delete_calls = lead.market.delete_calls.saturating_sub(1);
+                lead.cloud.delete_calls_in_flight =
+                    lead.cloud.delete_calls_in_flight.saturating_sub(1);
                 if let CloudOutcome::Deleted(_) = outcome {
                     for id in &names {
-                        lead.market.deletions.remove(id);
-                        lead.gone.insert(id.clone());
+                        lead.cloud.deletions.remove(id);
+                        lead.deleted_machines.insert(id.clone());
                     }
                     for id in names {
                         self.machine_gone(&id, "deleted");
                     }
                 } else {
                     for id in names {
-                        if let Some(at) = lead.market.deletions.get_mut(&id) {
+                        if let Some(at) = lead.cloud.deletions.get_mut(&id) {
                             *at = now + Duration::from_secs(1);
                         }
                     }
@@ -167,32 +173,36 @@
     fn scale_out_outcome(&mut self, name: &str, outcome: CloudOutcome) {
         let now = self.now.mono;
         let Some(lead) = &mut self.lead else { return };
-        let Some(op) = lead.market.rents.get_mut(name) else {
+        let Some(op) = lead.cloud.scale_outs.get_mut(name) else {
             return;
         };
         op.call = None;
-        let offer = (op.body.kind.clone(), op.body.zone.clone(), op.body.spot);
+        let offer = (
+            op.body.machine_type.clone(),
+            op.body.zone.clone(),
+            op.body.spot,
+        );
         let asked = op.body.count as usize;
         let since = op.since;
         let mut got = Some(0);
         match outcome {
             CloudOutcome::Rented(ids) => {
                 got = Some(ids.len());
-                lead.market.rents.remove(name);
+                lead.cloud.scale_outs.remove(name);
                 for id in ids {
                     let m = Machine::new(id.clone(), &offer.0, &offer.1, offer.2, now);
-                    if !lead.gone.contains(&id) {
+                    if !lead.deleted_machines.contains(&id) {
                         lead.machines.get_or_add(&id, || m).age =
                             now.saturating_duration_since(since);
                     }
                 }
             }
             CloudOutcome::NoCapacity | CloudOutcome::Invalid(_) => {
-                lead.market.rents.remove(name);
+                lead.cloud.scale_outs.remove(name);
             }
             // It may have been carried out: only the same name asked again tells.
             _ => {
-                op.again_at = now + Duration::from_secs(2);
+                op.retry_at = now + Duration::from_secs(2);
                 got = None;
             }
         }
@@ -200,7 +210,7 @@
             let beliefs = &mut lead.bidding.beliefs;
             beliefs.answered(&offer, asked as u32, got as u32, now);
             if got < asked {
-                lead.fleet_at = None;
+                lead.last_scaling = None;
             }
         }
     }
@@ -215,17 +225,17 @@
         let (mut unknown, mut booting) = (Vec::new(), Vec::new());
         for l in list {
             present.insert(l.id.clone());
-            if lead.gone.contains(&l.id) {
+            if lead.deleted_machines.contains(&l.id) {
                 continue;
             }
             let known = lead.machines.get(&l.id);
-            if lead.rebuild.is_some() && known.is_none_or(|m| m.session == 0) {
+            if lead.rebuild.is_some() && known.is_none_or(|m| m.incarnation == 0) {
                 match l.state {
                     ListedState::Running if known.is_none() => {
                         let addr = l.addr.clone().unwrap_or_default();
                         let value = MachineValue {
                             addr,
-                            kind: l.kind.clone(),
+                            machine_type: l.machine_type.clone(),
                             zone: l.zone.clone(),
                             spot: l.spot,
                         };
@@ -236,16 +246,17 @@
                 }
             }
             // Most machines are listed as they are known: nothing to change, nothing to note.
-            if known.is_some_and(|m| m.session > 0 && m.listed.is_some() && !m.addr.is_empty())
-                && l.state != ListedState::Failed
+            if known.is_some_and(|m| {
+                m.incarnation > 0 && m.listed_since.is_some() && !m.addr.is_empty()
+            }) && l.state != ListedState::Failed
             {
                 continue;
             }
             let m = lead.machines.get_or_add(&l.id, || {
                 tracing::info!(machine = %l.id, "machine {}: found in the cloud's list, taken on", l.id);
-                Machine::new(l.id.clone(), &l.kind, &l.zone, l.spot, now)
+                Machine::new(l.id.clone(), &l.machine_type, &l.zone, l.spot, now)
             });
-            m.listed.get_or_insert(now);
+            m.listed_since.get_or_insert(now);
             // Also of machines that an earlier leader rented: taken for new, they would be kept
             // idle for the minute that is paid at least.
             if l.age_s.is_finite() && l.age_s >= 0.0 {
@@ -266,7 +277,7 @@
             // It stopped by itself, but stays in the list until it is deleted.
             self.machine_gone(id, "the cloud lists it as failed");
             if let Some(lead) = &mut self.lead {
-                lead.market.deletions.insert(id.clone(), now);
+                lead.cloud.deletions.insert(id.clone(), now);
             }
         }
         let Some(lead) = &self.lead else { return };
@@ -276,7 +287,7 @@
             .machines
             .values()
             .filter(|m| !present.contains(&m.id) && m.known_since + lag < sent)
-            .filter(|m| now.saturating_duration_since(m.seen) > Duration::from_secs(2))
+            .filter(|m| now.saturating_duration_since(m.last_heartbeat) > Duration::from_secs(2))
             .map(|m| m.id.clone())
             .collect();
         for id in absent {
@@ -289,7 +300,7 @@
     fn from(m: &Machine) -> MachineValue {
         MachineValue {
             addr: m.addr.clone(),
-            kind: m.kind.clone(),
+            machine_type: m.machine_type.clone(),
             zone: m.zone.clone(),
             spot: m.spot,
         }
--- a/src/core/report_queue/tests.rs
+++ b/src/core/report_queue/tests.rs
@@ -5,14 +5,14 @@
     let report = Heartbeat {
         machine: format!("i-{number:06}").into(),
         addr: "10.0.0.1:9000".into(),
-        kind: "small".into(),
+        machine_type: "small".into(),
         zone: "a".into(),
         spot: false,
-        session: 1,
-        seq: number,
-        token: 1,
-        notice: None,
-        rows: Vec::new(),
+        incarnation: 1,
+        sequence: number,
+        fencing_token: 1,
+        reclaim_in_s: None,
+        tasks: Vec::new(),
     };
     Waiting {
         ticket: Some(number),
--- a/src/core/reports.rs
+++ b/src/core/reports.rs
@@ -56,8 +56,8 @@
             && id.len() <= 100
             && id.bytes().all(|b| b.is_ascii_graphic() && b != b'/')
             && report.addr.parse::<SocketAddrV4>().is_ok()
-            && report.session > 0
-            && self.plausible_term(report.token >> TOKEN_EPOCH_BITS)
+            && report.incarnation > 0
+            && self.plausible_term(report.fencing_token >> TOKEN_EPOCH_BITS)
     }
 
     /// A report that came here, or by way of another controller; what comes back is the machine,
@@ -73,21 +73,21 @@
             return Err(Answer::error(400, "malformed report"));
         }
         let no_leader = || Answer::busy("no leader here", 1);
-        self.observe_fencing_token(report.token);
+        self.observe_fencing_token(report.fencing_token);
         let lead = self.lead.as_mut().ok_or_else(no_leader)?;
-        if lead.gone.contains(&id) {
+        if lead.deleted_machines.contains(&id) {
             // Sent before the machine was deleted, and held up on the way.
             return Err(Answer::busy("this machine is gone", 30));
         }
         let term = lead.term;
-        let proven = report.token >= term << TOKEN_EPOCH_BITS;
+        let proven = report.fencing_token >= term << TOKEN_EPOCH_BITS;
         if let Some(m) = lead.machines.get_mut_quiet(&id)
             && !m.unresolved
             && m.is_unchanged_by(&report, term)
         {
-            m.seq = report.seq;
-            m.seen = now;
-            m.lease_from = now;
+            m.sequence = report.sequence;
+            m.last_heartbeat = now;
+            m.lease_renewed = now;
             lead.record_heartbeat(via, now);
             lead.record_route(&id, via);
             if via.is_none()
@@ -105,24 +105,30 @@
         }
         lead.machines.get_or_add(&id, || {
             tracing::info!(machine = %id, "machine {id}: unexpected, taken on");
-            Machine::new(id.clone(), &report.kind, &report.zone, report.spot, now)
+            Machine::new(
+                id.clone(),
+                &report.machine_type,
+                &report.zone,
+                report.spot,
+                now,
+            )
         });
         // Passed on once more, as our answer to the other controller was lost: what it says is
         // known, and nothing newer is.
         let again = via.is_some()
             && lead.machines.get(&id).is_some_and(|m| {
                 // By way of anybody else it is a copy.
-                let same = (m.session, m.seq) == (report.session, report.seq);
-                same && m.via.as_ref() == via && !m.session_over
+                let same = (m.incarnation, m.sequence) == (report.incarnation, report.sequence);
+                same && m.via.as_ref() == via && !m.lease_expired
             });
-        let token = report.token;
+        let token = report.fencing_token;
         if !again && !self.apply_heartbeat(&id, report, true) {
             if let Some(m) = (self.lead.as_mut()).and_then(|l| l.machines.get_mut(&id))
-                && token < m.shown
+                && token < m.highest_token
                 && !m.unresolved
             {
                 // If it is of another life, that one has a lease of its own.
-                m.lease_from = m.lease_from.max(now);
+                m.lease_renewed = m.lease_renewed.max(now);
             }
             self.probe_for_restart(&id);
             return Err(Answer::busy("an older report", 1));
@@ -134,12 +140,12 @@
         if unaware && !proven {
             // Old tasks wait for what it has. If no answer of ours comes to it, its lease runs out from
             // the last one on: so there is a last one.
-            let since = *m.answered_since.get_or_insert(now);
+            let since = *m.unproven_since.get_or_insert(now);
             if now > since + lease / 2 {
                 return Err(Answer::busy("this machine does not take its answers", 1));
             }
         }
-        m.lease_from = now;
+        m.lease_renewed = now;
         if !m.recorded {
             // Before its first task: a later leader must know every place a task may be.
             let value = MachineValue::from(&*m);
@@ -181,32 +187,34 @@
         let Some(m) = lead.machines.get_mut(id) else {
             return false;
         };
-        if (report.session, report.seq) <= (m.session, m.seq) || report.token < m.shown {
+        if (report.incarnation, report.sequence) <= (m.incarnation, m.sequence)
+            || report.fencing_token < m.highest_token
+        {
             return false;
         }
         // Made before that session's lease ran out, and held up on the way: what it tells of is
         // gone, and may have been started elsewhere since.
-        if m.session_over && report.session == m.session {
+        if m.lease_expired && report.incarnation == m.incarnation {
             return false;
         }
         let mut lost = Vec::new();
-        if report.session > m.session {
-            if m.session > 0 {
+        if report.incarnation > m.incarnation {
+            if m.incarnation > 0 {
                 // The earlier session's tasks were killed, and its commands are refused.
-                tracing::info!(machine = %id, "machine {id}: session {} begins", report.session);
+                tracing::info!(machine = %id, "machine {id}: session {} begins", report.incarnation);
                 lost = m.tasks.keys().cloned().collect();
             }
-            if m.session > 0 && !m.unresolved {
+            if m.incarnation > 0 && !m.unresolved {
                 // Its lease ran out while it was answered: it may not hear what it is told.
                 m.require_token_proof(term);
             }
-            m.session_over = false;
-            m.doubt = None;
-            m.answered = false;
+            m.lease_expired = false;
+            m.doubtful_until_token = None;
+            m.start_unconfirmed = false;
             m.images.clear();
-            m.session_since = now;
+            m.incarnation_since = now;
             if !m.unresolved {
-                m.lease_from = m.lease_from.max(now);
+                m.lease_renewed = m.lease_renewed.max(now);
             }
         }
         if m.up_since.is_none() {
@@ -214,48 +222,53 @@
             m.up_since = Some(now);
             m.idle_since = now;
             let took = m.age + now.saturating_duration_since(m.known_since);
-            if let Some(t) = self.types.iter().find(|t| t.name == m.kind)
-                && m.session == 0
+            if let Some(t) = self.types.iter().find(|t| t.name == m.machine_type)
+                && m.incarnation == 0
             {
                 let announced = Duration::from_secs_f64(t.boot_s.clamp(0.0, 1e6));
                 lead.bidding.beliefs.came_up(&t.name, announced, took);
             }
         }
-        let noticed = m.notice.is_none() && report.notice.is_some();
-        m.session = report.session;
-        m.seq = report.seq;
-        m.shown = report.token;
-        m.seen = now;
+        let noticed = m.reclaim_at.is_none() && report.reclaim_in_s.is_some();
+        m.incarnation = report.incarnation;
+        m.sequence = report.sequence;
+        m.highest_token = report.fencing_token;
+        m.last_heartbeat = now;
         // With our term's token seen, whatever the predecessors sent is refused from now on.
-        let knows_us = report.token >= term << TOKEN_EPOCH_BITS || !stands(Safeguard::Proof);
+        let knows_us =
+            report.fencing_token >= term << TOKEN_EPOCH_BITS || !stands(Safeguard::Proof);
         m.addr = report.addr;
         m.spot = report.spot;
-        m.notice = report
-            .notice
+        m.reclaim_at = report
+            .reclaim_in_s
             .filter(|n| n.is_finite())
             .map(|n| now + Duration::from_secs_f64(n.clamp(0.0, 86400.0)));
-        if m.doubt.is_some_and(|token| report.token >= token) {
-            m.doubt = None;
+        if m.doubtful_until_token
+            .is_some_and(|token| report.fencing_token >= token)
+        {
+            m.doubtful_until_token = None;
         }
-        if m.unheard.is_some_and(|token| report.token >= token) {
-            m.unheard = None;
+        if m.unconfirmed_token
+            .is_some_and(|token| report.fencing_token >= token)
+        {
+            m.unconfirmed_token = None;
         }
         // Starts in the answer before this report, which was not taken, as it would show them.
-        let untaken = answered && m.answered && m.unanswered > 0;
+        let untaken = answered && m.start_unconfirmed && m.failed_calls > 0;
         if noticed {
-            let offer = (m.kind.clone(), m.zone.clone(), m.spot);
+            let offer = (m.machine_type.clone(), m.zone.clone(), m.spot);
             lead.bidding.beliefs.lost(&offer, 1, now);
         }
         if answered {
-            m.answered = false;
+            m.start_unconfirmed = false;
         }
         // A report that answers direct commands may have been made before the worker read our
         // last answer, so what that one started may be yet to come.
-        let complete = m.no_command_in_flight() && !m.answered;
+        let complete = m.no_command_in_flight() && !m.start_unconfirmed;
         self.tasks_lost(id, lost, "its session ended");
         let mut seen = BTreeSet::new();
         let mut exited = Vec::new();
-        for row in report.rows {
+        for row in report.tasks {
             let Some(key) = parse_task_id(&row.task) else {
                 tracing::warn!(machine = %id, "machine {id}: unreadable task {:?}", row.task);
                 continue;
@@ -275,11 +288,11 @@
             return false;
         };
         let before = std::mem::take(&mut m.exited);
-        let told_under = m.told_under;
+        let told_under = m.started_under_token;
         let exited = exited.into_iter().map(|(key, attempt)| {
             let known = before.iter().find(|e| e.key == key && e.attempt == attempt);
             Exited {
-                told_under: known.map_or(told_under, |e| e.told_under),
+                started_under_token: known.map_or(told_under, |e| e.started_under_token),
                 key,
                 attempt,
             }
@@ -290,11 +303,11 @@
             tasks
                 .any(|(k, t)| t.phase == Phase::Unseen && t.stopping.is_none() && !seen.contains(k))
         };
-        if untaken && m.unheard.is_none() && absent(m) {
+        if untaken && m.unconfirmed_token.is_none() && absent(m) {
             tracing::info!(machine = %id, "machine {id}: neither answers nor calls reach it");
             m.require_token_proof(term);
         }
-        let unheard = m.unheard.is_some();
+        let unheard = m.unconfirmed_token.is_some();
         let missing: Vec<TaskId> = m
             .tasks
             .iter()
@@ -309,7 +322,7 @@
             .map(|(k, _)| k.clone())
             .collect();
         if !unheard && complete && absent(m) {
-            m.push = true;
+            m.needs_push = true;
         }
         self.tasks_lost(id, missing, "it is not on the machine any more");
         if knows_us {
@@ -326,7 +339,7 @@
             return;
         };
         let phase = Phase::of(row.state);
-        let kind = self.types.iter().find(|t| t.name == m.kind);
+        let kind = self.types.iter().find(|t| t.name == m.machine_type);
         // A task of which nothing is known any more may take all there is.
         let room = kind.map_or(Resources::default(), |t| t.room());
         let cache_gb = kind.map_or(0.0, |t| t.cache_gb);
@@ -337,7 +350,7 @@
                 m.use_image(image_tag(&spec.image), spec.image_gb, cache_gb);
             }
             let (needs, team) = match (&spec, self.mirror.left.get(&key.job)) {
-                (Some(spec), _) => (spec.needs, Some(spec.team.as_str())),
+                (Some(spec), _) => (spec.resources, Some(spec.team.as_str())),
                 (None, Some(left)) => (left.needs, Some(left.team.as_str())),
                 (None, None) => (room, None),
             };
@@ -347,7 +360,7 @@
                 since: now,
                 running_since: None,
                 stopping: None,
-                needs,
+                resources: needs,
                 team: team.and_then(|t| self.settings.team_index(t)),
             };
             // Nobody remembers the job, and it may have been accepted all the same.
@@ -356,21 +369,22 @@
                 r.hold(key, id);
                 tracing::warn!(task = %key, machine = %id, "task {key} on {id}: its job is unknown; held");
             }
-            if let (Some(job), Some(run)) =
-                (self.mirror.jobs.get(&key.job), lead.runs.get_mut(&key.job))
-            {
-                if let Some(other) = run.placed.get(&key.row).filter(|m| *m != id) {
+            if let (Some(job), Some(run)) = (
+                self.mirror.jobs.get(&key.job),
+                lead.job_runs.get_mut(&key.job),
+            ) {
+                if let Some(other) = run.placed.get(&key.index).filter(|m| *m != id) {
                     tracing::warn!(task = %key, machine = %id, "task {key} is or was on {id}, and on {other}");
                 }
-                if run.ending.is_none() && !job.done.contains(key.row) {
+                if run.ending.is_none() && !job.done.contains(key.index) {
                     wanted = true;
-                    run.hold(key.row, id);
+                    run.hold(key.index, id);
                     tracing::debug!(task = %key, machine = %id, "task {key} attempt {} found on {id}", row.attempt);
                 }
             }
             if !wanted {
                 t.stop(StopReason::Over, now);
-                m.push = true;
+                m.needs_push = true;
             }
             m.tasks.insert(key.clone(), t);
             self.stop_duplicates(key, id);
@@ -394,7 +408,7 @@
         if phase == Phase::Running && t.running_since.is_none() {
             t.running_since = Some(now);
             tracing::debug!(task = %key, machine = %id, "task {key} attempt {} runs on {id}", t.attempt);
-            if let Some(run) = lead.runs.get_mut(&key.job)
+            if let Some(run) = lead.job_runs.get_mut(&key.job)
                 && run.started.is_none()
             {
                 run.started = Some(now);
@@ -416,7 +430,7 @@
             return;
         };
         let ours = m.tasks.get(key).is_some_and(|t| t.attempt == row.attempt);
-        let why = row.why.unwrap_or(ExitCause::Other);
+        let why = row.cause.unwrap_or(ExitCause::Other);
         if forgotten && let Some(r) = &mut lead.rebuild {
             r.remove_held(key, id);
             if why == ExitCause::Done {
@@ -439,8 +453,8 @@
         tracing::debug!(task = %key, machine = %id, "task {key} attempt {} on {id} ended: {why:?}", t.attempt);
         let ran = t.running_since.map(|s| now.saturating_duration_since(s));
         if why == ExitCause::Done {
-            m.faults.failed_jobs.clear();
-            m.faults.failures = 0;
+            m.fault_history.failed_jobs.clear();
+            m.fault_history.failures = 0;
             self.note_run_time(id, key, ran);
             self.task_completed(key, Some(id));
             return;
@@ -463,13 +477,13 @@
             ExitCause::Done | ExitCause::Stopped => {}
         }
         if let Some(lead) = &mut self.lead
-            && let Some(run) = lead.runs.get_mut(&key.job)
+            && let Some(run) = lead.job_runs.get_mut(&key.job)
         {
             if let Some(d) = hold {
-                run.held.insert(key.row, now + d);
+                run.backoff_until.insert(key.index, now + d);
             }
-            if run.unassign(key.row, id) {
-                run.queued.insert(key.row);
+            if run.unassign(key.index, id) {
+                run.queued.insert(key.index);
             }
         }
     }
@@ -479,10 +493,10 @@
     pub(super) fn stop_duplicates(&mut self, key: &TaskId, fresh: &MachineId) {
         let now = self.now.mono;
         let Some(lead) = &mut self.lead else { return };
-        let Some(run) = lead.runs.get(&key.job) else {
+        let Some(run) = lead.job_runs.get(&key.job) else {
             return;
         };
-        let holders = run.assigned_machines(key.row);
+        let holders = run.assigned_machines(key.index);
         let machines = &mut lead.machines;
         let unsure = |id: &&MachineId| machines.get(id).is_some_and(|m| m.unresolved);
         if holders.len() < 2 || holders.iter().any(unsure) {
@@ -496,7 +510,7 @@
                 && let Some(t) = m.tasks.get_mut(key)
             {
                 t.stop(StopReason::Over, now);
-                m.push = true;
+                m.needs_push = true;
             }
         }
     }
@@ -506,7 +520,7 @@
         let failures: u32 = self
             .lead
             .as_ref()
-            .and_then(|l| l.runs.get(job))
+            .and_then(|l| l.job_runs.get(job))
             .map_or(0, |r| {
                 if r.succeeded {
                     0
@@ -520,7 +534,7 @@
     fn note_failure(&mut self, id: &MachineId, key: &TaskId) {
         let now = self.now.mono;
         let Some(lead) = &mut self.lead else { return };
-        let Some(run) = lead.runs.get_mut(&key.job) else {
+        let Some(run) = lead.job_runs.get_mut(&key.job) else {
             return;
         };
         *run.failures.entry(id.clone()).or_default() += 1;
@@ -531,10 +545,10 @@
             // The machines it was tried on are cleared of its failures.
             for machine in run.failures.keys() {
                 if let Some(m) = lead.machines.get_mut(machine) {
-                    m.faults.failed_jobs.remove(&key.job);
-                    if m.faults.failed_jobs.is_empty() {
-                        m.faults.failures = 0;
-                        m.faults.avoid_until = None;
+                    m.fault_history.failed_jobs.remove(&key.job);
+                    if m.fault_history.failed_jobs.is_empty() {
+                        m.fault_history.failures = 0;
+                        m.fault_history.avoid_until = None;
                     }
                 }
             }
@@ -543,34 +557,34 @@
         let Some(m) = lead.machines.get_mut(id) else {
             return;
         };
-        m.faults.failures += 1;
-        m.faults.failed_jobs.insert(key.job.clone());
+        m.fault_history.failures += 1;
+        m.fault_history.failed_jobs.insert(key.job.clone());
         let most = if stands(Safeguard::Avoid) {
             MAX_AVOIDANCE_DOUBLINGS
         } else {
             u32::MAX
         };
-        let pause = INITIAL_AVOIDANCE * 2u32.pow(m.faults.failures.min(most).min(10));
-        m.faults.avoid_until = Some(now + pause);
+        let pause = INITIAL_AVOIDANCE * 2u32.pow(m.fault_history.failures.min(most).min(10));
+        m.fault_history.avoid_until = Some(now + pause);
     }
 
     /// A machine on which work of several jobs failed, with no success in between, is faulty.
     pub(super) fn faulty(&self, m: &Machine) -> bool {
         let Some(lead) = &self.lead else { return false };
         let believable = m
-            .faults
+            .fault_history
             .failed_jobs
             .iter()
-            .filter(|j| lead.runs.get(*j).is_none_or(|r| !r.is_suspect()))
+            .filter(|j| lead.job_runs.get(*j).is_none_or(|r| !r.is_suspect()))
             .count();
-        (believable >= 2 && m.faults.failures >= 2)
+        (believable >= 2 && m.fault_history.failures >= 2)
             || (believable >= 1
-                && m.faults.failures >= 3
-                && m.faults
+                && m.fault_history.failures >= 3
+                && m.fault_history
                     .failed_jobs
                     .iter()
-                    .any(|j| lead.runs.get(j).is_some_and(|r| r.succeeded)))
-            || m.faults.pace.faulty()
+                    .any(|j| lead.job_runs.get(j).is_some_and(|r| r.succeeded)))
+            || m.fault_history.slowness.faulty()
     }
 
     pub(super) fn task_completed(&mut self, key: &TaskId, on: Option<&MachineId>) {
@@ -578,33 +592,33 @@
         let Some(lead) = &mut self.lead else { return };
         let (Some(job), Some(run)) = (
             self.mirror.jobs.get_mut(&key.job),
-            lead.runs.get_mut(&key.job),
+            lead.job_runs.get_mut(&key.job),
         ) else {
             return;
         };
-        if key.row >= job.spec.tasks {
+        if key.index >= job.spec.tasks {
             return;
         }
         run.succeeded = true;
-        if job.spec.kind == JobKind::Service {
+        if job.spec.job_kind == JobKind::Service {
             // A replica that ends is started again.
-            if on.is_some_and(|id| run.unassign(key.row, id)) {
-                run.queued.insert(key.row);
+            if on.is_some_and(|id| run.unassign(key.index, id)) {
+                run.queued.insert(key.index);
             }
             return;
         }
-        if job.done.insert(key.row) {
-            run.unwritten.insert(key.row);
+        if job.done.insert(key.index) {
+            run.unpersisted_done.insert(key.index);
             lead.writes.progress.entry(key.job.clone()).or_insert(now);
         }
-        run.queued.remove(&key.row);
-        run.held.remove(&key.row);
-        for machine in run.release(key.row) {
+        run.queued.remove(&key.index);
+        run.backoff_until.remove(&key.index);
+        for machine in run.release(key.index) {
             if let Some(m) = lead.machines.get_mut(&machine)
                 && let Some(t) = m.tasks.get_mut(key)
             {
                 t.stop(StopReason::Over, now);
-                m.push = true;
+                m.needs_push = true;
             }
         }
         self.end_if_complete(&key.job);
@@ -628,10 +642,10 @@
             if let Some(r) = &mut lead.rebuild {
                 r.remove_held(&key, id);
             }
-            if let Some(run) = lead.runs.get_mut(&key.job)
-                && run.unassign(key.row, id)
+            if let Some(run) = lead.job_runs.get_mut(&key.job)
+                && run.unassign(key.index, id)
             {
-                run.queued.insert(key.row);
+                run.queued.insert(key.index);
                 tracing::debug!(task = %key, machine = %id, "task {key} attempt {} lost on {id}: {why}", t.attempt);
             }
         }
--- a/src/core/run.rs
+++ b/src/core/run.rs
@@ -18,11 +18,11 @@
     pub placed: BTreeMap<u32, MachineId>,
     /// Further machines on which a placed row is or may be: a report of unknown age proves that it may be
     /// there, and that it is elsewhere proves nothing. A row waits again when none of them has it.
-    pub(super) also: BTreeMap<u32, Vec<MachineId>>,
+    pub(super) other_machines: BTreeMap<u32, Vec<MachineId>>,
     /// Rows that are not to be started again before some moment.
-    pub held: BTreeMap<u32, Instant>,
+    pub backoff_until: BTreeMap<u32, Instant>,
     /// Done rows that are not in the state service yet.
-    pub unwritten: BTreeSet<u32>,
+    pub unpersisted_done: BTreeSet<u32>,
     /// The end that is being written. Nothing is started any more.
     pub ending: Option<JobOutcome>,
     pub cancel_waiters: Vec<Ticket>,
@@ -30,13 +30,13 @@
     pub failures: BTreeMap<MachineId, u32>,
     pub succeeded: bool,
     /// While the job is suspect: when it is tried again, and how often that was in vain.
-    pub probe_at: Option<Instant>,
-    pub probes: u32,
+    pub retry_at: Option<Instant>,
+    pub retries: u32,
     pub started: Option<Instant>,
     /// Since when, as this leader knows, all is done that the job awaits.
     pub ready: Option<Now>,
     /// Sum of the logarithms of its tasks' run times, and their number.
-    pub log_times: (f64, u32),
+    pub log_run_times: (f64, u32),
 }
 
 /// A job that has failed on this many machines and succeeded on none speaks against itself.
@@ -55,7 +55,7 @@
             }
             Some(first) if first == machine => {}
             Some(_) => {
-                let also = self.also.entry(row).or_default();
+                let also = self.other_machines.entry(row).or_default();
                 if !also.contains(machine) {
                     also.push(machine.clone());
                 }
@@ -65,12 +65,12 @@
 
     /// The row is not on this machine any more. Says whether it was, and is on no other one.
     pub fn unassign(&mut self, row: u32, machine: &MachineId) -> bool {
-        let mut also = self.also.remove(&row).unwrap_or_default();
+        let mut also = self.other_machines.remove(&row).unwrap_or_default();
         let first = self.placed.get(&row) == Some(machine);
         also.retain(|m| m != machine);
         let next = if first { also.pop() } else { None };
         if !also.is_empty() {
-            self.also.insert(row, also);
+            self.other_machines.insert(row, also);
         }
         match next {
             Some(next) => {
@@ -83,13 +83,13 @@
 
     /// The row needs to be nowhere any more; where it is or may be.
     pub fn release(&mut self, row: u32) -> Vec<MachineId> {
-        let also = self.also.remove(&row).unwrap_or_default();
+        let also = self.other_machines.remove(&row).unwrap_or_default();
         self.placed.remove(&row).into_iter().chain(also).collect()
     }
 
     /// Where a row is or may be, if that is more than one machine.
     pub fn assigned_machines(&self, row: u32) -> Vec<&MachineId> {
-        let Some(also) = self.also.get(&row) else {
+        let Some(also) = self.other_machines.get(&row) else {
             return Vec::new();
         };
         self.placed.get(&row).into_iter().chain(also).collect()
@@ -104,19 +104,19 @@
         reason: StopReason,
         now: Instant,
     ) {
-        let also = self.also.iter();
+        let also = self.other_machines.iter();
         let also = also.flat_map(|(row, all)| all.iter().map(move |m| (row, m)));
         for (row, machine) in self.placed.iter().chain(also) {
             let key = TaskId {
                 job: id.clone(),
-                row: *row,
+                index: *row,
             };
             if let Some(m) = machines.get_mut(machine)
                 && let Some(t) = m.tasks.get_mut(&key)
                 && (reason == StopReason::Over || t.stopping.is_none())
             {
                 t.stop(reason, now);
-                m.push = true;
+                m.needs_push = true;
             }
         }
     }
@@ -128,15 +128,15 @@
     /// A suspect job has failed once more: it waits twice as long. What was started together
     /// with the last try and fails after it counts with it.
     pub fn record_retry_failure(&mut self, now: Instant) {
-        if self.is_suspect() && self.probe_at.is_none_or(|t| now >= t) {
-            self.probe_at = Some(now + PROBE_PAUSE * (1 << self.probes.min(5)));
-            self.probes += 1;
+        if self.is_suspect() && self.retry_at.is_none_or(|t| now >= t) {
+            self.retry_at = Some(now + PROBE_PAUSE * (1 << self.retries.min(5)));
+            self.retries += 1;
         }
     }
 
     /// Whether nothing of a suspect job is to be started now: it is tried with one task at a time.
     pub fn is_backing_off(&self, now: Instant) -> bool {
-        let early = self.probe_at.is_some_and(|t| now < t);
+        let early = self.retry_at.is_some_and(|t| now < t);
         self.is_suspect() && (early || !self.placed.is_empty())
     }
 }
@@ -207,7 +207,7 @@
 /// How urgent a job is, in itself or for the sake of those that need it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Urgency {
-    pub rank: Priority,
+    pub priority: Priority,
     /// When it should be done, so that all after it can be done by their deadlines.
     pub due: Option<SystemTime>,
     /// Others need it.
@@ -217,7 +217,7 @@
 impl Urgency {
     pub fn own(job: &JobRecord) -> Urgency {
         Urgency {
-            rank: job.spec.rank,
+            priority: job.spec.priority,
             due: job.spec.deadline.map(|d| job.submitted + d),
             needed: false,
         }
--- a/src/core/scheduling.rs
+++ b/src/core/scheduling.rs
@@ -58,7 +58,7 @@
     fn estimate(&self, job: &JobRecord) -> Duration {
         let factor = self
             .lead
-            .pace
+            .runtime_ratios
             .get(&job.spec.class)
             .map_or(1.0, RuntimeRatio::factor);
         job.spec.estimate.mul_f64(factor)
@@ -77,7 +77,10 @@
         match t.running_since {
             Some(s) => whole.checked_sub(self.now.saturating_duration_since(s)),
             None => {
-                let rate = self.core.type_of(&m.kind).map_or(1.0, |x| x.fetch_gb_per_s);
+                let rate = self
+                    .core
+                    .type_of(&m.machine_type)
+                    .map_or(1.0, |x| x.fetch_gb_per_s);
                 let fetch = Duration::from_secs_f64(job.spec.image_gb / rate.max(0.01));
                 let waited = self.now.saturating_duration_since(t.since);
                 Some(whole + fetch.saturating_sub(waited))
@@ -96,19 +99,23 @@
         if estimate <= 0.0 {
             return;
         }
-        let pace = lead.pace.entry(job.spec.class.clone()).or_default();
+        let pace = lead
+            .runtime_ratios
+            .entry(job.spec.class.clone())
+            .or_default();
         pace.note(ran.as_secs_f64(), estimate);
-        let Some(run) = lead.runs.get_mut(&key.job) else {
+        let Some(run) = lead.job_runs.get_mut(&key.job) else {
             return;
         };
         // Tasks of one job differ among themselves, so a machine is compared with its peers only
         // by the average of many.
         let log = ran.as_secs_f64().max(0.1).ln();
-        let usual = (run.log_times.1 >= 3).then(|| run.log_times.0 / f64::from(run.log_times.1));
-        run.log_times.0 += log;
-        run.log_times.1 += 1;
+        let usual = (run.log_run_times.1 >= 3)
+            .then(|| run.log_run_times.0 / f64::from(run.log_run_times.1));
+        run.log_run_times.0 += log;
+        run.log_run_times.1 += 1;
         if let (Some(m), Some(usual)) = (lead.machines.get_mut(id), usual) {
-            m.faults.pace.note(log - usual);
+            m.fault_history.slowness.note(log - usual);
         }
     }
 
@@ -117,10 +124,10 @@
     /// to it. They wait no longer than plans are apart at least.
     pub(super) fn defer_responses(&mut self, now_due: &mut Waiters) {
         let Some(lead) = &mut self.lead else { return };
-        let before = std::mem::take(&mut lead.held);
+        let before = std::mem::take(&mut lead.deferred_responses);
         // At a takeover all machines are new, and their answers show them the token: no time to lose.
-        let planned = lead.planned == Some(self.now.mono) || !lead.plan_again;
-        if planned || !lead.wanting || lead.unresolved > 0 {
+        let planned = lead.last_plan == Some(self.now.mono) || !lead.plan_again;
+        if planned || !lead.has_pending_demand || lead.unresolved > 0 {
             now_due.reports.extend(before.reports);
             now_due.syncs.extend(before.syncs);
             return;
@@ -131,21 +138,22 @@
         (held.reports).extend(now_due.reports.extract_if(.., |(_, id)| freed(id)));
         let some = |w: &mut PendingBatch| w.machines().any(freed);
         held.syncs.extend(now_due.syncs.extract_if(.., some));
-        lead.held = held;
+        lead.deferred_responses = held;
     }
 
     /// Until the next plan, if answers wait for it.
     pub(super) fn until_next_plan(&self) -> Option<Duration> {
         let lead = self.lead.as_ref()?;
-        let held = !lead.held.reports.is_empty() || !lead.held.syncs.is_empty();
-        let at = lead.planned? + PLAN_PAUSE;
+        let held = !lead.deferred_responses.reports.is_empty()
+            || !lead.deferred_responses.syncs.is_empty();
+        let at = lead.last_plan? + PLAN_PAUSE;
         held.then(|| at.saturating_duration_since(self.now.mono))
     }
 
     pub(super) fn schedule(&mut self) {
         let now = self.now.mono;
         let Some(lead) = &self.lead else { return };
-        let since = lead.planned.map(|t| now.saturating_duration_since(t));
+        let since = lead.last_plan.map(|t| now.saturating_duration_since(t));
         let due = match since {
             None => true,
             Some(d) => (lead.plan_again && d >= PLAN_PAUSE) || d >= PLAN_INTERVAL,
@@ -156,7 +164,10 @@
             self.place();
         }
         let Some(lead) = &self.lead else { return };
-        if lead.fleet_at.is_none_or(|t| now >= t + SCALING_INTERVAL) {
+        if lead
+            .last_scaling
+            .is_none_or(|t| now >= t + SCALING_INTERVAL)
+        {
             self.scale_machines();
         }
         self.log_summary();
@@ -200,13 +211,13 @@
         // more than those machines hold, and no more than there are.
         let hidden = self.unobserved_resources(lead);
         let mut unseen = vec![Resources::default(); teams.len()];
-        for (id, run) in lead.runs.iter().filter(|(_, r)| !r.queued.is_empty()) {
+        for (id, run) in lead.job_runs.iter().filter(|(_, r)| !r.queued.is_empty()) {
             if let Some(job) = self.mirror.jobs.get(id)
                 && job.version < lead.key_version
                 && let Some(team) = run.team
                 && self.mirror.ready(id)
             {
-                unseen[team].add(&job.spec.needs.times(run.queued.len() as f64));
+                unseen[team].add(&job.spec.resources.times(run.queued.len() as f64));
             }
         }
         // So may tasks of jobs that were cancelled shortly before.
@@ -234,7 +245,7 @@
             return hidden;
         }
         for m in lead.machines.values().filter(|m| m.unresolved) {
-            match self.type_of(&m.kind) {
+            match self.type_of(&m.machine_type) {
                 Some(t) => hidden.add(&t.room()),
                 None => {
                     let all = f64::INFINITY;
@@ -253,11 +264,11 @@
     /// ones. That changes only when a job comes, becomes ready or ends.
     fn update_guarantees(&mut self) {
         let Some(lead) = &mut self.lead else { return };
-        if !std::mem::take(&mut lead.judge_guarantees) {
+        if !std::mem::take(&mut lead.guarantees_changed) {
             return;
         }
         let mut jobs: Vec<(SystemTime, &JobId, &JobRecord, &mut JobRun)> = Vec::new();
-        for (id, run) in &mut lead.runs {
+        for (id, run) in &mut lead.job_runs {
             run.guaranteed = false;
             if let Some(job) = self.mirror.jobs.get(id)
                 && self.mirror.ready(id)
@@ -274,7 +285,7 @@
             let Some(left) = run.team.and_then(|t| left.get_mut(t)) else {
                 continue;
             };
-            let needs = job.spec.needs.times(f64::from(job.spec.tasks));
+            let needs = job.spec.resources.times(f64::from(job.spec.tasks));
             let rest = left.map(|(cpus, gpus)| (cpus - needs.cpus, gpus - needs.gpus));
             *left = rest.filter(|(cpus, gpus)| *cpus >= -1e-6 && *gpus >= -1e-6);
             run.guaranteed = left.is_some();
@@ -316,11 +327,11 @@
             tasks: f64::from(spec.tasks),
             waiting: run.queued.len() as f64,
             submitted: wall(since),
-            cpus: spec.needs.cpus,
-            gpus: spec.needs.gpus,
-            ram: spec.needs.ram,
+            cpus: spec.resources.cpus,
+            gpus: spec.resources.gpus,
+            ram: spec.resources.ram,
             image_gb: spec.image_gb,
-            rank: match urgency.rank {
+            rank: match urgency.priority {
                 Priority::Production => 0.0,
                 Priority::High => 1.0,
                 Priority::Normal => 2.0,
@@ -333,7 +344,7 @@
             deadline_left: deadline_left.unwrap_or(0.0),
             spot: spec.spot,
             slack: deadline_left.map_or(NO_DEADLINE_S, |d| d - estimate.as_secs_f64()),
-            pipeline: urgency.needed || !spec.awaits.is_empty(),
+            pipeline: urgency.needed || !spec.dependencies.is_empty(),
             begun: job.done.len() > 0 || !run.placed.is_empty(),
         }
     }
@@ -348,7 +359,7 @@
     fn job_queue<'a>(&'a self, view: &View<'a>, with_held: bool) -> Vec<QueueEntry<'a>> {
         let lead = view.lead;
         let mut line = Vec::new();
-        for (id, run) in &lead.runs {
+        for (id, run) in &lead.job_runs {
             let Some(job) = view.jobs.get(id) else {
                 continue;
             };
@@ -375,7 +386,7 @@
             };
             line.push(QueueEntry {
                 overdue,
-                rank: urgency.rank,
+                rank: urgency.priority,
                 id,
                 job,
                 run,
@@ -431,40 +442,42 @@
     /// A machine as the board shows it; `None` while its type is unknown.
     fn host(&self, board: &mut Board, view: &View, m: &Machine) -> Option<Host> {
         let now = self.now.mono;
-        let t = self.type_of(&m.kind)?;
-        let offer = (m.kind.clone(), m.zone.clone(), m.spot);
+        let t = self.type_of(&m.machine_type)?;
+        let offer = (m.machine_type.clone(), m.zone.clone(), m.spot);
         let mut free = t.room();
         for task in m.tasks.values() {
-            free.sub(&task.needs);
+            free.sub(&task.resources);
         }
         let unresolved = m.unresolved;
         let usage = if view.lead.accepts_tasks(m, now, self.settings.report) {
             Use::Open
-        } else if m.deleting.is_some() || m.notice.is_some() || m.session_over {
+        } else if m.deleting.is_some() || m.reclaim_at.is_some() || m.lease_expired {
             Use::Closed
-        } else if (m.session == 0 && !unresolved) || !m.recorded {
+        } else if (m.incarnation == 0 && !unresolved) || !m.recorded {
             let boot = Duration::from_secs_f64((t.boot_s * 1.1).min(1e6));
             Use::Booting(m.known_since + boot.saturating_sub(m.age))
         } else {
             Use::Resting
         };
         let quiet = m.tasks.is_empty()
-            && m.session > 0
-            && m.call.is_none()
-            && m.doubt.is_none()
+            && m.incarnation > 0
+            && m.call_in_flight.is_none()
+            && m.doubtful_until_token.is_none()
             && usage != Use::Closed
             && !unresolved;
         let tasks = m.tasks.iter().map(|(key, task)| {
             let job = view.jobs.get(&key.job);
             Held {
                 key: key.clone(),
-                needs: task.needs,
+                needs: task.resources,
                 ends: view.ends_in(m, key, task).map(|d| now + d),
                 since: task.running_since,
                 saves_in: job
-                    .filter(|j| !j.spec.checkpoint.is_zero())
-                    .map(|j| j.spec.save),
-                rank: job.map_or(Priority::Low, |j| view.lead.urgency_of(&key.job, j).rank),
+                    .filter(|j| !j.spec.checkpoint_interval.is_zero())
+                    .map(|j| j.spec.checkpoint_duration),
+                rank: job.map_or(Priority::Low, |j| {
+                    view.lead.urgency_of(&key.job, j).priority
+                }),
                 team: task.team,
                 stopping: task.stopping.is_some(),
             }
@@ -476,7 +489,7 @@
             usage,
             images: m.images.iter().map(|(i, _)| *i).collect(),
             fetching: usize::from(m.tasks.values().any(|t| !t.runs())),
-            doubt: m.faults.pace.delay() + f64::from(m.faults.failures) * 4.0,
+            doubt: m.fault_history.slowness.delay() + f64::from(m.fault_history.failures) * 4.0,
             idle_since: quiet.then_some(m.idle_since),
             tasks: tasks.collect(),
         })
@@ -492,10 +505,10 @@
         }
         for entry in self.job_queue(view, false) {
             let (job, run) = (entry.job, entry.run);
-            let whole = job.spec.kind == JobKind::Gang;
+            let whole = job.spec.job_kind == JobKind::Gang;
             let held = |t: &Instant| now < *t;
             // A gang starts whole: not while some of it is still elsewhere or held back.
-            if whole && (!run.placed.is_empty() || run.held.values().any(held)) {
+            if whole && (!run.placed.is_empty() || run.backoff_until.values().any(held)) {
                 continue;
             }
             // All rows of a job with a mistake, tried again and again, filled machines and queues.
@@ -505,7 +518,7 @@
             let mut zones = BTreeMap::new();
             if job.spec.one_zone || job.spec.spread {
                 // Also where a row only may be.
-                let also = run.also.values().flatten();
+                let also = run.other_machines.values().flatten();
                 let also = also.filter(|_| stands(Safeguard::Zones));
                 for machine in run.placed.values().chain(also) {
                     if let Some(m) = lead.machines.get(machine) {
@@ -525,9 +538,9 @@
                 team: entry.team,
                 rank: entry.rank,
                 queued: &run.queued,
-                held: &run.held,
+                held: &run.backoff_until,
                 whole,
-                probe: run.is_suspect() || (entry.overdue && job.spec.kind == JobKind::Array),
+                probe: run.is_suspect() || (entry.overdue && job.spec.job_kind == JobKind::Array),
                 estimate: entry.estimate,
                 zones,
                 avoid,
@@ -553,10 +566,10 @@
         }
         let Some(lead) = &mut self.lead else { return };
         for (id, job) in &self.mirror.jobs {
-            if job.spec.kind != JobKind::Gang || Self::blocked_by_recovery(lead, job) {
+            if job.spec.job_kind != JobKind::Gang || Self::blocked_by_recovery(lead, job) {
                 continue;
             }
-            let Some(run) = lead.runs.get(id) else {
+            let Some(run) = lead.job_runs.get(id) else {
                 continue;
             };
             if run.queued.is_empty() || run.ending.is_some() {
@@ -584,37 +597,38 @@
         self.scratch = scratch;
         let Some(lead) = &mut self.lead else { return };
         lead.board = board;
-        lead.planned = Some(now);
+        lead.last_plan = Some(now);
         // A step repeats at once while it starts tasks.
         lead.plan_again = !decided.starts.is_empty();
-        lead.wanting = !jobs.is_empty();
-        lead.head = decided.head.map(|(j, after)| (jobs[j].0.id.clone(), after));
+        lead.has_pending_demand = !jobs.is_empty();
+        lead.queue_head = decided.head.map(|(j, after)| (jobs[j].0.id.clone(), after));
         let mut gang_attempt = None;
         for s in decided.starts {
             let (spec, team) = &jobs[s.job];
             let id = lead.board.host(s.host).id.clone();
-            let (Some(run), Some(m)) = (lead.runs.get_mut(&spec.id), lead.machines.get_mut(&id))
+            let (Some(run), Some(m)) =
+                (lead.job_runs.get_mut(&spec.id), lead.machines.get_mut(&id))
             else {
                 continue;
             };
             let key = TaskId {
                 job: spec.id.clone(),
-                row: s.row,
+                index: s.row,
             };
             if m.tasks.contains_key(&key) || !run.queued.remove(&s.row) {
                 continue;
             }
-            run.held.remove(&s.row);
+            run.backoff_until.remove(&s.row);
             run.placed.insert(s.row, m.id.clone());
             // The tasks of a gang find one another by their attempt.
-            if spec.kind != JobKind::Gang || gang_attempt != Some(s.job) {
+            if spec.job_kind != JobKind::Gang || gang_attempt != Some(s.job) {
                 lead.attempts += 1;
-                gang_attempt = (spec.kind == JobKind::Gang).then_some(s.job);
+                gang_attempt = (spec.job_kind == JobKind::Gang).then_some(s.job);
             }
             // Unique for ever, as terms are: an attempt is never used twice.
             let attempt = (lead.term << 32) | lead.attempts;
             tracing::debug!(task = %key, machine = %id, "task {key} attempt {attempt} placed on {id}");
-            let t = self.types.iter().find(|t| t.name == m.kind);
+            let t = self.types.iter().find(|t| t.name == m.machine_type);
             let cache = t.map_or(0.0, |t| t.cache_gb);
             m.use_image(image_tag(&spec.image), spec.image_gb, cache);
             m.tasks.insert(
@@ -625,11 +639,11 @@
                     since: now,
                     running_since: None,
                     stopping: None,
-                    needs: spec.needs,
+                    resources: spec.resources,
                     team: Some(*team),
                 },
             );
-            m.push = true;
+            m.needs_push = true;
         }
         for (slot, key) in decided.stops {
             let id = lead.board.host(slot).id.clone();
@@ -638,7 +652,7 @@
             {
                 tracing::info!(task = %key, machine = %id, "task {key} on {id} makes room");
                 t.stop(StopReason::Preempted, now);
-                m.push = true;
+                m.needs_push = true;
             }
         }
     }
@@ -648,7 +662,7 @@
         self.update_guarantees();
         self.refresh_board();
         let Some(lead) = &mut self.lead else { return };
-        lead.fleet_at = Some(now);
+        lead.last_scaling = Some(now);
         lead.arrivals.note(now, 0);
         lead.board.sum_again();
         let Some(lead) = &self.lead else { return };
@@ -668,12 +682,12 @@
         });
         let coming = self.coming(lead);
         let mut zones: BTreeMap<&str, (u32, u32)> = BTreeMap::new();
-        for m in lead.machines.values().filter(|m| m.session > 0) {
+        for m in lead.machines.values().filter(|m| m.incarnation > 0) {
             let z = zones.entry(&m.zone).or_default();
             z.0 += 1;
             // Machines that do not hear what they are told are of no more use than silent ones.
-            let fresh = now.saturating_duration_since(m.seen) < self.settings.report * 2;
-            z.1 += u32::from(fresh && m.unheard.is_none());
+            let fresh = now.saturating_duration_since(m.last_heartbeat) < self.settings.report * 2;
+            z.1 += u32::from(fresh && m.unconfirmed_token.is_none());
         }
         let zones = zones.into_iter();
         let cut: Vec<String> = zones
@@ -705,9 +719,9 @@
         } else {
             Vec::new()
         };
-        let may_rent = lead.market.list_asked.is_some() && !lead.market.listing
+        let may_rent = lead.cloud.list_requested.is_some() && !lead.cloud.list_in_flight
             || now.saturating_duration_since(lead.since) > Duration::from_secs(3);
-        if may_rent && lead.market.rents.len() < 8 {
+        if may_rent && lead.cloud.scale_outs.len() < 8 {
             for r in rents {
                 self.rent(r.offer, r.count);
             }
@@ -721,10 +735,13 @@
     fn log_summary(&mut self) {
         let now = self.now.mono;
         let Some(lead) = &mut self.lead else { return };
-        if lead.told.is_some_and(|t| now < t + Duration::from_secs(10)) {
+        if lead
+            .last_status_log
+            .is_some_and(|t| now < t + Duration::from_secs(10))
+        {
             return;
         }
-        lead.told = Some(now);
+        lead.last_status_log = Some(now);
         let count = |f: &dyn Fn(&Machine) -> bool| lead.machines.values().filter(|m| f(m)).count();
         let tasks = |f: &dyn Fn(&Placement) -> bool| {
             lead.machines
@@ -735,26 +752,26 @@
         };
         let mut held = Resources::default();
         let mut whole = Resources::default();
-        for m in lead.machines.values().filter(|m| m.session > 0) {
+        for m in lead.machines.values().filter(|m| m.incarnation > 0) {
             for t in m.tasks.values() {
-                held.add(&t.needs);
+                held.add(&t.resources);
             }
-            if let Some(t) = self.types.iter().find(|t| t.name == m.kind) {
+            if let Some(t) = self.types.iter().find(|t| t.name == m.machine_type) {
                 whole.add(&t.room());
             }
         }
-        let waiting: usize = lead.runs.values().map(|r| r.queued.len()).sum();
+        let waiting: usize = lead.job_runs.values().map(|r| r.queued.len()).sum();
         tracing::info!(
             "standing: machines {} up ({} spot, {} idle) {} booting; cpus {:.0} of {:.0}; tasks {} running {} starting {waiting} waiting; jobs {}",
-            count(&|m| m.session > 0),
-            count(&|m| m.session > 0 && m.spot),
-            count(&|m| m.session > 0 && m.tasks.is_empty()),
-            count(&|m| m.session == 0),
+            count(&|m| m.incarnation > 0),
+            count(&|m| m.incarnation > 0 && m.spot),
+            count(&|m| m.incarnation > 0 && m.tasks.is_empty()),
+            count(&|m| m.incarnation == 0),
             held.cpus,
             whole.cpus,
             tasks(&|t| t.runs()),
             tasks(&|t| !t.runs()),
-            lead.runs.len(),
+            lead.job_runs.len(),
         );
     }
 
@@ -762,7 +779,7 @@
         let Some(m) = lead.machines.get(id) else {
             return Duration::ZERO;
         };
-        let t = self.type_of(&m.kind);
+        let t = self.type_of(&m.machine_type);
         let age = m.age + self.now.mono.saturating_duration_since(m.known_since);
         let price = t.map_or(0.0, |t| {
             if m.spot {
@@ -786,11 +803,15 @@
 
     /// Machines that were asked for and not named yet.
     fn coming(&self, lead: &LeaderState) -> Vec<Coming> {
-        let rents = lead.market.rents.values();
+        let rents = lead.cloud.scale_outs.values();
         let coming = rents.filter_map(|op| {
-            let t = self.type_of(&op.body.kind)?;
+            let t = self.type_of(&op.body.machine_type)?;
             Some(Coming {
-                offer: (op.body.kind.clone(), op.body.zone.clone(), op.body.spot),
+                offer: (
+                    op.body.machine_type.clone(),
+                    op.body.zone.clone(),
+                    op.body.spot,
+                ),
                 room: t.room(),
                 count: op.body.count,
                 ready_in: Duration::from_secs_f64(t.boot_s.min(1e6)),
@@ -833,15 +854,15 @@
             let spec = &entry.job.spec;
             let mut tasks = entry.run.queued.len() as u32;
             if Self::blocked_by_recovery(lead, entry.job) {
-                let there = spec.needs.count_in(&hidden).min(tasks);
-                hidden.sub(&spec.needs.times(f64::from(there)));
+                let there = spec.resources.count_in(&hidden).min(tasks);
+                hidden.sub(&spec.resources.times(f64::from(there)));
                 tasks -= there;
             }
-            if spec.needs.cpus > 0.0 {
+            if spec.resources.cpus > 0.0 {
                 let spare = &mut spare[entry.team];
-                let most = ((*spare + 1e-6) / spec.needs.cpus).floor().max(0.0);
+                let most = ((*spare + 1e-6) / spec.resources.cpus).floor().max(0.0);
                 tasks = tasks.min(most.min(1e6) as u32);
-                *spare -= f64::from(tasks) * spec.needs.cpus;
+                *spare -= f64::from(tasks) * spec.resources.cpus;
             }
             // A wait much shorter than a boot cannot be helped by renting.
             let patience = |which| {
@@ -853,7 +874,7 @@
                     spec: spec.clone(),
                     rank: entry.rank,
                     tasks,
-                    estimate: match spec.kind {
+                    estimate: match spec.job_kind {
                         // Nothing of these gives its room to another of them.
                         JobKind::Service | JobKind::Gang => Duration::MAX / 4,
                         JobKind::Array => entry.estimate,
--- a/src/core/simulation/checker.rs
+++ b/src/core/simulation/checker.rs
@@ -182,7 +182,7 @@
         let spec = &self.checker.specs[id];
         for row in 0..spec.tasks {
             let job = spec.id.clone();
-            let key = TaskId { job, row };
+            let key = TaskId { job, index: row };
             assert!(self.checker.completed.contains(&key), "{key} is not done");
         }
     }
@@ -214,10 +214,10 @@
             );
         }
         let spec = &self.checker.specs[&*key.job];
-        for awaited in &spec.awaits {
+        for awaited in &spec.dependencies {
             for row in 0..self.checker.specs[&**awaited].tasks {
                 let job = awaited.clone();
-                let before = TaskId { job, row };
+                let before = TaskId { job, index: row };
                 let done = self.checker.completed.contains(&before);
                 assert!(done, "{key} starts before {before} is done");
             }
@@ -231,7 +231,7 @@
         let mut next = vec![id.to_string()];
         while let Some(id) = next.pop() {
             if let Some(spec) = self.checker.specs.get(&id) {
-                next.extend(spec.awaits.iter().map(|a| a.to_string()));
+                next.extend(spec.dependencies.iter().map(|a| a.to_string()));
             }
             found.insert(id);
         }
@@ -355,18 +355,18 @@
         };
         let is_final = |id: &str| self.checker.final_answers.contains_key(id);
         let over = is_final(id) || self.broken_jobs.contains(id);
-        let ready = spec.awaits.iter().all(|a| is_final(a));
+        let ready = spec.dependencies.iter().all(|a| is_final(a));
         let used = usage.by_team.get(LIMITED_TEAM).copied().unwrap_or(0.0);
-        let within = spec.team != LIMITED_TEAM || used + spec.needs.cpus <= TEAM_LIMIT;
-        if over || usage.jobs.contains(id) || !ready || !within || spec.kind == JobKind::Gang {
+        let within = spec.team != LIMITED_TEAM || used + spec.resources.cpus <= TEAM_LIMIT;
+        if over || usage.jobs.contains(id) || !ready || !within || spec.job_kind == JobKind::Gang {
             return false;
         }
         let fits = |room: &Room| {
             spec.allows_type(&room.worker.kind)
                 && spec.allows_zone(&room.worker.zone)
                 && (spec.spot || !room.worker.spot)
-                && spec.needs.cpus <= room.cpus
-                && spec.needs.ram <= room.ram
+                && spec.resources.cpus <= room.cpus
+                && spec.resources.ram <= room.ram
         };
         !self.all_completed(id) && usage.room.iter().any(fits)
     }
@@ -382,8 +382,8 @@
             for (key, _) in (worker.tasks.iter()).filter(|(_, t)| t.state != TaskState::Exited) {
                 let spec = &self.checker.specs[&*key.job];
                 usage.jobs.insert(&key.job);
-                *usage.by_team.entry(&spec.team).or_default() += spec.needs.cpus;
-                (cpus, ram) = (cpus - spec.needs.cpus, ram - spec.needs.ram);
+                *usage.by_team.entry(&spec.team).or_default() += spec.resources.cpus;
+                (cpus, ram) = (cpus - spec.resources.cpus, ram - spec.resources.ram);
             }
             usage.room.push(Room { worker, cpus, ram });
         }
@@ -419,8 +419,8 @@
                     "{key} is in {}",
                     worker.zone
                 );
-                *used.entry(&spec.team).or_default() += spec.needs.cpus;
-                room += spec.needs.cpus;
+                *used.entry(&spec.team).or_default() += spec.resources.cpus;
+                room += spec.resources.cpus;
                 if let Some(since) = self.dependency_cancelled_at(&key.job) {
                     let limit = since + self.setup.cancel;
                     assert!(self.now <= limit, "{key} of a cancelled job is on {id}");
--- a/src/core/simulation/cloud.rs
+++ b/src/core/simulation/cloud.rs
@@ -18,7 +18,7 @@
                     .map(|(id, worker)| ListedMachine {
                         id: id.clone(),
                         addr: Some("127.0.0.1:9000".into()),
-                        kind: worker.kind.clone(),
+                        machine_type: worker.kind.clone(),
                         zone: worker.zone.clone(),
                         spot: worker.spot,
                         state: if self.now < worker.up_at {
@@ -31,7 +31,7 @@
                     .collect(),
             ),
             CloudRequest::Rent(body) => {
-                if let Some(ids) = self.rentals.get(&body.request) {
+                if let Some(ids) = self.rentals.get(&body.request_id) {
                     return CloudOutcome::Rented(ids.clone());
                 }
                 if self.faults.zones_without_capacity.contains(&body.zone) {
@@ -41,7 +41,7 @@
                 for _ in 0..body.count {
                     let left = self
                         .capacity
-                        .entry((body.kind.clone(), body.spot))
+                        .entry((body.machine_type.clone(), body.spot))
                         .or_default();
                     if *left == 0 {
                         break;
@@ -52,7 +52,7 @@
                     } else {
                         self.counters.rented.1 += 1;
                     }
-                    let id = self.add_machine(&body.kind, &body.zone);
+                    let id = self.add_machine(&body.machine_type, &body.zone);
                     if let Some(worker) = self.workers.get_mut(&id) {
                         worker.spot = body.spot;
                         worker.up_at = self.now + self.boot_time;
@@ -63,7 +63,7 @@
                 if ids.is_empty() {
                     return CloudOutcome::NoCapacity;
                 }
-                self.rentals.insert(body.request, ids.clone());
+                self.rentals.insert(body.request_id, ids.clone());
                 if self.faults.rental_answers_lost {
                     return CloudOutcome::Trouble("timeout".into());
                 }
--- a/src/core/simulation/mixed_versions.rs
+++ b/src/core/simulation/mixed_versions.rs
@@ -81,26 +81,26 @@
         id: "wk-000412".into(),
         class: "train".into(),
         team: "vision".into(),
-        kind: JobKind::Array,
-        rank: Priority::High,
+        job_kind: JobKind::Array,
+        priority: Priority::High,
         tasks: 16,
-        needs: Resources {
+        resources: Resources {
             cpus: 8.0,
             gpus: 1.0,
             ram: 64.0,
         },
         image: "img-07".into(),
         image_gb: 6.2,
-        types: Some(vec!["g8".into()]),
+        machine_types: Some(vec!["g8".into()]),
         zone: Some("a".into()),
         one_zone: true,
         spread: false,
         spot: true,
         estimate: Duration::from_secs(240),
-        checkpoint: Duration::from_millis(1500),
-        save: Duration::from_secs(4),
+        checkpoint_interval: Duration::from_millis(1500),
+        checkpoint_duration: Duration::from_secs(4),
         deadline: Some(Duration::from_secs(900)),
-        awaits: Vec::new(),
+        dependencies: Vec::new(),
     }
 }
 
@@ -142,7 +142,7 @@
 #[test]
 fn dependent_job_ignored_by_production_version() {
     let mut spec = spec();
-    spec.awaits = vec!["wk-1".into()];
+    spec.dependencies = vec!["wk-1".into()];
     let stored = serde_json::to_value(JobValue::live(Box::new(spec.clone()), 7)).unwrap();
     assert!(serde_json::from_value::<ProductionJob>(stored.clone()).is_err());
     assert!(serde_json::from_value::<ProductionJob>(value(LIVE)).is_ok());
@@ -212,7 +212,7 @@
             simulation
                 .checker
                 .completed
-                .insert(crate::job::TaskId { job, row });
+                .insert(crate::job::TaskId { job, index: row });
         }
     }
     simulation
@@ -335,7 +335,7 @@
     let leader = simulation.leader().unwrap();
     assert_eq!(simulation.submit(leader, &sample("wk-1", 1, 1.0, 20)), 201);
     let mut large = sample("wk-2", 2, 1.0, 3);
-    large.awaits = vec!["wk-1".into()];
+    large.dependencies = vec!["wk-1".into()];
     for n in 0..900 {
         let id = format!("wk-{}", 1000 + n);
         let done = sample(&id, 1, 1.0, 1);
@@ -345,11 +345,11 @@
         simulation
             .checker
             .completed
-            .insert(crate::job::TaskId { job, row });
+            .insert(crate::job::TaskId { job, index: row });
         simulation.put(&format!("burlusher/j/{id}"), json!({"end": "Done"}));
-        large.awaits.push(id.into());
+        large.dependencies.push(id.into());
     }
-    large.awaits.sort();
+    large.dependencies.sort();
     simulation.run(1.0);
     (simulation, leader, large)
 }
--- a/src/core/simulation/randomized.rs
+++ b/src/core/simulation/randomized.rs
@@ -407,7 +407,7 @@
         if let Some((tasks, cpus, seconds, kind)) = e.job {
             let id = format!("wk-{n:06}");
             let mut spec = sample(&id, tasks, cpus, seconds);
-            spec.kind = kind;
+            spec.job_kind = kind;
             spec.spot = n % 2 == 0;
             (spec.one_zone, spec.spread) = (n % 5 == 1, n % 5 == 3);
             if kind == JobKind::Service {
--- a/src/core/simulation/recorded_decisions.rs
+++ b/src/core/simulation/recorded_decisions.rs
@@ -291,9 +291,9 @@
 fn jobs_of_all_kinds() -> Vec<JobSpec> {
     let array = sample("wk-1", 6, 1.0, 12);
     let mut service = sample("wk-2", 2, 1.0, 1);
-    service.kind = JobKind::Service;
+    service.job_kind = JobKind::Service;
     let mut gang = sample("wk-3", 3, 2.0, 8);
-    gang.kind = JobKind::Gang;
+    gang.job_kind = JobKind::Gang;
     gang.team = "u".into();
     let mut one_zone = sample("wk-4", 3, 1.0, 6);
     one_zone.one_zone = true;
@@ -301,12 +301,12 @@
     spread.spread = true;
     let mut urgent = sample("wk-6", 2, 2.0, 5);
     urgent.class = "urgent".into();
-    urgent.rank = Priority::High;
+    urgent.priority = Priority::High;
     urgent.spot = true;
     let mut dependent = sample("wk-7", 2, 1.0, 4);
-    dependent.awaits = vec!["wk-1".into(), "wk-6".into()];
+    dependent.dependencies = vec!["wk-1".into(), "wk-6".into()];
     let mut doomed = sample("wk-8", 2, 1.0, 4);
-    doomed.awaits = vec!["wk-9".into()];
+    doomed.dependencies = vec!["wk-9".into()];
     let mut long = sample("wk-9", 4, 1.0, 90);
     long.team = "u".into();
     vec![
@@ -362,7 +362,7 @@
     simulation.run(6.0);
     let of_unlimited_team = |id: &str, tasks, rank| {
         let mut spec = sample(id, tasks, 2.0, 12);
-        (spec.team, spec.rank) = ("u".into(), rank);
+        (spec.team, spec.priority) = ("u".into(), rank);
         spec
     };
     simulation.submit(0, &of_unlimited_team("wk-1", 120, Priority::Low));
--- a/src/core/simulation/scale.rs
+++ b/src/core/simulation/scale.rs
@@ -165,8 +165,8 @@
     let mut written = 0;
     let mut busy = 0;
     let mut spec = job("wk-900000", 1);
-    spec.needs.cpus = 0.1;
-    spec.needs.ram = 0.1;
+    spec.resources.cpus = 0.1;
+    spec.resources.ram = 0.1;
     simulation.register_job(&spec);
     let end = simulation.now + Duration::from_secs(1200);
     while complete * first * written == 0 {
--- a/src/core/simulation/scenarios/bidding.rs
+++ b/src/core/simulation/scenarios/bidding.rs
@@ -18,7 +18,7 @@
 fn urgent(id: &str, tasks: u32) -> JobSpec {
     let mut spec = sample(id, tasks, 4.0, 8);
     spec.class = "urgent".into();
-    spec.rank = Priority::High;
+    spec.priority = Priority::High;
     spec.spot = true;
     spec
 }
@@ -33,7 +33,7 @@
     simulation.until_done("wk-1", 40.0);
     // Nothing depends on when this starts, and room comes: it waits for it.
     let mut idle = sample("wk-2", 6, 4.0, 8);
-    idle.rank = Priority::Low;
+    idle.priority = Priority::Low;
     simulation.submit(leader, &idle);
     simulation.run(20.0);
     assert_eq!(simulation.counters.rented.1, rented.1);
--- a/src/core/simulation/scenarios/cancellation.rs
+++ b/src/core/simulation/scenarios/cancellation.rs
@@ -316,7 +316,11 @@
             );
             let core = &simulation.nodes[leader].core;
             let lead = core.lead.as_ref().expect("it leads on");
-            assert!(lead.runs.len() < 80, "{} live jobs", lead.runs.len());
+            assert!(
+                lead.job_runs.len() < 80,
+                "{} live jobs",
+                lead.job_runs.len()
+            );
             assert!(
                 lead.writes.ends.len() < 40,
                 "{} ends wait",
--- a/src/core/simulation/scenarios/cancellation_at_handover.rs
+++ b/src/core/simulation/scenarios/cancellation_at_handover.rs
@@ -336,9 +336,9 @@
     let token = simulation.nodes[next].core.lead.as_ref().unwrap().term << 20;
     for (id, _) in simulation.places("wk-000001") {
         let body = DirectCommands {
-            token,
-            session: simulation.workers[&id].session,
-            orders: Vec::new(),
+            fencing_token: token,
+            incarnation: simulation.workers[&id].session,
+            commands: Vec::new(),
         };
         simulation.direct(&id, &body);
         simulation.workers.get_mut(&id).unwrap().inbound_partitioned = true;
--- a/src/core/simulation/scenarios/delegation.rs
+++ b/src/core/simulation/scenarios/delegation.rs
@@ -39,7 +39,7 @@
 
 /// Reports that other controllers answered alone, by the leader's count.
 fn answered(simulation: &Simulation, leader: usize) -> u64 {
-    (simulation.nodes[leader].core.lead.as_ref()).map_or(0, |l| l.delegates.answered)
+    (simulation.nodes[leader].core.lead.as_ref()).map_or(0, |l| l.delegates.delegated_answers)
 }
 
 #[test]
@@ -198,7 +198,7 @@
         let (mut simulation, leader) = delegating_cluster(504, 4);
         let other = (leader + 1) % 3;
         let mut service = unlimited_job("wk-1", 4, 2.0, 0);
-        service.kind = JobKind::Service;
+        service.job_kind = JobKind::Service;
         simulation.submit(leader, &service);
         simulation.until(5.0, "replicas", |simulation| {
             simulation.places("wk-1").len() == 4
@@ -299,7 +299,7 @@
         let lead = simulation.nodes[leader].core.lead.as_ref().unwrap();
         lead.machines
             .values()
-            .filter(|m| m.lent_to.is_some())
+            .filter(|m| m.delegated_to.is_some())
             .count()
     };
     assert!(lent(&simulation) > 4);
--- a/src/core/simulation/scenarios/dependencies.rs
+++ b/src/core/simulation/scenarios/dependencies.rs
@@ -10,7 +10,7 @@
 /// The next link of a chain, or the end of a diamond.
 fn after(id: &str, awaits: &[&str], tasks: u32, seconds: u64) -> JobSpec {
     let mut spec = sample(id, tasks, 1.0, seconds);
-    spec.awaits = awaits.iter().map(|a| (*a).into()).collect();
+    spec.dependencies = awaits.iter().map(|a| (*a).into()).collect();
     spec
 }
 
@@ -55,7 +55,7 @@
 fn impossible_dependency_refused_by_every_node() {
     let (mut simulation, leader) = four_machines(41);
     let mut service = sample("wk-50", 1, 1.0, 0);
-    service.kind = JobKind::Service;
+    service.job_kind = JobKind::Service;
     assert_eq!(simulation.submit(leader, &service), 201);
     assert_eq!(simulation.submit(leader, &sample("wk-51", 1, 1.0, 2)), 201);
     simulation.until_done("wk-51", 10.0);
@@ -268,11 +268,11 @@
     simulation.submit(leader, &after("wk-1", &[], 1, 60));
     // More than everything there is, and first in rank.
     let mut high = after("wk-2", &["wk-1"], 12, 20);
-    high.rank = Priority::Production;
-    high.needs.cpus = 4.0;
+    high.priority = Priority::Production;
+    high.resources.cpus = 4.0;
     simulation.submit(leader, &high);
     let mut low = sample("wk-3", 15, 1.0, 30);
-    low.rank = Priority::Low;
+    low.priority = Priority::Low;
     simulation.submit(leader, &low);
     simulation.run(2.0);
     assert_eq!(simulation.places("wk-3").len(), 15);
@@ -287,7 +287,7 @@
     (waits.team, next.team) = ("u".into(), "u".into());
     simulation.submit(leader, &waits);
     let mut others = sample("wk-6", 15, 1.0, 20);
-    others.rank = Priority::High;
+    others.priority = Priority::High;
     simulation.submit(leader, &others);
     simulation.submit(leader, &next);
     simulation.until(12.0, "the guarantee is met first", |simulation| {
@@ -303,7 +303,7 @@
     simulation.submit(leader, &sample("wk-9", 16, 1.0, 30));
     simulation.run(2.0);
     let mut first = after("wk-1", &[], 1, 2);
-    first.rank = Priority::Low;
+    first.priority = Priority::Low;
     simulation.submit(leader, &first);
     simulation.submit(leader, &after("wk-2", &["wk-1"], 1, 2));
     simulation.submit(leader, &sample("wk-8", 16, 1.0, 30));
@@ -312,24 +312,24 @@
         let (id, lead) = (id.into(), core.lead.as_ref().unwrap());
         lead.urgency_of(&id, &core.mirror.jobs[&id])
     };
-    assert_eq!(urgency(&simulation, "wk-1").rank, Priority::Normal);
+    assert_eq!(urgency(&simulation, "wk-1").priority, Priority::Normal);
     assert_eq!(urgency(&simulation, "wk-1").due, None);
     let mut last = after("wk-3", &["wk-2"], 1, 2);
-    last.rank = Priority::High;
+    last.priority = Priority::High;
     last.deadline = Some(Duration::from_secs(100));
     simulation.submit(leader, &last);
     let (one, three) = (urgency(&simulation, "wk-1"), urgency(&simulation, "wk-3"));
-    assert_eq!(one.rank, Priority::High);
+    assert_eq!(one.priority, Priority::High);
     let before = three.due.unwrap().duration_since(one.due.unwrap()).unwrap();
     // Two stages later: their estimates, and something for what lies between.
     assert!((Duration::from_secs(4)..Duration::from_secs(15)).contains(&before));
     simulation.cancel(leader, "wk-3");
     simulation.run(1.0);
-    assert_eq!(urgency(&simulation, "wk-1").rank, Priority::Normal);
+    assert_eq!(urgency(&simulation, "wk-1").priority, Priority::Normal);
     assert_eq!(urgency(&simulation, "wk-1").due, None);
     simulation.submit(leader, &{
         let mut last = after("wk-4", &["wk-2"], 1, 2);
-        last.rank = Priority::Production;
+        last.priority = Priority::Production;
         last
     });
     // Ahead of the sixteen that came before it and that would all start first.
--- a/src/core/simulation/scenarios/late_commands.rs
+++ b/src/core/simulation/scenarios/late_commands.rs
@@ -122,7 +122,7 @@
     assert!(cleared && simulation.counters.clears >= 8, "all is cleared");
     let copies = simulation.delayed_command_copies();
     let starts = |o: &TaskCommand| matches!(o, TaskCommand::Start { .. });
-    assert!(copies.iter().any(|(_, b)| b.orders.iter().any(starts)));
+    assert!(copies.iter().any(|(_, b)| b.commands.iter().any(starts)));
     let before = simulation.counters.starts;
     for (id, body) in copies {
         simulation.direct(&id, &body);
--- a/src/core/simulation/scenarios/mixed_faults.rs
+++ b/src/core/simulation/scenarios/mixed_faults.rs
@@ -86,9 +86,9 @@
         spec.team = ["t", "t", "u"][simulation.random(3)].into();
         if !ids.is_empty() && simulation.random(3) == 0 {
             let named = [simulation.random(ids.len()), simulation.random(ids.len())];
-            spec.awaits = named.iter().map(|i| ids[*i].as_str().into()).collect();
-            spec.awaits.sort();
-            spec.awaits.dedup();
+            spec.dependencies = named.iter().map(|i| ids[*i].as_str().into()).collect();
+            spec.dependencies.sort();
+            spec.dependencies.dedup();
         }
         let node = simulation.random(3);
         if matches!(simulation.submit(node, &spec), 200 | 201) {
--- a/src/core/simulation/scenarios/old_reports.rs
+++ b/src/core/simulation/scenarios/old_reports.rs
@@ -26,7 +26,7 @@
     assert_eq!(idle.len(), 5);
     // They say that their machines are to be taken: nothing new is started on these.
     let old = idle.iter().map(|id| Heartbeat {
-        notice: Some(60.0),
+        reclaim_in_s: Some(60.0),
         ..simulation.report_of(id)
     });
     let old = old.collect();
@@ -260,13 +260,13 @@
     let id = simulation.workers.keys().next().unwrap().clone();
     for node in 0..3 {
         let mut report = simulation.report_of(&id);
-        (report.token, report.session) = (u64::MAX, 1_000_000);
-        report.rows.clear();
+        (report.fencing_token, report.incarnation) = (u64::MAX, 1_000_000);
+        report.tasks.clear();
         simulation.deliver(node, report);
         simulation.run(0.5);
     }
     let lead = simulation.nodes[leader].core.lead.as_ref().unwrap();
-    assert_eq!(lead.machines.get(&id).unwrap().session, 1);
+    assert_eq!(lead.machines.get(&id).unwrap().incarnation, 1);
     assert!(
         simulation
             .nodes
@@ -292,8 +292,8 @@
         simulation.report_of(&id)
     };
     let same_session = Heartbeat {
-        session: 1,
-        seq: 1000,
+        incarnation: 1,
+        sequence: 1000,
         ..simulation.report_of(&id)
     };
     simulation.reboot(&id, true);
@@ -332,7 +332,7 @@
     simulation.run(7.0);
     // Shortly before the lease has run out that its last answer may have given it, it begins anew.
     let lead = simulation.nodes[next].core.lead.as_ref().unwrap();
-    let answered = lead.machines.get(&id).unwrap().lease_from;
+    let answered = lead.machines.get(&id).unwrap().lease_renewed;
     simulation.until(15.0, "its lease", |simulation| {
         simulation.now > answered + Duration::from_secs(11)
     });
@@ -342,7 +342,7 @@
     (m.inbound_partitioned, m.next_report) = (false, simulation.now + Duration::from_secs(5));
     let lead = simulation.nodes[next].core.lead.as_mut().unwrap();
     assert!(lead.machines.get(&id).unwrap().unresolved, "too late");
-    lead.to_ask.push(id.clone());
+    lead.to_probe.push(id.clone());
     simulation.run(0.1);
     assert_eq!(
         simulation.submit(next, &unlimited_job("wk-000001", 5, 4.0, 20)),
@@ -368,7 +368,7 @@
     simulation.workers.get_mut(&id).unwrap().hung = true;
     simulation.run(1.0);
     let held = simulation.report_of(&id);
-    let there = held.rows.len();
+    let there = held.tasks.len();
     simulation.run(12.5);
     let placed = |simulation: &Simulation| {
         let lead = simulation.nodes[leader].core.lead.as_ref().unwrap();
--- a/src/core/simulation/scenarios/partitions.rs
+++ b/src/core/simulation/scenarios/partitions.rs
@@ -28,7 +28,7 @@
     assert_eq!(simulation.counters.starts, before);
     simulation.run(4.0);
     let lead = simulation.nodes[leader].core.lead.as_ref().unwrap();
-    let unheard = |id: &MachineId| lead.machines.get(id).unwrap().unheard.is_some();
+    let unheard = |id: &MachineId| lead.machines.get(id).unwrap().unconfirmed_token.is_some();
     assert!(
         machines_in_zone(&simulation, "b").iter().all(unheard),
         "a new session says so"
@@ -302,7 +302,7 @@
     for n in 0..24u32 {
         let id = format!("wk-{n:06}");
         let mut spec = unlimited_job(&id, 16, 1.0, 60);
-        spec.rank = Priority::High;
+        spec.priority = Priority::High;
         assert_eq!(simulation.submit(leader, &spec), 201);
         simulation.run(0.2);
         let there = simulation
--- a/src/core/simulation/scenarios/provisioning.rs
+++ b/src/core/simulation/scenarios/provisioning.rs
@@ -26,11 +26,11 @@
     let mut simulation = Simulation::new(26);
     simulation.run(3.0);
     let mut idle = sample("wk-1", 6, 4.0, 20);
-    idle.rank = Priority::Low;
+    idle.priority = Priority::Low;
     idle.spot = true;
     assert_eq!(simulation.submit(0, &idle), 201);
     let mut usual = sample("wk-2", 1, 4.0, 90);
-    usual.rank = Priority::Normal;
+    usual.priority = Priority::Normal;
     assert_eq!(simulation.submit(0, &usual), 201);
     // Three batches one after the other on the two spot machines that there are.
     simulation.until_done("wk-1", 150.0);
