--- a/src/core/simulation/scenarios/scheduling.rs
+++ b/src/core/simulation/scenarios/scheduling.rs
@@ -11,7 +11,7 @@
 fn service_keeps_replicas_until_cancelled() {
     let (mut simulation, leader) = four_machines(20);
     let mut spec = sample("wk-1", 3, 2.0, 0);
-    spec.kind = JobKind::Service;
+    spec.job_kind = JobKind::Service;
     spec.spread = true;
     simulation.submit(leader, &spec);
     simulation.run(4.0);
@@ -32,7 +32,7 @@
     simulation.run(1.0);
     simulation.capacity.clear();
     let mut gang = sample("wk-1", 4, 4.0, 15);
-    gang.kind = JobKind::Gang;
+    gang.job_kind = JobKind::Gang;
     assert_eq!(simulation.submit(leader, &gang), 201);
     simulation.run(2.0);
     // Three machines are free, but four are needed.
@@ -74,7 +74,7 @@
     }
     simulation.submit(leader, &sample("wk-1", 1, 4.0, 4));
     let mut low = sample("wk-2", 1, 1.0, 4);
-    low.rank = Priority::Low;
+    low.priority = Priority::Low;
     simulation.submit(leader, &low);
     let mut own = sample("wk-3", 2, 4.0, 4);
     own.team = "u".into();
@@ -221,15 +221,15 @@
     simulation.add_machine("large", "a");
     let leader = simulation.run_until_leader(4.0);
     let mut wide = unlimited_job("wk-900001", 2, 4.0, 20);
-    (wide.rank, wide.types) = (Priority::Low, Some(vec!["large".into()]));
+    (wide.priority, wide.machine_types) = (Priority::Low, Some(vec!["large".into()]));
     let mut low = unlimited_job("wk-900002", 30, 4.0, 20);
-    low.rank = Priority::Low;
+    low.priority = Priority::Low;
     let mut n = 0;
     for round in 0..70 {
         n += 1;
         let mut urgent = unlimited_job(&format!("wk-{n:06}"), 3, 4.0, 4);
-        urgent.rank = Priority::High;
-        urgent.types = Some(vec!["small".into()]);
+        urgent.priority = Priority::High;
+        urgent.machine_types = Some(vec!["small".into()]);
         simulation.submit(leader, &urgent);
         if round == 3 {
             assert_eq!(simulation.submit(leader, &wide), 201);
@@ -272,11 +272,11 @@
     );
     // An old copy was heard first: the row is on record there, and where it really is as well.
     let lead = simulation.nodes[leader].core.lead.as_mut().unwrap();
-    let run = lead.runs.get_mut("wk-000001").unwrap();
+    let run = lead.job_runs.get_mut("wk-000001").unwrap();
     let row = *run.placed.keys().next().unwrap();
     run.placed.insert(row, other);
-    run.also.insert(row, vec![first]);
-    (lead.plan_again, lead.planned) = (true, None);
+    run.other_machines.insert(row, vec![first]);
+    (lead.plan_again, lead.last_plan) = (true, None);
     simulation.run(0.3);
     simulation.until_done("wk-000001", 60.0);
 }
@@ -295,11 +295,11 @@
 fn a_low_rank_behind_more_than_the_limit() {
     let (mut simulation, leader) = eight_machines(1370);
     let mut low = sample("wk-900001", 4, 4.0, 5);
-    low.rank = Priority::Low;
+    low.priority = Priority::Low;
     let mut submitted = None;
     for n in 0..560u32 {
         let mut urgent = sample(&format!("wk-{n:06}"), 1, 4.0, 8);
-        urgent.rank = Priority::High;
+        urgent.priority = Priority::High;
         simulation.submit_without_waiting(leader, &urgent);
         simulation.register_job(&urgent);
         simulation.run(0.6);
@@ -334,11 +334,11 @@
 fn large_low_rank_job_eventually_starts() {
     let (mut simulation, leader) = eight_machines(69);
     let mut large = unlimited_job("wk-000001", 40, 4.0, 3);
-    large.rank = Priority::Low;
+    large.priority = Priority::Low;
     let begun = simulation.now;
     for n in 0..110 {
         let mut small = unlimited_job(&format!("wk-{:06}", n + 2), 8, 4.0, 3);
-        small.rank = Priority::High;
+        small.priority = Priority::High;
         assert_eq!(simulation.submit(leader, &small), 201);
         if n == 3 {
             assert_eq!(simulation.submit(leader, &large), 201);
--- a/src/core/simulation/scenarios/size.rs
+++ b/src/core/simulation/scenarios/size.rs
@@ -48,20 +48,20 @@
         task: format!("wk-{number:06}/{row}"),
         attempt: 1,
         state: TaskState::Running,
-        why: None,
-        saved: None,
+        cause: None,
+        checkpointed: None,
     };
     Box::new(Heartbeat {
         machine: machine(number),
         addr: "10.0.0.1:9000".into(),
-        kind: "small".into(),
+        machine_type: "small".into(),
         zone: "a".into(),
         spot: false,
-        session: 1,
-        seq: 1,
-        token: 1,
-        notice: None,
-        rows: (0..TASKS).map(row).collect(),
+        incarnation: 1,
+        sequence: 1,
+        fencing_token: 1,
+        reclaim_in_s: None,
+        tasks: (0..TASKS).map(row).collect(),
     })
 }
 
@@ -122,7 +122,7 @@
     for (n, page) in ids.chunks(100).enumerate() {
         let value = |id: &MachineId| MachineValue {
             addr: "10.0.0.1:9000".into(),
-            kind: "small".into(),
+            machine_type: "small".into(),
             zone: simulation.workers[id].zone.clone(),
             spot: false,
         };
@@ -159,7 +159,7 @@
             .lead
             .as_ref()
             .unwrap()
-            .calls_out;
+            .direct_calls_in_flight;
         assert!(out <= MAX_DIRECT_CALLS);
         simulation.tick();
         rounds += 1;
--- a/src/core/simulation/scenarios/submissions.rs
+++ b/src/core/simulation/scenarios/submissions.rs
@@ -35,7 +35,7 @@
         assert_eq!(simulation.submit(node, &spec), 422);
         assert_eq!(simulation.submit(node, &sample("wk-2", 1, 9.0, 5)), 422);
         let mut spec = sample("wk-3", 4, 8.0, 0);
-        spec.kind = JobKind::Service;
+        spec.job_kind = JobKind::Service;
         assert_eq!(simulation.submit(node, &spec), 422);
     }
     let mut simulation = Simulation::new(2);
@@ -153,18 +153,20 @@
     simulation.until_done("wk-000002", 20.0);
     let never: Vec<JobSpec> = [
         |j: &mut JobSpec| j.team = "nobody".into(),
-        |j: &mut JobSpec| j.needs.cpus = 8.5,
-        |j: &mut JobSpec| j.needs.ram = 33.0,
-        |j: &mut JobSpec| j.needs.gpus = 1.0,
-        |j: &mut JobSpec| j.types = Some(vec!["huge".into()]),
-        |j: &mut JobSpec| j.types = Some(Vec::new()),
+        |j: &mut JobSpec| j.resources.cpus = 8.5,
+        |j: &mut JobSpec| j.resources.ram = 33.0,
+        |j: &mut JobSpec| j.resources.gpus = 1.0,
+        |j: &mut JobSpec| j.machine_types = Some(vec!["huge".into()]),
+        |j: &mut JobSpec| j.machine_types = Some(Vec::new()),
         |j: &mut JobSpec| j.zone = Some("nowhere".into()),
         // Each is to be had, and not together: the type that is large enough is not in that zone.
-        |j: &mut JobSpec| (j.needs.cpus, j.zone) = (6.0, Some("b".into())),
-        |j: &mut JobSpec| (j.types, j.zone) = (Some(vec!["large".into()]), Some("b".into())),
-        |j: &mut JobSpec| (j.types, j.needs.cpus) = (Some(vec!["small".into()]), 5.0),
-        |j: &mut JobSpec| (j.needs.cpus, j.needs.ram) = (4.0, 40.0),
-        |j: &mut JobSpec| (j.team, j.kind, j.tasks) = ("t".into(), JobKind::Service, 13),
+        |j: &mut JobSpec| (j.resources.cpus, j.zone) = (6.0, Some("b".into())),
+        |j: &mut JobSpec| {
+            (j.machine_types, j.zone) = (Some(vec!["large".into()]), Some("b".into()))
+        },
+        |j: &mut JobSpec| (j.machine_types, j.resources.cpus) = (Some(vec!["small".into()]), 5.0),
+        |j: &mut JobSpec| (j.resources.cpus, j.resources.ram) = (4.0, 40.0),
+        |j: &mut JobSpec| (j.team, j.job_kind, j.tasks) = ("t".into(), JobKind::Service, 13),
     ]
     .iter()
     .enumerate()
--- a/src/core/simulation/users.rs
+++ b/src/core/simulation/users.rs
@@ -164,7 +164,7 @@
         let spec = &self.checker.specs[id];
         (0..spec.tasks).all(|row| {
             let job = spec.id.clone();
-            self.checker.completed.contains(&TaskId { job, row })
+            self.checker.completed.contains(&TaskId { job, index: row })
         })
     }
 
--- a/src/core/simulation/worker.rs
+++ b/src/core/simulation/worker.rs
@@ -83,22 +83,22 @@
         Heartbeat {
             machine: id.clone(),
             addr: "127.0.0.1:9000".into(),
-            kind: self.kind.clone(),
+            machine_type: self.kind.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
-            session: self.session,
-            seq: self.seq,
-            token: self.token,
-            notice: None,
-            rows: self
+            incarnation: self.session,
+            sequence: self.seq,
+            fencing_token: self.token,
+            reclaim_in_s: None,
+            tasks: self
                 .tasks
                 .iter()
                 .map(|(k, t)| TaskStatus {
                     task: k.to_string(),
                     attempt: t.attempt,
                     state: t.state,
-                    why: t.why,
-                    saved: None,
+                    cause: t.why,
+                    checkpointed: None,
                 })
                 .collect(),
         }
@@ -195,7 +195,7 @@
             attempt,
             state: TaskState::Running,
             why: None,
-            ends: (spec.kind != JobKind::Service).then(|| runs + spec.estimate),
+            ends: (spec.job_kind != JobKind::Service).then(|| runs + spec.estimate),
             runs,
         };
         if !self.image_fetch_time.is_zero() {
@@ -293,10 +293,12 @@
         }
         let orders: Option<HeartbeatResponse> = serde_json::from_slice(&answer.body).ok();
         match (answer.status, orders) {
-            (200, Some(a)) if a.token >= worker.token && exchange.session == worker.session => {
-                worker.token = a.token;
+            (200, Some(a))
+                if a.fencing_token >= worker.token && exchange.session == worker.session =>
+            {
+                worker.token = a.fencing_token;
                 worker.lease_from = exchange.sent;
-                self.execute(id, &a.orders);
+                self.execute(id, &a.commands);
             }
             (200, _) => {}
             _ => match redirect_target(&answer) {
@@ -356,10 +358,10 @@
     /// Executes direct commands as a worker does.
     pub fn direct(&mut self, id: &MachineId, body: &DirectCommands) -> Option<DirectOutcome> {
         let worker = self.workers.get_mut(id)?;
-        let fits = body.token >= worker.token && body.session == worker.session;
+        let fits = body.fencing_token >= worker.token && body.incarnation == worker.session;
         if fits {
-            worker.token = body.token;
-            self.execute(id, &body.orders);
+            worker.token = body.fencing_token;
+            self.execute(id, &body.commands);
         }
         let worker = self.workers.get_mut(id)?;
         Some(DirectOutcome::Heartbeat {
@@ -382,9 +384,9 @@
         let body = match request {
             DirectRequest::Commands(body) => body,
             DirectRequest::Status { token } => DirectCommands {
-                token,
-                session: worker.session,
-                orders: Vec::new(),
+                fencing_token: token,
+                incarnation: worker.session,
+                commands: Vec::new(),
             },
         };
         if worker.inbound_partitioned {
--- a/src/core/status.rs
+++ b/src/core/status.rs
@@ -46,7 +46,7 @@
             .map(|m| self.machine_view(m))
             .collect();
         let jobs: Vec<Value> = lead
-            .runs
+            .job_runs
             .keys()
             .take(MAX_LISTED_JOBS)
             .map(|id| self.job_view(id))
@@ -68,9 +68,9 @@
             "refused_offers": refused,
             "bidding": self.markets_view(lead),
             "members": self.members_status(),
-            "reports_by_others": {"taken_in": lead.delegates.relayed, "answered": lead.delegates.answered},
+            "reports_by_others": {"taken_in": lead.delegates.relayed_heartbeats, "answered": lead.delegates.delegated_answers},
             "machines": machines,
-            "jobs_live": lead.runs.len(),
+            "jobs_live": lead.job_runs.len(),
             "jobs_finished": self.mirror.finished.len(),
             "jobs": jobs,
         })
@@ -81,15 +81,19 @@
             format!("being returned: {why}")
         } else if m.unresolved {
             "not heard of yet".into()
-        } else if m.session == 0 {
+        } else if m.incarnation == 0 {
             "booting".into()
-        } else if m.session_over {
+        } else if m.lease_expired {
             "lost".into()
-        } else if m.notice.is_some() {
+        } else if m.reclaim_at.is_some() {
             "will be taken".into()
-        } else if m.doubt.is_some() {
+        } else if m.doubtful_until_token.is_some() {
             "commands in doubt".into()
-        } else if m.faults.avoid_until.is_some_and(|t| t > self.now.mono) {
+        } else if m
+            .fault_history
+            .avoid_until
+            .is_some_and(|t| t > self.now.mono)
+        {
             "avoided after failures".into()
         } else {
             "up".into()
@@ -108,8 +112,8 @@
             })
             .collect();
         json!({
-            "machine": m.id, "type": m.kind, "zone": m.zone, "spot": m.spot,
-            "state": state, "heard_s": self.since(m.seen), "reports_to": m.via, "tasks": tasks,
+            "machine": m.id, "type": m.machine_type, "zone": m.zone, "spot": m.spot,
+            "state": state, "heard_s": self.since(m.last_heartbeat), "reports_to": m.via, "tasks": tasks,
         })
     }
 
@@ -117,7 +121,7 @@
         let (Some(lead), Some(job)) = (&self.lead, self.mirror.jobs.get(id)) else {
             return json!({});
         };
-        let Some(run) = lead.runs.get(id) else {
+        let Some(run) = lead.job_runs.get(id) else {
             return json!({});
         };
         let running = self.running_of(id, run) as usize;
@@ -140,7 +144,7 @@
     /// The jobs that one awaits and that are not done.
     fn awaited<'a>(&self, spec: &'a JobSpec) -> Vec<&'a JobId> {
         let done = |a: &&JobId| self.mirror.finished.get(*a) != Some(&JobOutcome::Done);
-        spec.awaits.iter().filter(done).collect()
+        spec.dependencies.iter().filter(done).collect()
     }
 
     /// One sentence on why a job's waiting tasks wait.
@@ -148,7 +152,7 @@
         let (Some(lead), Some(job)) = (&self.lead, self.mirror.jobs.get(id)) else {
             return String::new();
         };
-        let Some(run) = lead.runs.get(id) else {
+        let Some(run) = lead.job_runs.get(id) else {
             return String::new();
         };
         if run.ending.is_some() {
@@ -178,10 +182,10 @@
                 "its tasks failed {failures} times and never succeeded; it is tried now and then"
             );
         }
-        if failures > 0 && run.queued.iter().all(|r| run.held.contains_key(r)) {
+        if failures > 0 && run.queued.iter().all(|r| run.backoff_until.contains_key(r)) {
             return format!("its tasks failed {failures} times; they are tried again later");
         }
-        match &lead.head {
+        match &lead.queue_head {
             Some((head, Some(after))) if head == id => {
                 format!(
                     "next in the queue; room is expected in {} s",
--- a/src/core/submissions.rs
+++ b/src/core/submissions.rs
@@ -89,18 +89,18 @@
                 &t.zones
             };
             spec.allows_type(&t.name)
-                && spec.needs.fits(&t.room())
+                && spec.resources.fits(&t.room())
                 && (zones.is_empty() || spec.zone.as_ref().is_none_or(|z| zones.contains(z)))
         });
         if !fits {
             return never("a task fits no allowed machine type");
         }
-        let n = match spec.kind {
+        let n = match spec.job_kind {
             JobKind::Array => 1.0,
             JobKind::Service | JobKind::Gang => f64::from(spec.tasks),
         };
         let over = |need: f64, max: Option<f64>| max.is_some_and(|m| need * n > m + 1e-6);
-        if over(spec.needs.cpus, team.cpus_max) || over(spec.needs.gpus, team.gpus_max) {
+        if over(spec.resources.cpus, team.cpus_max) || over(spec.resources.gpus, team.gpus_max) {
             return never("needs more than the team's limit");
         }
         Ok(())
@@ -110,13 +110,13 @@
     fn validate_dependencies(&self, spec: &JobSpec) -> Result<(), Answer> {
         let service = |a: &JobId| {
             let job = self.mirror.jobs.get(a);
-            job.is_some_and(|j| j.spec.kind == JobKind::Service)
+            job.is_some_and(|j| j.spec.job_kind == JobKind::Service)
         };
         let never = |text: String| Err(Answer::error(422, &text));
-        if spec.awaits.contains(&spec.id) {
+        if spec.dependencies.contains(&spec.id) {
             return never("it awaits itself".into());
         }
-        if let Some(a) = spec.awaits.iter().find(|a| service(a)) {
+        if let Some(a) = spec.dependencies.iter().find(|a| service(a)) {
             return never(format!("it awaits {a}, a service, which is never done"));
         }
         Ok(())
@@ -124,7 +124,7 @@
 
     /// A job that is awaited and, as far as this node knows, was never accepted.
     fn unknown_dependency<'a>(&self, spec: &'a JobSpec) -> Option<&'a JobId> {
-        spec.awaits.iter().find(|a| !self.mirror.knows(a))
+        spec.dependencies.iter().find(|a| !self.mirror.knows(a))
     }
 
     /// Why a submission was refused for good.
@@ -190,7 +190,7 @@
             return self.answer(ticket, Answer::busy("too many unfinished tasks", 30));
         }
         // Names of types that the cloud does not have allow nothing; they are not kept.
-        if let Some(names) = &mut spec.types {
+        if let Some(names) = &mut spec.machine_types {
             names.retain(|n| self.types.iter().any(|t| t.name == *n));
         }
         // Somewhat less than a value may have: the service may write numbers at greater length.
--- a/src/core/urgency.rs
+++ b/src/core/urgency.rs
@@ -17,7 +17,7 @@
 impl LeaderState {
     /// What a job owes to those that need it, or to itself.
     pub fn urgency_of(&self, id: &JobId, job: &JobRecord) -> Urgency {
-        let flowed = self.urgency.get(id).copied();
+        let flowed = self.inherited_urgency.get(id).copied();
         flowed.unwrap_or_else(|| Urgency::own(job))
     }
 }
@@ -28,7 +28,7 @@
         let rates = self.types.iter().map(|t| t.fetch_gb_per_s);
         let slowest = rates.fold(f64::INFINITY, f64::min).max(0.01);
         let pace = lead
-            .pace
+            .runtime_ratios
             .get(&job.spec.class)
             .map_or(1.0, RuntimeRatio::factor);
         let fetch = Duration::from_secs_f64((job.spec.image_gb / slowest).min(600.0));
@@ -53,7 +53,7 @@
                 }
                 let theirs = lead.urgency_of(after, job);
                 u.needed = true;
-                u.rank = u.rank.min(theirs.rank);
+                u.priority = u.priority.min(theirs.priority);
                 let before = theirs
                     .due
                     .and_then(|d| d.checked_sub(self.stage(lead, job)));
@@ -65,12 +65,12 @@
             if u == lead.urgency_of(&id, job) {
                 continue;
             }
-            next.extend(job.spec.awaits.iter().cloned());
+            next.extend(job.spec.dependencies.iter().cloned());
             if let Some(lead) = &mut self.lead {
                 if u == own {
-                    lead.urgency.remove(&id);
+                    lead.inherited_urgency.remove(&id);
                 } else {
-                    lead.urgency.insert(id, u);
+                    lead.inherited_urgency.insert(id, u);
                 }
                 lead.plan_again = true;
             }
--- a/src/core/writes.rs
+++ b/src/core/writes.rs
@@ -85,7 +85,7 @@
     pub(super) fn send_writes(&mut self) {
         let now = self.now.mono;
         let Some(lead) = &mut self.lead else { return };
-        if let Some(sent) = &mut lead.writes.sent {
+        if let Some(sent) = &mut lead.writes.in_flight {
             if let Some(refused) = &mut sent.refused {
                 if now >= refused.since + CONFLICT_SETTLE_TIMEOUT {
                     refused.since = now;
@@ -93,19 +93,20 @@
                 }
                 return;
             }
-            if sent.call.is_some() || now < sent.again_at {
+            if sent.call.is_some() || now < sent.retry_at {
                 return;
             }
             // No answer, or refused: the very same again. Should the first copy be applied as well,
             // the second of the two finds other versions, and changes nothing.
             let txn = sent.txn.clone();
             let call = self.ask_state(Pending::Write, StoreRequest::CompareAndSwap(txn));
-            if let Some(sent) = self.lead.as_mut().and_then(|l| l.writes.sent.as_mut()) {
+            if let Some(sent) = self.lead.as_mut().and_then(|l| l.writes.in_flight.as_mut()) {
                 sent.call = Some(call);
             }
             return;
         }
-        if self.mirror.revision < lead.writes.after || self.write_budget.left(now) < 1.0 {
+        if self.mirror.revision < lead.writes.minimum_revision || self.write_budget.left(now) < 1.0
+        {
             return;
         }
         let Some((txn, ops)) = self.build_transaction() else {
@@ -113,7 +114,7 @@
         };
         let call = self.ask_state(Pending::Write, StoreRequest::CompareAndSwap(txn.clone()));
         if let Some(lead) = &mut self.lead {
-            lead.writes.sent = Some(InFlightWrite::new(txn, ops, call, now));
+            lead.writes.in_flight = Some(InFlightWrite::new(txn, ops, call, now));
         }
     }
 
@@ -121,7 +122,7 @@
     fn collect_garbage_keys(&mut self) {
         let now = self.now.mono;
         let Some(lead) = &mut self.lead else { return };
-        let mut since = std::mem::take(&mut lead.unclaimed);
+        let mut since = std::mem::take(&mut lead.unclaimed_parts);
         for (id, stem) in self.mirror.parts.unclaimed() {
             let name = (id.clone(), *stem);
             let first = since.remove(&name).unwrap_or(now);
@@ -129,7 +130,7 @@
                 let keys = self.mirror.parts.keys(id, *stem);
                 self.mirror.litter.extend(keys);
             }
-            lead.unclaimed.insert(name, first);
+            lead.unclaimed_parts.insert(name, first);
         }
     }
 
@@ -153,7 +154,7 @@
                 .filter(|(_, end)| **end == JobOutcome::Cancelled);
             let jobs = &self.mirror.jobs;
             let left = cancelled.filter(|(id, _)| {
-                let placed = lead.runs.get(*id).is_some_and(|r| !r.placed.is_empty());
+                let placed = lead.job_runs.get(*id).is_some_and(|r| !r.placed.is_empty());
                 placed
                     || jobs
                         .get(*id)
@@ -162,9 +163,9 @@
             left.map(|(id, _)| id.clone()).collect()
         };
         let w = &mut lead.writes;
-        w.aside.retain(|_, until| now < *until);
+        w.quarantined_keys.retain(|_, until| now < *until);
         let mut batch = Batch {
-            most: most.min(w.most.unwrap_or(most)),
+            most: most.min(w.max_changes.unwrap_or(most)),
             value_bytes: self.settings.value_bytes,
             ..Batch::default()
         };
@@ -175,7 +176,7 @@
         };
         for (id, end) in &w.ends {
             let key = job_key(id);
-            if w.aside.contains_key(&key) || left_over.contains(id) {
+            if w.quarantined_keys.contains_key(&key) || left_over.contains(id) {
                 continue;
             }
             let cancelled = *end == JobOutcome::Cancelled;
@@ -199,14 +200,18 @@
         due.retain(|(t, id)| now >= *t + PROGRESS_DELAY && !w.ends.contains_key(*id));
         due.sort();
         'jobs: for (_, id) in due {
-            let (Some(run), Some(job)) = (lead.runs.get(id), self.mirror.jobs.get(id)) else {
+            let (Some(run), Some(job)) = (lead.job_runs.get(id), self.mirror.jobs.get(id)) else {
                 continue;
             };
             // From the last row down: a piece of an earlier version may reach further than ours
             // under the same key, and what it tells beyond is to be on record elsewhere first.
-            for base in job.ranges_to_write(&run.unwritten, piece).into_iter().rev() {
+            for base in job
+                .ranges_to_write(&run.unpersisted_done, piece)
+                .into_iter()
+                .rev()
+            {
                 let key = done_key(id, base);
-                if w.aside.contains_key(&key) {
+                if w.quarantined_keys.contains_key(&key) {
                     continue 'jobs;
                 }
                 let value = DoneValue {
@@ -216,14 +221,14 @@
                     break 'jobs;
                 }
                 let end = base.saturating_add(piece);
-                let rows = run.unwritten.range(base..end).copied().collect();
+                let rows = run.unpersisted_done.range(base..end).copied().collect();
                 batch.ops.push(WriteOp::Progress(id.clone(), rows));
             }
         }
         for id in &w.followers {
             let end = JobOutcome::Cancelled;
             let key = job_key(id);
-            if w.aside.contains_key(&key) || w.ends.contains_key(id) {
+            if w.quarantined_keys.contains_key(&key) || w.ends.contains_key(id) {
                 continue;
             }
             // Nothing of it can have started.
@@ -238,13 +243,17 @@
         // is not kept here.
         let types = put(key(TYPES), json(&self.types));
         let small = to_json(&self.types).len() <= batch.value_bytes;
-        if w.types && small && !w.aside.contains_key(&key(TYPES)) && batch.add(vec![types]) {
+        if w.machine_types
+            && small
+            && !w.quarantined_keys.contains_key(&key(TYPES))
+            && batch.add(vec![types])
+        {
             batch.ops.push(WriteOp::Types);
         }
         let whole = Change::Delete {
             key: key(REBUILDING),
         };
-        if w.rebuilt && batch.changes.is_empty() && batch.add(vec![whole]) {
+        if w.rebuild_complete && batch.changes.is_empty() && batch.add(vec![whole]) {
             batch.ops.push(WriteOp::Rebuilt);
         }
         while batch.changes.len() < batch.most
@@ -256,7 +265,7 @@
         }
         let Batch { changes, ops, .. } = batch;
         if changes.is_empty() {
-            w.types = false;
+            w.machine_types = false;
             return None;
         }
         self.write_budget.spend(changes.len());
@@ -290,7 +299,7 @@
         let ended = owed.iter().filter(over);
         let live = owed.iter().filter(|id| !over(id));
         for id in ended.chain(live) {
-            if w.aside.contains_key(&job_key(id)) || w.ends.contains_key(id) {
+            if w.quarantined_keys.contains_key(&job_key(id)) || w.ends.contains_key(id) {
                 continue;
             }
             let room = batch.most.saturating_sub(batch.changes.len());
@@ -314,13 +323,13 @@
         let now = self.now.mono;
         let Some(lead) = &mut self.lead else { return };
         let ours = |s: &InFlightWrite| s.call == Some(call);
-        if !lead.writes.sent.as_ref().is_some_and(ours) {
+        if !lead.writes.in_flight.as_ref().is_some_and(ours) {
             return;
         }
         let retry = |lead: &mut LeaderState, pause| {
-            if let Some(sent) = &mut lead.writes.sent {
+            if let Some(sent) = &mut lead.writes.in_flight {
                 sent.call = None;
-                sent.again_at = now + pause;
+                sent.retry_at = now + pause;
             }
         };
         match outcome {
@@ -337,9 +346,9 @@
                     let failed = failed.join(", ");
                     return self.step_down(&format!("a write was refused: {failed} changed"));
                 }
-                if let Some(sent) = self.lead.as_mut().and_then(|l| l.writes.sent.as_mut()) {
+                if let Some(sent) = self.lead.as_mut().and_then(|l| l.writes.in_flight.as_mut()) {
                     sent.refused = Some(RefusedWrite {
-                        keys: failed,
+                        conflicting_keys: failed,
                         revision,
                         since: now,
                     });
@@ -351,18 +360,18 @@
                 // the settings say. Fewer changes go together, down to one; a change that is
                 // refused by itself is set aside, as the others must not wait for it.
                 let w = &mut lead.writes;
-                let Some(InFlightWrite { txn, ops, .. }) = w.sent.take() else {
+                let Some(InFlightWrite { txn, ops, .. }) = w.in_flight.take() else {
                     return;
                 };
                 let keys: Vec<&str> = txn.changes.iter().map(Change::key).collect();
-                if w.most.is_none() {
+                if w.max_changes.is_none() {
                     tracing::error!("state service refuses {} changes: {e}", keys.len());
                 }
                 let alone = ops.len() == 1;
-                w.most = Some((keys.len() / 2).max(1));
+                w.max_changes = Some((keys.len() / 2).max(1));
                 if let [key] = keys[..] {
                     tracing::error!("state service refuses {key}, set aside: {e}");
-                    w.aside.insert(key.to_string(), now + QUARANTINE);
+                    w.quarantined_keys.insert(key.to_string(), now + QUARANTINE);
                 }
                 for op in ops {
                     if let WriteOp::Pages(pages, _) = op {
@@ -393,7 +402,7 @@
 
     /// Notes whether what the state service shows is the transaction that is on its way.
     pub(super) fn observe_commit(&mut self, committed: impl Fn(&CompareAndSwap) -> Option<u64>) {
-        if let Some(sent) = self.lead.as_mut().and_then(|l| l.writes.sent.as_mut())
+        if let Some(sent) = self.lead.as_mut().and_then(|l| l.writes.in_flight.as_mut())
             && sent.committed.is_none()
         {
             sent.committed = committed(&sent.txn);
@@ -405,7 +414,7 @@
     /// was a refusal of its second copy. Otherwise it was refused for a change of somebody else's.
     pub(super) fn resolve_write(&mut self) {
         let revision = self.mirror.revision;
-        let Some(sent) = self.lead.as_ref().and_then(|l| l.writes.sent.as_ref()) else {
+        let Some(sent) = self.lead.as_ref().and_then(|l| l.writes.in_flight.as_ref()) else {
             return;
         };
         if let Some(at) = sent.committed.filter(|_| stands(Safeguard::OwnWrite)) {
@@ -415,7 +424,7 @@
         let Some(refused) = sent.refused.as_ref().filter(known) else {
             return;
         };
-        let (failed, at) = (refused.keys.join(", "), refused.revision);
+        let (failed, at) = (refused.conflicting_keys.join(", "), refused.revision);
         let conflicts = self.rebuild_write(at);
         if conflicts >= MAX_CONFLICTS {
             self.resign(&format!(
@@ -432,7 +441,7 @@
     fn write_committed(&mut self, revision: u64) {
         let Some(lead) = &mut self.lead else { return };
         lead.writes.conflicts = 0;
-        let Some(sent) = lead.writes.sent.take() else {
+        let Some(sent) = lead.writes.in_flight.take() else {
             return;
         };
         self.mirror.record_write(&sent.txn.changes, revision);
@@ -447,7 +456,7 @@
     fn rebuild_write(&mut self, revision: u64) -> u32 {
         let Some(lead) = &mut self.lead else { return 0 };
         let w = &mut lead.writes;
-        let Some(InFlightWrite { txn, ops, .. }) = w.sent.take() else {
+        let Some(InFlightWrite { txn, ops, .. }) = w.in_flight.take() else {
             return 0;
         };
         for op in ops {
@@ -455,7 +464,7 @@
                 w.records.requeue(pages);
             }
         }
-        (w.after, w.conflicts) = (revision, w.conflicts + 1);
+        (w.minimum_revision, w.conflicts) = (revision, w.conflicts + 1);
         let conflicts = w.conflicts;
         self.requeue_deletions(&txn);
         conflicts
@@ -486,11 +495,11 @@
                 self.sync_job_runs();
             }
             WriteOp::Progress(id, rows) => {
-                if let Some(run) = lead.runs.get_mut(&id) {
+                if let Some(run) = lead.job_runs.get_mut(&id) {
                     for row in rows {
-                        run.unwritten.remove(&row);
+                        run.unpersisted_done.remove(&row);
                     }
-                    if run.unwritten.is_empty() {
+                    if run.unpersisted_done.is_empty() {
                         lead.writes.progress.remove(&id);
                     } else {
                         lead.writes.progress.insert(id, self.now.mono);
@@ -509,15 +518,15 @@
                     }
                 }
             }
-            WriteOp::Types => lead.writes.types = false,
+            WriteOp::Types => lead.writes.machine_types = false,
             WriteOp::Owed(id) => {
-                lead.writes.owed_parts.remove(&id);
+                lead.writes.missing_parts_written.remove(&id);
                 self.mirror.owed.remove(&id);
             }
             WriteOp::OwedParts(id, upto) => {
-                lead.writes.owed_parts.insert(id, upto);
+                lead.writes.missing_parts_written.insert(id, upto);
             }
-            WriteOp::Rebuilt => lead.writes.rebuilt = false,
+            WriteOp::Rebuilt => lead.writes.rebuild_complete = false,
         }
     }
 }
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -13,7 +13,7 @@
 pub fn too_dear(types: &[MachineType], spec: &JobSpec, times: f64) -> Vec<Offer> {
     let mut offers: Vec<(f64, Offer)> = Vec::new();
     for t in types.iter().filter(|t| spec.allows_type(&t.name)) {
-        let fit = spec.needs.count_in(&t.room());
+        let fit = spec.resources.count_in(&t.room());
         for (spot, price) in [(true, t.spot_price), (false, Some(t.price))] {
             if let Some(price) = price
                 && fit > 0
@@ -146,7 +146,7 @@
     // Price of each offer before its size against what is left counts.
     let mut offers: Vec<(f64, u32, Offer)> = Vec::new();
     for t in market.types.iter().filter(|t| u.spec.allows_type(&t.name)) {
-        let fit = u.spec.needs.count_in(&t.room());
+        let fit = u.spec.resources.count_in(&t.room());
         if fit == 0 {
             continue;
         }
@@ -204,7 +204,7 @@
         let (h, class) = (board.host(*slot), board.class_of(*slot));
         !unmet
             .iter()
-            .any(|u| u.takes(&class.offer) && u.spec.needs.fits(&h.free))
+            .any(|u| u.takes(&class.offer) && u.spec.resources.fits(&h.free))
     };
     board
         .idle()
--- a/src/forecast.rs
+++ b/src/forecast.rs
@@ -172,7 +172,7 @@
         told: &mut dyn FnMut(Duration, u32),
     ) -> u32 {
         let mut left = u.tasks;
-        let needs = u.spec.needs;
+        let needs = u.spec.resources;
         let allowed = self.allowed(u);
         let patience = patience.max(arrives);
         let last = (patience.max(self.last_boot), usize::MAX);
--- a/src/job.rs
+++ b/src/job.rs
@@ -12,12 +12,12 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TaskId {
     pub job: JobId,
-    pub row: u32,
+    pub index: u32,
 }
 
 impl fmt::Display for TaskId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}/{}", self.job, self.row)
+        write!(f, "{}/{}", self.job, self.index)
     }
 }
 
@@ -116,27 +116,34 @@
     pub id: JobId,
     pub class: String,
     pub team: String,
-    pub kind: JobKind,
-    pub rank: Priority,
+    #[serde(rename = "kind")]
+    pub job_kind: JobKind,
+    #[serde(rename = "rank")]
+    pub priority: Priority,
     pub tasks: u32,
-    pub needs: Resources,
+    #[serde(rename = "needs")]
+    pub resources: Resources,
     pub image: String,
     pub image_gb: f64,
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub types: Option<Vec<String>>,
+    #[serde(rename = "types")]
+    pub machine_types: Option<Vec<String>>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
     pub one_zone: bool,
     pub spread: bool,
     pub spot: bool,
     pub estimate: Duration,
-    pub checkpoint: Duration,
-    pub save: Duration,
+    #[serde(rename = "checkpoint")]
+    pub checkpoint_interval: Duration,
+    #[serde(rename = "save")]
+    pub checkpoint_duration: Duration,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub deadline: Option<Duration>,
     /// Jobs that have to be done before any of its tasks starts; sorted, each once.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub awaits: Vec<JobId>,
+    #[serde(rename = "awaits")]
+    pub dependencies: Vec<JobId>,
 }
 
 impl JobSpec {
@@ -150,7 +157,7 @@
     }
 
     pub fn allows_type(&self, name: &str) -> bool {
-        self.types
+        self.machine_types
             .as_ref()
             .is_none_or(|t| t.iter().any(|x| x == name))
     }
@@ -174,25 +181,25 @@
         id: id.into(),
         class: "c".into(),
         team: "t".into(),
-        kind: JobKind::Array,
-        rank: Priority::Normal,
+        job_kind: JobKind::Array,
+        priority: Priority::Normal,
         tasks,
-        needs: Resources {
+        resources: Resources {
             cpus,
             gpus: 0.0,
             ram: 1.0,
         },
         image: "img".into(),
         image_gb: 0.5,
-        types: None,
+        machine_types: None,
         zone: None,
         one_zone: false,
         spread: false,
         spot: false,
         estimate: Duration::from_secs(seconds),
-        checkpoint: Duration::ZERO,
-        save: Duration::ZERO,
+        checkpoint_interval: Duration::ZERO,
+        checkpoint_duration: Duration::ZERO,
         deadline: None,
-        awaits: Vec::new(),
+        dependencies: Vec::new(),
     }
 }
--- a/src/link.rs
+++ b/src/link.rs
@@ -334,8 +334,8 @@
 
 /// Roughly the bytes that a report takes in a frame.
 pub fn encoded_heartbeat_size(r: &Heartbeat) -> usize {
-    let rows: usize = r.rows.iter().map(|row| row.task.len() + 13).sum();
-    64 + r.machine.len() + r.addr.len() + r.kind.len() + r.zone.len() + rows
+    let rows: usize = r.tasks.iter().map(|row| row.task.len() + 13).sum();
+    64 + r.machine.len() + r.addr.len() + r.machine_type.len() + r.zone.len() + rows
 }
 
 pub fn encode_sync(s: &HeartbeatBatch) -> Vec<u8> {
@@ -369,25 +369,25 @@
         let notice = |s: f64| ms(Duration::from_secs_f64(s.clamp(0.0, 1e6)));
         out.put(&HeartbeatHeader {
             name: U64::new(*name),
-            session: U64::new(r.session),
-            seq: U64::new(r.seq),
-            token: U64::new(r.token),
+            session: U64::new(r.incarnation),
+            seq: U64::new(r.sequence),
+            token: U64::new(r.fencing_token),
             notice_ms: r
-                .notice
+                .reclaim_in_s
                 .filter(|n| n.is_finite())
                 .map_or(U32::new(NONE), notice),
-            rows: count(r.rows.len()),
+            rows: count(r.tasks.len()),
             spot: u8::from(r.spot),
         });
-        for text in [&*r.machine, &r.addr, &r.kind, &r.zone] {
+        for text in [&*r.machine, &r.addr, &r.machine_type, &r.zone] {
             out.text(text);
         }
-        for row in &r.rows {
+        for row in &r.tasks {
             out.put(&TaskStatusHeader {
                 attempt: U64::new(row.attempt),
                 state: index(&STATES, &row.state),
-                why: row.why.map_or(u8::MAX, |w| index(&CAUSES, &w)),
-                saved: row.saved.map_or(2, u8::from),
+                why: row.cause.map_or(u8::MAX, |w| index(&CAUSES, &w)),
+                saved: row.checkpointed.map_or(2, u8::from),
             });
             out.text(&row.task);
         }
@@ -408,22 +408,22 @@
         Some(TaskStatus {
             attempt: row.attempt.get(),
             state: *STATES.get(usize::from(row.state))?,
-            why,
-            saved: (row.saved < 2).then_some(row.saved == 1),
+            cause: why,
+            checkpointed: (row.saved < 2).then_some(row.saved == 1),
             task: b.text()?.to_string(),
         })
     })?;
     let report = Heartbeat {
         machine: machine.into(),
         addr,
-        kind,
+        machine_type: kind,
         zone,
         spot: f.spot != 0,
-        session: f.session.get(),
-        seq: f.seq.get(),
-        token: f.token.get(),
-        notice: (f.notice_ms.get() != NONE).then(|| span(f.notice_ms).as_secs_f64()),
-        rows,
+        incarnation: f.session.get(),
+        sequence: f.seq.get(),
+        fencing_token: f.token.get(),
+        reclaim_in_s: (f.notice_ms.get() != NONE).then(|| span(f.notice_ms).as_secs_f64()),
+        tasks: rows,
     };
     Some(RelayedHeartbeat {
         name: f.name.get(),
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -121,12 +121,12 @@
     let flag = |on: bool, bit: u8| if on { bit } else { 0 };
     let fixed = SpecFrame {
         tasks: U32::new(s.tasks),
-        kind: match s.kind {
+        kind: match s.job_kind {
             JobKind::Array => 0,
             JobKind::Service => 1,
             JobKind::Gang => 2,
         },
-        rank: match s.rank {
+        rank: match s.priority {
             Priority::Production => 0,
             Priority::High => 1,
             Priority::Normal => 2,
@@ -134,23 +134,26 @@
         },
         flags: flag(s.one_zone, ONE_ZONE) | flag(s.spread, SPREAD) | flag(s.spot, SPOT),
         reserved: 0,
-        cpus: F64::new(s.needs.cpus),
-        gpus: F64::new(s.needs.gpus),
-        ram: F64::new(s.needs.ram),
+        cpus: F64::new(s.resources.cpus),
+        gpus: F64::new(s.resources.gpus),
+        ram: F64::new(s.resources.ram),
         image_gb: F64::new(s.image_gb),
         estimate_ns: nanos(s.estimate),
-        checkpoint_ns: nanos(s.checkpoint),
-        save_ns: nanos(s.save),
+        checkpoint_ns: nanos(s.checkpoint_interval),
+        save_ns: nanos(s.checkpoint_duration),
         deadline_ns: s.deadline.map_or(U64::new(u64::MAX), nanos),
         id: len(&s.id),
         class: len(&s.class),
         team: len(&s.team),
         image: len(&s.image),
         zone: s.zone.as_deref().map_or(none, len),
-        types: s.types.as_ref().map_or(none, |t| U32::new(t.len() as u32)),
+        types: s
+            .machine_types
+            .as_ref()
+            .map_or(none, |t| U32::new(t.len() as u32)),
     };
     let mut out = fixed.as_bytes().to_vec();
-    let types = s.types.as_deref().unwrap_or_default();
+    let types = s.machine_types.as_deref().unwrap_or_default();
     for t in types {
         out.extend_from_slice(len(t).as_bytes());
     }
@@ -209,13 +212,13 @@
         id: id.into(),
         class,
         team,
-        kind: match f.kind {
+        job_kind: match f.kind {
             0 => JobKind::Array,
             1 => JobKind::Service,
             2 => JobKind::Gang,
             _ => return None,
         },
-        rank: match f.rank {
+        priority: match f.rank {
             0 => Priority::Production,
             1 => Priority::High,
             2 => Priority::Normal,
@@ -223,33 +226,33 @@
             _ => return None,
         },
         tasks: f.tasks.get(),
-        needs: Resources {
+        resources: Resources {
             cpus: f.cpus.get(),
             gpus: f.gpus.get(),
             ram: f.ram.get(),
         },
         image,
         image_gb: f.image_gb.get(),
-        types,
+        machine_types: types,
         zone,
         one_zone: f.flags & ONE_ZONE != 0,
         spread: f.flags & SPREAD != 0,
         spot: f.flags & SPOT != 0,
         estimate: Duration::from_nanos(f.estimate_ns.get()),
-        checkpoint: Duration::from_nanos(f.checkpoint_ns.get()),
-        save: Duration::from_nanos(f.save_ns.get()),
+        checkpoint_interval: Duration::from_nanos(f.checkpoint_ns.get()),
+        checkpoint_duration: Duration::from_nanos(f.save_ns.get()),
         deadline: match f.deadline_ns.get() {
             u64::MAX => None,
             n => Some(Duration::from_nanos(n)),
         },
-        awaits: Vec::new(),
+        dependencies: Vec::new(),
     })
 }
 
 fn encode_awaiting(s: &JobSpec) -> Vec<u8> {
     let len = |n: usize| U32::new(n as u32);
-    let mut out = len(s.awaits.len()).as_bytes().to_vec();
-    for id in &s.awaits {
+    let mut out = len(s.dependencies.len()).as_bytes().to_vec();
+    for id in &s.dependencies {
         out.extend_from_slice(len(id.len()).as_bytes());
         out.extend_from_slice(id.as_bytes());
     }
@@ -270,12 +273,15 @@
         awaits.push(id.into());
     }
     let spec = decode_spec(rest)?;
-    Some(JobSpec { awaits, ..spec })
+    Some(JobSpec {
+        dependencies: awaits,
+        ..spec
+    })
 }
 
 pub fn encode_request(request: &PeerRequest) -> Vec<u8> {
     match request {
-        PeerRequest::Submit(spec) if spec.awaits.is_empty() => {
+        PeerRequest::Submit(spec) if spec.dependencies.is_empty() => {
             frame(KIND_SUBMIT, &encode_spec(spec))
         }
         PeerRequest::Submit(spec) => frame(KIND_SUBMIT_AWAITING, &encode_awaiting(spec)),
--- a/src/peer/tests.rs
+++ b/src/peer/tests.rs
@@ -6,33 +6,33 @@
         id: "wk-000001".into(),
         class: "Besançon".into(),
         team: "t".into(),
-        kind: JobKind::Service,
-        rank: Priority::Low,
+        job_kind: JobKind::Service,
+        priority: Priority::Low,
         tasks: 9,
-        needs: Resources {
+        resources: Resources {
             cpus: 0.5,
             gpus: 1.0,
             ram: 3.25,
         },
         image: "img".into(),
         image_gb: 1.5,
-        types: Some(vec!["a".into(), "bb".into()]),
+        machine_types: Some(vec!["a".into(), "bb".into()]),
         zone: Some("z".into()),
         one_zone: true,
         spread: false,
         spot: true,
         estimate: Duration::from_millis(1500),
-        checkpoint: Duration::ZERO,
-        save: Duration::from_secs(2),
+        checkpoint_interval: Duration::ZERO,
+        checkpoint_duration: Duration::from_secs(2),
         deadline: None,
-        awaits: Vec::new(),
+        dependencies: Vec::new(),
     };
     let mut plain = spec.clone();
-    (plain.types, plain.zone) = (None, None);
+    (plain.machine_types, plain.zone) = (None, None);
     plain.deadline = Some(Duration::from_secs(7));
     let mut awaiting = spec.clone();
-    awaiting.awaits = vec!["wk-1".into(), "wk-000077".into()];
-    awaiting.awaits.sort();
+    awaiting.dependencies = vec!["wk-1".into(), "wk-000077".into()];
+    awaiting.dependencies.sort();
     for request in [
         PeerRequest::Submit(Box::new(awaiting)),
         PeerRequest::Submit(Box::new(spec)),
--- a/src/plan.rs
+++ b/src/plan.rs
@@ -262,7 +262,7 @@
     fn cost(&self, board: &Board, w: &Waiting, slot: usize) -> Option<f64> {
         let h = board.host(slot);
         let mut cost = self.allowed[h.class]?;
-        if h.usage != Use::Open || !w.spec.needs.fits(&h.free) {
+        if h.usage != Use::Open || !w.spec.resources.fits(&h.free) {
             return None;
         }
         let class = &board.classes[h.class];
@@ -347,7 +347,7 @@
 fn take(board: &mut Board, w: &mut Waiting, teams: &mut [TeamUse], slot: usize) -> bool {
     board.look(1);
     let h = board.host_mut(slot);
-    h.free.sub(&w.spec.needs);
+    h.free.sub(&w.spec.resources);
     let fetches = !h.images.contains(&w.image);
     if fetches {
         h.images.push(w.image);
@@ -357,7 +357,7 @@
         let zone = board.zone_of(slot).to_string();
         *w.zones.entry(zone).or_default() += 1;
     }
-    teams[w.team].add(&w.spec.needs, 1.0);
+    teams[w.team].add(&w.spec.resources, 1.0);
     fetches
 }
 
@@ -384,7 +384,7 @@
             None => {
                 for (slot, fetches) in undo.into_iter().rev() {
                     let h = board.host_mut(slot);
-                    h.free.add(&w.spec.needs);
+                    h.free.add(&w.spec.resources);
                     if fetches {
                         h.images.pop();
                         h.fetching -= 1;
@@ -426,7 +426,7 @@
 /// head (section 3.2.1). Fitting is asked of machines, not of sums: a sum hides fragments.
 fn shadow(board: &Board, hosts: &[usize], w: &Waiting, now: Instant) -> Option<Shadow> {
     let n = w.per_entry();
-    let needs = &w.spec.needs;
+    let needs = &w.spec.resources;
     let allowed: Vec<bool> = board.classes.iter().map(|c| w.takes(c)).collect();
     let usable = |slot: usize| {
         let h = board.host(slot);
@@ -525,11 +525,15 @@
 ) -> Plan {
     let mut plan = Plan::default();
     // Machines without room for even the smallest task need no further look.
-    let Some(smallest) = queue.iter().map(|w| w.spec.needs).reduce(|a, b| Resources {
-        cpus: a.cpus.min(b.cpus),
-        gpus: a.gpus.min(b.gpus),
-        ram: a.ram.min(b.ram),
-    }) else {
+    let Some(smallest) = queue
+        .iter()
+        .map(|w| w.spec.resources)
+        .reduce(|a, b| Resources {
+            cpus: a.cpus.min(b.cpus),
+            gpus: a.gpus.min(b.gpus),
+            ram: a.ram.min(b.ram),
+        })
+    else {
         return plan;
     };
     let open: Vec<usize> = board.open().collect();
@@ -542,7 +546,7 @@
     'queue: for (job, w) in queue.iter_mut().enumerate() {
         if w.whole {
             // A team at its limit waits for itself, not for room: it is no head.
-            if !teams[w.team].takes(&w.spec.needs, w.per_entry()) {
+            if !teams[w.team].takes(&w.spec.resources, w.per_entry()) {
                 continue;
             }
             match place_whole(board, &hosts, job, w, teams, now, &anywhere) {
@@ -556,7 +560,7 @@
         }
         let mut finder = None;
         for row in w.rows(now) {
-            if !teams[w.team].takes(&w.spec.needs, 1) {
+            if !teams[w.team].takes(&w.spec.resources, 1) {
                 break;
             }
             let finder = finder.get_or_insert_with(|| Finder::new(board, &hosts, w));
@@ -622,7 +626,7 @@
     let mut entries: Vec<(usize, Option<u32>, bool)> = Vec::new();
     let mut use_with = teams.to_vec();
     'jobs: for (job, w) in queue.iter().enumerate().skip(head + 1) {
-        let needs = &w.spec.needs;
+        let needs = &w.spec.resources;
         let fits = |&s: &usize| {
             let h = board.host(s);
             needs.fits(&h.free) && w.takes(&board.classes[h.class])
@@ -655,12 +659,12 @@
     // An eighth of the largest machine at most; finer where these tasks are small, since with a
     // coarse unit small machines and rounded-up tasks would count as no room at all.
     let size = |w: &Waiting, unit: f64| {
-        let share = w.spec.needs.share_of(&whole) * f64::from(w.per_entry());
+        let share = w.spec.resources.share_of(&whole) * f64::from(w.per_entry());
         ((share - 1e-9) / unit).ceil().max(1.0) as usize
     };
     let shares = entries
         .iter()
-        .map(|e| queue[e.0].spec.needs.share_of(&whole));
+        .map(|e| queue[e.0].spec.resources.share_of(&whole));
     let mut unit = shares
         .filter(|s| *s > 0.0)
         .fold(0.125, |u: f64, s| u.min(s / 4.0));
@@ -707,7 +711,7 @@
     for chosen in choose(&items, n, extra, scratch) {
         let (job, row, outlasts) = entries[chosen];
         let w = &mut queue[job];
-        let needs = w.spec.needs;
+        let needs = w.spec.resources;
         // The sums do not say which machine the head waits for; its place there is kept.
         let allowed = |board: &Board, slot: usize| match reservation {
             Some(s) if outlasts => {
@@ -792,12 +796,12 @@
             }
         }
         v.tasks.sort();
-        if w.spec.needs.fits(&v.free) || !v.tasks.is_empty() {
+        if w.spec.resources.fits(&v.free) || !v.tasks.is_empty() {
             at.insert(slot, v);
         }
     }
     // What must be stopped on a machine to fit one more task, and the work it throws away.
-    let needs = w.spec.needs;
+    let needs = w.spec.resources;
     let price = |v: &Victims, h: &crate::board::Host| {
         let (mut room, mut loss, mut n) = (v.free, Duration::ZERO, 0);
         for (stake, task) in &v.tasks {
--- a/src/plan/tests.rs
+++ b/src/plan/tests.rs
@@ -80,7 +80,7 @@
 
 fn spec(id: &str, tasks: u32, cpus: f64, estimate: u64) -> JobSpec {
     let mut s = crate::job::sample(id, tasks, cpus, estimate);
-    (s.needs.ram, s.image_gb, s.spot) = (cpus, 1.0, true);
+    (s.resources.ram, s.image_gb, s.spot) = (cpus, 1.0, true);
     s
 }
 
@@ -110,7 +110,7 @@
 impl Line {
     fn waiting(&self) -> Waiting<'_> {
         Waiting {
-            rank: self.spec.rank,
+            rank: self.spec.priority,
             spec: Arc::new(self.spec.clone()),
             image: 7,
             team: 0,
@@ -162,7 +162,7 @@
     Held {
         key: TaskId {
             job: "wk-0".into(),
-            row: cpus as u32,
+            index: cpus as u32,
         },
         needs: room(cpus),
         ends,
@@ -291,7 +291,7 @@
         let end = Some(now + Duration::from_secs(500));
         let mut old = held(4.0, end, now - Duration::from_secs(40));
         let mut young = held(4.0, end, now - Duration::from_secs(5));
-        (old.key.row, young.key.row) = (0, 1);
+        (old.key.index, young.key.index) = (0, 1);
         for t in [&mut old, &mut young] {
             (t.rank, t.team) = (rank, Some(1));
         }
@@ -306,7 +306,7 @@
         let mut teams = [TeamUse::default(), theirs];
         teams[1].cpus = 8.0;
         let p = plan(&mut b, &mut queue, &mut teams, now, &mut Scratch::default());
-        p.stops.iter().map(|s| s.1.row).collect::<Vec<_>>()
+        p.stops.iter().map(|s| s.1.index).collect::<Vec<_>>()
     };
     assert_eq!(stops(Priority::Low, 100.0, false, &w), [1]);
     assert_eq!(stops(Priority::Normal, 100.0, true, &w), [0u32; 0]);
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -165,70 +165,70 @@
         id: b.name_id.into(),
         class: b.crop,
         team: b.steward,
-        kind: match b.shape {
+        job_kind: match b.shape {
             ShapeWord::Array => JobKind::Array,
             ShapeWord::Service => JobKind::Service,
             ShapeWord::Ensemble => JobKind::Gang,
         },
-        rank: match b.rank {
+        priority: match b.rank {
             RankWord::Production => Priority::Production,
             RankWord::Urgent => Priority::High,
             RankWord::Standard => Priority::Normal,
             RankWord::Low => Priority::Low,
         },
         tasks: b.rows as u32,
-        needs: Resources {
+        resources: Resources {
             cpus: b.cpus,
             gpus: b.accelerators,
             ram: b.ram_gb,
         },
         image: b.seedstock,
         image_gb: b.size_gb,
-        types: b.breeds,
+        machine_types: b.breeds,
         zone: b.parcel,
         one_zone: b.together,
         spread: b.scatter,
         spot: b.gleanable,
         estimate: Duration::from_secs_f64(b.reckon_s),
-        checkpoint: Duration::from_secs_f64(b.harvest_s),
-        save: Duration::from_secs_f64(b.bale_s),
+        checkpoint_interval: Duration::from_secs_f64(b.harvest_s),
+        checkpoint_duration: Duration::from_secs_f64(b.bale_s),
         deadline: b.due_s.map(Duration::from_secs_f64),
-        awaits: awaits.into_iter().map(JobId::from).collect(),
+        dependencies: awaits.into_iter().map(JobId::from).collect(),
     })
 }
 
 /// A submission as users send it.
 pub fn submission(spec: &JobSpec) -> Vec<u8> {
-    let awaits: BTreeSet<String> = spec.awaits.iter().map(|a| a.to_string()).collect();
+    let awaits: BTreeSet<String> = spec.dependencies.iter().map(|a| a.to_string()).collect();
     to_json(&SubmitBody {
         name_id: spec.id.to_string(),
         crop: spec.class.clone(),
         steward: spec.team.clone(),
-        shape: match spec.kind {
+        shape: match spec.job_kind {
             JobKind::Array => ShapeWord::Array,
             JobKind::Service => ShapeWord::Service,
             JobKind::Gang => ShapeWord::Ensemble,
         },
-        rank: match spec.rank {
+        rank: match spec.priority {
             Priority::Production => RankWord::Production,
             Priority::High => RankWord::Urgent,
             Priority::Normal => RankWord::Standard,
             Priority::Low => RankWord::Low,
         },
         rows: u64::from(spec.tasks),
-        cpus: spec.needs.cpus,
-        accelerators: spec.needs.gpus,
-        ram_gb: spec.needs.ram,
+        cpus: spec.resources.cpus,
+        accelerators: spec.resources.gpus,
+        ram_gb: spec.resources.ram,
         seedstock: spec.image.clone(),
         size_gb: spec.image_gb,
-        breeds: spec.types.clone(),
+        breeds: spec.machine_types.clone(),
         parcel: spec.zone.clone(),
         together: spec.one_zone,
         scatter: spec.spread,
         gleanable: spec.spot,
         reckon_s: spec.estimate.as_secs_f64(),
-        harvest_s: spec.checkpoint.as_secs_f64(),
-        bale_s: spec.save.as_secs_f64(),
+        harvest_s: spec.checkpoint_interval.as_secs_f64(),
+        bale_s: spec.checkpoint_duration.as_secs_f64(),
         due_s: spec.deadline.map(|d| d.as_secs_f64()),
         awaits: (!awaits.is_empty()).then_some(awaits),
     })
@@ -324,9 +324,9 @@
     #[serde(rename = "standing")]
     pub state: TaskState,
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
-    pub why: Option<ExitCause>,
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub saved: Option<bool>,
+    pub cause: Option<ExitCause>,
+    #[serde(rename = "saved", default, skip_serializing_if = "Option::is_none")]
+    pub checkpointed: Option<bool>,
 }
 
 #[derive(Clone, Debug, Deserialize, Serialize)]
@@ -336,21 +336,21 @@
     #[serde(rename = "endpoint")]
     pub addr: String,
     #[serde(rename = "breed")]
-    pub kind: String,
+    pub machine_type: String,
     #[serde(rename = "parcel")]
     pub zone: String,
     #[serde(rename = "gleanable", default)]
     pub spot: bool,
     #[serde(rename = "tenure")]
-    pub session: u64,
+    pub incarnation: u64,
     #[serde(rename = "tally")]
-    pub seq: u64,
+    pub sequence: u64,
     #[serde(rename = "deed", default)]
-    pub token: u64,
+    pub fencing_token: u64,
     #[serde(rename = "reclaim_s", default, skip_serializing_if = "Option::is_none")]
-    pub notice: Option<f64>,
+    pub reclaim_in_s: Option<f64>,
     #[serde(rename = "rows", default)]
-    pub rows: Vec<TaskStatus>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 pub fn parse_task_id(text: &str) -> Option<TaskId> {
@@ -358,7 +358,7 @@
     let row: u32 = row.parse().ok()?;
     (is_job_id(job) && u64::from(row) < MAX_TASKS).then(|| TaskId {
         job: JobId::from(job),
-        row,
+        index: row,
     })
 }
 
@@ -393,9 +393,9 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct HeartbeatResponse {
     #[serde(rename = "deed")]
-    pub token: u64,
+    pub fencing_token: u64,
     #[serde(rename = "orders")]
-    pub orders: Vec<TaskCommand>,
+    pub commands: Vec<TaskCommand>,
 }
 
 #[derive(Serialize, Deserialize)]
@@ -412,11 +412,11 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct DirectCommands {
     #[serde(rename = "deed")]
-    pub token: u64,
+    pub fencing_token: u64,
     #[serde(rename = "tenure")]
-    pub session: u64,
+    pub incarnation: u64,
     #[serde(rename = "orders")]
-    pub orders: Vec<TaskCommand>,
+    pub commands: Vec<TaskCommand>,
 }
 
 // ---------------------------------------------------------------- cloud
@@ -464,9 +464,9 @@
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct ScaleOutRequest {
     #[serde(rename = "hire")]
-    pub request: String,
+    pub request_id: String,
     #[serde(rename = "breed")]
-    pub kind: String,
+    pub machine_type: String,
     #[serde(rename = "parcel")]
     pub zone: String,
     #[serde(rename = "gleanable")]
@@ -497,7 +497,7 @@
     #[serde(rename = "endpoint", default)]
     pub addr: Option<String>,
     #[serde(rename = "breed")]
-    pub kind: String,
+    pub machine_type: String,
     #[serde(rename = "parcel")]
     pub zone: String,
     #[serde(rename = "gleanable", default)]
--- a/src/wire/tests.rs
+++ b/src/wire/tests.rs
@@ -14,7 +14,7 @@
 fn a_submission_is_read_and_every_fault_in_it_is_refused() {
     let spec = parse_submission(&body(|_| ())).unwrap();
     assert_eq!(parse_submission(&submission(&spec)).unwrap(), spec);
-    assert_eq!((spec.tasks, spec.rank), (16, Priority::High));
+    assert_eq!((spec.tasks, spec.priority), (16, Priority::High));
     assert_eq!(spec.deadline, Some(Duration::from_secs(900)));
     let faults: &[(&str, Value)] = &[
         ("name_id", "wk-".into()),
@@ -140,7 +140,7 @@
         ),
     ] {
         let spec = parse_submission(&body(|v| v["awaits"] = given.clone())).unwrap();
-        let named: Vec<&str> = spec.awaits.iter().map(|a| &**a).collect();
+        let named: Vec<&str> = spec.dependencies.iter().map(|a| &**a).collect();
         assert_eq!(named, read);
     }
 }
--- a/src/worker.rs
+++ b/src/worker.rs
@@ -58,15 +58,15 @@
             // An empty list of commands has no effect but the token's. Most workers are in their
             // first session; one that is not answers with its report, which says which it is in.
             let show = |session| DirectCommands {
-                token: *token,
-                session,
-                orders: Vec::new(),
+                fencing_token: *token,
+                incarnation: session,
+                commands: Vec::new(),
             };
             match command(&mut http, &show(1)) {
                 DirectOutcome::Heartbeat { report, executed }
-                    if !executed && report.session > 1 =>
+                    if !executed && report.incarnation > 1 =>
                 {
-                    command(&mut http, &show(report.session))
+                    command(&mut http, &show(report.incarnation))
                 }
                 other => other,
             }
