--- a/crates/membership/src/grant.rs
+++ b/crates/membership/src/grant.rs
@@ -41,7 +41,7 @@
     /// The newest request that was taken in.
     pub number: u64,
     /// When that was.
-    pub heard: Instant,
+    pub last_request: Instant,
     /// No answer under any grant was given later than this.
     pub until: Instant,
 }
@@ -65,7 +65,7 @@
         IssuedGrant {
             incarnation,
             number,
-            heard: now,
+            last_request: now,
             until: now,
         }
     }
@@ -76,13 +76,13 @@
             if number <= self.number {
                 return Request::Old;
             }
-            (self.number, self.heard) = (number, now);
+            (self.number, self.last_request) = (number, now);
             return Request::Next;
         }
         if now < self.until {
             return Request::Old;
         }
-        (self.incarnation, self.number, self.heard) = (incarnation, number, now);
+        (self.incarnation, self.number, self.last_request) = (incarnation, number, now);
         Request::Fresh
     }
 
--- a/crates/membership/src/grant/tests.rs
+++ b/crates/membership/src/grant/tests.rs
@@ -27,7 +27,7 @@
     assert_eq!(issued.request(1, 5, t + ms(1)), Request::Old);
     assert_eq!(issued.request(1, 7, t + ms(2)), Request::Next);
     assert_eq!(issued.request(1, 6, t + ms(3)), Request::Old);
-    assert_eq!(issued.heard, t + ms(2));
+    assert_eq!(issued.last_request, t + ms(2));
     issued.grant(t + ms(900), t + ms(4));
     // What the process before was granted counts until it has run out.
     assert_eq!(issued.request(2, 1, t + ms(5)), Request::Old);
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -30,25 +30,25 @@
 pub struct Member {
     pub zone: String,
     pub incarnation: u64,
-    pub abilities: Capabilities,
+    pub capabilities: Capabilities,
     /// Workers that it serves.
     pub load: u32,
-    pub heard: Option<Instant>,
+    pub last_heard: Option<Instant>,
     /// When another controller heard it last, as far as that was told.
-    pub heard_by_others: Option<Instant>,
+    pub last_heard_by_others: Option<Instant>,
 }
 
 /// When silence means what.
 #[derive(Clone, Copy, Debug)]
 pub struct FailureDetectorTimeouts {
-    pub suspect: Duration,
-    pub lost: Duration,
+    pub suspect_after: Duration,
+    pub lost_after: Duration,
 }
 
 #[derive(Clone, Debug)]
 pub struct MembershipView {
     members: BTreeMap<String, Member>,
-    patience: FailureDetectorTimeouts,
+    timeouts: FailureDetectorTimeouts,
 }
 
 impl MembershipView {
@@ -60,17 +60,17 @@
         let member = |zone| Member {
             zone,
             incarnation: 0,
-            abilities: Capabilities::default(),
+            capabilities: Capabilities::default(),
             load: 0,
-            heard: None,
-            heard_by_others: None,
+            last_heard: None,
+            last_heard_by_others: None,
         };
         MembershipView {
             members: others
                 .into_iter()
                 .map(|(name, zone)| (name, member(zone)))
                 .collect(),
-            patience,
+            timeouts: patience,
         }
     }
 
@@ -94,8 +94,8 @@
         let Some(m) = self.members.get_mut(name) else {
             return false;
         };
-        (m.incarnation, m.abilities, m.load) = (incarnation, abilities, load);
-        m.heard = Some(now);
+        (m.incarnation, m.capabilities, m.load) = (incarnation, abilities, load);
+        m.last_heard = Some(now);
         true
     }
 
@@ -105,10 +105,10 @@
         let Some(m) = self.members.get_mut(name) else {
             return;
         };
-        if m.heard_by_others.is_none_or(|t| t < heard) {
-            m.heard_by_others = Some(heard);
-            if m.heard.is_none_or(|t| t < heard) {
-                (m.abilities, m.load) = (abilities, load);
+        if m.last_heard_by_others.is_none_or(|t| t < heard) {
+            m.last_heard_by_others = Some(heard);
+            if m.last_heard.is_none_or(|t| t < heard) {
+                (m.capabilities, m.load) = (abilities, load);
             }
         }
     }
@@ -117,19 +117,19 @@
         let Some(m) = self.members.get(name) else {
             return Standing::Unknown;
         };
-        let Some(heard) = m.heard else {
+        let Some(heard) = m.last_heard else {
             return Standing::Unknown;
         };
         let silent = now.saturating_duration_since(heard);
         let others = m
-            .heard_by_others
+            .last_heard_by_others
             .map(|t| now.saturating_duration_since(t.max(heard)));
-        if silent <= self.patience.suspect {
+        if silent <= self.timeouts.suspect_after {
             Standing::Alive
-        } else if silent <= self.patience.lost
+        } else if silent <= self.timeouts.lost_after
             // A cut between the two of us, or a back port that refuses: it is there, and others
             // reach it.
-            || others.is_some_and(|s| s <= self.patience.suspect)
+            || others.is_some_and(|s| s <= self.timeouts.suspect_after)
         {
             Standing::Suspect
         } else {
--- a/crates/membership/src/view/tests.rs
+++ b/crates/membership/src/view/tests.rs
@@ -7,8 +7,8 @@
 #[test]
 fn suspicion_comes_before_loss_and_what_others_hear_holds_it_back() {
     let patience = FailureDetectorTimeouts {
-        suspect: ms(1200),
-        lost: ms(4000),
+        suspect_after: ms(1200),
+        lost_after: ms(4000),
     };
     let names = ["n1", "n2"].map(|n| (n.to_string(), "a".to_string()));
     let mut view = MembershipView::new(names, patience);
@@ -27,5 +27,11 @@
     assert!(view.heard("n1", 2, Capabilities::REPORTS, 0, t + ms(9000)));
     assert_eq!(view.standing("n1", t + ms(9000)), Standing::Alive);
     // An old version says nothing of abilities.
-    assert!(!view.get("n2").unwrap().abilities.has(Capabilities::REPORTS));
+    assert!(
+        !view
+            .get("n2")
+            .unwrap()
+            .capabilities
+            .has(Capabilities::REPORTS)
+    );
 }
--- a/src/core/barrier.rs
+++ b/src/core/barrier.rs
@@ -23,19 +23,19 @@
 #[derive(Default)]
 pub struct ReadBarriers {
     /// Asked in this step.
-    new: Vec<Question>,
+    queued: Vec<Question>,
     /// The revision that each group waits for, and until when.
     waiting: Vec<(u64, Instant, Vec<Question>)>,
 }
 
 impl Core {
     pub(super) fn queue_barrier_query(&mut self, question: Question) {
-        self.barriers.new.push(question);
+        self.barriers.queued.push(question);
     }
 
     /// Called at the end of a step.
     pub(super) fn send_barrier(&mut self) {
-        let new = std::mem::take(&mut self.barriers.new);
+        let new = std::mem::take(&mut self.barriers.queued);
         if !new.is_empty() {
             let key = super::keys::key(super::keys::NOTHING);
             self.ask_state(Pending::Barrier(new), StoreRequest::Get(key));
@@ -61,9 +61,9 @@
 
     /// Answers what the copy is new enough for; what has waited for too long is put off.
     pub(super) fn answer_barriers(&mut self) {
-        let (now, revision) = (self.now.mono, self.mirror.revision);
+        let (now, revision) = (self.now.mono, self.store_cache.revision);
         for (needed, until, questions) in std::mem::take(&mut self.barriers.waiting) {
-            if self.mirror.loaded && revision >= needed {
+            if self.store_cache.loaded && revision >= needed {
                 for q in questions {
                     match q {
                         Question::Show(ticket, id) => self.show_fresh(ticket, &id),
--- a/src/core/bidding.rs
+++ b/src/core/bidding.rs
@@ -34,14 +34,14 @@
 
     /// What a later start costs a task of a job: the aims that it can still meet, by the settings.
     fn worth(&self, spec: &JobSpec, facts: &JobFacts, run: Duration) -> Worth {
-        let nominal = bids::nominal(&self.types, spec, run);
+        let nominal = bids::nominal(&self.machine_types, spec, run);
         let times = self.policy.number(Entry::Worth, facts);
         let slowest = run.as_secs_f64() * SLOWEST;
         // Estimates are often wrong by half.
         let wrong = run.min(Duration::from_secs(3600)) / 2;
         let mut aims = Vec::new();
         for o in &self.settings.objectives {
-            let within = o.within.map_or(0.0, |d| d.as_secs_f64());
+            let within = o.threshold.map_or(0.0, |d| d.as_secs_f64());
             let (by, unsure) = match o.kind.as_str() {
                 "guarantee" if facts.guaranteed => (within - facts.wait, Duration::ZERO),
                 _ if o.class != spec.class => continue,
@@ -138,7 +138,7 @@
         mut market: fleet::Market,
     ) -> Vec<Rent> {
         let now = self.now.mono;
-        let Some(mut lead) = self.lead.take() else {
+        let Some(mut lead) = self.leader.take() else {
             return Vec::new();
         };
         let facts = self.fleet_facts(&lead);
@@ -160,7 +160,7 @@
         let unmet: Vec<Unmet> = asked.iter().map(|a| a.unmet.clone()).collect();
         let mut rents =
             fleet::spot_first(&lead.board, coming, &unmet, &market, now, |u| u.spec.spot);
-        let coming = &fleet::with(coming, &rents, &self.types)[..];
+        let coming = &fleet::with(coming, &rents, &self.machine_types)[..];
         let ahead = self.policy.fleet_number(Entry::Foresight, &facts);
         if ahead > 0.0 {
             let ahead = Duration::from_secs_f64(ahead.min(600.0));
@@ -172,7 +172,7 @@
             }
         }
         lead.bidding.expose(now, &machines);
-        let lots = bids::lots(&self.types, &lead.bidding.beliefs, now);
+        let lots = bids::lots(&self.machine_types, &lead.bidding.beliefs, now);
         let (more, cleared) = bids::rent(&lead.board, coming, &asked, &market, &lots, now);
         if !cleared.awards.is_empty() {
             tracing::debug!(
@@ -184,7 +184,7 @@
             );
         }
         lead.bidding.last = Some(cleared);
-        self.lead = Some(lead);
+        self.leader = Some(lead);
         for (offer, count) in more {
             *rents.entry(offer).or_default() += count;
         }
@@ -196,7 +196,10 @@
         let now = self.now.mono;
         let beliefs = &lead.bidding.beliefs;
         let mut markets = Vec::new();
-        for (i, lot) in bids::lots(&self.types, beliefs, now).iter().enumerate() {
+        for (i, lot) in bids::lots(&self.machine_types, beliefs, now)
+            .iter()
+            .enumerate()
+        {
             let (kind, zone, spot) = &lot.offer;
             let held = lead.board.classes.iter().find(|c| c.offer == lot.offer);
             let last = lead.bidding.last.as_ref();
@@ -223,7 +226,7 @@
     /// A machine was lost, or is going to be: its market is less safe than it seemed.
     pub(super) fn machine_lost(&mut self, id: &MachineId) {
         let now = self.now.mono;
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader else { return };
         if let Some(m) = lead.machines.get(id) {
             let offer = (m.machine_type.clone(), m.zone.clone(), m.spot);
             lead.bidding.beliefs.lost(&offer, 1, now);
--- a/src/core/commands.rs
+++ b/src/core/commands.rs
@@ -27,7 +27,7 @@
 impl Core {
     /// What the machine should be told, given its newest report.
     pub(super) fn commands_for(&self, m: &Machine, in_answer: bool) -> Vec<TaskCommand> {
-        let Some(lead) = &self.lead else {
+        let Some(lead) = &self.leader else {
             return Vec::new();
         };
         let mut orders = Vec::new();
@@ -61,7 +61,7 @@
                     .get(&key.job)
                     .is_some_and(|r| r.unpersisted_done.contains(&key.index));
                 // Nor is the result of a job that may be known again.
-                let forgotten = lead.may_be_of_lost_job(self.mirror.knows(&key.job));
+                let forgotten = lead.may_be_of_lost_job(self.store_cache.knows(&key.job));
                 if !unwritten
                     && !forgotten
                     && m.tasks.get(key).is_none_or(|t| t.attempt != *attempt)
@@ -90,7 +90,7 @@
         if matches!(t.stopping, Some((StopReason::Over, _))) {
             return Duration::ZERO;
         }
-        let Some(job) = self.mirror.jobs.get(&key.job) else {
+        let Some(job) = self.store_cache.jobs.get(&key.job) else {
             return Duration::ZERO;
         };
         if job.spec.checkpoint_interval.is_zero() {
@@ -114,7 +114,7 @@
 
     /// What a machine that has reported is told; that it is told is noted.
     pub(super) fn heartbeat_response(&mut self, id: &MachineId) -> Option<HeartbeatResponse> {
-        let lead = self.lead.as_ref()?;
+        let lead = self.leader.as_ref()?;
         let Some(m) = lead.machines.get(id) else {
             // Not taken on before it has shown that it is there.
             let (token, orders) = (lead.term << TOKEN_EPOCH_BITS, Vec::new());
@@ -127,11 +127,11 @@
         // that clears carries a higher token than that came with, which the worker heeds first.
         let token = m.token(lead.term);
         if m.exited.iter().any(|e| e.started_under_token >= token)
-            && let Some(m) = self.lead.as_mut().and_then(|l| l.machines.get_mut(id))
+            && let Some(m) = self.leader.as_mut().and_then(|l| l.machines.get_mut(id))
         {
             m.token_epoch += 1;
         }
-        let lead = self.lead.as_ref()?;
+        let lead = self.leader.as_ref()?;
         let m = lead.machines.get(id)?;
         let body = HeartbeatResponse {
             fencing_token: m.token(lead.term),
@@ -144,13 +144,13 @@
             .count();
         let starts = count > 0;
         if (m.start_unconfirmed, m.needs_push) != (starts, false)
-            && let Some(m) = self.lead.as_mut().and_then(|l| l.machines.get_mut(id))
+            && let Some(m) = self.leader.as_mut().and_then(|l| l.machines.get_mut(id))
         {
             m.start_unconfirmed = starts;
             m.needs_push = false;
         }
         self.stats.work[Work::StartInAnswer as usize] += count as u64;
-        if let Some(m) = (self.lead.as_mut()).and_then(|l| l.machines.get_mut_quiet(id)) {
+        if let Some(m) = (self.leader.as_mut()).and_then(|l| l.machines.get_mut_quiet(id)) {
             m.freed = false;
             // A worker that sees a new token reports it within half a second, on the connection that
             // it has: that costs less than asking it.
@@ -168,9 +168,9 @@
             return;
         };
         self.refresh_board();
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader else { return };
         let term = lead.term;
-        let silent = self.settings.report * 2;
+        let silent = self.settings.heartbeat_interval * 2;
         let fresh = |m: &Machine| now.saturating_duration_since(m.last_heartbeat) < silent;
         let machines = &lead.machines.all;
         lead.machines
@@ -198,7 +198,7 @@
         let calls = due.into_iter().map(|id| (id, MAX_DIRECT_CALLS, true));
         let stops = mute.into_iter().map(|id| (id, MAX_DIRECT_CALLS / 4, false));
         for (id, most, all) in calls.chain(stops) {
-            let Some(lead) = &self.lead else { return };
+            let Some(lead) = &self.leader else { return };
             if lead.direct_calls_in_flight >= most {
                 break;
             }
@@ -213,7 +213,7 @@
                 commands: orders,
             };
             let addr = m.addr.parse();
-            let Some(m) = self.lead.as_mut().and_then(|l| l.machines.get_mut(&id)) else {
+            let Some(m) = self.leader.as_mut().and_then(|l| l.machines.get_mut(&id)) else {
                 continue;
             };
             m.needs_push = false;
@@ -222,7 +222,7 @@
                 continue;
             }
             let call = self.call(Pending::Direct(id.clone()));
-            if let Some(lead) = &mut self.lead
+            if let Some(lead) = &mut self.leader
                 && let Some(m) = lead.machines.get_mut(&id)
             {
                 m.call_in_flight = Some(call);
@@ -236,7 +236,7 @@
                 self.stats.work[Work::StartByCall as usize] += starts as u64;
                 lead.direct_calls_in_flight += 1;
             }
-            self.out.push(Effect::Direct {
+            self.effects.push(Effect::Direct {
                 call,
                 addr,
                 request: DirectRequest::Commands(body),
@@ -253,7 +253,7 @@
             Some(Pending::Show(id)) => return self.token_probe_answered(&id, outcome),
             _ => return,
         };
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader else { return };
         let term = lead.term;
         lead.direct_calls_in_flight = lead.direct_calls_in_flight.saturating_sub(1);
         let Some(m) = lead.machines.get_mut(&id) else {
--- a/src/core/custody.rs
+++ b/src/core/custody.rs
@@ -53,25 +53,25 @@
 pub struct DataLoss {
     pub since: Instant,
     pub wall: SystemTime,
-    pub why: String,
+    pub reason: String,
     /// What the store was called when it was noticed, and whether it was marked as incomplete then.
-    named: Option<String>,
-    marked: bool,
+    identity: Option<String>,
+    was_marked: bool,
 }
 
 #[derive(Default)]
 pub struct StoreIntegrity {
     /// The newest revision that an answer told, and what it was when each call on its way was made.
-    newest: u64,
-    asked: BTreeMap<CallId, u64>,
-    pub lost: Option<DataLoss>,
+    newest_revision: u64,
+    revision_when_asked: BTreeMap<CallId, u64>,
+    pub data_loss: Option<DataLoss>,
     /// What the store was called that lost data last.
-    pub of: Option<String>,
+    pub lost_store: Option<String>,
     /// Names that the store has had as long as this process has known it: restored to one of them, it
     /// has lost data once more.
-    names: BTreeSet<String>,
+    known_identities: BTreeSet<String>,
     /// Those under which it held all, or under which this process remembers all, the newest last.
-    pub whole: Vec<String>,
+    pub complete_stores: Vec<String>,
     /// This process itself held a copy when data were lost.
     pub had_copy: bool,
     /// Losses noticed by this process.
@@ -79,73 +79,76 @@
     /// Read empty, with nothing remembered here, since then.
     empty_since: Option<Instant>,
     /// When this process saw it empty for the first time.
-    seen_empty: Option<Instant>,
+    first_seen_empty: Option<Instant>,
     /// When this process read the store for the first time, if that had an identity by then.
-    begun_on: Option<Instant>,
+    first_read: Option<Instant>,
     /// What the others know of it, and when they were asked last.
-    words: BTreeMap<String, MemoryPage>,
-    words_asked: Option<Instant>,
+    peer_memories: BTreeMap<String, MemoryPage>,
+    memories_requested: Option<Instant>,
     /// The newest term that a worker has shown, or another controller knows, and since when.
-    token_term: u64,
-    token_since: Option<Instant>,
+    newest_token_term: u64,
+    newest_token_since: Option<Instant>,
     /// The oldest one that a worker has shown.
-    oldest_token: Option<u64>,
+    oldest_token_term: Option<u64>,
     /// When a full read was begun for a suspicion, and whether it has come.
-    afresh: Option<Instant>,
-    read: bool,
+    reread_started: Option<Instant>,
+    reread_finished: bool,
     /// There was another sign since.
-    doubted: bool,
+    suspected_again: bool,
     /// The mark of an incomplete store was there when the copy changed last.
-    seen_mark: bool,
-    looked: Option<Instant>,
-    look_at_name: bool,
+    was_marked: bool,
+    last_check: Option<Instant>,
+    check_identity_next: bool,
     /// The service was not heard for a while: it may have been restored meanwhile.
-    was_away: bool,
+    was_unreachable: bool,
     /// The last job that was compared with its key.
-    audited: String,
+    audit_cursor: String,
 }
 
 impl StoreIntegrity {
     /// Somebody knows of this term.
     pub(super) fn observe_term(&mut self, term: u64, now: Instant) {
-        if term > self.token_term {
-            self.token_term = term;
-            self.token_since = Some(now);
+        if term > self.newest_token_term {
+            self.newest_token_term = term;
+            self.newest_token_since = Some(now);
         }
     }
 
     pub(super) fn call(&mut self, call: CallId) {
-        self.asked.insert(call, self.newest);
+        self.revision_when_asked.insert(call, self.newest_revision);
     }
 }
 
 impl Core {
     /// Nothing may be said of what is not in the store, or not final.
     pub(super) fn store_is_incomplete(&self) -> bool {
-        self.custody.lost.is_some() || self.mirror.rebuilding.is_some()
+        self.store_integrity.data_loss.is_some() || self.store_cache.rebuilding.is_some()
     }
 
     /// A sign that the store is not what it was: it is read as a whole.
     pub(super) fn suspect_data_loss(&mut self, why: &str) {
         let now = self.now.mono;
         let lately = |t: Instant| now < t + REREAD_INTERVAL;
-        if !self.mirror.loaded {
+        if !self.store_cache.loaded {
             return;
         }
-        if self.custody.afresh.is_some_and(lately) {
+        if self.store_integrity.reread_started.is_some_and(lately) {
             // A sign that comes close after another one is none that may be missed.
-            self.custody.doubted = true;
+            self.store_integrity.suspected_again = true;
             return;
         }
-        self.custody.doubted = false;
+        self.store_integrity.suspected_again = false;
         tracing::warn!("state service: {why}; reading it afresh");
-        (self.custody.afresh, self.custody.read) = (Some(now), false);
-        self.out.push(Effect::RereadStore);
+        (
+            self.store_integrity.reread_started,
+            self.store_integrity.reread_finished,
+        ) = (Some(now), false);
+        self.effects.push(Effect::RereadStore);
     }
 
     /// Answers tell the revision; it never falls while the service keeps its data.
     pub(super) fn heed_revision(&mut self, call: CallId, outcome: &StoreOutcome) {
-        let asked = self.custody.asked.remove(&call);
+        let asked = self.store_integrity.revision_when_asked.remove(&call);
         let (StoreOutcome::Committed { revision } | StoreOutcome::Missing { revision }) = outcome
         else {
             return;
@@ -153,70 +156,73 @@
         if asked.is_some_and(|newest| *revision < newest) {
             self.suspect_data_loss("its revision went back");
         }
-        self.custody.newest = self.custody.newest.max(*revision);
+        self.store_integrity.newest_revision = self.store_integrity.newest_revision.max(*revision);
     }
 
     /// What was read as a whole is compared with what is remembered.
     pub(super) fn reconcile_store_list(&mut self, items: Vec<Item>, revision: u64) {
         let now = self.now.mono;
-        self.custody.read = true;
-        let first = !self.mirror.loaded;
-        match self.mirror.find_contradiction(&items, revision) {
+        self.store_integrity.reread_finished = true;
+        let first = !self.store_cache.loaded;
+        match self.store_cache.find_contradiction(&items, revision) {
             // What the store has yet to get back is remembered until it has.
-            None if self.store_is_incomplete() || !self.mirror.owed.is_empty() => {
-                self.mirror.merge_after_loss(items, revision);
-                if self.custody.lost.is_some() {
-                    self.mirror.expect_new_identity();
+            None if self.store_is_incomplete()
+                || !self.store_cache.missing_from_store.is_empty() =>
+            {
+                self.store_cache.merge_after_loss(items, revision);
+                if self.store_integrity.data_loss.is_some() {
+                    self.store_cache.expect_new_identity();
                 }
             }
-            None => self.mirror.reset(items, revision),
+            None => self.store_cache.reset(items, revision),
             Some(why) => {
                 tracing::error!("the state service has lost data: {why}");
                 // Whatever number its lease has, another may have been given the same since. A leader
                 // key that was restored ends with its lease.
                 self.step_down("the state service has lost data");
                 self.lease = None;
-                self.out.push(Effect::ReplaceLease);
-                let before = self.mirror.identity.as_ref().map(|(id, _)| id.clone());
-                self.mirror.merge_after_loss(items, revision);
-                let c = &mut self.custody;
-                c.asked.clear();
-                c.newest = revision;
+                self.effects.push(Effect::ReplaceLease);
+                let before = self.store_cache.identity.as_ref().map(|(id, _)| id.clone());
+                self.store_cache.merge_after_loss(items, revision);
+                let c = &mut self.store_integrity;
+                c.revision_when_asked.clear();
+                c.newest_revision = revision;
                 c.losses += 1;
                 c.had_copy = true;
                 if before.is_some() {
-                    c.of = before;
+                    c.lost_store = before;
                 }
                 // Others may have noticed before, and have begun anew.
                 let loss = self.loss(why);
-                let known = |name| self.custody.names.contains(name);
-                let begun = loss.marked && loss.named.as_ref().is_some_and(|n| !known(n));
+                let known = |name| self.store_integrity.known_identities.contains(name);
+                let begun = loss.was_marked && loss.identity.as_ref().is_some_and(|n| !known(n));
                 if !begun {
-                    self.custody.lost = Some(loss);
-                    self.mirror.expect_new_identity();
+                    self.store_integrity.data_loss = Some(loss);
+                    self.store_cache.expect_new_identity();
                 } else {
-                    self.custody.lost = None;
+                    self.store_integrity.data_loss = None;
                 }
                 tracing::error!(
                     "remembered here: {} live jobs, {} ended, {} machines, term {}; {} jobs are not in the store any more",
-                    self.mirror.jobs.len(),
-                    self.mirror.finished.len(),
-                    self.mirror.machines.len(),
-                    self.mirror.term,
-                    self.mirror.owed.len()
+                    self.store_cache.jobs.len(),
+                    self.store_cache.finished.len(),
+                    self.store_cache.machines.len(),
+                    self.store_cache.term,
+                    self.store_cache.missing_from_store.len()
                 );
             }
         }
-        if first && self.mirror.identity.is_some() {
-            self.custody.begun_on.get_or_insert(now);
+        if first && self.store_cache.identity.is_some() {
+            self.store_integrity.first_read.get_or_insert(now);
         }
-        self.custody.newest = self.custody.newest.max(revision);
-        let empty =
-            self.store_has_no_identity() && self.mirror.term == 0 && self.mirror.jobs.is_empty();
-        let since = self.custody.empty_since;
-        self.custody.empty_since = empty.then(|| since.unwrap_or(now));
+        self.store_integrity.newest_revision = self.store_integrity.newest_revision.max(revision);
+        let empty = self.store_has_no_identity()
+            && self.store_cache.term == 0
+            && self.store_cache.jobs.is_empty();
+        let since = self.store_integrity.empty_since;
+        self.store_integrity.empty_since = empty.then(|| since.unwrap_or(now));
         if empty {
-            self.custody.seen_empty.get_or_insert(now);
+            self.store_integrity.first_seen_empty.get_or_insert(now);
         }
     }
 
@@ -224,66 +230,76 @@
         DataLoss {
             since: self.now.mono,
             wall: self.now.wall,
-            why,
-            named: self.mirror.identity.as_ref().map(|(id, _)| id.clone()),
-            marked: self.mirror.rebuilding.is_some(),
+            reason: why,
+            identity: self.store_cache.identity.as_ref().map(|(id, _)| id.clone()),
+            was_marked: self.store_cache.rebuilding.is_some(),
         }
     }
 
     /// Neither an identity nor a term: a new store, or one that has lost both.
     fn store_has_no_identity(&self) -> bool {
-        self.mirror.loaded && self.mirror.identity.is_none() && self.mirror.term_version == 0
+        self.store_cache.loaded
+            && self.store_cache.identity.is_none()
+            && self.store_cache.term_version == 0
     }
 
     /// The store has been read, and may have a new name.
     pub(super) fn observe_identity(&mut self) {
         // Somebody noticed a loss that this process may have as well.
-        let marked = self.mirror.rebuilding.is_some();
-        if marked && !self.custody.seen_mark && self.custody.lost.is_none() {
+        let marked = self.store_cache.rebuilding.is_some();
+        if marked && !self.store_integrity.was_marked && self.store_integrity.data_loss.is_none() {
             self.suspect_data_loss("it is marked as incomplete");
         }
-        self.custody.seen_mark = marked;
-        if self.mirror.renamed {
+        self.store_integrity.was_marked = marked;
+        if self.store_cache.identity_changed {
             self.suspect_data_loss("it has been given another identity");
         }
-        if let (Some((name, _)), Some(loss)) = (&self.mirror.identity, &mut self.custody.lost) {
-            let same = Some(name) == loss.named.as_ref();
-            let begun = !same && !self.custody.names.contains(name);
-            if marked && (begun || (same && !loss.marked)) {
+        if let (Some((name, _)), Some(loss)) = (
+            &self.store_cache.identity,
+            &mut self.store_integrity.data_loss,
+        ) {
+            let same = Some(name) == loss.identity.as_ref();
+            let begun = !same && !self.store_integrity.known_identities.contains(name);
+            if marked && (begun || (same && !loss.was_marked)) {
                 tracing::warn!("the state service goes on as {name}");
-                self.custody.lost = None;
+                self.store_integrity.data_loss = None;
             } else if !same {
                 // Restored to what it was before; or named by somebody who knew of no loss.
-                (loss.named, loss.marked) = (Some(name.clone()), marked);
-                self.mirror.expect_new_identity();
+                (loss.identity, loss.was_marked) = (Some(name.clone()), marked);
+                self.store_cache.expect_new_identity();
             }
         }
         if !self.store_has_no_identity() {
-            self.custody.empty_since = None;
+            self.store_integrity.empty_since = None;
         }
-        if let Some((name, _)) = &self.mirror.identity {
-            let c = &mut self.custody;
-            if !c.names.contains(name) {
-                c.names.insert(name.clone());
+        if let Some((name, _)) = &self.store_cache.identity {
+            let c = &mut self.store_integrity;
+            if !c.known_identities.contains(name) {
+                c.known_identities.insert(name.clone());
             }
             // A store that is being rebuilt continues one of which all may be remembered here.
-            let mark = self.mirror.rebuilding.as_ref().map(|(m, _)| &m.of);
-            let all = mark.is_none_or(|of| of.as_ref().is_some_and(|o| c.whole.contains(o)));
-            if all && !c.whole.contains(name) {
-                c.whole.push(name.clone());
-                if c.whole.len() > MAX_STORE_IDENTITIES {
-                    c.whole.remove(0);
+            let mark = self
+                .store_cache
+                .rebuilding
+                .as_ref()
+                .map(|(m, _)| &m.lost_store);
+            let all =
+                mark.is_none_or(|of| of.as_ref().is_some_and(|o| c.complete_stores.contains(o)));
+            if all && !c.complete_stores.contains(name) {
+                c.complete_stores.push(name.clone());
+                if c.complete_stores.len() > MAX_STORE_IDENTITIES {
+                    c.complete_stores.remove(0);
                 }
             }
         }
         self.check_older_term();
         // The rebuilding that was under way when the loss was noticed here is over.
         if !marked
-            && let Some(loss) = &mut self.custody.lost
-            && std::mem::take(&mut loss.marked)
-            && self.mirror.owed.is_empty()
+            && let Some(loss) = &mut self.store_integrity.data_loss
+            && std::mem::take(&mut loss.was_marked)
+            && self.store_cache.missing_from_store.is_empty()
         {
-            self.custody.lost = None;
+            self.store_integrity.data_loss = None;
         }
     }
 
@@ -292,10 +308,10 @@
     pub(super) fn observe_fencing_token(&mut self, token: u64) {
         let term = token >> TOKEN_EPOCH_BITS;
         if term > 0 {
-            let oldest = self.custody.oldest_token;
-            self.custody.oldest_token = Some(oldest.map_or(term, |t| t.min(term)));
+            let oldest = self.store_integrity.oldest_token_term;
+            self.store_integrity.oldest_token_term = Some(oldest.map_or(term, |t| t.min(term)));
         }
-        self.custody.observe_term(term, self.now.mono);
+        self.store_integrity.observe_term(term, self.now.mono);
         self.check_newer_term();
         self.check_older_term();
     }
@@ -303,7 +319,7 @@
     /// Whoever leads next can have done so only after our word: a term newer than a leader's own was
     /// given by a store that is no more.
     pub(super) fn check_newer_term(&mut self) {
-        let Some(lead) = &self.lead else { return };
+        let Some(lead) = &self.leader else { return };
         let (ours, newest) = (lead.term, self.newest_term());
         if newest > ours && self.acting() {
             self.declare_data_loss(format!(
@@ -315,13 +331,16 @@
 
     /// In a store that was taken for new, no worker can have seen a term before its first.
     fn check_older_term(&mut self) {
-        let (Some(first), Some(oldest)) = (self.mirror.first, self.custody.oldest_token) else {
+        let (Some(first), Some(oldest)) = (
+            self.store_cache.first_term,
+            self.store_integrity.oldest_token_term,
+        ) else {
             return;
         };
         if oldest >= first || self.store_is_incomplete() {
             return;
         }
-        let led = self.lead.is_some();
+        let led = self.leader.is_some();
         self.declare_data_loss(format!(
             "it began with term {first}, and a worker has seen {oldest}"
         ));
@@ -336,82 +355,92 @@
     pub(super) fn existence_is_uncertain(&self) -> bool {
         let within =
             |since: Option<Instant>, window| since.is_some_and(|t| self.now.mono < t + window);
-        let window = self.settings.report * 5 / 2;
+        let window = self.settings.heartbeat_interval * 5 / 2;
         let others = !self.settings.peers.is_empty() && stands(Safeguard::JustBegun);
-        within(self.custody.seen_empty, window)
-            || others && within(self.custody.begun_on, LOSS_DETECTION_DELAY)
+        within(self.store_integrity.first_seen_empty, window)
+            || others && within(self.store_integrity.first_read, LOSS_DETECTION_DELAY)
             || self.store_is_incomplete()
     }
 
     /// A loss that shows in something else than the copy, which is as new as the loss.
     fn declare_data_loss(&mut self, why: String) {
         tracing::error!("the state service has lost data: {why}");
-        self.custody.losses += 1;
-        let mark = self.mirror.rebuilding.as_ref();
-        self.custody.of = mark.and_then(|(m, _)| m.of.clone());
-        self.custody.lost = Some(self.loss(why));
-        self.custody.oldest_token = None;
-        self.mirror.expect_new_identity();
+        self.store_integrity.losses += 1;
+        let mark = self.store_cache.rebuilding.as_ref();
+        self.store_integrity.lost_store = mark.and_then(|(m, _)| m.lost_store.clone());
+        self.store_integrity.data_loss = Some(self.loss(why));
+        self.store_integrity.oldest_token_term = None;
+        self.store_cache.expect_new_identity();
     }
 
     /// Gives the lease back, but stands again: the next leader begins to rebuild.
     pub(super) fn resign_to_rebuild(&mut self) {
         self.step_down("the state service has lost data");
         self.lease = None;
-        self.out.push(Effect::ReleaseLease);
+        self.effects.push(Effect::ReleaseLease);
     }
 
     /// Whether this process may try to lead, as far as the store is concerned.
     pub(super) fn may_campaign(&mut self) -> bool {
         let now = self.now.mono;
-        if let Some(loss) = &self.custody.lost {
+        if let Some(loss) = &self.store_integrity.data_loss {
             return now >= loss.since + LEASE_TTL;
         }
         // A term is in the store before any worker can have seen it.
-        if self.mirror.term_version > 0 && self.custody.token_term > self.mirror.term {
-            let c = &self.custody;
-            if c.read && c.afresh > c.token_since {
-                let term = c.token_term;
+        if self.store_cache.term_version > 0
+            && self.store_integrity.newest_token_term > self.store_cache.term
+        {
+            let c = &self.store_integrity;
+            if c.reread_finished && c.reread_started > c.newest_token_since {
+                let term = c.newest_token_term;
                 self.declare_data_loss(format!("term {term} was there before"));
             } else {
                 self.suspect_data_loss("a worker has seen a newer term");
             }
             return false;
         }
-        let Some(since) = self.custody.empty_since else {
+        let Some(since) = self.store_integrity.empty_since else {
             return true;
         };
         // New, or wiped while nobody here could see it.
-        let words = &self.custody.words;
+        let words = &self.store_integrity.peer_memories;
         if let Some((name, word)) = words.iter().find(|(_, w)| w.remembers) {
             let (why, term) = (format!("it is empty, and {name} remembers it"), word.term);
-            let of = word.stores.last().cloned();
-            self.custody.observe_term(term, now);
+            let of = word.complete_stores.last().cloned();
+            self.store_integrity.observe_term(term, now);
             self.declare_data_loss(why);
-            self.custody.of = of;
+            self.store_integrity.lost_store = of;
             return false;
         }
-        if self.custody.token_term > 0 {
-            let term = self.custody.token_term;
+        if self.store_integrity.newest_token_term > 0 {
+            let term = self.store_integrity.newest_token_term;
             self.declare_data_loss(format!("it is empty, and a worker has seen term {term}"));
             return false;
         }
-        let all = (self.settings.peers.iter())
-            .all(|p| self.custody.words.get(&p.name).is_some_and(|w| w.loaded));
+        let all = (self.settings.peers.iter()).all(|p| {
+            self.store_integrity
+                .peer_memories
+                .get(&p.name)
+                .is_some_and(|w| w.store_loaded)
+        });
         all || now >= since + LEASE_TTL
     }
 
     /// Names of terms and the store in the transaction that begins a leadership.
     pub(super) fn identity_changes(&self) -> Vec<Change> {
-        let known = self.mirror.identity.as_ref();
-        if known.is_some() && self.custody.lost.is_none() {
+        let known = self.store_cache.identity.as_ref();
+        if known.is_some() && self.store_integrity.data_loss.is_none() {
             return Vec::new();
         }
         let id = format!("{:016x}{:x}", self.nonce, self.next_call);
         let value = IdentityValue {
             format: FORMAT,
-            of: self.custody.lost.as_ref().and(self.custody.of.clone()),
-            first: (self.store_has_no_identity() && self.custody.lost.is_none())
+            lost_store: self
+                .store_integrity
+                .data_loss
+                .as_ref()
+                .and(self.store_integrity.lost_store.clone()),
+            first_term: (self.store_has_no_identity() && self.store_integrity.data_loss.is_none())
                 .then_some(self.next_term()),
         };
         let mut out = vec![Change::put(identity_key(&id), json(&value))];
@@ -419,7 +448,7 @@
             let key = identity_key(old);
             out.push(Change::Delete { key });
         }
-        if let Some(loss) = &self.custody.lost {
+        if let Some(loss) = &self.store_integrity.data_loss {
             out.push(self.incomplete_mark(loss));
         }
         out
@@ -427,7 +456,9 @@
 
     /// The newest term that is known of.
     fn newest_term(&self) -> u64 {
-        self.mirror.term.max(self.custody.token_term)
+        self.store_cache
+            .term
+            .max(self.store_integrity.newest_token_term)
     }
 
     fn seconds_since_epoch(&self) -> u64 {
@@ -458,61 +489,71 @@
     pub(super) fn check_store_integrity(&mut self) {
         let now = self.now.mono;
         let due = |at: Option<Instant>, every| at.is_none_or(|t| now >= t + every);
-        if self.custody.empty_since.is_some()
-            && self.custody.lost.is_none()
-            && due(self.custody.words_asked, MEMORY_REQUEST_INTERVAL)
+        if self.store_integrity.empty_since.is_some()
+            && self.store_integrity.data_loss.is_none()
+            && due(
+                self.store_integrity.memories_requested,
+                MEMORY_REQUEST_INTERVAL,
+            )
         {
-            self.custody.words_asked = Some(now);
-            let answered = |name: &str| self.custody.words.get(name).is_some_and(|w| w.loaded);
+            self.store_integrity.memories_requested = Some(now);
+            let answered = |name: &str| {
+                self.store_integrity
+                    .peer_memories
+                    .get(name)
+                    .is_some_and(|w| w.store_loaded)
+            };
             let peers = self.settings.peers.iter().map(|p| p.name.clone());
             let silent: Vec<String> = peers.filter(|name| !answered(name)).collect();
             for peer in silent {
                 let recall = MemoryRequest {
-                    word_only: true,
+                    summary_only: true,
                     after: String::new(),
                 };
-                self.out.push(Effect::MemoryRequest { peer, recall });
+                self.effects.push(Effect::MemoryRequest { peer, recall });
             }
         }
-        if self.custody.doubted && due(self.custody.afresh, REREAD_INTERVAL) {
+        if self.store_integrity.suspected_again
+            && due(self.store_integrity.reread_started, REREAD_INTERVAL)
+        {
             self.suspect_data_loss("there was another sign of a loss");
         }
         self.mark();
         if self.store_is_stale() {
-            self.custody.was_away = true;
+            self.store_integrity.was_unreachable = true;
             return;
         }
         // Restored while it was away: the revision tells, unless others' changes make up for it first.
-        if std::mem::take(&mut self.custody.was_away) && self.mirror.loaded {
+        if std::mem::take(&mut self.store_integrity.was_unreachable) && self.store_cache.loaded {
             self.ask_state(Pending::CheckRevision, StoreRequest::Get(key(NOTHING)));
         }
-        if !self.mirror.loaded || !due(self.custody.looked, CHECK_INTERVAL) {
+        if !self.store_cache.loaded || !due(self.store_integrity.last_check, CHECK_INTERVAL) {
             return;
         }
         if self.acting() && !self.store_is_incomplete() {
-            let after = self.custody.audited.clone();
+            let after = self.store_integrity.audit_cursor.clone();
             self.audit(after, None);
         }
         // The first look comes after a while: what was just read is what there is.
-        let first = self.custody.looked.replace(now).is_none();
-        self.custody.look_at_name = !self.custody.look_at_name;
+        let first = self.store_integrity.last_check.replace(now).is_none();
+        self.store_integrity.check_identity_next = !self.store_integrity.check_identity_next;
         if first {
             return;
         }
         let name = self
-            .mirror
+            .store_cache
             .identity
             .as_ref()
             .map(|(id, _)| identity_key(id));
-        match name.filter(|_| self.custody.look_at_name) {
+        match name.filter(|_| self.store_integrity.check_identity_next) {
             Some(name) => {
-                let version = self.mirror.identity.as_ref().map_or(0, |(_, v)| *v);
+                let version = self.store_cache.identity.as_ref().map_or(0, |(_, v)| *v);
                 self.ask_state(Pending::CheckIdentity(version), StoreRequest::Get(name));
             }
             // Where there is no mark, its absence tells the revision. A store rolled back into its
             // rebuilding shows it again, and no watch tells of that.
             None => {
-                let unmarked = self.mirror.rebuilding.is_none();
+                let unmarked = self.store_cache.rebuilding.is_none();
                 let look_at = key(if unmarked { REBUILDING } else { NOTHING });
                 self.ask_state(Pending::CheckRevision, StoreRequest::Get(look_at));
             }
@@ -520,7 +561,7 @@
     }
 
     pub(super) fn revision_checked(&mut self, outcome: StoreOutcome) {
-        if matches!(outcome, StoreOutcome::Found(_)) && self.mirror.rebuilding.is_none() {
+        if matches!(outcome, StoreOutcome::Found(_)) && self.store_cache.rebuilding.is_none() {
             self.suspect_data_loss("it is marked as incomplete, and the watch has not told");
         }
     }
@@ -529,13 +570,15 @@
     /// rebuild.
     fn mark(&mut self) {
         let now = self.now.mono;
-        let led = self.mirror.leader.is_some() && self.lead.is_none();
+        let led = self.store_cache.leader.is_some() && self.leader.is_none();
         let waited = |loss: &DataLoss| now >= loss.since + LEASE_TTL;
-        let (Some(loss), Some(name)) = (&self.custody.lost, &self.mirror.identity) else {
+        let (Some(loss), Some(name)) =
+            (&self.store_integrity.data_loss, &self.store_cache.identity)
+        else {
             return;
         };
         let under_way = self.pending.values().any(|p| matches!(p, Pending::Mark));
-        if !led || !waited(loss) || self.mirror.rebuilding.is_some() || under_way {
+        if !led || !waited(loss) || self.store_cache.rebuilding.is_some() || under_way {
             return;
         }
         let unmarked = Condition {
@@ -554,9 +597,9 @@
     fn incomplete_mark(&self, loss: &DataLoss) -> Change {
         let since = loss.wall.duration_since(SystemTime::UNIX_EPOCH);
         let value = RebuildingValue {
-            of: self.custody.of.clone(),
+            lost_store: self.store_integrity.lost_store.clone(),
             since_ms: since.unwrap_or_default().as_millis() as u64,
-            why: loss.why.clone(),
+            reason: loss.reason.clone(),
         };
         Change::put(key(REBUILDING), json(&value))
     }
@@ -591,21 +634,24 @@
         };
         let last = items.last().map(|i| i.key.clone()).filter(|_| more);
         // What the watch has yet to tell proves nothing.
-        if self.mirror.revision < revision {
+        if self.store_cache.revision < revision {
             return;
         }
-        if let Some(why) = self.mirror.find_difference(&items, &after, last.as_deref()) {
+        if let Some(why) = self
+            .store_cache
+            .find_difference(&items, &after, last.as_deref())
+        {
             if suspicion.as_ref() == Some(&why) {
                 self.suspect_data_loss(&why);
             } else if self.acting() {
                 return self.audit(after, Some(why));
             }
         }
-        self.custody.audited = last.unwrap_or_default();
+        self.store_integrity.audit_cursor = last.unwrap_or_default();
     }
 
     pub(super) fn identity_checked(&mut self, version: u64, outcome: StoreOutcome) {
-        let current = self.mirror.identity.as_ref().map(|(_, v)| *v);
+        let current = self.store_cache.identity.as_ref().map(|(_, v)| *v);
         if current != Some(version) {
             return;
         }
@@ -620,18 +666,18 @@
 
     /// Another controller asks what is remembered here.
     pub(super) fn recall(&mut self, ticket: Ticket, recall: MemoryRequest) {
-        let remembers = self.mirror.term > 0
-            || !self.mirror.jobs.is_empty()
-            || !self.mirror.finished.is_empty();
-        let (items, more) = if recall.word_only {
+        let remembers = self.store_cache.term > 0
+            || !self.store_cache.jobs.is_empty()
+            || !self.store_cache.finished.is_empty();
+        let (items, more) = if recall.summary_only {
             (Vec::new(), false)
         } else {
-            self.mirror.memory(&recall.after, PAGE_BYTES)
+            self.store_cache.memory(&recall.after, PAGE_BYTES)
         };
         let items = items.into_iter().map(|(k, v)| (k, v.to_string()));
         let told = MemoryPage {
-            loaded: self.mirror.loaded,
-            stores: self.custody.whole.clone(),
+            store_loaded: self.store_cache.loaded,
+            complete_stores: self.store_integrity.complete_stores.clone(),
             remembers,
             term: self.newest_term(),
             more,
@@ -648,13 +694,13 @@
         answer: Option<Box<MemoryPage>>,
     ) {
         if answer.is_some() {
-            self.peer_heard = self.now.mono;
+            self.peer_reachable_at = self.now.mono;
         }
         match answer {
-            Some(word) if asked.word_only => {
-                self.custody.words.insert(peer, *word);
+            Some(word) if asked.summary_only => {
+                self.store_integrity.peer_memories.insert(peer, *word);
             }
-            None if asked.word_only => {}
+            None if asked.summary_only => {}
             answer => self.take_memory_page(&peer, &asked, answer),
         }
     }
--- a/src/core/dead_key.rs
+++ b/src/core/dead_key.rs
@@ -15,9 +15,9 @@
 pub struct StaleLeaderKey {
     version: u64,
     since: Instant,
-    asked: Option<Instant>,
+    last_query: Option<Instant>,
     /// When it was found that the state service does not know its lease.
-    gone: Option<Instant>,
+    lease_unknown_since: Option<Instant>,
 }
 
 impl Core {
@@ -27,36 +27,38 @@
     /// after that the key is taken away, unless it is another one by then.
     pub(super) fn check_stale_leader_key(&mut self) {
         let now = self.now.mono;
-        let Some((value, version)) = &self.mirror.leader else {
-            self.dead_key = None;
+        let Some((value, version)) = &self.store_cache.leader else {
+            self.stale_leader_key = None;
             return;
         };
-        if !self.mirror.loaded || self.store_is_stale() {
+        if !self.store_cache.loaded || self.store_is_stale() {
             return;
         }
         let (lease, version) = (value.lease, *version);
-        if self.dead_key.is_none_or(|d| d.version != version) {
-            self.dead_key = Some(StaleLeaderKey {
+        if self.stale_leader_key.is_none_or(|d| d.version != version) {
+            self.stale_leader_key = Some(StaleLeaderKey {
                 version,
                 since: now,
-                asked: None,
-                gone: None,
+                last_query: None,
+                lease_unknown_since: None,
             });
         }
         let heard = self.relay.grant.map(|g| g.until);
-        let Some(d) = &mut self.dead_key else { return };
-        if let Some(gone) = d.gone {
-            if now < gone + LEASE_TTL || d.asked.is_some_and(|t| now < t + LEASE_TTL) {
+        let Some(d) = &mut self.stale_leader_key else {
+            return;
+        };
+        if let Some(gone) = d.lease_unknown_since {
+            if now < gone + LEASE_TTL || d.last_query.is_some_and(|t| now < t + LEASE_TTL) {
                 return;
             }
-            d.asked = Some(now);
+            d.last_query = Some(now);
             tracing::warn!("the leader key hangs on no lease any more, and is taken away");
             let mut conditions = vec![Condition {
                 key: key(LEADER),
                 version,
             }];
             // In a store that has lost data, another leader key may have the same version.
-            conditions.extend(self.mirror.identity.as_ref().map(named));
+            conditions.extend(self.store_cache.identity.as_ref().map(named));
             let txn = CompareAndSwap {
                 conditions,
                 changes: vec![Change::Delete { key: key(LEADER) }],
@@ -71,9 +73,9 @@
         } else {
             STALE_KEY_CHECK_INTERVAL * 3
         };
-        let due = now >= silent + every && d.asked.is_none_or(|t| now >= t + every);
-        if due && self.lead.is_none() {
-            d.asked = Some(now);
+        let due = now >= silent + every && d.last_query.is_none_or(|t| now >= t + every);
+        if due && self.leader.is_none() {
+            d.last_query = Some(now);
             self.ask_state(
                 Pending::CheckLeaderLease(version),
                 StoreRequest::CheckLease(lease),
@@ -84,10 +86,10 @@
     /// Whether the lease of a leader key of this version runs.
     pub(super) fn leader_lease_checked(&mut self, version: u64, outcome: StoreOutcome) {
         let now = self.now.mono;
-        if let (Some(d), StoreOutcome::Runs(false)) = (&mut self.dead_key, outcome)
+        if let (Some(d), StoreOutcome::Runs(false)) = (&mut self.stale_leader_key, outcome)
             && d.version == version
         {
-            d.gone.get_or_insert(now);
+            d.lease_unknown_since.get_or_insert(now);
         }
     }
 }
--- a/src/core/delegation.rs
+++ b/src/core/delegation.rs
@@ -53,14 +53,14 @@
     pub number: u64,
     from: Arc<str>,
     /// Workers that the sender has still to ask.
-    asking: usize,
-    reports: Vec<(u64, Result<MachineId, Answer>)>,
+    probes_pending: usize,
+    heartbeats: Vec<(u64, Result<MachineId, Answer>)>,
 }
 
 impl PendingBatch {
     /// The machines whose reports it answers.
     pub(super) fn machines(&self) -> impl Iterator<Item = &MachineId> {
-        self.reports
+        self.heartbeats
             .iter()
             .filter_map(|(_, taken)| taken.as_ref().ok())
     }
@@ -112,8 +112,12 @@
     /// Until when a machine's silence says nothing, as a controller is not heard either that it may
     /// report to, or was just sent to by another: the worker has yet to find out, and to find the next.
     pub(super) fn silence_excuse(&self, now: Instant) -> Option<Instant> {
-        let heard = self.delegates.by_name.values().map(|d| d.issued.heard);
-        let late = |at: &Instant| now.saturating_duration_since(*at) > PATIENCE.suspect;
+        let heard = self
+            .delegates
+            .by_name
+            .values()
+            .map(|d| d.issued.last_request);
+        let late = |at: &Instant| now.saturating_duration_since(*at) > PATIENCE.suspect_after;
         heard.filter(late).max().map(|at| at + WORKER_RETRY)
     }
 
@@ -163,10 +167,10 @@
     /// Takes in a frame of a controller that serves workers.
     pub(super) fn sync(&mut self, ticket: Ticket, sync: HeartbeatBatch) -> Option<PendingBatch> {
         let now = self.now.mono;
-        let known = self.view.heard(
+        let known = self.members.heard(
             &sync.from,
             sync.incarnation,
-            Capabilities(sync.abilities),
+            Capabilities(sync.capabilities),
             sync.load,
             now,
         );
@@ -175,7 +179,7 @@
             return None;
         }
         let from: Arc<str> = sync.from.as_str().into();
-        let lead = self.lead.as_mut()?;
+        let lead = self.leader.as_mut()?;
         let term = lead.term;
         let d = (lead.delegates.by_name)
             .entry(from.clone())
@@ -197,21 +201,21 @@
                 let until = d.issued.until;
                 lead.end_delegations(&from, until);
             }
-            Request::Next => self.confirm_revocations(&from, sync.answered),
+            Request::Next => self.confirm_revocations(&from, sync.acknowledged),
         }
-        let lead = self.lead.as_mut()?;
-        if !sync.heard.is_empty() || !sync.reports.is_empty() {
+        let lead = self.leader.as_mut()?;
+        if !sync.answered.is_empty() || !sync.heartbeats.is_empty() {
             lead.last_heartbeat = Some(now);
         }
-        lead.delegates.relayed_heartbeats += sync.reports.len() as u64;
-        lead.delegates.delegated_answers += sync.heard.len() as u64;
+        lead.delegates.relayed_heartbeats += sync.heartbeats.len() as u64;
+        lead.delegates.delegated_answers += sync.answered.len() as u64;
         // What it heard under an earlier term tells nothing in this one.
         if sync.term == term {
-            for h in &sync.heard {
+            for h in &sync.answered {
                 lead.record_delegated_heartbeat(h, &from, now);
             }
         }
-        for id in &sync.mine {
+        for id in &sync.served {
             if let Some(m) = lead.machines.get_mut_quiet(id)
                 && m.unresolved
             {
@@ -219,7 +223,7 @@
                 m.via = Some(from.clone());
             }
         }
-        for id in &sync.failed {
+        for id in &sync.unanswered_probes {
             if let Some(m) = lead.machines.get_mut_quiet(id)
                 && m.unresolved
             {
@@ -229,32 +233,32 @@
             }
         }
         let mut reports = Vec::new();
-        for r in sync.reports {
-            if r.name == 0 {
-                let id = r.report.machine.clone();
-                let known = (self.lead.as_ref()).is_some_and(|l| l.machines.get(&id).is_some());
+        for r in sync.heartbeats {
+            if r.id == 0 {
+                let id = r.heartbeat.machine.clone();
+                let known = (self.leader.as_ref()).is_some_and(|l| l.machines.get(&id).is_some());
                 if known {
-                    if let Some(lead) = &mut self.lead {
-                        lead.mark_zone_reachable(&r.report.zone);
+                    if let Some(lead) = &mut self.leader {
+                        lead.mark_zone_reachable(&r.heartbeat.zone);
                     }
-                    self.apply_heartbeat(&id, *r.report, false);
+                    self.apply_heartbeat(&id, *r.heartbeat, false);
                 }
             } else {
-                reports.push((r.name, self.accept_heartbeat(*r.report, Some(&from))));
+                reports.push((r.id, self.accept_heartbeat(*r.heartbeat, Some(&from))));
             }
         }
         Some(PendingBatch {
             ticket,
             number: sync.number,
             from,
-            asking: sync.to_show as usize + sync.mine.len(),
-            reports,
+            probes_pending: sync.pending_probes as usize + sync.served.len(),
+            heartbeats: reports,
         })
     }
 
     /// The borrower has taken in our answers up to this one, and said so after that.
     fn confirm_revocations(&mut self, from: &Arc<str>, answered: u64) {
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader else { return };
         let Some(d) = lead.delegates.by_name.get_mut(from) else {
             return;
         };
@@ -285,7 +289,7 @@
         };
         let mut answers = Vec::new();
         let mut size = 0;
-        for (name, taken) in work.reports {
+        for (name, taken) in work.heartbeats {
             let refused = |a: &Answer| RelayedOutcome::Refused {
                 status: a.status,
                 retry_after: a.retry_after,
@@ -298,18 +302,21 @@
                 let body = self.heartbeat_response(&id).ok_or_else(gone)?;
                 size += link::size_of_answer(&body.commands);
                 let calm = body.commands.is_empty() && self.delegate(&id, &work.from);
-                Ok(RelayedOutcome::Orders {
-                    token: body.fencing_token,
-                    orders: body.commands,
-                    calm,
+                Ok(RelayedOutcome::Commands {
+                    fencing_token: body.fencing_token,
+                    commands: body.commands,
+                    steady: calm,
                 })
             });
             let kind = told.unwrap_or_else(|a| refused(&a));
-            answers.push(RelayedResponse { name, kind });
+            answers.push(RelayedResponse {
+                id: name,
+                outcome: kind,
+            });
         }
         let members = self.member_statuses(&work.from);
-        let Some(lead) = &mut self.lead else { return };
-        let asks = lead.assign_probes(work.asking, now);
+        let Some(lead) = &mut self.leader else { return };
+        let asks = lead.assign_probes(work.probes_pending, now);
         let term = lead.term;
         let Some(d) = lead.delegates.by_name.get_mut(&work.from) else {
             return;
@@ -320,10 +327,10 @@
             term,
             grant: d.issued.grant(word, now),
             refused: false,
-            recalled,
-            answers,
-            asks,
-            moves: std::mem::take(&mut d.reassignments),
+            revoked: recalled,
+            responses: answers,
+            probes: asks,
+            reassignments: std::mem::take(&mut d.reassignments),
             members,
         };
         let frame = link::encode_synced(&answer);
@@ -332,13 +339,13 @@
 
     fn member_statuses(&self, to: &str) -> Vec<MemberStatus> {
         let now = self.now.mono;
-        let others = self.view.members().filter(|(name, _)| *name != to);
+        let others = self.members.members().filter(|(name, _)| *name != to);
         let told = others.filter_map(|(name, m)| {
             Some(MemberStatus {
                 name: name.to_string(),
-                abilities: m.abilities.0,
+                capabilities: m.capabilities.0,
                 load: m.load,
-                age: now.saturating_duration_since(m.heard?),
+                age: now.saturating_duration_since(m.last_heard?),
             })
         });
         told.collect()
@@ -346,7 +353,7 @@
 
     /// Lends a machine to which there is nothing to say.
     fn delegate(&mut self, id: &MachineId, to: &Arc<str>) -> bool {
-        let Some(lead) = &mut self.lead else {
+        let Some(lead) = &mut self.leader else {
             return false;
         };
         let Some(m) = lead.machines.get_mut_quiet(id) else {
@@ -369,8 +376,8 @@
     /// Grants that have run out, silent machines, and who serves how many.
     pub(super) fn check_delegates(&mut self) {
         let now = self.now.mono;
-        let report = self.settings.report;
-        let Some(lead) = &mut self.lead else { return };
+        let report = self.settings.heartbeat_interval;
+        let Some(lead) = &mut self.leader else { return };
         if lead.delegates.by_name.is_empty() {
             return;
         }
@@ -407,18 +414,19 @@
 
     fn rebalance_workers(&mut self) {
         let now = self.now.mono;
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader else { return };
         let me = self.settings.name.as_str();
         let mut loads: BTreeMap<&str, u32> = BTreeMap::new();
-        let fresh = self.settings.report * 2;
+        let fresh = self.settings.heartbeat_interval * 2;
         for m in lead.machines.values() {
             if m.incarnation > 0 && now.saturating_duration_since(m.last_heartbeat) < fresh {
                 *loads.entry(m.via.as_deref().unwrap_or(me)).or_default() += 1;
             }
         }
         let able = |name: &&Arc<str>| {
-            self.view.standing(name, now) == Standing::Alive
-                && (self.view.get(name)).is_some_and(|m| m.abilities.has(Capabilities::REPORTS))
+            self.members.standing(name, now) == Standing::Alive
+                && (self.members.get(name))
+                    .is_some_and(|m| m.capabilities.has(Capabilities::REPORTS))
         };
         let others: Vec<&Arc<str>> = lead.delegates.by_name.keys().filter(able).collect();
         let load = |name: &str| loads.get(name).copied().unwrap_or(0);
@@ -453,11 +461,11 @@
     pub(super) fn members_status(&self) -> serde_json::Value {
         let now = self.now.mono;
         let granted = |name: &str| {
-            let d = self.lead.as_ref()?.delegates.by_name.get(name)?;
+            let d = self.leader.as_ref()?.delegates.by_name.get(name)?;
             Some(d.issued.until > now)
         };
-        let members = self.view.members().map(|(name, m)| {
-            let standing = match self.view.standing(name, now) {
+        let members = self.members.members().map(|(name, m)| {
+            let standing = match self.members.standing(name, now) {
                 Standing::Unknown => "not heard of",
                 Standing::Alive => "alive",
                 Standing::Suspect => "suspect",
@@ -465,7 +473,7 @@
             };
             serde_json::json!({
                 "node": name, "zone": m.zone, "standing": standing, "workers": m.load,
-                "takes_reports": m.abilities.has(Capabilities::REPORTS),
+                "takes_reports": m.capabilities.has(Capabilities::REPORTS),
                 "granted": granted(name),
             })
         });
@@ -497,13 +505,16 @@
         let Some(m) = self.machines.get_mut_quiet(&h.machine) else {
             return;
         };
-        if m.delegated_to.as_ref() != Some(from) || m.incarnation != h.session || m.lease_expired {
+        if m.delegated_to.as_ref() != Some(from)
+            || m.incarnation != h.incarnation
+            || m.lease_expired
+        {
             return;
         }
         let at = now.checked_sub(h.age).unwrap_or(now);
         m.lease_renewed = m.lease_renewed.max(at);
-        if h.seq > m.sequence {
-            m.sequence = h.seq;
+        if h.sequence > m.sequence {
+            m.sequence = h.sequence;
             m.last_heartbeat = m.last_heartbeat.max(at);
             m.via = Some(from.clone());
         }
--- a/src/core/delegation/tests.rs
+++ b/src/core/delegation/tests.rs
@@ -54,17 +54,17 @@
     let orders = vec![order; MAX_COMMANDS];
     let answers = MAX_RESPONSE_BYTES / link::size_of_answer(&orders) + 2;
     let told = |name| RelayedResponse {
-        name,
-        kind: RelayedOutcome::Orders {
-            token: 1,
-            orders: orders.clone(),
-            calm: false,
+        id: name,
+        outcome: RelayedOutcome::Commands {
+            fencing_token: 1,
+            commands: orders.clone(),
+            steady: false,
         },
     };
     let synced = HeartbeatBatchResponse {
-        recalled: borrower().recalls_for_frame(1),
-        answers: (0..answers as u64).map(told).collect(),
-        asks: (0..MAX_PROBES_PER_DELEGATE)
+        revoked: borrower().recalls_for_frame(1),
+        responses: (0..answers as u64).map(told).collect(),
+        probes: (0..MAX_PROBES_PER_DELEGATE)
             .map(|n| (machine(n), "255.255.255.255:65535".into()))
             .collect(),
         ..HeartbeatBatchResponse::default()
--- a/src/core/figures.rs
+++ b/src/core/figures.rs
@@ -18,7 +18,7 @@
             "1 on the controller that leads",
             f64::from(u8::from(self.acting())),
         );
-        page.gauge("term", "The newest term", self.mirror.term as f64);
+        page.gauge("term", "The newest term", self.store_cache.term as f64);
         page.gauge(
             "up_seconds",
             "Since this process began",
@@ -87,7 +87,7 @@
             "Calls that the cloud's limit leaves the leader now",
             self.cloud_budget.left(now),
         );
-        let standing = |name: &str| match self.view.standing(name, now) {
+        let standing = |name: &str| match self.members.standing(name, now) {
             Standing::Alive => 2.0,
             Standing::Suspect => 1.0,
             Standing::Unknown | Standing::Lost => 0.0,
@@ -96,7 +96,9 @@
             "members",
             "The other controllers: 2 alive, 1 suspect, 0 lost or never heard of",
             "node",
-            self.view.members().map(|(name, _)| (name, standing(name))),
+            self.members
+                .members()
+                .map(|(name, _)| (name, standing(name))),
         );
         let able =
             |abilities: Capabilities| f64::from(u8::from(abilities.has(Capabilities::REPORTS)));
@@ -104,7 +106,7 @@
             "takes_reports",
             "1 for a controller that serves workers for the leader",
             "node",
-            (self.view.members()).map(|(name, m)| (name, able(m.abilities))),
+            (self.members.members()).map(|(name, m)| (name, able(m.capabilities))),
         );
         page.gauge(
             "grant_seconds",
@@ -126,7 +128,7 @@
 
     fn leader_figures(&self, page: &mut Page) {
         let now = self.now.mono;
-        let Some(lead) = &self.lead else { return };
+        let Some(lead) = &self.leader else { return };
         let mut reporting: BTreeMap<&str, u32> = BTreeMap::new();
         let (mut up, mut booting, mut lent) = (0, 0, 0);
         for m in lead.machines.values() {
--- a/src/core/jobs.rs
+++ b/src/core/jobs.rs
@@ -15,7 +15,7 @@
         if self.must_withhold_state() {
             return self.answer(ticket, rebuilding_answer());
         }
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader else { return };
         let Some(run) = lead.job_runs.get_mut(id) else {
             return self.answer(ticket, Answer::busy("not ready", 1));
         };
@@ -23,7 +23,7 @@
             run.cancel_waiters.push(ticket);
         } else {
             let body = state_body(id, JobState::Cancelled, None, None);
-            self.out.push(Effect::Answer {
+            self.effects.push(Effect::Answer {
                 ticket,
                 answer: Answer::new(200, body),
             });
@@ -38,25 +38,28 @@
                 run.stop_assigned(&id, &mut lead.machines, StopReason::Over, self.now.mono);
             }
             lead.writes.ends.insert(id.into(), JobOutcome::Cancelled);
-            let with_it = self.mirror.pipelines.all_dependents(&Self::job_id(id));
+            let with_it = self
+                .store_cache
+                .dependencies
+                .all_dependents(&Self::job_id(id));
             lead.cancellation_pending.extend(with_it);
         }
     }
 
     /// Brings the leader's runs in line with the mirror: new jobs begin, finished ones end.
     pub(super) fn sync_job_runs(&mut self) {
-        let changed = std::mem::take(&mut self.mirror.changed);
+        let changed = std::mem::take(&mut self.store_cache.changed);
         for id in changed {
             self.sync_job_run(&id);
         }
     }
 
     fn sync_job_run(&mut self, id: &JobId) {
-        let Some(lead) = &mut self.lead else { return };
-        let Some(job) = self.mirror.jobs.get(id) else {
+        let Some(lead) = &mut self.leader else { return };
+        let Some(job) = self.store_cache.jobs.get(id) else {
             return self.finish_job(id);
         };
-        if let Some(root) = self.mirror.pipelines.cancelled_dependency(id) {
+        if let Some(root) = self.store_cache.dependencies.cancelled_dependency(id) {
             // Nothing of it can have started, as not all that it needs is done.
             if lead.writes.followers.insert(id.clone()) {
                 tracing::info!(job = %id, "job {id}: cancelled with {root}, which it needs");
@@ -88,12 +91,12 @@
             };
             if job.spec.dependencies.iter().any(doubtful) {
                 lead.cancellation_pending.insert(id.clone());
-                let with_it = self.mirror.pipelines.all_dependents(id);
+                let with_it = self.store_cache.dependencies.all_dependents(id);
                 lead.cancellation_pending.extend(with_it);
             }
             lead.plan_again = true;
         }
-        if !job.spec.dependencies.is_empty() && self.mirror.ready(id) {
+        if !job.spec.dependencies.is_empty() && self.store_cache.ready(id) {
             let Some(run) = lead.job_runs.get_mut(id) else {
                 return;
             };
@@ -105,7 +108,7 @@
             }
         }
         self.adopt_job(id);
-        let Some(job) = self.mirror.jobs.get(id) else {
+        let Some(job) = self.store_cache.jobs.get(id) else {
             return;
         };
         let before = job.spec.dependencies.clone();
@@ -119,7 +122,7 @@
     fn finish_job(&mut self, id: &JobId) {
         let now = self.now.mono;
         self.adopt_job(id);
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader else { return };
         let Some(run) = lead.job_runs.remove(id) else {
             return;
         };
@@ -130,7 +133,7 @@
         lead.inherited_urgency.remove(id);
         lead.guarantees_changed = true;
         lead.plan_again = true;
-        if let Some(end) = self.mirror.finished.get(id) {
+        if let Some(end) = self.store_cache.finished.get(id) {
             tracing::info!(job = %id, "job {id} is over: {end:?}");
         }
         if stands(Safeguard::Stopped) {
@@ -145,8 +148,9 @@
 
     /// Ends an array whose tasks are all done.
     pub(super) fn end_if_complete(&mut self, id: &str) {
-        let Some(lead) = &mut self.lead else { return };
-        let (Some(run), Some(job)) = (lead.job_runs.get_mut(id), self.mirror.jobs.get(id)) else {
+        let Some(lead) = &mut self.leader else { return };
+        let (Some(run), Some(job)) = (lead.job_runs.get_mut(id), self.store_cache.jobs.get(id))
+        else {
             return;
         };
         let missing = job.spec.tasks.saturating_sub(job.done.len());
--- a/src/core/lead.rs
+++ b/src/core/lead.rs
@@ -21,8 +21,8 @@
 
 /// A controller that serves workers says something at least every `HEARTBEAT`.
 pub(super) const PATIENCE: FailureDetectorTimeouts = FailureDetectorTimeouts {
-    suspect: Duration::from_millis(1500),
-    lost: Duration::from_millis(6000),
+    suspect_after: Duration::from_millis(1500),
+    lost_after: Duration::from_millis(6000),
 };
 /// With nothing to say, a frame goes to the leader this often: it keeps the grant.
 pub(super) const HEARTBEAT: Duration = Duration::from_millis(400);
@@ -186,8 +186,8 @@
 
 #[derive(Default)]
 pub struct DeferredResponses {
-    pub reports: Vec<(Ticket, MachineId)>,
-    pub syncs: Vec<PendingBatch>,
+    pub heartbeats: Vec<(Ticket, MachineId)>,
+    pub batches: Vec<PendingBatch>,
 }
 
 /// One durable change of the leader's.
--- a/src/core/leadership.rs
+++ b/src/core/leadership.rs
@@ -34,7 +34,7 @@
 impl Core {
     /// Until when this process may act as the leader.
     pub(super) fn leader_until(&self) -> Option<Instant> {
-        let lead = self.lead.as_ref()?;
+        let lead = self.leader.as_ref()?;
         if !stands(Safeguard::Word) {
             return Some(self.now.mono + LEASE_TTL);
         }
@@ -52,8 +52,8 @@
     }
 
     pub(super) fn lease_renewed(&mut self, id: u64, sent: Instant, stands: Option<u64>) {
-        self.state_ok = self.now.mono;
-        if let Some(lead) = &mut self.lead
+        self.store_reachable_at = self.now.mono;
+        if let Some(lead) = &mut self.leader
             && stands == Some(lead.key_version)
         {
             lead.leader_key_confirmed = lead.leader_key_confirmed.max(sent);
@@ -61,7 +61,7 @@
         match &mut self.lease {
             Some(l) if l.id == id => l.renewed_at = l.renewed_at.max(sent),
             _ => {
-                if self.lead.is_some() {
+                if self.leader.is_some() {
                     self.step_down("a new lease replaced the leader's");
                 }
                 self.lease = Some(Lease {
@@ -75,7 +75,7 @@
     /// The leader key is gone though its lease is not, or the store is another one.
     pub(super) fn deposed(&mut self, key_version: u64) {
         if self
-            .lead
+            .leader
             .as_ref()
             .is_some_and(|l| l.key_version == key_version)
         {
@@ -94,50 +94,50 @@
     }
 
     pub(super) fn listed(&mut self, items: Vec<Item>, revision: u64) {
-        self.state_ok = self.now.mono;
+        self.store_reachable_at = self.now.mono;
         self.observe_commit(|txn| committed_in_list(txn, &items));
         self.reconcile_store_list(items, revision);
         tracing::info!(
             "state: read afresh at revision {revision}: {} jobs, {} finished, {} machines",
-            self.mirror.jobs.len(),
-            self.mirror.finished.len(),
-            self.mirror.machines.len()
+            self.store_cache.jobs.len(),
+            self.store_cache.finished.len(),
+            self.store_cache.machines.len()
         );
         self.store_cache_changed();
     }
 
     pub(super) fn changed(&mut self, events: Vec<WatchEvent>, revision: u64) {
-        self.state_ok = self.now.mono;
-        if revision < self.mirror.revision {
+        self.store_reachable_at = self.now.mono;
+        if revision < self.store_cache.revision {
             return self.suspect_data_loss("its revision went back");
         }
         if events.is_empty() {
-            self.mirror.heed_revision(revision);
+            self.store_cache.heed_revision(revision);
             // A list may have told of our key before the copy was known to be as new.
-            if self.lead.is_none() && self.holds_leader_key() {
+            if self.leader.is_none() && self.holds_leader_key() {
                 self.store_cache_changed();
             }
             return self.resolve_write();
         }
         self.observe_commit(|txn| committed_in_events(txn, &events));
-        self.mirror.apply(events, revision);
+        self.store_cache.apply(events, revision);
         self.store_cache_changed();
     }
 
     /// The leader key is this process's, and hangs on the lease that it has.
     fn holds_leader_key(&self) -> bool {
-        self.mirror.leader.as_ref().is_some_and(|(v, _)| {
+        self.store_cache.leader.as_ref().is_some_and(|(v, _)| {
             v.name == self.settings.name
-                && v.nonce == self.nonce
+                && v.process_nonce == self.nonce
                 && self.lease.is_some_and(|l| l.id == v.lease)
         })
     }
 
     fn store_cache_changed(&mut self) {
         self.observe_identity();
-        if !self.mirror.types.is_empty() && self.types.is_empty() {
-            self.types = self.mirror.types.clone();
-            if let Some(lead) = &mut self.lead {
+        if !self.store_cache.machine_types.is_empty() && self.machine_types.is_empty() {
+            self.machine_types = self.store_cache.machine_types.clone();
+            if let Some(lead) = &mut self.leader {
                 lead.machines.mark_all_changed();
             }
         }
@@ -145,22 +145,27 @@
         // A store that was restored gives numbers of leases again: renewed here, the key of a leader that
         // is gone would stay for ever.
         let (own, nonce) = (self.lease.map(|l| l.id), self.nonce);
-        let ours = |v: &LeaderValue| Some(v.lease) == own && v.nonce != nonce;
-        if self.mirror.leader.as_ref().is_some_and(|(v, _)| ours(v)) {
+        let ours = |v: &LeaderValue| Some(v.lease) == own && v.process_nonce != nonce;
+        if self
+            .store_cache
+            .leader
+            .as_ref()
+            .is_some_and(|(v, _)| ours(v))
+        {
             tracing::warn!("the leader key of another hangs on this process's lease");
             self.step_down("its lease is another's");
             self.lease = None;
-            self.out.push(Effect::ReplaceLease);
+            self.effects.push(Effect::ReplaceLease);
         }
-        let version = self.mirror.leader.as_ref().map(|(_, v)| *v);
-        match (&self.lead, mine) {
+        let version = self.store_cache.leader.as_ref().map(|(_, v)| *v);
+        match (&self.leader, mine) {
             // Restored together with what else a store held long ago.
-            (None, true) if self.custody.lost.is_some() => self.resign_to_rebuild(),
+            (None, true) if self.store_integrity.data_loss.is_some() => self.resign_to_rebuild(),
             (None, true) => self.begin_leadership(version.unwrap_or_default()),
             (Some(l), true) if Some(l.key_version) == version => self.sync_job_runs(),
             (Some(_), _) => self.step_down("the leader key is not ours any more"),
             // A leader begins with all there is.
-            (None, false) => self.mirror.changed.clear(),
+            (None, false) => self.store_cache.changed.clear(),
         }
         self.resolve_write();
     }
@@ -171,7 +176,7 @@
     /// stands, the key is written again, with the next term (`advance_leadership`).
     fn begin_leadership(&mut self, key_version: u64) {
         // A list is as old as its first page: what a former leader wrote last may be missing in it.
-        if self.mirror.revision >= key_version && self.has_unused_term(key_version) {
+        if self.store_cache.revision >= key_version && self.has_unused_term(key_version) {
             self.become_leader(key_version);
         }
     }
@@ -179,18 +184,18 @@
     /// The term was raised together with this version of the leader key, none newer is known of, and this
     /// process has not led in it.
     fn has_unused_term(&self, key_version: u64) -> bool {
-        let m = &self.mirror;
+        let m = &self.store_cache;
         let raised = m.term_version == key_version && m.stored_term == m.term;
-        raised && m.term > self.led_term || !stands(Safeguard::Term)
+        raised && m.term > self.newest_led_term || !stands(Safeguard::Term)
     }
 
     /// The version that the leader key has if a leadership may begin now: 0 where there is none, that of our
     /// own key where its term has been used.
     fn vacant_leader_version(&self) -> Option<u64> {
-        if !self.mirror.loaded || self.lead.is_some() {
+        if !self.store_cache.loaded || self.leader.is_some() {
             return None;
         }
-        match &self.mirror.leader {
+        match &self.store_cache.leader {
             None => Some(0),
             Some((_, version)) if self.holds_leader_key() => {
                 (!self.has_unused_term(*version)).then_some(*version)
@@ -212,8 +217,8 @@
 
     /// Notes that this leader is able to act; its machines' silence counts anew where it was not for a while.
     fn record_activity(&mut self) {
-        let (now, back_after) = (self.now.mono, self.settings.report);
-        let Some(lead) = &mut self.lead else { return };
+        let (now, back_after) = (self.now.mono, self.settings.heartbeat_interval);
+        let Some(lead) = &mut self.leader else { return };
         if now > lead.last_able_to_act + INABILITY_THRESHOLD {
             // The state service was away, and reports were answered with 503 meanwhile: the
             // workers went from node to node, and their silence proves nothing.
@@ -231,7 +236,7 @@
     /// Workers are cut off from this node though the state service is not: another controller may reach them.
     fn resign_if_isolated(&mut self) {
         let now = self.now.mono;
-        let unheard = self.lead.as_ref().is_some_and(|l| self.is_isolated(l));
+        let unheard = self.leader.as_ref().is_some_and(|l| self.is_isolated(l));
         // Where no other controller hears them either, passing leadership around would only
         // keep all of them from finding out that the machines are gone.
         let again = self.resigned.is_none_or(|t| now > t + RESIGN_INTERVAL);
@@ -253,7 +258,7 @@
             .max(lead.silence_excused_until);
         let waited = now.saturating_duration_since(silent.max(lead.since));
         // Until the workers have found a new leader, little comes in any case.
-        let longest = self.settings.report * 2 + Duration::from_secs(2);
+        let longest = self.settings.heartbeat_interval * 2 + Duration::from_secs(2);
         let settled = now.saturating_duration_since(lead.since) > longest;
         let after = if settled {
             lead.silence_limit.min(longest)
@@ -287,15 +292,15 @@
         }
         let value = LeaderValue {
             name: self.settings.name.clone(),
-            nonce: self.nonce,
+            process_nonce: self.nonce,
             lease: lease.id,
         };
         let condition = |key: String, version| Condition { key, version };
         let mut conditions = vec![
             condition(key(LEADER), leader_version),
-            condition(key(TERM), self.mirror.term_version),
+            condition(key(TERM), self.store_cache.term_version),
         ];
-        conditions.extend(self.mirror.identity.as_ref().map(named));
+        conditions.extend(self.store_cache.identity.as_ref().map(named));
         let term = self.next_term();
         let mut changes = vec![
             Change::Put {
@@ -310,7 +315,7 @@
             conditions,
             changes,
         };
-        self.stood = now;
+        self.campaign_started = now;
         self.ask_state(Pending::TakeOver, StoreRequest::CompareAndSwap(txn));
     }
 
@@ -321,7 +326,8 @@
             StoreOutcome::Conflict { failed, revision } => {
                 if self.contains_identity_key(&failed) {
                     self.suspect_data_loss("its identity is gone");
-                } else if self.mirror.revision >= revision && self.vacant_leader_version().is_some()
+                } else if self.store_cache.revision >= revision
+                    && self.vacant_leader_version().is_some()
                 {
                     // Refused for versions that differ, though the copy is as new as the refusal.
                     self.suspect_data_loss("it has other versions of what a leader begins with");
@@ -343,42 +349,46 @@
 
     fn become_leader(&mut self, key_version: u64) {
         let now = self.now.mono;
-        let term = self.mirror.term;
+        let term = self.store_cache.term;
         tracing::info!(term = term, "leading from term {term} on");
         self.leaderships += 1;
-        self.led_term = self.led_term.max(term);
-        let arrivals = ArrivalRate::new(self.now, self.mirror.jobs.values());
+        self.newest_led_term = self.newest_led_term.max(term);
+        let arrivals = ArrivalRate::new(self.now, self.store_cache.jobs.values());
         let mut lead = LeaderState::new(key_version, term, now, arrivals);
-        lead.leader_key_confirmed = self.stood;
-        lead.silence_limit = self.settings.report * 2;
-        lead.identity = self.mirror.identity.clone();
+        lead.leader_key_confirmed = self.campaign_started;
+        lead.silence_limit = self.settings.heartbeat_interval * 2;
+        lead.identity = self.store_cache.identity.clone();
         let records = &mut lead.writes.records;
-        *records = MachineRecords::new(&self.mirror, self.settings.value_bytes);
-        for (id, value) in &self.mirror.machines {
+        *records = MachineRecords::new(&self.store_cache, self.settings.max_value_bytes);
+        for (id, value) in &self.store_cache.machines {
             if !records.has(id) {
                 records.add(id, value.clone());
             }
         }
-        lead.writes.machine_types = !self.types.is_empty() && self.types != self.mirror.types;
+        lead.writes.machine_types =
+            !self.machine_types.is_empty() && self.machine_types != self.store_cache.machine_types;
         let mut conditions = vec![Condition {
             key: key(LEADER),
             version: key_version,
         }];
         conditions.extend(lead.named());
-        self.out.push(Effect::LeadershipProof(Some(LeadershipProof {
-            key_version,
-            conditions,
-        })));
-        self.lead = Some(lead);
+        self.effects
+            .push(Effect::LeadershipProof(Some(LeadershipProof {
+                key_version,
+                conditions,
+            })));
+        self.leader = Some(lead);
         self.start_recovery();
-        self.mirror.changed = self.mirror.jobs.keys().cloned().collect();
+        self.store_cache.changed = self.store_cache.jobs.keys().cloned().collect();
         self.sync_job_runs();
         self.start_rebuild();
     }
 
     pub(super) fn step_down(&mut self, why: &str) {
-        let Some(lead) = self.lead.take() else { return };
-        self.out.push(Effect::LeadershipProof(None));
+        let Some(lead) = self.leader.take() else {
+            return;
+        };
+        self.effects.push(Effect::LeadershipProof(None));
         tracing::warn!(
             term = lead.term,
             "term {}: no longer leading: {why}",
@@ -386,10 +396,10 @@
         );
         self.relay.adopt_workers(&lead);
         self.candidate_after = self.now.mono + Duration::from_millis(200);
-        for (ticket, _) in lead.deferred_responses.reports {
+        for (ticket, _) in lead.deferred_responses.heartbeats {
             self.redirect(ticket);
         }
-        for work in lead.deferred_responses.syncs {
+        for work in lead.deferred_responses.batches {
             self.refuse_batch(work.ticket, work.number);
         }
         let waiting: Vec<Ticket> = lead
@@ -424,17 +434,20 @@
         self.step_down(why);
         self.lease = None;
         self.candidate_after = self.now.mono + CANDIDACY_PAUSE;
-        self.out.push(Effect::ReleaseLease);
+        self.effects.push(Effect::ReleaseLease);
     }
 
     /// Whether the store's identity is among these keys.
     pub(super) fn contains_identity_key(&self, keys: &[String]) -> bool {
-        let name = self.mirror.identity.as_ref();
+        let name = self.store_cache.identity.as_ref();
         name.is_some_and(|(id, _)| keys.contains(&identity_key(id)))
     }
 
     pub(super) fn leader_name(&self) -> Option<&str> {
-        self.mirror.leader.as_ref().map(|(v, _)| v.name.as_str())
+        self.store_cache
+            .leader
+            .as_ref()
+            .map(|(v, _)| v.name.as_str())
     }
 }
 
--- a/src/core/losses.rs
+++ b/src/core/losses.rs
@@ -39,14 +39,17 @@
 
 /// What operators are told where a cancellation may take less than that.
 pub fn cancellation_warning(settings: &Settings) -> Option<String> {
-    let (needs, given) = (cancellation_bound(settings.lease), settings.cancel);
+    let (needs, given) = (
+        cancellation_bound(settings.worker_lease),
+        settings.cancellation_deadline,
+    );
     (needs > given).then(|| {
         format!(
             "params.workers.cancel_s: {} s is less than the {:.1} s in which a lease of {} s is certain to have run out; \
              cancellations are confirmed only when nothing of the job is left",
             given.as_secs_f64(),
             needs.as_secs_f64(),
-            settings.lease.as_secs_f64()
+            settings.worker_lease.as_secs_f64()
         )
     })
 }
@@ -63,16 +66,18 @@
             return;
         }
         self.cancelled_forgotten = Some(now);
-        let gone = lease_expiry(self.settings.lease).max(self.settings.cancel);
+        let gone =
+            lease_expiry(self.settings.worker_lease).max(self.settings.cancellation_deadline);
         if let Ok(since) = (self.now.wall - gone).duration_since(SystemTime::UNIX_EPOCH) {
-            self.mirror.expire_residual_tasks(since.as_millis() as u64);
+            self.store_cache
+                .expire_residual_tasks(since.as_millis() as u64);
         }
     }
 
     /// Losses, notices and the cloud's list.
     pub(super) fn check_machines(&mut self) {
         let now = self.now.mono;
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader else { return };
         if lead
             .last_machine_check
             .is_some_and(|t| now < t + Duration::from_millis(250))
@@ -81,9 +86,9 @@
         }
         lead.last_machine_check = Some(now);
         self.check_delegates();
-        let Some(lead) = &mut self.lead else { return };
-        let report = self.settings.report;
-        let lease_expiry = lease_expiry(self.settings.lease);
+        let Some(lead) = &mut self.leader else { return };
+        let report = self.settings.heartbeat_interval;
+        let lease_expiry = lease_expiry(self.settings.worker_lease);
         let fresh = |m: &Machine| {
             m.incarnation > 0 && now.saturating_duration_since(m.last_heartbeat) < report * 2
         };
@@ -181,7 +186,7 @@
             let heard_out = now > lead.since + report * 2;
             if !expected && m.deleting.is_none() && heard_out {
                 let boot = self
-                    .types
+                    .machine_types
                     .iter()
                     .find(|t| t.name == m.machine_type)
                     .map_or(60.0, |t| t.boot_s);
@@ -201,7 +206,7 @@
         for id in turned {
             lead.machines.get_mut(&id);
         }
-        if let Some(lead) = &self.lead {
+        if let Some(lead) = &self.leader {
             let suspects = lead.machines.values().filter(|m| m.deleting.is_none());
             let faulty = suspects.filter(|m| self.faulty(m));
             silent.extend(faulty.map(|m| (m.id.clone(), "it is faulty")));
@@ -219,8 +224,8 @@
 
     pub(super) fn machine_lease_expired(&mut self, id: &MachineId) {
         let now = self.now.mono;
-        let lease_expiry = lease_expiry(self.settings.lease);
-        let Some(lead) = &mut self.lead else { return };
+        let lease_expiry = lease_expiry(self.settings.worker_lease);
+        let Some(lead) = &mut self.leader else { return };
         let term = lead.term;
         let Some(m) = lead.machines.get_mut(id) else {
             return;
@@ -244,7 +249,7 @@
     /// The machine is deleted; until that is confirmed, its tasks stay where they are.
     pub(super) fn release_machine(&mut self, id: &MachineId, why: &'static str) {
         let now = self.now.mono;
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader else { return };
         let Some(m) = lead.machines.get_mut(id) else {
             return;
         };
@@ -264,7 +269,7 @@
     /// It is certain that the machine and everything on it is gone.
     pub(super) fn machine_gone(&mut self, id: &MachineId, how: &str) {
         let now = self.now.mono;
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader else { return };
         let Some(m) = lead.machines.get(id) else {
             return;
         };
@@ -272,7 +277,7 @@
         let tasks: Vec<TaskId> = m.tasks.keys().cloned().collect();
         self.tasks_lost(id, tasks, "its machine is gone");
         self.resolve_machine(id, how);
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader else { return };
         lead.machines.remove(id);
         lead.deleted_machines.insert(id.clone());
         lead.cloud.deletions.remove(id);
@@ -284,8 +289,8 @@
     /// elsewhere.
     fn move_tasks_off_reclaimed(&mut self) {
         let now = self.now.mono;
-        let Some(lead) = &mut self.lead else { return };
-        let jobs = &self.mirror.jobs;
+        let Some(lead) = &mut self.leader else { return };
+        let jobs = &self.store_cache.jobs;
         let hopeless = |key: &TaskId, t: &Placement, left: Duration| {
             let Some(job) = jobs.get(&key.job) else {
                 return false;
--- a/src/core/mirror.rs
+++ b/src/core/mirror.rs
@@ -41,7 +41,7 @@
     pub done: RowSet,
     /// The pieces in which `done` is stored: their first rows, and the row after the last one
     /// that each of them tells. An earlier version's pieces may reach further than ours.
-    pub pieces: BTreeMap<u32, u32>,
+    pub stored_ranges: BTreeMap<u32, u32>,
 }
 
 impl JobRecord {
@@ -51,7 +51,7 @@
         let mut bases: BTreeSet<u32> = rows.iter().map(|r| r / piece * piece).collect();
         let mut look: Vec<u32> = bases.iter().copied().collect();
         while let Some(base) = look.pop() {
-            let end = self.pieces.get(&base).copied().unwrap_or(0);
+            let end = self.stored_ranges.get(&base).copied().unwrap_or(0);
             let mut next = base.saturating_add(piece);
             while next < end {
                 if bases.insert(next) {
@@ -75,43 +75,43 @@
     /// The one that the store has, and the version of its key.
     pub stored_term: u64,
     pub term_version: u64,
-    pub types: Vec<MachineType>,
+    pub machine_types: Vec<MachineType>,
     pub jobs: BTreeMap<JobId, JobRecord>,
     /// Finished jobs stay for ever, as little more than their ids.
     pub finished: BTreeMap<JobId, JobOutcome>,
     pub machines: BTreeMap<MachineId, MachineValue>,
     /// Who awaits whom among the live jobs.
-    pub pipelines: DependencyGraph,
+    pub dependencies: DependencyGraph,
     /// Which of them are on which page.
     pub pages: BTreeMap<usize, BTreeSet<MachineId>>,
     /// Those under keys of their own.
-    pub alone: BTreeSet<MachineId>,
+    pub single_key_machines: BTreeSet<MachineId>,
     /// Jobs that changed since the leader last took them in.
     pub changed: BTreeSet<JobId>,
     /// Ranges that were read before their job.
-    orphans: BTreeMap<(JobId, u32), String>,
+    orphaned_ranges: BTreeMap<(JobId, u32), String>,
     /// Keys of pieces and parts of jobs that are over: the leader clears them when there is room.
-    pub litter: BTreeSet<String>,
+    pub garbage_keys: BTreeSet<String>,
     /// Jobs too large for one value.
     pub parts: LargeJobParts,
     /// Which store this is a copy of, and the version of the key that says so.
     pub identity: Option<(String, u64)>,
     /// Its first term, if it was taken for new: a worker that has seen an earlier one proves it was not.
-    pub first: Option<u64>,
+    pub first_term: Option<u64>,
     /// It goes by another name now, which a store is given only when it has lost data.
-    pub renamed: bool,
+    pub identity_changed: bool,
     /// This process has noticed the loss itself, and the next name is expected.
-    expects_name: bool,
+    expects_new_identity: bool,
     pub rebuilding: Option<(RebuildingValue, u64)>,
     /// Jobs whose key is remembered here and not, or not so, in the store.
-    pub owed: BTreeSet<JobId>,
+    pub missing_from_store: BTreeSet<JobId>,
     /// Ends that this process wrote and the watch has not told yet, with their revisions: a list
     /// begun before them does not contradict them.
-    ahead: BTreeMap<JobId, u64>,
+    unconfirmed_ends: BTreeMap<JobId, u64>,
     /// On which a leader's changes depend.
     pub versions: KeyVersions,
     /// What may be left of jobs that were cancelled lately.
-    pub left: BTreeMap<JobId, ResidualTasks>,
+    pub residual_tasks: BTreeMap<JobId, ResidualTasks>,
     /// What was cancelled before (milliseconds since 1970) is on no machine any more.
     nothing_left_before_ms: u64,
 }
@@ -123,15 +123,15 @@
     pub fn reset(&mut self, items: Vec<Item>, revision: u64) {
         let finished = std::mem::take(&mut self.finished);
         let before = std::mem::take(&mut self.jobs);
-        let ahead = std::mem::take(&mut self.ahead);
+        let ahead = std::mem::take(&mut self.unconfirmed_ends);
         let mut versions = std::mem::take(&mut self.versions);
         versions.clear_observed();
-        let left = std::mem::take(&mut self.left);
+        let left = std::mem::take(&mut self.residual_tasks);
         *self = StoreCache {
             finished,
-            ahead,
+            unconfirmed_ends: ahead,
             versions,
-            left,
+            residual_tasks: left,
             nothing_left_before_ms: self.nothing_left_before_ms,
             changed: before.keys().cloned().collect(),
             loaded: true,
@@ -146,7 +146,7 @@
                 known.done.join(&job.done);
             } else if job.version > revision && !self.finished.contains_key(&id) {
                 let doomed = self
-                    .pipelines
+                    .dependencies
                     .begin(&id, &job.spec.dependencies, &self.finished);
                 self.changed.extend(doomed);
                 self.jobs.insert(id, job);
@@ -163,7 +163,7 @@
         revision: u64,
     ) {
         if revision > self.revision {
-            self.ahead.insert(id.clone(), revision);
+            self.unconfirmed_ends.insert(id.clone(), revision);
         }
         self.put_job(id, JobValue::Over { end, left }, revision);
     }
@@ -174,16 +174,16 @@
         let at = now.duration_since(SystemTime::UNIX_EPOCH);
         Some(ResidualTasks {
             team: job.spec.team.clone(),
-            needs: job.spec.resources,
+            resources: job.spec.resources,
             tasks: job.spec.tasks.saturating_sub(job.done.len()),
-            at_ms: at.unwrap_or_default().as_millis() as u64,
+            cancelled_ms: at.unwrap_or_default().as_millis() as u64,
         })
     }
 
     /// What was cancelled before this moment is on no machine any more.
     pub fn expire_residual_tasks(&mut self, at_ms: u64) {
         self.nothing_left_before_ms = at_ms;
-        self.left.retain(|_, l| l.at_ms >= at_ms);
+        self.residual_tasks.retain(|_, l| l.cancelled_ms >= at_ms);
     }
 
     pub fn apply(&mut self, events: Vec<WatchEvent>, revision: u64) {
@@ -201,7 +201,7 @@
     pub fn heed_revision(&mut self, revision: u64) {
         self.revision = self.revision.max(revision);
         let revision = self.revision;
-        self.ahead.retain(|_, at| *at > revision);
+        self.unconfirmed_ends.retain(|_, at| *at > revision);
         self.versions.drop_confirmed(revision);
     }
 
@@ -225,7 +225,7 @@
             Some(("j", id)) => serde_json::from_value(value).map(|v| self.put_job(id, v, version)),
             Some(("m", id)) => serde_json::from_value(value).map(|v| {
                 self.machines.insert(MachineId::from(id), v);
-                self.alone.insert(MachineId::from(id));
+                self.single_key_machines.insert(MachineId::from(id));
             }),
             Some(("p", n)) => serde_json::from_value(value).map(|v: PageValue| {
                 if let Ok(n) = n.parse() {
@@ -236,26 +236,29 @@
                 if let Some((id, base)) = rest.split_once('/')
                     && let Ok(base) = base.parse()
                 {
-                    self.put_done_ranges(JobId::from(id), base, v.rows);
+                    self.put_done_ranges(JobId::from(id), base, v.tasks);
                 }
             }),
             Some(("s", rest)) => serde_json::from_value(value).map(|v: PartValue| {
                 if let Some((id, stem, n)) = parts::parse(rest) {
                     self.parts.put(&id, stem, n, v.text);
                     if self.finished.contains_key(&id) {
-                        self.litter.insert(key.into());
+                        self.garbage_keys.insert(key.into());
                     }
                     self.join_parts(&id);
                 }
             }),
             Some(("i", id)) => {
                 match &self.identity {
-                    Some((known, _)) if known != id && !self.expects_name => self.renamed = true,
+                    Some((known, _)) if known != id && !self.expects_new_identity => {
+                        self.identity_changed = true
+                    }
                     Some((known, v)) if known == id && *v >= version => {}
                     _ => {
                         let read = serde_json::from_value::<IdentityValue>(value);
-                        self.first = read.ok().and_then(|v| v.first);
-                        self.expects_name &= self.identity.as_ref().is_some_and(|(k, _)| k == id);
+                        self.first_term = read.ok().and_then(|v| v.first_term);
+                        self.expects_new_identity &=
+                            self.identity.as_ref().is_some_and(|(k, _)| k == id);
                         self.identity = Some((id.to_string(), version));
                     }
                 }
@@ -287,7 +290,7 @@
                 self.term = self.term.max(stored);
                 (self.stored_term, self.term_version) = (stored, version);
             }
-            TYPES => self.types = serde_json::from_value(value)?,
+            TYPES => self.machine_types = serde_json::from_value(value)?,
             REBUILDING => self.rebuilding = Some((serde_json::from_value(value)?, version)),
             _ => {}
         }
@@ -309,11 +312,11 @@
         if version > 0 && !over && self.finished.contains_key(&id) {
             // Stored as live, and remembered as over: a store that has lost data, unless the end has
             // been written since by this process.
-            if !self.ahead.contains_key(&id) {
-                self.owed.insert(id.clone());
+            if !self.unconfirmed_ends.contains_key(&id) {
+                self.missing_from_store.insert(id.clone());
             }
         } else if version > 0 {
-            self.owed.remove(&id);
+            self.missing_from_store.remove(&id);
         }
         match value {
             JobValue::Parted {
@@ -323,7 +326,7 @@
             } => {
                 if !self.finished.contains_key(&id) && !self.jobs.contains_key(&id) {
                     let head = PartedJob {
-                        stem,
+                        generation: stem,
                         count,
                         submitted_ms,
                         version,
@@ -333,22 +336,23 @@
                 }
             }
             JobValue::Over { end, left } => {
-                if let Some(left) = left.filter(|l| l.at_ms >= self.nothing_left_before_ms) {
-                    self.left.insert(id.clone(), left);
+                if let Some(left) = left.filter(|l| l.cancelled_ms >= self.nothing_left_before_ms) {
+                    self.residual_tasks.insert(id.clone(), left);
                 }
                 let job = self.jobs.remove(&id);
                 let awaits = job.as_ref().map_or(&[][..], |j| &j.spec.dependencies);
                 // What it needs owes it nothing any more.
                 self.changed.extend(awaits.iter().cloned());
-                self.changed.extend(self.pipelines.end(&id, awaits, end));
-                let pieces = job.map(|j| j.pieces).unwrap_or_default();
+                self.changed.extend(self.dependencies.end(&id, awaits, end));
+                let pieces = job.map(|j| j.stored_ranges).unwrap_or_default();
                 let early = self
                     .take_orphaned_ranges(&id)
                     .into_iter()
                     .map(|(base, _)| base);
                 let bases = pieces.into_keys().chain(early);
-                self.litter.extend(bases.map(|base| done_key(&id, base)));
-                self.litter.extend(self.parts.end(&id));
+                self.garbage_keys
+                    .extend(bases.map(|base| done_key(&id, base)));
+                self.garbage_keys.extend(self.parts.end(&id));
                 self.finished.insert(id, end);
             }
             JobValue::Live { spec, submitted_ms }
@@ -366,7 +370,7 @@
                     pieces.insert(base, done.add_ranges(base, &rows, spec.tasks));
                 }
                 let doomed = self
-                    .pipelines
+                    .dependencies
                     .begin(&id, &spec.dependencies, &self.finished);
                 self.changed.extend(doomed);
                 self.jobs.insert(
@@ -376,7 +380,7 @@
                         spec: Arc::new(*spec),
                         version,
                         done,
-                        pieces,
+                        stored_ranges: pieces,
                     },
                 );
             }
@@ -388,7 +392,7 @@
     pub fn outcome_of(&self, id: &str) -> Option<JobOutcome> {
         let own = self.finished.get(id).copied();
         own.or_else(|| {
-            self.pipelines
+            self.dependencies
                 .cancelled_dependency(id)
                 .map(|_| JobOutcome::Cancelled)
         })
@@ -401,18 +405,18 @@
 
     /// Whether nothing that a live job awaits keeps it from starting.
     pub fn ready(&self, id: &JobId) -> bool {
-        self.pipelines.unfinished_dependencies(id) == 0
-            && self.pipelines.cancelled_dependency(id).is_none()
+        self.dependencies.unfinished_dependencies(id) == 0
+            && self.dependencies.cancelled_dependency(id).is_none()
     }
 
     fn take_orphaned_ranges(&mut self, id: &JobId) -> Vec<(u32, String)> {
         let all = (id.clone(), 0)..=(id.clone(), u32::MAX);
         let bases: Vec<u32> = self
-            .orphans
+            .orphaned_ranges
             .range(all)
             .map(|((_, base), _)| *base)
             .collect();
-        let take = |base| Some((base, self.orphans.remove(&(id.clone(), base))?));
+        let take = |base| Some((base, self.orphaned_ranges.remove(&(id.clone(), base))?));
         bases.into_iter().filter_map(take).collect()
     }
 
@@ -426,7 +430,9 @@
         self.machines.extend(machines);
         for id in before.unwrap_or_default() {
             // It may have moved to another page, whichever of the two was told first.
-            if !self.alone.contains(&id) && !self.pages.values().any(|p| p.contains(&id)) {
+            if !self.single_key_machines.contains(&id)
+                && !self.pages.values().any(|p| p.contains(&id))
+            {
                 self.machines.remove(&id);
             }
         }
@@ -435,12 +441,12 @@
     fn put_done_ranges(&mut self, id: JobId, base: u32, rows: String) {
         if let Some(job) = self.jobs.get_mut(&id) {
             let end = job.done.add_ranges(base, &rows, job.spec.tasks);
-            job.pieces.insert(base, end);
+            job.stored_ranges.insert(base, end);
             self.changed.insert(id);
         } else if self.finished.contains_key(&id) {
-            self.litter.insert(done_key(&id, base));
+            self.garbage_keys.insert(done_key(&id, base));
         } else {
-            self.orphans.insert((id, base), rows);
+            self.orphaned_ranges.insert((id, base), rows);
         }
     }
 
@@ -452,19 +458,23 @@
             self.versions.forget(key);
         }
         if let Some((id, stem, n)) = name.strip_prefix("s/").and_then(parts::parse) {
-            self.litter.remove(key);
+            self.garbage_keys.remove(key);
             self.parts.delete(&id, stem, n);
         }
         if name == REBUILDING {
             self.rebuilding = None;
             // Whatever the store lists of machines is all there is again.
-            let listed = self.pages.values().flatten().chain(&self.alone);
+            let listed = self
+                .pages
+                .values()
+                .flatten()
+                .chain(&self.single_key_machines);
             let listed: BTreeSet<MachineId> = listed.cloned().collect();
             self.machines.retain(|id, _| listed.contains(id));
         } else if name == LEADER && self.leader.as_ref().is_some_and(|(_, v)| *v < version) {
             self.leader = None;
         } else if let Some(id) = name.strip_prefix("m/") {
-            self.alone.remove(id);
+            self.single_key_machines.remove(id);
             if !self.pages.values().any(|p| p.contains(id)) {
                 self.machines.remove(id);
             }
@@ -475,8 +485,8 @@
             .and_then(|rest| rest.split_once('/'))
             .map(|(id, base)| (id, base.parse()))
         {
-            self.litter.remove(key);
-            self.orphans.remove(&(JobId::from(id), base));
+            self.garbage_keys.remove(key);
+            self.orphaned_ranges.remove(&(JobId::from(id), base));
         }
     }
 }
--- a/src/core/mirror/loss.rs
+++ b/src/core/mirror/loss.rs
@@ -35,13 +35,13 @@
             return Some(format!("it has forgotten term {}", self.term));
         }
         let absent = |id: &JobId| find(&job_key(id)).is_none();
-        let newer = |id: &JobId, at: u64| at > revision || self.owed.contains(id);
+        let newer = |id: &JobId, at: u64| at > revision || self.missing_from_store.contains(id);
         if let Some((id, _)) =
             (self.jobs.iter()).find(|(id, j)| !newer(id, j.version) && absent(id))
         {
             return Some(format!("it has forgotten job {id}"));
         }
-        let ahead = |id: &JobId| self.ahead.get(id).copied().unwrap_or(0);
+        let ahead = |id: &JobId| self.unconfirmed_ends.get(id).copied().unwrap_or(0);
         let undone = |id: &&JobId| {
             !newer(id, ahead(id)) && find(&job_key(id)).is_none_or(|item| !is_over(&item.value))
         };
@@ -66,7 +66,7 @@
             }
             if !is_over(&i.value)
                 && self.finished.contains_key(&id)
-                && !self.ahead.contains_key(&id)
+                && !self.unconfirmed_ends.contains_key(&id)
             {
                 return Some(format!("it has forgotten how job {id} ended"));
             }
@@ -76,7 +76,7 @@
         let range = (Bound::Excluded(name(after)), end);
         let live = self.jobs.range::<JobId, _>(range.clone()).map(|(id, _)| id);
         let ended = self.finished.range::<JobId, _>(range).map(|(id, _)| id);
-        let known = |id: &&JobId| !stored.contains(*id) && !self.owed.contains(*id);
+        let known = |id: &&JobId| !stored.contains(*id) && !self.missing_from_store.contains(*id);
         let gone = live.chain(ended).find(known)?;
         Some(format!("it has forgotten job {gone}"))
     }
@@ -91,13 +91,17 @@
         for job in self.jobs.values_mut() {
             // Older than whatever leads from now on: its tasks may be anywhere.
             job.version = 0;
-            job.pieces.clear();
+            job.stored_ranges.clear();
         }
-        (self.identity, self.first, self.expects_name) = (None, None, false);
-        (self.leader, self.rebuilding, self.renamed) = (None, None, false);
+        (self.identity, self.first_term, self.expects_new_identity) = (None, None, false);
+        (self.leader, self.rebuilding, self.identity_changed) = (None, None, false);
         (self.revision, self.term_version) = (revision, 0);
-        (self.pages, self.alone) = Default::default();
-        (self.orphans, self.litter, self.ahead) = Default::default();
+        (self.pages, self.single_key_machines) = Default::default();
+        (
+            self.orphaned_ranges,
+            self.garbage_keys,
+            self.unconfirmed_ends,
+        ) = Default::default();
         self.parts = LargeJobParts::default();
         self.versions = KeyVersions::default();
         for item in items {
@@ -108,15 +112,15 @@
             .finished
             .keys()
             .filter(|id| stored.get(*id) != Some(&true));
-        self.owed = live.chain(ended).cloned().collect();
+        self.missing_from_store = live.chain(ended).cloned().collect();
         self.changed.extend(self.jobs.keys().cloned());
-        self.changed.extend(self.owed.iter().cloned());
+        self.changed.extend(self.missing_from_store.iter().cloned());
         self.loaded = true;
     }
 
     /// The store has lost data and goes by a name all the same: it gets another one, so that no write
     /// that was meant for what is lost can come to be applied.
     pub fn expect_new_identity(&mut self) {
-        self.expects_name = self.identity.is_some();
+        self.expects_new_identity = self.identity.is_some();
     }
 }
--- a/src/core/mirror/memory.rs
+++ b/src/core/mirror/memory.rs
@@ -53,8 +53,8 @@
             let read = match name.split_once('/') {
                 None if name == TERM => serde_json::from_value(value)
                     .map(|v: TermValue| self.term = self.term.max(v.term)),
-                None if name == TYPES && self.types.is_empty() => {
-                    serde_json::from_value(value).map(|v| self.types = v)
+                None if name == TYPES && self.machine_types.is_empty() => {
+                    serde_json::from_value(value).map(|v| self.machine_types = v)
                 }
                 Some(("j", id)) => serde_json::from_value(value).map(|v| {
                     new.jobs += usize::from(self.merge_job(id, v));
@@ -73,7 +73,7 @@
                         && let Some(job) = self.jobs.get(id)
                     {
                         let mut rows = RowSet::default();
-                        rows.add_ranges(base, &v.rows, job.spec.tasks);
+                        rows.add_ranges(base, &v.tasks, job.spec.tasks);
                         let rows = (0..job.spec.tasks).filter(|r| rows.contains(*r));
                         let rows: Vec<u32> = rows.filter(|r| !job.done.contains(*r)).collect();
                         if !rows.is_empty() {
@@ -102,7 +102,7 @@
             return false;
         }
         self.put_job(id, value, 0);
-        self.owed.insert(job);
+        self.missing_from_store.insert(job);
         true
     }
 
@@ -158,7 +158,7 @@
                 .filter(|(_, j)| j.done.len() > 0)
             {
                 let rows = job.done.ranges(0, job.spec.tasks);
-                if !page.add(done_key(id, 0), &DoneValue { rows }) {
+                if !page.add(done_key(id, 0), &DoneValue { tasks: rows }) {
                     return false;
                 }
             }
@@ -178,8 +178,8 @@
             }
         }
         page.add(stored_key(TERM), &TermValue { term: self.term });
-        if !self.types.is_empty() {
-            page.add(stored_key(TYPES), &self.types);
+        if !self.machine_types.is_empty() {
+            page.add(stored_key(TYPES), &self.machine_types);
         }
         true
     }
@@ -187,7 +187,7 @@
     /// What the job's key holds, or would hold.
     pub fn job_value(&self, id: &JobId) -> Option<JobValue> {
         if let Some(end) = self.finished.get(id) {
-            let left = self.left.get(id).cloned();
+            let left = self.residual_tasks.get(id).cloned();
             return Some(JobValue::Over { end: *end, left });
         }
         let job = self.jobs.get(id)?;
--- a/src/core/mirror/stored.rs
+++ b/src/core/mirror/stored.rs
@@ -8,7 +8,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaderValue {
     pub name: String,
-    pub nonce: u64,
+    #[serde(rename = "nonce")]
+    pub process_nonce: u64,
     pub lease: u64,
 }
 
@@ -18,20 +19,24 @@
     /// Of the forms in which keys and values are written.
     pub format: u32,
     /// The store that it continues, where that one lost data.
-    pub of: Option<String>,
+    #[serde(rename = "of")]
+    pub lost_store: Option<String>,
     /// Its first term, if it was empty and taken for new.
     #[serde(default)]
-    pub first: Option<u64>,
+    #[serde(rename = "first")]
+    pub first_term: Option<u64>,
 }
 
 /// While this is in the store, what is absent from it may yet have been accepted.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RebuildingValue {
     /// The store that lost data, as far as anybody knew it.
-    pub of: Option<String>,
+    #[serde(rename = "of")]
+    pub lost_store: Option<String>,
     /// When that was noticed, in milliseconds since 1970.
     pub since_ms: u64,
-    pub why: String,
+    #[serde(rename = "why")]
+    pub reason: String,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -75,10 +80,12 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ResidualTasks {
     pub team: String,
-    pub needs: Resources,
+    #[serde(rename = "needs")]
+    pub resources: Resources,
     /// Those that were not done when its end was written, and when that was (milliseconds since 1970).
     pub tasks: u32,
-    pub at_ms: u64,
+    #[serde(rename = "at_ms")]
+    pub cancelled_ms: u64,
 }
 
 /// Whether a job's stored form says how it ended; only that of one that is over has an end.
@@ -115,5 +122,6 @@
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct DoneValue {
-    pub rows: String,
+    #[serde(rename = "rows")]
+    pub tasks: String,
 }
--- a/src/core/mirror/tests.rs
+++ b/src/core/mirror/tests.rs
@@ -50,9 +50,9 @@
         end: JobOutcome::Cancelled,
         left: Some(ResidualTasks {
             team: "t".into(),
-            needs: Resources::default(),
+            resources: Resources::default(),
             tasks: 1,
-            at_ms,
+            cancelled_ms: at_ms,
         }),
     };
     let mut mirror = StoreCache::default();
@@ -60,10 +60,18 @@
     for n in 0..8000 {
         mirror.put_job(&format!("wk-{n:06}"), cancelled(9000 + n), n + 1);
     }
-    assert_eq!(mirror.left.len(), 7000, "a thousand ended too long ago");
+    assert_eq!(
+        mirror.residual_tasks.len(),
+        7000,
+        "a thousand ended too long ago"
+    );
     mirror.reset(Vec::new(), 9000);
     mirror.put_job("wk-100000", cancelled(9999), 9001);
-    assert_eq!(mirror.left.len(), 7000, "a list changes nothing of that");
+    assert_eq!(
+        mirror.residual_tasks.len(),
+        7000,
+        "a list changes nothing of that"
+    );
     mirror.expire_residual_tasks(16_500);
-    assert_eq!(mirror.left.len(), 500);
+    assert_eq!(mirror.residual_tasks.len(), 500);
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -310,43 +310,43 @@
     nonce: u64,
     now: Now,
     started: Instant,
-    out: Vec<Effect>,
+    effects: Vec<Effect>,
     next_call: CallId,
     pending: BTreeMap<CallId, Pending>,
     /// Creations of jobs on their way, and when each is looked at next.
     unanswered_creations: VecDeque<(Instant, CallId)>,
-    mirror: StoreCache,
+    store_cache: StoreCache,
     /// When it was last looked whether cancelled jobs can still have something left.
     cancelled_forgotten: Option<Instant>,
     lease: Option<lead::Lease>,
-    lead: Option<lead::LeaderState>,
+    leader: Option<lead::LeaderState>,
     /// Whether controllers serve workers for the one that leads.
     delegating: bool,
     relay: relay::Relay,
-    view: MembershipView,
+    members: MembershipView,
     /// How many leaderships this process has begun, and the newest term in which it has led.
     leaderships: u64,
-    led_term: u64,
+    newest_led_term: u64,
     /// When the last attempt to lead was sent.
-    stood: Instant,
+    campaign_started: Instant,
     /// No attempt to lead before this moment.
     candidate_after: Instant,
     /// When this process last gave leadership up.
     resigned: Option<Instant>,
-    dead_key: Option<dead_key::StaleLeaderKey>,
+    stale_leader_key: Option<dead_key::StaleLeaderKey>,
     forwards: BTreeMap<Ticket, UserRequest>,
     barriers: barrier::ReadBarriers,
-    custody: custody::StoreIntegrity,
+    store_integrity: custody::StoreIntegrity,
     /// Peers that gave no answer lately, and until when they are not asked.
-    peers_down: BTreeMap<String, Instant>,
-    types: Vec<MachineType>,
-    types_asked: Option<Instant>,
-    state_ok: Instant,
-    peer_heard: Instant,
-    probed: Option<Instant>,
-    probes: u64,
+    unreachable_peers: BTreeMap<String, Instant>,
+    machine_types: Vec<MachineType>,
+    types_requested: Option<Instant>,
+    store_reachable_at: Instant,
+    peer_reachable_at: Instant,
+    last_peer_probe: Option<Instant>,
+    peer_probes: u64,
     ready: Option<bool>,
-    scratch: crate::plan::Scratch,
+    plan_scratch: crate::plan::Scratch,
     /// What the cloud's limit allows the leader now.
     cloud_budget: RateLimiter,
     /// Reads for users who ask about jobs that the state service's limit allows.
@@ -466,9 +466,9 @@
     pub fn new(settings: Arc<Settings>, policy: Arc<Policy>, nonce: u64, now: Now) -> Core {
         // Less than all, as the others ask for machine types, and an old leader for more.
         let cloud_budget = RateLimiter::new(settings.cloud_rps * 0.85, now.mono);
-        let writes = settings.state_write_rps * writes::WRITE_SHARE;
+        let writes = settings.store_write_rps * writes::WRITE_SHARE;
         let write_budget = RateLimiter::new(writes, now.mono);
-        let share = settings.state_rps / (settings.peers.len() as f64 + 1.0);
+        let share = settings.store_rps / (settings.peers.len() as f64 + 1.0);
         let read_budget = RateLimiter::new(share * QUESTIONS_SHARE, now.mono);
         let delegating = policy.fleet_truth(Entry::Delegate, &FleetFacts::default());
         let others = (settings.peers.iter()).map(|p| (p.name.clone(), p.zone.clone()));
@@ -482,35 +482,35 @@
             nonce,
             now,
             started: now.mono,
-            out: Vec::new(),
+            effects: Vec::new(),
             next_call: 1,
             pending: BTreeMap::new(),
             unanswered_creations: VecDeque::new(),
-            mirror: StoreCache::default(),
+            store_cache: StoreCache::default(),
             cancelled_forgotten: None,
             lease: None,
-            lead: None,
+            leader: None,
             delegating,
             relay: relay::Relay::new(nonce),
-            view,
+            members: view,
             leaderships: 0,
-            led_term: 0,
-            stood: now.mono,
+            newest_led_term: 0,
+            campaign_started: now.mono,
             candidate_after: now.mono,
             resigned: None,
-            dead_key: None,
+            stale_leader_key: None,
             forwards: BTreeMap::new(),
             barriers: Default::default(),
-            custody: Default::default(),
-            peers_down: BTreeMap::new(),
-            types: Vec::new(),
-            types_asked: None,
-            state_ok: now.mono,
-            peer_heard: now.mono,
-            probed: None,
-            probes: 0,
+            store_integrity: Default::default(),
+            unreachable_peers: BTreeMap::new(),
+            machine_types: Vec::new(),
+            types_requested: None,
+            store_reachable_at: now.mono,
+            peer_reachable_at: now.mono,
+            last_peer_probe: None,
+            peer_probes: 0,
             ready: None,
-            scratch: Default::default(),
+            plan_scratch: Default::default(),
             stats: Stats::default(),
         }
     }
@@ -518,8 +518,8 @@
     /// What a snapshot of a store holds, before anything is read: a memory like any other, and found
     /// to be older than the store where that has lost nothing.
     pub fn remember(&mut self, items: Vec<Item>, revision: u64) {
-        self.mirror.reset(items, revision);
-        self.mirror.loaded = false;
+        self.store_cache.reset(items, revision);
+        self.store_cache.loaded = false;
     }
 
     /// Works through a batch of commands and says what is to be done.
@@ -528,9 +528,9 @@
         self.now = now;
         if late > Duration::from_millis(1500) {
             tracing::warn!("this process stood still for {} ms", late.as_millis());
-            if let Some(lead) = &mut self.lead {
+            if let Some(lead) = &mut self.leader {
                 // The machines' silence proves nothing.
-                lead.silence_excused_until = now.mono + self.settings.report * 2;
+                lead.silence_excused_until = now.mono + self.settings.heartbeat_interval * 2;
             }
         }
         self.forget_cancelled();
@@ -590,21 +590,24 @@
             self.advance_rebuild();
             self.check_machines();
             self.schedule();
-            let mut due = lead::DeferredResponses { reports, syncs };
+            let mut due = lead::DeferredResponses {
+                heartbeats: reports,
+                batches: syncs,
+            };
             self.defer_responses(&mut due);
-            for (ticket, machine) in due.reports {
+            for (ticket, machine) in due.heartbeats {
                 self.respond_to_heartbeat(ticket, &machine);
             }
-            for work in due.syncs {
+            for work in due.batches {
                 self.answer_batch(work);
             }
             self.send_direct_commands();
             self.send_writes();
         } else {
-            if let Some(lead) = &mut self.lead {
+            if let Some(lead) = &mut self.leader {
                 let held = std::mem::take(&mut lead.deferred_responses);
-                reports.extend(held.reports);
-                syncs.extend(held.syncs);
+                reports.extend(held.heartbeats);
+                syncs.extend(held.batches);
             }
             for (ticket, _) in reports {
                 self.redirect(ticket);
@@ -618,16 +621,16 @@
         self.refresh_machine_types();
         self.probe_unreachable_peers();
         self.update_readiness();
-        for effect in &self.out {
+        for effect in &self.effects {
             self.stats.note_effect(effect);
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.effects)
     }
 
     /// How long the owner may sleep when no command comes.
     pub fn idle_for(&self) -> Duration {
         let now = self.now.mono;
-        let idle = if self.lead.is_some() {
+        let idle = if self.leader.is_some() {
             let most = Duration::from_millis(100);
             self.until_next_plan().map_or(most, |d| d.min(most))
         } else {
@@ -650,18 +653,18 @@
 
     fn ask_state(&mut self, pending: Pending, request: StoreRequest) -> CallId {
         let call = self.call(pending);
-        self.custody.call(call);
-        self.out.push(Effect::State { call, request });
+        self.store_integrity.call(call);
+        self.effects.push(Effect::State { call, request });
         call
     }
 
     fn answer(&mut self, ticket: Ticket, answer: Answer) {
-        self.out.push(Effect::Answer { ticket, answer });
+        self.effects.push(Effect::Answer { ticket, answer });
     }
 
     fn state_outcome(&mut self, call: CallId, outcome: StoreOutcome) {
         if !matches!(outcome, StoreOutcome::Refused(_) | StoreOutcome::Unknown(_)) {
-            self.state_ok = self.now.mono;
+            self.store_reachable_at = self.now.mono;
         }
         self.heed_revision(call, &outcome);
         match self.pending.remove(&call) {
@@ -699,31 +702,32 @@
     fn update_readiness(&mut self) {
         let now = self.now.mono;
         let patience = Duration::from_secs(3);
-        let alone = now > self.state_ok + patience && now > self.peer_heard + patience;
-        let ready = self.mirror.loaded && (!alone || self.settings.peers.is_empty());
+        let alone =
+            now > self.store_reachable_at + patience && now > self.peer_reachable_at + patience;
+        let ready = self.store_cache.loaded && (!alone || self.settings.peers.is_empty());
         if self.ready != Some(ready) {
             self.ready = Some(ready);
             tracing::info!("ready: {ready}");
-            self.out.push(Effect::Ready(ready));
+            self.effects.push(Effect::Ready(ready));
         }
     }
 
     /// Every controller knows the machine types, for it has to judge submissions alone at times.
     fn refresh_machine_types(&mut self) {
         let now = self.now.mono;
-        let every = if self.types.is_empty() {
+        let every = if self.machine_types.is_empty() {
             Duration::from_secs(2)
-        } else if self.lead.is_some() {
+        } else if self.leader.is_some() {
             Duration::from_secs(60)
         } else {
             Duration::from_secs(600)
         };
-        if self.types_asked.is_some_and(|t| now < t + every) {
+        if self.types_requested.is_some_and(|t| now < t + every) {
             return;
         }
-        self.types_asked = Some(now);
+        self.types_requested = Some(now);
         let call = self.call(Pending::Types);
-        self.out.push(Effect::Cloud {
+        self.effects.push(Effect::Cloud {
             call,
             request: CloudRequest::Types,
             not_after: None,
@@ -731,17 +735,17 @@
     }
 
     fn set_machine_types(&mut self, types: Vec<MachineType>) {
-        if !types.is_empty() && types != self.types {
-            if let Some(lead) = &mut self.lead {
+        if !types.is_empty() && types != self.machine_types {
+            if let Some(lead) = &mut self.leader {
                 lead.writes.machine_types = true;
                 lead.machines.mark_all_changed();
             }
-            self.types = types;
+            self.machine_types = types;
         }
     }
 
     fn type_of(&self, name: &str) -> Option<&MachineType> {
-        self.types.iter().find(|t| t.name == name)
+        self.machine_types.iter().find(|t| t.name == name)
     }
 
     fn job_id(id: &str) -> JobId {
--- a/src/core/parts.rs
+++ b/src/core/parts.rs
@@ -40,7 +40,7 @@
 /// Parts on their way, and which of them are stored at which version.
 #[derive(Clone, Debug)]
 pub struct PartWrite {
-    pub stem: PartGeneration,
+    pub generation: PartGeneration,
     pub parts: Vec<String>,
     pub versions: Vec<u64>,
 }
@@ -48,7 +48,7 @@
 /// An accepted job, some parts of which have not been read yet.
 #[derive(Clone, Copy, Debug)]
 pub struct PartedJob {
-    pub stem: PartGeneration,
+    pub generation: PartGeneration,
     pub count: u32,
     pub submitted_ms: u64,
     pub version: u64,
@@ -58,14 +58,14 @@
 pub struct LargeJobParts {
     /// What is stored, by job and writing. Texts are dropped once their job has been read.
     texts: BTreeMap<(JobId, PartGeneration), BTreeMap<u32, String>>,
-    heads: BTreeMap<JobId, PartedJob>,
+    incomplete_jobs: BTreeMap<JobId, PartedJob>,
     /// Which writing a live job was read from.
-    used: BTreeMap<JobId, PartGeneration>,
+    generation_read: BTreeMap<JobId, PartGeneration>,
 }
 
 impl LargeJobParts {
     pub fn put(&mut self, id: &JobId, stem: PartGeneration, n: u32, text: String) {
-        let read = self.used.get(id) == Some(&stem);
+        let read = self.generation_read.get(id) == Some(&stem);
         let text = if read { String::new() } else { text };
         let parts = self.texts.entry((id.clone(), stem)).or_default();
         parts.insert(n, text);
@@ -82,20 +82,20 @@
     }
 
     pub fn expect(&mut self, id: &JobId, head: PartedJob) {
-        if !self.used.contains_key(id) {
-            self.heads.insert(id.clone(), head);
+        if !self.generation_read.contains_key(id) {
+            self.incomplete_jobs.insert(id.clone(), head);
         }
     }
 
     /// The job, if it is accepted and all its parts are there.
     pub fn complete(&mut self, id: &JobId) -> Option<(PartedJob, JobSpec)> {
-        let head = *self.heads.get(id)?;
-        let parts = self.texts.get_mut(&(id.clone(), head.stem))?;
+        let head = *self.incomplete_jobs.get(id)?;
+        let parts = self.texts.get_mut(&(id.clone(), head.generation))?;
         let all = (0..head.count).map(|n| parts.get(&n).map(String::as_str));
         let text: String = all.collect::<Option<Vec<_>>>()?.concat();
         parts.values_mut().for_each(|t| *t = String::new());
-        self.heads.remove(id);
-        self.used.insert(id.clone(), head.stem);
+        self.incomplete_jobs.remove(id);
+        self.generation_read.insert(id.clone(), head.generation);
         match serde_json::from_str(&text) {
             Ok(spec) => Some((head, spec)),
             Err(e) => {
@@ -107,8 +107,8 @@
 
     /// A job is over; the keys that are of no use any more.
     pub fn end(&mut self, id: &JobId) -> Vec<String> {
-        self.heads.remove(id);
-        self.used.remove(id);
+        self.incomplete_jobs.remove(id);
+        self.generation_read.remove(id);
         let all = (id.clone(), 0)..=(id.clone(), PartGeneration::MAX);
         let stored = self.texts.range(all).map(|((_, stem), _)| *stem);
         let stems: Vec<PartGeneration> = stored.collect();
@@ -118,7 +118,8 @@
     /// Writings that no accepted job refers to.
     pub fn unclaimed(&self) -> impl Iterator<Item = &(JobId, PartGeneration)> {
         self.texts.keys().filter(|(id, stem)| {
-            self.used.get(id) != Some(stem) && self.heads.get(id).map(|h| h.stem) != Some(*stem)
+            self.generation_read.get(id) != Some(stem)
+                && self.incomplete_jobs.get(id).map(|h| h.generation) != Some(*stem)
         })
     }
 
@@ -129,7 +130,7 @@
     }
 
     pub fn awaited_parts(&self, id: &str) -> bool {
-        self.heads.contains_key(id)
+        self.incomplete_jobs.contains_key(id)
     }
 }
 
--- a/src/core/pipelines.rs
+++ b/src/core/pipelines.rs
@@ -12,11 +12,11 @@
 #[derive(Default)]
 pub struct DependencyGraph {
     /// Live jobs, by each job that they await and that is not over.
-    needed_by: BTreeMap<JobId, BTreeSet<JobId>>,
+    dependents: BTreeMap<JobId, BTreeSet<JobId>>,
     /// How many of the jobs that a live job awaits are not done. Not listed: none.
-    missing: BTreeMap<JobId, usize>,
+    unfinished: BTreeMap<JobId, usize>,
     /// Live jobs that need a cancelled one, directly or through others, and which.
-    doomed: BTreeMap<JobId, JobId>,
+    cancelled: BTreeMap<JobId, JobId>,
 }
 
 impl DependencyGraph {
@@ -33,16 +33,16 @@
                 Some(JobOutcome::Done) => {}
                 Some(JobOutcome::Cancelled) => root = Some(a.clone()),
                 None => {
-                    if let Some(r) = self.doomed.get(a) {
+                    if let Some(r) = self.cancelled.get(a) {
                         root = Some(r.clone());
                     }
                     if self
-                        .needed_by
+                        .dependents
                         .entry(a.clone())
                         .or_default()
                         .insert(id.clone())
                     {
-                        *self.missing.entry(id.clone()).or_default() += 1;
+                        *self.unfinished.entry(id.clone()).or_default() += 1;
                     }
                 }
             }
@@ -55,27 +55,27 @@
 
     /// A job is over; returns the jobs that may start now, or are cancelled with it.
     pub fn end(&mut self, id: &JobId, awaits: &[JobId], end: JobOutcome) -> Vec<JobId> {
-        self.missing.remove(id);
-        self.doomed.remove(id);
+        self.unfinished.remove(id);
+        self.cancelled.remove(id);
         for a in awaits {
-            if let Some(jobs) = self.needed_by.get_mut(a) {
+            if let Some(jobs) = self.dependents.get_mut(a) {
                 jobs.remove(id);
                 if jobs.is_empty() {
-                    self.needed_by.remove(a);
+                    self.dependents.remove(a);
                 }
             }
         }
         // Taken out: being told of the end once more counts nothing twice.
-        let jobs = self.needed_by.remove(id).unwrap_or_default();
+        let jobs = self.dependents.remove(id).unwrap_or_default();
         let mut changed = Vec::new();
         for job in jobs {
             match end {
                 JobOutcome::Cancelled => changed.extend(self.cancel_downstream(&job, id)),
                 JobOutcome::Done => {
-                    if let Some(n) = self.missing.get_mut(&job) {
+                    if let Some(n) = self.unfinished.get_mut(&job) {
                         *n -= 1;
                         if *n == 0 {
-                            self.missing.remove(&job);
+                            self.unfinished.remove(&job);
                             changed.push(job);
                         }
                     }
@@ -90,10 +90,10 @@
         let mut changed = Vec::new();
         let mut next = vec![id.clone()];
         while let Some(job) = next.pop() {
-            if self.doomed.contains_key(&job) {
+            if self.cancelled.contains_key(&job) {
                 continue;
             }
-            self.doomed.insert(job.clone(), root.clone());
+            self.cancelled.insert(job.clone(), root.clone());
             next.extend(self.dependents(&job).cloned());
             changed.push(job);
         }
@@ -114,17 +114,17 @@
 
     /// Live jobs that name this one.
     pub fn dependents(&self, id: &JobId) -> impl Iterator<Item = &JobId> {
-        self.needed_by.get(id).into_iter().flatten()
+        self.dependents.get(id).into_iter().flatten()
     }
 
     /// How many of the jobs that a live job awaits are not done.
     pub fn unfinished_dependencies(&self, id: &JobId) -> usize {
-        self.missing.get(id).copied().unwrap_or(0)
+        self.unfinished.get(id).copied().unwrap_or(0)
     }
 
     /// The cancelled job with which a live one is cancelled.
     pub fn cancelled_dependency(&self, id: &str) -> Option<&JobId> {
-        self.doomed.get(id)
+        self.cancelled.get(id)
     }
 }
 
--- a/src/core/questions.rs
+++ b/src/core/questions.rs
@@ -22,7 +22,7 @@
 #[derive(Debug)]
 pub struct UserRequest {
     pub ticket: Ticket,
-    pub what: Ask,
+    pub action: Ask,
     /// It was passed on by another controller, and is not passed on again.
     pub forwarded: bool,
     /// Peers that have been asked already.
@@ -66,7 +66,7 @@
 
 impl Core {
     pub(super) fn final_answer(&self, id: &str) -> Option<Answer> {
-        let end = self.mirror.outcome_of(id)?;
+        let end = self.store_cache.outcome_of(id)?;
         let body = state_body(id, final_state(end), None, None);
         Some(Answer::new(200, body))
     }
@@ -84,8 +84,8 @@
         if !self.acting() || self.must_withhold_state() {
             return None;
         }
-        let job = self.mirror.jobs.get(id)?;
-        let lead = self.lead.as_ref()?;
+        let job = self.store_cache.jobs.get(id)?;
+        let lead = self.leader.as_ref()?;
         let run = lead.job_runs.get(id)?;
         if run.ending.is_some() || lead.cancellation_pending.contains(id) {
             return None;
@@ -101,7 +101,7 @@
     }
 
     pub(super) fn running_of(&self, id: &str, run: &JobRun) -> u32 {
-        let Some(lead) = &self.lead else { return 0 };
+        let Some(lead) = &self.leader else { return 0 };
         let running = |(row, machine): (&u32, &MachineId)| {
             let key = TaskId {
                 job: Self::job_id(id),
@@ -116,7 +116,7 @@
     }
 
     pub(super) fn serve_user(&mut self, request: UserRequest) {
-        let id = match &request.what {
+        let id = match &request.action {
             Ask::Submit(spec) => spec.id.to_string(),
             Ask::Malformed(id, _) | Ask::Show(id) | Ask::Cancel(id) => id.clone(),
         };
@@ -127,8 +127,8 @@
         if self.acting() {
             return self.serve_as_leader(&id, request);
         }
-        if !stands(Safeguard::FreshRead) && matches!(request.what, Ask::Show(_)) {
-            return match self.mirror.jobs.contains_key(id.as_str()) {
+        if !stands(Safeguard::FreshRead) && matches!(request.action, Ask::Show(_)) {
+            return match self.store_cache.jobs.contains_key(id.as_str()) {
                 true => self.show_fresh(request.ticket, &id),
                 false => self.answer(request.ticket, Answer::error(404, "no such job")),
             };
@@ -141,7 +141,7 @@
             }
             return self.serve_without_leader(request);
         }
-        if let Ask::Malformed(id, answer) = request.what {
+        if let Ask::Malformed(id, answer) = request.action {
             return self.read_job_key(id, ReadPurpose::Reject(request.ticket, answer));
         }
         self.forward_request(request);
@@ -153,10 +153,10 @@
         let now = self.now.mono;
         let stale = self.store_is_stale();
         let leader = self.leader_name();
-        let reachable = |name: &str| self.peers_down.get(name).is_none_or(|t| now >= *t);
+        let reachable = |name: &str| self.unreachable_peers.get(name).is_none_or(|t| now >= *t);
         // A submission needs no leader, and cannot wait to find out that there is none.
-        let submission = matches!(request.what, Ask::Submit(_));
-        let late = submission && !stale && self.relay.leader_is_late(self.mirror.term, now);
+        let submission = matches!(request.action, Ask::Submit(_));
+        let late = submission && !stale && self.relay.leader_is_late(self.store_cache.term, now);
         let peer = self
             .settings
             .peers
@@ -170,7 +170,7 @@
         let Some(peer) = peer else {
             return self.serve_without_leader(request);
         };
-        let message = match &request.what {
+        let message = match &request.action {
             Ask::Submit(spec) => PeerRequest::Submit(spec.clone()),
             Ask::Cancel(id) => PeerRequest::Cancel(id.clone()),
             Ask::Show(id) | Ask::Malformed(id, _) => PeerRequest::Show(id.clone()),
@@ -178,7 +178,7 @@
         request.tried.push(peer.clone());
         let ticket = request.ticket;
         self.forwards.insert(ticket, request);
-        self.out.push(Effect::Forward {
+        self.effects.push(Effect::Forward {
             ticket,
             peer,
             request: message,
@@ -187,24 +187,30 @@
 
     /// The state service has not been heard for longer than it ever takes.
     pub(super) fn store_is_stale(&self) -> bool {
-        self.now.mono > self.state_ok + STALE
+        self.now.mono > self.store_reachable_at + STALE
     }
 
     /// Without the state service, this node finds out whether others serve.
     pub(super) fn probe_unreachable_peers(&mut self) {
         let now = self.now.mono;
-        if !self.store_is_stale() || self.probed.is_some_and(|at| now < at + PROBE_INTERVAL) {
+        if !self.store_is_stale()
+            || self
+                .last_peer_probe
+                .is_some_and(|at| now < at + PROBE_INTERVAL)
+        {
             return;
         }
         let n = self.settings.peers.len();
         if n == 0 {
             return;
         }
-        self.probes += 1;
-        let peer = self.settings.peers[self.probes as usize % n].name.clone();
-        self.probed = Some(now);
-        self.out.push(Effect::Forward {
-            ticket: Ticket::MAX - self.probes,
+        self.peer_probes += 1;
+        let peer = self.settings.peers[self.peer_probes as usize % n]
+            .name
+            .clone();
+        self.last_peer_probe = Some(now);
+        self.effects.push(Effect::Forward {
+            ticket: Ticket::MAX - self.peer_probes,
             peer,
             // A job that nobody can have submitted: answered only by who can read the state.
             request: PeerRequest::Show(PROBE_ID.into()),
@@ -213,15 +219,15 @@
 
     fn serve_as_leader(&mut self, id: &str, request: UserRequest) {
         let ticket = request.ticket;
-        match request.what {
+        match request.action {
             // A leader that may just be losing its lease lets another node accept the job.
             Ask::Submit(spec)
                 if !request.forwarded
                     && self.store_is_stale()
-                    && !self.mirror.jobs.contains_key(id) =>
+                    && !self.store_cache.jobs.contains_key(id) =>
             {
                 self.forward_request(UserRequest {
-                    what: Ask::Submit(spec),
+                    action: Ask::Submit(spec),
                     ..request
                 });
             }
@@ -238,7 +244,7 @@
                 None => self.read_for_query(id, ticket),
             },
             Ask::Cancel(id) => {
-                if self.mirror.jobs.contains_key(id.as_str()) {
+                if self.store_cache.jobs.contains_key(id.as_str()) {
                     self.cancel(ticket, &id);
                 } else {
                     self.read_job_key(id, ReadPurpose::Cancel(ticket));
@@ -257,7 +263,7 @@
             let answer = Answer::busy("the state service is not reached", 1);
             return self.answer(ticket, answer);
         }
-        match request.what {
+        match request.action {
             Ask::Submit(spec) => self.accept(ticket, spec, request.received, false),
             Ask::Show(id) => self.read_for_query(id, ticket),
             Ask::Malformed(id, answer) => {
@@ -274,19 +280,19 @@
         answer: Option<PeerAnswer>,
     ) {
         if answer.is_some() {
-            self.peer_heard = self.now.mono;
+            self.peer_reachable_at = self.now.mono;
         }
         let Some(request) = self.forwards.remove(&ticket) else {
             return;
         };
         if let Some(a) = answer {
-            self.peers_down.remove(&peer);
+            self.unreachable_peers.remove(&peer);
             if a.status != 503 {
-                let id = match &request.what {
+                let id = match &request.action {
                     Ask::Submit(spec) => spec.id.to_string(),
                     Ask::Show(id) | Ask::Cancel(id) | Ask::Malformed(id, _) => id.clone(),
                 };
-                let body = match (a.state, &request.what) {
+                let body = match (a.state, &request.action) {
                     (Some(state), _) => state_body(&id, state, a.done, a.running),
                     // The leader's reason does not come along; this node mostly knows it too.
                     (None, Ask::Submit(spec)) if a.status == 422 => {
@@ -299,7 +305,7 @@
                 return self.answer(ticket, answer);
             }
         } else {
-            self.peers_down
+            self.unreachable_peers
                 .insert(peer, self.now.mono + Duration::from_secs(1));
         }
         // Meanwhile this node may have become the leader itself.
@@ -335,7 +341,7 @@
         };
         let accepted = matches!(purpose, ReadPurpose::Accepted(_));
         match outcome {
-            StoreOutcome::Missing { .. } if self.mirror.jobs.contains_key(id.as_str()) => {
+            StoreOutcome::Missing { .. } if self.store_cache.jobs.contains_key(id.as_str()) => {
                 if !self.store_is_incomplete() {
                     self.suspect_data_loss("it has forgotten a job");
                     let answer = Answer::busy("the state service may have lost data", 1);
@@ -373,10 +379,10 @@
                         return self.answer(ticket, Answer::busy("unreadable", 5));
                     }
                 };
-                self.mirror.put_job(&id, value, item.version);
+                self.store_cache.put_job(&id, value, item.version);
                 self.sync_job_runs();
                 let settled = self.final_answer(&id).is_some()
-                    || self.mirror.jobs.contains_key(id.as_str()) && !self.awaits_others(&id);
+                    || self.store_cache.jobs.contains_key(id.as_str()) && !self.awaits_others(&id);
                 if accepted && settled {
                     let mut answer = self.fresh_answer(&id);
                     if answer.status == 200 {
@@ -389,7 +395,9 @@
                     self.cancel(ticket, &id);
                 } else if let ReadPurpose::Cancel(_) = purpose {
                     self.answer(ticket, Answer::busy("the leader changed", 1));
-                } else if self.awaits_others(&id) || !self.mirror.jobs.contains_key(id.as_str()) {
+                } else if self.awaits_others(&id)
+                    || !self.store_cache.jobs.contains_key(id.as_str())
+                {
                     // Its own key does not tell how those that it needs have ended.
                     self.queue_barrier_query(Question::Show(ticket, id));
                 } else {
@@ -404,7 +412,7 @@
     }
 
     fn awaits_others(&self, id: &str) -> bool {
-        let job = self.mirror.jobs.get(id);
+        let job = self.store_cache.jobs.get(id);
         job.is_some_and(|j| !j.spec.dependencies.is_empty())
     }
 
@@ -417,7 +425,7 @@
 
     fn fresh_answer(&self, id: &str) -> Answer {
         let known = self.final_answer(id).or_else(|| self.live_answer(id));
-        known.unwrap_or_else(|| match self.mirror.jobs.get(id) {
+        known.unwrap_or_else(|| match self.store_cache.jobs.get(id) {
             None => Answer::busy("the state cannot be read now", 1),
             Some(_) if self.must_withhold_state() => rebuilding_answer(),
             Some(job) => {
--- a/src/core/rebuild.rs
+++ b/src/core/rebuild.rs
@@ -43,28 +43,28 @@
     /// The key after which it goes on.
     after: String,
     /// Asked, and not answered yet.
-    asked: bool,
-    again_at: Option<Instant>,
+    in_flight: bool,
+    retry_at: Option<Instant>,
     /// Complete passes, and when the first one ended.
     passes: u32,
-    first: Option<Instant>,
+    first_pass_done: Option<Instant>,
     /// It remembers the store that lost data.
     had_copy: bool,
     /// What came from it that was not known here.
-    jobs: usize,
+    new_jobs: usize,
 }
 
 /// What only the leader of an incomplete store has.
 #[derive(Default)]
 pub struct Rebuild {
     /// The store that lost data, where anybody knows its name.
-    of: Option<String>,
+    lost_store: Option<String>,
     /// Why it is known to have lost data, and when that was noticed (milliseconds since 1970).
-    why: String,
+    reason: String,
     since_ms: u64,
     memories: BTreeMap<String, PeerMemory>,
     /// A copy of the lost store was held here, or by whoever handed over theirs.
-    copy: bool,
+    copy_available: bool,
     /// An operator takes it as it is.
     settled: bool,
     /// A list of the cloud that has all machines that an earlier leader could know.
@@ -72,12 +72,12 @@
     /// Machines that it showed as booting: they may be up by now.
     booting: BTreeSet<MachineId>,
     /// Tasks on machines, of jobs that nobody remembers.
-    held: BTreeMap<JobId, BTreeSet<(u32, MachineId)>>,
+    held_tasks: BTreeMap<JobId, BTreeSet<(u32, MachineId)>>,
     /// Such tasks that have ended well.
-    held_done: BTreeMap<JobId, BTreeSet<u32>>,
+    held_results: BTreeMap<JobId, BTreeSet<u32>>,
     /// Jobs that were adopted, and those that snapshots brought.
-    adopted: usize,
-    offered: usize,
+    adopted_jobs: usize,
+    snapshot_jobs: usize,
     /// When all was known, and when the first start was allowed.
     pub complete_at: Option<Instant>,
     pub started_at: Option<Instant>,
@@ -86,7 +86,7 @@
 impl Rebuild {
     /// All controllers have handed over their memory or have none, and one of them had a copy.
     fn complete(&self) -> bool {
-        self.settled || (self.copy && self.memories.values().all(|m| m.passes > 0))
+        self.settled || (self.copy_available && self.memories.values().all(|m| m.passes > 0))
     }
 
     fn all_queried_twice(&self) -> bool {
@@ -94,31 +94,31 @@
     }
 
     pub fn hold(&mut self, key: &TaskId, machine: &MachineId) {
-        let rows = self.held.entry(key.job.clone()).or_default();
+        let rows = self.held_tasks.entry(key.job.clone()).or_default();
         rows.insert((key.index, machine.clone()));
     }
 
     /// The task is not on the machine any more.
     pub fn remove_held(&mut self, key: &TaskId, machine: &MachineId) {
-        if let Some(rows) = self.held.get_mut(&key.job) {
+        if let Some(rows) = self.held_tasks.get_mut(&key.job) {
             rows.remove(&(key.index, machine.clone()));
             if rows.is_empty() {
-                self.held.remove(&key.job);
+                self.held_tasks.remove(&key.job);
             }
         }
     }
 
     pub fn record_result(&mut self, key: &TaskId) {
-        let rows = self.held_done.entry(key.job.clone()).or_default();
+        let rows = self.held_results.entry(key.job.clone()).or_default();
         rows.insert(key.index);
     }
 
     pub fn held_machines(&self) -> BTreeSet<&MachineId> {
-        self.held.values().flatten().map(|(_, m)| m).collect()
+        self.held_tasks.values().flatten().map(|(_, m)| m).collect()
     }
 
     fn held_tasks(&self) -> usize {
-        self.held.values().map(BTreeSet::len).sum()
+        self.held_tasks.values().map(BTreeSet::len).sum()
     }
 }
 
@@ -132,58 +132,65 @@
 impl Core {
     /// Called when a leadership begins, and when the mark appears.
     pub(super) fn start_rebuild(&mut self) {
-        let Some((mark, _)) = &self.mirror.rebuilding else {
+        let Some((mark, _)) = &self.store_cache.rebuilding else {
             return;
         };
         let peers = self.settings.peers.iter();
         let memories = peers.map(|p| (p.name.clone(), PeerMemory::default()));
-        let own = match &mark.of {
-            Some(of) => self.custody.whole.contains(of),
-            None => self.custody.had_copy,
+        let own = match &mark.lost_store {
+            Some(of) => self.store_integrity.complete_stores.contains(of),
+            None => self.store_integrity.had_copy,
         };
         let mut rebuild = Rebuild {
-            of: mark.of.clone(),
-            why: mark.why.clone(),
+            lost_store: mark.lost_store.clone(),
+            reason: mark.reason.clone(),
             since_ms: mark.since_ms,
             memories: memories.collect(),
-            copy: own,
+            copy_available: own,
             ..Rebuild::default()
         };
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader else { return };
         tracing::warn!(
             term = lead.term,
             "term {}: rebuilding the state service: {}; {} jobs to write back, a copy here: {own}",
             lead.term,
-            mark.why,
-            self.mirror.owed.len()
+            mark.reason,
+            self.store_cache.missing_from_store.len()
         );
         // A leader that knew of no loss told machines to stop what is of no job: it may be of one all the
         // same, and must not be started elsewhere before it is gone.
         for m in lead.machines.values() {
-            for key in m.tasks.keys().filter(|k| !self.mirror.knows(&k.job)) {
+            for key in m.tasks.keys().filter(|k| !self.store_cache.knows(&k.job)) {
                 rebuild.hold(key, &m.id);
             }
         }
         lead.rebuild = Some(rebuild);
         // Done rows are written again, whichever of them are stored.
-        for (id, job) in self.mirror.jobs.iter().filter(|(_, j)| j.done.len() > 0) {
+        for (id, job) in self
+            .store_cache
+            .jobs
+            .iter()
+            .filter(|(_, j)| j.done.len() > 0)
+        {
             if let Some(run) = lead.job_runs.get_mut(id) {
                 let rows = (0..job.spec.tasks).filter(|r| job.done.contains(*r));
                 run.unpersisted_done = rows.collect();
                 lead.writes.progress.insert(id.clone(), lead.since);
             }
         }
-        lead.writes.machine_types = !self.types.is_empty();
+        lead.writes.machine_types = !self.machine_types.is_empty();
     }
 
     /// Until the workers' leases have run out, a machine unknown to everybody may hold tasks.
     fn worker_leases_expired(&self, lead: &LeaderState) -> bool {
-        self.now.mono > lead.since + lease_expiry(self.settings.lease)
+        self.now.mono > lead.since + lease_expiry(self.settings.worker_lease)
     }
 
     /// Whether the leader may speak of what is not final.
     pub(super) fn may_report_state(&self) -> bool {
-        let Some(lead) = &self.lead else { return false };
+        let Some(lead) = &self.leader else {
+            return false;
+        };
         let complete = |r: &Rebuild| r.complete() || self.worker_leases_expired(lead);
         self.acting() && lead.rebuild.as_ref().is_some_and(complete)
     }
@@ -200,8 +207,8 @@
     /// Called in every step of an acting leader.
     pub(super) fn advance_rebuild(&mut self) {
         let now = self.now.mono;
-        if self.mirror.rebuilding.is_none() {
-            if let Some(lead) = &mut self.lead
+        if self.store_cache.rebuilding.is_none() {
+            if let Some(lead) = &mut self.leader
                 && lead.rebuild.take().is_some()
             {
                 tracing::warn!(
@@ -213,12 +220,12 @@
             }
             return;
         }
-        if self.lead.as_ref().is_some_and(|l| l.rebuild.is_none()) {
+        if self.leader.as_ref().is_some_and(|l| l.rebuild.is_none()) {
             self.start_rebuild();
         }
-        let Some(lead) = &self.lead else { return };
+        let Some(lead) = &self.leader else { return };
         let starts = self.may_start_tasks(lead);
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader else { return };
         let (term, since) = (lead.term, lead.since);
         let Some(r) = &mut lead.rebuild else { return };
         if starts && r.started_at.is_none() {
@@ -231,18 +238,18 @@
             );
         }
         for (peer, m) in &mut r.memories {
-            let wait = m.again_at.is_some_and(|t| now < t);
-            let second = m.first.is_some_and(|t| now < t + SECOND_PASS);
-            if m.asked || m.passes > 1 || wait || second || r.settled {
+            let wait = m.retry_at.is_some_and(|t| now < t);
+            let second = m.first_pass_done.is_some_and(|t| now < t + SECOND_PASS);
+            if m.in_flight || m.passes > 1 || wait || second || r.settled {
                 continue;
             }
-            m.asked = true;
+            m.in_flight = true;
             let recall = MemoryRequest {
-                word_only: false,
+                summary_only: false,
                 after: m.after.clone(),
             };
             let peer = peer.clone();
-            self.out.push(Effect::MemoryRequest { peer, recall });
+            self.effects.push(Effect::MemoryRequest { peer, recall });
         }
         if r.complete() && r.complete_at.is_none() {
             r.complete_at = Some(now);
@@ -254,8 +261,10 @@
             );
         }
         let w = &lead.writes;
-        let written = self.mirror.owed.is_empty() && w.progress.is_empty() && w.ends.is_empty();
-        let quiet = r.held.is_empty() && r.held_done.is_empty();
+        let written = self.store_cache.missing_from_store.is_empty()
+            && w.progress.is_empty()
+            && w.ends.is_empty();
+        let quiet = r.held_tasks.is_empty() && r.held_results.is_empty();
         let over = r.complete() && r.all_queried_twice() && starts && (quiet || r.settled);
         lead.writes.rebuild_complete = over && written && w.records.all_written();
     }
@@ -268,15 +277,15 @@
         answer: Option<Box<MemoryPage>>,
     ) {
         let now = self.now.mono;
-        let memory = (self.lead.as_mut())
+        let memory = (self.leader.as_mut())
             .and_then(|l| l.rebuild.as_mut())
             .and_then(|r| r.memories.get_mut(peer));
-        let Some(m) = memory.filter(|m| m.asked && m.after == asked.after) else {
+        let Some(m) = memory.filter(|m| m.in_flight && m.after == asked.after) else {
             return;
         };
-        m.asked = false;
+        m.in_flight = false;
         let Some(mut told) = answer else {
-            m.again_at = Some(now + AGAIN);
+            m.retry_at = Some(now + AGAIN);
             return;
         };
         let last = told.items.last().map(|(k, _)| k.clone());
@@ -286,7 +295,7 @@
             None => {
                 m.after.clear();
                 m.passes += 1;
-                m.first.get_or_insert(now);
+                m.first_pass_done.get_or_insert(now);
             }
         }
         let items = std::mem::take(&mut told.items);
@@ -298,20 +307,20 @@
             Some((key, value.ok()?))
         });
         let jobs = self.join(read.collect());
-        self.custody.observe_term(told.term, now);
-        let Some(r) = self.lead.as_mut().and_then(|l| l.rebuild.as_mut()) else {
+        self.store_integrity.observe_term(told.term, now);
+        let Some(r) = self.leader.as_mut().and_then(|l| l.rebuild.as_mut()) else {
             return;
         };
-        let same = match &r.of {
-            Some(of) => told.stores.contains(of),
+        let same = match &r.lost_store {
+            Some(of) => told.complete_stores.contains(of),
             // A controller that had just begun noticed the loss by what workers have seen, and knows no name:
             // whatever store the others remember is the one.
             None => told.remembers,
         };
         if let Some(m) = r.memories.get_mut(peer) {
-            m.jobs += jobs;
+            m.new_jobs += jobs;
             m.had_copy = same;
-            r.copy |= same && m.passes > 0;
+            r.copy_available |= same && m.passes > 0;
         }
         self.check_newer_term();
     }
@@ -319,7 +328,7 @@
     /// Takes in what somebody else remembers; says how many jobs, or ends of jobs, were new.
     fn join(&mut self, items: Vec<(String, serde_json::Value)>) -> usize {
         let now = self.now.mono;
-        let new = self.mirror.remember(items);
+        let new = self.store_cache.remember(items);
         self.sync_job_runs();
         for (id, rows) in new.done {
             for row in rows {
@@ -328,10 +337,10 @@
             }
         }
         for id in new.machines {
-            let Some(value) = self.mirror.machines.get(&id).cloned() else {
+            let Some(value) = self.store_cache.machines.get(&id).cloned() else {
                 continue;
             };
-            let Some(lead) = &mut self.lead else { break };
+            let Some(lead) = &mut self.leader else { break };
             if lead.machines.get(&id).is_some() || lead.deleted_machines.contains(&id) {
                 continue;
             }
@@ -345,7 +354,7 @@
     /// Whether starts wait for a list of the cloud that can be asked for now, the last one having been
     /// asked for too early.
     pub(super) fn machine_list_due(&self, lead: &LeaderState, asked: Option<Instant>) -> bool {
-        let from = lead.since + self.settings.list_lag * 2 + LIST_MARGIN;
+        let from = lead.since + self.settings.machine_list_lag * 2 + LIST_MARGIN;
         let waits = lead.rebuild.as_ref().is_some_and(|r| !r.listed);
         waits && self.now.mono >= from && asked.is_none_or(|t| t < from)
     }
@@ -360,8 +369,8 @@
         let now = self.now.mono;
         // The list tells of a time at most twice its lag ago, and all that the lost store could have
         // had on record was rented before this leadership began.
-        let after = self.settings.list_lag * 2 + LIST_MARGIN;
-        let Some(lead) = &mut self.lead else { return };
+        let after = self.settings.machine_list_lag * 2 + LIST_MARGIN;
+        let Some(lead) = &mut self.leader else { return };
         let since = lead.since;
         let Some(r) = &mut lead.rebuild else { return };
         let first = !r.listed;
@@ -377,19 +386,19 @@
     /// A job has become known that tasks on machines are of.
     pub(super) fn adopt_job(&mut self, id: &JobId) {
         let now = self.now.mono;
-        if !self.mirror.knows(id) {
+        if !self.store_cache.knows(id) {
             return;
         }
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader else { return };
         let Some(r) = &mut lead.rebuild else { return };
-        let held = r.held.remove(id).unwrap_or_default();
-        let done = r.held_done.remove(id).unwrap_or_default();
+        let held = r.held_tasks.remove(id).unwrap_or_default();
+        let done = r.held_results.remove(id).unwrap_or_default();
         if held.is_empty() && done.is_empty() {
             return;
         }
-        r.adopted += 1;
+        r.adopted_jobs += 1;
         tracing::warn!(job = %id, "job {id}: known again, with {} tasks on machines and {} done", held.len(), done.len());
-        let job = self.mirror.jobs.get(id);
+        let job = self.store_cache.jobs.get(id);
         let mut adopted = Vec::new();
         for (row, machine) in held {
             let key = TaskId {
@@ -447,8 +456,8 @@
         id: &JobId,
         most: usize,
     ) -> Option<(Vec<Change>, WriteOp)> {
-        let value = self.mirror.job_value(id)?;
-        let bytes = self.settings.value_bytes / 16 * 15;
+        let value = self.store_cache.job_value(id)?;
+        let bytes = self.settings.max_value_bytes / 16 * 15;
         let size = to_json(&value).len();
         let owed = WriteOp::Owed(id.clone());
         let (JobValue::Live { spec, submitted_ms }
@@ -464,7 +473,7 @@
         }
         let text = String::from_utf8(to_json(spec)).unwrap_or_default();
         let texts = parts::cut(&text, bytes);
-        let lead = self.lead.as_ref()?;
+        let lead = self.leader.as_ref()?;
         // This leadership's own writing of it.
         let stem = lead.term;
         let from = lead
@@ -504,13 +513,13 @@
         if !self.acting() {
             return self.answer(ticket, self.not_the_leader());
         }
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader else { return };
         let Some(r) = &mut lead.rebuild else {
             return self.answer(ticket, Answer::error(409, "nothing is being rebuilt"));
         };
         r.settled = true;
-        let held = std::mem::take(&mut r.held);
-        r.held_done.clear();
+        let held = std::mem::take(&mut r.held_tasks);
+        r.held_results.clear();
         let stopped: usize = held.values().map(BTreeSet::len).sum();
         tracing::warn!(
             term = lead.term,
@@ -547,22 +556,22 @@
         if !self.acting() {
             return self.answer(ticket, self.not_the_leader());
         }
-        let rebuild = self.lead.as_ref().and_then(|l| l.rebuild.as_ref());
+        let rebuild = self.leader.as_ref().and_then(|l| l.rebuild.as_ref());
         let Some(r) = rebuild else {
             let text = "nothing is being rebuilt: the state service has lost nothing that is known";
             return self.answer(ticket, Answer::error(409, text));
         };
-        if r.of.as_deref().is_some_and(|of| of != store) {
+        if r.lost_store.as_deref().is_some_and(|of| of != store) {
             let text = format!(
                 "a snapshot of {store}, and what lost data is {}",
-                r.of.as_deref().unwrap_or("?")
+                r.lost_store.as_deref().unwrap_or("?")
             );
             return self.answer(ticket, Answer::error(409, &text));
         }
         let new = self.join(items);
-        if let Some(r) = self.lead.as_mut().and_then(|l| l.rebuild.as_mut()) {
-            r.offered += new;
-            r.copy |= last;
+        if let Some(r) = self.leader.as_mut().and_then(|l| l.rebuild.as_mut()) {
+            r.snapshot_jobs += new;
+            r.copy_available |= last;
         }
         let body = serde_json::json!({"new_jobs": new});
         self.answer(ticket, Answer::new(200, to_json(&body)));
@@ -570,15 +579,15 @@
 
     /// For the status view.
     pub(super) fn rebuild_status(&self) -> serde_json::Value {
-        if let Some(loss) = &self.custody.lost {
-            return serde_json::json!({"lost": loss.why, "waits": "for a new leader"});
+        if let Some(loss) = &self.store_integrity.data_loss {
+            return serde_json::json!({"lost": loss.reason, "waits": "for a new leader"});
         }
-        let Some((mark, _)) = &self.mirror.rebuilding else {
+        let Some((mark, _)) = &self.store_cache.rebuilding else {
             return serde_json::Value::Null;
         };
-        let Some((lead, r)) = (self.lead.as_ref()).and_then(|l| Some((l, l.rebuild.as_ref()?)))
+        let Some((lead, r)) = (self.leader.as_ref()).and_then(|l| Some((l, l.rebuild.as_ref()?)))
         else {
-            return serde_json::json!({"lost": mark.why, "since_ms": mark.since_ms});
+            return serde_json::json!({"lost": mark.reason, "since_ms": mark.since_ms});
         };
         let memories = r.memories.iter().map(|(name, m)| {
             let standing = match (m.passes, m.had_copy) {
@@ -586,14 +595,14 @@
                 (_, true) => "handed over",
                 (_, false) => "remembers nothing of it",
             };
-            serde_json::json!({"node": name, "standing": standing, "new_jobs": m.jobs})
+            serde_json::json!({"node": name, "standing": standing, "new_jobs": m.new_jobs})
         });
-        let held = r.held.iter().flat_map(|(job, rows)| {
+        let held = r.held_tasks.iter().flat_map(|(job, rows)| {
             rows.iter()
                 .map(move |(row, m)| format!("{job}/{row} on {m}"))
         });
         let done = r
-            .held_done
+            .held_results
             .iter()
             .flat_map(|(job, rows)| rows.iter().map(move |row| format!("{job}/{row} done")));
         let waits = if self.may_start_tasks(lead) {
@@ -606,23 +615,23 @@
             Some("for machines that may hold tasks")
         };
         serde_json::json!({
-            "lost": r.why, "of": r.of, "since_ms": r.since_ms, "a_copy_is_known": r.copy,
+            "lost": r.reason, "of": r.lost_store, "since_ms": r.since_ms, "a_copy_is_known": r.copy_available,
             "complete": r.complete(), "starts_wait": waits,
-            "jobs_to_write": self.mirror.owed.len(),
+            "jobs_to_write": self.store_cache.missing_from_store.len(),
             "memories": memories.collect::<Vec<_>>(),
-            "from_snapshots": r.offered, "adopted": r.adopted,
-            "held_tasks": r.held_tasks(), "held_results": r.held_done.values().map(BTreeSet::len).sum::<usize>(),
+            "from_snapshots": r.snapshot_jobs, "adopted": r.adopted_jobs,
+            "held_tasks": r.held_tasks(), "held_results": r.held_results.values().map(BTreeSet::len).sum::<usize>(),
             "held": held.chain(done).take(MAX_LISTED_TASKS).collect::<Vec<_>>(),
         })
     }
 
     /// What monitoring is told: losses noticed, jobs to write back, tasks held.
     pub(super) fn rebuild_metrics(&self) -> [f64; 4] {
-        let r = self.lead.as_ref().and_then(|l| l.rebuild.as_ref());
+        let r = self.leader.as_ref().and_then(|l| l.rebuild.as_ref());
         [
-            self.custody.losses as f64,
+            self.store_integrity.losses as f64,
             f64::from(u8::from(self.store_is_incomplete())),
-            self.mirror.owed.len() as f64,
+            self.store_cache.missing_from_store.len() as f64,
             r.map_or(0, Rebuild::held_tasks) as f64,
         ]
     }
--- a/src/core/records.rs
+++ b/src/core/records.rs
@@ -31,19 +31,19 @@
     /// Bytes that a page may have.
     limit: usize,
     pages: Vec<Page>,
-    home: BTreeMap<MachineId, usize>,
+    page_of: BTreeMap<MachineId, usize>,
     /// Pages that have new machines on them.
-    due: BTreeSet<usize>,
+    pages_to_write: BTreeSet<usize>,
     /// Pages that list machines which are gone, and since when.
-    stale: BTreeMap<usize, Instant>,
+    stale_pages: BTreeMap<usize, Instant>,
     /// Pages that the service refuses, and until when they are not tried again.
-    refused: BTreeMap<usize, Instant>,
+    deferred_pages: BTreeMap<usize, Instant>,
     /// Pages between which machines move: written together, in this order, or not at all.
-    bound: Vec<Vec<usize>>,
+    atomic_groups: Vec<Vec<usize>>,
     /// Machines recorded under keys of their own, as earlier versions did.
-    alone: BTreeSet<MachineId>,
+    single_key_machines: BTreeSet<MachineId>,
     /// Those of them that are gone.
-    to_drop: BTreeSet<MachineId>,
+    single_keys_to_delete: BTreeSet<MachineId>,
 }
 
 /// Pages to write in one transaction, in this order, and the machines that are then on record.
@@ -62,7 +62,7 @@
     pub fn new(mirror: &StoreCache, value_bytes: usize) -> MachineRecords {
         let mut r = MachineRecords {
             limit: value_bytes / 8 * 7,
-            alone: mirror.alone.clone(),
+            single_key_machines: mirror.single_key_machines.clone(),
             ..MachineRecords::default()
         };
         for (&n, ids) in &mirror.pages {
@@ -86,13 +86,13 @@
         let page = &mut self.pages[n];
         page.bytes += size(&id, &value);
         page.machines.insert(id.clone(), value);
-        self.home.insert(id, n);
+        self.page_of.insert(id, n);
     }
 
     /// Puts a machine on the first page with room for it, to be written soon.
     pub fn add(&mut self, id: &MachineId, value: MachineValue) {
-        if let Some(n) = self.home.get(id) {
-            self.due.insert(*n);
+        if let Some(n) = self.page_of.get(id) {
+            self.pages_to_write.insert(*n);
             return;
         }
         let more = size(id, &value);
@@ -103,36 +103,40 @@
             self.pages.len() - 1
         });
         self.put(n, id.clone(), value);
-        self.due.insert(n);
+        self.pages_to_write.insert(n);
     }
 
     /// Takes a machine that is gone off its page, to be written when convenient.
     pub fn remove(&mut self, id: &MachineId, now: Instant) {
-        if self.alone.remove(id) {
+        if self.single_key_machines.remove(id) {
             self.delete_single_key(id.clone());
         }
-        let Some(n) = self.home.remove(id) else {
+        let Some(n) = self.page_of.remove(id) else {
             return;
         };
         let page = &mut self.pages[n];
         if let Some(value) = page.machines.remove(id) {
             page.bytes -= size(id, &value);
         }
-        self.stale.entry(n).or_insert(now);
+        self.stale_pages.entry(n).or_insert(now);
     }
 
     /// The next pages to write, those with new machines first; no more than `most` changes.
     pub fn next(&mut self, now: Instant, only_new: bool, most: usize) -> Option<PageWrite> {
-        if let Some(i) = self.bound.iter().position(|pages| pages.len() <= most) {
-            let pages = self.bound.swap_remove(i);
+        if let Some(i) = self
+            .atomic_groups
+            .iter()
+            .position(|pages| pages.len() <= most)
+        {
+            let pages = self.atomic_groups.swap_remove(i);
             return Some(self.write(pages));
         }
-        self.refused.retain(|_, until| now < *until);
-        let fits = |n: usize| self.pieces(n) <= most && !self.refused.contains_key(&n);
+        self.deferred_pages.retain(|_, until| now < *until);
+        let fits = |n: usize| self.pieces(n) <= most && !self.deferred_pages.contains_key(&n);
         let late = |since: Instant| !only_new && now >= since + STALE_PAGE_DELAY;
-        let due = self.due.iter().copied().find(|n| fits(*n));
+        let due = self.pages_to_write.iter().copied().find(|n| fits(*n));
         let n = due.or_else(|| {
-            let mut stale = self.stale.iter();
+            let mut stale = self.stale_pages.iter();
             stale.find_map(|(n, since)| (late(*since) && fits(*n)).then_some(*n))
         })?;
         let pages = if self.pieces(n) > 1 {
@@ -180,8 +184,8 @@
         let mut changes = Vec::new();
         let mut machines = Vec::new();
         for &n in &pages {
-            self.due.remove(&n);
-            self.stale.remove(&n);
+            self.pages_to_write.remove(&n);
+            self.stale_pages.remove(&n);
             let page = &self.pages[n];
             machines.extend(page.machines.keys().cloned());
             let key = page_key(n);
@@ -207,43 +211,44 @@
 
     /// It is in the state service, as far as what is due tells.
     pub fn known(&self, id: &MachineId) -> bool {
-        let page = self.home.get(id);
-        self.alone.contains(id) || page.is_some_and(|n| !self.due.contains(n))
+        let page = self.page_of.get(id);
+        self.single_key_machines.contains(id)
+            || page.is_some_and(|n| !self.pages_to_write.contains(n))
     }
 
     pub fn has(&self, id: &MachineId) -> bool {
-        self.home.contains_key(id) || self.alone.contains(id)
+        self.page_of.contains_key(id) || self.single_key_machines.contains(id)
     }
 
     /// Whether all machines that may hold tasks are on record.
     pub fn all_written(&self) -> bool {
-        self.due.is_empty() && self.bound.is_empty()
+        self.pages_to_write.is_empty() && self.atomic_groups.is_empty()
     }
 
     /// The pages were not written after all.
     pub fn requeue(&mut self, pages: Vec<usize>) {
         match pages.as_slice() {
             [n] => {
-                self.due.insert(*n);
+                self.pages_to_write.insert(*n);
             }
-            _ => self.bound.push(pages),
+            _ => self.atomic_groups.push(pages),
         }
     }
 
     /// The service refuses this page; it is tried again later.
     pub fn defer(&mut self, n: usize, until: Instant) {
-        self.refused.insert(n, until);
-        self.due.insert(n);
+        self.deferred_pages.insert(n, until);
+        self.pages_to_write.insert(n);
     }
 
     /// This key of a single machine is to be deleted.
     pub fn delete_single_key(&mut self, id: MachineId) {
-        self.to_drop.insert(id);
+        self.single_keys_to_delete.insert(id);
     }
 
     /// The next key of a single machine to delete.
     pub fn next_single_key_deletion(&mut self) -> Option<Change> {
-        let id = self.to_drop.pop_first()?;
+        let id = self.single_keys_to_delete.pop_first()?;
         Some(Change::Delete {
             key: machine_key(&id),
         })
--- a/src/core/recovery.rs
+++ b/src/core/recovery.rs
@@ -53,8 +53,8 @@
     /// Begins a leadership: all recorded machines are asked at once.
     pub(super) fn start_recovery(&mut self) {
         let now = self.now.mono;
-        let Some(lead) = &mut self.lead else { return };
-        for (id, value) in &self.mirror.machines {
+        let Some(lead) = &mut self.leader else { return };
+        for (id, value) in &self.store_cache.machines {
             let mut m = Machine::new(
                 id.clone(),
                 &value.machine_type,
@@ -75,7 +75,7 @@
         }
         // Zones take turns, so that one that is cut off does not hold up the others.
         let mut zones: BTreeMap<&str, Vec<&MachineId>> = BTreeMap::new();
-        for (id, value) in &self.mirror.machines {
+        for (id, value) in &self.store_cache.machines {
             zones.entry(&value.zone).or_default().push(id);
         }
         let mut turns = Vec::new();
@@ -108,7 +108,7 @@
     /// need not be asked.
     pub(super) fn probe_machines(&mut self) {
         let now = self.now.mono;
-        while let Some(lead) = &mut self.lead
+        while let Some(lead) = &mut self.leader
             && lead.direct_calls_in_flight < MAX_DIRECT_CALLS
             && let Some(id) = lead.next_probe(now)
         {
@@ -120,7 +120,7 @@
     /// anew and counts from one. Its answer to a question that is asked now tells which.
     pub(super) fn probe_for_restart(&mut self, id: &MachineId) {
         let now = self.now.mono;
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader else { return };
         let free = lead.direct_calls_in_flight < MAX_DIRECT_CALLS;
         let Some(m) = lead.machines.get_mut_quiet(id) else {
             return;
@@ -132,7 +132,7 @@
         // Shown with the question: what was sent to its former life is refused from then on.
         m.token_epoch += 1;
         self.probe_machine(id);
-        if let Some(m) = (self.lead.as_mut()).and_then(|l| l.machines.get_mut_quiet(id))
+        if let Some(m) = (self.leader.as_mut()).and_then(|l| l.machines.get_mut_quiet(id))
             && let Some(call) = m.call_in_flight
         {
             m.restart_probe = Some(((m.incarnation, m.sequence), call));
@@ -141,7 +141,7 @@
 
     /// The machine has begun anew, with nothing of what was on it, and counts its reports from one.
     pub(super) fn machine_restarted(&mut self, id: &MachineId, seen: u64) {
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader else { return };
         let term = lead.term;
         let Some(m) = lead.machines.get_mut(id) else {
             return;
@@ -161,19 +161,19 @@
         let Some(until) = self.leader_until() else {
             return;
         };
-        let machine = self.lead.as_ref().and_then(|l| l.machines.get(id));
+        let machine = self.leader.as_ref().and_then(|l| l.machines.get(id));
         let Some(Ok(addr)) = machine.map(|m| m.addr.parse()) else {
             return;
         };
         let call = self.call(Pending::Direct(id.clone()));
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader else { return };
         let term = lead.term;
         let Some(m) = lead.machines.get_mut(id) else {
             return;
         };
         m.call_in_flight = Some(call);
         lead.direct_calls_in_flight += 1;
-        self.out.push(Effect::Direct {
+        self.effects.push(Effect::Direct {
             call,
             addr,
             request: DirectRequest::Status {
@@ -185,7 +185,7 @@
 
     /// What this machine has, of which nothing was certain before.
     fn stop_duplicates_on(&mut self, id: &MachineId) {
-        let Some(lead) = &self.lead else { return };
+        let Some(lead) = &self.leader else { return };
         let Some(m) = lead.machines.get(id) else {
             return;
         };
@@ -201,7 +201,7 @@
 
     /// A machine has shown everything, or has nothing.
     pub(super) fn resolve_machine(&mut self, id: &MachineId, how: &str) {
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader else { return };
         let machine = lead.machines.get_mut(id);
         let known = machine.is_some_and(|m| {
             m.lease_renewed = m.lease_renewed.max(m.incarnation_since);
@@ -211,7 +211,7 @@
             lead.unresolved -= 1;
             lead.plan_again = true;
             self.stop_duplicates_on(id);
-            let Some(lead) = &mut self.lead else { return };
+            let Some(lead) = &mut self.leader else { return };
             tracing::debug!(term = lead.term, machine = %id, "term {}: machine {id} is known: {how}", lead.term);
             let took = (self.now.mono - lead.since).as_millis();
             // What is left then are machines that died with the last leader.
