--- a/src/core/relay.rs
+++ b/src/core/relay.rs
@@ -50,14 +50,14 @@
 
 /// A worker that reports here.
 struct Worker {
-    session: u64,
-    seq: u64,
+    incarnation: u64,
+    sequence: u64,
     addr: String,
     /// The highest token that it has shown.
-    token: u64,
-    seen: Instant,
+    fencing_token: u64,
+    last_heartbeat: Instant,
     /// What its last report said, and the token to answer the same with.
-    calm: Option<(Digest, u64)>,
+    steady_response: Option<(Digest, u64)>,
 }
 
 struct Sent {
@@ -73,27 +73,27 @@
     pub(super) grant: Option<HeldGrant>,
     workers: BTreeMap<MachineId, Worker>,
     /// Workers that were answered here, of which the leader has yet to be told.
-    untold: BTreeSet<MachineId>,
+    unreported: BTreeSet<MachineId>,
     /// The newest answer that was taken in before a frame which left none of them out.
     acknowledged: u64,
     waiting: ReportQueue,
-    sent: Option<Sent>,
-    number: u64,
-    answered: u64,
+    in_flight: Option<Sent>,
+    last_number: u64,
+    last_acknowledged: u64,
     last_sent: Option<Instant>,
     /// The term whose leader has been told which workers report here.
-    introduced: u64,
+    registered_term: u64,
     failures: u32,
     /// The term that failures were counted in.
-    asked_in: u64,
-    not_before: Option<Instant>,
-    moves: Vec<(String, u32)>,
+    failures_term: u64,
+    retry_not_before: Option<Instant>,
+    reassignments: Vec<(String, u32)>,
     /// Workers that a new token is to be shown to: their sessions, 0 if not known, and addresses.
-    to_show: Vec<(MachineId, u64, String)>,
-    shows_out: usize,
+    pending_probes: Vec<(MachineId, u64, String)>,
+    probes_in_flight: usize,
     /// Workers that gave no answer to it; the leader has yet to be told.
-    failed: Vec<MachineId>,
-    swept: Option<Instant>,
+    unanswered_probes: Vec<MachineId>,
+    last_expiry_scan: Option<Instant>,
 }
 
 impl Relay {
@@ -107,7 +107,7 @@
     /// How long the owner may sleep.
     pub fn idle_for(&self, now: Instant) -> Duration {
         match self.last_sent {
-            Some(t) if self.sent.is_none() && !self.waiting.is_empty() => (t + GATHER)
+            Some(t) if self.in_flight.is_none() && !self.waiting.is_empty() => (t + GATHER)
                 .saturating_duration_since(now)
                 .max(Duration::from_millis(5)),
             _ => Duration::from_secs(1),
@@ -116,20 +116,20 @@
 
     /// Reports that wait for the leader's answer.
     pub fn waiting(&self) -> usize {
-        let sent = self.sent.as_ref().map_or(0, |s| s.reports.len());
+        let sent = self.in_flight.as_ref().map_or(0, |s| s.reports.len());
         self.waiting.len() + sent
     }
 
     /// Whether a worker reported here lately.
     pub fn serves(&self, id: &MachineId, now: Instant) -> bool {
         let w = self.workers.get(id);
-        w.is_some_and(|w| now.saturating_duration_since(w.seen) < Duration::from_secs(20))
+        w.is_some_and(|w| now.saturating_duration_since(w.last_heartbeat) < Duration::from_secs(20))
     }
 
     /// The leader, which answers several times a second, owes an answer for so long, or gave none.
     pub fn leader_is_late(&self, term: u64, now: Instant) -> bool {
         let granted = self.grant.is_some_and(|g| g.term == term);
-        let owed = (self.sent.as_ref()).is_some_and(|s| now > s.at + LATE);
+        let owed = (self.in_flight.as_ref()).is_some_and(|s| now > s.at + LATE);
         granted && (owed || self.failures > 0)
     }
 
@@ -139,12 +139,12 @@
         for m in lead.machines.values() {
             if m.incarnation > 0 && m.via.is_none() && !m.lease_expired {
                 let w = Worker {
-                    session: m.incarnation,
-                    seq: m.sequence,
+                    incarnation: m.incarnation,
+                    sequence: m.sequence,
                     addr: m.addr.clone(),
-                    token: m.token(lead.term),
-                    seen: m.last_heartbeat,
-                    calm: None,
+                    fencing_token: m.token(lead.term),
+                    last_heartbeat: m.last_heartbeat,
+                    steady_response: None,
                 };
                 self.workers.insert(m.id.clone(), w);
             }
@@ -168,9 +168,9 @@
     fn steady_answer(&mut self, report: &Heartbeat, now: Instant) -> Option<u64> {
         let digest = self.digest(report);
         let w = self.workers.get_mut(&report.machine)?;
-        let (said, token) = w.calm?;
-        let same = report.incarnation == w.session
-            && report.sequence > w.seq
+        let (said, token) = w.steady_response?;
+        let same = report.incarnation == w.incarnation
+            && report.sequence > w.sequence
             // The worker would drop an answer with a lower token than it has seen, and yet stay
             // here while its lease runs out.
             && report.fencing_token == token
@@ -179,16 +179,16 @@
         if !same {
             return None;
         }
-        (w.seq, w.seen) = (report.sequence, now);
-        if !self.untold.contains(&report.machine) {
-            self.untold.insert(report.machine.clone());
+        (w.sequence, w.last_heartbeat) = (report.sequence, now);
+        if !self.unreported.contains(&report.machine) {
+            self.unreported.insert(report.machine.clone());
         }
         Some(token)
     }
 
     /// A worker that is to go elsewhere.
     fn next_reassignment(&mut self, id: &MachineId) -> Option<String> {
-        let to = share::take_one(&mut self.moves)?;
+        let to = share::take_one(&mut self.reassignments)?;
         self.workers.remove(id);
         Some(to)
     }
@@ -198,16 +198,18 @@
         let unbroken = self.grant.is_some_and(|g| g.holds(held.term, now));
         if !unbroken {
             // The leader has counted everything lent as back when the grant ran out.
-            self.workers.values_mut().for_each(|w| w.calm = None);
-            self.untold.clear();
+            self.workers
+                .values_mut()
+                .for_each(|w| w.steady_response = None);
+            self.unreported.clear();
         }
         self.grant = Some(held);
     }
 
     /// Machines that gave no answer, as many as a frame takes.
     fn failed_for_frame(&mut self) -> Vec<MachineId> {
-        let count = link::names_that_fit(&self.failed);
-        self.failed.drain(..count).collect()
+        let count = link::names_that_fit(&self.unanswered_probes);
+        self.unanswered_probes.drain(..count).collect()
     }
 
     /// Machines whose reports were answered here, as many as a frame takes.
@@ -215,15 +217,15 @@
         let mut heard = Vec::new();
         let mut size = 0;
         while size < link::MOST_HEARD_BYTES
-            && let Some(id) = self.untold.pop_first()
+            && let Some(id) = self.unreported.pop_first()
         {
             if let Some(w) = self.workers.get(&id) {
                 size += link::size_of_heard(&id);
                 heard.push(AnsweredHeartbeat {
                     machine: id,
-                    session: w.session,
-                    seq: w.seq,
-                    age: now.saturating_duration_since(w.seen),
+                    incarnation: w.incarnation,
+                    sequence: w.sequence,
+                    age: now.saturating_duration_since(w.last_heartbeat),
                 });
             }
         }
@@ -233,19 +235,22 @@
     /// The answer to tell the leader as taken in. It counts what that took back as its own from then on, and
     /// has to have heard before of all that was answered here until then.
     fn acknowledge(&mut self) -> u64 {
-        if self.untold.is_empty() {
-            self.acknowledged = self.answered;
+        if self.unreported.is_empty() {
+            self.acknowledged = self.last_acknowledged;
         }
         self.acknowledged
     }
 
     fn drop_expired_workers(&mut self, now: Instant, lease: Duration) {
-        if self.swept.is_some_and(|t| now < t + Duration::from_secs(5)) {
+        if self
+            .last_expiry_scan
+            .is_some_and(|t| now < t + Duration::from_secs(5))
+        {
             return;
         }
-        self.swept = Some(now);
+        self.last_expiry_scan = Some(now);
         self.workers
-            .retain(|_, w| now.saturating_duration_since(w.seen) < lease);
+            .retain(|_, w| now.saturating_duration_since(w.last_heartbeat) < lease);
     }
 }
 
@@ -258,7 +263,7 @@
             return self.redirect(ticket);
         }
         if let Some(grant) = self.relay.grant
-            && (grant.holds(self.mirror.term, now) || !stands(Safeguard::Grant))
+            && (grant.holds(self.store_cache.term, now) || !stands(Safeguard::Grant))
             && let Some(token) = self.relay.steady_answer(&report, now)
         {
             let answer = match self.relay.next_reassignment(&report.machine) {
@@ -283,7 +288,7 @@
         }
         self.relay.waiting.push(Waiting {
             ticket: Some(ticket),
-            report,
+            heartbeat: report,
             received: now,
         });
     }
@@ -292,10 +297,10 @@
     /// has not failed to answer, or one that granted in this term and may be gone.
     fn may_wait_for_leader(&self) -> bool {
         let now = self.now.mono;
-        let term = self.mirror.term;
+        let term = self.store_cache.term;
         let hopeful =
             (self.relay.grant).is_some_and(|g| g.term == term && now < g.until + LEADER_WAIT);
-        let failing = self.relay.asked_in == term && self.relay.not_before.is_some();
+        let failing = self.relay.failures_term == term && self.relay.retry_not_before.is_some();
         self.leader_name().is_none() || hopeful || !failing
     }
 
@@ -307,10 +312,10 @@
         let mut out = Vec::new();
         for w in self.relay.waiting.take_all() {
             match w.ticket {
-                Some(ticket) => out.extend(self.report(ticket, w.report)),
+                Some(ticket) => out.extend(self.report(ticket, w.heartbeat)),
                 None => {
-                    let id = w.report.machine.clone();
-                    self.apply_heartbeat(&id, *w.report, false);
+                    let id = w.heartbeat.machine.clone();
+                    self.apply_heartbeat(&id, *w.heartbeat, false);
                 }
             }
         }
@@ -323,16 +328,17 @@
             return;
         }
         let now = self.now.mono;
-        self.relay.drop_expired_workers(now, self.settings.lease);
+        self.relay
+            .drop_expired_workers(now, self.settings.worker_lease);
         while let Some(w) = self.relay.waiting.pop_overdue(now, MAX_WAIT) {
             if let Some(ticket) = w.ticket {
                 self.answer(ticket, Answer::busy("no leader yet", 1));
             }
         }
-        if self.relay.asked_in != self.mirror.term {
+        if self.relay.failures_term != self.store_cache.term {
             // Another leader, or another version: it has not failed yet.
-            self.relay.asked_in = self.mirror.term;
-            (self.relay.failures, self.relay.not_before) = (0, None);
+            self.relay.failures_term = self.store_cache.term;
+            (self.relay.failures, self.relay.retry_not_before) = (0, None);
         }
         self.send_token_probes();
         let me = self.settings.name.as_str();
@@ -349,9 +355,9 @@
             GATHER
         };
         let early = relay.last_sent.is_some_and(|t| now < t + pause)
-            || relay.not_before.is_some_and(|t| now < t);
+            || relay.retry_not_before.is_some_and(|t| now < t);
         let known = self.settings.peers.iter().any(|p| p.name == leader);
-        if relay.sent.is_some() || early || !known || self.store_is_stale() {
+        if relay.in_flight.is_some() || early || !known || self.store_is_stale() {
             return;
         }
         self.send_batch(leader);
@@ -359,49 +365,49 @@
 
     fn send_batch(&mut self, leader: String) {
         let now = self.now.mono;
-        let term = self.mirror.term;
-        let recent = self.settings.report * 5 / 2;
+        let term = self.store_cache.term;
+        let recent = self.settings.heartbeat_interval * 5 / 2;
         let relay = &mut self.relay;
-        relay.number += 1;
+        relay.last_number += 1;
         relay.last_sent = Some(now);
         let mut sync = HeartbeatBatch {
             from: self.settings.name.clone(),
             incarnation: relay.incarnation,
-            number: relay.number,
-            abilities: Capabilities::REPORTS.0,
+            number: relay.last_number,
+            capabilities: Capabilities::REPORTS.0,
             load: (relay.workers.values())
-                .filter(|w| now.saturating_duration_since(w.seen) < recent)
+                .filter(|w| now.saturating_duration_since(w.last_heartbeat) < recent)
                 .count() as u32,
-            to_show: (relay.to_show.len() + relay.shows_out) as u32,
+            pending_probes: (relay.pending_probes.len() + relay.probes_in_flight) as u32,
             term: relay.grant.map_or(0, |g| g.term),
-            failed: relay.failed_for_frame(),
+            unanswered_probes: relay.failed_for_frame(),
             ..HeartbeatBatch::default()
         };
-        if relay.introduced != term {
-            let lately = |w: &&Worker| now.saturating_duration_since(w.seen) < recent;
+        if relay.registered_term != term {
+            let lately = |w: &&Worker| now.saturating_duration_since(w.last_heartbeat) < recent;
             let mine = relay.workers.iter().filter(|(_, w)| lately(w));
-            sync.mine = mine.map(|(id, _)| id.clone()).collect();
+            sync.served = mine.map(|(id, _)| id.clone()).collect();
             // The leader asks those that are left out itself.
-            sync.mine.truncate(link::names_that_fit(&sync.mine));
+            sync.served.truncate(link::names_that_fit(&sync.served));
         }
-        sync.heard = relay.heard_for_frame(now);
-        sync.answered = relay.acknowledge();
+        sync.answered = relay.heard_for_frame(now);
+        sync.acknowledged = relay.acknowledge();
         let reports = relay.waiting.take_frame();
-        sync.reports = (reports.iter().enumerate())
+        sync.heartbeats = (reports.iter().enumerate())
             .map(|(n, w)| RelayedHeartbeat {
-                name: w.ticket.map_or(0, |_| n as u64 + 1),
-                report: w.report.clone(),
+                id: w.ticket.map_or(0, |_| n as u64 + 1),
+                heartbeat: w.heartbeat.clone(),
             })
             .collect();
         let frame = link::encode_sync(&sync);
         let number = sync.number;
-        relay.sent = Some(Sent {
+        relay.in_flight = Some(Sent {
             number,
             at: now,
             to: leader.clone(),
             reports,
         });
-        self.out.push(Effect::HeartbeatBatch {
+        self.effects.push(Effect::HeartbeatBatch {
             peer: leader,
             number,
             frame,
@@ -415,7 +421,7 @@
         answer: Option<Box<HeartbeatBatchResponse>>,
     ) {
         let now = self.now.mono;
-        let Some(sent) = self.relay.sent.take_if(|s| s.number == number) else {
+        let Some(sent) = self.relay.in_flight.take_if(|s| s.number == number) else {
             return;
         };
         let Some(answer) = answer.filter(|a| a.number == number) else {
@@ -423,18 +429,18 @@
             let wait = BACK_OFF * 2u32.pow(self.relay.failures.min(6));
             let hopeful = (self.relay.grant).is_some_and(|g| now < g.until + LEADER_WAIT);
             if hopeful {
-                self.relay.not_before = Some(now + SHORT_BACK_OFF);
+                self.relay.retry_not_before = Some(now + SHORT_BACK_OFF);
             } else if self.relay.failures > 1 {
-                self.relay.not_before = Some(now + wait.min(MAX_BACK_OFF));
+                self.relay.retry_not_before = Some(now + wait.min(MAX_BACK_OFF));
             }
             tracing::debug!("{} gives no answer for our workers", sent.to);
             return self.requeue_heartbeats(sent.reports);
         };
         self.relay.failures = 0;
-        self.relay.not_before = None;
-        self.peer_heard = now;
+        self.relay.retry_not_before = None;
+        self.peer_reachable_at = now;
         if answer.refused {
-            self.relay.not_before = Some(now + REFUSED);
+            self.relay.retry_not_before = Some(now + REFUSED);
             return self.requeue_heartbeats(sent.reports);
         }
         // It does not lead, or not yet, or not any more.
@@ -443,33 +449,34 @@
             return self.requeue_heartbeats(sent.reports);
         }
         let held = HeldGrant::new(answer.term, sent.at, answer.grant);
-        self.view.heard(&sent.to, 0, Capabilities::REPORTS, 0, now);
+        self.members
+            .heard(&sent.to, 0, Capabilities::REPORTS, 0, now);
         for m in &answer.members {
             let at = now.checked_sub(m.age).unwrap_or(now);
-            (self.view).told(&m.name, Capabilities(m.abilities), m.load, at);
+            (self.members).told(&m.name, Capabilities(m.capabilities), m.load, at);
         }
         self.relay.hold(held, now);
-        self.relay.answered = number;
-        self.relay.moves = answer.moves;
-        for id in &answer.recalled {
+        self.relay.last_acknowledged = number;
+        self.relay.reassignments = answer.reassignments;
+        for id in &answer.revoked {
             if let Some(w) = self.relay.workers.get_mut(id) {
-                w.calm = None;
+                w.steady_response = None;
             }
         }
-        if self.relay.introduced != answer.term {
-            self.relay.introduced = answer.term;
+        if self.relay.registered_term != answer.term {
+            self.relay.registered_term = answer.term;
             self.begin_token_probes(answer.term, &sent.reports);
         }
-        for (id, addr) in answer.asks {
-            let session = self.relay.workers.get(&id).map_or(0, |w| w.session);
-            self.relay.to_show.push((id, session, addr));
+        for (id, addr) in answer.probes {
+            let session = self.relay.workers.get(&id).map_or(0, |w| w.incarnation);
+            self.relay.pending_probes.push((id, session, addr));
         }
         let mut told: BTreeMap<u64, RelayedResponse> =
-            answer.answers.into_iter().map(|t| (t.name, t)).collect();
+            answer.responses.into_iter().map(|t| (t.id, t)).collect();
         for (n, w) in sent.reports.into_iter().enumerate() {
             let Some(ticket) = w.ticket else { continue };
             match told.remove(&(n as u64 + 1)) {
-                Some(t) => self.deliver_response(ticket, w, t.kind, held),
+                Some(t) => self.deliver_response(ticket, w, t.outcome, held),
                 None => self.answer(ticket, Answer::busy("no answer", 1)),
             }
         }
@@ -482,7 +489,7 @@
         told: RelayedOutcome,
         held: HeldGrant,
     ) {
-        let r = &w.report;
+        let r = &w.heartbeat;
         match told {
             RelayedOutcome::Refused {
                 status,
@@ -493,24 +500,24 @@
                 answer.retry_after = retry_after;
                 self.answer(ticket, answer);
             }
-            RelayedOutcome::Orders {
-                token,
-                orders,
-                calm,
+            RelayedOutcome::Commands {
+                fencing_token,
+                commands,
+                steady,
             } => {
                 let digest = self.relay.digest(r);
                 let worker = Worker {
-                    session: r.incarnation,
-                    seq: r.sequence,
+                    incarnation: r.incarnation,
+                    sequence: r.sequence,
                     addr: r.addr.clone(),
-                    token: r.fencing_token,
-                    seen: w.received,
-                    calm: calm.then_some((digest, token)),
+                    fencing_token: r.fencing_token,
+                    last_heartbeat: w.received,
+                    steady_response: steady.then_some((digest, fencing_token)),
                 };
                 self.relay.workers.insert(r.machine.clone(), worker);
                 let body = to_json(&HeartbeatResponse {
-                    fencing_token: token,
-                    commands: orders,
+                    fencing_token,
+                    commands,
                 });
                 // Before the leader's word is over, and before the worker stops to wait.
                 let until = held.until.min(w.received + RESPONSE_DEADLINE);
@@ -537,38 +544,38 @@
     fn begin_token_probes(&mut self, term: u64, answered: &[Waiting]) {
         let now = self.now.mono;
         let token = term << super::machine::TOKEN_EPOCH_BITS;
-        let recent = self.settings.report * 5 / 2;
+        let recent = self.settings.heartbeat_interval * 5 / 2;
         let relay = &mut self.relay;
         let waiting = relay.waiting.iter().chain(answered);
-        let waiting: BTreeSet<&MachineId> = waiting.map(|w| &w.report.machine).collect();
+        let waiting: BTreeSet<&MachineId> = waiting.map(|w| &w.heartbeat.machine).collect();
         let workers = relay.workers.iter();
         let unaware = workers.filter(|(id, w)| {
-            w.token < token
-                && now.saturating_duration_since(w.seen) < recent
+            w.fencing_token < token
+                && now.saturating_duration_since(w.last_heartbeat) < recent
                 && !waiting.contains(id)
         });
-        let all = unaware.map(|(id, w)| (id.clone(), w.session, w.addr.clone()));
-        relay.to_show = all.collect();
+        let all = unaware.map(|(id, w)| (id.clone(), w.incarnation, w.addr.clone()));
+        relay.pending_probes = all.collect();
         tracing::info!(
             term = term,
             "term {term}: of {} workers here, {} are to see its token",
             relay.workers.len(),
-            relay.to_show.len()
+            relay.pending_probes.len()
         );
     }
 
     fn send_token_probes(&mut self) {
         let now = self.now.mono;
         let Some(grant) = self.relay.grant.filter(|g| now < g.until) else {
-            self.relay.to_show.clear();
-            self.relay.failed.clear();
+            self.relay.pending_probes.clear();
+            self.relay.unanswered_probes.clear();
             return;
         };
         let token = grant.term << super::machine::TOKEN_EPOCH_BITS;
-        while self.relay.shows_out < MAX_DIRECT_CALLS
-            && let Some((id, session, addr)) = self.relay.to_show.pop()
+        while self.relay.probes_in_flight < MAX_DIRECT_CALLS
+            && let Some((id, session, addr)) = self.relay.pending_probes.pop()
         {
-            let seen = |w: &Worker| w.token >= token;
+            let seen = |w: &Worker| w.fencing_token >= token;
             if self.relay.workers.get(&id).is_some_and(seen) {
                 continue;
             }
@@ -584,8 +591,8 @@
                 })
             };
             let call = self.call(Pending::Show(id));
-            self.relay.shows_out += 1;
-            self.out.push(Effect::Direct {
+            self.relay.probes_in_flight += 1;
+            self.effects.push(Effect::Direct {
                 call,
                 addr,
                 request,
@@ -596,23 +603,23 @@
 
     /// A worker's answer to the token; without one, the leader is told, and asks it once more.
     pub(super) fn token_probe_answered(&mut self, id: &MachineId, outcome: DirectOutcome) {
-        self.relay.shows_out = self.relay.shows_out.saturating_sub(1);
+        self.relay.probes_in_flight = self.relay.probes_in_flight.saturating_sub(1);
         let DirectOutcome::Heartbeat { report, .. } = outcome else {
-            self.relay.failed.push(id.clone());
+            self.relay.unanswered_probes.push(id.clone());
             return;
         };
         if report.machine != *id || !self.relay.waiting.has_room(&self.settings) {
             return;
         }
         if let Some(w) = self.relay.workers.get_mut(id)
-            && report.incarnation == w.session
+            && report.incarnation == w.incarnation
         {
-            w.seq = w.seq.max(report.sequence);
-            w.token = w.token.max(report.fencing_token);
+            w.sequence = w.sequence.max(report.sequence);
+            w.fencing_token = w.fencing_token.max(report.fencing_token);
         }
         self.relay.waiting.push(Waiting {
             ticket: None,
-            report,
+            heartbeat: report,
             received: self.now.mono,
         });
     }
--- a/src/core/relay/tests.rs
+++ b/src/core/relay/tests.rs
@@ -12,15 +12,15 @@
     let mut relay = Relay::new(1);
     for number in 0..MACHINES {
         let worker = Worker {
-            session: 1,
-            seq: 7,
+            incarnation: 1,
+            sequence: 7,
             addr: "10.0.0.1:9000".into(),
-            token: 1,
-            seen: now,
-            calm: None,
+            fencing_token: 1,
+            last_heartbeat: now,
+            steady_response: None,
         };
         relay.workers.insert(machine(number), worker);
-        relay.untold.insert(machine(number));
+        relay.unreported.insert(machine(number));
     }
     relay
 }
@@ -29,14 +29,14 @@
 fn an_answer_is_acknowledged_only_when_all_that_were_answered_here_are_told() {
     let now = Instant::now();
     let mut relay = serving(now);
-    relay.answered = 41;
+    relay.last_acknowledged = 41;
     let first = relay.heard_for_frame(now);
     assert!(!first.is_empty() && first.len() < MACHINES);
     assert_eq!(relay.acknowledge(), 0, "others have yet to be told");
     let second = relay.heard_for_frame(now);
     assert_eq!(first.len() + second.len(), MACHINES);
     assert_eq!(relay.acknowledge(), 41);
-    relay.answered = 42;
+    relay.last_acknowledged = 42;
     assert!(relay.heard_for_frame(now).is_empty());
     assert_eq!(relay.acknowledge(), 42);
 }
@@ -44,10 +44,10 @@
 #[test]
 fn machines_without_an_answer_are_told_over_several_frames() {
     let mut relay = Relay::new(1);
-    relay.failed = (0..MACHINES).map(machine).collect();
+    relay.unanswered_probes = (0..MACHINES).map(machine).collect();
     let mut told = Vec::new();
     let mut frames = 0;
-    while !relay.failed.is_empty() {
+    while !relay.unanswered_probes.is_empty() {
         told.extend(relay.failed_for_frame());
         frames += 1;
     }
--- a/src/core/renting.rs
+++ b/src/core/renting.rs
@@ -20,27 +20,28 @@
     /// the queue longer still.
     pub(super) fn call_cloud(&mut self) {
         let now = self.now.mono;
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader else { return };
         let hurry = lead.machines.values().any(|m| {
             m.incarnation == 0
-                || now.saturating_duration_since(m.last_heartbeat) > self.settings.report * 2
+                || now.saturating_duration_since(m.last_heartbeat)
+                    > self.settings.heartbeat_interval * 2
         });
         // A list takes a call for each page of machines: no more than a third of what is allowed.
         let pages = 1.0 + lead.cloud.listed_machines as f64 / PAGE as f64;
         let every = Duration::from_secs_f64(3.0 * pages / self.settings.cloud_rps);
         let every = every.max(Duration::from_secs(if hurry { 2 } else { 6 }));
         let asked = lead.cloud.list_requested;
-        let awaited = (self.lead.as_ref()).is_some_and(|l| self.machine_list_due(l, asked));
-        let Some(lead) = &mut self.lead else { return };
+        let awaited = (self.leader.as_ref()).is_some_and(|l| self.machine_list_due(l, asked));
+        let Some(lead) = &mut self.leader else { return };
         let list =
             !lead.cloud.list_in_flight && (awaited || asked.is_none_or(|t| now >= t + every));
         if list && self.cloud_budget.try_take(now) {
-            let Some(lead) = &mut self.lead else { return };
+            let Some(lead) = &mut self.leader else { return };
             lead.cloud.list_in_flight = true;
             lead.cloud.list_requested = Some(now);
             self.ask_cloud(Pending::List { sent: now }, CloudRequest::List);
         }
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader else { return };
         if lead.cloud.delete_calls_in_flight < MAX_DELETE_CALLS {
             let due = lead.cloud.deletions.iter().filter(|(_, at)| **at <= now);
             let names: Vec<MachineId> = due
@@ -57,7 +58,7 @@
                 self.ask_cloud(Pending::Delete(names), request);
             }
         }
-        let Some(lead) = &self.lead else { return };
+        let Some(lead) = &self.leader else { return };
         let due = lead.cloud.scale_outs.iter();
         let due = due.filter(|(_, r)| r.call.is_none() && now >= r.retry_at);
         let rents: Vec<String> = due.map(|(name, _)| name.clone()).collect();
@@ -66,7 +67,7 @@
                 return;
             }
             let op = self
-                .lead
+                .leader
                 .as_ref()
                 .and_then(|l| l.cloud.scale_outs.get(&name));
             let Some(body) = op.map(|op| op.body.clone()) else {
@@ -74,7 +75,7 @@
             };
             let call = self.ask_cloud(Pending::Rent(name.clone()), CloudRequest::Rent(body));
             let op = self
-                .lead
+                .leader
                 .as_mut()
                 .and_then(|l| l.cloud.scale_outs.get_mut(&name));
             if let Some(op) = op {
@@ -86,7 +87,7 @@
     fn ask_cloud(&mut self, pending: Pending, request: CloudRequest) -> u64 {
         let not_after = self.leader_until();
         let call = self.call(pending);
-        self.out.push(Effect::Cloud {
+        self.effects.push(Effect::Cloud {
             call,
             request,
             not_after,
@@ -97,7 +98,7 @@
     /// Queues a rental under a name that no controller has ever used.
     pub(super) fn rent(&mut self, offer: Offer, count: u32) {
         let now = self.now.mono;
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader else { return };
         lead.cloud.next_request += 1;
         // Terms are unique for ever, and so is the number within one.
         let name = format!("burlusher-{}-{}", lead.term, lead.cloud.next_request);
@@ -134,7 +135,7 @@
         if let CloudOutcome::Trouble(e) | CloudOutcome::Invalid(e) = &outcome {
             tracing::info!("cloud: {e}");
         }
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader else { return };
         match pending {
             Some(Pending::List { sent }) => {
                 lead.cloud.list_in_flight = false;
@@ -172,7 +173,7 @@
 
     fn scale_out_outcome(&mut self, name: &str, outcome: CloudOutcome) {
         let now = self.now.mono;
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader else { return };
         let Some(op) = lead.cloud.scale_outs.get_mut(name) else {
             return;
         };
@@ -217,8 +218,8 @@
 
     fn observe_listed_machines(&mut self, sent: Instant, list: Vec<ListedMachine>) {
         let now = self.now.mono;
-        let lag = self.settings.list_lag * 2 + Duration::from_secs(2);
-        let Some(lead) = &mut self.lead else { return };
+        let lag = self.settings.machine_list_lag * 2 + Duration::from_secs(2);
+        let Some(lead) = &mut self.leader else { return };
         let mut present = BTreeSet::new();
         let mut gone = Vec::new();
         // While the store is rebuilt, each of them may hold tasks.
@@ -276,11 +277,11 @@
         for id in &gone {
             // It stopped by itself, but stays in the list until it is deleted.
             self.machine_gone(id, "the cloud lists it as failed");
-            if let Some(lead) = &mut self.lead {
+            if let Some(lead) = &mut self.leader {
                 lead.cloud.deletions.insert(id.clone(), now);
             }
         }
-        let Some(lead) = &self.lead else { return };
+        let Some(lead) = &self.leader else { return };
         // The list tells of a time at most twice its lag ago. A machine known to exist before
         // that time and absent now is gone.
         let absent: Vec<MachineId> = lead
--- a/src/core/report_queue.rs
+++ b/src/core/report_queue.rs
@@ -17,7 +17,7 @@
 pub(super) struct Waiting {
     /// `None`: the report came as an answer to a direct command.
     pub ticket: Option<Ticket>,
-    pub report: Box<Heartbeat>,
+    pub heartbeat: Box<Heartbeat>,
     pub received: Instant,
 }
 
@@ -33,7 +33,7 @@
     fn of(settings: &Settings) -> Bounds {
         let memory = settings.memory_mb * BYTES_PER_MB * MEMORY_SHARE;
         Bounds {
-            reports: settings.sockets,
+            reports: settings.max_sockets,
             frame_bytes: (memory / MEMORY_PER_FRAME_BYTE) as usize,
         }
     }
@@ -71,21 +71,21 @@
     }
 
     pub fn push(&mut self, waiting: Waiting) {
-        self.frame_bytes += link::encoded_heartbeat_size(&waiting.report);
+        self.frame_bytes += link::encoded_heartbeat_size(&waiting.heartbeat);
         self.reports.push_back(waiting);
     }
 
     /// Puts reports back that were taken out, in the order in which they came.
     pub fn put_back(&mut self, reports: Vec<Waiting>) {
         for waiting in reports.into_iter().rev() {
-            self.frame_bytes += link::encoded_heartbeat_size(&waiting.report);
+            self.frame_bytes += link::encoded_heartbeat_size(&waiting.heartbeat);
             self.reports.push_front(waiting);
         }
     }
 
     fn pop(&mut self) -> Option<Waiting> {
         let waiting = self.reports.pop_front()?;
-        self.frame_bytes -= link::encoded_heartbeat_size(&waiting.report);
+        self.frame_bytes -= link::encoded_heartbeat_size(&waiting.heartbeat);
         Some(waiting)
     }
 
@@ -103,7 +103,7 @@
         let mut taken = Vec::new();
         let mut size = 0;
         while let Some(next) = self.reports.front() {
-            size += link::encoded_heartbeat_size(&next.report);
+            size += link::encoded_heartbeat_size(&next.heartbeat);
             if size > link::FULL && !taken.is_empty() {
                 break;
             }
--- a/src/core/report_queue/tests.rs
+++ b/src/core/report_queue/tests.rs
@@ -16,7 +16,7 @@
     };
     Waiting {
         ticket: Some(number),
-        report: Box::new(report),
+        heartbeat: Box::new(report),
         received,
     }
 }
@@ -36,13 +36,13 @@
         queue
     };
     let few_sockets = Settings {
-        sockets: 300,
+        max_sockets: 300,
         memory_mb: 256.0,
         ..settings("n0", SETUP)
     };
     assert_eq!(filled(&few_sockets).len(), 300);
     let little_memory = Settings {
-        sockets: 1_000_000,
+        max_sockets: 1_000_000,
         memory_mb: 32.0,
         ..settings("n0", SETUP)
     };
@@ -64,7 +64,7 @@
     let count = first.len() as u64;
     let size: usize = first
         .iter()
-        .map(|w| link::encoded_heartbeat_size(&w.report))
+        .map(|w| link::encoded_heartbeat_size(&w.heartbeat))
         .sum();
     assert!(size <= link::FULL && size + 200 > link::FULL, "{size}");
     queue.put_back(first);
--- a/src/core/reports.rs
+++ b/src/core/reports.rs
@@ -74,7 +74,7 @@
         }
         let no_leader = || Answer::busy("no leader here", 1);
         self.observe_fencing_token(report.fencing_token);
-        let lead = self.lead.as_mut().ok_or_else(no_leader)?;
+        let lead = self.leader.as_mut().ok_or_else(no_leader)?;
         if lead.deleted_machines.contains(&id) {
             // Sent before the machine was deleted, and held up on the way.
             return Err(Answer::busy("this machine is gone", 30));
@@ -123,7 +123,7 @@
             });
         let token = report.fencing_token;
         if !again && !self.apply_heartbeat(&id, report, true) {
-            if let Some(m) = (self.lead.as_mut()).and_then(|l| l.machines.get_mut(&id))
+            if let Some(m) = (self.leader.as_mut()).and_then(|l| l.machines.get_mut(&id))
                 && token < m.highest_token
                 && !m.unresolved
             {
@@ -133,8 +133,8 @@
             self.probe_for_restart(&id);
             return Err(Answer::busy("an older report", 1));
         }
-        let lease = self.settings.lease;
-        let lead = self.lead.as_mut().ok_or_else(no_leader)?;
+        let lease = self.settings.worker_lease;
+        let lead = self.leader.as_mut().ok_or_else(no_leader)?;
         let m = (lead.machines.get_mut(&id)).ok_or_else(no_leader)?;
         let unaware = m.unresolved;
         if unaware && !proven {
@@ -180,7 +180,7 @@
         answered: bool,
     ) -> bool {
         let now = self.now.mono;
-        let Some(lead) = &mut self.lead else {
+        let Some(lead) = &mut self.leader else {
             return false;
         };
         let term = lead.term;
@@ -222,7 +222,7 @@
             m.up_since = Some(now);
             m.idle_since = now;
             let took = m.age + now.saturating_duration_since(m.known_since);
-            if let Some(t) = self.types.iter().find(|t| t.name == m.machine_type)
+            if let Some(t) = self.machine_types.iter().find(|t| t.name == m.machine_type)
                 && m.incarnation == 0
             {
                 let announced = Duration::from_secs_f64(t.boot_s.clamp(0.0, 1e6));
@@ -281,7 +281,7 @@
                 self.task_live(id, &key, &row);
             }
         }
-        let Some(lead) = &mut self.lead else {
+        let Some(lead) = &mut self.leader else {
             return false;
         };
         let Some(m) = lead.machines.get_mut(id) else {
@@ -333,25 +333,25 @@
 
     fn task_live(&mut self, id: &MachineId, key: &TaskId, row: &TaskStatus) {
         let now = self.now.mono;
-        let Some(lead) = &mut self.lead else { return };
-        let forgotten = lead.may_be_of_lost_job(self.mirror.knows(&key.job));
+        let Some(lead) = &mut self.leader else { return };
+        let forgotten = lead.may_be_of_lost_job(self.store_cache.knows(&key.job));
         let Some(m) = lead.machines.get_mut(id) else {
             return;
         };
         let phase = Phase::of(row.state);
-        let kind = self.types.iter().find(|t| t.name == m.machine_type);
+        let kind = self.machine_types.iter().find(|t| t.name == m.machine_type);
         // A task of which nothing is known any more may take all there is.
         let room = kind.map_or(Resources::default(), |t| t.room());
         let cache_gb = kind.map_or(0.0, |t| t.cache_gb);
         let known = m.tasks.contains_key(key);
         if !known {
-            let spec = self.mirror.jobs.get(&key.job).map(|j| j.spec.clone());
+            let spec = self.store_cache.jobs.get(&key.job).map(|j| j.spec.clone());
             if let Some(spec) = &spec {
                 m.use_image(image_tag(&spec.image), spec.image_gb, cache_gb);
             }
-            let (needs, team) = match (&spec, self.mirror.left.get(&key.job)) {
+            let (needs, team) = match (&spec, self.store_cache.residual_tasks.get(&key.job)) {
                 (Some(spec), _) => (spec.resources, Some(spec.team.as_str())),
-                (None, Some(left)) => (left.needs, Some(left.team.as_str())),
+                (None, Some(left)) => (left.resources, Some(left.team.as_str())),
                 (None, None) => (room, None),
             };
             let mut t = Placement {
@@ -370,7 +370,7 @@
                 tracing::warn!(task = %key, machine = %id, "task {key} on {id}: its job is unknown; held");
             }
             if let (Some(job), Some(run)) = (
-                self.mirror.jobs.get(&key.job),
+                self.store_cache.jobs.get(&key.job),
                 lead.job_runs.get_mut(&key.job),
             ) {
                 if let Some(other) = run.placed.get(&key.index).filter(|m| *m != id) {
@@ -389,7 +389,7 @@
             m.tasks.insert(key.clone(), t);
             self.stop_duplicates(key, id);
         }
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader else { return };
         let Some(m) = lead.machines.get_mut(id) else {
             return;
         };
@@ -412,7 +412,7 @@
                 && run.started.is_none()
             {
                 run.started = Some(now);
-                if let Some(job) = self.mirror.jobs.get(&key.job)
+                if let Some(job) = self.store_cache.jobs.get(&key.job)
                     && let Ok(waited) = self.now.wall.duration_since(job.submitted)
                 {
                     note(&mut self.stats.start, waited.as_millis());
@@ -424,8 +424,8 @@
 
     fn task_exited(&mut self, id: &MachineId, key: &TaskId, row: &TaskStatus) {
         let now = self.now.mono;
-        let Some(lead) = &mut self.lead else { return };
-        let forgotten = lead.may_be_of_lost_job(self.mirror.knows(&key.job));
+        let Some(lead) = &mut self.leader else { return };
+        let forgotten = lead.may_be_of_lost_job(self.store_cache.knows(&key.job));
         let Some(m) = lead.machines.get_mut(id) else {
             return;
         };
@@ -476,7 +476,7 @@
             ExitCause::Other => hold = Some(Duration::from_millis(500)),
             ExitCause::Done | ExitCause::Stopped => {}
         }
-        if let Some(lead) = &mut self.lead
+        if let Some(lead) = &mut self.leader
             && let Some(run) = lead.job_runs.get_mut(&key.job)
         {
             if let Some(d) = hold {
@@ -492,7 +492,7 @@
     /// when all of them have shown this term's token; `fresh` is about to be certain.
     pub(super) fn stop_duplicates(&mut self, key: &TaskId, fresh: &MachineId) {
         let now = self.now.mono;
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader else { return };
         let Some(run) = lead.job_runs.get(&key.job) else {
             return;
         };
@@ -518,7 +518,7 @@
     /// A job whose tasks fail again and again is tried ever more rarely.
     pub(super) fn retry_delay(&self, job: &JobId) -> Duration {
         let failures: u32 = self
-            .lead
+            .leader
             .as_ref()
             .and_then(|l| l.job_runs.get(job))
             .map_or(0, |r| {
@@ -533,7 +533,7 @@
 
     fn note_failure(&mut self, id: &MachineId, key: &TaskId) {
         let now = self.now.mono;
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader else { return };
         let Some(run) = lead.job_runs.get_mut(&key.job) else {
             return;
         };
@@ -570,7 +570,9 @@
 
     /// A machine on which work of several jobs failed, with no success in between, is faulty.
     pub(super) fn faulty(&self, m: &Machine) -> bool {
-        let Some(lead) = &self.lead else { return false };
+        let Some(lead) = &self.leader else {
+            return false;
+        };
         let believable = m
             .fault_history
             .failed_jobs
@@ -589,9 +591,9 @@
 
     pub(super) fn task_completed(&mut self, key: &TaskId, on: Option<&MachineId>) {
         let now = self.now.mono;
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader else { return };
         let (Some(job), Some(run)) = (
-            self.mirror.jobs.get_mut(&key.job),
+            self.store_cache.jobs.get_mut(&key.job),
             lead.job_runs.get_mut(&key.job),
         ) else {
             return;
@@ -627,7 +629,7 @@
     /// These tasks are not on the machine any more, without a result.
     pub(super) fn tasks_lost(&mut self, id: &MachineId, tasks: Vec<TaskId>, why: &str) {
         let now = self.now.mono;
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader else { return };
         for key in tasks {
             let Some(m) = lead.machines.get_mut(id) else {
                 return;
--- a/src/core/scheduling.rs
+++ b/src/core/scheduling.rs
@@ -91,8 +91,8 @@
 
 impl Core {
     pub(super) fn note_run_time(&mut self, id: &MachineId, key: &TaskId, ran: Option<Duration>) {
-        let Some(lead) = &mut self.lead else { return };
-        let (Some(job), Some(ran)) = (self.mirror.jobs.get(&key.job), ran) else {
+        let Some(lead) = &mut self.leader else { return };
+        let (Some(job), Some(ran)) = (self.store_cache.jobs.get(&key.job), ran) else {
             return;
         };
         let estimate = job.spec.estimate.as_secs_f64();
@@ -123,36 +123,36 @@
     /// machine that something just ended on then goes into the answer to its report, and takes no call
     /// to it. They wait no longer than plans are apart at least.
     pub(super) fn defer_responses(&mut self, now_due: &mut Waiters) {
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader else { return };
         let before = std::mem::take(&mut lead.deferred_responses);
         // At a takeover all machines are new, and their answers show them the token: no time to lose.
         let planned = lead.last_plan == Some(self.now.mono) || !lead.plan_again;
         if planned || !lead.has_pending_demand || lead.unresolved > 0 {
-            now_due.reports.extend(before.reports);
-            now_due.syncs.extend(before.syncs);
+            now_due.heartbeats.extend(before.heartbeats);
+            now_due.batches.extend(before.batches);
             return;
         }
         let machines = &lead.machines;
         let freed = |id: &MachineId| machines.get(id).is_some_and(|m| m.freed);
         let mut held = before;
-        (held.reports).extend(now_due.reports.extract_if(.., |(_, id)| freed(id)));
+        (held.heartbeats).extend(now_due.heartbeats.extract_if(.., |(_, id)| freed(id)));
         let some = |w: &mut PendingBatch| w.machines().any(freed);
-        held.syncs.extend(now_due.syncs.extract_if(.., some));
+        held.batches.extend(now_due.batches.extract_if(.., some));
         lead.deferred_responses = held;
     }
 
     /// Until the next plan, if answers wait for it.
     pub(super) fn until_next_plan(&self) -> Option<Duration> {
-        let lead = self.lead.as_ref()?;
-        let held = !lead.deferred_responses.reports.is_empty()
-            || !lead.deferred_responses.syncs.is_empty();
+        let lead = self.leader.as_ref()?;
+        let held = !lead.deferred_responses.heartbeats.is_empty()
+            || !lead.deferred_responses.batches.is_empty();
         let at = lead.last_plan? + PLAN_PAUSE;
         held.then(|| at.saturating_duration_since(self.now.mono))
     }
 
     pub(super) fn schedule(&mut self) {
         let now = self.now.mono;
-        let Some(lead) = &self.lead else { return };
+        let Some(lead) = &self.leader else { return };
         let since = lead.last_plan.map(|t| now.saturating_duration_since(t));
         let due = match since {
             None => true,
@@ -163,7 +163,7 @@
             self.restart_broken_gangs();
             self.place();
         }
-        let Some(lead) = &self.lead else { return };
+        let Some(lead) = &self.leader else { return };
         if lead
             .last_scaling
             .is_none_or(|t| now >= t + SCALING_INTERVAL)
@@ -177,7 +177,7 @@
         View {
             now: self.now.mono,
             lead,
-            jobs: &self.mirror.jobs,
+            jobs: &self.store_cache.jobs,
             core: self,
         }
     }
@@ -212,23 +212,23 @@
         let hidden = self.unobserved_resources(lead);
         let mut unseen = vec![Resources::default(); teams.len()];
         for (id, run) in lead.job_runs.iter().filter(|(_, r)| !r.queued.is_empty()) {
-            if let Some(job) = self.mirror.jobs.get(id)
+            if let Some(job) = self.store_cache.jobs.get(id)
                 && job.version < lead.key_version
                 && let Some(team) = run.team
-                && self.mirror.ready(id)
+                && self.store_cache.ready(id)
             {
                 unseen[team].add(&job.spec.resources.times(run.queued.len() as f64));
             }
         }
         // So may tasks of jobs that were cancelled shortly before.
         for left in self
-            .mirror
-            .left
+            .store_cache
+            .residual_tasks
             .values()
             .filter(|_| stands(Safeguard::Left))
         {
             if let Some(team) = self.settings.team_index(&left.team) {
-                unseen[team].add(&left.needs.times(f64::from(left.tasks)));
+                unseen[team].add(&left.resources.times(f64::from(left.tasks)));
             }
         }
         for (team, unseen) in used.iter_mut().zip(unseen) {
@@ -263,15 +263,15 @@
     /// Finds the jobs that fit into their team's guarantee together with the team's earlier unfinished
     /// ones. That changes only when a job comes, becomes ready or ends.
     fn update_guarantees(&mut self) {
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader else { return };
         if !std::mem::take(&mut lead.guarantees_changed) {
             return;
         }
         let mut jobs: Vec<(SystemTime, &JobId, &JobRecord, &mut JobRun)> = Vec::new();
         for (id, run) in &mut lead.job_runs {
             run.guaranteed = false;
-            if let Some(job) = self.mirror.jobs.get(id)
-                && self.mirror.ready(id)
+            if let Some(job) = self.store_cache.jobs.get(id)
+                && self.store_cache.ready(id)
             {
                 jobs.push((job.submitted, id, job, run));
             }
@@ -297,7 +297,7 @@
         let objectives = self.settings.objectives.iter();
         objectives
             .filter(|o| o.kind == kind && o.class == class)
-            .filter_map(|o| o.within)
+            .filter_map(|o| o.threshold)
             .min()
             .map_or(0.0, |d| d.as_secs_f64())
     }
@@ -364,7 +364,8 @@
                 continue;
             };
             let held = Self::blocked_by_recovery(lead, job) && !with_held;
-            if run.ending.is_some() || run.queued.is_empty() || held || !self.mirror.ready(id) {
+            if run.ending.is_some() || run.queued.is_empty() || held || !self.store_cache.ready(id)
+            {
                 continue;
             }
             let Some(team) = run.team else {
@@ -414,12 +415,12 @@
 
     /// Puts what changed about machines on the board.
     pub(super) fn refresh_board(&mut self) {
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader else { return };
         let changed = lead.machines.take_changed();
         lead.revoke_changed(&changed);
         let mut board = std::mem::take(&mut lead.board);
         let mut opened = Vec::with_capacity(changed.len());
-        if let Some(lead) = &self.lead {
+        if let Some(lead) = &self.leader {
             let view = self.view(lead);
             for id in changed {
                 let m = lead.machines.get(&id);
@@ -432,7 +433,7 @@
                 }
             }
         }
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader else { return };
         for (id, open) in opened {
             lead.machines.set_schedulable(&id, open);
         }
@@ -449,7 +450,10 @@
             free.sub(&task.resources);
         }
         let unresolved = m.unresolved;
-        let usage = if view.lead.accepts_tasks(m, now, self.settings.report) {
+        let usage = if view
+            .lead
+            .accepts_tasks(m, now, self.settings.heartbeat_interval)
+        {
             Use::Open
         } else if m.deleting.is_some() || m.reclaim_at.is_some() || m.lease_expired {
             Use::Closed
@@ -561,11 +565,15 @@
     /// What is left of a gang that lost a task is stopped, so that it starts whole again.
     fn restart_broken_gangs(&mut self) {
         let now = self.now.mono;
-        if self.lead.as_ref().is_some_and(|l| !self.may_start_tasks(l)) {
+        if self
+            .leader
+            .as_ref()
+            .is_some_and(|l| !self.may_start_tasks(l))
+        {
             return;
         }
-        let Some(lead) = &mut self.lead else { return };
-        for (id, job) in &self.mirror.jobs {
+        let Some(lead) = &mut self.leader else { return };
+        for (id, job) in &self.store_cache.jobs {
             if job.spec.job_kind != JobKind::Gang || Self::blocked_by_recovery(lead, job) {
                 continue;
             }
@@ -583,19 +591,19 @@
         let now = self.now.mono;
         self.update_guarantees();
         self.refresh_board();
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader else { return };
         let mut board = std::mem::take(&mut lead.board);
-        let mut scratch = std::mem::take(&mut self.scratch);
+        let mut scratch = std::mem::take(&mut self.plan_scratch);
         let mut decided = plan::Plan::default();
         let mut jobs = Vec::new();
-        if let Some(lead) = &self.lead {
+        if let Some(lead) = &self.leader {
             let mut queue = self.queue(&self.view(lead), &board);
             let mut teams = self.team_use(lead, &board);
             decided = plan::plan(&mut board, &mut queue, &mut teams, now, &mut scratch);
             jobs = queue.into_iter().map(|w| (w.spec, w.team)).collect();
         }
-        self.scratch = scratch;
-        let Some(lead) = &mut self.lead else { return };
+        self.plan_scratch = scratch;
+        let Some(lead) = &mut self.leader else { return };
         lead.board = board;
         lead.last_plan = Some(now);
         // A step repeats at once while it starts tasks.
@@ -628,7 +636,7 @@
             // Unique for ever, as terms are: an attempt is never used twice.
             let attempt = (lead.term << 32) | lead.attempts;
             tracing::debug!(task = %key, machine = %id, "task {key} attempt {attempt} placed on {id}");
-            let t = self.types.iter().find(|t| t.name == m.machine_type);
+            let t = self.machine_types.iter().find(|t| t.name == m.machine_type);
             let cache = t.map_or(0.0, |t| t.cache_gb);
             m.use_image(image_tag(&spec.image), spec.image_gb, cache);
             m.tasks.insert(
@@ -661,12 +669,12 @@
         let now = self.now.mono;
         self.update_guarantees();
         self.refresh_board();
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader else { return };
         lead.last_scaling = Some(now);
         lead.arrivals.note(now, 0);
         lead.board.sum_again();
-        let Some(lead) = &self.lead else { return };
-        if self.types.is_empty() {
+        let Some(lead) = &self.leader else { return };
+        if self.machine_types.is_empty() {
             return;
         }
         let view = self.view(lead);
@@ -686,7 +694,8 @@
             let z = zones.entry(&m.zone).or_default();
             z.0 += 1;
             // Machines that do not hear what they are told are of no more use than silent ones.
-            let fresh = now.saturating_duration_since(m.last_heartbeat) < self.settings.report * 2;
+            let fresh = now.saturating_duration_since(m.last_heartbeat)
+                < self.settings.heartbeat_interval * 2;
             z.1 += u32::from(fresh && m.unconfirmed_token.is_none());
         }
         let zones = zones.into_iter();
@@ -694,11 +703,11 @@
             .filter(|(_, (all, up))| up * 2 < *all)
             .map(|(z, _)| z.to_string())
             .collect();
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader else { return };
         let beliefs = &mut lead.bidding.beliefs;
         beliefs.shut_only(&cut, "its machines are not heard");
         let market = fleet::Market {
-            types: self.types.clone(),
+            types: self.machine_types.clone(),
             refused: lead.bidding.beliefs.refused(now).cloned().collect(),
             cut,
             spread: Spread::default(),
@@ -710,10 +719,10 @@
         } else {
             fleet::rent(&lead.board, &coming, &unmet, &market, now)
         };
-        let Some(lead) = &self.lead else { return };
+        let Some(lead) = &self.leader else { return };
         // A new leader first learns what there is.
         let settled = lead.unresolved == 0
-            && now.saturating_duration_since(lead.since) > self.settings.report * 2;
+            && now.saturating_duration_since(lead.since) > self.settings.heartbeat_interval * 2;
         let returns = if settled {
             fleet::give_back(&lead.board, &unmet, now, |id| self.idle_keep(lead, id))
         } else {
@@ -734,7 +743,7 @@
     /// One line on how things stand, for the log.
     fn log_summary(&mut self) {
         let now = self.now.mono;
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader else { return };
         if lead
             .last_status_log
             .is_some_and(|t| now < t + Duration::from_secs(10))
@@ -756,7 +765,7 @@
             for t in m.tasks.values() {
                 held.add(&t.resources);
             }
-            if let Some(t) = self.types.iter().find(|t| t.name == m.machine_type) {
+            if let Some(t) = self.machine_types.iter().find(|t| t.name == m.machine_type) {
                 whole.add(&t.room());
             }
         }
@@ -827,7 +836,7 @@
         if times >= ANY_PRICE {
             return Vec::new();
         }
-        fleet::too_dear(&self.types, &job.spec, times.max(1.0))
+        fleet::too_dear(&self.machine_types, &job.spec, times.max(1.0))
     }
 
     /// What waits for room, in the queue's order, within the teams' limits.
@@ -839,7 +848,7 @@
             .map(|t| t.cpus_max.map_or(f64::INFINITY, |m| m - t.cpus))
             .collect();
         let fastest = self
-            .types
+            .machine_types
             .iter()
             .map(|t| t.boot_s)
             .fold(f64::INFINITY, f64::min);
@@ -893,7 +902,7 @@
     /// Offers refused a short while ago, for the status view.
     pub(super) fn refused_offers(&self) -> Vec<Offer> {
         let now = self.now.mono;
-        self.lead.as_ref().map_or(Vec::new(), |l| {
+        self.leader.as_ref().map_or(Vec::new(), |l| {
             l.bidding.beliefs.refused(now).cloned().collect()
         })
     }
--- a/src/core/simulation/checker.rs
+++ b/src/core/simulation/checker.rs
@@ -258,7 +258,7 @@
     pub(super) fn check_terms(&mut self) {
         let mut begun = false;
         for (i, node) in self.nodes.iter().enumerate().filter(|(_, n)| n.up) {
-            let Some(lead) = &node.core.lead else {
+            let Some(lead) = &node.core.leader else {
                 continue;
             };
             let this = (i, node.core.nonce, node.core.leaderships);
--- a/src/core/simulation/faults.rs
+++ b/src/core/simulation/faults.rs
@@ -91,7 +91,7 @@
 
     /// A leader takes its key for gone, though it stands.
     pub fn depose(&mut self, node: usize) {
-        if let Some(lead) = &self.nodes[node].core.lead {
+        if let Some(lead) = &self.nodes[node].core.leader {
             let key_version = lead.key_version;
             self.nodes[node]
                 .inbox
@@ -130,7 +130,7 @@
             *self.checker.jobs_to_restore.entry(key.clone()).or_default() |= over;
         }
         let current =
-            |n: &Node| n.up && n.core.mirror.loaded && n.seen >= Some(self.state.revision);
+            |n: &Node| n.up && n.core.store_cache.loaded && n.seen >= Some(self.state.revision);
         let up = (0..self.nodes.len()).filter(|i| current(&self.nodes[*i]));
         let leads = |n: &Node| n.up && n.core.leads() && !n.core.store_is_incomplete();
         if self.nodes.iter().any(leads) && !self.state.keys.contains_key("burlusher/rebuilding") {
--- a/src/core/simulation/network.rs
+++ b/src/core/simulation/network.rs
@@ -192,7 +192,7 @@
             forwarded: true,
             tried: Vec::new(),
             received,
-            what: match request {
+            action: match request {
                 PeerRequest::Submit(spec) => Ask::Submit(spec),
                 PeerRequest::Show(id) => Ask::Show(id),
                 PeerRequest::Cancel(id) => Ask::Cancel(id),
--- a/src/core/simulation/scale.rs
+++ b/src/core/simulation/scale.rs
@@ -83,7 +83,8 @@
         assert!(simulation.now < end, "{machines} machines take too long");
         simulation.tick();
         let passed = (simulation.now - since).as_millis().max(1);
-        let left = (simulation.nodes[next].core.lead.as_ref()).map_or(usize::MAX, |l| l.unresolved);
+        let left =
+            (simulation.nodes[next].core.leader.as_ref()).map_or(usize::MAX, |l| l.unresolved);
         if row.known_ms == 0 && left * 100 <= machines {
             row.known_ms = passed;
             row.leader_ms = simulation.nodes[next].busy.as_millis();
@@ -175,7 +176,7 @@
             simulation.ask(next, crate::core::Ask::Submit(Box::new(spec.clone())));
         }
         simulation.run(0.2);
-        let lead = simulation.nodes[next].core.lead.as_ref();
+        let lead = simulation.nodes[next].core.leader.as_ref();
         let rebuild = lead.and_then(|l| l.rebuild.as_ref());
         if complete == 0
             && rebuild.is_some_and(|r| r.complete_at.is_some() || r.started_at.is_some())
@@ -186,7 +187,13 @@
         if first == 0 && !simulation.places("wk-900000").is_empty() {
             first = passed(&simulation);
         }
-        if written == 0 && simulation.nodes[next].core.mirror.owed.is_empty() {
+        if written == 0
+            && simulation.nodes[next]
+                .core
+                .store_cache
+                .missing_from_store
+                .is_empty()
+        {
             written = passed(&simulation);
         }
     }
--- a/src/core/simulation/scenarios/cancellation.rs
+++ b/src/core/simulation/scenarios/cancellation.rs
@@ -315,7 +315,7 @@
                 "{live} keys of what is not over, after {n} jobs"
             );
             let core = &simulation.nodes[leader].core;
-            let lead = core.lead.as_ref().expect("it leads on");
+            let lead = core.leader.as_ref().expect("it leads on");
             assert!(
                 lead.job_runs.len() < 80,
                 "{} live jobs",
@@ -327,9 +327,9 @@
                 lead.writes.ends.len()
             );
             assert!(core.pending.len() < 80, "{} calls wait", core.pending.len());
-            let known = core.mirror.versions.known();
+            let known = core.store_cache.versions.known();
             assert!(known < 200, "{known} versions are kept, after {n} jobs");
-            assert!(core.mirror.litter.len() < 40);
+            assert!(core.store_cache.garbage_keys.len() < 40);
         }
     }
     assert!(
--- a/src/core/simulation/scenarios/cancellation_at_handover.rs
+++ b/src/core/simulation/scenarios/cancellation_at_handover.rs
@@ -333,11 +333,11 @@
     );
     assert_eq!(simulation.places("wk-000002").len(), 1);
     // They are heard, and what they show is of no job that is known; they hear nothing.
-    let token = simulation.nodes[next].core.lead.as_ref().unwrap().term << 20;
+    let token = simulation.nodes[next].core.leader.as_ref().unwrap().term << 20;
     for (id, _) in simulation.places("wk-000001") {
         let body = DirectCommands {
             fencing_token: token,
-            incarnation: simulation.workers[&id].session,
+            incarnation: simulation.workers[&id].incarnation,
             commands: Vec::new(),
         };
         simulation.direct(&id, &body);
--- a/src/core/simulation/scenarios/delegation.rs
+++ b/src/core/simulation/scenarios/delegation.rs
@@ -39,7 +39,7 @@
 
 /// Reports that other controllers answered alone, by the leader's count.
 fn answered(simulation: &Simulation, leader: usize) -> u64 {
-    (simulation.nodes[leader].core.lead.as_ref()).map_or(0, |l| l.delegates.delegated_answers)
+    (simulation.nodes[leader].core.leader.as_ref()).map_or(0, |l| l.delegates.delegated_answers)
 }
 
 #[test]
@@ -120,7 +120,7 @@
     simulation.kill(leader, Duration::from_secs(30));
     let next = simulation.run_until_other_leader(leader, 5.0);
     simulation.until(1.0, "all machines known", |simulation| {
-        (simulation.nodes[next].core.lead.as_ref()).is_some_and(|l| l.unresolved == 0)
+        (simulation.nodes[next].core.leader.as_ref()).is_some_and(|l| l.unresolved == 0)
     });
     simulation.run(5.0);
     for (n, before) in others {
@@ -157,7 +157,7 @@
     simulation.until(8.0, "a leader", |simulation| simulation.leader().is_some());
     let leader = simulation.leader().unwrap();
     simulation.until(3.0, "all machines known", |simulation| {
-        (simulation.nodes[leader].core.lead.as_ref()).is_some_and(|l| l.unresolved == 0)
+        (simulation.nodes[leader].core.leader.as_ref()).is_some_and(|l| l.unresolved == 0)
     });
     for n in 0..3 {
         assert!(
@@ -296,7 +296,7 @@
     let (mut simulation, leader) = delegating_cluster(505, 12);
     simulation.run(6.0);
     let lent = |simulation: &Simulation| {
-        let lead = simulation.nodes[leader].core.lead.as_ref().unwrap();
+        let lead = simulation.nodes[leader].core.leader.as_ref().unwrap();
         lead.machines
             .values()
             .filter(|m| m.delegated_to.is_some())
--- a/src/core/simulation/scenarios/dependencies.rs
+++ b/src/core/simulation/scenarios/dependencies.rs
@@ -309,8 +309,8 @@
     simulation.submit(leader, &sample("wk-8", 16, 1.0, 30));
     let urgency = |simulation: &Simulation, id: &str| {
         let core = &simulation.nodes[leader].core;
-        let (id, lead) = (id.into(), core.lead.as_ref().unwrap());
-        lead.urgency_of(&id, &core.mirror.jobs[&id])
+        let (id, lead) = (id.into(), core.leader.as_ref().unwrap());
+        lead.urgency_of(&id, &core.store_cache.jobs[&id])
     };
     assert_eq!(urgency(&simulation, "wk-1").priority, Priority::Normal);
     assert_eq!(urgency(&simulation, "wk-1").due, None);
--- a/src/core/simulation/scenarios/loss_of_store.rs
+++ b/src/core/simulation/scenarios/loss_of_store.rs
@@ -97,7 +97,13 @@
     let (mut simulation, leader) = six_machines(901);
     simulation.kill(leader, Duration::from_secs(1));
     simulation.run(10.0);
-    let newest = simulation.workers.values().map(|m| m.token).max().unwrap() >> 20;
+    let newest = simulation
+        .workers
+        .values()
+        .map(|m| m.fencing_token)
+        .max()
+        .unwrap()
+        >> 20;
     simulation.lose_state();
     simulation.until(20.0, "a leader again", |simulation| {
         simulation.leader().is_some() && !simulation.stored("burlusher/term").is_empty()
@@ -479,7 +485,7 @@
     assert_eq!(simulation.stored("burlusher/i/"), name);
     assert!(simulation.stored("burlusher/rebuilding").is_empty());
     let losses: u64 = (0..3)
-        .map(|n| simulation.nodes[n].core.custody.losses)
+        .map(|n| simulation.nodes[n].core.store_integrity.losses)
         .sum();
     assert_eq!(losses, 0);
 }
@@ -602,14 +608,18 @@
     };
     simulation.until_done("wk-1", 10.0);
     let core = &mut simulation.nodes[leader].core;
-    core.out.clear();
+    core.effects.clear();
     core.jobs_audited(String::new(), None, page(1));
     let suspicion = core.pending.values().find_map(|p| match p {
         Pending::Audit { suspicion, .. } => suspicion.clone(),
         _ => None,
     });
     assert!(suspicion.is_some(), "it is read once more");
-    let afresh = |core: &Core| core.out.iter().any(|e| matches!(e, Effect::RereadStore));
+    let afresh = |core: &Core| {
+        core.effects
+            .iter()
+            .any(|e| matches!(e, Effect::RereadStore))
+    };
     assert!(!afresh(core));
     // The same once more, though it was asked for after that: lost.
     core.jobs_audited(String::new(), suspicion, page(1));
--- a/src/core/simulation/scenarios/old_reports.rs
+++ b/src/core/simulation/scenarios/old_reports.rs
@@ -164,12 +164,12 @@
     // It comes before the one that has the task now reports.
     simulation.deliver(next, copy.clone());
     simulation.run(0.2);
-    let lead = simulation.nodes[next].core.lead.as_ref().unwrap();
+    let lead = simulation.nodes[next].core.leader.as_ref().unwrap();
     assert!(lead.machines.get(&id).is_none());
     simulation.run(5.0);
     simulation.deliver(next, copy);
     simulation.run(5.0);
-    let lead = simulation.nodes[next].core.lead.as_ref().unwrap();
+    let lead = simulation.nodes[next].core.leader.as_ref().unwrap();
     assert!(lead.machines.get(&id).is_none());
     assert_eq!(simulation.counters.starts, 2);
     simulation.until_done("wk-000001", 70.0);
@@ -265,7 +265,7 @@
         simulation.deliver(node, report);
         simulation.run(0.5);
     }
-    let lead = simulation.nodes[leader].core.lead.as_ref().unwrap();
+    let lead = simulation.nodes[leader].core.leader.as_ref().unwrap();
     assert_eq!(lead.machines.get(&id).unwrap().incarnation, 1);
     assert!(
         simulation
@@ -331,7 +331,7 @@
     let next = simulation.leader().unwrap();
     simulation.run(7.0);
     // Shortly before the lease has run out that its last answer may have given it, it begins anew.
-    let lead = simulation.nodes[next].core.lead.as_ref().unwrap();
+    let lead = simulation.nodes[next].core.leader.as_ref().unwrap();
     let answered = lead.machines.get(&id).unwrap().lease_renewed;
     simulation.until(15.0, "its lease", |simulation| {
         simulation.now > answered + Duration::from_secs(11)
@@ -340,7 +340,7 @@
     let m = simulation.workers.get_mut(&id).unwrap();
     // It hears again, and is asked; its own reports do not come through for a while.
     (m.inbound_partitioned, m.next_report) = (false, simulation.now + Duration::from_secs(5));
-    let lead = simulation.nodes[next].core.lead.as_mut().unwrap();
+    let lead = simulation.nodes[next].core.leader.as_mut().unwrap();
     assert!(lead.machines.get(&id).unwrap().unresolved, "too late");
     lead.to_probe.push(id.clone());
     simulation.run(0.1);
@@ -371,7 +371,7 @@
     let there = held.tasks.len();
     simulation.run(12.5);
     let placed = |simulation: &Simulation| {
-        let lead = simulation.nodes[leader].core.lead.as_ref().unwrap();
+        let lead = simulation.nodes[leader].core.leader.as_ref().unwrap();
         lead.machines.get(&id).map_or(0, |m| m.tasks.len())
     };
     assert!(there > 0 && placed(&simulation) == 0);
--- a/src/core/simulation/scenarios/partitions.rs
+++ b/src/core/simulation/scenarios/partitions.rs
@@ -27,7 +27,7 @@
     simulation.run(9.0);
     assert_eq!(simulation.counters.starts, before);
     simulation.run(4.0);
-    let lead = simulation.nodes[leader].core.lead.as_ref().unwrap();
+    let lead = simulation.nodes[leader].core.leader.as_ref().unwrap();
     let unheard = |id: &MachineId| lead.machines.get(id).unwrap().unconfirmed_token.is_some();
     assert!(
         machines_in_zone(&simulation, "b").iter().all(unheard),
--- a/src/core/simulation/scenarios/scheduling.rs
+++ b/src/core/simulation/scenarios/scheduling.rs
@@ -97,7 +97,7 @@
 fn step_cost_with_thousand_machines_follows_changes() {
     let (mut simulation, leader) = thousand_machines(25, "large");
     let looked = |simulation: &Simulation| {
-        let lead = simulation.nodes[leader].core.lead.as_ref().unwrap();
+        let lead = simulation.nodes[leader].core.leader.as_ref().unwrap();
         lead.board.looked.get()
     };
     let long_job = |id: &str, tasks, seconds| {
@@ -141,7 +141,7 @@
 #[test]
 fn thousand_machines_recorded_in_few_changes() {
     let (mut simulation, leader) = thousand_machines(26, "small");
-    let lead = simulation.nodes[leader].core.lead.as_ref().unwrap();
+    let lead = simulation.nodes[leader].core.leader.as_ref().unwrap();
     assert!(lead.machines.values().all(|m| m.recorded));
     assert!(
         simulation.changes() < 100,
@@ -154,10 +154,10 @@
         simulation.leader().is_some()
     });
     let leader = simulation.leader().unwrap();
-    let lead = simulation.nodes[leader].core.lead.as_ref().unwrap();
+    let lead = simulation.nodes[leader].core.leader.as_ref().unwrap();
     assert_eq!(lead.machines.values().count(), 1000);
     simulation.until(5.0, "all machines known", |simulation| {
-        let lead = simulation.nodes[leader].core.lead.as_ref();
+        let lead = simulation.nodes[leader].core.leader.as_ref();
         lead.is_some_and(|l| l.unresolved == 0)
     });
 }
@@ -271,7 +271,7 @@
         "there is no room in its zone"
     );
     // An old copy was heard first: the row is on record there, and where it really is as well.
-    let lead = simulation.nodes[leader].core.lead.as_mut().unwrap();
+    let lead = simulation.nodes[leader].core.leader.as_mut().unwrap();
     let run = lead.job_runs.get_mut("wk-000001").unwrap();
     let row = *run.placed.keys().next().unwrap();
     run.placed.insert(row, other);
--- a/src/core/simulation/scenarios/size.rs
+++ b/src/core/simulation/scenarios/size.rs
@@ -33,7 +33,7 @@
 
 fn large(settings: Settings) -> Arc<Settings> {
     Arc::new(Settings {
-        sockets: SOCKETS,
+        max_sockets: SOCKETS,
         memory_mb: MEMORY_MB,
         ..settings
     })
@@ -98,7 +98,7 @@
     assert_eq!(core.relay.waiting(), MACHINES);
     // Beyond what the settings allow, they are told to come back, at once.
     let few = Settings {
-        sockets: 2000,
+        max_sockets: 2000,
         ..settings("n0", SETUP)
     };
     let (mut core, now) = without_leader(Arc::new(few));
@@ -147,7 +147,7 @@
     let left = |simulation: &Simulation| {
         simulation.nodes[leader]
             .core
-            .lead
+            .leader
             .as_ref()
             .unwrap()
             .unresolved
@@ -156,7 +156,7 @@
     while left(&simulation) > 0 {
         let out = simulation.nodes[leader]
             .core
-            .lead
+            .leader
             .as_ref()
             .unwrap()
             .direct_calls_in_flight;
@@ -207,7 +207,7 @@
     let leader = simulation.leader().unwrap();
     assert_eq!(leader == 0, leads);
     simulation.until(2.0, "all machines are known", |simulation| {
-        let lead = simulation.nodes[leader].core.lead.as_ref();
+        let lead = simulation.nodes[leader].core.leader.as_ref();
         lead.is_some_and(|l| l.unresolved == 0)
     });
     let elsewhere = simulation.workers.values().filter(|m| m.node != 0).count();
@@ -228,18 +228,18 @@
 /// The leader's answer to a frame: nothing to do for anybody.
 fn answer(sync: &link::HeartbeatBatch) -> HeartbeatBatchResponse {
     let told = |r: &RelayedHeartbeat| RelayedResponse {
-        name: r.name,
-        kind: RelayedOutcome::Orders {
-            token: 1 << 20,
-            orders: Vec::new(),
-            calm: true,
+        id: r.id,
+        outcome: RelayedOutcome::Commands {
+            fencing_token: 1 << 20,
+            commands: Vec::new(),
+            steady: true,
         },
     };
     HeartbeatBatchResponse {
         number: sync.number,
         term: 1,
         grant: Duration::from_secs(2),
-        answers: sync.reports.iter().map(told).collect(),
+        responses: sync.heartbeats.iter().map(told).collect(),
         ..HeartbeatBatchResponse::default()
     }
 }
@@ -309,12 +309,12 @@
         end: JobOutcome::Cancelled,
         left: Some(ResidualTasks {
             team: "u".into(),
-            needs: Resources {
+            resources: Resources {
                 cpus: 0.001,
                 ..Resources::default()
             },
             tasks: 1,
-            at_ms: at.as_millis() as u64 + 1,
+            cancelled_ms: at.as_millis() as u64 + 1,
         }),
     };
     let later = serde_json::to_value(later).unwrap();
--- a/src/core/simulation/users.rs
+++ b/src/core/simulation/users.rs
@@ -15,7 +15,7 @@
         if self.nodes[node].up {
             self.nodes[node].inbox.push(Command::User(UserRequest {
                 ticket,
-                what,
+                action: what,
                 forwarded: false,
                 tried: Vec::new(),
                 received,
--- a/src/core/simulation/worker.rs
+++ b/src/core/simulation/worker.rs
@@ -48,9 +48,9 @@
     pub zone: String,
     pub spot: bool,
     pub up_at: Instant,
-    pub session: u64,
-    pub seq: u64,
-    pub token: u64,
+    pub incarnation: u64,
+    pub sequence: u64,
+    pub fencing_token: u64,
     pub tasks: BTreeMap<TaskId, WorkerTask>,
     pub lease_from: Instant,
     pub next_report: Instant,
@@ -79,16 +79,16 @@
 impl Worker {
     /// Its next report.
     fn report(&mut self, id: &MachineId) -> Heartbeat {
-        self.seq += 1;
+        self.sequence += 1;
         Heartbeat {
             machine: id.clone(),
             addr: "127.0.0.1:9000".into(),
             machine_type: self.kind.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
-            incarnation: self.session,
-            sequence: self.seq,
-            fencing_token: self.token,
+            incarnation: self.incarnation,
+            sequence: self.sequence,
+            fencing_token: self.fencing_token,
             reclaim_in_s: None,
             tasks: self
                 .tasks
@@ -109,8 +109,8 @@
     fn expire_lease(&mut self, now: Instant) {
         if now > self.lease_from + LEASE {
             self.tasks.clear();
-            self.session += 1;
-            self.seq = 0;
+            self.incarnation += 1;
+            self.sequence = 0;
             self.lease_from = now;
             self.waiting = None;
         }
@@ -294,9 +294,10 @@
         let orders: Option<HeartbeatResponse> = serde_json::from_slice(&answer.body).ok();
         match (answer.status, orders) {
             (200, Some(a))
-                if a.fencing_token >= worker.token && exchange.session == worker.session =>
+                if a.fencing_token >= worker.fencing_token
+                    && exchange.session == worker.incarnation =>
             {
-                worker.token = a.fencing_token;
+                worker.fencing_token = a.fencing_token;
                 worker.lease_from = exchange.sent;
                 self.execute(id, &a.commands);
             }
@@ -323,7 +324,7 @@
             return worker.turn_to_next(self.setup.nodes);
         }
         let report = Box::new(worker.report(id));
-        let session = worker.session;
+        let session = worker.incarnation;
         if !self.faults.duplicate_delay.is_zero() {
             let at = now + self.duplicate_after();
             let to = self.rng.random_range(0..self.setup.nodes);
@@ -358,9 +359,10 @@
     /// Executes direct commands as a worker does.
     pub fn direct(&mut self, id: &MachineId, body: &DirectCommands) -> Option<DirectOutcome> {
         let worker = self.workers.get_mut(id)?;
-        let fits = body.fencing_token >= worker.token && body.incarnation == worker.session;
+        let fits =
+            body.fencing_token >= worker.fencing_token && body.incarnation == worker.incarnation;
         if fits {
-            worker.token = body.fencing_token;
+            worker.fencing_token = body.fencing_token;
             self.execute(id, &body.commands);
         }
         let worker = self.workers.get_mut(id)?;
@@ -385,7 +387,7 @@
             DirectRequest::Commands(body) => body,
             DirectRequest::Status { token } => DirectCommands {
                 fencing_token: token,
-                incarnation: worker.session,
+                incarnation: worker.incarnation,
                 commands: Vec::new(),
             },
         };
@@ -426,9 +428,9 @@
                 // What was under way to it ends with its connections.
                 self.network.held_commands.retain(|(to, _)| to != id);
                 self.network.delayed_commands.retain(|(_, to, _)| to != id);
-                (worker.session, worker.seq, worker.token) = (1, 0, 0);
+                (worker.incarnation, worker.sequence, worker.fencing_token) = (1, 0, 0);
             } else {
-                worker.session += 1;
+                worker.incarnation += 1;
             }
         }
     }
--- a/src/core/status.rs
+++ b/src/core/status.rs
@@ -19,7 +19,7 @@
                 "node": self.settings.name,
                 "leads": false,
                 "leader": self.leader_name(),
-                "state_service_heard_s": self.since(self.state_ok),
+                "state_service_heard_s": self.since(self.store_reachable_at),
                 "members": self.members_status(),
             })
         };
@@ -37,7 +37,7 @@
     }
 
     fn leader_view(&self) -> Value {
-        let Some(lead) = &self.lead else {
+        let Some(lead) = &self.leader else {
             return json!({});
         };
         let machines: Vec<Value> = lead
@@ -71,7 +71,7 @@
             "reports_by_others": {"taken_in": lead.delegates.relayed_heartbeats, "answered": lead.delegates.delegated_answers},
             "machines": machines,
             "jobs_live": lead.job_runs.len(),
-            "jobs_finished": self.mirror.finished.len(),
+            "jobs_finished": self.store_cache.finished.len(),
             "jobs": jobs,
         })
     }
@@ -118,7 +118,7 @@
     }
 
     fn job_view(&self, id: &JobId) -> Value {
-        let (Some(lead), Some(job)) = (&self.lead, self.mirror.jobs.get(id)) else {
+        let (Some(lead), Some(job)) = (&self.leader, self.store_cache.jobs.get(id)) else {
             return json!({});
         };
         let Some(run) = lead.job_runs.get(id) else {
@@ -143,13 +143,13 @@
 
     /// The jobs that one awaits and that are not done.
     fn awaited<'a>(&self, spec: &'a JobSpec) -> Vec<&'a JobId> {
-        let done = |a: &&JobId| self.mirror.finished.get(*a) != Some(&JobOutcome::Done);
+        let done = |a: &&JobId| self.store_cache.finished.get(*a) != Some(&JobOutcome::Done);
         spec.dependencies.iter().filter(done).collect()
     }
 
     /// One sentence on why a job's waiting tasks wait.
     fn why_waiting(&self, id: &JobId) -> String {
-        let (Some(lead), Some(job)) = (&self.lead, self.mirror.jobs.get(id)) else {
+        let (Some(lead), Some(job)) = (&self.leader, self.store_cache.jobs.get(id)) else {
             return String::new();
         };
         let Some(run) = lead.job_runs.get(id) else {
@@ -158,7 +158,7 @@
         if run.ending.is_some() {
             return "its end is being written".into();
         }
-        if let Some(root) = self.mirror.pipelines.cancelled_dependency(id) {
+        if let Some(root) = self.store_cache.dependencies.cancelled_dependency(id) {
             return format!("it is cancelled with {root}, which it needs");
         }
         if let Some((first, others)) = self.awaited(&job.spec).split_first() {
--- a/src/core/submissions.rs
+++ b/src/core/submissions.rs
@@ -42,7 +42,7 @@
         None => JobValue::live(Box::new(spec.clone()), submitted_ms),
         Some(w) => JobValue::Parted {
             parts: w.parts.len() as u32,
-            stem: w.stem,
+            stem: w.generation,
             submitted_ms,
         },
     };
@@ -57,7 +57,7 @@
     if let Some(w) = parts {
         let parts = w.versions.iter().enumerate();
         conditions.extend(parts.map(|(n, version)| Condition {
-            key: part_key(&spec.id, w.stem, n as u32),
+            key: part_key(&spec.id, w.generation, n as u32),
             version: *version,
         }));
     }
@@ -78,11 +78,11 @@
         let Some(team) = self.settings.team(&spec.team) else {
             return never("unknown team");
         };
-        if self.types.is_empty() {
+        if self.machine_types.is_empty() {
             return Err(Answer::busy("machine types are not known yet", 2));
         }
         // A type that names no zones is to be had in those of the settings.
-        let fits = self.types.iter().any(|t| {
+        let fits = self.machine_types.iter().any(|t| {
             let zones = if t.zones.is_empty() {
                 &self.settings.zones
             } else {
@@ -109,7 +109,7 @@
     /// 422 for what it awaits wrongly.
     fn validate_dependencies(&self, spec: &JobSpec) -> Result<(), Answer> {
         let service = |a: &JobId| {
-            let job = self.mirror.jobs.get(a);
+            let job = self.store_cache.jobs.get(a);
             job.is_some_and(|j| j.spec.job_kind == JobKind::Service)
         };
         let never = |text: String| Err(Answer::error(422, &text));
@@ -124,7 +124,9 @@
 
     /// A job that is awaited and, as far as this node knows, was never accepted.
     fn unknown_dependency<'a>(&self, spec: &'a JobSpec) -> Option<&'a JobId> {
-        spec.dependencies.iter().find(|a| !self.mirror.knows(a))
+        spec.dependencies
+            .iter()
+            .find(|a| !self.store_cache.knows(a))
     }
 
     /// Why a submission was refused for good.
@@ -180,38 +182,38 @@
         }
         // A job more than the memory is for would end the process, and every other job with it.
         let live: u64 = self
-            .mirror
+            .store_cache
             .jobs
             .values()
             .map(|j| u64::from(j.spec.tasks))
             .sum();
         let most = max_unfinished_tasks(&self.settings);
-        if !self.mirror.jobs.is_empty() && live + u64::from(spec.tasks) > most {
+        if !self.store_cache.jobs.is_empty() && live + u64::from(spec.tasks) > most {
             return self.answer(ticket, Answer::busy("too many unfinished tasks", 30));
         }
         // Names of types that the cloud does not have allow nothing; they are not kept.
         if let Some(names) = &mut spec.machine_types {
-            names.retain(|n| self.types.iter().any(|t| t.name == *n));
+            names.retain(|n| self.machine_types.iter().any(|t| t.name == *n));
         }
         // Somewhat less than a value may have: the service may write numbers at greater length.
-        let most = self.settings.value_bytes / 16 * 15;
+        let most = self.settings.max_value_bytes / 16 * 15;
         let whole = JobValue::live(spec.clone(), u64::MAX);
         if to_json(&whole).len() <= most {
             return self.create(ticket, spec, received, 0, None);
         }
         let id = spec.id.to_string();
-        if self.mirror.knows(&id) {
+        if self.store_cache.knows(&id) {
             return self.read_job_key(id, ReadPurpose::Show(ticket));
         }
         let text = String::from_utf8(to_json(&spec)).unwrap_or_default();
         let parts = parts::cut(&text, most);
         // The job's key is written on a condition for each part.
-        if parts.len() > self.settings.txn_ops * 4 - 1 {
+        if parts.len() > self.settings.max_transaction_changes * 4 - 1 {
             let answer = Answer::error(422, "too large to be kept");
             return self.read_job_key(id, ReadPurpose::Reject(ticket, answer));
         }
         let parts = Box::new(PartWrite {
-            stem: self.next_part_generation(),
+            generation: self.next_part_generation(),
             parts,
             versions: Vec::new(),
         });
@@ -232,11 +234,11 @@
         parts: Box<PartWrite>,
     ) {
         let from = parts.versions.len();
-        let by_bytes = MAX_TRANSACTION_BYTES / self.settings.value_bytes.max(1);
-        let most = self.settings.txn_ops.min(by_bytes).max(1);
+        let by_bytes = MAX_TRANSACTION_BYTES / self.settings.max_value_bytes.max(1);
+        let most = self.settings.max_transaction_changes.min(by_bytes).max(1);
         let next = parts.parts.iter().enumerate().skip(from).take(most);
         let put = |(n, text): (usize, &String)| Change::Put {
-            key: part_key(&spec.id, parts.stem, n as u32),
+            key: part_key(&spec.id, parts.generation, n as u32),
             value: json(&PartValue { text: text.clone() }),
             lease: None,
         };
@@ -279,7 +281,7 @@
                 if self.now.mono.saturating_duration_since(since) < PARTS_RETRY_WINDOW =>
             {
                 tracing::info!(job = %spec.id, "job {}: no answer to its parts: {e}", spec.id);
-                parts.stem = self.next_part_generation();
+                parts.generation = self.next_part_generation();
                 parts.versions.clear();
                 self.write_parts(ticket, spec, since, parts);
             }
@@ -328,7 +330,7 @@
             let Some(Pending::Create { ticket, spec, .. }) = self.pending.get(&call) else {
                 continue;
             };
-            if !self.mirror.knows(&spec.id) {
+            if !self.store_cache.knows(&spec.id) {
                 let look_at = now + CREATION_CHECK_INTERVAL;
                 self.unanswered_creations.push_back((look_at, call));
                 continue;
@@ -366,15 +368,15 @@
                     // The copy reads it from its parts, which were written before.
                     Some(w) => JobValue::Parted {
                         parts: w.parts.len() as u32,
-                        stem: w.stem,
+                        stem: w.generation,
                         submitted_ms: ms,
                     },
                 };
-                self.mirror.put_job(&id, value, revision);
+                self.store_cache.put_job(&id, value, revision);
                 self.sync_job_runs();
                 // What names a cancelled job is accepted all the same.
                 let state = self
-                    .mirror
+                    .store_cache
                     .outcome_of(&id)
                     .map_or(JobState::Queued, final_state);
                 self.answer(ticket, Answer::new(201, state_body(&id, state, None, None)));
--- a/src/core/urgency.rs
+++ b/src/core/urgency.rs
@@ -25,7 +25,7 @@
 impl Core {
     /// How long a job takes from the end of the last one before it, when room is there at once.
     fn stage(&self, lead: &LeaderState, job: &JobRecord) -> Duration {
-        let rates = self.types.iter().map(|t| t.fetch_gb_per_s);
+        let rates = self.machine_types.iter().map(|t| t.fetch_gb_per_s);
         let slowest = rates.fold(f64::INFINITY, f64::min).max(0.01);
         let pace = lead
             .runtime_ratios
@@ -39,16 +39,21 @@
     pub(super) fn propagate_urgency(&mut self, from: &JobId) {
         let mut next = vec![from.clone()];
         while let Some(id) = next.pop() {
-            let (Some(lead), Some(job)) = (&self.lead, self.mirror.jobs.get(&id)) else {
+            let (Some(lead), Some(job)) = (&self.leader, self.store_cache.jobs.get(&id)) else {
                 continue;
             };
             let own = Urgency::own(job);
             let mut u = own;
-            for after in self.mirror.pipelines.dependents(&id) {
-                let Some(job) = self.mirror.jobs.get(after) else {
+            for after in self.store_cache.dependencies.dependents(&id) {
+                let Some(job) = self.store_cache.jobs.get(after) else {
                     continue;
                 };
-                if self.mirror.pipelines.cancelled_dependency(after).is_some() {
+                if self
+                    .store_cache
+                    .dependencies
+                    .cancelled_dependency(after)
+                    .is_some()
+                {
                     continue;
                 }
                 let theirs = lead.urgency_of(after, job);
@@ -66,7 +71,7 @@
                 continue;
             }
             next.extend(job.spec.dependencies.iter().cloned());
-            if let Some(lead) = &mut self.lead {
+            if let Some(lead) = &mut self.leader {
                 if u == own {
                     lead.inherited_urgency.remove(&id);
                 } else {
--- a/src/core/versions.rs
+++ b/src/core/versions.rs
@@ -8,56 +8,57 @@
 #[derive(Default)]
 pub struct KeyVersions {
     /// What the state service has told, by key.
-    told: BTreeMap<String, u64>,
+    observed: BTreeMap<String, u64>,
     /// What this process wrote and the watch has yet to tell: since which revision, and whether the key
     /// is there since.
-    ahead: BTreeMap<String, (u64, bool)>,
+    unconfirmed: BTreeMap<String, (u64, bool)>,
 }
 
 impl KeyVersions {
     /// 0: the key is not there.
     pub fn of(&self, key: &str) -> u64 {
-        match self.ahead.get(key) {
+        match self.unconfirmed.get(key) {
             Some((revision, there)) => revision * u64::from(*there),
-            None => self.told.get(key).copied().unwrap_or(0),
+            None => self.observed.get(key).copied().unwrap_or(0),
         }
     }
 
     pub fn put(&mut self, key: &str, version: u64) {
-        match self.told.get_mut(key) {
+        match self.observed.get_mut(key) {
             Some(known) => *known = version.max(*known),
             None => {
-                self.told.insert(key.into(), version);
+                self.observed.insert(key.into(), version);
             }
         }
     }
 
     /// Deleted, or never to be written again.
     pub fn forget(&mut self, key: &str) {
-        self.told.remove(key);
+        self.observed.remove(key);
     }
 
     /// This process wrote it, which its copy, of this revision, may not show yet.
     pub fn record_write(&mut self, changes: &[Change], revision: u64, copy: u64) {
         for change in changes.iter().filter(|_| revision > copy) {
             let there = matches!(change, Change::Put { .. });
-            self.ahead.insert(change.key().into(), (revision, there));
+            self.unconfirmed
+                .insert(change.key().into(), (revision, there));
         }
     }
 
     /// The copy has come as far as this revision.
     pub fn drop_confirmed(&mut self, revision: u64) {
-        self.ahead.retain(|_, (at, _)| *at > revision);
+        self.unconfirmed.retain(|_, (at, _)| *at > revision);
     }
 
     /// Keys of which versions are kept.
     #[cfg(test)]
     pub fn known(&self) -> usize {
-        self.told.len() + self.ahead.len()
+        self.observed.len() + self.unconfirmed.len()
     }
 
     /// Another list of all there is takes the place of what was told.
     pub fn clear_observed(&mut self) {
-        self.told.clear();
+        self.observed.clear();
     }
 }
--- a/src/core/writes.rs
+++ b/src/core/writes.rs
@@ -84,7 +84,7 @@
     /// meanwhile goes together in the one after it.
     pub(super) fn send_writes(&mut self) {
         let now = self.now.mono;
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader else { return };
         if let Some(sent) = &mut lead.writes.in_flight {
             if let Some(refused) = &mut sent.refused {
                 if now >= refused.since + CONFLICT_SETTLE_TIMEOUT {
@@ -100,12 +100,17 @@
             // the second of the two finds other versions, and changes nothing.
             let txn = sent.txn.clone();
             let call = self.ask_state(Pending::Write, StoreRequest::CompareAndSwap(txn));
-            if let Some(sent) = self.lead.as_mut().and_then(|l| l.writes.in_flight.as_mut()) {
+            if let Some(sent) = self
+                .leader
+                .as_mut()
+                .and_then(|l| l.writes.in_flight.as_mut())
+            {
                 sent.call = Some(call);
             }
             return;
         }
-        if self.mirror.revision < lead.writes.minimum_revision || self.write_budget.left(now) < 1.0
+        if self.store_cache.revision < lead.writes.minimum_revision
+            || self.write_budget.left(now) < 1.0
         {
             return;
         }
@@ -113,7 +118,7 @@
             return;
         };
         let call = self.ask_state(Pending::Write, StoreRequest::CompareAndSwap(txn.clone()));
-        if let Some(lead) = &mut self.lead {
+        if let Some(lead) = &mut self.leader {
             lead.writes.in_flight = Some(InFlightWrite::new(txn, ops, call, now));
         }
     }
@@ -121,14 +126,14 @@
     /// Parts that no job has referred to for long are of a submission that came to nothing.
     fn collect_garbage_keys(&mut self) {
         let now = self.now.mono;
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader else { return };
         let mut since = std::mem::take(&mut lead.unclaimed_parts);
-        for (id, stem) in self.mirror.parts.unclaimed() {
+        for (id, stem) in self.store_cache.parts.unclaimed() {
             let name = (id.clone(), *stem);
             let first = since.remove(&name).unwrap_or(now);
             if now >= first + UNCLAIMED_PARTS_TTL {
-                let keys = self.mirror.parts.keys(id, *stem);
-                self.mirror.litter.extend(keys);
+                let keys = self.store_cache.parts.keys(id, *stem);
+                self.store_cache.garbage_keys.extend(keys);
             }
             lead.unclaimed_parts.insert(name, first);
         }
@@ -138,12 +143,17 @@
         self.collect_garbage_keys();
         let now = self.now.mono;
         let piece = self.range_size();
-        let most = self.settings.txn_ops.saturating_sub(1).max(1);
+        let most = self
+            .settings
+            .max_transaction_changes
+            .saturating_sub(1)
+            .max(1);
         let most = most.min(self.write_budget.left(now) as usize);
         // Told of a cancellation, a user counts on its tasks being gone in `cancel_s`. Where that is less than
         // what a lease takes to run out, they have to be gone before.
-        let in_time = cancellation_bound(self.settings.lease) <= self.settings.cancel;
-        let lead = self.lead.as_mut()?;
+        let in_time =
+            cancellation_bound(self.settings.worker_lease) <= self.settings.cancellation_deadline;
+        let lead = self.leader.as_mut()?;
         let left_over: BTreeSet<JobId> = if in_time || !stands(Safeguard::InTime) {
             BTreeSet::new()
         } else {
@@ -152,7 +162,7 @@
                 .ends
                 .iter()
                 .filter(|(_, end)| **end == JobOutcome::Cancelled);
-            let jobs = &self.mirror.jobs;
+            let jobs = &self.store_cache.jobs;
             let left = cancelled.filter(|(id, _)| {
                 let placed = lead.job_runs.get(*id).is_some_and(|r| !r.placed.is_empty());
                 placed
@@ -166,7 +176,7 @@
         w.quarantined_keys.retain(|_, until| now < *until);
         let mut batch = Batch {
             most: most.min(w.max_changes.unwrap_or(most)),
-            value_bytes: self.settings.value_bytes,
+            value_bytes: self.settings.max_value_bytes,
             ..Batch::default()
         };
         let put = |key, value| Change::Put {
@@ -181,7 +191,7 @@
             }
             let cancelled = *end == JobOutcome::Cancelled;
             let left = self
-                .mirror
+                .store_cache
                 .residual_of(id, self.now.wall)
                 .filter(|_| cancelled);
             let (end, told) = (*end, left.clone());
@@ -191,16 +201,17 @@
             batch.ops.push(WriteOp::End(id.clone(), end, told));
         }
         batch.pages(&mut w.records, now, true);
-        let owed = std::mem::take(&mut self.mirror.owed);
+        let owed = std::mem::take(&mut self.store_cache.missing_from_store);
         self.add_missing_jobs(&mut batch, &owed);
-        self.mirror.owed = owed;
-        let lead = self.lead.as_mut()?;
+        self.store_cache.missing_from_store = owed;
+        let lead = self.leader.as_mut()?;
         let w = &mut lead.writes;
         let mut due: Vec<(Instant, &JobId)> = w.progress.iter().map(|(id, t)| (*t, id)).collect();
         due.retain(|(t, id)| now >= *t + PROGRESS_DELAY && !w.ends.contains_key(*id));
         due.sort();
         'jobs: for (_, id) in due {
-            let (Some(run), Some(job)) = (lead.job_runs.get(id), self.mirror.jobs.get(id)) else {
+            let (Some(run), Some(job)) = (lead.job_runs.get(id), self.store_cache.jobs.get(id))
+            else {
                 continue;
             };
             // From the last row down: a piece of an earlier version may reach further than ours
@@ -215,7 +226,7 @@
                     continue 'jobs;
                 }
                 let value = DoneValue {
-                    rows: job.done.ranges(base, piece),
+                    tasks: job.done.ranges(base, piece),
                 };
                 if !batch.add(vec![put(key, json(&value))]) {
                     break 'jobs;
@@ -241,8 +252,8 @@
         batch.pages(&mut w.records, now, false);
         // Every controller learns the types from the cloud as well; a list too long for a value
         // is not kept here.
-        let types = put(key(TYPES), json(&self.types));
-        let small = to_json(&self.types).len() <= batch.value_bytes;
+        let types = put(key(TYPES), json(&self.machine_types));
+        let small = to_json(&self.machine_types).len() <= batch.value_bytes;
         if w.machine_types
             && small
             && !w.quarantined_keys.contains_key(&key(TYPES))
@@ -257,9 +268,9 @@
             batch.ops.push(WriteOp::Rebuilt);
         }
         while batch.changes.len() < batch.most
-            && let Some(key) = self.mirror.litter.pop_first()
+            && let Some(key) = self.store_cache.garbage_keys.pop_first()
         {
-            if self.mirror.versions.of(&key) > 0 {
+            if self.store_cache.versions.of(&key) > 0 {
                 batch.add(vec![Change::Delete { key }]);
             }
         }
@@ -280,7 +291,7 @@
         // And one that is carried out after newer ones of this leader must not undo them.
         conditions.extend(changes.iter().map(|c| Condition {
             key: c.key().into(),
-            version: self.mirror.versions.of(c.key()),
+            version: self.store_cache.versions.of(c.key()),
         }));
         Some((
             CompareAndSwap {
@@ -293,9 +304,9 @@
 
     /// What the store has lost, ends of jobs first: these are final, and some user was told of them.
     fn add_missing_jobs(&self, batch: &mut Batch, owed: &BTreeSet<JobId>) {
-        let Some(lead) = &self.lead else { return };
+        let Some(lead) = &self.leader else { return };
         let w = &lead.writes;
-        let over = |id: &&JobId| self.mirror.finished.contains_key(*id);
+        let over = |id: &&JobId| self.store_cache.finished.contains_key(*id);
         let ended = owed.iter().filter(over);
         let live = owed.iter().filter(|id| !over(id));
         for id in ended.chain(live) {
@@ -315,13 +326,13 @@
 
     /// Rows per stored piece, so that even every other row of a piece fits into one value.
     fn range_size(&self) -> u32 {
-        let rows = (self.settings.value_bytes as u32 / 4).clamp(64, 2048);
+        let rows = (self.settings.max_value_bytes as u32 / 4).clamp(64, 2048);
         1 << rows.ilog2()
     }
 
     pub(super) fn write_outcome(&mut self, call: CallId, outcome: StoreOutcome) {
         let now = self.now.mono;
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader else { return };
         let ours = |s: &InFlightWrite| s.call == Some(call);
         if !lead.writes.in_flight.as_ref().is_some_and(ours) {
             return;
@@ -346,7 +357,11 @@
                     let failed = failed.join(", ");
                     return self.step_down(&format!("a write was refused: {failed} changed"));
                 }
-                if let Some(sent) = self.lead.as_mut().and_then(|l| l.writes.in_flight.as_mut()) {
+                if let Some(sent) = self
+                    .leader
+                    .as_mut()
+                    .and_then(|l| l.writes.in_flight.as_mut())
+                {
                     sent.refused = Some(RefusedWrite {
                         conflicting_keys: failed,
                         revision,
@@ -402,7 +417,10 @@
 
     /// Notes whether what the state service shows is the transaction that is on its way.
     pub(super) fn observe_commit(&mut self, committed: impl Fn(&CompareAndSwap) -> Option<u64>) {
-        if let Some(sent) = self.lead.as_mut().and_then(|l| l.writes.in_flight.as_mut())
+        if let Some(sent) = self
+            .leader
+            .as_mut()
+            .and_then(|l| l.writes.in_flight.as_mut())
             && sent.committed.is_none()
         {
             sent.committed = committed(&sent.txn);
@@ -413,8 +431,12 @@
     /// was committed where the copy shows exactly its changes, whether an answer has told so, was lost, or
     /// was a refusal of its second copy. Otherwise it was refused for a change of somebody else's.
     pub(super) fn resolve_write(&mut self) {
-        let revision = self.mirror.revision;
-        let Some(sent) = self.lead.as_ref().and_then(|l| l.writes.in_flight.as_ref()) else {
+        let revision = self.store_cache.revision;
+        let Some(sent) = self
+            .leader
+            .as_ref()
+            .and_then(|l| l.writes.in_flight.as_ref())
+        else {
             return;
         };
         if let Some(at) = sent.committed.filter(|_| stands(Safeguard::OwnWrite)) {
@@ -439,12 +461,12 @@
 
     /// The transaction on its way is in the store since this revision.
     fn write_committed(&mut self, revision: u64) {
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader else { return };
         lead.writes.conflicts = 0;
         let Some(sent) = lead.writes.in_flight.take() else {
             return;
         };
-        self.mirror.record_write(&sent.txn.changes, revision);
+        self.store_cache.record_write(&sent.txn.changes, revision);
         for op in sent.ops {
             self.apply_committed(op, revision);
         }
@@ -454,7 +476,9 @@
     /// to be said is worked out anew when this copy shows what the service had then. Says how often in a
     /// row.
     fn rebuild_write(&mut self, revision: u64) -> u32 {
-        let Some(lead) = &mut self.lead else { return 0 };
+        let Some(lead) = &mut self.leader else {
+            return 0;
+        };
         let w = &mut lead.writes;
         let Some(InFlightWrite { txn, ops, .. }) = w.in_flight.take() else {
             return 0;
@@ -472,7 +496,7 @@
 
     /// Deletions that were not carried out, other than of whole pages.
     fn requeue_deletions(&mut self, txn: &CompareAndSwap) {
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader else { return };
         for change in &txn.changes {
             let Change::Delete { key: name } = change else {
                 continue;
@@ -480,18 +504,18 @@
             if let Some(id) = name.strip_prefix(&machine_key("")) {
                 lead.writes.records.delete_single_key(id.into());
             } else if name.starts_with(&key("d/")) || name.starts_with(&key("s/")) {
-                self.mirror.litter.insert(name.clone());
+                self.store_cache.garbage_keys.insert(name.clone());
             }
         }
     }
 
     fn apply_committed(&mut self, op: WriteOp, revision: u64) {
-        let Some(lead) = &mut self.lead else { return };
+        let Some(lead) = &mut self.leader else { return };
         match op {
             WriteOp::End(id, end, left) => {
                 lead.writes.ends.remove(&id);
                 lead.writes.followers.remove(&id);
-                self.mirror.end_written(&id, end, left, revision);
+                self.store_cache.end_written(&id, end, left, revision);
                 self.sync_job_runs();
             }
             WriteOp::Progress(id, rows) => {
@@ -521,7 +545,7 @@
             WriteOp::Types => lead.writes.machine_types = false,
             WriteOp::Owed(id) => {
                 lead.writes.missing_parts_written.remove(&id);
-                self.mirror.owed.remove(&id);
+                self.store_cache.missing_from_store.remove(&id);
             }
             WriteOp::OwedParts(id, upto) => {
                 lead.writes.missing_parts_written.insert(id, upto);
--- a/src/link.rs
+++ b/src/link.rs
@@ -33,29 +33,29 @@
     /// Rises with each frame of a process.
     pub number: u64,
     /// The newest answer that it has taken in: what that took back is taken back.
-    pub answered: u64,
-    pub abilities: u32,
+    pub acknowledged: u64,
+    pub capabilities: u32,
     /// Workers that it serves.
     pub load: u32,
     /// Workers that it has yet to show the token to.
-    pub to_show: u32,
+    pub pending_probes: u32,
     /// The term in which it last had a grant.
     pub term: u64,
     /// Machines that it serves and will show the token to; told when a term begins.
-    pub mine: Vec<MachineId>,
+    pub served: Vec<MachineId>,
     /// Machines that gave no answer when they were shown the token.
-    pub failed: Vec<MachineId>,
+    pub unanswered_probes: Vec<MachineId>,
     /// Machines whose reports it answered itself.
-    pub heard: Vec<AnsweredHeartbeat>,
+    pub answered: Vec<AnsweredHeartbeat>,
     /// Reports for the leader to take in.
-    pub reports: Vec<RelayedHeartbeat>,
+    pub heartbeats: Vec<RelayedHeartbeat>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct AnsweredHeartbeat {
     pub machine: MachineId,
-    pub session: u64,
-    pub seq: u64,
+    pub incarnation: u64,
+    pub sequence: u64,
     /// How long ago the report came.
     pub age: Duration,
 }
@@ -63,8 +63,8 @@
 #[derive(Clone, Debug)]
 pub struct RelayedHeartbeat {
     /// Names the report in the answer; 0: the answer to a direct command, which wants none.
-    pub name: u64,
-    pub report: Box<Heartbeat>,
+    pub id: u64,
+    pub heartbeat: Box<Heartbeat>,
 }
 
 /// The leader's answer.
@@ -78,12 +78,12 @@
     /// The leader does not take part at all: this controller leads its workers to it.
     pub refused: bool,
     /// Reports of these machines are not to be answered from memory any more.
-    pub recalled: Vec<MachineId>,
-    pub answers: Vec<RelayedResponse>,
+    pub revoked: Vec<MachineId>,
+    pub responses: Vec<RelayedResponse>,
     /// Workers to show the token to, and their addresses.
-    pub asks: Vec<(MachineId, String)>,
+    pub probes: Vec<(MachineId, String)>,
     /// So many workers are to be sent to that controller.
-    pub moves: Vec<(String, u32)>,
+    pub reassignments: Vec<(String, u32)>,
     /// What the leader knows of the others: name, abilities, load, and how long ago it heard them.
     pub members: Vec<MemberStatus>,
 }
@@ -91,7 +91,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberStatus {
     pub name: String,
-    pub abilities: u32,
+    pub capabilities: u32,
     pub load: u32,
     pub age: Duration,
 }
@@ -99,18 +99,18 @@
 /// The answer to one report.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RelayedResponse {
-    pub name: u64,
-    pub kind: RelayedOutcome,
+    pub id: u64,
+    pub outcome: RelayedOutcome,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum RelayedOutcome {
-    Orders {
-        token: u64,
-        orders: Vec<TaskCommand>,
+    Commands {
+        fencing_token: u64,
+        commands: Vec<TaskCommand>,
         /// Until it is recalled, a report that says the same may be answered with this token and
         /// no orders.
-        calm: bool,
+        steady: bool,
     },
     Refused {
         status: u16,
@@ -343,32 +343,32 @@
     out.put(&HeartbeatBatchHeader {
         incarnation: U64::new(s.incarnation),
         number: U64::new(s.number),
-        answered: U64::new(s.answered),
+        answered: U64::new(s.acknowledged),
         term: U64::new(s.term),
-        abilities: U32::new(s.abilities),
+        abilities: U32::new(s.capabilities),
         load: U32::new(s.load),
-        to_show: U32::new(s.to_show),
-        mine: count(s.mine.len()),
-        failed: count(s.failed.len()),
-        heard: count(s.heard.len()),
-        reports: count(s.reports.len()),
+        to_show: U32::new(s.pending_probes),
+        mine: count(s.served.len()),
+        failed: count(s.unanswered_probes.len()),
+        heard: count(s.answered.len()),
+        reports: count(s.heartbeats.len()),
     });
     out.text(&s.from);
-    for id in s.mine.iter().chain(&s.failed) {
+    for id in s.served.iter().chain(&s.unanswered_probes) {
         out.text(id);
     }
-    for h in &s.heard {
+    for h in &s.answered {
         out.put(&AnsweredHeartbeatHeader {
-            session: U64::new(h.session),
-            seq: U64::new(h.seq),
+            session: U64::new(h.incarnation),
+            seq: U64::new(h.sequence),
             age_ms: ms(h.age),
         });
         out.text(&h.machine);
     }
-    for RelayedHeartbeat { name, report: r } in &s.reports {
+    for RelayedHeartbeat { id, heartbeat: r } in &s.heartbeats {
         let notice = |s: f64| ms(Duration::from_secs_f64(s.clamp(0.0, 1e6)));
         out.put(&HeartbeatHeader {
-            name: U64::new(*name),
+            name: U64::new(*id),
             session: U64::new(r.incarnation),
             seq: U64::new(r.sequence),
             token: U64::new(r.fencing_token),
@@ -426,8 +426,8 @@
         tasks: rows,
     };
     Some(RelayedHeartbeat {
-        name: f.name.get(),
-        report: Box::new(report),
+        id: f.name.get(),
+        heartbeat: Box::new(report),
     })
 }
 
@@ -437,24 +437,24 @@
     let sync = HeartbeatBatch {
         incarnation: f.incarnation.get(),
         number: f.number.get(),
-        answered: f.answered.get(),
+        acknowledged: f.answered.get(),
         term: f.term.get(),
-        abilities: f.abilities.get(),
+        capabilities: f.abilities.get(),
         load: f.load.get(),
-        to_show: f.to_show.get(),
+        pending_probes: f.to_show.get(),
         from: b.text()?.to_string(),
-        mine: b.list(f.mine, |b| b.text().map(MachineId::from))?,
-        failed: b.list(f.failed, |b| b.text().map(MachineId::from))?,
-        heard: b.list(f.heard, |b| {
+        served: b.list(f.mine, |b| b.text().map(MachineId::from))?,
+        unanswered_probes: b.list(f.failed, |b| b.text().map(MachineId::from))?,
+        answered: b.list(f.heard, |b| {
             let h = b.get::<AnsweredHeartbeatHeader>()?;
             Some(AnsweredHeartbeat {
-                session: h.session.get(),
-                seq: h.seq.get(),
+                incarnation: h.session.get(),
+                sequence: h.seq.get(),
                 age: span(h.age_ms),
                 machine: b.text()?.into(),
             })
         })?,
-        reports: b.list(f.reports, decode_report)?,
+        heartbeats: b.list(f.reports, decode_report)?,
     };
     b.0.is_empty().then_some(sync)
 }
@@ -466,29 +466,29 @@
         term: U64::new(s.term),
         grant_ms: ms(s.grant),
         refused: u8::from(s.refused),
-        recalled: count(s.recalled.len()),
-        answers: count(s.answers.len()),
-        asks: count(s.asks.len()),
-        moves: count(s.moves.len()),
+        recalled: count(s.revoked.len()),
+        answers: count(s.responses.len()),
+        asks: count(s.probes.len()),
+        moves: count(s.reassignments.len()),
         members: count(s.members.len()),
     });
-    for id in &s.recalled {
+    for id in &s.revoked {
         out.text(id);
     }
-    for told in &s.answers {
-        let (token, status, calm, retry, orders) = match &told.kind {
-            RelayedOutcome::Orders {
-                token,
-                orders,
-                calm,
-            } => (*token, 200, *calm, None, orders.as_slice()),
+    for told in &s.responses {
+        let (token, status, calm, retry, orders) = match &told.outcome {
+            RelayedOutcome::Commands {
+                fencing_token,
+                commands,
+                steady,
+            } => (*fencing_token, 200, *steady, None, commands.as_slice()),
             RelayedOutcome::Refused {
                 status,
                 retry_after,
             } => (0, *status, false, *retry_after, [].as_slice()),
         };
         out.put(&RelayedResponseHeader {
-            name: U64::new(told.name),
+            name: U64::new(told.id),
             token: U64::new(token),
             status: U16::new(status),
             calm: u8::from(calm),
@@ -513,17 +513,17 @@
             out.text(task);
         }
     }
-    for (id, addr) in &s.asks {
+    for (id, addr) in &s.probes {
         out.text(id);
         out.text(addr);
     }
-    for (to, n) in &s.moves {
+    for (to, n) in &s.reassignments {
         out.put(&U32::new(*n));
         out.text(to);
     }
     for m in &s.members {
         out.put(&MemberStatusHeader {
-            abilities: U32::new(m.abilities),
+            abilities: U32::new(m.capabilities),
             load: U32::new(m.load),
             age_ms: ms(m.age),
         });
@@ -550,10 +550,10 @@
     })?;
     let retry = f.retry_after.get();
     let kind = match f.status.get() {
-        200 => RelayedOutcome::Orders {
-            token: f.token.get(),
-            orders,
-            calm: f.calm != 0,
+        200 => RelayedOutcome::Commands {
+            fencing_token: f.token.get(),
+            commands: orders,
+            steady: f.calm != 0,
         },
         status => RelayedOutcome::Refused {
             status,
@@ -561,8 +561,8 @@
         },
     };
     Some(RelayedResponse {
-        name: f.name.get(),
-        kind,
+        id: f.name.get(),
+        outcome: kind,
     })
 }
 
@@ -574,17 +574,17 @@
         term: f.term.get(),
         grant: span(f.grant_ms),
         refused: f.refused != 0,
-        recalled: b.list(f.recalled, |b| b.text().map(MachineId::from))?,
-        answers: b.list(f.answers, decode_told)?,
-        asks: b.list(f.asks, |b| Some((b.text()?.into(), b.text()?.to_string())))?,
-        moves: b.list(f.moves, |b| {
+        revoked: b.list(f.recalled, |b| b.text().map(MachineId::from))?,
+        responses: b.list(f.answers, decode_told)?,
+        probes: b.list(f.asks, |b| Some((b.text()?.into(), b.text()?.to_string())))?,
+        reassignments: b.list(f.moves, |b| {
             let n = b.get::<U32>()?.get();
             Some((b.text()?.to_string(), n))
         })?,
         members: b.list(f.members, |b| {
             let m = b.get::<MemberStatusHeader>()?;
             Some(MemberStatus {
-                abilities: m.abilities.get(),
+                capabilities: m.abilities.get(),
                 load: m.load.get(),
                 age: span(m.age_ms),
                 name: b.text()?.to_string(),
--- a/src/link/tests.rs
+++ b/src/link/tests.rs
@@ -32,22 +32,22 @@
         from: "n1".into(),
         incarnation: 5,
         number: 6,
-        answered: 4,
-        abilities: 1,
+        acknowledged: 4,
+        capabilities: 1,
         load: 300,
-        to_show: 12,
+        pending_probes: 12,
         term: 9,
-        mine: vec!["i-000001".into()],
-        failed: vec!["i-000003".into()],
-        heard: vec![AnsweredHeartbeat {
+        served: vec!["i-000001".into()],
+        unanswered_probes: vec!["i-000003".into()],
+        answered: vec![AnsweredHeartbeat {
             machine: "i-000002".into(),
-            session: 1,
-            seq: 12,
+            incarnation: 1,
+            sequence: 12,
             age: Duration::from_millis(250),
         }],
-        reports: vec![RelayedHeartbeat {
-            name: 3,
-            report: Box::new(report),
+        heartbeats: vec![RelayedHeartbeat {
+            id: 3,
+            heartbeat: Box::new(report),
         }],
     };
     let bytes = body(&encode_sync(&sync));
@@ -65,29 +65,29 @@
         term: 9,
         grant: Duration::from_millis(2400),
         refused: false,
-        recalled: vec!["i-000002".into()],
-        answers: vec![
+        revoked: vec!["i-000002".into()],
+        responses: vec![
             RelayedResponse {
-                name: 3,
-                kind: RelayedOutcome::Orders {
-                    token: 77,
-                    orders: vec![order(1.5)],
-                    calm: true,
+                id: 3,
+                outcome: RelayedOutcome::Commands {
+                    fencing_token: 77,
+                    commands: vec![order(1.5)],
+                    steady: true,
                 },
             },
             RelayedResponse {
-                name: 4,
-                kind: RelayedOutcome::Refused {
+                id: 4,
+                outcome: RelayedOutcome::Refused {
                     status: 503,
                     retry_after: Some(30),
                 },
             },
         ],
-        asks: vec![("i-000009".into(), "10.0.0.9:9000".into())],
-        moves: vec![("n2".into(), 20)],
+        probes: vec![("i-000009".into(), "10.0.0.9:9000".into())],
+        reassignments: vec![("n2".into(), 20)],
         members: vec![MemberStatus {
             name: "n2".into(),
-            abilities: 1,
+            capabilities: 1,
             load: 7,
             age: Duration::from_millis(300),
         }],
@@ -113,11 +113,11 @@
 fn the_sizes_of_entries_are_those_that_they_take_in_a_frame() {
     let empty = body(&encode_sync(&HeartbeatBatch::default())).len();
     let sync = HeartbeatBatch {
-        mine: vec![machine(1)],
-        heard: vec![AnsweredHeartbeat {
+        served: vec![machine(1)],
+        answered: vec![AnsweredHeartbeat {
             machine: machine(2),
-            session: 1,
-            seq: 1,
+            incarnation: 1,
+            sequence: 1,
             age: Duration::ZERO,
         }],
         ..HeartbeatBatch::default()
@@ -131,12 +131,12 @@
     let empty = body(&encode_synced(&HeartbeatBatchResponse::default())).len();
     let size = size_of_answer(&orders);
     let synced = HeartbeatBatchResponse {
-        answers: vec![RelayedResponse {
-            name: 1,
-            kind: RelayedOutcome::Orders {
-                token: 1,
-                orders,
-                calm: false,
+        responses: vec![RelayedResponse {
+            id: 1,
+            outcome: RelayedOutcome::Commands {
+                fencing_token: 1,
+                commands: orders,
+                steady: false,
             },
         }],
         ..HeartbeatBatchResponse::default()
@@ -148,8 +148,8 @@
 fn the_fullest_frame_of_a_controller_with_6000_workers_can_be_read() {
     let heard = |number| AnsweredHeartbeat {
         machine: machine(number),
-        session: 1,
-        seq: u64::MAX,
+        incarnation: 1,
+        sequence: u64::MAX,
         age: Duration::from_secs(1),
     };
     let most_heard = MOST_HEARD_BYTES / size_of_heard(&machine(0)) + 1;
@@ -162,8 +162,8 @@
         checkpointed: None,
     };
     let report = |rows| RelayedHeartbeat {
-        name: 1,
-        report: Box::new(Heartbeat {
+        id: 1,
+        heartbeat: Box::new(Heartbeat {
             machine: machine(1),
             addr: "10.0.0.1:9000".into(),
             machine_type: "g8".into(),
@@ -179,13 +179,13 @@
     let bytes_of_row = size_of::<TaskStatusHeader>() + size_of::<U16>() + row.task.len();
     let sync = HeartbeatBatch {
         from: "n1".into(),
-        mine: names(),
-        failed: names(),
-        heard: (0..most_heard).map(heard).collect(),
-        reports: vec![report(crate::http::MAX_BODY / bytes_of_row)],
+        served: names(),
+        unanswered_probes: names(),
+        answered: (0..most_heard).map(heard).collect(),
+        heartbeats: vec![report(crate::http::MAX_BODY / bytes_of_row)],
         ..HeartbeatBatch::default()
     };
-    assert!(sync.mine.len() > 2000 && sync.heard.len() > 4000);
+    assert!(sync.served.len() > 2000 && sync.answered.len() > 4000);
     let back = decode_sync(&body(&encode_sync(&sync))).unwrap();
-    assert_eq!(back.heard, sync.heard);
+    assert_eq!(back.answered, sync.answered);
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -299,7 +299,7 @@
         Snapshot::Take { archive, config } => {
             let settings = Settings::load(&config)?;
             let taken =
-                Snapshotter::open(settings.state_addr, &archive.dir).and_then(|mut a| a.take());
+                Snapshotter::open(settings.store_addr, &archive.dir).and_then(|mut a| a.take());
             let revision = taken.map_err(|e| e.to_string())?;
             println!("{}", serde_json::json!({"revision": revision}));
             Ok(())
@@ -354,7 +354,7 @@
         } => {
             burlusher::logging::start(log_format, std::env::var("LOG_LEVEL").ok().as_deref())?;
             let settings = Settings::load(&config)?;
-            let archivist = Snapshotter::open(settings.state_addr, &dir);
+            let archivist = Snapshotter::open(settings.store_addr, &dir);
             archivist
                 .map_err(|e| format!("{}: {e}", dir.display()))?
                 .run()
@@ -375,7 +375,7 @@
                 settings.peers.len(),
                 settings.teams.len(),
                 settings.memory_mb,
-                settings.sockets,
+                settings.max_sockets,
                 service::most_connections(&settings),
                 burlusher::core::max_unfinished_tasks(&settings),
                 policy.describe()
--- a/src/recall.rs
+++ b/src/recall.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MemoryRequest {
     /// No items are wanted: only what it knows of the store.
-    pub word_only: bool,
+    pub summary_only: bool,
     pub after: String,
 }
 
@@ -26,9 +26,9 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MemoryPage {
     /// It has read the store at least once.
-    pub loaded: bool,
+    pub store_loaded: bool,
     /// The stores of which it remembers all, as one continued another; the newest last.
-    pub stores: Vec<String>,
+    pub complete_stores: Vec<String>,
     /// It remembers a term, or jobs: more than an empty store tells.
     pub remembers: bool,
     /// The newest term that it knows of, be it from a worker's token.
@@ -59,7 +59,7 @@
 pub fn encode_recall(r: &MemoryRequest) -> Vec<u8> {
     let mut out = Out::default();
     out.put(&MemoryRequestHeader {
-        word_only: u8::from(r.word_only),
+        word_only: u8::from(r.summary_only),
     });
     out.text(&r.after);
     peer::frame(KIND_MEMORY_REQUEST, &out.0)
@@ -70,22 +70,23 @@
     let fixed: &MemoryRequestHeader = rest.get()?;
     let word_only = fixed.word_only != 0;
     let after = rest.text()?.to_string();
-    rest.0
-        .is_empty()
-        .then_some(MemoryRequest { word_only, after })
+    rest.0.is_empty().then_some(MemoryRequest {
+        summary_only: word_only,
+        after,
+    })
 }
 
 pub fn encode_recalled(r: &MemoryPage) -> Vec<u8> {
     let mut out = Out::default();
     out.put(&MemoryPageHeader {
         term: U64::new(r.term),
-        loaded: u8::from(r.loaded),
+        loaded: u8::from(r.store_loaded),
         remembers: u8::from(r.remembers),
         more: u8::from(r.more),
-        stores: count(r.stores.len()),
+        stores: count(r.complete_stores.len()),
         items: count(r.items.len()),
     });
-    for store in &r.stores {
+    for store in &r.complete_stores {
         out.text(store);
     }
     for (key, value) in &r.items {
@@ -102,8 +103,8 @@
     let item = |r: &mut In| Some((r.text()?.to_string(), r.long_text()?.to_string()));
     let items = rest.list(fixed.items, item)?;
     rest.0.is_empty().then_some(MemoryPage {
-        loaded: fixed.loaded != 0,
-        stores,
+        store_loaded: fixed.loaded != 0,
+        complete_stores: stores,
         remembers: fixed.remembers != 0,
         term: fixed.term.get(),
         more: fixed.more != 0,
--- a/src/recall/tests.rs
+++ b/src/recall/tests.rs
@@ -4,12 +4,12 @@
 #[test]
 fn frames_of_memory_come_back_whole_and_cut_ones_not_at_all() {
     let asked = MemoryRequest {
-        word_only: true,
+        summary_only: true,
         after: "burlusher/j/wk-000412".into(),
     };
     let told = MemoryPage {
-        loaded: true,
-        stores: vec!["4e".into(), "4f".into()],
+        store_loaded: true,
+        complete_stores: vec!["4e".into(), "4f".into()],
         remembers: true,
         term: 7,
         more: true,
--- a/src/service.rs
+++ b/src/service.rs
@@ -149,7 +149,7 @@
     let inbox_side = Inbox::new(ANSWER_TIMEOUT);
     let ready = Arc::new(AtomicBool::new(false));
     let keeper = Arc::new(LeaseKeeper::default());
-    let share = settings.state_rps / (settings.peers.len() as f64 + 1.0);
+    let share = settings.store_rps / (settings.peers.len() as f64 + 1.0);
     let budget = Arc::new(Mutex::new(RateLimiter::new(share * 0.6, Instant::now())));
 
     let watch = Arc::new(Watch::new(&settings, &inbox_side));
@@ -178,7 +178,7 @@
         settings.listen,
         settings.peer_listen
     );
-    let state_addr = settings.state_addr;
+    let state_addr = settings.store_addr;
     let mut core = Core::new(settings, Arc::new(policy), rand::random(), now());
     if let Some(dir) = snapshots {
         if let Some((items, revision)) = archivist::remembered(dir)? {
@@ -197,7 +197,7 @@
     let own = STATE_THREADS + CLOUD_THREADS + DIRECT_THREADS + peers + SPARE_SOCKETS;
     let base = BASE_MB.min(settings.memory_mb / 2.0);
     let by_memory = (settings.memory_mb - base) / CONNECTION_MB;
-    (settings.sockets.saturating_sub(own)).clamp(16, by_memory.max(16.0) as usize)
+    (settings.max_sockets.saturating_sub(own)).clamp(16, by_memory.max(16.0) as usize)
 }
 
 /// The owner's loop.
@@ -305,7 +305,7 @@
     inbox: &Inbox,
     budget: Arc<Mutex<RateLimiter>>,
 ) -> io::Result<Sender<StateCall>> {
-    let addr = settings.state_addr;
+    let addr = settings.store_addr;
     pool("state", STATE_THREADS, || {
         let (inbox, budget) = (inbox.clone(), budget.clone());
         let mut client = StoreClient::new(addr);
@@ -499,7 +499,7 @@
 
 /// Renews the lease well before it ends, whatever the owner is busy with.
 fn keep_lease(settings: &Settings, inbox: &Inbox, keeper: Arc<LeaseKeeper>) -> io::Result<()> {
-    let (addr, inbox) = (settings.state_addr, inbox.clone());
+    let (addr, inbox) = (settings.store_addr, inbox.clone());
     spawn("lease", move || {
         let mut client = StoreClient::new(addr);
         let ttl = crate::core::LEASE_TTL;
@@ -589,7 +589,7 @@
 impl Watch {
     fn new(settings: &Settings, inbox: &Inbox) -> Watch {
         Watch {
-            addr: settings.state_addr,
+            addr: settings.store_addr,
             inbox: inbox.clone(),
             newest: Mutex::new(0),
         }
--- a/src/service/lanes.rs
+++ b/src/service/lanes.rs
@@ -23,7 +23,7 @@
         match command {
             Command::Heartbeat { .. } | Command::Direct { .. } => 2,
             Command::Status(_) | Command::Figures { .. } | Command::MemoryRequest { .. } => 1,
-            Command::User(r) if matches!(r.what, Ask::Show(_)) => 1,
+            Command::User(r) if matches!(r.action, Ask::Show(_)) => 1,
             _ => 0,
         }
     }
--- a/src/service/peers.rs
+++ b/src/service/peers.rs
@@ -87,7 +87,7 @@
                 forwarded: true,
                 tried: Vec::new(),
                 received,
-                what: match request {
+                action: match request {
                     PeerRequest::Submit(spec) => Ask::Submit(spec),
                     PeerRequest::Show(id) => Ask::Show(id),
                     PeerRequest::Cancel(id) => Ask::Cancel(id),
--- a/src/service/routes.rs
+++ b/src/service/routes.rs
@@ -45,7 +45,7 @@
         let command = |ticket| {
             Command::User(UserRequest {
                 ticket,
-                what,
+                action: what,
                 forwarded: false,
                 tried: Vec::new(),
                 received,
--- a/src/service/tests.rs
+++ b/src/service/tests.rs
@@ -13,7 +13,7 @@
 fn user(ticket: Ticket, what: Ask) -> Command {
     let request = UserRequest {
         ticket,
-        what,
+        action: what,
         forwarded: false,
         tried: Vec::new(),
         received: Instant::now(),
@@ -220,7 +220,7 @@
             "workers": {"report_s": 1.0, "lease_s": 10.0, "cancel_s": 20.0},
             "state": {"rps": 100.0, "write_rps": 50.0, "value_kb": 8.0, "txn_ops": 16}}}"#;
     let mut settings = Settings::parse(text).unwrap();
-    settings.sockets = 9000;
+    settings.max_sockets = 9000;
     settings.memory_mb = 1024.0;
     let many = most_connections(&settings);
     assert!((8500..9000).contains(&many), "{many}");
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -27,7 +27,7 @@
 pub struct Objective {
     pub kind: String,
     pub class: String,
-    pub within: Option<Duration>,
+    pub threshold: Option<Duration>,
     /// The part of the class that should meet it; `None` where the file says nothing.
     pub share: Option<f64>,
     /// Of a deadline: how many times as long counts.
@@ -42,23 +42,23 @@
     pub peer_listen: SocketAddrV4,
     pub peers: Vec<Peer>,
     pub cloud_addr: SocketAddrV4,
-    pub state_addr: SocketAddrV4,
+    pub store_addr: SocketAddrV4,
     pub zones: Vec<String>,
     pub teams: Vec<Team>,
     pub objectives: Vec<Objective>,
-    pub report: Duration,
-    pub lease: Duration,
-    pub cancel: Duration,
+    pub heartbeat_interval: Duration,
+    pub worker_lease: Duration,
+    pub cancellation_deadline: Duration,
     /// The state service's limits: of those in force and those announced the smaller ones, since
     /// the announced ones come without notice.
-    pub state_rps: f64,
-    pub state_write_rps: f64,
-    pub value_bytes: usize,
-    pub txn_ops: usize,
+    pub store_rps: f64,
+    pub store_write_rps: f64,
+    pub max_value_bytes: usize,
+    pub max_transaction_changes: usize,
     pub cloud_rps: f64,
-    pub list_lag: Duration,
+    pub machine_list_lag: Duration,
     pub memory_mb: f64,
-    pub sockets: usize,
+    pub max_sockets: usize,
 }
 
 #[derive(Deserialize)]
@@ -272,7 +272,7 @@
             objectives.push(Objective {
                 kind: o.kind,
                 class: o.class,
-                within,
+                threshold: within,
                 share: o.share.filter(|s| (0.0..=1.0).contains(s)),
                 times: o.times.filter(|t| t.is_finite() && *t > 0.0).unwrap_or(1.0),
             });
@@ -300,24 +300,25 @@
             listen: addr("public_addr", &raw.public_addr)?,
             peer_listen: addr("back", &raw.back)?,
             cloud_addr: addr("services.cloud", &raw.services.cloud)?,
-            state_addr: addr("services.state", &raw.services.state)?,
+            store_addr: addr("services.state", &raw.services.state)?,
             name: raw.host_name,
             zone: raw.zone,
             peers,
             zones: p.zones,
             teams,
             objectives,
-            report: seconds("params.workers.report_s", w.report_s, 0.05, 3600.0)?,
-            lease: seconds("params.workers.lease_s", w.lease_s, 0.5, 86400.0)?,
-            cancel: seconds("params.workers.cancel_s", w.cancel_s, 0.5, 86400.0)?,
-            state_rps: lower("rps", p.state.rps, next.rps)?,
-            state_write_rps: lower("write_rps", p.state.write_rps, next.write_rps)?,
-            value_bytes: (lower("value_kb", p.state.value_kb, next.value_kb)? * 1024.0) as usize,
-            txn_ops: p.state.txn_ops.min(next.txn_ops.unwrap_or(usize::MAX)),
+            heartbeat_interval: seconds("params.workers.report_s", w.report_s, 0.05, 3600.0)?,
+            worker_lease: seconds("params.workers.lease_s", w.lease_s, 0.5, 86400.0)?,
+            cancellation_deadline: seconds("params.workers.cancel_s", w.cancel_s, 0.5, 86400.0)?,
+            store_rps: lower("rps", p.state.rps, next.rps)?,
+            store_write_rps: lower("write_rps", p.state.write_rps, next.write_rps)?,
+            max_value_bytes: (lower("value_kb", p.state.value_kb, next.value_kb)? * 1024.0)
+                as usize,
+            max_transaction_changes: p.state.txn_ops.min(next.txn_ops.unwrap_or(usize::MAX)),
             cloud_rps: positive("params.cloud.rps", p.cloud.rps)?,
-            list_lag: seconds("params.cloud.list_lag_s", p.cloud.list_lag_s, 0.0, 3600.0)?,
+            machine_list_lag: seconds("params.cloud.list_lag_s", p.cloud.list_lag_s, 0.0, 3600.0)?,
             memory_mb: at_least("params.quota.mem_mb", p.quota.mem_mb, LEAST_MB)?,
-            sockets: p.quota.fd_limit as usize,
+            max_sockets: p.quota.fd_limit as usize,
         })
     }
 
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -15,9 +15,9 @@
 #[test]
 fn a_quota_is_taken_as_it_is_by_default_or_refused_with_its_field() {
     let s = with("").unwrap();
-    assert_eq!((s.memory_mb, s.sockets), (256.0, 1024));
+    assert_eq!((s.memory_mb, s.max_sockets), (256.0, 1024));
     let s = with(r#", "quota": {"mem_mb": 98, "other": [1]}"#).unwrap();
-    assert_eq!((s.memory_mb, s.sockets), (98.0, 1024));
+    assert_eq!((s.memory_mb, s.max_sockets), (98.0, 1024));
     for (quota, field) in [
         (r#""mem_mb": 0"#, "mem_mb"),
         (r#""mem_mb": -5"#, "mem_mb"),
