--- a/src/core/run.rs
+++ b/src/core/jobs/job_run.rs
@@ -1,9 +1,9 @@
 //! A job as its leader knows it: what runs of it, how its class runs, and how urgent it is. Data that
 //! planning, reports and users' requests act on.
 
-use super::machine::{Machines, StopReason};
-use super::mirror::JobRecord;
-use super::{Now, Ticket};
+use crate::core::machines::machine::{Machines, StopReason};
+use crate::core::store::cache::JobRecord;
+use crate::core::{Now, Ticket};
 use crate::job::{JobId, JobOutcome, MachineId, Priority, TaskId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant, SystemTime};
@@ -18,7 +18,7 @@
     pub placed: BTreeMap<u32, MachineId>,
     /// Further machines on which a placed row is or may be: a report of unknown age proves that it may be
     /// there, and that it is elsewhere proves nothing. A row waits again when none of them has it.
-    pub(super) other_machines: BTreeMap<u32, Vec<MachineId>>,
+    pub(in crate::core) other_machines: BTreeMap<u32, Vec<MachineId>>,
     /// Rows that are not to be started again before some moment.
     pub backoff_until: BTreeMap<u32, Instant>,
     /// Done rows that are not in the state service yet.
--- a/src/core/jobs.rs
+++ b/src/core/jobs/lifecycle.rs
@@ -1,17 +1,17 @@
 //! How jobs progress and end: cancellations, and the leader's runs in line with what is durable.
 
-use super::machine::StopReason;
-use super::questions::{rebuilding_answer, state_body};
-use super::run::{JobRun, RuntimeRatio};
-use super::{Core, Effect, Ticket};
-use crate::guard::{Safeguard, stands};
+use crate::core::jobs::job_run::{JobRun, RuntimeRatio};
+use crate::core::jobs::queries::{rebuilding_answer, state_body};
+use crate::core::machines::machine::StopReason;
+use crate::core::{Core, Effect, Ticket};
+use crate::fault_injection::{Safeguard, stands};
 use crate::http::Answer;
 use crate::job::{JobId, JobKind, JobOutcome};
 use crate::wire::JobState;
 
 impl Core {
     /// Cancels a live job. Its end is durable before anybody is told.
-    pub(super) fn cancel(&mut self, ticket: Ticket, id: &str) {
+    pub(in crate::core) fn cancel(&mut self, ticket: Ticket, id: &str) {
         if self.must_withhold_state() {
             return self.answer(ticket, rebuilding_answer());
         }
@@ -47,7 +47,7 @@
     }
 
     /// Brings the leader's runs in line with the mirror: new jobs begin, finished ones end.
-    pub(super) fn sync_job_runs(&mut self) {
+    pub(in crate::core) fn sync_job_runs(&mut self) {
         let changed = std::mem::take(&mut self.store_cache.changed);
         for id in changed {
             self.sync_job_run(&id);
@@ -147,7 +147,7 @@
     }
 
     /// Ends an array whose tasks are all done.
-    pub(super) fn end_if_complete(&mut self, id: &str) {
+    pub(in crate::core) fn end_if_complete(&mut self, id: &str) {
         let Some(lead) = &mut self.leader else { return };
         let (Some(run), Some(job)) = (lead.job_runs.get_mut(id), self.store_cache.jobs.get(id))
         else {
--- a/src/core/questions.rs
+++ b/src/core/jobs/queries.rs
@@ -1,16 +1,16 @@
 //! What users ask for: requests are answered from what is final, by an acting leader from memory, or by a read that is
 //! begun after the question came; otherwise they are passed on to the leader.
 
-use super::barrier::Question;
-use super::keys::job_key;
-use super::mirror::JobValue;
-use super::run::JobRun;
-use super::{Core, Effect, Pending, ReadPurpose, Ticket};
-use crate::guard::{Safeguard, stands};
+use crate::core::jobs::job_run::JobRun;
+use crate::core::store::cache::JobValue;
+use crate::core::store::keys::job_key;
+use crate::core::store::read_barrier::Question;
+use crate::core::{Core, Effect, Pending, ReadPurpose, Ticket};
+use crate::fault_injection::{Safeguard, stands};
 use crate::http::Answer;
 use crate::job::{JobOutcome, JobSpec, MachineId, TaskId};
 use crate::peer::{PeerAnswer, PeerRequest};
-use crate::state::{StoreOutcome, StoreRequest};
+use crate::store_client::{StoreOutcome, StoreRequest};
 use crate::wire::{JobState, JobStatus, to_json};
 use std::time::{Duration, Instant};
 
@@ -39,7 +39,7 @@
     Cancel(String),
 }
 
-pub(super) fn state_body(
+pub(in crate::core) fn state_body(
     id: &str,
     state: JobState,
     done: Option<u32>,
@@ -53,19 +53,19 @@
     })
 }
 
-pub(super) fn final_state(end: JobOutcome) -> JobState {
+pub(in crate::core) fn final_state(end: JobOutcome) -> JobState {
     match end {
         JobOutcome::Done => JobState::Done,
         JobOutcome::Cancelled => JobState::Cancelled,
     }
 }
 
-pub(super) fn rebuilding_answer() -> Answer {
+pub(in crate::core) fn rebuilding_answer() -> Answer {
     Answer::busy("the state service has lost data and is being rebuilt", 1)
 }
 
 impl Core {
-    pub(super) fn final_answer(&self, id: &str) -> Option<Answer> {
+    pub(in crate::core) fn final_answer(&self, id: &str) -> Option<Answer> {
         let end = self.store_cache.outcome_of(id)?;
         let body = state_body(id, final_state(end), None, None);
         Some(Answer::new(200, body))
@@ -73,7 +73,7 @@
 
     /// The store has lost data, and somebody may remember more than is known here: what is not final
     /// can't be told.
-    pub(super) fn must_withhold_state(&self) -> bool {
+    pub(in crate::core) fn must_withhold_state(&self) -> bool {
         self.store_is_incomplete() && !self.may_report_state()
     }
 
@@ -100,7 +100,7 @@
         Some(Answer::new(200, body).until(self.leader_until()))
     }
 
-    pub(super) fn running_of(&self, id: &str, run: &JobRun) -> u32 {
+    pub(in crate::core) fn running_of(&self, id: &str, run: &JobRun) -> u32 {
         let Some(lead) = &self.leader else { return 0 };
         let running = |(row, machine): (&u32, &MachineId)| {
             let key = TaskId {
@@ -115,7 +115,7 @@
         run.placed.iter().filter(|x| running(*x)).count() as u32
     }
 
-    pub(super) fn serve_user(&mut self, request: UserRequest) {
+    pub(in crate::core) fn serve_user(&mut self, request: UserRequest) {
         let id = match &request.action {
             Ask::Submit(spec) => spec.id.to_string(),
             Ask::Malformed(id, _) | Ask::Show(id) | Ask::Cancel(id) => id.clone(),
@@ -186,12 +186,12 @@
     }
 
     /// The state service has not been heard for longer than it ever takes.
-    pub(super) fn store_is_stale(&self) -> bool {
+    pub(in crate::core) fn store_is_stale(&self) -> bool {
         self.now.mono > self.store_reachable_at + STALE
     }
 
     /// Without the state service, this node finds out whether others serve.
-    pub(super) fn probe_unreachable_peers(&mut self) {
+    pub(in crate::core) fn probe_unreachable_peers(&mut self) {
         let now = self.now.mono;
         if !self.store_is_stale()
             || self
@@ -273,7 +273,7 @@
         }
     }
 
-    pub(super) fn forward_outcome(
+    pub(in crate::core) fn forward_outcome(
         &mut self,
         ticket: Ticket,
         peer: String,
@@ -327,12 +327,17 @@
         }
     }
 
-    pub(super) fn read_job_key(&mut self, id: String, purpose: ReadPurpose) {
+    pub(in crate::core) fn read_job_key(&mut self, id: String, purpose: ReadPurpose) {
         let key = job_key(&id);
         self.ask_state(Pending::Read { id, purpose }, StoreRequest::Get(key));
     }
 
-    pub(super) fn read(&mut self, id: String, purpose: ReadPurpose, outcome: StoreOutcome) {
+    pub(in crate::core) fn read(
+        &mut self,
+        id: String,
+        purpose: ReadPurpose,
+        outcome: StoreOutcome,
+    ) {
         let ticket = match &purpose {
             ReadPurpose::Show(t)
             | ReadPurpose::Accepted(t)
@@ -418,7 +423,7 @@
 
     /// Answers with what was read after the question came: nobody can have been told anything
     /// newer before.
-    pub(super) fn show_fresh(&mut self, ticket: Ticket, id: &str) {
+    pub(in crate::core) fn show_fresh(&mut self, ticket: Ticket, id: &str) {
         let answer = self.fresh_answer(id);
         self.answer(ticket, answer);
     }
--- a/src/core/submissions.rs
+++ b/src/core/jobs/submissions.rs
@@ -1,19 +1,19 @@
 //! Submissions: whether a job can run, and how it comes to be in the state service. Any controller accepts one by a
 //! create-only key; its user is told when that is durable.
 
-use super::barrier::Question;
-use super::keys::{PartGeneration, job_key, part_key};
-use super::leadership::json;
-use super::mirror::JobValue;
-use super::parts::{self, PartValue, PartWrite};
-use super::questions::{final_state, rebuilding_answer, state_body};
-use super::writes::MAX_TRANSACTION_BYTES;
-use super::{Core, Pending, ReadPurpose, Ticket, note};
-use crate::guard::{Safeguard, stands};
+use crate::core::jobs::queries::{final_state, rebuilding_answer, state_body};
+use crate::core::leadership::json;
+use crate::core::store::cache::JobValue;
+use crate::core::store::keys::{PartGeneration, job_key, part_key};
+use crate::core::store::large_jobs::{self, PartValue, PartWrite};
+use crate::core::store::read_barrier::Question;
+use crate::core::store::writes::MAX_TRANSACTION_BYTES;
+use crate::core::{Core, Pending, ReadPurpose, Ticket, note};
+use crate::fault_injection::{Safeguard, stands};
 use crate::http::Answer;
 use crate::job::{JobId, JobKind, JobSpec};
 use crate::settings::Settings;
-use crate::state::{StoreOutcome, StoreRequest};
+use crate::store_client::{StoreOutcome, StoreRequest};
 use crate::wire::{Change, CompareAndSwap, Condition, JobState, to_json};
 use std::time::{Duration, Instant, SystemTime};
 
@@ -33,7 +33,7 @@
 }
 
 /// The stored form of a newly accepted job; of a large one what its key holds, given its parts.
-pub(super) fn creation(
+pub(in crate::core) fn creation(
     spec: &JobSpec,
     submitted_ms: u64,
     parts: Option<&PartWrite>,
@@ -130,7 +130,7 @@
     }
 
     /// Why a submission was refused for good.
-    pub(super) fn rejection_reason(&self, spec: &JobSpec) -> Answer {
+    pub(in crate::core) fn rejection_reason(&self, spec: &JobSpec) -> Answer {
         let judged = self
             .validate_placement(spec)
             .and_then(|()| self.validate_dependencies(spec));
@@ -145,7 +145,7 @@
 
     /// Accepts a submission; `informed` if this node's copy holds all that was accepted before it
     /// came.
-    pub(super) fn accept(
+    pub(in crate::core) fn accept(
         &mut self,
         ticket: Ticket,
         mut spec: Box<JobSpec>,
@@ -206,7 +206,7 @@
             return self.read_job_key(id, ReadPurpose::Show(ticket));
         }
         let text = String::from_utf8(to_json(&spec)).unwrap_or_default();
-        let parts = parts::cut(&text, most);
+        let parts = large_jobs::cut(&text, most);
         // The job's key is written on a condition for each part.
         if parts.len() > self.settings.max_transaction_changes * 4 - 1 {
             let answer = Answer::error(422, "too large to be kept");
@@ -258,7 +258,7 @@
         self.ask_state(pending, StoreRequest::CompareAndSwap(txn));
     }
 
-    pub(super) fn parts_outcome(
+    pub(in crate::core) fn parts_outcome(
         &mut self,
         ticket: Ticket,
         spec: Box<JobSpec>,
@@ -324,7 +324,7 @@
 
     /// Settles creations without an answer whose job is in the store: it is accepted, whoever wrote it, and a
     /// fresh read tells how it stands.
-    pub(super) fn resolve_creations(&mut self) {
+    pub(in crate::core) fn resolve_creations(&mut self) {
         let now = self.now.mono;
         while let Some((_, call)) = self.unanswered_creations.pop_front_if(|(at, _)| *at <= now) {
             let Some(Pending::Create { ticket, spec, .. }) = self.pending.get(&call) else {
@@ -342,7 +342,7 @@
         }
     }
 
-    pub(super) fn creation_outcome(
+    pub(in crate::core) fn creation_outcome(
         &mut self,
         ticket: Ticket,
         spec: Box<JobSpec>,
--- a/src/core/urgency.rs
+++ b/src/core/jobs/urgency.rs
@@ -1,10 +1,10 @@
 //! What a job owes to those that need it. Users set the priority and the deadline that they care
 //! about on the last job of a pipeline; both flow back from there through all that it needs.
 
-use super::Core;
-use super::lead::LeaderState;
-use super::mirror::JobRecord;
-use super::run::{RuntimeRatio, Urgency};
+use crate::core::Core;
+use crate::core::jobs::job_run::{RuntimeRatio, Urgency};
+use crate::core::leadership::state::LeaderState;
+use crate::core::store::cache::JobRecord;
 use crate::job::JobId;
 use std::time::Duration;
 
@@ -36,7 +36,7 @@
     }
 
     /// Works out anew what a job owes to those that need it, and then those before it.
-    pub(super) fn propagate_urgency(&mut self, from: &JobId) {
+    pub(in crate::core) fn propagate_urgency(&mut self, from: &JobId) {
         let mut next = vec![from.clone()];
         while let Some(id) = next.pop() {
             let (Some(lead), Some(job)) = (&self.leader, self.store_cache.jobs.get(&id)) else {
--- a/src/core/leadership.rs
+++ b/src/core/leadership/mod.rs
@@ -3,16 +3,20 @@
 //! Leadership is a key attached to this process's lease. The transaction that creates it raises
 //! a persistent term, which the workers see as the upper part of their token.
 
-use super::commit::{committed_in_events, committed_in_list};
-use super::keys::{LEADER, TERM, identity_key, key, named};
-use super::lead::{LeaderState, Lease};
-use super::mirror::{LeaderValue, TermValue};
-use super::records::MachineRecords;
-use super::run::ArrivalRate;
-use super::{Core, Effect, LeadershipProof, Pending, Ticket};
-use crate::guard::{Safeguard, stands};
+pub mod recovery;
+pub mod stale_key;
+pub mod state;
+
+use crate::core::jobs::job_run::ArrivalRate;
+use crate::core::leadership::state::{LeaderState, Lease};
+use crate::core::store::cache::{LeaderValue, TermValue};
+use crate::core::store::commit::{committed_in_events, committed_in_list};
+use crate::core::store::keys::{LEADER, TERM, identity_key, key, named};
+use crate::core::store::machine_records::MachineRecords;
+use crate::core::{Core, Effect, LeadershipProof, Pending, Ticket};
+use crate::fault_injection::{Safeguard, stands};
 use crate::http::Answer;
-use crate::state::{StoreOutcome, StoreRequest};
+use crate::store_client::{StoreOutcome, StoreRequest};
 use crate::wire::{Change, CompareAndSwap, Condition, Item, WatchEvent};
 use std::time::{Duration, Instant};
 
@@ -33,7 +37,7 @@
 
 impl Core {
     /// Until when this process may act as the leader.
-    pub(super) fn leader_until(&self) -> Option<Instant> {
+    pub(in crate::core) fn leader_until(&self) -> Option<Instant> {
         let lead = self.leader.as_ref()?;
         if !stands(Safeguard::Word) {
             return Some(self.now.mono + LEASE_TTL);
@@ -47,11 +51,11 @@
         )
     }
 
-    pub(super) fn acting(&self) -> bool {
+    pub(in crate::core) fn acting(&self) -> bool {
         self.leader_until().is_some_and(|t| self.now.mono < t)
     }
 
-    pub(super) fn lease_renewed(&mut self, id: u64, sent: Instant, stands: Option<u64>) {
+    pub(in crate::core) fn lease_renewed(&mut self, id: u64, sent: Instant, stands: Option<u64>) {
         self.store_reachable_at = self.now.mono;
         if let Some(lead) = &mut self.leader
             && stands == Some(lead.key_version)
@@ -73,7 +77,7 @@
     }
 
     /// The leader key is gone though its lease is not, or the store is another one.
-    pub(super) fn deposed(&mut self, key_version: u64) {
+    pub(in crate::core) fn deposed(&mut self, key_version: u64) {
         if self
             .leader
             .as_ref()
@@ -84,7 +88,7 @@
         }
     }
 
-    pub(super) fn lease_lost(&mut self) {
+    pub(in crate::core) fn lease_lost(&mut self) {
         let kept = self.lease.take().map(|l| l.renewed_at);
         self.step_down("the lease has ended");
         // It was to run for longer.
@@ -93,7 +97,7 @@
         }
     }
 
-    pub(super) fn listed(&mut self, items: Vec<Item>, revision: u64) {
+    pub(in crate::core) fn listed(&mut self, items: Vec<Item>, revision: u64) {
         self.store_reachable_at = self.now.mono;
         self.observe_commit(|txn| committed_in_list(txn, &items));
         self.reconcile_store_list(items, revision);
@@ -106,7 +110,7 @@
         self.store_cache_changed();
     }
 
-    pub(super) fn changed(&mut self, events: Vec<WatchEvent>, revision: u64) {
+    pub(in crate::core) fn changed(&mut self, events: Vec<WatchEvent>, revision: u64) {
         self.store_reachable_at = self.now.mono;
         if revision < self.store_cache.revision {
             return self.suspect_data_loss("its revision went back");
@@ -205,7 +209,7 @@
     }
 
     /// Called at the end of every batch of commands.
-    pub(super) fn advance_leadership(&mut self) {
+    pub(in crate::core) fn advance_leadership(&mut self) {
         if self.acting() {
             self.record_activity();
             self.resign_if_isolated();
@@ -320,7 +324,7 @@
     }
 
     /// The watch tells the outcome with everything that came before it; this only paces retries.
-    pub(super) fn campaign_outcome(&mut self, outcome: StoreOutcome) {
+    pub(in crate::core) fn campaign_outcome(&mut self, outcome: StoreOutcome) {
         let pause = match outcome {
             StoreOutcome::Committed { .. } => Duration::from_millis(1500),
             StoreOutcome::Conflict { failed, revision } => {
@@ -384,7 +388,7 @@
         self.start_rebuild();
     }
 
-    pub(super) fn step_down(&mut self, why: &str) {
+    pub(in crate::core) fn step_down(&mut self, why: &str) {
         let Some(lead) = self.leader.take() else {
             return;
         };
@@ -430,7 +434,7 @@
         });
     }
 
-    pub(super) fn resign(&mut self, why: &str) {
+    pub(in crate::core) fn resign(&mut self, why: &str) {
         self.step_down(why);
         self.lease = None;
         self.candidate_after = self.now.mono + CANDIDACY_PAUSE;
@@ -438,12 +442,12 @@
     }
 
     /// Whether the store's identity is among these keys.
-    pub(super) fn contains_identity_key(&self, keys: &[String]) -> bool {
+    pub(in crate::core) fn contains_identity_key(&self, keys: &[String]) -> bool {
         let name = self.store_cache.identity.as_ref();
         name.is_some_and(|(id, _)| keys.contains(&identity_key(id)))
     }
 
-    pub(super) fn leader_name(&self) -> Option<&str> {
+    pub(in crate::core) fn leader_name(&self) -> Option<&str> {
         self.store_cache
             .leader
             .as_ref()
@@ -451,6 +455,6 @@
     }
 }
 
-pub(super) fn json<T: serde::Serialize>(x: &T) -> serde_json::Value {
+pub(in crate::core) fn json<T: serde::Serialize>(x: &T) -> serde_json::Value {
     serde_json::to_value(x).unwrap_or(serde_json::Value::Null)
 }
--- a/src/core/recovery.rs
+++ b/src/core/leadership/recovery.rs
@@ -4,13 +4,13 @@
 //! task of an old job that nobody has shown yet is started only when each of those machines has
 //! shown all it has, or can have nothing.
 
-use super::commands::MAX_DIRECT_CALLS;
-use super::lead::LeaderState;
-use super::leadership::LEASE_TTL;
-use super::machine::Machine;
-use super::{Core, Effect, Pending};
+use crate::core::leadership::LEASE_TTL;
+use crate::core::leadership::state::LeaderState;
+use crate::core::machines::machine::Machine;
+use crate::core::workers::commands::MAX_DIRECT_CALLS;
+use crate::core::{Core, Effect, Pending};
 use crate::job::{MachineId, TaskId};
-use crate::worker::DirectRequest;
+use crate::worker_client::DirectRequest;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
@@ -22,7 +22,7 @@
 impl LeaderState {
     /// A machine that has yet to show the token and that nobody is about. Those that were not asked
     /// yet come first: one that did not answer takes a call for long.
-    pub(super) fn next_probe(&mut self, now: Instant) -> Option<MachineId> {
+    pub(in crate::core) fn next_probe(&mut self, now: Instant) -> Option<MachineId> {
         loop {
             let id = self.to_probe.pop().or_else(|| {
                 self.probe_retries.first().filter(|(at, _)| *at <= now)?;
@@ -42,7 +42,7 @@
     }
 
     /// A machine in this zone has answered a call.
-    pub(super) fn mark_zone_reachable(&mut self, zone: &str) {
+    pub(in crate::core) fn mark_zone_reachable(&mut self, zone: &str) {
         if !self.reachable_zones.contains(zone) {
             self.reachable_zones.insert(zone.to_string());
         }
@@ -51,7 +51,7 @@
 
 impl Core {
     /// Begins a leadership: all recorded machines are asked at once.
-    pub(super) fn start_recovery(&mut self) {
+    pub(in crate::core) fn start_recovery(&mut self) {
         let now = self.now.mono;
         let Some(lead) = &mut self.leader else { return };
         for (id, value) in &self.store_cache.machines {
@@ -106,7 +106,7 @@
 
     /// Asks as many machines as there are calls to spare; those that have reported meanwhile
     /// need not be asked.
-    pub(super) fn probe_machines(&mut self) {
+    pub(in crate::core) fn probe_machines(&mut self) {
         let now = self.now.mono;
         while let Some(lead) = &mut self.leader
             && lead.direct_calls_in_flight < MAX_DIRECT_CALLS
@@ -118,7 +118,7 @@
 
     /// A report came that is older than what is known: a copy that comes late, or the machine has begun
     /// anew and counts from one. Its answer to a question that is asked now tells which.
-    pub(super) fn probe_for_restart(&mut self, id: &MachineId) {
+    pub(in crate::core) fn probe_for_restart(&mut self, id: &MachineId) {
         let now = self.now.mono;
         let Some(lead) = &mut self.leader else { return };
         let free = lead.direct_calls_in_flight < MAX_DIRECT_CALLS;
@@ -140,7 +140,7 @@
     }
 
     /// The machine has begun anew, with nothing of what was on it, and counts its reports from one.
-    pub(super) fn machine_restarted(&mut self, id: &MachineId, seen: u64) {
+    pub(in crate::core) fn machine_restarted(&mut self, id: &MachineId, seen: u64) {
         let Some(lead) = &mut self.leader else { return };
         let term = lead.term;
         let Some(m) = lead.machines.get_mut(id) else {
@@ -200,7 +200,7 @@
     }
 
     /// A machine has shown everything, or has nothing.
-    pub(super) fn resolve_machine(&mut self, id: &MachineId, how: &str) {
+    pub(in crate::core) fn resolve_machine(&mut self, id: &MachineId, how: &str) {
         let Some(lead) = &mut self.leader else { return };
         let machine = lead.machines.get_mut(id);
         let known = machine.is_some_and(|m| {
--- a/src/core/dead_key.rs
+++ b/src/core/leadership/stale_key.rs
@@ -1,9 +1,9 @@
 //! A leader key whose lease the state service does not know, which would keep everybody from leading.
 
-use super::keys::{LEADER, key, named};
-use super::leadership::LEASE_TTL;
-use super::{Core, Pending};
-use crate::state::{StoreOutcome, StoreRequest};
+use crate::core::leadership::LEASE_TTL;
+use crate::core::store::keys::{LEADER, key, named};
+use crate::core::{Core, Pending};
+use crate::store_client::{StoreOutcome, StoreRequest};
 use crate::wire::{Change, CompareAndSwap, Condition};
 use std::time::{Duration, Instant};
 
@@ -25,7 +25,7 @@
     /// ever, and nobody could lead. Where no leader is heard for long, its lease is asked for. Once that
     /// is not known, nobody can renew it, so whoever it belonged to ceases to act within a lease's time;
     /// after that the key is taken away, unless it is another one by then.
-    pub(super) fn check_stale_leader_key(&mut self) {
+    pub(in crate::core) fn check_stale_leader_key(&mut self) {
         let now = self.now.mono;
         let Some((value, version)) = &self.store_cache.leader else {
             self.stale_leader_key = None;
@@ -84,7 +84,7 @@
     }
 
     /// Whether the lease of a leader key of this version runs.
-    pub(super) fn leader_lease_checked(&mut self, version: u64, outcome: StoreOutcome) {
+    pub(in crate::core) fn leader_lease_checked(&mut self, version: u64, outcome: StoreOutcome) {
         let now = self.now.mono;
         if let (Some(d), StoreOutcome::Runs(false)) = (&mut self.stale_leader_key, outcome)
             && d.version == version
--- a/src/core/lead.rs
+++ b/src/core/leadership/state.rs
@@ -1,17 +1,17 @@
 //! What only a leader has: its lease and term, the machines and runs that it knows, what it writes, what
 //! is under way at the cloud, and what it has lent. Data; what is done with it is in the modules above.
 
-use super::delegation::PendingBatch;
-use super::expectation::Bidding;
-use super::keys::{PartGeneration, named};
-use super::machine::{Machine, Machines};
-use super::mirror::ResidualTasks;
-use super::rebuild::Rebuild;
-use super::records::MachineRecords;
-use super::run::{ArrivalRate, JobRun, RuntimeRatio, Urgency};
-use super::{CallId, Ticket};
-use crate::board::Board;
+use crate::core::jobs::job_run::{ArrivalRate, JobRun, RuntimeRatio, Urgency};
+use crate::core::machines::machine::{Machine, Machines};
+use crate::core::scheduling::demand::Bidding;
+use crate::core::store::cache::ResidualTasks;
+use crate::core::store::keys::{PartGeneration, named};
+use crate::core::store::machine_records::MachineRecords;
+use crate::core::store::rebuild::Rebuild;
+use crate::core::workers::delegation::PendingBatch;
+use crate::core::{CallId, Ticket};
 use crate::job::{JobId, JobOutcome, MachineId};
+use crate::planning::cluster_snapshot::Board;
 use crate::wire::{CompareAndSwap, Condition, ScaleOutRequest};
 use burlusher_membership::grant::IssuedGrant;
 use burlusher_membership::view::FailureDetectorTimeouts;
@@ -20,12 +20,12 @@
 use std::time::{Duration, Instant};
 
 /// A controller that serves workers says something at least every `HEARTBEAT`.
-pub(super) const PATIENCE: FailureDetectorTimeouts = FailureDetectorTimeouts {
+pub(in crate::core) const PATIENCE: FailureDetectorTimeouts = FailureDetectorTimeouts {
     suspect_after: Duration::from_millis(1500),
     lost_after: Duration::from_millis(6000),
 };
 /// With nothing to say, a frame goes to the leader this often: it keeps the grant.
-pub(super) const HEARTBEAT: Duration = Duration::from_millis(400);
+pub(in crate::core) const HEARTBEAT: Duration = Duration::from_millis(400);
 
 #[derive(Clone, Copy, Debug)]
 pub struct Lease {
@@ -113,7 +113,7 @@
 
 impl LeaderState {
     /// A leadership that begins now and knows nothing yet.
-    pub(super) fn new(
+    pub(in crate::core) fn new(
         key_version: u64,
         term: u64,
         now: Instant,
@@ -166,12 +166,12 @@
     }
 
     /// That the store is still the one it was.
-    pub(super) fn named(&self) -> Option<Condition> {
+    pub(in crate::core) fn named(&self) -> Option<Condition> {
         self.identity.as_ref().map(named)
     }
 
     /// A worker is heard, here or by way of another controller.
-    pub(super) fn record_heartbeat(&mut self, via: Option<&Arc<str>>, now: Instant) {
+    pub(in crate::core) fn record_heartbeat(&mut self, via: Option<&Arc<str>>, now: Instant) {
         self.last_heartbeat = Some(now);
         if via.is_none() {
             (self.last_direct_contact, self.failed_direct_calls) = (now, 0);
@@ -314,7 +314,7 @@
 
 impl Delegates {
     /// How long after a report the leader may hear of it, where another controller answered it.
-    pub(super) fn delegation_delay(&self) -> Duration {
+    pub(in crate::core) fn delegation_delay(&self) -> Duration {
         if self.by_name.is_empty() {
             Duration::ZERO
         } else {
--- a/src/core/renting.rs
+++ b/src/core/machines/cloud_calls.rs
@@ -1,12 +1,12 @@
 //! Renting: calls to the cloud within its limit, and what its answers and its list say of machines.
 
-use super::lead::ScaleOutOperation;
-use super::machine::Machine;
-use super::mirror::MachineValue;
-use super::{Core, Effect, Pending};
-use crate::board::Offer;
-use crate::cloud::{CloudOutcome, CloudRequest, MAX_DELETED_PER_CALL, PAGE};
+use crate::cloud_client::{CloudOutcome, CloudRequest, MAX_DELETED_PER_CALL, PAGE};
+use crate::core::leadership::state::ScaleOutOperation;
+use crate::core::machines::machine::Machine;
+use crate::core::store::cache::MachineValue;
+use crate::core::{Core, Effect, Pending};
 use crate::job::MachineId;
+use crate::planning::cluster_snapshot::Offer;
 use crate::wire::{ListedMachine, ListedState, ScaleOutRequest};
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -18,7 +18,7 @@
     /// Sends the calls that the cloud's limit allows now. What would have to wait stays here: a
     /// call that queues elsewhere outlives the leader's word for it, is asked again, and so makes
     /// the queue longer still.
-    pub(super) fn call_cloud(&mut self) {
+    pub(in crate::core) fn call_cloud(&mut self) {
         let now = self.now.mono;
         let Some(lead) = &mut self.leader else { return };
         let hurry = lead.machines.values().any(|m| {
@@ -96,7 +96,7 @@
     }
 
     /// Queues a rental under a name that no controller has ever used.
-    pub(super) fn rent(&mut self, offer: Offer, count: u32) {
+    pub(in crate::core) fn rent(&mut self, offer: Offer, count: u32) {
         let now = self.now.mono;
         let Some(lead) = &mut self.leader else { return };
         lead.cloud.next_request += 1;
@@ -126,7 +126,7 @@
         );
     }
 
-    pub(super) fn cloud_outcome(&mut self, call: u64, outcome: CloudOutcome) {
+    pub(in crate::core) fn cloud_outcome(&mut self, call: u64, outcome: CloudOutcome) {
         let now = self.now.mono;
         let pending = self.pending.remove(&call);
         if let (Some(Pending::Types), CloudOutcome::Types(types)) = (&pending, &outcome) {
--- a/src/core/losses.rs
+++ b/src/core/machines/failure_detection.rs
@@ -1,8 +1,8 @@
 //! Losses: machines that fall silent, are taken, or never come up, and what becomes of their tasks.
 
-use super::Core;
-use super::leadership::LEASE_TTL;
-use super::machine::{Machine, Placement, StopReason, WORKER_RETRY};
+use crate::core::Core;
+use crate::core::leadership::LEASE_TTL;
+use crate::core::machines::machine::{Machine, Placement, StopReason, WORKER_RETRY};
 use crate::job::{JobKind, MachineId, TaskId};
 use crate::settings::Settings;
 use std::collections::BTreeMap;
@@ -10,7 +10,7 @@
 
 /// A machine that may hold old tasks is asked this often, so far apart, before it counts as dead:
 /// one lost packet condemns none, and all old tasks that nobody has shown wait for the dead ones.
-pub(super) const MAX_UNANSWERED_PROBES: u32 = 2;
+pub(in crate::core) const MAX_UNANSWERED_PROBES: u32 = 2;
 /// Added to the time after which a leader that hears nobody resigns: for a takeover costs more
 /// than a moment's silence.
 const RESIGN_MARGIN: Duration = Duration::from_millis(1000);
@@ -26,7 +26,7 @@
 }
 
 /// From when a worker was last answered until its lease has run out for certain.
-pub(super) fn lease_expiry(lease: Duration) -> Duration {
+pub(in crate::core) fn lease_expiry(lease: Duration) -> Duration {
     lease + lease / 500 + LEASE_MARGIN
 }
 
@@ -57,7 +57,7 @@
 impl Core {
     /// Forgets what was left of jobs that were cancelled so long ago that every lease has run out since. Each
     /// controller does, so that what it remembers is bounded by the pace of cancellations.
-    pub(super) fn forget_cancelled(&mut self) {
+    pub(in crate::core) fn forget_cancelled(&mut self) {
         let now = self.now.mono;
         if self
             .cancelled_forgotten
@@ -75,7 +75,7 @@
     }
 
     /// Losses, notices and the cloud's list.
-    pub(super) fn check_machines(&mut self) {
+    pub(in crate::core) fn check_machines(&mut self) {
         let now = self.now.mono;
         let Some(lead) = &mut self.leader else { return };
         if lead
@@ -222,7 +222,7 @@
         self.call_cloud();
     }
 
-    pub(super) fn machine_lease_expired(&mut self, id: &MachineId) {
+    pub(in crate::core) fn machine_lease_expired(&mut self, id: &MachineId) {
         let now = self.now.mono;
         let lease_expiry = lease_expiry(self.settings.worker_lease);
         let Some(lead) = &mut self.leader else { return };
@@ -247,7 +247,7 @@
     }
 
     /// The machine is deleted; until that is confirmed, its tasks stay where they are.
-    pub(super) fn release_machine(&mut self, id: &MachineId, why: &'static str) {
+    pub(in crate::core) fn release_machine(&mut self, id: &MachineId, why: &'static str) {
         let now = self.now.mono;
         let Some(lead) = &mut self.leader else { return };
         let Some(m) = lead.machines.get_mut(id) else {
@@ -267,7 +267,7 @@
     }
 
     /// It is certain that the machine and everything on it is gone.
-    pub(super) fn machine_gone(&mut self, id: &MachineId, how: &str) {
+    pub(in crate::core) fn machine_gone(&mut self, id: &MachineId, how: &str) {
         let now = self.now.mono;
         let Some(lead) = &mut self.leader else { return };
         let Some(m) = lead.machines.get(id) else {
--- a/src/core/machine.rs
+++ b/src/core/machines/machine.rs
@@ -1,9 +1,9 @@
 //! A machine as the leader knows it: data that reports, commands, losses and renting act on. It
 //! imports nothing of theirs.
 
-use crate::board::ImageTag;
-use crate::guard::{Safeguard, stands};
+use crate::fault_injection::{Safeguard, stands};
 use crate::job::{JobId, MachineId, Resources, TaskId};
+use crate::planning::cluster_snapshot::ImageTag;
 use crate::wire::{Heartbeat, TaskState};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -37,7 +37,7 @@
 }
 
 impl Phase {
-    pub(super) fn of(state: TaskState) -> Phase {
+    pub(in crate::core) fn of(state: TaskState) -> Phase {
         match state {
             TaskState::Fetching => Phase::Fetching,
             TaskState::Saving => Phase::Saving,
@@ -166,10 +166,10 @@
 /// the telling of commands then look at what changed, not at all there is.
 #[derive(Default)]
 pub struct Machines {
-    pub(super) all: BTreeMap<MachineId, Machine>,
+    pub(in crate::core) all: BTreeMap<MachineId, Machine>,
     /// For the board, and for commands that should not wait for a report.
     changed: Vec<MachineId>,
-    pub(super) to_push: BTreeSet<MachineId>,
+    pub(in crate::core) to_push: BTreeSet<MachineId>,
 }
 
 impl Machines {
@@ -183,7 +183,7 @@
     }
 
     /// For what neither the board nor commands depend on: that it was heard, and when.
-    pub(super) fn get_mut_quiet(&mut self, id: &MachineId) -> Option<&mut Machine> {
+    pub(in crate::core) fn get_mut_quiet(&mut self, id: &MachineId) -> Option<&mut Machine> {
         self.all.get_mut(id)
     }
 
@@ -330,7 +330,7 @@
     /// Whether a report says only what is known, under this term's token: most reports do, and
     /// with a thousand machines that each hold dozens of tasks, taking them in anew every time
     /// was most of a leader's work.
-    pub(super) fn is_unchanged_by(&self, report: &Heartbeat, term: u64) -> bool {
+    pub(in crate::core) fn is_unchanged_by(&self, report: &Heartbeat, term: u64) -> bool {
         let calm = report.incarnation == self.incarnation
             && report.sequence > self.sequence
             && report.fencing_token >= (term << TOKEN_EPOCH_BITS).max(self.highest_token)
@@ -364,7 +364,7 @@
 
     /// Nothing is open between it and the leader: a report that says the same as its last one
     /// would be answered with no orders.
-    pub(super) fn is_steady(&self) -> bool {
+    pub(in crate::core) fn is_steady(&self) -> bool {
         self.incarnation > 0
             && self.recorded
             && !self.lease_expired
@@ -379,18 +379,18 @@
     }
 
     /// What it is told may not reach it: a later token shows that it does.
-    pub(super) fn require_token_proof(&mut self, term: u64) {
+    pub(in crate::core) fn require_token_proof(&mut self, term: u64) {
         self.token_epoch += 1;
         self.unconfirmed_token = Some(self.token(term));
     }
 
     /// No command that was sent can still arrive.
-    pub(super) fn no_command_in_flight(&self) -> bool {
+    pub(in crate::core) fn no_command_in_flight(&self) -> bool {
         self.call_in_flight.is_none() && self.doubtful_until_token.is_none()
     }
 
     /// Notes that it is about to change, once until that is taken notice of.
-    pub(super) fn mark_changed(&mut self, noted: &mut Vec<MachineId>) -> &mut Machine {
+    pub(in crate::core) fn mark_changed(&mut self, noted: &mut Vec<MachineId>) -> &mut Machine {
         if !self.change_noted {
             self.change_noted = true;
             noted.push(self.id.clone());
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -23,59 +23,34 @@
 //! - `urgency`: what a job owes to those that need it.
 //! - `scheduling`: snapshots for `plan` and `fleet`, and their decisions carried out.
 
-mod barrier;
-mod bidding;
-mod commands;
-mod commit;
-mod custody;
-mod dead_key;
-mod delegation;
-mod expectation;
-mod figures;
+#[cfg(test)]
+mod simulation;
+
 mod jobs;
-mod keys;
-mod lead;
 mod leadership;
-mod losses;
-mod machine;
-mod mirror;
-mod parts;
-mod pipelines;
-mod questions;
-mod rebuild;
-mod records;
-mod recovery;
-mod relay;
-mod renting;
-mod report_queue;
-mod reports;
-mod run;
+mod machines;
+mod monitoring;
 mod scheduling;
-#[cfg(test)]
-mod simulation;
-mod status;
-mod submissions;
-mod urgency;
-mod versions;
-mod writes;
+mod store;
+mod workers;
 
+pub use jobs::queries::{Ask, UserRequest};
+pub use jobs::submissions::max_unfinished_tasks;
 pub use leadership::LEASE_TTL;
-pub use losses::cancellation_warning;
-pub use mirror::StoreCache;
-pub use questions::{Ask, UserRequest};
-pub use submissions::max_unfinished_tasks;
+pub use machines::failure_detection::cancellation_warning;
+pub use store::cache::StoreCache;
 
-use crate::cloud::{CloudOutcome, CloudRequest};
+use crate::cloud_client::{CloudOutcome, CloudRequest};
 use crate::http::Answer;
 use crate::job::{JobId, JobSpec, MachineId};
-use crate::link::{HeartbeatBatch, HeartbeatBatchResponse};
+use crate::peer::heartbeat_batch::{HeartbeatBatch, HeartbeatBatchResponse};
+use crate::peer::memory_exchange::{MemoryPage, MemoryRequest};
 use crate::peer::{PeerAnswer, PeerRequest};
 use crate::policy::{Entry, FleetFacts, Policy};
-use crate::recall::{MemoryPage, MemoryRequest};
 use crate::settings::Settings;
-use crate::state::{RateLimiter, StoreOutcome, StoreRequest};
+use crate::store_client::{RateLimiter, StoreOutcome, StoreRequest};
 use crate::wire::{Condition, Heartbeat, Item, MachineType, WatchEvent};
-use crate::worker::{DirectOutcome, DirectRequest};
+use crate::worker_client::{DirectOutcome, DirectRequest};
 use burlusher_membership::view::MembershipView;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddrV4;
@@ -105,7 +80,7 @@
     /// Figures for monitoring; with what waits in each lane of the owner's queue.
     Figures {
         ticket: Ticket,
-        lanes: [usize; 3],
+        queue_lengths: [usize; 3],
     },
     Heartbeat {
         ticket: Ticket,
@@ -132,7 +107,7 @@
     LeaseRenewed {
         lease: u64,
         sent: Instant,
-        stands: Option<u64>,
+        confirmed_key_version: Option<u64>,
     },
     /// What a leader's word rests on is not as it was when it was asked to be watched.
     Deposed {
@@ -248,14 +223,14 @@
         since: Instant,
         tries: u32,
         /// Where it does not fit into one value.
-        parts: Option<Box<parts::PartWrite>>,
+        parts: Option<Box<store::large_jobs::PartWrite>>,
     },
     /// The parts of a job that is to be accepted.
     Parts {
         ticket: Ticket,
         spec: Box<JobSpec>,
         since: Instant,
-        parts: Box<parts::PartWrite>,
+        parts: Box<store::large_jobs::PartWrite>,
         /// How many of them are in this transaction.
         sent: usize,
     },
@@ -263,7 +238,7 @@
         id: String,
         purpose: ReadPurpose,
     },
-    Barrier(Vec<barrier::Question>),
+    Barrier(Vec<store::read_barrier::Question>),
     TakeOver,
     /// Whether the store's identity is still of this version.
     CheckIdentity(u64),
@@ -318,11 +293,11 @@
     store_cache: StoreCache,
     /// When it was last looked whether cancelled jobs can still have something left.
     cancelled_forgotten: Option<Instant>,
-    lease: Option<lead::Lease>,
-    leader: Option<lead::LeaderState>,
+    lease: Option<leadership::state::Lease>,
+    leader: Option<leadership::state::LeaderState>,
     /// Whether controllers serve workers for the one that leads.
     delegating: bool,
-    relay: relay::Relay,
+    relay: workers::relay::Relay,
     members: MembershipView,
     /// How many leaderships this process has begun, and the newest term in which it has led.
     leaderships: u64,
@@ -333,10 +308,10 @@
     candidate_after: Instant,
     /// When this process last gave leadership up.
     resigned: Option<Instant>,
-    stale_leader_key: Option<dead_key::StaleLeaderKey>,
+    stale_leader_key: Option<leadership::stale_key::StaleLeaderKey>,
     forwards: BTreeMap<Ticket, UserRequest>,
-    barriers: barrier::ReadBarriers,
-    store_integrity: custody::StoreIntegrity,
+    barriers: store::read_barrier::ReadBarriers,
+    store_integrity: store::integrity::StoreIntegrity,
     /// Peers that gave no answer lately, and until when they are not asked.
     unreachable_peers: BTreeMap<String, Instant>,
     machine_types: Vec<MachineType>,
@@ -346,7 +321,7 @@
     last_peer_probe: Option<Instant>,
     peer_probes: u64,
     ready: Option<bool>,
-    plan_scratch: crate::plan::Scratch,
+    plan_scratch: crate::planning::backfill::Scratch,
     /// What the cloud's limit allows the leader now.
     cloud_budget: RateLimiter,
     /// Reads for users who ask about jobs that the state service's limit allows.
@@ -466,13 +441,13 @@
     pub fn new(settings: Arc<Settings>, policy: Arc<Policy>, nonce: u64, now: Now) -> Core {
         // Less than all, as the others ask for machine types, and an old leader for more.
         let cloud_budget = RateLimiter::new(settings.cloud_rps * 0.85, now.mono);
-        let writes = settings.store_write_rps * writes::WRITE_SHARE;
+        let writes = settings.store_write_rps * store::writes::WRITE_SHARE;
         let write_budget = RateLimiter::new(writes, now.mono);
         let share = settings.store_rps / (settings.peers.len() as f64 + 1.0);
         let read_budget = RateLimiter::new(share * QUESTIONS_SHARE, now.mono);
         let delegating = policy.fleet_truth(Entry::Delegate, &FleetFacts::default());
         let others = (settings.peers.iter()).map(|p| (p.name.clone(), p.zone.clone()));
-        let view = MembershipView::new(others, lead::PATIENCE);
+        let view = MembershipView::new(others, leadership::state::PATIENCE);
         Core {
             write_budget,
             read_budget,
@@ -491,7 +466,7 @@
             lease: None,
             leader: None,
             delegating,
-            relay: relay::Relay::new(nonce),
+            relay: workers::relay::Relay::new(nonce),
             members: view,
             leaderships: 0,
             newest_led_term: 0,
@@ -541,7 +516,10 @@
             match command {
                 Command::User(request) => self.serve_user(request),
                 Command::Status(ticket) => self.answer_status(ticket),
-                Command::Figures { ticket, lanes } => self.answer_metrics(ticket, lanes),
+                Command::Figures {
+                    ticket,
+                    queue_lengths: lanes,
+                } => self.answer_metrics(ticket, lanes),
                 Command::Heartbeat { ticket, report } => {
                     reports.extend(self.report(ticket, report))
                 }
@@ -557,7 +535,7 @@
                 Command::LeaseRenewed {
                     lease,
                     sent,
-                    stands,
+                    confirmed_key_version: stands,
                 } => self.lease_renewed(lease, sent, stands),
                 Command::Deposed { key_version } => self.deposed(key_version),
                 Command::LeaseLost => self.lease_lost(),
@@ -590,7 +568,7 @@
             self.advance_rebuild();
             self.check_machines();
             self.schedule();
-            let mut due = lead::DeferredResponses {
+            let mut due = leadership::state::DeferredResponses {
                 heartbeats: reports,
                 batches: syncs,
             };
--- a/src/core/figures.rs
+++ b/src/core/monitoring/metrics.rs
@@ -1,6 +1,6 @@
 //! What monitoring is told; see `metrics`.
 
-use super::{Core, Ticket, WORK};
+use crate::core::{Core, Ticket, WORK};
 use crate::http::Answer;
 use crate::metrics::Page;
 use burlusher_membership::view::{Capabilities, Standing};
@@ -10,7 +10,7 @@
 
 impl Core {
     /// `lanes`: commands that wait in the owner's queue, what is urgent first.
-    pub(super) fn answer_metrics(&mut self, ticket: Ticket, lanes: [usize; 3]) {
+    pub(in crate::core) fn answer_metrics(&mut self, ticket: Ticket, lanes: [usize; 3]) {
         let now = self.now.mono;
         let mut page = Page::default();
         page.gauge(
@@ -160,7 +160,7 @@
             lead.unresolved as f64,
         );
         page.gauge("jobs", "Jobs that are not over", lead.job_runs.len() as f64);
-        let tasks = |f: fn(&super::run::JobRun) -> usize| -> f64 {
+        let tasks = |f: fn(&crate::core::jobs::job_run::JobRun) -> usize| -> f64 {
             lead.job_runs.values().map(f).sum::<usize>() as f64
         };
         page.gauges(
--- /dev/null
+++ b/src/core/monitoring/mod.rs
@@ -0,0 +1,4 @@
+//! What operators see: the status view and the metrics.
+
+pub mod metrics;
+pub mod status;
--- a/src/core/status.rs
+++ b/src/core/monitoring/status.rs
@@ -1,7 +1,7 @@
 //! A readable view of what runs where and why a job waits, for operators.
 
-use super::machine::{Machine, Phase};
-use super::{Core, Ticket};
+use crate::core::machines::machine::{Machine, Phase};
+use crate::core::{Core, Ticket};
 use crate::http::Answer;
 use crate::job::{JobId, JobOutcome, JobSpec};
 use serde_json::{Value, json};
@@ -11,7 +11,7 @@
 const MAX_LISTED_JOBS: usize = 200;
 
 impl Core {
-    pub(super) fn answer_status(&mut self, ticket: Ticket) {
+    pub(in crate::core) fn answer_status(&mut self, ticket: Ticket) {
         let view = if self.acting() {
             self.leader_view()
         } else {
--- a/src/core/bidding.rs
+++ b/src/core/scheduling/bidding.rs
@@ -1,14 +1,14 @@
 //! Bidding: what starts are worth to waiting and expected work, what the markets' answers teach,
 //! and the awards carried out.
 
-use super::Core;
-use super::lead::LeaderState;
-use super::scheduling::QueueEntry;
-use crate::bids::{self, Asked};
-use crate::board::Offer;
-use crate::fleet::{self, Rent};
-use crate::forecast::{Coming, Unmet};
+use crate::core::Core;
+use crate::core::leadership::state::LeaderState;
+use crate::core::scheduling::QueueEntry;
 use crate::job::{JobSpec, MachineId};
+use crate::planning::autoscaler::{self, Rent};
+use crate::planning::bids::{self, Asked};
+use crate::planning::capacity_forecast::{Coming, Unmet};
+use crate::planning::cluster_snapshot::Offer;
 use crate::policy::{Entry, FleetFacts, JobFacts};
 use burlusher_market::clear::stake;
 use burlusher_market::{Aim, Spread, Worth};
@@ -24,7 +24,7 @@
 const LEAST_EXPECTED: f64 = 0.5;
 
 impl Core {
-    pub(super) fn fleet_facts(&self, lead: &LeaderState) -> FleetFacts {
+    pub(in crate::core) fn fleet_facts(&self, lead: &LeaderState) -> FleetFacts {
         FleetFacts {
             machines: lead.machines.values().count() as f64,
             zones: self.settings.zones.len() as f64,
@@ -65,7 +65,7 @@
     }
 
     /// What one entry of the queue asks of the markets.
-    pub(super) fn asked(&self, entry: &QueueEntry, unmet: Unmet) -> Asked {
+    pub(in crate::core) fn asked(&self, entry: &QueueEntry, unmet: Unmet) -> Asked {
         let run = unmet
             .estimate
             .min(entry.estimate.max(Duration::from_secs(1)));
@@ -131,11 +131,11 @@
     }
 
     /// Clears what waits and what is expected against the markets.
-    pub(super) fn bid(
+    pub(in crate::core) fn bid(
         &mut self,
         mut asked: Vec<Asked>,
         coming: &[Coming],
-        mut market: fleet::Market,
+        mut market: autoscaler::Market,
     ) -> Vec<Rent> {
         let now = self.now.mono;
         let Some(mut lead) = self.leader.take() else {
@@ -159,8 +159,8 @@
         // all who may use them, however little patience they have for others.
         let unmet: Vec<Unmet> = asked.iter().map(|a| a.unmet.clone()).collect();
         let mut rents =
-            fleet::spot_first(&lead.board, coming, &unmet, &market, now, |u| u.spec.spot);
-        let coming = &fleet::with(coming, &rents, &self.machine_types)[..];
+            autoscaler::spot_first(&lead.board, coming, &unmet, &market, now, |u| u.spec.spot);
+        let coming = &autoscaler::with(coming, &rents, &self.machine_types)[..];
         let ahead = self.policy.fleet_number(Entry::Foresight, &facts);
         if ahead > 0.0 {
             let ahead = Duration::from_secs_f64(ahead.min(600.0));
@@ -188,11 +188,11 @@
         for (offer, count) in more {
             *rents.entry(offer).or_default() += count;
         }
-        fleet::in_requests(rents)
+        autoscaler::in_requests(rents)
     }
 
     /// Each market as it is believed to be, and what the last clearing made of all bids.
-    pub(super) fn markets_view(&self, lead: &LeaderState) -> Value {
+    pub(in crate::core) fn markets_view(&self, lead: &LeaderState) -> Value {
         let now = self.now.mono;
         let beliefs = &lead.bidding.beliefs;
         let mut markets = Vec::new();
@@ -224,7 +224,7 @@
     }
 
     /// A machine was lost, or is going to be: its market is less safe than it seemed.
-    pub(super) fn machine_lost(&mut self, id: &MachineId) {
+    pub(in crate::core) fn machine_lost(&mut self, id: &MachineId) {
         let now = self.now.mono;
         let Some(lead) = &mut self.leader else { return };
         if let Some(m) = lead.machines.get(id) {
--- a/src/core/expectation.rs
+++ b/src/core/scheduling/demand.rs
@@ -1,7 +1,7 @@
 //! What a leader believes of markets and expects to come: kept from step to step, by it alone.
 
-use crate::board::Offer;
 use crate::job::{JobSpec, Priority};
+use crate::planning::cluster_snapshot::Offer;
 use burlusher_market::clear::Cleared;
 use burlusher_market::{Beliefs, Demand};
 use std::collections::BTreeMap;
--- a/src/core/scheduling.rs
+++ b/src/core/scheduling/mod.rs
@@ -1,17 +1,20 @@
 //! Snapshots for `plan` and `fleet`, and their decisions carried out.
 
-use super::delegation::PendingBatch;
-use super::lead::{DeferredResponses as Waiters, LeaderState};
-use super::machine::{Machine, Phase, Placement, StopReason};
-use super::mirror::JobRecord;
-use super::run::{JobRun, RuntimeRatio, Urgency};
-use super::{Core, Work};
-use crate::board::{Board, Held, Host, Offer, Use, image_tag};
-use crate::fleet;
-use crate::forecast::{Coming, Unmet};
-use crate::guard::{Safeguard, stands};
+pub mod bidding;
+pub mod demand;
+
+use crate::core::jobs::job_run::{JobRun, RuntimeRatio, Urgency};
+use crate::core::leadership::state::{DeferredResponses as Waiters, LeaderState};
+use crate::core::machines::machine::{Machine, Phase, Placement, StopReason};
+use crate::core::store::cache::JobRecord;
+use crate::core::workers::delegation::PendingBatch;
+use crate::core::{Core, Work};
+use crate::fault_injection::{Safeguard, stands};
 use crate::job::{JobId, JobKind, MachineId, Priority, Resources, TaskId};
-use crate::plan::{self, TeamUse, Waiting};
+use crate::planning::autoscaler;
+use crate::planning::backfill::{self, TeamUse, Waiting};
+use crate::planning::capacity_forecast::{Coming, Unmet};
+use crate::planning::cluster_snapshot::{Board, Held, Host, Offer, Use, image_tag};
 use crate::policy::{Entry, JobFacts, MachineFacts};
 use crate::settings::Team;
 use burlusher_market::Spread;
@@ -33,7 +36,7 @@
 const NO_DEADLINE_S: f64 = 1e6;
 
 /// A job in the queue.
-pub(super) struct QueueEntry<'a> {
+pub(in crate::core) struct QueueEntry<'a> {
     id: &'a JobId,
     job: &'a JobRecord,
     run: &'a JobRun,
@@ -47,7 +50,7 @@
     order: f64,
 }
 
-pub(super) struct View<'a> {
+pub(in crate::core) struct View<'a> {
     now: Instant,
     lead: &'a LeaderState,
     jobs: &'a BTreeMap<JobId, JobRecord>,
@@ -90,7 +93,12 @@
 }
 
 impl Core {
-    pub(super) fn note_run_time(&mut self, id: &MachineId, key: &TaskId, ran: Option<Duration>) {
+    pub(in crate::core) fn note_run_time(
+        &mut self,
+        id: &MachineId,
+        key: &TaskId,
+        ran: Option<Duration>,
+    ) {
         let Some(lead) = &mut self.leader else { return };
         let (Some(job), Some(ran)) = (self.store_cache.jobs.get(&key.job), ran) else {
             return;
@@ -122,7 +130,7 @@
     /// Answers that wait for the next plan, and those of this step that will: what is placed on a
     /// machine that something just ended on then goes into the answer to its report, and takes no call
     /// to it. They wait no longer than plans are apart at least.
-    pub(super) fn defer_responses(&mut self, now_due: &mut Waiters) {
+    pub(in crate::core) fn defer_responses(&mut self, now_due: &mut Waiters) {
         let Some(lead) = &mut self.leader else { return };
         let before = std::mem::take(&mut lead.deferred_responses);
         // At a takeover all machines are new, and their answers show them the token: no time to lose.
@@ -142,7 +150,7 @@
     }
 
     /// Until the next plan, if answers wait for it.
-    pub(super) fn until_next_plan(&self) -> Option<Duration> {
+    pub(in crate::core) fn until_next_plan(&self) -> Option<Duration> {
         let lead = self.leader.as_ref()?;
         let held = !lead.deferred_responses.heartbeats.is_empty()
             || !lead.deferred_responses.batches.is_empty();
@@ -150,7 +158,7 @@
         held.then(|| at.saturating_duration_since(self.now.mono))
     }
 
-    pub(super) fn schedule(&mut self) {
+    pub(in crate::core) fn schedule(&mut self) {
         let now = self.now.mono;
         let Some(lead) = &self.leader else { return };
         let since = lead.last_plan.map(|t| now.saturating_duration_since(t));
@@ -293,7 +301,7 @@
     }
 
     /// The tightest aim of a kind that the users state for a class, in seconds; 0 for none.
-    pub(super) fn objective_threshold(&self, class: &str, kind: &str) -> f64 {
+    pub(in crate::core) fn objective_threshold(&self, class: &str, kind: &str) -> f64 {
         let objectives = self.settings.objectives.iter();
         objectives
             .filter(|o| o.kind == kind && o.class == class)
@@ -302,7 +310,7 @@
             .map_or(0.0, |d| d.as_secs_f64())
     }
 
-    pub(super) fn facts(
+    pub(in crate::core) fn facts(
         &self,
         job: &JobRecord,
         run: &JobRun,
@@ -350,7 +358,7 @@
     }
 
     /// Whether the job's unseen tasks may run somewhere that has not reported yet.
-    pub(super) fn blocked_by_recovery(lead: &LeaderState, job: &JobRecord) -> bool {
+    pub(in crate::core) fn blocked_by_recovery(lead: &LeaderState, job: &JobRecord) -> bool {
         lead.unresolved > 0 && job.version < lead.key_version && stands(Safeguard::Unseen)
     }
 
@@ -414,7 +422,7 @@
     }
 
     /// Puts what changed about machines on the board.
-    pub(super) fn refresh_board(&mut self) {
+    pub(in crate::core) fn refresh_board(&mut self) {
         let Some(lead) = &mut self.leader else { return };
         let changed = lead.machines.take_changed();
         lead.revoke_changed(&changed);
@@ -594,12 +602,12 @@
         let Some(lead) = &mut self.leader else { return };
         let mut board = std::mem::take(&mut lead.board);
         let mut scratch = std::mem::take(&mut self.plan_scratch);
-        let mut decided = plan::Plan::default();
+        let mut decided = backfill::Plan::default();
         let mut jobs = Vec::new();
         if let Some(lead) = &self.leader {
             let mut queue = self.queue(&self.view(lead), &board);
             let mut teams = self.team_use(lead, &board);
-            decided = plan::plan(&mut board, &mut queue, &mut teams, now, &mut scratch);
+            decided = backfill::plan(&mut board, &mut queue, &mut teams, now, &mut scratch);
             jobs = queue.into_iter().map(|w| (w.spec, w.team)).collect();
         }
         self.plan_scratch = scratch;
@@ -706,7 +714,7 @@
         let Some(lead) = &mut self.leader else { return };
         let beliefs = &mut lead.bidding.beliefs;
         beliefs.shut_only(&cut, "its machines are not heard");
-        let market = fleet::Market {
+        let market = autoscaler::Market {
             types: self.machine_types.clone(),
             refused: lead.bidding.beliefs.refused(now).cloned().collect(),
             cut,
@@ -717,14 +725,14 @@
         } else if bidding {
             self.bid(asked, &coming, market)
         } else {
-            fleet::rent(&lead.board, &coming, &unmet, &market, now)
+            autoscaler::rent(&lead.board, &coming, &unmet, &market, now)
         };
         let Some(lead) = &self.leader else { return };
         // A new leader first learns what there is.
         let settled = lead.unresolved == 0
             && now.saturating_duration_since(lead.since) > self.settings.heartbeat_interval * 2;
         let returns = if settled {
-            fleet::give_back(&lead.board, &unmet, now, |id| self.idle_keep(lead, id))
+            autoscaler::give_back(&lead.board, &unmet, now, |id| self.idle_keep(lead, id))
         } else {
             Vec::new()
         };
@@ -836,7 +844,7 @@
         if times >= ANY_PRICE {
             return Vec::new();
         }
-        fleet::too_dear(&self.machine_types, &job.spec, times.max(1.0))
+        autoscaler::too_dear(&self.machine_types, &job.spec, times.max(1.0))
     }
 
     /// What waits for room, in the queue's order, within the teams' limits.
@@ -900,7 +908,7 @@
     }
 
     /// Offers refused a short while ago, for the status view.
-    pub(super) fn refused_offers(&self) -> Vec<Offer> {
+    pub(in crate::core) fn refused_offers(&self) -> Vec<Offer> {
         let now = self.now.mono;
         self.leader.as_ref().map_or(Vec::new(), |l| {
             l.bidding.beliefs.refused(now).cloned().collect()
--- a/src/core/simulation/checker.rs
+++ b/src/core/simulation/checker.rs
@@ -3,7 +3,7 @@
 use super::cluster::{Node, Simulation};
 use super::network::Link;
 use super::worker::Worker;
-use crate::guard::{Safeguard, stands};
+use crate::fault_injection::{Safeguard, stands};
 use crate::http::Answer;
 use crate::job::{JobKind, JobSpec, MachineId, TaskId};
 use crate::wire::{JobState, JobStatus, TaskState};
--- a/src/core/simulation/cloud.rs
+++ b/src/core/simulation/cloud.rs
@@ -1,7 +1,7 @@
 //! The simulated cloud.
 
 use super::cluster::Simulation;
-use crate::cloud::{CloudOutcome, CloudRequest};
+use crate::cloud_client::{CloudOutcome, CloudRequest};
 use crate::wire::{ListedMachine, ListedState};
 
 impl Simulation {
--- a/src/core/simulation/cluster.rs
+++ b/src/core/simulation/cluster.rs
@@ -12,7 +12,7 @@
 use crate::job::MachineId;
 use crate::policy::Policy;
 use crate::settings::Settings;
-use crate::state::StoreOutcome;
+use crate::store_client::StoreOutcome;
 use crate::wire::{CompareAndSwap, Item, MachineType};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -390,7 +390,7 @@
                 node.inbox.push(Command::LeaseRenewed {
                     lease: id,
                     sent: now,
-                    stands,
+                    confirmed_key_version: stands,
                 });
             }
             Some(_) => {
@@ -405,7 +405,7 @@
                 node.inbox.push(Command::LeaseRenewed {
                     lease: id,
                     sent: now,
-                    stands: None,
+                    confirmed_key_version: None,
                 });
             }
         }
--- a/src/core/simulation/faults.rs
+++ b/src/core/simulation/faults.rs
@@ -5,7 +5,7 @@
 use super::store::{Backup, StateService};
 use crate::core::{Command, LEASE_TTL};
 use crate::job::MachineId;
-use crate::state::PREFIX;
+use crate::store_client::PREFIX;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
--- a/src/core/simulation/mixed_versions.rs
+++ b/src/core/simulation/mixed_versions.rs
@@ -2,10 +2,10 @@
 //! serve side by side, and each works on what the other wrote. The literals here were written by
 //! that version's own encoders.
 
-use crate::core::mirror::{
+use crate::core::simulation::{LIMITS, NEXT_LIMITS, Simulation};
+use crate::core::store::cache::{
     DoneValue, JobValue, LeaderValue, PageValue, RowSet, StoreCache, TermValue,
 };
-use crate::core::simulation::{LIMITS, NEXT_LIMITS, Simulation};
 use crate::job::{JobKind, JobOutcome, JobSpec, Priority, Resources, sample};
 use crate::peer::{self, PeerAnswer, PeerRequest};
 use crate::wire::{JobState, WatchEvent};
--- a/src/core/simulation/network.rs
+++ b/src/core/simulation/network.rs
@@ -2,16 +2,16 @@
 
 use super::cluster::Simulation;
 use super::store::STORE_TIMEOUT;
-use crate::cloud::{CloudOutcome, CloudRequest};
+use crate::cloud_client::{CloudOutcome, CloudRequest};
 use crate::core::{Ask, CallId, Command, Effect, Pending, Ticket, UserRequest};
 use crate::http::Answer;
 use crate::job::MachineId;
-use crate::link;
+use crate::peer::heartbeat_batch;
+use crate::peer::memory_exchange::{self, MemoryRequest};
 use crate::peer::{self, PeerAnswer, PeerRequest};
-use crate::recall::{self, MemoryRequest};
-use crate::state::StoreRequest;
+use crate::store_client::StoreRequest;
 use crate::wire::{CompareAndSwap, DirectCommands, Heartbeat, JobStatus};
-use crate::worker::DirectRequest;
+use crate::worker_client::DirectRequest;
 use rand::RngExt;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -131,7 +131,7 @@
         }
         if let Some((asker, peer, asked)) = self.network.recalls.remove(&ticket) {
             let (_, body) = peer::read_frame(&mut answer.body.as_slice()).unwrap();
-            let recalled = recall::decode_recalled(&body).unwrap();
+            let recalled = memory_exchange::decode_recalled(&body).unwrap();
             self.nodes[asker].inbox.push(Command::MemoryPage {
                 peer,
                 asked,
@@ -141,7 +141,7 @@
             // What cannot get through is as good as lost.
             let through = self.connected(asker, from);
             let frame = peer::read_frame(&mut answer.body.as_slice()).ok();
-            let synced = frame.and_then(|(_, body)| link::decode_synced(&body));
+            let synced = frame.and_then(|(_, body)| heartbeat_batch::decode_synced(&body));
             self.nodes[asker]
                 .inbox
                 .push(Command::HeartbeatBatchResponse {
@@ -212,7 +212,7 @@
             return;
         }
         let (_, body) = peer::read_frame(&mut { frame }).unwrap();
-        let sync = Box::new(link::decode_sync(&body).unwrap());
+        let sync = Box::new(heartbeat_batch::decode_sync(&body).unwrap());
         let ticket = self.new_ticket();
         self.network.syncs.insert(ticket, (from, number, self.now));
         self.nodes[to]
--- a/src/core/simulation/randomized.rs
+++ b/src/core/simulation/randomized.rs
@@ -5,7 +5,7 @@
 //! `HISTORY_SEED=1` others.
 
 use crate::core::simulation::{Backup, Link, Simulation};
-use crate::guard::{OUT, Safeguard};
+use crate::fault_injection::{OUT, Safeguard};
 use crate::job::{JobKind, sample};
 use crate::policy::Policy;
 use crate::wire::JobState;
--- a/src/core/simulation/recorded_decisions.rs
+++ b/src/core/simulation/recorded_decisions.rs
@@ -18,18 +18,18 @@
 //! diff -r /tmp/before /tmp/after
 //! ```
 
-use crate::cloud::CloudRequest;
+use crate::cloud_client::CloudRequest;
 use crate::core::simulation::scenarios::mixed_faults::inject_mixed_faults;
 use crate::core::simulation::{Link, NEXT_LIMITS, Simulation};
 use crate::core::{Effect, LeadershipProof};
 use crate::http::Answer;
 use crate::job::{JobKind, JobSpec, Priority, sample};
 use crate::peer;
+use crate::peer::memory_exchange;
 use crate::policy::Policy;
-use crate::recall;
-use crate::state::StoreRequest;
+use crate::store_client::StoreRequest;
 use crate::wire::{MachineIds, to_json};
-use crate::worker::DirectRequest;
+use crate::worker_client::DirectRequest;
 use serde_json::{Value, json};
 use siphasher::sip::SipHasher13;
 use std::fmt::Write as _;
@@ -163,7 +163,7 @@
                 }
             }
             Effect::MemoryRequest { peer, recall } => {
-                json!([RECALL, peer, text(&recall::encode_recall(recall))])
+                json!([RECALL, peer, text(&memory_exchange::encode_recall(recall))])
             }
             Effect::RereadStore => json!([READ_AFRESH]),
             Effect::ReleaseLease => json!([GIVE_UP_LEASE]),
--- a/src/core/simulation/scenarios/cancellation.rs
+++ b/src/core/simulation/scenarios/cancellation.rs
@@ -1,9 +1,9 @@
 //! Cancellations: one outcome for each, nothing started after it, everything stopped in time.
 
 use super::{eight_machines, fails_without, follower, four_machines, unlimited_job};
-use crate::core::losses::cancellation_warning;
+use crate::core::machines::failure_detection::cancellation_warning;
 use crate::core::simulation::{Link, Setup, Simulation, settings};
-use crate::guard::Safeguard;
+use crate::fault_injection::Safeguard;
 use crate::job::{MachineId, sample};
 use crate::policy::Policy;
 use crate::wire::JobState;
--- a/src/core/simulation/scenarios/cancellation_at_handover.rs
+++ b/src/core/simulation/scenarios/cancellation_at_handover.rs
@@ -2,7 +2,7 @@
 
 use super::{eight_machines, fails_without, unlimited_job};
 use crate::core::simulation::{Link, Setup, Simulation};
-use crate::guard::Safeguard;
+use crate::fault_injection::Safeguard;
 use crate::job::sample;
 use crate::policy::Policy;
 use crate::wire::DirectCommands;
--- a/src/core/simulation/scenarios/cancellation_in_outage.rs
+++ b/src/core/simulation/scenarios/cancellation_in_outage.rs
@@ -6,7 +6,7 @@
 use super::unlimited_job;
 use crate::core::leadership::LEASE_TTL;
 use crate::core::simulation::{LEASE, Link, Setup, Simulation};
-use crate::guard::{OUT, Safeguard};
+use crate::fault_injection::{OUT, Safeguard};
 use crate::policy::Policy;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::time::Duration;
--- a/src/core/simulation/scenarios/delegation.rs
+++ b/src/core/simulation/scenarios/delegation.rs
@@ -412,7 +412,7 @@
         };
         let ask = Command::Figures {
             ticket: u64::MAX,
-            lanes: [1, 2, 3],
+            queue_lengths: [1, 2, 3],
         };
         let effects = simulation.nodes[node].core.step(now, vec![ask]);
         let body = effects.into_iter().find_map(|e| match e {
--- a/src/core/simulation/scenarios/late_writes.rs
+++ b/src/core/simulation/scenarios/late_writes.rs
@@ -2,7 +2,7 @@
 
 use super::{eight_machines, fails_without, four_machines, unlimited_job};
 use crate::core::simulation::{Link, Simulation};
-use crate::guard::Safeguard;
+use crate::fault_injection::Safeguard;
 use crate::job::{MachineId, sample};
 use crate::policy::Policy;
 use std::time::Duration;
--- a/src/core/simulation/scenarios/loss_of_store.rs
+++ b/src/core/simulation/scenarios/loss_of_store.rs
@@ -4,10 +4,10 @@
 use super::fails_without;
 use crate::core::simulation::{Link, Simulation};
 use crate::core::{Core, Effect, Pending};
-use crate::guard::Safeguard;
+use crate::fault_injection::Safeguard;
 use crate::job::{JobSpec, sample};
 use crate::policy::Policy;
-use crate::state::StoreOutcome;
+use crate::store_client::StoreOutcome;
 use crate::wire::{Item, JobState};
 use std::time::Duration;
 
--- a/src/core/simulation/scenarios/lost_answers.rs
+++ b/src/core/simulation/scenarios/lost_answers.rs
@@ -4,7 +4,7 @@
 
 use super::{eight_machines, fails_without, unlimited_job};
 use crate::core::simulation::{Link, Simulation};
-use crate::guard::Safeguard;
+use crate::fault_injection::Safeguard;
 use crate::wire::JobState;
 use std::time::Duration;
 
--- a/src/core/simulation/scenarios/machine_failures.rs
+++ b/src/core/simulation/scenarios/machine_failures.rs
@@ -2,7 +2,7 @@
 
 use super::{fails_without, four_machines, unlimited_job};
 use crate::core::simulation::Simulation;
-use crate::guard::Safeguard;
+use crate::fault_injection::Safeguard;
 use crate::job::sample;
 use crate::policy::Policy;
 
--- a/src/core/simulation/scenarios/mod.rs
+++ b/src/core/simulation/scenarios/mod.rs
@@ -22,7 +22,7 @@
 mod submissions;
 
 use crate::core::simulation::Simulation;
-use crate::guard::{OUT, Safeguard};
+use crate::fault_injection::{OUT, Safeguard};
 use crate::job::{JobSpec, MachineId, sample};
 use crate::policy::Policy;
 use std::panic::{AssertUnwindSafe, catch_unwind};
--- a/src/core/simulation/scenarios/old_reports.rs
+++ b/src/core/simulation/scenarios/old_reports.rs
@@ -2,7 +2,7 @@
 
 use super::{eight_machines, fails_without, four_machines, machines_in_zone, unlimited_job};
 use crate::core::simulation::Simulation;
-use crate::guard::Safeguard;
+use crate::fault_injection::Safeguard;
 use crate::job::{MachineId, sample};
 use crate::wire::{Heartbeat, JobState};
 use std::time::Duration;
--- a/src/core/simulation/scenarios/partitions.rs
+++ b/src/core/simulation/scenarios/partitions.rs
@@ -2,7 +2,7 @@
 
 use super::{eight_machines, fails_without, four_machines, machines_in_zone, unlimited_job};
 use crate::core::simulation::{LEASE, Link, Simulation};
-use crate::guard::Safeguard;
+use crate::fault_injection::Safeguard;
 use crate::job::{MachineId, Priority, sample};
 use crate::wire::JobState;
 use std::time::Duration;
--- a/src/core/simulation/scenarios/scheduling.rs
+++ b/src/core/simulation/scenarios/scheduling.rs
@@ -2,7 +2,7 @@
 
 use super::{eight_machines, fails_without, four_machines, thousand_machines, unlimited_job};
 use crate::core::simulation::Simulation;
-use crate::guard::Safeguard;
+use crate::fault_injection::Safeguard;
 use crate::job::{JobKind, MachineId, Priority, sample};
 use crate::policy::Policy;
 use std::time::Duration;
--- a/src/core/simulation/scenarios/size.rs
+++ b/src/core/simulation/scenarios/size.rs
@@ -1,16 +1,16 @@
 //! Scenarios of size: 6,000 machines on one controller, which is half as many again as the largest site has.
 
 use super::{eight_machines, unlimited_job};
-use crate::core::commands::MAX_DIRECT_CALLS;
-use crate::core::mirror::{JobValue, MachineValue, PageValue, ResidualTasks};
 use crate::core::simulation::Simulation;
 use crate::core::simulation::{SETUP, settings};
+use crate::core::store::cache::{JobValue, MachineValue, PageValue, ResidualTasks};
+use crate::core::workers::commands::MAX_DIRECT_CALLS;
 use crate::core::{Command, Core, Effect, Now, Ticket};
 use crate::job::{JobOutcome, MachineId, Resources, sample};
-use crate::link::{
+use crate::peer;
+use crate::peer::heartbeat_batch::{
     self, HeartbeatBatchResponse, RelayedHeartbeat, RelayedOutcome, RelayedResponse,
 };
-use crate::peer;
 use crate::policy::Policy;
 use crate::settings::Settings;
 use crate::wire::{Heartbeat, TaskState, TaskStatus, WatchEvent};
@@ -226,7 +226,7 @@
 }
 
 /// The leader's answer to a frame: nothing to do for anybody.
-fn answer(sync: &link::HeartbeatBatch) -> HeartbeatBatchResponse {
+fn answer(sync: &heartbeat_batch::HeartbeatBatch) -> HeartbeatBatchResponse {
     let told = |r: &RelayedHeartbeat| RelayedResponse {
         id: r.id,
         outcome: RelayedOutcome::Commands {
@@ -267,7 +267,7 @@
             match effect {
                 Effect::HeartbeatBatch { number, frame, .. } => {
                     let (_, body) = peer::read_frame(&mut frame.as_slice()).unwrap();
-                    let answer = answer(&link::decode_sync(&body).unwrap());
+                    let answer = answer(&heartbeat_batch::decode_sync(&body).unwrap());
                     let answer = Some(Box::new(answer));
                     commands.push(Command::HeartbeatBatchResponse { number, answer });
                     frames += 1;
--- a/src/core/simulation/store.rs
+++ b/src/core/simulation/store.rs
@@ -3,7 +3,7 @@
 use super::cluster::Simulation;
 use super::network::Link;
 use crate::job::MachineId;
-use crate::state::{PREFIX, StoreOutcome, StoreRequest};
+use crate::store_client::{PREFIX, StoreOutcome, StoreRequest};
 use crate::wire::{Change, CompareAndSwap, Item, WatchEvent};
 use rand::RngExt;
 use std::collections::{BTreeMap, BTreeSet};
--- a/src/core/simulation/worker.rs
+++ b/src/core/simulation/worker.rs
@@ -8,7 +8,7 @@
     DirectCommands, ExitCause, Heartbeat, HeartbeatResponse, TaskCommand, TaskState, TaskStatus,
     parse_task_id,
 };
-use crate::worker::{DirectOutcome, DirectRequest};
+use crate::worker_client::{DirectOutcome, DirectRequest};
 use rand::RngExt;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
--- a/src/core/mirror.rs
+++ b/src/core/store/cache.rs
@@ -9,13 +9,13 @@
 //! what of it the store does not hold. What others remember joins by the same rules (`remember`), which
 //! do not depend on order: ends are final, done rows unite, a machine once known is known.
 
-use super::keys::{LEADER, REBUILDING, TERM, TYPES, done_key};
-use super::parts::{self, LargeJobParts, PartValue, PartedJob};
-use super::pipelines::DependencyGraph;
-use super::versions::KeyVersions;
-use crate::guard::{Safeguard, stands};
+use crate::core::jobs::dependencies::DependencyGraph;
+use crate::core::store::keys::{LEADER, REBUILDING, TERM, TYPES, done_key};
+use crate::core::store::large_jobs::{self, LargeJobParts, PartValue, PartedJob};
+use crate::core::store::versions::KeyVersions;
+use crate::fault_injection::{Safeguard, stands};
 use crate::job::{JobId, JobOutcome, JobSpec, MachineId};
-use crate::state::PREFIX;
+use crate::store_client::PREFIX;
 use crate::wire::{Change, Item, MachineType, WatchEvent};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -240,7 +240,7 @@
                 }
             }),
             Some(("s", rest)) => serde_json::from_value(value).map(|v: PartValue| {
-                if let Some((id, stem, n)) = parts::parse(rest) {
+                if let Some((id, stem, n)) = large_jobs::parse(rest) {
                     self.parts.put(&id, stem, n, v.text);
                     if self.finished.contains_key(&id) {
                         self.garbage_keys.insert(key.into());
@@ -457,7 +457,7 @@
         if self.versions.of(key) <= version {
             self.versions.forget(key);
         }
-        if let Some((id, stem, n)) = name.strip_prefix("s/").and_then(parts::parse) {
+        if let Some((id, stem, n)) = name.strip_prefix("s/").and_then(large_jobs::parse) {
             self.garbage_keys.remove(key);
             self.parts.delete(&id, stem, n);
         }
--- a/src/core/mirror/loss.rs
+++ b/src/core/store/cache/loss.rs
@@ -1,9 +1,9 @@
 //! Whether what is stored can be what the copy was made of; and the copy of a store that has lost data.
 
-use super::super::keys::{TERM, identity_key, job_key, key as stored_key};
-use super::super::parts::LargeJobParts;
-use super::super::versions::KeyVersions;
 use super::{StoreCache, is_over};
+use crate::core::store::keys::{TERM, identity_key, job_key, key as stored_key};
+use crate::core::store::large_jobs::LargeJobParts;
+use crate::core::store::versions::KeyVersions;
 use crate::job::JobId;
 use crate::wire::Item;
 use std::collections::{BTreeMap, BTreeSet};
--- a/src/core/mirror/memory.rs
+++ b/src/core/store/cache/memory.rs
@@ -1,10 +1,10 @@
 //! What is remembered of a store, handed over in pages, and what others remember taken in. The rules do not depend on
 //! order: ends are final, done rows unite, a machine once known is known.
 
-use super::super::keys::{TERM, TYPES, done_key, job_key, key as stored_key, page_key};
 use super::{DoneValue, JobValue, PageValue, RowSet, StoreCache, TermValue};
+use crate::core::store::keys::{TERM, TYPES, done_key, job_key, key as stored_key, page_key};
 use crate::job::{JobId, MachineId};
-use crate::state::PREFIX;
+use crate::store_client::PREFIX;
 use crate::wire::to_json;
 use serde::Serialize;
 use std::ops::Bound;
--- a/src/core/mirror/stored.rs
+++ b/src/core/store/cache/stored.rs
@@ -1,6 +1,6 @@
 //! Values as they are stored, under the keys that `mirror` lists.
 
-use super::super::keys::PartGeneration;
+use crate::core::store::keys::PartGeneration;
 use crate::job::{JobOutcome, JobSpec, MachineId, Resources};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -89,7 +89,7 @@
 }
 
 /// Whether a job's stored form says how it ended; only that of one that is over has an end.
-pub(super) fn is_over(value: &serde_json::Value) -> bool {
+pub(in crate::core) fn is_over(value: &serde_json::Value) -> bool {
     JobOutcome::deserialize(&value["end"]).is_ok()
 }
 
--- a/src/core/custody.rs
+++ b/src/core/store/integrity.rs
@@ -11,15 +11,15 @@
 //! nobody leads it before the word of any earlier leader has run out: that one's last renewal came
 //! before the loss, and the loss before it was noticed.
 
-use super::keys::{NOTHING, REBUILDING, identity_key, key, named};
-use super::leadership::{LEASE_TTL, json};
-use super::machine::TOKEN_EPOCH_BITS;
-use super::mirror::{IdentityValue, RebuildingValue};
-use super::{CallId, Core, Effect, Pending, Ticket};
-use crate::guard::{Safeguard, stands};
+use crate::core::leadership::{LEASE_TTL, json};
+use crate::core::machines::machine::TOKEN_EPOCH_BITS;
+use crate::core::store::cache::{IdentityValue, RebuildingValue};
+use crate::core::store::keys::{NOTHING, REBUILDING, identity_key, key, named};
+use crate::core::{CallId, Core, Effect, Pending, Ticket};
+use crate::fault_injection::{Safeguard, stands};
 use crate::http::Answer;
-use crate::recall::{MemoryPage, MemoryRequest, PAGE_BYTES, encode_recalled};
-use crate::state::{StoreOutcome, StoreRequest};
+use crate::peer::memory_exchange::{MemoryPage, MemoryRequest, PAGE_BYTES, encode_recalled};
+use crate::store_client::{StoreOutcome, StoreRequest};
 use crate::wire::{Change, CompareAndSwap, Condition, Item};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant, SystemTime};
@@ -107,26 +107,26 @@
 
 impl StoreIntegrity {
     /// Somebody knows of this term.
-    pub(super) fn observe_term(&mut self, term: u64, now: Instant) {
+    pub(in crate::core) fn observe_term(&mut self, term: u64, now: Instant) {
         if term > self.newest_token_term {
             self.newest_token_term = term;
             self.newest_token_since = Some(now);
         }
     }
 
-    pub(super) fn call(&mut self, call: CallId) {
+    pub(in crate::core) fn call(&mut self, call: CallId) {
         self.revision_when_asked.insert(call, self.newest_revision);
     }
 }
 
 impl Core {
     /// Nothing may be said of what is not in the store, or not final.
-    pub(super) fn store_is_incomplete(&self) -> bool {
+    pub(in crate::core) fn store_is_incomplete(&self) -> bool {
         self.store_integrity.data_loss.is_some() || self.store_cache.rebuilding.is_some()
     }
 
     /// A sign that the store is not what it was: it is read as a whole.
-    pub(super) fn suspect_data_loss(&mut self, why: &str) {
+    pub(in crate::core) fn suspect_data_loss(&mut self, why: &str) {
         let now = self.now.mono;
         let lately = |t: Instant| now < t + REREAD_INTERVAL;
         if !self.store_cache.loaded {
@@ -147,7 +147,7 @@
     }
 
     /// Answers tell the revision; it never falls while the service keeps its data.
-    pub(super) fn heed_revision(&mut self, call: CallId, outcome: &StoreOutcome) {
+    pub(in crate::core) fn heed_revision(&mut self, call: CallId, outcome: &StoreOutcome) {
         let asked = self.store_integrity.revision_when_asked.remove(&call);
         let (StoreOutcome::Committed { revision } | StoreOutcome::Missing { revision }) = outcome
         else {
@@ -160,7 +160,7 @@
     }
 
     /// What was read as a whole is compared with what is remembered.
-    pub(super) fn reconcile_store_list(&mut self, items: Vec<Item>, revision: u64) {
+    pub(in crate::core) fn reconcile_store_list(&mut self, items: Vec<Item>, revision: u64) {
         let now = self.now.mono;
         self.store_integrity.reread_finished = true;
         let first = !self.store_cache.loaded;
@@ -244,7 +244,7 @@
     }
 
     /// The store has been read, and may have a new name.
-    pub(super) fn observe_identity(&mut self) {
+    pub(in crate::core) fn observe_identity(&mut self) {
         // Somebody noticed a loss that this process may have as well.
         let marked = self.store_cache.rebuilding.is_some();
         if marked && !self.store_integrity.was_marked && self.store_integrity.data_loss.is_none() {
@@ -305,7 +305,7 @@
 
     /// Every report shows the newest token that its worker has seen; a term newer than the store's
     /// was given by a store that is no more.
-    pub(super) fn observe_fencing_token(&mut self, token: u64) {
+    pub(in crate::core) fn observe_fencing_token(&mut self, token: u64) {
         let term = token >> TOKEN_EPOCH_BITS;
         if term > 0 {
             let oldest = self.store_integrity.oldest_token_term;
@@ -318,7 +318,7 @@
 
     /// Whoever leads next can have done so only after our word: a term newer than a leader's own was
     /// given by a store that is no more.
-    pub(super) fn check_newer_term(&mut self) {
+    pub(in crate::core) fn check_newer_term(&mut self) {
         let Some(lead) = &self.leader else { return };
         let (ours, newest) = (lead.term, self.newest_term());
         if newest > ours && self.acting() {
@@ -352,7 +352,7 @@
     /// While a new store may yet prove to be an old one that was wiped, an unknown job is not called
     /// so: each worker reports within this time, and shows the term that it has seen. Nor does a controller
     /// that has just begun call it so, as the others may be about to notice a loss.
-    pub(super) fn existence_is_uncertain(&self) -> bool {
+    pub(in crate::core) fn existence_is_uncertain(&self) -> bool {
         let within =
             |since: Option<Instant>, window| since.is_some_and(|t| self.now.mono < t + window);
         let window = self.settings.heartbeat_interval * 5 / 2;
@@ -374,14 +374,14 @@
     }
 
     /// Gives the lease back, but stands again: the next leader begins to rebuild.
-    pub(super) fn resign_to_rebuild(&mut self) {
+    pub(in crate::core) fn resign_to_rebuild(&mut self) {
         self.step_down("the state service has lost data");
         self.lease = None;
         self.effects.push(Effect::ReleaseLease);
     }
 
     /// Whether this process may try to lead, as far as the store is concerned.
-    pub(super) fn may_campaign(&mut self) -> bool {
+    pub(in crate::core) fn may_campaign(&mut self) -> bool {
         let now = self.now.mono;
         if let Some(loss) = &self.store_integrity.data_loss {
             return now >= loss.since + LEASE_TTL;
@@ -427,7 +427,7 @@
     }
 
     /// Names of terms and the store in the transaction that begins a leadership.
-    pub(super) fn identity_changes(&self) -> Vec<Change> {
+    pub(in crate::core) fn identity_changes(&self) -> Vec<Change> {
         let known = self.store_cache.identity.as_ref();
         if known.is_some() && self.store_integrity.data_loss.is_none() {
             return Vec::new();
@@ -468,7 +468,7 @@
 
     /// Whether somebody may have led in this term: none is ahead of the time of day by more than clocks
     /// differ, and leaders that follow one another faster than seconds do.
-    pub(super) fn plausible_term(&self, term: u64) -> bool {
+    pub(in crate::core) fn plausible_term(&self, term: u64) -> bool {
         term <= self.seconds_since_epoch().saturating_add(AHEAD_S)
     }
 
@@ -476,7 +476,7 @@
     /// one another less often, so no term is used again, whatever is lost: a controller that has just
     /// begun, in a store that was rolled back, knows of none that came after what it reads there. Nor do two
     /// controllers that know the same choose the same: each has terms of its own, one in as many as there are.
-    pub(super) fn next_term(&self) -> u64 {
+    pub(in crate::core) fn next_term(&self) -> u64 {
         let least = (self.newest_term() + 1).max(self.seconds_since_epoch());
         let peers = self.settings.peers.iter().map(|p| p.name.as_str());
         let rank = peers.filter(|p| *p < self.settings.name.as_str()).count() as u64;
@@ -486,7 +486,7 @@
     }
 
     /// Looks now and then whether the store is the one it was, and asks the others about an empty one.
-    pub(super) fn check_store_integrity(&mut self) {
+    pub(in crate::core) fn check_store_integrity(&mut self) {
         let now = self.now.mono;
         let due = |at: Option<Instant>, every| at.is_none_or(|t| now >= t + every);
         if self.store_integrity.empty_since.is_some()
@@ -560,7 +560,7 @@
         }
     }
 
-    pub(super) fn revision_checked(&mut self, outcome: StoreOutcome) {
+    pub(in crate::core) fn revision_checked(&mut self, outcome: StoreOutcome) {
         if matches!(outcome, StoreOutcome::Found(_)) && self.store_cache.rebuilding.is_none() {
             self.suspect_data_loss("it is marked as incomplete, and the watch has not told");
         }
@@ -618,7 +618,7 @@
 
     /// The copy may have changed after the keys were read, so only the same difference in a second read,
     /// begun after the first was seen, is a sign of a loss.
-    pub(super) fn jobs_audited(
+    pub(in crate::core) fn jobs_audited(
         &mut self,
         after: String,
         suspicion: Option<String>,
@@ -650,7 +650,7 @@
         self.store_integrity.audit_cursor = last.unwrap_or_default();
     }
 
-    pub(super) fn identity_checked(&mut self, version: u64, outcome: StoreOutcome) {
+    pub(in crate::core) fn identity_checked(&mut self, version: u64, outcome: StoreOutcome) {
         let current = self.store_cache.identity.as_ref().map(|(_, v)| *v);
         if current != Some(version) {
             return;
@@ -665,7 +665,7 @@
     }
 
     /// Another controller asks what is remembered here.
-    pub(super) fn recall(&mut self, ticket: Ticket, recall: MemoryRequest) {
+    pub(in crate::core) fn recall(&mut self, ticket: Ticket, recall: MemoryRequest) {
         let remembers = self.store_cache.term > 0
             || !self.store_cache.jobs.is_empty()
             || !self.store_cache.finished.is_empty();
@@ -687,7 +687,7 @@
         self.answer(ticket, Answer::new(200, body));
     }
 
-    pub(super) fn recalled(
+    pub(in crate::core) fn recalled(
         &mut self,
         peer: String,
         asked: MemoryRequest,
--- a/src/core/keys.rs
+++ b/src/core/store/keys.rs
@@ -1,6 +1,6 @@
 //! Keys of the state service, see `mirror`.
 
-use crate::state::PREFIX;
+use crate::store_client::PREFIX;
 use crate::wire::Condition;
 
 pub const LEADER: &str = "leader";
--- a/src/core/parts.rs
+++ b/src/core/store/large_jobs.rs
@@ -3,7 +3,7 @@
 //! that it is accepted, is written last, on the condition that every part is still as it was
 //! written. So parts that no job refers to may be cleared at any time.
 
-use super::keys::{PartGeneration, part_key};
+use crate::core::store::keys::{PartGeneration, part_key};
 use crate::job::{JobId, JobSpec};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
--- a/src/core/records.rs
+++ b/src/core/store/machine_records.rs
@@ -9,8 +9,8 @@
 //! tells the changes of a transaction in their order, so the page that gives machines up goes
 //! first, and those that take them on follow.
 
-use super::keys::{machine_key, page_key};
-use super::mirror::{MachineValue, PageValue, StoreCache};
+use crate::core::store::cache::{MachineValue, PageValue, StoreCache};
+use crate::core::store::keys::{machine_key, page_key};
 use crate::job::MachineId;
 use crate::wire::{Change, to_json};
 use std::collections::{BTreeMap, BTreeSet};
--- a/src/core/barrier.rs
+++ b/src/core/store/read_barrier.rs
@@ -5,10 +5,10 @@
 //! has come as far, nothing can have been told to anybody before the question that the copy does
 //! not hold. Questions of one step share the read.
 
-use super::{Core, Pending, Ticket};
+use crate::core::{Core, Pending, Ticket};
 use crate::http::Answer;
 use crate::job::JobSpec;
-use crate::state::{StoreOutcome, StoreRequest};
+use crate::store_client::{StoreOutcome, StoreRequest};
 use std::time::{Duration, Instant};
 
 /// The watch brings changes within some ten milliseconds; a user waits 2 s for a poll.
@@ -29,20 +29,24 @@
 }
 
 impl Core {
-    pub(super) fn queue_barrier_query(&mut self, question: Question) {
+    pub(in crate::core) fn queue_barrier_query(&mut self, question: Question) {
         self.barriers.queued.push(question);
     }
 
     /// Called at the end of a step.
-    pub(super) fn send_barrier(&mut self) {
+    pub(in crate::core) fn send_barrier(&mut self) {
         let new = std::mem::take(&mut self.barriers.queued);
         if !new.is_empty() {
-            let key = super::keys::key(super::keys::NOTHING);
+            let key = crate::core::store::keys::key(crate::core::store::keys::NOTHING);
             self.ask_state(Pending::Barrier(new), StoreRequest::Get(key));
         }
     }
 
-    pub(super) fn barrier_read(&mut self, questions: Vec<Question>, outcome: StoreOutcome) {
+    pub(in crate::core) fn barrier_read(
+        &mut self,
+        questions: Vec<Question>,
+        outcome: StoreOutcome,
+    ) {
         let StoreOutcome::Missing { revision } = outcome else {
             tracing::debug!("no revision: {outcome:?}");
             return self.defer(questions);
@@ -60,7 +64,7 @@
     }
 
     /// Answers what the copy is new enough for; what has waited for too long is put off.
-    pub(super) fn answer_barriers(&mut self) {
+    pub(in crate::core) fn answer_barriers(&mut self) {
         let (now, revision) = (self.now.mono, self.store_cache.revision);
         for (needed, until, questions) in std::mem::take(&mut self.barriers.waiting) {
             if self.store_cache.loaded && revision >= needed {
--- a/src/core/rebuild.rs
+++ b/src/core/store/rebuild.rs
@@ -12,17 +12,17 @@
 //! - *The end.* The mark is taken off when all is written back, all controllers were asked twice, and
 //!   nothing is held; or when an operator settles it.
 
-use super::keys::{job_key, part_key};
-use super::lead::{LeaderState, WriteOp};
-use super::leadership::json;
-use super::losses::lease_expiry;
-use super::machine::{Machine, StopReason};
-use super::mirror::{JobValue, MachineValue};
-use super::parts::{self, PartValue};
-use super::{Core, Effect, Ticket};
+use crate::core::leadership::json;
+use crate::core::leadership::state::{LeaderState, WriteOp};
+use crate::core::machines::failure_detection::lease_expiry;
+use crate::core::machines::machine::{Machine, StopReason};
+use crate::core::store::cache::{JobValue, MachineValue};
+use crate::core::store::keys::{job_key, part_key};
+use crate::core::store::large_jobs::{self, PartValue};
+use crate::core::{Core, Effect, Ticket};
 use crate::http::Answer;
 use crate::job::{JobId, MachineId, Resources, TaskId};
-use crate::recall::{MemoryPage, MemoryRequest};
+use crate::peer::memory_exchange::{MemoryPage, MemoryRequest};
 use crate::wire::{Change, to_json};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -124,14 +124,14 @@
 
 impl LeaderState {
     /// Whether a task is of a job that may have been accepted all the same.
-    pub(super) fn may_be_of_lost_job(&self, known: bool) -> bool {
+    pub(in crate::core) fn may_be_of_lost_job(&self, known: bool) -> bool {
         !known && self.rebuild.as_ref().is_some_and(|r| !r.settled)
     }
 }
 
 impl Core {
     /// Called when a leadership begins, and when the mark appears.
-    pub(super) fn start_rebuild(&mut self) {
+    pub(in crate::core) fn start_rebuild(&mut self) {
         let Some((mark, _)) = &self.store_cache.rebuilding else {
             return;
         };
@@ -187,7 +187,7 @@
     }
 
     /// Whether the leader may speak of what is not final.
-    pub(super) fn may_report_state(&self) -> bool {
+    pub(in crate::core) fn may_report_state(&self) -> bool {
         let Some(lead) = &self.leader else {
             return false;
         };
@@ -196,7 +196,7 @@
     }
 
     /// Whether tasks may be started, as far as a loss of data is concerned.
-    pub(super) fn may_start_tasks(&self, lead: &LeaderState) -> bool {
+    pub(in crate::core) fn may_start_tasks(&self, lead: &LeaderState) -> bool {
         let Some(r) = &lead.rebuild else { return true };
         let up = |id: &MachineId| lead.machines.get(id).is_none_or(|m| m.incarnation > 0);
         let heard = lead.unresolved == 0 && r.booting.iter().all(up);
@@ -205,7 +205,7 @@
     }
 
     /// Called in every step of an acting leader.
-    pub(super) fn advance_rebuild(&mut self) {
+    pub(in crate::core) fn advance_rebuild(&mut self) {
         let now = self.now.mono;
         if self.store_cache.rebuilding.is_none() {
             if let Some(lead) = &mut self.leader
@@ -270,7 +270,7 @@
     }
 
     /// A page of another controller's memory, or no answer.
-    pub(super) fn take_memory_page(
+    pub(in crate::core) fn take_memory_page(
         &mut self,
         peer: &str,
         asked: &MemoryRequest,
@@ -353,14 +353,18 @@
 
     /// Whether starts wait for a list of the cloud that can be asked for now, the last one having been
     /// asked for too early.
-    pub(super) fn machine_list_due(&self, lead: &LeaderState, asked: Option<Instant>) -> bool {
+    pub(in crate::core) fn machine_list_due(
+        &self,
+        lead: &LeaderState,
+        asked: Option<Instant>,
+    ) -> bool {
         let from = lead.since + self.settings.machine_list_lag * 2 + LIST_MARGIN;
         let waits = lead.rebuild.as_ref().is_some_and(|r| !r.listed);
         waits && self.now.mono >= from && asked.is_none_or(|t| t < from)
     }
 
     /// A list of the cloud was read while a store is rebuilt: whatever it shows may hold tasks.
-    pub(super) fn observe_machine_list(
+    pub(in crate::core) fn observe_machine_list(
         &mut self,
         sent: Instant,
         unknown: Vec<(MachineId, MachineValue)>,
@@ -384,7 +388,7 @@
     }
 
     /// A job has become known that tasks on machines are of.
-    pub(super) fn adopt_job(&mut self, id: &JobId) {
+    pub(in crate::core) fn adopt_job(&mut self, id: &JobId) {
         let now = self.now.mono;
         if !self.store_cache.knows(id) {
             return;
@@ -439,7 +443,7 @@
 
     /// Held tasks are of some team, and nothing tells of which: they count towards each of them with
     /// all that their machines have.
-    pub(super) fn held_resources(&self, lead: &LeaderState) -> Resources {
+    pub(in crate::core) fn held_resources(&self, lead: &LeaderState) -> Resources {
         let mut room = Resources::default();
         let machines = lead.rebuild.iter().flat_map(Rebuild::held_machines);
         for m in machines.filter_map(|id| lead.machines.get(id)) {
@@ -451,7 +455,7 @@
     }
 
     /// The changes that bring one owed job back: its key, or the next parts of a large one.
-    pub(super) fn missing_job_changes(
+    pub(in crate::core) fn missing_job_changes(
         &self,
         id: &JobId,
         most: usize,
@@ -472,7 +476,7 @@
             return Some((vec![Change::put(job_key(id), json(&value))], owed));
         }
         let text = String::from_utf8(to_json(spec)).unwrap_or_default();
-        let texts = parts::cut(&text, bytes);
+        let texts = large_jobs::cut(&text, bytes);
         let lead = self.leader.as_ref()?;
         // This leadership's own writing of it.
         let stem = lead.term;
@@ -508,7 +512,7 @@
 
     /// An operator takes the store as it is: what nobody remembers is stopped, and unknown from now
     /// on.
-    pub(super) fn settle(&mut self, ticket: Ticket) {
+    pub(in crate::core) fn settle(&mut self, ticket: Ticket) {
         let now = self.now.mono;
         if !self.acting() {
             return self.answer(ticket, self.not_the_leader());
@@ -546,7 +550,7 @@
 
     /// A snapshot, or a page of one, offered as one more memory; `store` is the one that it is of, and
     /// `last` says that with this page it is whole.
-    pub(super) fn merge_snapshot(
+    pub(in crate::core) fn merge_snapshot(
         &mut self,
         ticket: Ticket,
         store: &str,
@@ -578,7 +582,7 @@
     }
 
     /// For the status view.
-    pub(super) fn rebuild_status(&self) -> serde_json::Value {
+    pub(in crate::core) fn rebuild_status(&self) -> serde_json::Value {
         if let Some(loss) = &self.store_integrity.data_loss {
             return serde_json::json!({"lost": loss.reason, "waits": "for a new leader"});
         }
@@ -626,7 +630,7 @@
     }
 
     /// What monitoring is told: losses noticed, jobs to write back, tasks held.
-    pub(super) fn rebuild_metrics(&self) -> [f64; 4] {
+    pub(in crate::core) fn rebuild_metrics(&self) -> [f64; 4] {
         let r = self.leader.as_ref().and_then(|l| l.rebuild.as_ref());
         [
             self.store_integrity.losses as f64,
--- a/src/core/writes.rs
+++ b/src/core/store/writes.rs
@@ -1,16 +1,16 @@
 //! The leader's durable writes: what waits to be written is gathered into transactions, one of which is on its way
 //! at a time, and each takes effect here when it is known to be committed.
 
-use super::keys::{LEADER, REBUILDING, TYPES, done_key, job_key, key, machine_key};
-use super::lead::{InFlightWrite, LeaderState, RefusedWrite, WriteOp};
-use super::leadership::json;
-use super::losses::cancellation_bound;
-use super::mirror::{DoneValue, JobValue};
-use super::records::MachineRecords;
-use super::{CallId, Core, Pending};
-use crate::guard::{Safeguard, stands};
+use crate::core::leadership::json;
+use crate::core::leadership::state::{InFlightWrite, LeaderState, RefusedWrite, WriteOp};
+use crate::core::machines::failure_detection::cancellation_bound;
+use crate::core::store::cache::{DoneValue, JobValue};
+use crate::core::store::keys::{LEADER, REBUILDING, TYPES, done_key, job_key, key, machine_key};
+use crate::core::store::machine_records::MachineRecords;
+use crate::core::{CallId, Core, Pending};
+use crate::fault_injection::{Safeguard, stands};
 use crate::job::{JobId, JobOutcome};
-use crate::state::{StoreOutcome, StoreRequest};
+use crate::store_client::{StoreOutcome, StoreRequest};
 use crate::wire::{Change, CompareAndSwap, Condition, to_json};
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -21,9 +21,9 @@
 const PROGRESS_DELAY: Duration = Duration::from_millis(2000);
 /// The part of the state service's changes that the leader's own writes may take; the rest is
 /// for accepting jobs, which must not wait behind them.
-pub(super) const WRITE_SHARE: f64 = 0.7;
+pub(in crate::core) const WRITE_SHARE: f64 = 0.7;
 /// A transaction may have 64 KiB; this leaves room for its frame.
-pub(super) const MAX_TRANSACTION_BYTES: usize = 56 * 1024;
+pub(in crate::core) const MAX_TRANSACTION_BYTES: usize = 56 * 1024;
 /// What a condition takes of that, beside its key.
 const CONDITION_BYTES: usize = 48;
 /// Writes in a row refused for what somebody else has changed, before all is read afresh; and before another
@@ -82,7 +82,7 @@
 impl Core {
     /// Sends the next transaction when none is on its way: at once when idle, and what gathers
     /// meanwhile goes together in the one after it.
-    pub(super) fn send_writes(&mut self) {
+    pub(in crate::core) fn send_writes(&mut self) {
         let now = self.now.mono;
         let Some(lead) = &mut self.leader else { return };
         if let Some(sent) = &mut lead.writes.in_flight {
@@ -330,7 +330,7 @@
         1 << rows.ilog2()
     }
 
-    pub(super) fn write_outcome(&mut self, call: CallId, outcome: StoreOutcome) {
+    pub(in crate::core) fn write_outcome(&mut self, call: CallId, outcome: StoreOutcome) {
         let now = self.now.mono;
         let Some(lead) = &mut self.leader else { return };
         let ours = |s: &InFlightWrite| s.call == Some(call);
@@ -416,7 +416,10 @@
     }
 
     /// Notes whether what the state service shows is the transaction that is on its way.
-    pub(super) fn observe_commit(&mut self, committed: impl Fn(&CompareAndSwap) -> Option<u64>) {
+    pub(in crate::core) fn observe_commit(
+        &mut self,
+        committed: impl Fn(&CompareAndSwap) -> Option<u64>,
+    ) {
         if let Some(sent) = self
             .leader
             .as_mut()
@@ -430,7 +433,7 @@
     /// Settles the transaction on its way, once this process's copy of the store tells what became of it. It
     /// was committed where the copy shows exactly its changes, whether an answer has told so, was lost, or
     /// was a refusal of its second copy. Otherwise it was refused for a change of somebody else's.
-    pub(super) fn resolve_write(&mut self) {
+    pub(in crate::core) fn resolve_write(&mut self) {
         let revision = self.store_cache.revision;
         let Some(sent) = self
             .leader
--- a/src/core/commands.rs
+++ b/src/core/workers/commands.rs
@@ -5,28 +5,30 @@
 //! `clear`, a repeated `run` would start the task anew. So a `clear` goes only into the answer of
 //! a report (never executed late), and only while no other command can still arrive.
 
-use super::losses::MAX_UNANSWERED_PROBES;
-use super::machine::{Exited, Machine, Phase, Placement, StopReason, TOKEN_EPOCH_BITS};
-use super::{Core, Effect, Pending, Ticket, Work};
-use crate::guard::{Safeguard, stands};
+use crate::core::machines::failure_detection::MAX_UNANSWERED_PROBES;
+use crate::core::machines::machine::{
+    Exited, Machine, Phase, Placement, StopReason, TOKEN_EPOCH_BITS,
+};
+use crate::core::{Core, Effect, Pending, Ticket, Work};
+use crate::fault_injection::{Safeguard, stands};
 use crate::http::Answer;
 use crate::job::{MachineId, TaskId};
 use crate::wire::{DirectCommands, HeartbeatResponse, TaskCommand, to_json};
-use crate::worker::{DirectOutcome, DirectRequest};
+use crate::worker_client::{DirectOutcome, DirectRequest};
 use std::time::Duration;
 
 const PROBE_RETRY_PAUSE: Duration = Duration::from_millis(300);
 /// More orders than this would make an answer longer than a worker accepts.
-pub(super) const MAX_COMMANDS: usize = 400;
+pub(in crate::core) const MAX_COMMANDS: usize = 400;
 /// Direct calls on their way at a time: what the threads that make them finish well within the
 /// leader's word, so that none is given up unsent for having queued too long.
-pub(super) const MAX_DIRECT_CALLS: usize = 2 * crate::service::DIRECT_THREADS;
+pub(in crate::core) const MAX_DIRECT_CALLS: usize = 2 * crate::service::DIRECT_THREADS;
 /// After an answer with a new token, a worker's next report has come.
 const TOKEN_CONFIRMATION_DELAY: Duration = Duration::from_millis(900);
 
 impl Core {
     /// What the machine should be told, given its newest report.
-    pub(super) fn commands_for(&self, m: &Machine, in_answer: bool) -> Vec<TaskCommand> {
+    pub(in crate::core) fn commands_for(&self, m: &Machine, in_answer: bool) -> Vec<TaskCommand> {
         let Some(lead) = &self.leader else {
             return Vec::new();
         };
@@ -86,7 +88,7 @@
     }
 
     /// Time to save is given to what can save and is still of use.
-    pub(super) fn grace(&self, m: &Machine, key: &TaskId, t: &Placement) -> Duration {
+    pub(in crate::core) fn grace(&self, m: &Machine, key: &TaskId, t: &Placement) -> Duration {
         if matches!(t.stopping, Some((StopReason::Over, _))) {
             return Duration::ZERO;
         }
@@ -103,7 +105,7 @@
         }
     }
 
-    pub(super) fn respond_to_heartbeat(&mut self, ticket: Ticket, id: &MachineId) {
+    pub(in crate::core) fn respond_to_heartbeat(&mut self, ticket: Ticket, id: &MachineId) {
         let until = self.leader_until();
         let answer = match self.heartbeat_response(id) {
             Some(body) => Answer::new(200, to_json(&body)).until(until),
@@ -113,7 +115,10 @@
     }
 
     /// What a machine that has reported is told; that it is told is noted.
-    pub(super) fn heartbeat_response(&mut self, id: &MachineId) -> Option<HeartbeatResponse> {
+    pub(in crate::core) fn heartbeat_response(
+        &mut self,
+        id: &MachineId,
+    ) -> Option<HeartbeatResponse> {
         let lead = self.leader.as_ref()?;
         let Some(m) = lead.machines.get(id) else {
             // Not taken on before it has shown that it is there.
@@ -162,7 +167,7 @@
     }
 
     /// Sends machines what should not wait for their next report.
-    pub(super) fn send_direct_commands(&mut self) {
+    pub(in crate::core) fn send_direct_commands(&mut self) {
         let now = self.now.mono;
         let Some(until) = self.leader_until() else {
             return;
@@ -246,7 +251,7 @@
         self.probe_machines();
     }
 
-    pub(super) fn direct_outcome(&mut self, call: u64, outcome: DirectOutcome) {
+    pub(in crate::core) fn direct_outcome(&mut self, call: u64, outcome: DirectOutcome) {
         let now = self.now.mono;
         let id = match self.pending.remove(&call) {
             Some(Pending::Direct(id)) => id,
--- a/src/core/delegation.rs
+++ b/src/core/workers/delegation.rs
@@ -13,13 +13,13 @@
 //!   "nothing new" with a token that is still good, which is harmless; the command itself goes to
 //!   the worker directly, or into the next answer that comes by way of the leader.
 
-use super::commands::MAX_DIRECT_CALLS;
-use super::lead::{Delegate, LeaderState, PATIENCE};
-use super::machine::WORKER_RETRY;
-use super::{Core, Ticket};
+use crate::core::leadership::state::{Delegate, LeaderState, PATIENCE};
+use crate::core::machines::machine::WORKER_RETRY;
+use crate::core::workers::commands::MAX_DIRECT_CALLS;
+use crate::core::{Core, Ticket};
 use crate::http::Answer;
 use crate::job::MachineId;
-use crate::link::{
+use crate::peer::heartbeat_batch::{
     self, AnsweredHeartbeat, HeartbeatBatch, HeartbeatBatchResponse, MemberStatus, RelayedOutcome,
     RelayedResponse,
 };
@@ -48,7 +48,7 @@
 const MAX_RESPONSE_BYTES: usize = 400 * 1024;
 
 /// A frame that is answered at the end of the step.
-pub(super) struct PendingBatch {
+pub struct PendingBatch {
     pub ticket: Ticket,
     pub number: u64,
     from: Arc<str>,
@@ -59,7 +59,7 @@
 
 impl PendingBatch {
     /// The machines whose reports it answers.
-    pub(super) fn machines(&self) -> impl Iterator<Item = &MachineId> {
+    pub(in crate::core) fn machines(&self) -> impl Iterator<Item = &MachineId> {
         self.heartbeats
             .iter()
             .filter_map(|(_, taken)| taken.as_ref().ok())
@@ -68,7 +68,7 @@
 
 impl LeaderState {
     /// Takes a machine back from the controller that may answer its reports.
-    pub(super) fn recall(&mut self, id: &MachineId) {
+    pub(in crate::core) fn recall(&mut self, id: &MachineId) {
         let Some(m) = self.machines.get_mut_quiet(id) else {
             return;
         };
@@ -84,7 +84,7 @@
 
     /// A report came by way of this controller, or to this one itself: no other may answer the
     /// machine from memory any more.
-    pub(super) fn record_route(&mut self, id: &MachineId, via: Option<&Arc<str>>) {
+    pub(in crate::core) fn record_route(&mut self, id: &MachineId, via: Option<&Arc<str>>) {
         let Some(m) = self.machines.get_mut_quiet(id) else {
             return;
         };
@@ -97,7 +97,7 @@
     }
 
     /// Of machines that changed, those to which there is something to say now.
-    pub(super) fn revoke_changed(&mut self, changed: &[MachineId]) {
+    pub(in crate::core) fn revoke_changed(&mut self, changed: &[MachineId]) {
         if self.delegates.by_name.is_empty() {
             return;
         }
@@ -111,7 +111,7 @@
 
     /// Until when a machine's silence says nothing, as a controller is not heard either that it may
     /// report to, or was just sent to by another: the worker has yet to find out, and to find the next.
-    pub(super) fn silence_excuse(&self, now: Instant) -> Option<Instant> {
+    pub(in crate::core) fn silence_excuse(&self, now: Instant) -> Option<Instant> {
         let heard = self
             .delegates
             .by_name
@@ -140,7 +140,7 @@
     }
 
     /// The controller that a worker reporting here is to go to, if it is to go.
-    pub(super) fn next_reassignment(&mut self, id: &MachineId) -> Option<String> {
+    pub(in crate::core) fn next_reassignment(&mut self, id: &MachineId) -> Option<String> {
         let to = share::take_one(&mut self.delegates.own_reassignments)?;
         if let Some(m) = self.machines.get_mut_quiet(id) {
             m.via = Some(to.as_str().into());
@@ -165,7 +165,11 @@
 
 impl Core {
     /// Takes in a frame of a controller that serves workers.
-    pub(super) fn sync(&mut self, ticket: Ticket, sync: HeartbeatBatch) -> Option<PendingBatch> {
+    pub(in crate::core) fn sync(
+        &mut self,
+        ticket: Ticket,
+        sync: HeartbeatBatch,
+    ) -> Option<PendingBatch> {
         let now = self.now.mono;
         let known = self.members.heard(
             &sync.from,
@@ -273,16 +277,19 @@
     }
 
     /// Not the leader, or none that works like this: nothing is granted.
-    pub(super) fn refuse_batch(&mut self, ticket: Ticket, number: u64) {
+    pub(in crate::core) fn refuse_batch(&mut self, ticket: Ticket, number: u64) {
         let answer = HeartbeatBatchResponse {
             number,
             refused: !self.delegating,
             ..HeartbeatBatchResponse::default()
         };
-        self.answer(ticket, Answer::new(200, link::encode_synced(&answer)));
+        self.answer(
+            ticket,
+            Answer::new(200, heartbeat_batch::encode_synced(&answer)),
+        );
     }
 
-    pub(super) fn answer_batch(&mut self, work: PendingBatch) {
+    pub(in crate::core) fn answer_batch(&mut self, work: PendingBatch) {
         let now = self.now.mono;
         let Some(word) = self.leader_until() else {
             return self.refuse_batch(work.ticket, work.number);
@@ -300,7 +307,7 @@
                 }
                 let gone = || Answer::busy("this machine is gone", 30);
                 let body = self.heartbeat_response(&id).ok_or_else(gone)?;
-                size += link::size_of_answer(&body.commands);
+                size += heartbeat_batch::size_of_answer(&body.commands);
                 let calm = body.commands.is_empty() && self.delegate(&id, &work.from);
                 Ok(RelayedOutcome::Commands {
                     fencing_token: body.fencing_token,
@@ -333,7 +340,7 @@
             reassignments: std::mem::take(&mut d.reassignments),
             members,
         };
-        let frame = link::encode_synced(&answer);
+        let frame = heartbeat_batch::encode_synced(&answer);
         self.answer(work.ticket, Answer::new(200, frame).until(Some(word)));
     }
 
@@ -374,7 +381,7 @@
     }
 
     /// Grants that have run out, silent machines, and who serves how many.
-    pub(super) fn check_delegates(&mut self) {
+    pub(in crate::core) fn check_delegates(&mut self) {
         let now = self.now.mono;
         let report = self.settings.heartbeat_interval;
         let Some(lead) = &mut self.leader else { return };
@@ -458,7 +465,7 @@
     }
 
     /// For the status view: name, how it stands, workers, and whether it holds a grant.
-    pub(super) fn members_status(&self) -> serde_json::Value {
+    pub(in crate::core) fn members_status(&self) -> serde_json::Value {
         let now = self.now.mono;
         let granted = |name: &str| {
             let d = self.leader.as_ref()?.delegates.by_name.get(name)?;
@@ -488,7 +495,7 @@
         let told = self.revocations.iter().filter(|(_, since)| since.is_some());
         let new = self.revocations.iter().filter(|(_, since)| since.is_none());
         let mut recalled: Vec<MachineId> = told.chain(new).map(|(id, _)| id.clone()).collect();
-        recalled.truncate(link::names_that_fit(&recalled));
+        recalled.truncate(heartbeat_batch::names_that_fit(&recalled));
         recalled.sort_unstable();
         for id in &recalled {
             if let Some(since) = self.revocations.get_mut(id) {
--- a/src/core/delegation/tests.rs
+++ b/src/core/workers/delegation/tests.rs
@@ -1,5 +1,5 @@
-use super::super::commands::MAX_COMMANDS;
 use super::*;
+use crate::core::workers::commands::MAX_COMMANDS;
 use crate::wire::TaskCommand;
 
 const MACHINES: usize = 6000;
@@ -52,7 +52,7 @@
         grace: 3.0,
     };
     let orders = vec![order; MAX_COMMANDS];
-    let answers = MAX_RESPONSE_BYTES / link::size_of_answer(&orders) + 2;
+    let answers = MAX_RESPONSE_BYTES / heartbeat_batch::size_of_answer(&orders) + 2;
     let told = |name| RelayedResponse {
         id: name,
         outcome: RelayedOutcome::Commands {
@@ -69,7 +69,7 @@
             .collect(),
         ..HeartbeatBatchResponse::default()
     };
-    let frame = link::encode_synced(&synced);
+    let frame = heartbeat_batch::encode_synced(&synced);
     let (_, body) = crate::peer::read_frame(&mut frame.as_slice()).unwrap();
-    assert_eq!(link::decode_synced(&body), Some(synced));
+    assert_eq!(heartbeat_batch::decode_synced(&body), Some(synced));
 }
--- a/src/core/report_queue.rs
+++ b/src/core/workers/heartbeat_queue.rs
@@ -1,7 +1,7 @@
 //! Reports that wait for the leader's answer, in the order in which they came.
 
-use super::Ticket;
-use crate::link;
+use crate::core::Ticket;
+use crate::peer::heartbeat_batch;
 use crate::settings::Settings;
 use crate::wire::Heartbeat;
 use std::collections::VecDeque;
@@ -14,7 +14,7 @@
 const BYTES_PER_MB: f64 = 1_048_576.0;
 
 /// A report that waits.
-pub(super) struct Waiting {
+pub(in crate::core) struct Waiting {
     /// `None`: the report came as an answer to a direct command.
     pub ticket: Option<Ticket>,
     pub heartbeat: Box<Heartbeat>,
@@ -41,7 +41,7 @@
 
 /// A queue that knows how many bytes its reports take in frames.
 #[derive(Default)]
-pub(super) struct ReportQueue {
+pub(in crate::core) struct ReportQueue {
     reports: VecDeque<Waiting>,
     frame_bytes: usize,
 }
@@ -67,25 +67,25 @@
 
     /// Whether the next frame leaves reports behind.
     pub fn exceeds_a_frame(&self) -> bool {
-        self.frame_bytes > link::FULL
+        self.frame_bytes > heartbeat_batch::FULL
     }
 
     pub fn push(&mut self, waiting: Waiting) {
-        self.frame_bytes += link::encoded_heartbeat_size(&waiting.heartbeat);
+        self.frame_bytes += heartbeat_batch::encoded_heartbeat_size(&waiting.heartbeat);
         self.reports.push_back(waiting);
     }
 
     /// Puts reports back that were taken out, in the order in which they came.
     pub fn put_back(&mut self, reports: Vec<Waiting>) {
         for waiting in reports.into_iter().rev() {
-            self.frame_bytes += link::encoded_heartbeat_size(&waiting.heartbeat);
+            self.frame_bytes += heartbeat_batch::encoded_heartbeat_size(&waiting.heartbeat);
             self.reports.push_front(waiting);
         }
     }
 
     fn pop(&mut self) -> Option<Waiting> {
         let waiting = self.reports.pop_front()?;
-        self.frame_bytes -= link::encoded_heartbeat_size(&waiting.heartbeat);
+        self.frame_bytes -= heartbeat_batch::encoded_heartbeat_size(&waiting.heartbeat);
         Some(waiting)
     }
 
@@ -103,8 +103,8 @@
         let mut taken = Vec::new();
         let mut size = 0;
         while let Some(next) = self.reports.front() {
-            size += link::encoded_heartbeat_size(&next.heartbeat);
-            if size > link::FULL && !taken.is_empty() {
+            size += heartbeat_batch::encoded_heartbeat_size(&next.heartbeat);
+            if size > heartbeat_batch::FULL && !taken.is_empty() {
                 break;
             }
             taken.extend(self.pop());
--- a/src/core/report_queue/tests.rs
+++ b/src/core/workers/heartbeat_queue/tests.rs
@@ -64,9 +64,12 @@
     let count = first.len() as u64;
     let size: usize = first
         .iter()
-        .map(|w| link::encoded_heartbeat_size(&w.heartbeat))
+        .map(|w| heartbeat_batch::encoded_heartbeat_size(&w.heartbeat))
         .sum();
-    assert!(size <= link::FULL && size + 200 > link::FULL, "{size}");
+    assert!(
+        size <= heartbeat_batch::FULL && size + 200 > heartbeat_batch::FULL,
+        "{size}"
+    );
     queue.put_back(first);
     let mut all = Vec::new();
     while !queue.is_empty() {
--- a/src/core/reports.rs
+++ b/src/core/workers/heartbeats.rs
@@ -1,12 +1,14 @@
 //! Reports: what machines say, compared with what is known, and what follows for their tasks.
 
-use super::machine::{Exited, Machine, Phase, Placement, StopReason, TOKEN_EPOCH_BITS};
-use super::mirror::MachineValue;
-use super::{Core, Ticket, note};
-use crate::board::image_tag;
-use crate::guard::{Safeguard, stands};
+use crate::core::machines::machine::{
+    Exited, Machine, Phase, Placement, StopReason, TOKEN_EPOCH_BITS,
+};
+use crate::core::store::cache::MachineValue;
+use crate::core::{Core, Ticket, note};
+use crate::fault_injection::{Safeguard, stands};
 use crate::http::Answer;
 use crate::job::{JobId, JobKind, MachineId, Resources, TaskId};
+use crate::planning::cluster_snapshot::image_tag;
 use crate::wire::{ExitCause, Heartbeat, Redirect, TaskState, TaskStatus, parse_task_id, to_json};
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
@@ -19,14 +21,14 @@
 const MAX_AVOIDANCE_DOUBLINGS: u32 = 3;
 
 /// The worker is to report to that controller.
-pub(super) fn redirect_to(controller: &str) -> Answer {
+pub(in crate::core) fn redirect_to(controller: &str) -> Answer {
     let leader = Some(controller);
     Answer::new(421, to_json(&Redirect { leader }))
 }
 
 impl Core {
     /// Takes in a report; a ticket that comes back is answered at the end of the step.
-    pub(super) fn report(
+    pub(in crate::core) fn report(
         &mut self,
         ticket: Ticket,
         report: Box<Heartbeat>,
@@ -62,7 +64,7 @@
 
     /// A report that came here, or by way of another controller; what comes back is the machine,
     /// or why the report is not answered as it would like.
-    pub(super) fn accept_heartbeat(
+    pub(in crate::core) fn accept_heartbeat(
         &mut self,
         report: Heartbeat,
         via: Option<&Arc<str>>,
@@ -160,7 +162,7 @@
         Ok(id)
     }
 
-    pub(super) fn redirect(&mut self, ticket: Ticket) {
+    pub(in crate::core) fn redirect(&mut self, ticket: Ticket) {
         let me = self.settings.name.as_str();
         // Without the state service, what is known of the leader may be old.
         let stale = self.store_is_stale();
@@ -173,7 +175,7 @@
     }
 
     /// Compares a report with what is known; false if it is older than one seen before.
-    pub(super) fn apply_heartbeat(
+    pub(in crate::core) fn apply_heartbeat(
         &mut self,
         id: &MachineId,
         report: Heartbeat,
@@ -490,7 +492,7 @@
 
     /// A task that is on several machines goes on on one of them only. Which of them have it is certain
     /// when all of them have shown this term's token; `fresh` is about to be certain.
-    pub(super) fn stop_duplicates(&mut self, key: &TaskId, fresh: &MachineId) {
+    pub(in crate::core) fn stop_duplicates(&mut self, key: &TaskId, fresh: &MachineId) {
         let now = self.now.mono;
         let Some(lead) = &mut self.leader else { return };
         let Some(run) = lead.job_runs.get(&key.job) else {
@@ -516,7 +518,7 @@
     }
 
     /// A job whose tasks fail again and again is tried ever more rarely.
-    pub(super) fn retry_delay(&self, job: &JobId) -> Duration {
+    pub(in crate::core) fn retry_delay(&self, job: &JobId) -> Duration {
         let failures: u32 = self
             .leader
             .as_ref()
@@ -569,7 +571,7 @@
     }
 
     /// A machine on which work of several jobs failed, with no success in between, is faulty.
-    pub(super) fn faulty(&self, m: &Machine) -> bool {
+    pub(in crate::core) fn faulty(&self, m: &Machine) -> bool {
         let Some(lead) = &self.leader else {
             return false;
         };
@@ -589,7 +591,7 @@
             || m.fault_history.slowness.faulty()
     }
 
-    pub(super) fn task_completed(&mut self, key: &TaskId, on: Option<&MachineId>) {
+    pub(in crate::core) fn task_completed(&mut self, key: &TaskId, on: Option<&MachineId>) {
         let now = self.now.mono;
         let Some(lead) = &mut self.leader else { return };
         let (Some(job), Some(run)) = (
@@ -627,7 +629,7 @@
     }
 
     /// These tasks are not on the machine any more, without a result.
-    pub(super) fn tasks_lost(&mut self, id: &MachineId, tasks: Vec<TaskId>, why: &str) {
+    pub(in crate::core) fn tasks_lost(&mut self, id: &MachineId, tasks: Vec<TaskId>, why: &str) {
         let now = self.now.mono;
         let Some(lead) = &mut self.leader else { return };
         for key in tasks {
--- a/src/core/relay.rs
+++ b/src/core/workers/relay.rs
@@ -7,20 +7,20 @@
 //! at the very moment at which a new leader has most to do. When it comes, the workers need not
 //! look for it, and this controller shows them its token.
 
-use super::commands::MAX_DIRECT_CALLS;
-use super::lead::{HEARTBEAT, LeaderState};
-use super::report_queue::{ReportQueue, Waiting};
-use super::reports::redirect_to;
-use super::{Core, Effect, Pending, Ticket};
-use crate::guard::{Safeguard, stands};
+use crate::core::leadership::state::{HEARTBEAT, LeaderState};
+use crate::core::workers::commands::MAX_DIRECT_CALLS;
+use crate::core::workers::heartbeat_queue::{ReportQueue, Waiting};
+use crate::core::workers::heartbeats::redirect_to;
+use crate::core::{Core, Effect, Pending, Ticket};
+use crate::fault_injection::{Safeguard, stands};
 use crate::http::Answer;
 use crate::job::MachineId;
-use crate::link::{
+use crate::peer::heartbeat_batch::{
     self, AnsweredHeartbeat, HeartbeatBatch, HeartbeatBatchResponse, RelayedHeartbeat,
     RelayedOutcome, RelayedResponse,
 };
 use crate::wire::{DirectCommands, Heartbeat, HeartbeatResponse, to_json};
-use crate::worker::{DirectOutcome, DirectRequest};
+use crate::worker_client::{DirectOutcome, DirectRequest};
 use burlusher_membership::digest::{Digest, Digester};
 use burlusher_membership::grant::HeldGrant;
 use burlusher_membership::share;
@@ -70,7 +70,7 @@
 #[derive(Default)]
 pub struct Relay {
     incarnation: u64,
-    pub(super) grant: Option<HeldGrant>,
+    pub(in crate::core) grant: Option<HeldGrant>,
     workers: BTreeMap<MachineId, Worker>,
     /// Workers that were answered here, of which the leader has yet to be told.
     unreported: BTreeSet<MachineId>,
@@ -208,7 +208,7 @@
 
     /// Machines that gave no answer, as many as a frame takes.
     fn failed_for_frame(&mut self) -> Vec<MachineId> {
-        let count = link::names_that_fit(&self.unanswered_probes);
+        let count = heartbeat_batch::names_that_fit(&self.unanswered_probes);
         self.unanswered_probes.drain(..count).collect()
     }
 
@@ -216,11 +216,11 @@
     fn heard_for_frame(&mut self, now: Instant) -> Vec<AnsweredHeartbeat> {
         let mut heard = Vec::new();
         let mut size = 0;
-        while size < link::MOST_HEARD_BYTES
+        while size < heartbeat_batch::MOST_HEARD_BYTES
             && let Some(id) = self.unreported.pop_first()
         {
             if let Some(w) = self.workers.get(&id) {
-                size += link::size_of_heard(&id);
+                size += heartbeat_batch::size_of_heard(&id);
                 heard.push(AnsweredHeartbeat {
                     machine: id,
                     incarnation: w.incarnation,
@@ -256,7 +256,7 @@
 
 impl Core {
     /// A worker reports here, and another controller leads, or none.
-    pub(super) fn relay_heartbeat(&mut self, ticket: Ticket, report: Box<Heartbeat>) {
+    pub(in crate::core) fn relay_heartbeat(&mut self, ticket: Ticket, report: Box<Heartbeat>) {
         let now = self.now.mono;
         self.observe_fencing_token(report.fencing_token);
         if !self.delegating {
@@ -305,7 +305,7 @@
     }
 
     /// This controller has come to lead: what waited for a leader is answered here.
-    pub(super) fn drain_waiting_heartbeats(&mut self) -> Vec<(Ticket, MachineId)> {
+    pub(in crate::core) fn drain_waiting_heartbeats(&mut self) -> Vec<(Ticket, MachineId)> {
         if !self.acting() || self.relay.waiting.is_empty() {
             return Vec::new();
         }
@@ -323,7 +323,7 @@
     }
 
     /// Called at the end of each step of a controller that does not lead.
-    pub(super) fn advance_relay(&mut self) {
+    pub(in crate::core) fn advance_relay(&mut self) {
         if !self.delegating {
             return;
         }
@@ -388,7 +388,8 @@
             let mine = relay.workers.iter().filter(|(_, w)| lately(w));
             sync.served = mine.map(|(id, _)| id.clone()).collect();
             // The leader asks those that are left out itself.
-            sync.served.truncate(link::names_that_fit(&sync.served));
+            sync.served
+                .truncate(heartbeat_batch::names_that_fit(&sync.served));
         }
         sync.answered = relay.heard_for_frame(now);
         sync.acknowledged = relay.acknowledge();
@@ -399,7 +400,7 @@
                 heartbeat: w.heartbeat.clone(),
             })
             .collect();
-        let frame = link::encode_sync(&sync);
+        let frame = heartbeat_batch::encode_sync(&sync);
         let number = sync.number;
         relay.in_flight = Some(Sent {
             number,
@@ -415,7 +416,7 @@
     }
 
     /// The leader's answer to our frame, or that there is none.
-    pub(super) fn batch_answered(
+    pub(in crate::core) fn batch_answered(
         &mut self,
         number: u64,
         answer: Option<Box<HeartbeatBatchResponse>>,
@@ -543,7 +544,7 @@
     /// wait here see it in the answers to these.
     fn begin_token_probes(&mut self, term: u64, answered: &[Waiting]) {
         let now = self.now.mono;
-        let token = term << super::machine::TOKEN_EPOCH_BITS;
+        let token = term << crate::core::machines::machine::TOKEN_EPOCH_BITS;
         let recent = self.settings.heartbeat_interval * 5 / 2;
         let relay = &mut self.relay;
         let waiting = relay.waiting.iter().chain(answered);
@@ -571,7 +572,7 @@
             self.relay.unanswered_probes.clear();
             return;
         };
-        let token = grant.term << super::machine::TOKEN_EPOCH_BITS;
+        let token = grant.term << crate::core::machines::machine::TOKEN_EPOCH_BITS;
         while self.relay.probes_in_flight < MAX_DIRECT_CALLS
             && let Some((id, session, addr)) = self.relay.pending_probes.pop()
         {
@@ -602,7 +603,7 @@
     }
 
     /// A worker's answer to the token; without one, the leader is told, and asks it once more.
-    pub(super) fn token_probe_answered(&mut self, id: &MachineId, outcome: DirectOutcome) {
+    pub(in crate::core) fn token_probe_answered(&mut self, id: &MachineId, outcome: DirectOutcome) {
         self.relay.probes_in_flight = self.relay.probes_in_flight.saturating_sub(1);
         let DirectOutcome::Heartbeat { report, .. } = outcome else {
             self.relay.unanswered_probes.push(id.clone());
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,7 +1,7 @@
 //! The command line; everything else is in the library.
 
-use burlusher::archivist::{self, Snapshotter};
 use burlusher::logging::LogFormat;
+use burlusher::snapshotter::{self, Snapshotter};
 use burlusher::{http, policy::Policy, service, settings::Settings, wire};
 use burlusher_snapshot::archive::{Archive, Listed};
 use burlusher_snapshot::line::Found;
@@ -203,7 +203,7 @@
     let archive = opened(folder)?;
     let found = match &line.line {
         Some(which) => archive.find(which),
-        None => archive.list().map(archivist::best),
+        None => archive.list().map(snapshotter::best),
     };
     let found = found.map_err(|e| format!("{}: {e}", folder.dir.display()))?;
     found.ok_or_else(|| format!("{}: no such line", folder.dir.display()))
@@ -214,7 +214,7 @@
     let faults = |f: &[Found]| f.iter().map(Found::to_string).collect::<Vec<_>>();
     match &listed.line {
         Ok(l) => {
-            let s = archivist::summary(&l.image);
+            let s = snapshotter::summary(&l.image);
             let mut out = serde_json::json!({
                 "line": listed.name, "store": l.head.store, "revision": l.image.revision,
                 "base_ms": l.head.at_ms, "newest_ms": l.newest_ms, "bytes": l.bytes,
@@ -310,7 +310,7 @@
             node,
         } => {
             let listed = chosen(&archive, &line)?;
-            let offers = archivist::offers(&listed)?;
+            let offers = snapshotter::offers(&listed)?;
             let mut new = 0;
             for offer in &offers {
                 let body = wire::to_json(offer);
@@ -410,7 +410,7 @@
         Command::Status { node } => {
             let text = call(&node, "GET", wire::PATH_STATUS, b"")?;
             let view: serde_json::Value = serde_json::from_str(&text).map_err(|e| e.to_string())?;
-            print!("{}", burlusher::view::render(&view));
+            print!("{}", burlusher::status_view::render(&view));
             Ok(())
         }
     }
--- a/src/recall.rs
+++ b/src/peer/memory_exchange.rs
@@ -2,8 +2,8 @@
 //! frames of a fixed layout, read with `zerocopy`, on the same port as those of `peer`. Versions that
 //! do not know these kinds drop the connection, which counts as no answer.
 
-use crate::link::{In, Out, count};
 use crate::peer;
+use crate::peer::heartbeat_batch::{In, Out, count};
 use zerocopy::byteorder::little_endian::{U32, U64};
 use zerocopy::{FromBytes, Immutable, IntoBytes, KnownLayout, Unaligned};
 
--- a/src/peer.rs
+++ b/src/peer/mod.rs
@@ -4,6 +4,9 @@
 //! header, then a body of the length and layout that the header's kind implies. Numbers are
 //! little-endian. Text comes last, its parts in the order in which their lengths are listed.
 
+pub mod heartbeat_batch;
+pub mod memory_exchange;
+
 use crate::job::{JobId, JobKind, JobSpec, Priority, Resources};
 use crate::wire::JobState;
 use std::io::{self, Read, Write};
--- a/src/fleet.rs
+++ b/src/planning/autoscaler.rs
@@ -1,8 +1,8 @@
 //! Renting and returning: from the board and what waits to calls on the cloud. Pure.
 
-use crate::board::{Board, Offer};
-use crate::forecast::{Coming, Unmet, lay_out};
 use crate::job::{JobSpec, MachineId};
+use crate::planning::capacity_forecast::{Coming, Unmet, lay_out};
+use crate::planning::cluster_snapshot::{Board, Offer};
 use crate::wire::MachineType;
 use burlusher_market::Spread;
 use std::collections::BTreeMap;
--- a/src/plan.rs
+++ b/src/planning/backfill.rs
@@ -4,8 +4,8 @@
 //! it fits, else it gets a reservation at its shadow time, and a dynamic program picks the set of
 //! later entries that fills the free room best without delaying that reservation.
 
-use crate::board::{Board, Class, ImageTag, Offer, Use};
 use crate::job::{JobSpec, Priority, Resources, TaskId};
+use crate::planning::cluster_snapshot::{Board, Class, ImageTag, Offer, Use};
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::sync::Arc;
@@ -802,7 +802,7 @@
     }
     // What must be stopped on a machine to fit one more task, and the work it throws away.
     let needs = w.spec.resources;
-    let price = |v: &Victims, h: &crate::board::Host| {
+    let price = |v: &Victims, h: &crate::planning::cluster_snapshot::Host| {
         let (mut room, mut loss, mut n) = (v.free, Duration::ZERO, 0);
         for (stake, task) in &v.tasks {
             if needs.fits(&room) {
--- a/src/plan/tests.rs
+++ b/src/planning/backfill/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
-use crate::board::{Held, Host};
 use crate::job::Priority;
+use crate::planning::cluster_snapshot::{Held, Host};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
--- a/src/bids.rs
+++ b/src/planning/bids.rs
@@ -3,10 +3,10 @@
 //! The forecast says when each task would start without another machine; its worth says what that
 //! costs; the market package clears.
 
-use crate::board::{Board, Offer};
-use crate::fleet::{Market, shop};
-use crate::forecast::{Coming, Forecast, Unmet};
 use crate::job::{JobSpec, Priority};
+use crate::planning::autoscaler::{Market, shop};
+use crate::planning::capacity_forecast::{Coming, Forecast, Unmet};
+use crate::planning::cluster_snapshot::{Board, Offer};
 use crate::wire::MachineType;
 use burlusher_market::clear::{self, Cleared};
 use burlusher_market::{Beliefs, Bid, Carry, Lot, Worth};
--- a/src/forecast.rs
+++ b/src/planning/capacity_forecast.rs
@@ -1,7 +1,7 @@
 //! The forecast: what running tasks and booting machines will give, laid out over the queue. Pure.
 
-use crate::board::{Board, Class, Offer, Use, allows};
 use crate::job::{JobSpec, Priority, Resources};
+use crate::planning::cluster_snapshot::{Board, Class, Offer, Use, allows};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
--- a/src/board.rs
+++ b/src/planning/cluster_snapshot.rs
@@ -2,7 +2,7 @@
 //! machine. The owner puts a machine again whenever something about it changed, so a step costs
 //! what changed and what is looked for, not all there is.
 
-use crate::guard::{Safeguard, stands};
+use crate::fault_injection::{Safeguard, stands};
 use crate::job::{JobSpec, MachineId, Priority, Resources, TaskId};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
--- a/src/service.rs
+++ b/src/service.rs
@@ -12,18 +12,18 @@
 mod renewal;
 mod routes;
 
-use crate::archivist::{self, Snapshotter};
-use crate::cloud::{CloudClient, CloudOutcome, CloudRequest};
+use crate::cloud_client::{CloudClient, CloudOutcome, CloudRequest};
 use crate::core::{Command, Core, Effect, LeadershipProof, Now, Ticket, Work, note};
 use crate::http::{Answer, Limits, Server};
-use crate::link;
+use crate::peer::heartbeat_batch;
+use crate::peer::memory_exchange::{self, MemoryRequest};
 use crate::peer::{self, PeerRequest};
 use crate::policy::Policy;
-use crate::recall::{self, MemoryRequest};
 use crate::settings::Settings;
-use crate::state::{RateLimiter, StoreClient, StoreOutcome, StoreRequest};
+use crate::snapshotter::{self, Snapshotter};
+use crate::store_client::{RateLimiter, StoreClient, StoreOutcome, StoreRequest};
 use crate::wire::CompareAndSwap;
-use crate::worker::{self, DirectOutcome, DirectRequest};
+use crate::worker_client::{self, DirectOutcome, DirectRequest};
 use inbox::{ANSWER_TIMEOUT, Inbox};
 use peers::{MOST_PEER_CONNECTIONS, serve_peers};
 use routes::Routes;
@@ -181,7 +181,7 @@
     let state_addr = settings.store_addr;
     let mut core = Core::new(settings, Arc::new(policy), rand::random(), now());
     if let Some(dir) = snapshots {
-        if let Some((items, revision)) = archivist::remembered(dir)? {
+        if let Some((items, revision)) = snapshotter::remembered(dir)? {
             core.remember(items, revision);
         }
         let mut archivist = Snapshotter::open(state_addr, dir)?;
@@ -341,7 +341,7 @@
             let outcome = if Instant::now() >= not_after {
                 DirectOutcome::NotSent("the leader's time was over".into())
             } else {
-                worker::perform(addr, &request)
+                worker_client::perform(addr, &request)
             };
             inbox.put(Command::Direct { call, outcome });
         })
@@ -362,10 +362,10 @@
                 let (ticket, request) = match call {
                     PeerCall::Pass(ticket, request) => (ticket, request),
                     PeerCall::MemoryRequest(asked) => {
-                        let frame = recall::encode_recall(&asked);
+                        let frame = memory_exchange::encode_recall(&asked);
                         let decode = |kind, body: &[u8]| {
-                            (kind == recall::KIND_MEMORY_PAGE)
-                                .then(|| recall::decode_recalled(body))?
+                            (kind == memory_exchange::KIND_MEMORY_PAGE)
+                                .then(|| memory_exchange::decode_recalled(body))?
                         };
                         let answer = exchange(&mut kept, addr, &frame, RECALL_TIMEOUT, decode);
                         if let Err(e) = &answer {
@@ -409,7 +409,8 @@
                 _ => None,
             };
             let decode = |kind, body: &[u8]| {
-                (kind == link::KIND_HEARTBEAT_BATCH_RESPONSE).then(|| link::decode_synced(body))?
+                (kind == heartbeat_batch::KIND_HEARTBEAT_BATCH_RESPONSE)
+                    .then(|| heartbeat_batch::decode_synced(body))?
             };
             let answer = match addrs.get(&peer) {
                 Some(addr) => exchange(&mut stream, *addr, &frame, SYNC_TIMEOUT, decode),
@@ -476,7 +477,7 @@
     }
 
     /// Whether what the leader's word rests on still holds; `None` where nobody leads, or cannot tell.
-    fn stands(&self, client: &mut StoreClient, inbox: &Inbox) -> Option<u64> {
+    fn confirm_leadership(&self, client: &mut StoreClient, inbox: &Inbox) -> Option<u64> {
         let stand = lock(&self.stand).clone()?;
         let txn = CompareAndSwap {
             conditions: stand.conditions,
@@ -528,7 +529,7 @@
                         inbox.put(Command::LeaseRenewed {
                             lease: id,
                             sent,
-                            stands: None,
+                            confirmed_key_version: None,
                         });
                     }
                     Err(e) => {
@@ -538,7 +539,7 @@
                 },
                 Some(id) => match client.renew(id) {
                     Ok(true) => {
-                        let stands = keeper.stands(&mut client, &inbox);
+                        let stands = keeper.confirm_leadership(&mut client, &inbox);
                         // Refused for the service's limit, say: the leader's word waits for it.
                         if stands.is_none() && lock(&keeper.stand).is_some() {
                             pause = Duration::from_millis(150);
@@ -546,7 +547,7 @@
                         inbox.put(Command::LeaseRenewed {
                             lease: id,
                             sent,
-                            stands,
+                            confirmed_key_version: stands,
                         });
                     }
                     Ok(false) => {
--- a/src/service/peers.rs
+++ b/src/service/peers.rs
@@ -3,9 +3,9 @@
 use super::inbox::Inbox;
 use super::spawn;
 use crate::core::{Ask, Command, UserRequest};
-use crate::link;
+use crate::peer::heartbeat_batch;
+use crate::peer::memory_exchange;
 use crate::peer::{self, PeerAnswer, PeerRequest};
-use crate::recall;
 use crate::wire::JobStatus;
 use std::io;
 use std::net::{TcpListener, TcpStream};
@@ -57,8 +57,8 @@
     stream.set_write_timeout(Some(Duration::from_secs(2)))?;
     loop {
         let (kind, body) = peer::read_frame(&mut stream)?;
-        if kind == link::KIND_HEARTBEAT_BATCH {
-            let sync = link::decode_sync(&body).ok_or(io::ErrorKind::InvalidData)?;
+        if kind == heartbeat_batch::KIND_HEARTBEAT_BATCH {
+            let sync = heartbeat_batch::decode_sync(&body).ok_or(io::ErrorKind::InvalidData)?;
             let sync = Box::new(sync);
             let answer = inbox.ask_and_wait(|ticket| Command::HeartbeatBatch { ticket, sync });
             // Too late, or no frame at all: the asker counts it as no answer.
@@ -68,8 +68,8 @@
             peer::write_frame(&mut stream, &answer.body)?;
             continue;
         }
-        if kind == recall::KIND_MEMORY_REQUEST {
-            let recall = recall::decode_recall(&body).ok_or(io::ErrorKind::InvalidData)?;
+        if kind == memory_exchange::KIND_MEMORY_REQUEST {
+            let recall = memory_exchange::decode_recall(&body).ok_or(io::ErrorKind::InvalidData)?;
             let answer = inbox.ask_and_wait(|ticket| Command::MemoryRequest { ticket, recall });
             if answer.status != 200 {
                 return Ok(());
--- a/src/service/routes.rs
+++ b/src/service/routes.rs
@@ -85,7 +85,10 @@
 
     fn figures(&self, responder: Responder) {
         let lanes = self.inbox.waiting();
-        let command = |ticket| Command::Figures { ticket, lanes };
+        let command = |ticket| Command::Figures {
+            ticket,
+            queue_lengths: lanes,
+        };
         self.inbox
             .ask(command, Reply::Typed(responder, METRICS_TYPE));
     }
--- a/src/archivist.rs
+++ b/src/snapshotter.rs
@@ -6,7 +6,7 @@
 //! when it is needed.
 
 use crate::core::StoreCache;
-use crate::state::{PREFIX, StoreClient, StoreOutcome, StoreRequest};
+use crate::store_client::{PREFIX, StoreClient, StoreOutcome, StoreRequest};
 use crate::wire::{Item, SnapshotPage, WatchEvent};
 use burlusher_snapshot::archive::{Archive, Listed};
 use burlusher_snapshot::image::{Change, Entry, Image};
