--- a/src/core/jobs/dependencies.rs
+++ b/src/core/jobs/dependencies.rs
@@ -24,11 +24,11 @@
     pub fn begin(
         &mut self,
         id: &JobId,
-        awaits: &[JobId],
+        dependencies: &[JobId],
         finished: &BTreeMap<JobId, JobOutcome>,
     ) -> Vec<JobId> {
         let mut root = None;
-        for a in awaits {
+        for a in dependencies {
             match finished.get(a) {
                 Some(JobOutcome::Done) => {}
                 Some(JobOutcome::Cancelled) => root = Some(a.clone()),
@@ -54,10 +54,10 @@
     }
 
     /// A job is over; returns the jobs that may start now, or are cancelled with it.
-    pub fn end(&mut self, id: &JobId, awaits: &[JobId], end: JobOutcome) -> Vec<JobId> {
+    pub fn end(&mut self, id: &JobId, dependencies: &[JobId], end: JobOutcome) -> Vec<JobId> {
         self.unfinished.remove(id);
         self.cancelled.remove(id);
-        for a in awaits {
+        for a in dependencies {
             if let Some(jobs) = self.dependents.get_mut(a) {
                 jobs.remove(id);
                 if jobs.is_empty() {
--- a/src/core/jobs/dependencies/tests.rs
+++ b/src/core/jobs/dependencies/tests.rs
@@ -11,20 +11,20 @@
     for turn in 0..4 {
         let mut p = DependencyGraph::default();
         let mut finished = BTreeMap::new();
-        let awaits = |n: u32| -> Vec<JobId> {
+        let dependencies = |n: u32| -> Vec<JobId> {
             let found = edges.iter().find(|e| e.0 == n).unwrap();
             found.1.iter().map(|a| id(*a)).collect()
         };
         for i in 0..4 {
             let n = edges[(i + turn) % 4].0;
-            assert!(p.begin(&id(n), &awaits(n), &finished).is_empty());
+            assert!(p.begin(&id(n), &dependencies(n), &finished).is_empty());
         }
         assert_eq!(p.all_dependents(&id(1)).len(), 3);
         let over = |p: &mut DependencyGraph, finished: &mut BTreeMap<_, _>, n: u32, end| {
             finished.insert(id(n), end);
-            let mut changed = p.end(&id(n), &awaits(n), end);
+            let mut changed = p.end(&id(n), &dependencies(n), end);
             // Told once more, as events are, it changes nothing.
-            assert!(p.end(&id(n), &awaits(n), end).is_empty());
+            assert!(p.end(&id(n), &dependencies(n), end).is_empty());
             changed.sort();
             changed
         };
--- a/src/core/jobs/lifecycle.rs
+++ b/src/core/jobs/lifecycle.rs
@@ -4,7 +4,7 @@
 use crate::core::jobs::queries::{rebuilding_answer, state_body};
 use crate::core::machines::machine::StopReason;
 use crate::core::{Core, Effect, Ticket};
-use crate::fault_injection::{Safeguard, stands};
+use crate::fault_injection::{Safeguard, is_enabled};
 use crate::http::Answer;
 use crate::job::{JobId, JobKind, JobOutcome};
 use crate::wire::JobState;
@@ -15,11 +15,13 @@
         if self.must_withhold_state() {
             return self.answer(ticket, rebuilding_answer());
         }
-        let Some(lead) = &mut self.leader else { return };
-        let Some(run) = lead.job_runs.get_mut(id) else {
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        let Some(run) = leader.job_runs.get_mut(id) else {
             return self.answer(ticket, Answer::busy("not ready", 1));
         };
-        if stands(Safeguard::Cancelled) {
+        if is_enabled(Safeguard::Cancelled) {
             run.cancel_waiters.push(ticket);
         } else {
             let body = state_body(id, JobState::Cancelled, None, None);
@@ -33,16 +35,16 @@
             run.ending = Some(JobOutcome::Cancelled);
             // What they do from now on is of no use to anybody, and what was still to start would start after
             // its user was told. Should the end never be written, a later leader starts them again.
-            if stands(Safeguard::Early) && stands(Safeguard::Stopped) {
+            if is_enabled(Safeguard::Early) && is_enabled(Safeguard::Stopped) {
                 let id = Self::job_id(id);
-                run.stop_assigned(&id, &mut lead.machines, StopReason::Over, self.now.mono);
+                run.stop_assigned(&id, &mut leader.machines, StopReason::Over, self.now.mono);
             }
-            lead.writes.ends.insert(id.into(), JobOutcome::Cancelled);
+            leader.writes.ends.insert(id.into(), JobOutcome::Cancelled);
             let with_it = self
                 .store_cache
                 .dependencies
                 .all_dependents(&Self::job_id(id));
-            lead.cancellation_pending.extend(with_it);
+            leader.cancellation_pending.extend(with_it);
         }
     }
 
@@ -55,17 +57,19 @@
     }
 
     fn sync_job_run(&mut self, id: &JobId) {
-        let Some(lead) = &mut self.leader else { return };
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
         let Some(job) = self.store_cache.jobs.get(id) else {
             return self.finish_job(id);
         };
         if let Some(root) = self.store_cache.dependencies.cancelled_dependency(id) {
             // Nothing of it can have started, as not all that it needs is done.
-            if lead.writes.followers.insert(id.clone()) {
+            if leader.writes.followers.insert(id.clone()) {
                 tracing::info!(job = %id, "job {id}: cancelled with {root}, which it needs");
             }
         }
-        if !lead.job_runs.contains_key(id) {
+        if !leader.job_runs.contains_key(id) {
             let queued = (0..job.spec.tasks).filter(|r| !job.done.contains(*r));
             let run = JobRun {
                 team: self.settings.team_index(&job.spec.team),
@@ -73,37 +77,37 @@
                 succeeded: job.done.len() > 0,
                 ..JobRun::default()
             };
-            lead.job_runs.insert(id.clone(), run);
-            lead.guarantees_changed = true;
-            if job.version > lead.key_version {
-                lead.arrivals.note(self.now.mono, 1);
-                let pace = lead
+            leader.job_runs.insert(id.clone(), run);
+            leader.guarantees_changed = true;
+            if job.version > leader.key_version {
+                leader.arrivals.note(self.now.mono, 1);
+                let pace = leader
                     .runtime_ratios
                     .get(&job.spec.class)
                     .map_or(1.0, RuntimeRatio::factor);
                 let (rank, run) = (job.spec.priority, job.spec.estimate.mul_f64(pace));
-                lead.bidding.arrived(self.now.mono, &job.spec, rank, run);
+                leader.bidding.arrived(self.now.mono, &job.spec, rank, run);
             }
             // Accepted while a cancellation of what it needs is being written.
             let doubtful = |a: &JobId| {
-                let ending = lead.job_runs.get(a).and_then(|r| r.ending);
-                lead.cancellation_pending.contains(a) || ending == Some(JobOutcome::Cancelled)
+                let ending = leader.job_runs.get(a).and_then(|r| r.ending);
+                leader.cancellation_pending.contains(a) || ending == Some(JobOutcome::Cancelled)
             };
             if job.spec.dependencies.iter().any(doubtful) {
-                lead.cancellation_pending.insert(id.clone());
+                leader.cancellation_pending.insert(id.clone());
                 let with_it = self.store_cache.dependencies.all_dependents(id);
-                lead.cancellation_pending.extend(with_it);
+                leader.cancellation_pending.extend(with_it);
             }
-            lead.plan_again = true;
+            leader.plan_again = true;
         }
         if !job.spec.dependencies.is_empty() && self.store_cache.ready(id) {
-            let Some(run) = lead.job_runs.get_mut(id) else {
+            let Some(run) = leader.job_runs.get_mut(id) else {
                 return;
             };
             if run.ready.is_none() {
                 run.ready = Some(self.now);
-                lead.guarantees_changed = true;
-                lead.plan_again = true;
+                leader.guarantees_changed = true;
+                leader.plan_again = true;
                 tracing::info!(job = %id, "job {id}: all that it awaits is done");
             }
         }
@@ -122,22 +126,24 @@
     fn finish_job(&mut self, id: &JobId) {
         let now = self.now.mono;
         self.adopt_job(id);
-        let Some(lead) = &mut self.leader else { return };
-        let Some(run) = lead.job_runs.remove(id) else {
+        let Some(leader) = &mut self.leader else {
             return;
         };
-        lead.writes.ends.remove(id);
-        lead.writes.followers.remove(id);
-        lead.writes.progress.remove(id);
-        lead.cancellation_pending.remove(id);
-        lead.inherited_urgency.remove(id);
-        lead.guarantees_changed = true;
-        lead.plan_again = true;
+        let Some(run) = leader.job_runs.remove(id) else {
+            return;
+        };
+        leader.writes.ends.remove(id);
+        leader.writes.followers.remove(id);
+        leader.writes.progress.remove(id);
+        leader.cancellation_pending.remove(id);
+        leader.inherited_urgency.remove(id);
+        leader.guarantees_changed = true;
+        leader.plan_again = true;
         if let Some(end) = self.store_cache.finished.get(id) {
             tracing::info!(job = %id, "job {id} is over: {end:?}");
         }
-        if stands(Safeguard::Stopped) {
-            run.stop_assigned(id, &mut lead.machines, StopReason::Over, now);
+        if is_enabled(Safeguard::Stopped) {
+            run.stop_assigned(id, &mut leader.machines, StopReason::Over, now);
         }
         if let Some(answer) = self.final_answer(id) {
             for ticket in run.cancel_waiters {
@@ -148,17 +154,19 @@
 
     /// Ends an array whose tasks are all done.
     pub(in crate::core) fn end_if_complete(&mut self, id: &str) {
-        let Some(lead) = &mut self.leader else { return };
-        let (Some(run), Some(job)) = (lead.job_runs.get_mut(id), self.store_cache.jobs.get(id))
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        let (Some(run), Some(job)) = (leader.job_runs.get_mut(id), self.store_cache.jobs.get(id))
         else {
             return;
         };
         let missing = job.spec.tasks.saturating_sub(job.done.len());
-        let all = missing == 0 || missing == 1 && !stands(Safeguard::AllDone);
+        let all = missing == 0 || missing == 1 && !is_enabled(Safeguard::AllDone);
         let all = job.spec.job_kind != JobKind::Service && all;
         if all && run.ending.is_none() {
             run.ending = Some(JobOutcome::Done);
-            lead.writes.ends.insert(id.into(), JobOutcome::Done);
+            leader.writes.ends.insert(id.into(), JobOutcome::Done);
         }
     }
 }
--- a/src/core/jobs/queries.rs
+++ b/src/core/jobs/queries.rs
@@ -6,7 +6,7 @@
 use crate::core::store::keys::job_key;
 use crate::core::store::read_barrier::Question;
 use crate::core::{Core, Effect, Pending, ReadPurpose, Ticket};
-use crate::fault_injection::{Safeguard, stands};
+use crate::fault_injection::{Safeguard, is_enabled};
 use crate::http::Answer;
 use crate::job::{JobOutcome, JobSpec, MachineId, TaskId};
 use crate::peer::{PeerAnswer, PeerRequest};
@@ -85,9 +85,9 @@
             return None;
         }
         let job = self.store_cache.jobs.get(id)?;
-        let lead = self.leader.as_ref()?;
-        let run = lead.job_runs.get(id)?;
-        if run.ending.is_some() || lead.cancellation_pending.contains(id) {
+        let leader = self.leader.as_ref()?;
+        let run = leader.job_runs.get(id)?;
+        if run.ending.is_some() || leader.cancellation_pending.contains(id) {
             return None;
         }
         let running = self.running_of(id, run);
@@ -101,13 +101,14 @@
     }
 
     pub(in crate::core) fn running_of(&self, id: &str, run: &JobRun) -> u32 {
-        let Some(lead) = &self.leader else { return 0 };
+        let Some(leader) = &self.leader else { return 0 };
         let running = |(row, machine): (&u32, &MachineId)| {
             let key = TaskId {
                 job: Self::job_id(id),
                 index: *row,
             };
-            lead.machines
+            leader
+                .machines
                 .get(machine)
                 .and_then(|m| m.tasks.get(&key))
                 .is_some_and(|t| t.runs())
@@ -127,7 +128,7 @@
         if self.acting() {
             return self.serve_as_leader(&id, request);
         }
-        if !stands(Safeguard::FreshRead) && matches!(request.action, Ask::Show(_)) {
+        if !is_enabled(Safeguard::FreshRead) && matches!(request.action, Ask::Show(_)) {
             return match self.store_cache.jobs.contains_key(id.as_str()) {
                 true => self.show_fresh(request.ticket, &id),
                 false => self.answer(request.ticket, Answer::error(404, "no such job")),
@@ -368,7 +369,7 @@
             }
             StoreOutcome::Missing { .. } => match purpose {
                 ReadPurpose::Reject(_, answer) => self.answer(ticket, answer),
-                _ if stands(Safeguard::Unknown) => {
+                _ if is_enabled(Safeguard::Unknown) => {
                     self.answer(ticket, Answer::error(404, "no such job"));
                 }
                 _ => {
--- a/src/core/jobs/submissions.rs
+++ b/src/core/jobs/submissions.rs
@@ -9,7 +9,7 @@
 use crate::core::store::read_barrier::Question;
 use crate::core::store::writes::MAX_TRANSACTION_BYTES;
 use crate::core::{Core, Pending, ReadPurpose, Ticket, note};
-use crate::fault_injection::{Safeguard, stands};
+use crate::fault_injection::{Safeguard, is_enabled};
 use crate::http::Answer;
 use crate::job::{JobId, JobKind, JobSpec};
 use crate::settings::Settings;
@@ -381,14 +381,14 @@
                     .map_or(JobState::Queued, final_state);
                 self.answer(ticket, Answer::new(201, state_body(&id, state, None, None)));
             }
-            StoreOutcome::Conflict { .. } if stands(Safeguard::Conflict) => {
+            StoreOutcome::Conflict { .. } if is_enabled(Safeguard::Conflict) => {
                 self.read_job_key(spec.id.to_string(), ReadPurpose::Show(ticket));
             }
             StoreOutcome::Conflict { .. } => {
                 let body = state_body(&spec.id, JobState::Queued, None, None);
                 self.answer(ticket, Answer::new(201, body));
             }
-            StoreOutcome::Unknown(_) if !stands(Safeguard::Accepted) => {
+            StoreOutcome::Unknown(_) if !is_enabled(Safeguard::Accepted) => {
                 let body = state_body(&spec.id, JobState::Queued, None, None);
                 self.answer(ticket, Answer::new(201, body));
             }
--- a/src/core/jobs/urgency.rs
+++ b/src/core/jobs/urgency.rs
@@ -24,10 +24,10 @@
 
 impl Core {
     /// How long a job takes from the end of the last one before it, when room is there at once.
-    fn stage(&self, lead: &LeaderState, job: &JobRecord) -> Duration {
+    fn stage(&self, leader: &LeaderState, job: &JobRecord) -> Duration {
         let rates = self.machine_types.iter().map(|t| t.fetch_gb_per_s);
         let slowest = rates.fold(f64::INFINITY, f64::min).max(0.01);
-        let pace = lead
+        let pace = leader
             .runtime_ratios
             .get(&job.spec.class)
             .map_or(1.0, RuntimeRatio::factor);
@@ -39,7 +39,7 @@
     pub(in crate::core) fn propagate_urgency(&mut self, from: &JobId) {
         let mut next = vec![from.clone()];
         while let Some(id) = next.pop() {
-            let (Some(lead), Some(job)) = (&self.leader, self.store_cache.jobs.get(&id)) else {
+            let (Some(leader), Some(job)) = (&self.leader, self.store_cache.jobs.get(&id)) else {
                 continue;
             };
             let own = Urgency::own(job);
@@ -56,28 +56,28 @@
                 {
                     continue;
                 }
-                let theirs = lead.urgency_of(after, job);
+                let theirs = leader.urgency_of(after, job);
                 u.needed = true;
                 u.priority = u.priority.min(theirs.priority);
                 let before = theirs
                     .due
-                    .and_then(|d| d.checked_sub(self.stage(lead, job)));
+                    .and_then(|d| d.checked_sub(self.stage(leader, job)));
                 u.due = match (u.due, before) {
                     (Some(a), Some(b)) => Some(a.min(b)),
                     (a, b) => a.or(b),
                 };
             }
-            if u == lead.urgency_of(&id, job) {
+            if u == leader.urgency_of(&id, job) {
                 continue;
             }
             next.extend(job.spec.dependencies.iter().cloned());
-            if let Some(lead) = &mut self.leader {
+            if let Some(leader) = &mut self.leader {
                 if u == own {
-                    lead.inherited_urgency.remove(&id);
+                    leader.inherited_urgency.remove(&id);
                 } else {
-                    lead.inherited_urgency.insert(id, u);
+                    leader.inherited_urgency.insert(id, u);
                 }
-                lead.plan_again = true;
+                leader.plan_again = true;
             }
         }
     }
--- a/src/core/leadership/mod.rs
+++ b/src/core/leadership/mod.rs
@@ -14,7 +14,7 @@
 use crate::core::store::keys::{LEADER, TERM, identity_key, key, named};
 use crate::core::store::machine_records::MachineRecords;
 use crate::core::{Core, Effect, LeadershipProof, Pending, Ticket};
-use crate::fault_injection::{Safeguard, stands};
+use crate::fault_injection::{Safeguard, is_enabled};
 use crate::http::Answer;
 use crate::store_client::{StoreOutcome, StoreRequest};
 use crate::wire::{Change, CompareAndSwap, Condition, Item, WatchEvent};
@@ -38,14 +38,14 @@
 impl Core {
     /// Until when this process may act as the leader.
     pub(in crate::core) fn leader_until(&self) -> Option<Instant> {
-        let lead = self.leader.as_ref()?;
-        if !stands(Safeguard::Word) {
+        let leader = self.leader.as_ref()?;
+        if !is_enabled(Safeguard::Word) {
             return Some(self.now.mono + LEASE_TTL);
         }
         let lease = self.lease.as_ref()?;
         // The service's clock may run faster than ours by 0.1% at the most.
         Some(
-            lease.renewed_at.min(lead.leader_key_confirmed) + LEASE_TTL
+            lease.renewed_at.min(leader.leader_key_confirmed) + LEASE_TTL
                 - LEASE_TTL / 1000
                 - LEASE_SAFETY_MARGIN,
         )
@@ -55,12 +55,17 @@
         self.leader_until().is_some_and(|t| self.now.mono < t)
     }
 
-    pub(in crate::core) fn lease_renewed(&mut self, id: u64, sent: Instant, stands: Option<u64>) {
+    pub(in crate::core) fn lease_renewed(
+        &mut self,
+        id: u64,
+        sent: Instant,
+        is_enabled: Option<u64>,
+    ) {
         self.store_reachable_at = self.now.mono;
-        if let Some(lead) = &mut self.leader
-            && stands == Some(lead.key_version)
+        if let Some(leader) = &mut self.leader
+            && is_enabled == Some(leader.key_version)
         {
-            lead.leader_key_confirmed = lead.leader_key_confirmed.max(sent);
+            leader.leader_key_confirmed = leader.leader_key_confirmed.max(sent);
         }
         match &mut self.lease {
             Some(l) if l.id == id => l.renewed_at = l.renewed_at.max(sent),
@@ -141,8 +146,8 @@
         self.observe_identity();
         if !self.store_cache.machine_types.is_empty() && self.machine_types.is_empty() {
             self.machine_types = self.store_cache.machine_types.clone();
-            if let Some(lead) = &mut self.leader {
-                lead.machines.mark_all_changed();
+            if let Some(leader) = &mut self.leader {
+                leader.machines.mark_all_changed();
             }
         }
         let mine = self.holds_leader_key();
@@ -190,7 +195,7 @@
     fn has_unused_term(&self, key_version: u64) -> bool {
         let m = &self.store_cache;
         let raised = m.term_version == key_version && m.stored_term == m.term;
-        raised && m.term > self.newest_led_term || !stands(Safeguard::Term)
+        raised && m.term > self.newest_led_term || !is_enabled(Safeguard::Term)
     }
 
     /// The version that the leader key has if a leadership may begin now: 0 where there is none, that of our
@@ -222,19 +227,21 @@
     /// Notes that this leader is able to act; its machines' silence counts anew where it was not for a while.
     fn record_activity(&mut self) {
         let (now, back_after) = (self.now.mono, self.settings.heartbeat_interval);
-        let Some(lead) = &mut self.leader else { return };
-        if now > lead.last_able_to_act + INABILITY_THRESHOLD {
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        if now > leader.last_able_to_act + INABILITY_THRESHOLD {
             // The state service was away, and reports were answered with 503 meanwhile: the
             // workers went from node to node, and their silence proves nothing.
-            let paused = now.saturating_duration_since(lead.last_able_to_act);
+            let paused = now.saturating_duration_since(leader.last_able_to_act);
             tracing::info!(
-                term = lead.term,
+                term = leader.term,
                 "term {}: acts again after {paused:?}",
-                lead.term
+                leader.term
             );
-            lead.silence_excused_until = lead.silence_excused_until.max(now + back_after);
+            leader.silence_excused_until = leader.silence_excused_until.max(now + back_after);
         }
-        lead.last_able_to_act = now;
+        leader.last_able_to_act = now;
     }
 
     /// Workers are cut off from this node though the state service is not: another controller may reach them.
@@ -250,30 +257,30 @@
         }
     }
 
-    fn is_isolated(&self, lead: &LeaderState) -> bool {
+    fn is_isolated(&self, leader: &LeaderState) -> bool {
         let now = self.now.mono;
-        let known = lead.machines.values().any(|m| m.incarnation > 0);
-        if !known && lead.unresolved == 0 {
+        let known = leader.machines.values().any(|m| m.incarnation > 0);
+        if !known && leader.unresolved == 0 {
             return false;
         }
-        let silent = lead
+        let silent = leader
             .last_heartbeat
-            .unwrap_or(lead.since)
-            .max(lead.silence_excused_until);
-        let waited = now.saturating_duration_since(silent.max(lead.since));
+            .unwrap_or(leader.since)
+            .max(leader.silence_excused_until);
+        let waited = now.saturating_duration_since(silent.max(leader.since));
         // Until the workers have found a new leader, little comes in any case.
         let longest = self.settings.heartbeat_interval * 2 + Duration::from_secs(2);
-        let settled = now.saturating_duration_since(lead.since) > longest;
+        let settled = now.saturating_duration_since(leader.since) > longest;
         let after = if settled {
-            lead.silence_limit.min(longest)
+            leader.silence_limit.min(longest)
         } else {
             longest
         };
         // Others hear them for this one, but what it has to say to them itself, commands
         // foremost, does not get through.
-        let unheeded = lead.failed_direct_calls >= MAX_FAILED_CALLS
+        let unheeded = leader.failed_direct_calls >= MAX_FAILED_CALLS
             && now.saturating_duration_since(
-                lead.last_direct_contact.max(lead.silence_excused_until),
+                leader.last_direct_contact.max(leader.silence_excused_until),
             ) > after;
         waited > after || unheeded
     }
@@ -358,30 +365,30 @@
         self.leaderships += 1;
         self.newest_led_term = self.newest_led_term.max(term);
         let arrivals = ArrivalRate::new(self.now, self.store_cache.jobs.values());
-        let mut lead = LeaderState::new(key_version, term, now, arrivals);
-        lead.leader_key_confirmed = self.campaign_started;
-        lead.silence_limit = self.settings.heartbeat_interval * 2;
-        lead.identity = self.store_cache.identity.clone();
-        let records = &mut lead.writes.records;
+        let mut leader = LeaderState::new(key_version, term, now, arrivals);
+        leader.leader_key_confirmed = self.campaign_started;
+        leader.silence_limit = self.settings.heartbeat_interval * 2;
+        leader.identity = self.store_cache.identity.clone();
+        let records = &mut leader.writes.records;
         *records = MachineRecords::new(&self.store_cache, self.settings.max_value_bytes);
         for (id, value) in &self.store_cache.machines {
             if !records.has(id) {
                 records.add(id, value.clone());
             }
         }
-        lead.writes.machine_types =
+        leader.writes.machine_types =
             !self.machine_types.is_empty() && self.machine_types != self.store_cache.machine_types;
         let mut conditions = vec![Condition {
             key: key(LEADER),
             version: key_version,
         }];
-        conditions.extend(lead.named());
+        conditions.extend(leader.named());
         self.effects
             .push(Effect::LeadershipProof(Some(LeadershipProof {
                 key_version,
                 conditions,
             })));
-        self.leader = Some(lead);
+        self.leader = Some(leader);
         self.start_recovery();
         self.store_cache.changed = self.store_cache.jobs.keys().cloned().collect();
         self.sync_job_runs();
@@ -389,24 +396,24 @@
     }
 
     pub(in crate::core) fn step_down(&mut self, why: &str) {
-        let Some(lead) = self.leader.take() else {
+        let Some(leader) = self.leader.take() else {
             return;
         };
         self.effects.push(Effect::LeadershipProof(None));
         tracing::warn!(
-            term = lead.term,
+            term = leader.term,
             "term {}: no longer leading: {why}",
-            lead.term
+            leader.term
         );
-        self.relay.adopt_workers(&lead);
+        self.relay.adopt_workers(&leader);
         self.candidate_after = self.now.mono + Duration::from_millis(200);
-        for (ticket, _) in lead.deferred_responses.heartbeats {
+        for (ticket, _) in leader.deferred_responses.heartbeats {
             self.redirect(ticket);
         }
-        for work in lead.deferred_responses.batches {
+        for work in leader.deferred_responses.batches {
             self.refuse_batch(work.ticket, work.number);
         }
-        let waiting: Vec<Ticket> = lead
+        let waiting: Vec<Ticket> = leader
             .job_runs
             .into_values()
             .flat_map(|r| r.cancel_waiters)
--- a/src/core/leadership/recovery.rs
+++ b/src/core/leadership/recovery.rs
@@ -53,7 +53,9 @@
     /// Begins a leadership: all recorded machines are asked at once.
     pub(in crate::core) fn start_recovery(&mut self) {
         let now = self.now.mono;
-        let Some(lead) = &mut self.leader else { return };
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
         for (id, value) in &self.store_cache.machines {
             let mut m = Machine::new(
                 id.clone(),
@@ -64,14 +66,14 @@
             );
             m.addr = value.addr.clone();
             // Remembered only, if the store has lost data.
-            m.recorded = lead.writes.records.known(id);
+            m.recorded = leader.writes.records.known(id);
             // The predecessor stopped answering reports before our key could be created, so the
             // machine's lease runs from now at the latest; or, if it gave its lease back, from when its
             // last grant to another controller ran out.
             m.lease_renewed = now + LEASE_TTL;
             m.unresolved = true;
-            lead.machines.get_or_add(id, || m);
-            lead.unresolved += 1;
+            leader.machines.get_or_add(id, || m);
+            leader.unresolved += 1;
         }
         // Zones take turns, so that one that is cut off does not hold up the others.
         let mut zones: BTreeMap<&str, Vec<&MachineId>> = BTreeMap::new();
@@ -85,9 +87,9 @@
         turns.reverse();
         if !turns.is_empty() {
             tracing::info!(
-                term = lead.term,
+                term = leader.term,
                 "term {}: {} machines to hear from",
-                lead.term,
+                leader.term,
                 turns.len()
             );
         }
@@ -97,10 +99,10 @@
         if self.delegating && turns.iter().any(ours) {
             let others: Vec<MachineId> = turns.extract_if(.., |id| !ours(id)).collect();
             let later = now + DELEGATE_HEAD_START;
-            lead.probe_retries = others.into_iter().map(|id| (later, id)).collect();
+            leader.probe_retries = others.into_iter().map(|id| (later, id)).collect();
         }
-        lead.initially_unresolved = lead.unresolved;
-        lead.to_probe = turns;
+        leader.initially_unresolved = leader.unresolved;
+        leader.to_probe = turns;
         self.probe_machines();
     }
 
@@ -108,9 +110,9 @@
     /// need not be asked.
     pub(in crate::core) fn probe_machines(&mut self) {
         let now = self.now.mono;
-        while let Some(lead) = &mut self.leader
-            && lead.direct_calls_in_flight < MAX_DIRECT_CALLS
-            && let Some(id) = lead.next_probe(now)
+        while let Some(leader) = &mut self.leader
+            && leader.direct_calls_in_flight < MAX_DIRECT_CALLS
+            && let Some(id) = leader.next_probe(now)
         {
             self.probe_machine(&id);
         }
@@ -120,9 +122,11 @@
     /// anew and counts from one. Its answer to a question that is asked now tells which.
     pub(in crate::core) fn probe_for_restart(&mut self, id: &MachineId) {
         let now = self.now.mono;
-        let Some(lead) = &mut self.leader else { return };
-        let free = lead.direct_calls_in_flight < MAX_DIRECT_CALLS;
-        let Some(m) = lead.machines.get_mut_quiet(id) else {
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        let free = leader.direct_calls_in_flight < MAX_DIRECT_CALLS;
+        let Some(m) = leader.machines.get_mut_quiet(id) else {
             return;
         };
         if !free || m.call_in_flight.is_some() || m.incarnation == 0 || now < m.push_after {
@@ -141,9 +145,11 @@
 
     /// The machine has begun anew, with nothing of what was on it, and counts its reports from one.
     pub(in crate::core) fn machine_restarted(&mut self, id: &MachineId, seen: u64) {
-        let Some(lead) = &mut self.leader else { return };
-        let term = lead.term;
-        let Some(m) = lead.machines.get_mut(id) else {
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        let term = leader.term;
+        let Some(m) = leader.machines.get_mut(id) else {
             return;
         };
         tracing::warn!(machine = %id, "machine {id} has begun anew");
@@ -166,13 +172,15 @@
             return;
         };
         let call = self.call(Pending::Direct(id.clone()));
-        let Some(lead) = &mut self.leader else { return };
-        let term = lead.term;
-        let Some(m) = lead.machines.get_mut(id) else {
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        let term = leader.term;
+        let Some(m) = leader.machines.get_mut(id) else {
             return;
         };
         m.call_in_flight = Some(call);
-        lead.direct_calls_in_flight += 1;
+        leader.direct_calls_in_flight += 1;
         self.effects.push(Effect::Direct {
             call,
             addr,
@@ -185,12 +193,12 @@
 
     /// What this machine has, of which nothing was certain before.
     fn stop_duplicates_on(&mut self, id: &MachineId) {
-        let Some(lead) = &self.leader else { return };
-        let Some(m) = lead.machines.get(id) else {
+        let Some(leader) = &self.leader else { return };
+        let Some(m) = leader.machines.get(id) else {
             return;
         };
         let double = |key: &&TaskId| {
-            let run = lead.job_runs.get(&key.job);
+            let run = leader.job_runs.get(&key.job);
             run.is_some_and(|r| !r.assigned_machines(key.index).is_empty())
         };
         let doubles: Vec<TaskId> = m.tasks.keys().filter(double).cloned().collect();
@@ -201,33 +209,39 @@
 
     /// A machine has shown everything, or has nothing.
     pub(in crate::core) fn resolve_machine(&mut self, id: &MachineId, how: &str) {
-        let Some(lead) = &mut self.leader else { return };
-        let machine = lead.machines.get_mut(id);
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        let machine = leader.machines.get_mut(id);
         let known = machine.is_some_and(|m| {
             m.lease_renewed = m.lease_renewed.max(m.incarnation_since);
             std::mem::take(&mut m.unresolved)
         });
         if known {
-            lead.unresolved -= 1;
-            lead.plan_again = true;
+            leader.unresolved -= 1;
+            leader.plan_again = true;
             self.stop_duplicates_on(id);
-            let Some(lead) = &mut self.leader else { return };
-            tracing::debug!(term = lead.term, machine = %id, "term {}: machine {id} is known: {how}", lead.term);
-            let took = (self.now.mono - lead.since).as_millis();
+            let Some(leader) = &mut self.leader else {
+                return;
+            };
+            tracing::debug!(term = leader.term, machine = %id, "term {}: machine {id} is known: {how}", leader.term);
+            let took = (self.now.mono - leader.since).as_millis();
             // What is left then are machines that died with the last leader.
-            if lead.initially_unresolved > 0 && lead.unresolved * 100 <= lead.initially_unresolved {
-                let all = std::mem::take(&mut lead.initially_unresolved);
+            if leader.initially_unresolved > 0
+                && leader.unresolved * 100 <= leader.initially_unresolved
+            {
+                let all = std::mem::take(&mut leader.initially_unresolved);
                 tracing::info!(
-                    term = lead.term,
+                    term = leader.term,
                     "term {}: 99 % of {all} machines known after {took} ms",
-                    lead.term
+                    leader.term
                 );
             }
-            if lead.unresolved == 0 {
+            if leader.unresolved == 0 {
                 tracing::info!(
-                    term = lead.term,
+                    term = leader.term,
                     "term {}: all machines are known after {} ms",
-                    lead.term,
+                    leader.term,
                     took
                 );
             }
--- a/src/core/leadership/state.rs
+++ b/src/core/leadership/state.rs
@@ -179,8 +179,8 @@
     }
 
     /// Whether a machine may be given tasks now.
-    pub fn accepts_tasks(&self, m: &Machine, now: Instant, report: Duration) -> bool {
-        m.usable(now, report * 9 / 4) && !m.avoided(now) && !m.unresolved
+    pub fn accepts_tasks(&self, m: &Machine, now: Instant, heartbeat: Duration) -> bool {
+        m.usable(now, heartbeat * 9 / 4) && !m.avoided(now) && !m.unresolved
     }
 }
 
--- a/src/core/machines/cloud_calls.rs
+++ b/src/core/machines/cloud_calls.rs
@@ -20,46 +20,54 @@
     /// the queue longer still.
     pub(in crate::core) fn call_cloud(&mut self) {
         let now = self.now.mono;
-        let Some(lead) = &mut self.leader else { return };
-        let hurry = lead.machines.values().any(|m| {
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        let hurry = leader.machines.values().any(|m| {
             m.incarnation == 0
                 || now.saturating_duration_since(m.last_heartbeat)
                     > self.settings.heartbeat_interval * 2
         });
         // A list takes a call for each page of machines: no more than a third of what is allowed.
-        let pages = 1.0 + lead.cloud.listed_machines as f64 / PAGE as f64;
+        let pages = 1.0 + leader.cloud.listed_machines as f64 / PAGE as f64;
         let every = Duration::from_secs_f64(3.0 * pages / self.settings.cloud_rps);
         let every = every.max(Duration::from_secs(if hurry { 2 } else { 6 }));
-        let asked = lead.cloud.list_requested;
+        let asked = leader.cloud.list_requested;
         let awaited = (self.leader.as_ref()).is_some_and(|l| self.machine_list_due(l, asked));
-        let Some(lead) = &mut self.leader else { return };
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
         let list =
-            !lead.cloud.list_in_flight && (awaited || asked.is_none_or(|t| now >= t + every));
+            !leader.cloud.list_in_flight && (awaited || asked.is_none_or(|t| now >= t + every));
         if list && self.cloud_budget.try_take(now) {
-            let Some(lead) = &mut self.leader else { return };
-            lead.cloud.list_in_flight = true;
-            lead.cloud.list_requested = Some(now);
+            let Some(leader) = &mut self.leader else {
+                return;
+            };
+            leader.cloud.list_in_flight = true;
+            leader.cloud.list_requested = Some(now);
             self.ask_cloud(Pending::List { sent: now }, CloudRequest::List);
         }
-        let Some(lead) = &mut self.leader else { return };
-        if lead.cloud.delete_calls_in_flight < MAX_DELETE_CALLS {
-            let due = lead.cloud.deletions.iter().filter(|(_, at)| **at <= now);
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        if leader.cloud.delete_calls_in_flight < MAX_DELETE_CALLS {
+            let due = leader.cloud.deletions.iter().filter(|(_, at)| **at <= now);
             let names: Vec<MachineId> = due
                 .map(|d| d.0.clone())
                 .take(MAX_DELETED_PER_CALL)
                 .collect();
             if !names.is_empty() && self.cloud_budget.try_take(now) {
-                lead.cloud.delete_calls_in_flight += 1;
+                leader.cloud.delete_calls_in_flight += 1;
                 for id in &names {
                     let again = now + Duration::from_secs(4);
-                    lead.cloud.deletions.insert(id.clone(), again);
+                    leader.cloud.deletions.insert(id.clone(), again);
                 }
                 let request = CloudRequest::Delete(names.clone());
                 self.ask_cloud(Pending::Delete(names), request);
             }
         }
-        let Some(lead) = &self.leader else { return };
-        let due = lead.cloud.scale_outs.iter();
+        let Some(leader) = &self.leader else { return };
+        let due = leader.cloud.scale_outs.iter();
         let due = due.filter(|(_, r)| r.call.is_none() && now >= r.retry_at);
         let rents: Vec<String> = due.map(|(name, _)| name.clone()).collect();
         for name in rents {
@@ -98,10 +106,12 @@
     /// Queues a rental under a name that no controller has ever used.
     pub(in crate::core) fn rent(&mut self, offer: Offer, count: u32) {
         let now = self.now.mono;
-        let Some(lead) = &mut self.leader else { return };
-        lead.cloud.next_request += 1;
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        leader.cloud.next_request += 1;
         // Terms are unique for ever, and so is the number within one.
-        let name = format!("burlusher-{}-{}", lead.term, lead.cloud.next_request);
+        let name = format!("burlusher-{}-{}", leader.term, leader.cloud.next_request);
         tracing::info!(
             "renting {count} of {} in {}, {}: {name}",
             offer.0,
@@ -115,7 +125,7 @@
             spot: offer.2,
             count,
         };
-        lead.cloud.scale_outs.insert(
+        leader.cloud.scale_outs.insert(
             name,
             ScaleOutOperation {
                 body,
@@ -135,12 +145,14 @@
         if let CloudOutcome::Trouble(e) | CloudOutcome::Invalid(e) = &outcome {
             tracing::info!("cloud: {e}");
         }
-        let Some(lead) = &mut self.leader else { return };
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
         match pending {
             Some(Pending::List { sent }) => {
-                lead.cloud.list_in_flight = false;
+                leader.cloud.list_in_flight = false;
                 if let CloudOutcome::Listed(list) = outcome {
-                    lead.cloud.listed_machines = list.len();
+                    leader.cloud.listed_machines = list.len();
                     for _ in 0..list.len() / PAGE {
                         self.cloud_budget.take(now);
                     }
@@ -148,19 +160,19 @@
                 }
             }
             Some(Pending::Delete(names)) => {
-                lead.cloud.delete_calls_in_flight =
-                    lead.cloud.delete_calls_in_flight.saturating_sub(1);
+                leader.cloud.delete_calls_in_flight =
+                    leader.cloud.delete_calls_in_flight.saturating_sub(1);
                 if let CloudOutcome::Deleted(_) = outcome {
                     for id in &names {
-                        lead.cloud.deletions.remove(id);
-                        lead.deleted_machines.insert(id.clone());
+                        leader.cloud.deletions.remove(id);
+                        leader.deleted_machines.insert(id.clone());
                     }
                     for id in names {
                         self.machine_gone(&id, "deleted");
                     }
                 } else {
                     for id in names {
-                        if let Some(at) = lead.cloud.deletions.get_mut(&id) {
+                        if let Some(at) = leader.cloud.deletions.get_mut(&id) {
                             *at = now + Duration::from_secs(1);
                         }
                     }
@@ -173,8 +185,10 @@
 
     fn scale_out_outcome(&mut self, name: &str, outcome: CloudOutcome) {
         let now = self.now.mono;
-        let Some(lead) = &mut self.leader else { return };
-        let Some(op) = lead.cloud.scale_outs.get_mut(name) else {
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        let Some(op) = leader.cloud.scale_outs.get_mut(name) else {
             return;
         };
         op.call = None;
@@ -189,17 +203,17 @@
         match outcome {
             CloudOutcome::Rented(ids) => {
                 got = Some(ids.len());
-                lead.cloud.scale_outs.remove(name);
+                leader.cloud.scale_outs.remove(name);
                 for id in ids {
                     let m = Machine::new(id.clone(), &offer.0, &offer.1, offer.2, now);
-                    if !lead.deleted_machines.contains(&id) {
-                        lead.machines.get_or_add(&id, || m).age =
+                    if !leader.deleted_machines.contains(&id) {
+                        leader.machines.get_or_add(&id, || m).age =
                             now.saturating_duration_since(since);
                     }
                 }
             }
             CloudOutcome::NoCapacity | CloudOutcome::Invalid(_) => {
-                lead.cloud.scale_outs.remove(name);
+                leader.cloud.scale_outs.remove(name);
             }
             // It may have been carried out: only the same name asked again tells.
             _ => {
@@ -208,10 +222,10 @@
             }
         }
         if let Some(got) = got {
-            let beliefs = &mut lead.bidding.beliefs;
+            let beliefs = &mut leader.bidding.beliefs;
             beliefs.answered(&offer, asked as u32, got as u32, now);
             if got < asked {
-                lead.last_scaling = None;
+                leader.last_scaling = None;
             }
         }
     }
@@ -219,18 +233,20 @@
     fn observe_listed_machines(&mut self, sent: Instant, list: Vec<ListedMachine>) {
         let now = self.now.mono;
         let lag = self.settings.machine_list_lag * 2 + Duration::from_secs(2);
-        let Some(lead) = &mut self.leader else { return };
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
         let mut present = BTreeSet::new();
         let mut gone = Vec::new();
         // While the store is rebuilt, each of them may hold tasks.
         let (mut unknown, mut booting) = (Vec::new(), Vec::new());
         for l in list {
             present.insert(l.id.clone());
-            if lead.deleted_machines.contains(&l.id) {
+            if leader.deleted_machines.contains(&l.id) {
                 continue;
             }
-            let known = lead.machines.get(&l.id);
-            if lead.rebuild.is_some() && known.is_none_or(|m| m.incarnation == 0) {
+            let known = leader.machines.get(&l.id);
+            if leader.rebuild.is_some() && known.is_none_or(|m| m.incarnation == 0) {
                 match l.state {
                     ListedState::Running if known.is_none() => {
                         let addr = l.addr.clone().unwrap_or_default();
@@ -253,7 +269,7 @@
             {
                 continue;
             }
-            let m = lead.machines.get_or_add(&l.id, || {
+            let m = leader.machines.get_or_add(&l.id, || {
                 tracing::info!(machine = %l.id, "machine {}: found in the cloud's list, taken on", l.id);
                 Machine::new(l.id.clone(), &l.machine_type, &l.zone, l.spot, now)
             });
@@ -277,14 +293,14 @@
         for id in &gone {
             // It stopped by itself, but stays in the list until it is deleted.
             self.machine_gone(id, "the cloud lists it as failed");
-            if let Some(lead) = &mut self.leader {
-                lead.cloud.deletions.insert(id.clone(), now);
+            if let Some(leader) = &mut self.leader {
+                leader.cloud.deletions.insert(id.clone(), now);
             }
         }
-        let Some(lead) = &self.leader else { return };
+        let Some(leader) = &self.leader else { return };
         // The list tells of a time at most twice its lag ago. A machine known to exist before
         // that time and absent now is gone.
-        let absent: Vec<MachineId> = lead
+        let absent: Vec<MachineId> = leader
             .machines
             .values()
             .filter(|m| !present.contains(&m.id) && m.known_since + lag < sent)
--- a/src/core/machines/failure_detection.rs
+++ b/src/core/machines/failure_detection.rs
@@ -21,8 +21,8 @@
 
 /// So many machines are hardly ever all silent for this long: with reports spread over their
 /// interval, one in 400 times.
-fn longest_common_silence(report: Duration, machines: u32) -> Duration {
-    (report * 6 / machines.max(1)).min(report * 2)
+fn longest_common_silence(heartbeat: Duration, machines: u32) -> Duration {
+    (heartbeat * 6 / machines.max(1)).min(heartbeat * 2)
 }
 
 /// From when a worker was last answered until its lease has run out for certain.
@@ -77,28 +77,32 @@
     /// Losses, notices and the cloud's list.
     pub(in crate::core) fn check_machines(&mut self) {
         let now = self.now.mono;
-        let Some(lead) = &mut self.leader else { return };
-        if lead
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        if leader
             .last_machine_check
             .is_some_and(|t| now < t + Duration::from_millis(250))
         {
             return;
         }
-        lead.last_machine_check = Some(now);
+        leader.last_machine_check = Some(now);
         self.check_delegates();
-        let Some(lead) = &mut self.leader else { return };
-        let report = self.settings.heartbeat_interval;
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        let heartbeat = self.settings.heartbeat_interval;
         let lease_expiry = lease_expiry(self.settings.worker_lease);
         let fresh = |m: &Machine| {
-            m.incarnation > 0 && now.saturating_duration_since(m.last_heartbeat) < report * 2
+            m.incarnation > 0 && now.saturating_duration_since(m.last_heartbeat) < heartbeat * 2
         };
         let mut zones: BTreeMap<&str, (u32, u32, Instant)> = BTreeMap::new();
-        for m in lead
+        for m in leader
             .machines
             .values()
             .filter(|m| m.incarnation > 0 || m.unresolved)
         {
-            let z = zones.entry(&m.zone).or_insert((0, 0, lead.since));
+            let z = zones.entry(&m.zone).or_insert((0, 0, leader.since));
             z.0 += 1;
             z.1 += u32::from(fresh(m));
             if m.incarnation > 0 {
@@ -106,26 +110,30 @@
             }
         }
         // What others hear is told a little later.
-        let told_late = lead.delegates.delegation_delay();
+        let told_late = leader.delegates.delegation_delay();
         // A zone from which next to nothing comes is cut off; its machines work on and their
         // leases protect them, so they are not given up for their silence. The first sign is
         // that nobody is heard at all for longer than so many machines ever keep silent together:
         // half of them are still fresh when the first ones are silent for too long.
         let reachable = |zone: &str| {
             zones.get(zone).is_some_and(|(all, up, newest)| {
-                let pause = longest_common_silence(report, *up).max(report / 3) + told_late;
+                let pause = longest_common_silence(heartbeat, *up).max(heartbeat / 3) + told_late;
                 up * 2 >= *all && *up > 0 && now.saturating_duration_since(*newest) <= pause
             })
         };
-        let sessions = lead.machines.values().filter(|m| m.incarnation > 0).count();
-        lead.silence_limit =
-            longest_common_silence(report, sessions as u32).max(report / 2) + RESIGN_MARGIN;
+        let sessions = leader
+            .machines
+            .values()
+            .filter(|m| m.incarnation > 0)
+            .count();
+        leader.silence_limit =
+            longest_common_silence(heartbeat, sessions as u32).max(heartbeat / 2) + RESIGN_MARGIN;
         // After a cut, the machines behind it need a moment to be heard again.
         let back: BTreeMap<String, Instant> = zones
             .keys()
             .filter(|z| reachable(z))
             .map(|z| {
-                let since = lead.zone_reachable_since.get(*z).copied().unwrap_or(now);
+                let since = leader.zone_reachable_since.get(*z).copied().unwrap_or(now);
                 (z.to_string(), since)
             })
             .collect();
@@ -133,10 +141,10 @@
             back.get(zone)
                 .map_or(Duration::ZERO, |t| now.saturating_duration_since(*t))
         };
-        let excused = lead.silence_excuse(now);
+        let excused = leader.silence_excuse(now);
         let mut over = Vec::new();
         let mut silent = Vec::new();
-        for m in lead.machines.values() {
+        for m in leader.machines.values() {
             if (m.incarnation > 0 || m.unresolved)
                 && !m.lease_expired
                 && now > m.lease_renewed + lease_expiry
@@ -147,16 +155,16 @@
             }
             let since = m
                 .last_heartbeat
-                .max(lead.silence_excused_until)
-                .max(lead.since);
+                .max(leader.silence_excused_until)
+                .max(leader.since);
             // Its controller is not heard: the worker has to find another one first.
             let since = excused.map_or(since, |t| since.max(t));
             let quiet = now.saturating_duration_since(since);
             let expected = m.incarnation > 0 || m.unresolved;
             let heard =
-                heard_for(&m.zone).min(now.saturating_duration_since(lead.silence_excused_until));
-            let all_heard = heard >= (report * 5 / 4).max(WORKER_RETRY);
-            if expected && m.deleting.is_none() && quiet > report * 5 / 2 && all_heard {
+                heard_for(&m.zone).min(now.saturating_duration_since(leader.silence_excused_until));
+            let all_heard = heard >= (heartbeat * 5 / 4).max(WORKER_RETRY);
+            if expected && m.deleting.is_none() && quiet > heartbeat * 5 / 2 && all_heard {
                 silent.push((m.id.clone(), "it is silent"));
             }
             // All old tasks that nobody has shown wait for each machine not heard of, one that
@@ -165,25 +173,25 @@
             // never show what it was answered: they may be copies. Nor are those dead to which no call
             // gets through, a zone cut off one way.
             let untold = m.unproven_since;
-            let deaf = untold.is_some_and(|t| now > t + report * 5 / 2 + WORKER_RETRY);
+            let deaf = untold.is_some_and(|t| now > t + heartbeat * 5 / 2 + WORKER_RETRY);
             let in_vain = m.unresolved
                 && (m.incarnation == 0 || deaf)
                 && m.failed_calls >= MAX_UNANSWERED_PROBES
-                && lead.reachable_zones.contains(&m.zone);
+                && leader.reachable_zones.contains(&m.zone);
             if in_vain && m.deleting.is_none() && reachable(&m.zone) {
                 silent.push((m.id.clone(), "it does not answer"));
             }
             let taken = m
                 .reclaim_at
                 .is_some_and(|t| now > t + Duration::from_millis(500));
-            if taken && m.deleting.is_none() && quiet > report * 5 / 4 {
+            if taken && m.deleting.is_none() && quiet > heartbeat * 5 / 4 {
                 silent.push((m.id.clone(), "it was to be taken and is silent"));
             }
             if m.deleting.is_none() && quiet > lease_expiry && expected {
                 silent.push((m.id.clone(), "its lease ran out"));
             }
             // A new leader first hears from those that came up before it led.
-            let heard_out = now > lead.since + report * 2;
+            let heard_out = now > leader.since + heartbeat * 2;
             if !expected && m.deleting.is_none() && heard_out {
                 let boot = self
                     .machine_types
@@ -196,18 +204,18 @@
                 }
             }
         }
-        lead.zone_reachable_since = back;
-        let turned: Vec<MachineId> = lead
+        leader.zone_reachable_since = back;
+        let turned: Vec<MachineId> = leader
             .machines
             .values()
-            .filter(|m| m.schedulable != lead.accepts_tasks(m, now, report))
+            .filter(|m| m.schedulable != leader.accepts_tasks(m, now, heartbeat))
             .map(|m| m.id.clone())
             .collect();
         for id in turned {
-            lead.machines.get_mut(&id);
+            leader.machines.get_mut(&id);
         }
-        if let Some(lead) = &self.leader {
-            let suspects = lead.machines.values().filter(|m| m.deleting.is_none());
+        if let Some(leader) = &self.leader {
+            let suspects = leader.machines.values().filter(|m| m.deleting.is_none());
             let faulty = suspects.filter(|m| self.faulty(m));
             silent.extend(faulty.map(|m| (m.id.clone(), "it is faulty")));
         }
@@ -225,9 +233,11 @@
     pub(in crate::core) fn machine_lease_expired(&mut self, id: &MachineId) {
         let now = self.now.mono;
         let lease_expiry = lease_expiry(self.settings.worker_lease);
-        let Some(lead) = &mut self.leader else { return };
-        let term = lead.term;
-        let Some(m) = lead.machines.get_mut(id) else {
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        let term = leader.term;
+        let Some(m) = leader.machines.get_mut(id) else {
             return;
         };
         // Whatever session an earlier leader could know of is over; one that was heard of since may run, and
@@ -249,8 +259,10 @@
     /// The machine is deleted; until that is confirmed, its tasks stay where they are.
     pub(in crate::core) fn release_machine(&mut self, id: &MachineId, why: &'static str) {
         let now = self.now.mono;
-        let Some(lead) = &mut self.leader else { return };
-        let Some(m) = lead.machines.get_mut(id) else {
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        let Some(m) = leader.machines.get_mut(id) else {
             return;
         };
         if m.deleting.is_none() {
@@ -261,35 +273,41 @@
                 if m.spot { "spot" } else { "ordinary" }
             );
             m.deleting = Some(why);
-            lead.cloud.deletions.insert(id.clone(), now);
-            lead.plan_again = true;
+            leader.cloud.deletions.insert(id.clone(), now);
+            leader.plan_again = true;
         }
     }
 
     /// It is certain that the machine and everything on it is gone.
     pub(in crate::core) fn machine_gone(&mut self, id: &MachineId, how: &str) {
         let now = self.now.mono;
-        let Some(lead) = &mut self.leader else { return };
-        let Some(m) = lead.machines.get(id) else {
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        let Some(m) = leader.machines.get(id) else {
             return;
         };
         tracing::info!(machine = %id, "machine {id} is gone: {how}");
         let tasks: Vec<TaskId> = m.tasks.keys().cloned().collect();
         self.tasks_lost(id, tasks, "its machine is gone");
         self.resolve_machine(id, how);
-        let Some(lead) = &mut self.leader else { return };
-        lead.machines.remove(id);
-        lead.deleted_machines.insert(id.clone());
-        lead.cloud.deletions.remove(id);
-        lead.writes.records.remove(id, now);
-        lead.plan_again = true;
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        leader.machines.remove(id);
+        leader.deleted_machines.insert(id.clone());
+        leader.cloud.deletions.remove(id);
+        leader.writes.records.remove(id, now);
+        leader.plan_again = true;
     }
 
     /// Work that will not end before its machine is taken is stopped, to save or to start anew
     /// elsewhere.
     fn move_tasks_off_reclaimed(&mut self) {
         let now = self.now.mono;
-        let Some(lead) = &mut self.leader else { return };
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
         let jobs = &self.store_cache.jobs;
         let hopeless = |key: &TaskId, t: &Placement, left: Duration| {
             let Some(job) = jobs.get(&key.job) else {
@@ -309,14 +327,14 @@
                 && (saves || ran < Duration::from_secs(5) || rest > left * 3)
         };
         let mut moved = Vec::new();
-        for m in lead.machines.values() {
+        for m in leader.machines.values() {
             let Some(at) = m.reclaim_at else { continue };
             let left = at.saturating_duration_since(now);
             let tasks = m.tasks.iter().filter(|(key, t)| hopeless(key, t, left));
             moved.extend(tasks.map(|(key, _)| (m.id.clone(), key.clone())));
         }
         for (id, key) in moved {
-            if let Some(m) = lead.machines.get_mut(&id)
+            if let Some(m) = leader.machines.get_mut(&id)
                 && let Some(t) = m.tasks.get_mut(&key)
             {
                 t.stop(StopReason::Moved, now);
--- a/src/core/machines/machine.rs
+++ b/src/core/machines/machine.rs
@@ -1,7 +1,7 @@
 //! A machine as the leader knows it: data that reports, commands, losses and renting act on. It
 //! imports nothing of theirs.
 
-use crate::fault_injection::{Safeguard, stands};
+use crate::fault_injection::{Safeguard, is_enabled};
 use crate::job::{JobId, MachineId, Resources, TaskId};
 use crate::planning::cluster_snapshot::ImageTag;
 use crate::wire::{Heartbeat, TaskState};
@@ -330,27 +330,27 @@
     /// Whether a report says only what is known, under this term's token: most reports do, and
     /// with a thousand machines that each hold dozens of tasks, taking them in anew every time
     /// was most of a leader's work.
-    pub(in crate::core) fn is_unchanged_by(&self, report: &Heartbeat, term: u64) -> bool {
-        let calm = report.incarnation == self.incarnation
-            && report.sequence > self.sequence
-            && report.fencing_token >= (term << TOKEN_EPOCH_BITS).max(self.highest_token)
+    pub(in crate::core) fn is_unchanged_by(&self, heartbeat: &Heartbeat, term: u64) -> bool {
+        let calm = heartbeat.incarnation == self.incarnation
+            && heartbeat.sequence > self.sequence
+            && heartbeat.fencing_token >= (term << TOKEN_EPOCH_BITS).max(self.highest_token)
             && !self.lease_expired
             && self.recorded
             && self.doubtful_until_token.is_none()
             && !self.start_unconfirmed
             && self.unconfirmed_token.is_none()
             && self.reclaim_at.is_none()
-            && report.reclaim_in_s.is_none()
+            && heartbeat.reclaim_in_s.is_none()
             && self.up_since.is_some()
-            && self.spot == report.spot
-            && self.addr == report.addr
-            && report.tasks.len() == self.tasks.len() + self.exited.len();
+            && self.spot == heartbeat.spot
+            && self.addr == heartbeat.addr
+            && heartbeat.tasks.len() == self.tasks.len() + self.exited.len();
         let is = |key: &TaskId, text: &str| {
             text.strip_prefix(&*key.job)
                 .and_then(|rest| rest.strip_prefix('/'))
                 .is_some_and(|row| row.parse() == Ok(key.index))
         };
-        calm && report.tasks.iter().all(|row| {
+        calm && heartbeat.tasks.iter().all(|row| {
             if row.state == TaskState::Exited {
                 let mut exited = self.exited.iter();
                 return exited.any(|e| e.attempt == row.attempt && is(&e.key, &row.task));
@@ -401,7 +401,7 @@
     /// It can be given tasks now.
     pub fn usable(&self, now: Instant, patience: Duration) -> bool {
         self.incarnation > 0
-            && (self.recorded || !stands(Safeguard::Recorded))
+            && (self.recorded || !is_enabled(Safeguard::Recorded))
             && !self.lease_expired
             && self.deleting.is_none()
             && self.reclaim_at.is_none()
@@ -409,7 +409,7 @@
             && self.unconfirmed_token.is_none()
             && now.saturating_duration_since(self.last_heartbeat) < patience
             // Answers to direct commands keep no lease: without reports, what is started dies with it.
-            && (now.saturating_duration_since(self.lease_renewed) < patience || !stands(Safeguard::Mute))
+            && (now.saturating_duration_since(self.lease_renewed) < patience || !is_enabled(Safeguard::Mute))
     }
 
     /// Its latest failures speak against giving it tasks now.
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,8 +1,8 @@
 //! The single owner of all state. `step` takes commands and returns effects; it does no I/O and
 //! reads no clock, so every story of failure can be told to it in virtual time.
 //!
-//! - `keys`, `mirror`: what the state service holds, and this node's copy of it.
-//! - `lead`, `run`: what only a leader has, and each job as it knows it.
+//! - `keys`, `store_cache`: what the state service holds, and this node's copy of it.
+//! - `leader`, `run`: what only a leader has, and each job as it knows it.
 //! - `leadership`: the lease, taking over, resigning; `dead_key`: a leader key that nobody stands behind.
 //! - `writes`: the leader's durable writes.
 //! - `commit`: whether a transaction without an answer was committed.
@@ -13,7 +13,7 @@
 //! - `rebuild`: how a leader brings back what it has lost, and what waits for that.
 //! - `delegation`: what a leader lends to the other controllers, and takes back.
 //! - `machine`: a machine as the leader knows it, for all who act on machines.
-//! - `reports`, `commands`, `losses`, `renting`: what machines say, are told, how they are lost, and
+//! - `heartbeats`, `commands`, `losses`, `renting`: what machines say, are told, how they are lost, and
 //!   how they are rented and returned.
 //! - `parts`: jobs that do not fit into one value.
 //! - `pipelines`: who awaits whom, and what follows from the end of a job for those that need it.
@@ -84,7 +84,7 @@
     },
     Heartbeat {
         ticket: Ticket,
-        report: Box<Heartbeat>,
+        heartbeat: Box<Heartbeat>,
     },
     /// A controller that serves workers for the leader.
     HeartbeatBatch {
@@ -503,13 +503,13 @@
         self.now = now;
         if late > Duration::from_millis(1500) {
             tracing::warn!("this process stood still for {} ms", late.as_millis());
-            if let Some(lead) = &mut self.leader {
+            if let Some(leader) = &mut self.leader {
                 // The machines' silence proves nothing.
-                lead.silence_excused_until = now.mono + self.settings.heartbeat_interval * 2;
+                leader.silence_excused_until = now.mono + self.settings.heartbeat_interval * 2;
             }
         }
         self.forget_cancelled();
-        let mut reports = Vec::new();
+        let mut heartbeats = Vec::new();
         let mut syncs = Vec::new();
         for command in commands {
             self.stats.note_command(&command);
@@ -520,8 +520,8 @@
                     ticket,
                     queue_lengths: lanes,
                 } => self.answer_metrics(ticket, lanes),
-                Command::Heartbeat { ticket, report } => {
-                    reports.extend(self.report(ticket, report))
+                Command::Heartbeat { ticket, heartbeat } => {
+                    heartbeats.extend(self.heartbeat(ticket, heartbeat))
                 }
                 Command::HeartbeatBatch { ticket, sync } => syncs.extend(self.sync(ticket, *sync)),
                 Command::HeartbeatBatchResponse { number, answer } => {
@@ -535,8 +535,8 @@
                 Command::LeaseRenewed {
                     lease,
                     sent,
-                    confirmed_key_version: stands,
-                } => self.lease_renewed(lease, sent, stands),
+                    confirmed_key_version: is_enabled,
+                } => self.lease_renewed(lease, sent, is_enabled),
                 Command::Deposed { key_version } => self.deposed(key_version),
                 Command::LeaseLost => self.lease_lost(),
                 Command::MemoryRequest { ticket, recall } => self.recall(ticket, recall),
@@ -563,13 +563,13 @@
         self.advance_leadership();
         self.answer_barriers();
         self.resolve_creations();
-        reports.extend(self.drain_waiting_heartbeats());
+        heartbeats.extend(self.drain_waiting_heartbeats());
         if self.acting() {
             self.advance_rebuild();
             self.check_machines();
             self.schedule();
             let mut due = leadership::state::DeferredResponses {
-                heartbeats: reports,
+                heartbeats: heartbeats,
                 batches: syncs,
             };
             self.defer_responses(&mut due);
@@ -582,12 +582,12 @@
             self.send_direct_commands();
             self.send_writes();
         } else {
-            if let Some(lead) = &mut self.leader {
-                let held = std::mem::take(&mut lead.deferred_responses);
-                reports.extend(held.heartbeats);
+            if let Some(leader) = &mut self.leader {
+                let held = std::mem::take(&mut leader.deferred_responses);
+                heartbeats.extend(held.heartbeats);
                 syncs.extend(held.batches);
             }
-            for (ticket, _) in reports {
+            for (ticket, _) in heartbeats {
                 self.redirect(ticket);
             }
             for work in syncs {
@@ -714,9 +714,9 @@
 
     fn set_machine_types(&mut self, types: Vec<MachineType>) {
         if !types.is_empty() && types != self.machine_types {
-            if let Some(lead) = &mut self.leader {
-                lead.writes.machine_types = true;
-                lead.machines.mark_all_changed();
+            if let Some(leader) = &mut self.leader {
+                leader.writes.machine_types = true;
+                leader.machines.mark_all_changed();
             }
             self.machine_types = types;
         }
--- a/src/core/monitoring/metrics.rs
+++ b/src/core/monitoring/metrics.rs
@@ -100,8 +100,9 @@
                 .members()
                 .map(|(name, _)| (name, standing(name))),
         );
-        let able =
-            |abilities: Capabilities| f64::from(u8::from(abilities.has(Capabilities::REPORTS)));
+        let able = |capabilities: Capabilities| {
+            f64::from(u8::from(capabilities.has(Capabilities::REPORTS)))
+        };
         page.gauges(
             "takes_reports",
             "1 for a controller that serves workers for the leader",
@@ -128,10 +129,10 @@
 
     fn leader_figures(&self, page: &mut Page) {
         let now = self.now.mono;
-        let Some(lead) = &self.leader else { return };
+        let Some(leader) = &self.leader else { return };
         let mut reporting: BTreeMap<&str, u32> = BTreeMap::new();
         let (mut up, mut booting, mut lent) = (0, 0, 0);
-        for m in lead.machines.values() {
+        for m in leader.machines.values() {
             if m.incarnation == 0 {
                 booting += 1;
                 continue;
@@ -157,11 +158,15 @@
         page.gauge(
             "machines_to_hear",
             "Machines that may hold tasks of an earlier term and have not shown the new token",
-            lead.unresolved as f64,
+            leader.unresolved as f64,
+        );
+        page.gauge(
+            "jobs",
+            "Jobs that are not over",
+            leader.job_runs.len() as f64,
         );
-        page.gauge("jobs", "Jobs that are not over", lead.job_runs.len() as f64);
         let tasks = |f: fn(&crate::core::jobs::job_run::JobRun) -> usize| -> f64 {
-            lead.job_runs.values().map(f).sum::<usize>() as f64
+            leader.job_runs.values().map(f).sum::<usize>() as f64
         };
         page.gauges(
             "tasks",
@@ -175,22 +180,22 @@
         page.gauge(
             "leads_seconds",
             "Since this controller began to lead",
-            now.saturating_duration_since(lead.since).as_secs_f64(),
+            now.saturating_duration_since(leader.since).as_secs_f64(),
         );
         page.gauge(
             "direct_calls",
             "Calls to workers on their way",
-            lead.direct_calls_in_flight as f64,
+            leader.direct_calls_in_flight as f64,
         );
         page.counter(
             "reports_passed_on",
             "Reports in this term that came by way of other controllers",
-            lead.delegates.relayed_heartbeats,
+            leader.delegates.relayed_heartbeats,
         );
         page.counter(
             "reports_answered_by_others",
             "Reports in this term that other controllers answered alone",
-            lead.delegates.delegated_answers,
+            leader.delegates.delegated_answers,
         );
     }
 }
--- a/src/core/monitoring/status.rs
+++ b/src/core/monitoring/status.rs
@@ -37,15 +37,15 @@
     }
 
     fn leader_view(&self) -> Value {
-        let Some(lead) = &self.leader else {
+        let Some(leader) = &self.leader else {
             return json!({});
         };
-        let machines: Vec<Value> = lead
+        let machines: Vec<Value> = leader
             .machines
             .values()
             .map(|m| self.machine_view(m))
             .collect();
-        let jobs: Vec<Value> = lead
+        let jobs: Vec<Value> = leader
             .job_runs
             .keys()
             .take(MAX_LISTED_JOBS)
@@ -62,15 +62,15 @@
             "node": self.settings.name,
             "leads": true,
             "leader": self.settings.name,
-            "term": lead.term,
-            "leads_s": self.since(lead.since),
-            "machines_not_heard_yet": lead.unresolved,
+            "term": leader.term,
+            "leads_s": self.since(leader.since),
+            "machines_not_heard_yet": leader.unresolved,
             "refused_offers": refused,
-            "bidding": self.markets_view(lead),
+            "bidding": self.markets_view(leader),
             "members": self.members_status(),
-            "reports_by_others": {"taken_in": lead.delegates.relayed_heartbeats, "answered": lead.delegates.delegated_answers},
+            "reports_by_others": {"taken_in": leader.delegates.relayed_heartbeats, "answered": leader.delegates.delegated_answers},
             "machines": machines,
-            "jobs_live": lead.job_runs.len(),
+            "jobs_live": leader.job_runs.len(),
             "jobs_finished": self.store_cache.finished.len(),
             "jobs": jobs,
         })
@@ -118,14 +118,14 @@
     }
 
     fn job_view(&self, id: &JobId) -> Value {
-        let (Some(lead), Some(job)) = (&self.leader, self.store_cache.jobs.get(id)) else {
+        let (Some(leader), Some(job)) = (&self.leader, self.store_cache.jobs.get(id)) else {
             return json!({});
         };
-        let Some(run) = lead.job_runs.get(id) else {
+        let Some(run) = leader.job_runs.get(id) else {
             return json!({});
         };
         let running = self.running_of(id, run) as usize;
-        let due = lead.urgency_of(id, job).due;
+        let due = leader.urgency_of(id, job).due;
         let left = |d: SystemTime| match d.duration_since(self.now.wall) {
             Ok(left) => left.as_secs_f64(),
             Err(over) => -over.duration().as_secs_f64(),
@@ -149,10 +149,10 @@
 
     /// One sentence on why a job's waiting tasks wait.
     fn why_waiting(&self, id: &JobId) -> String {
-        let (Some(lead), Some(job)) = (&self.leader, self.store_cache.jobs.get(id)) else {
+        let (Some(leader), Some(job)) = (&self.leader, self.store_cache.jobs.get(id)) else {
             return String::new();
         };
-        let Some(run) = lead.job_runs.get(id) else {
+        let Some(run) = leader.job_runs.get(id) else {
             return String::new();
         };
         if run.ending.is_some() {
@@ -170,10 +170,10 @@
         if run.queued.is_empty() {
             return "nothing waits".into();
         }
-        if Self::blocked_by_recovery(lead, job) {
+        if Self::blocked_by_recovery(leader, job) {
             return format!(
                 "its tasks may be on {} machines that have not reported to this leader",
-                lead.unresolved
+                leader.unresolved
             );
         }
         let failures: u32 = run.failures.values().sum();
@@ -185,7 +185,7 @@
         if failures > 0 && run.queued.iter().all(|r| run.backoff_until.contains_key(r)) {
             return format!("its tasks failed {failures} times; they are tried again later");
         }
-        match &lead.queue_head {
+        match &leader.queue_head {
             Some((head, Some(after))) if head == id => {
                 format!(
                     "next in the queue; room is expected in {} s",
--- a/src/core/scheduling/bidding.rs
+++ b/src/core/scheduling/bidding.rs
@@ -24,11 +24,11 @@
 const LEAST_EXPECTED: f64 = 0.5;
 
 impl Core {
-    pub(in crate::core) fn fleet_facts(&self, lead: &LeaderState) -> FleetFacts {
+    pub(in crate::core) fn fleet_facts(&self, leader: &LeaderState) -> FleetFacts {
         FleetFacts {
-            machines: lead.machines.values().count() as f64,
+            machines: leader.machines.values().count() as f64,
             zones: self.settings.zones.len() as f64,
-            pause: lead.arrivals.pause(),
+            pause: leader.arrivals.pause(),
         }
     }
 
@@ -77,11 +77,11 @@
     }
 
     /// What is expected to come within `ahead` beyond what is usual, in waves.
-    fn expected(&self, lead: &mut LeaderState, ahead: Duration) -> Vec<Asked> {
+    fn expected(&self, leader: &mut LeaderState, ahead: Duration) -> Vec<Asked> {
         let now = self.now.mono;
         let mut out = Vec::new();
         let wave = ahead / WAVES;
-        for e in lead.bidding.expected.values_mut() {
+        for e in leader.bidding.expected.values_mut() {
             let jobs = e.demand.surge(now) * wave.as_secs_f64();
             let (size, run) = e.demand.size();
             let tasks = jobs * size;
@@ -138,15 +138,15 @@
         mut market: autoscaler::Market,
     ) -> Vec<Rent> {
         let now = self.now.mono;
-        let Some(mut lead) = self.leader.take() else {
+        let Some(mut leader) = self.leader.take() else {
             return Vec::new();
         };
-        let facts = self.fleet_facts(&lead);
+        let facts = self.fleet_facts(&leader);
         let mut machines: BTreeMap<Offer, u32> = BTreeMap::new();
         let tolerance = self.policy.fleet_number(Entry::Tolerance, &facts);
         let zones = self.settings.zones.iter().map(String::as_str);
         let mut spread = Spread::new(zones, tolerance.clamp(0.0, 1.0));
-        for class in &lead.board.classes {
+        for class in &leader.board.classes {
             let count = class.machines as u32;
             *machines.entry(class.offer.clone()).or_default() += count;
             spread.add(&class.offer.1, class.room.cpus * f64::from(count));
@@ -159,21 +159,21 @@
         // all who may use them, however little patience they have for others.
         let unmet: Vec<Unmet> = asked.iter().map(|a| a.unmet.clone()).collect();
         let mut rents =
-            autoscaler::spot_first(&lead.board, coming, &unmet, &market, now, |u| u.spec.spot);
+            autoscaler::spot_first(&leader.board, coming, &unmet, &market, now, |u| u.spec.spot);
         let coming = &autoscaler::with(coming, &rents, &self.machine_types)[..];
         let ahead = self.policy.fleet_number(Entry::Foresight, &facts);
         if ahead > 0.0 {
             let ahead = Duration::from_secs_f64(ahead.min(600.0));
-            for expected in self.expected(&mut lead, ahead) {
+            for expected in self.expected(&mut leader, ahead) {
                 // Behind what waits at its rank, before lower ones; the guarantee's order stays.
                 let before = |a: &Asked| a.unmet.rank <= expected.unmet.rank;
                 let at = asked.iter().rposition(before).map_or(0, |i| i + 1);
                 asked.insert(at, expected);
             }
         }
-        lead.bidding.expose(now, &machines);
-        let lots = bids::lots(&self.machine_types, &lead.bidding.beliefs, now);
-        let (more, cleared) = bids::rent(&lead.board, coming, &asked, &market, &lots, now);
+        leader.bidding.expose(now, &machines);
+        let lots = bids::lots(&self.machine_types, &leader.bidding.beliefs, now);
+        let (more, cleared) = bids::rent(&leader.board, coming, &asked, &market, &lots, now);
         if !cleared.awards.is_empty() {
             tracing::debug!(
                 "cleared {:?}: saves {:.0}, costs {:.0}, {:.0} tasks not worth a machine",
@@ -183,8 +183,8 @@
                 cleared.unserved,
             );
         }
-        lead.bidding.last = Some(cleared);
-        self.leader = Some(lead);
+        leader.bidding.last = Some(cleared);
+        self.leader = Some(leader);
         for (offer, count) in more {
             *rents.entry(offer).or_default() += count;
         }
@@ -192,17 +192,17 @@
     }
 
     /// Each market as it is believed to be, and what the last clearing made of all bids.
-    pub(in crate::core) fn markets_view(&self, lead: &LeaderState) -> Value {
+    pub(in crate::core) fn markets_view(&self, leader: &LeaderState) -> Value {
         let now = self.now.mono;
-        let beliefs = &lead.bidding.beliefs;
+        let beliefs = &leader.bidding.beliefs;
         let mut markets = Vec::new();
         for (i, lot) in bids::lots(&self.machine_types, beliefs, now)
             .iter()
             .enumerate()
         {
             let (kind, zone, spot) = &lot.offer;
-            let held = lead.board.classes.iter().find(|c| c.offer == lot.offer);
-            let last = lead.bidding.last.as_ref();
+            let held = leader.board.classes.iter().find(|c| c.offer == lot.offer);
+            let last = leader.bidding.last.as_ref();
             let award = last.and_then(|c| c.awards.iter().find(|a| a.lot == i));
             markets.push(json!({
                 "type": kind, "zone": zone, "spot": spot,
@@ -213,7 +213,7 @@
                 "shut": beliefs.outlook(&lot.offer, now).shut,
             }));
         }
-        let cleared = lead.bidding.last.as_ref().map(|c| {
+        let cleared = leader.bidding.last.as_ref().map(|c| {
             json!({
                 "by": format!("{:?}", c.method).to_lowercase(),
                 "saves": c.saved.round(), "costs": c.cost.round(),
@@ -226,10 +226,12 @@
     /// A machine was lost, or is going to be: its market is less safe than it seemed.
     pub(in crate::core) fn machine_lost(&mut self, id: &MachineId) {
         let now = self.now.mono;
-        let Some(lead) = &mut self.leader else { return };
-        if let Some(m) = lead.machines.get(id) {
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        if let Some(m) = leader.machines.get(id) {
             let offer = (m.machine_type.clone(), m.zone.clone(), m.spot);
-            lead.bidding.beliefs.lost(&offer, 1, now);
+            leader.bidding.beliefs.lost(&offer, 1, now);
         }
     }
 }
--- a/src/core/scheduling/mod.rs
+++ b/src/core/scheduling/mod.rs
@@ -9,7 +9,7 @@
 use crate::core::store::cache::JobRecord;
 use crate::core::workers::delegation::PendingBatch;
 use crate::core::{Core, Work};
-use crate::fault_injection::{Safeguard, stands};
+use crate::fault_injection::{Safeguard, is_enabled};
 use crate::job::{JobId, JobKind, MachineId, Priority, Resources, TaskId};
 use crate::planning::autoscaler;
 use crate::planning::backfill::{self, TeamUse, Waiting};
@@ -52,7 +52,7 @@
 
 pub(in crate::core) struct View<'a> {
     now: Instant,
-    lead: &'a LeaderState,
+    leader: &'a LeaderState,
     jobs: &'a BTreeMap<JobId, JobRecord>,
     core: &'a Core,
 }
@@ -60,7 +60,7 @@
 impl View<'_> {
     fn estimate(&self, job: &JobRecord) -> Duration {
         let factor = self
-            .lead
+            .leader
             .runtime_ratios
             .get(&job.spec.class)
             .map_or(1.0, RuntimeRatio::factor);
@@ -99,7 +99,9 @@
         key: &TaskId,
         ran: Option<Duration>,
     ) {
-        let Some(lead) = &mut self.leader else { return };
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
         let (Some(job), Some(ran)) = (self.store_cache.jobs.get(&key.job), ran) else {
             return;
         };
@@ -107,12 +109,12 @@
         if estimate <= 0.0 {
             return;
         }
-        let pace = lead
+        let pace = leader
             .runtime_ratios
             .entry(job.spec.class.clone())
             .or_default();
         pace.note(ran.as_secs_f64(), estimate);
-        let Some(run) = lead.job_runs.get_mut(&key.job) else {
+        let Some(run) = leader.job_runs.get_mut(&key.job) else {
             return;
         };
         // Tasks of one job differ among themselves, so a machine is compared with its peers only
@@ -122,7 +124,7 @@
             .then(|| run.log_run_times.0 / f64::from(run.log_run_times.1));
         run.log_run_times.0 += log;
         run.log_run_times.1 += 1;
-        if let (Some(m), Some(usual)) = (lead.machines.get_mut(id), usual) {
+        if let (Some(m), Some(usual)) = (leader.machines.get_mut(id), usual) {
             m.fault_history.slowness.note(log - usual);
         }
     }
@@ -131,48 +133,50 @@
     /// machine that something just ended on then goes into the answer to its report, and takes no call
     /// to it. They wait no longer than plans are apart at least.
     pub(in crate::core) fn defer_responses(&mut self, now_due: &mut Waiters) {
-        let Some(lead) = &mut self.leader else { return };
-        let before = std::mem::take(&mut lead.deferred_responses);
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        let before = std::mem::take(&mut leader.deferred_responses);
         // At a takeover all machines are new, and their answers show them the token: no time to lose.
-        let planned = lead.last_plan == Some(self.now.mono) || !lead.plan_again;
-        if planned || !lead.has_pending_demand || lead.unresolved > 0 {
+        let planned = leader.last_plan == Some(self.now.mono) || !leader.plan_again;
+        if planned || !leader.has_pending_demand || leader.unresolved > 0 {
             now_due.heartbeats.extend(before.heartbeats);
             now_due.batches.extend(before.batches);
             return;
         }
-        let machines = &lead.machines;
+        let machines = &leader.machines;
         let freed = |id: &MachineId| machines.get(id).is_some_and(|m| m.freed);
         let mut held = before;
         (held.heartbeats).extend(now_due.heartbeats.extract_if(.., |(_, id)| freed(id)));
         let some = |w: &mut PendingBatch| w.machines().any(freed);
         held.batches.extend(now_due.batches.extract_if(.., some));
-        lead.deferred_responses = held;
+        leader.deferred_responses = held;
     }
 
     /// Until the next plan, if answers wait for it.
     pub(in crate::core) fn until_next_plan(&self) -> Option<Duration> {
-        let lead = self.leader.as_ref()?;
-        let held = !lead.deferred_responses.heartbeats.is_empty()
-            || !lead.deferred_responses.batches.is_empty();
-        let at = lead.last_plan? + PLAN_PAUSE;
+        let leader = self.leader.as_ref()?;
+        let held = !leader.deferred_responses.heartbeats.is_empty()
+            || !leader.deferred_responses.batches.is_empty();
+        let at = leader.last_plan? + PLAN_PAUSE;
         held.then(|| at.saturating_duration_since(self.now.mono))
     }
 
     pub(in crate::core) fn schedule(&mut self) {
         let now = self.now.mono;
-        let Some(lead) = &self.leader else { return };
-        let since = lead.last_plan.map(|t| now.saturating_duration_since(t));
+        let Some(leader) = &self.leader else { return };
+        let since = leader.last_plan.map(|t| now.saturating_duration_since(t));
         let due = match since {
             None => true,
-            Some(d) => (lead.plan_again && d >= PLAN_PAUSE) || d >= PLAN_INTERVAL,
+            Some(d) => (leader.plan_again && d >= PLAN_PAUSE) || d >= PLAN_INTERVAL,
         };
         if due {
             self.stats.work[Work::Plan as usize] += 1;
             self.restart_broken_gangs();
             self.place();
         }
-        let Some(lead) = &self.leader else { return };
-        if lead
+        let Some(leader) = &self.leader else { return };
+        if leader
             .last_scaling
             .is_none_or(|t| now >= t + SCALING_INTERVAL)
         {
@@ -181,47 +185,47 @@
         self.log_summary();
     }
 
-    fn view<'a>(&'a self, lead: &'a LeaderState) -> View<'a> {
+    fn view<'a>(&'a self, leader: &'a LeaderState) -> View<'a> {
         View {
             now: self.now.mono,
-            lead,
+            leader,
             jobs: &self.store_cache.jobs,
             core: self,
         }
     }
 
     /// What every team uses, tasks in doubt and tasks not seen yet included.
-    fn team_use(&self, lead: &LeaderState, board: &Board) -> Vec<TeamUse> {
+    fn team_use(&self, leader: &LeaderState, board: &Board) -> Vec<TeamUse> {
         let teams = &self.settings.teams;
         let of = |(i, t): (usize, &Team)| {
             let held = board.used(i);
             TeamUse {
                 cpus: held.cpus,
                 gpus: held.gpus,
-                cpus_max: t.cpus_max.filter(|_| stands(Safeguard::Limit)),
+                cpus_max: t.cpus_max.filter(|_| is_enabled(Safeguard::Limit)),
                 gpus_max: t.gpus_max,
                 cpus_own: t.cpus,
                 gpus_own: t.gpus,
             }
         };
         let mut used: Vec<TeamUse> = teams.iter().enumerate().map(of).collect();
-        if lead.rebuild.is_some() {
-            let held = self.held_resources(lead);
+        if leader.rebuild.is_some() {
+            let held = self.held_resources(leader);
             for team in &mut used {
                 team.cpus += held.cpus;
                 team.gpus += held.gpus;
             }
         }
-        if lead.unresolved == 0 {
+        if leader.unresolved == 0 {
             return used;
         }
         // Old tasks that nobody has shown yet may run on machines that have not reported: no
         // more than those machines hold, and no more than there are.
-        let hidden = self.unobserved_resources(lead);
+        let hidden = self.unobserved_resources(leader);
         let mut unseen = vec![Resources::default(); teams.len()];
-        for (id, run) in lead.job_runs.iter().filter(|(_, r)| !r.queued.is_empty()) {
+        for (id, run) in leader.job_runs.iter().filter(|(_, r)| !r.queued.is_empty()) {
             if let Some(job) = self.store_cache.jobs.get(id)
-                && job.version < lead.key_version
+                && job.version < leader.key_version
                 && let Some(team) = run.team
                 && self.store_cache.ready(id)
             {
@@ -233,7 +237,7 @@
             .store_cache
             .residual_tasks
             .values()
-            .filter(|_| stands(Safeguard::Left))
+            .filter(|_| is_enabled(Safeguard::Left))
         {
             if let Some(team) = self.settings.team_index(&left.team) {
                 unseen[team].add(&left.resources.times(f64::from(left.tasks)));
@@ -247,12 +251,12 @@
     }
 
     /// What machines hold, or may hold, that the leader has not heard of yet.
-    fn unobserved_resources(&self, lead: &LeaderState) -> Resources {
+    fn unobserved_resources(&self, leader: &LeaderState) -> Resources {
         let mut hidden = Resources::default();
-        if lead.unresolved == 0 {
+        if leader.unresolved == 0 {
             return hidden;
         }
-        for m in lead.machines.values().filter(|m| m.unresolved) {
+        for m in leader.machines.values().filter(|m| m.unresolved) {
             match self.type_of(&m.machine_type) {
                 Some(t) => hidden.add(&t.room()),
                 None => {
@@ -271,12 +275,14 @@
     /// Finds the jobs that fit into their team's guarantee together with the team's earlier unfinished
     /// ones. That changes only when a job comes, becomes ready or ends.
     fn update_guarantees(&mut self) {
-        let Some(lead) = &mut self.leader else { return };
-        if !std::mem::take(&mut lead.guarantees_changed) {
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        if !std::mem::take(&mut leader.guarantees_changed) {
             return;
         }
         let mut jobs: Vec<(SystemTime, &JobId, &JobRecord, &mut JobRun)> = Vec::new();
-        for (id, run) in &mut lead.job_runs {
+        for (id, run) in &mut leader.job_runs {
             run.guaranteed = false;
             if let Some(job) = self.store_cache.jobs.get(id)
                 && self.store_cache.ready(id)
@@ -358,20 +364,20 @@
     }
 
     /// Whether the job's unseen tasks may run somewhere that has not reported yet.
-    pub(in crate::core) fn blocked_by_recovery(lead: &LeaderState, job: &JobRecord) -> bool {
-        lead.unresolved > 0 && job.version < lead.key_version && stands(Safeguard::Unseen)
+    pub(in crate::core) fn blocked_by_recovery(leader: &LeaderState, job: &JobRecord) -> bool {
+        leader.unresolved > 0 && job.version < leader.key_version && is_enabled(Safeguard::Unseen)
     }
 
     /// Jobs with waiting tasks that may be started, in the queue's order: within the guarantee
     /// first, then by rank, then by the policy.
     fn job_queue<'a>(&'a self, view: &View<'a>, with_held: bool) -> Vec<QueueEntry<'a>> {
-        let lead = view.lead;
+        let leader = view.leader;
         let mut line = Vec::new();
-        for (id, run) in &lead.job_runs {
+        for (id, run) in &leader.job_runs {
             let Some(job) = view.jobs.get(id) else {
                 continue;
             };
-            let held = Self::blocked_by_recovery(lead, job) && !with_held;
+            let held = Self::blocked_by_recovery(leader, job) && !with_held;
             if run.ending.is_some() || run.queued.is_empty() || held || !self.store_cache.ready(id)
             {
                 continue;
@@ -380,14 +386,14 @@
                 continue;
             };
             let estimate = view.estimate(job);
-            let urgency = lead.urgency_of(id, job);
+            let urgency = leader.urgency_of(id, job);
             let facts = self.facts(job, run, &urgency, estimate, run.guaranteed);
             // What was tried and failed was not passed.
             let overdue = run.failures.is_empty()
                 && self.policy.truth(Entry::Overdue, &facts)
-                && stands(Safeguard::Overdue);
+                && is_enabled(Safeguard::Overdue);
             // Among those that were passed for too long, the one that has waited longest.
-            let longest_first = overdue && stands(Safeguard::Longest);
+            let longest_first = overdue && is_enabled(Safeguard::Longest);
             let order = if longest_first {
                 facts.submitted
             } else {
@@ -409,7 +415,7 @@
             // A suspect job is never the head for which room is kept. Where more of a high rank waits for too long
             // than there is room for, what is overdue of a low one would be passed for ever by rank.
             let precedence = |x: &QueueEntry| {
-                let by_rank = !x.overdue || !stands(Safeguard::Longest);
+                let by_rank = !x.overdue || !is_enabled(Safeguard::Longest);
                 let rank = by_rank.then_some((!x.facts.guaranteed, x.rank));
                 (x.run.is_suspect(), !x.overdue, rank)
             };
@@ -423,15 +429,17 @@
 
     /// Puts what changed about machines on the board.
     pub(in crate::core) fn refresh_board(&mut self) {
-        let Some(lead) = &mut self.leader else { return };
-        let changed = lead.machines.take_changed();
-        lead.revoke_changed(&changed);
-        let mut board = std::mem::take(&mut lead.board);
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        let changed = leader.machines.take_changed();
+        leader.revoke_changed(&changed);
+        let mut board = std::mem::take(&mut leader.board);
         let mut opened = Vec::with_capacity(changed.len());
-        if let Some(lead) = &self.leader {
-            let view = self.view(lead);
+        if let Some(leader) = &self.leader {
+            let view = self.view(leader);
             for id in changed {
-                let m = lead.machines.get(&id);
+                let m = leader.machines.get(&id);
                 match m.and_then(|m| self.host(&mut board, &view, m)) {
                     Some(host) => {
                         opened.push((id, host.usage == Use::Open));
@@ -441,11 +449,13 @@
                 }
             }
         }
-        let Some(lead) = &mut self.leader else { return };
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
         for (id, open) in opened {
-            lead.machines.set_schedulable(&id, open);
+            leader.machines.set_schedulable(&id, open);
         }
-        lead.board = board;
+        leader.board = board;
     }
 
     /// A machine as the board shows it; `None` while its type is unknown.
@@ -459,7 +469,7 @@
         }
         let unresolved = m.unresolved;
         let usage = if view
-            .lead
+            .leader
             .accepts_tasks(m, now, self.settings.heartbeat_interval)
         {
             Use::Open
@@ -488,7 +498,7 @@
                     .filter(|j| !j.spec.checkpoint_interval.is_zero())
                     .map(|j| j.spec.checkpoint_duration),
                 rank: job.map_or(Priority::Low, |j| {
-                    view.lead.urgency_of(&key.job, j).priority
+                    view.leader.urgency_of(&key.job, j).priority
                 }),
                 team: task.team,
                 stopping: task.stopping.is_some(),
@@ -510,9 +520,9 @@
     /// The queue as the plan sees it.
     fn queue<'a>(&'a self, view: &View<'a>, board: &Board) -> Vec<Waiting<'a>> {
         let now = self.now.mono;
-        let lead = view.lead;
+        let leader = view.leader;
         let mut queue = Vec::new();
-        if !self.may_start_tasks(lead) {
+        if !self.may_start_tasks(leader) {
             return queue;
         }
         for entry in self.job_queue(view, false) {
@@ -531,9 +541,9 @@
             if job.spec.one_zone || job.spec.spread {
                 // Also where a row only may be.
                 let also = run.other_machines.values().flatten();
-                let also = also.filter(|_| stands(Safeguard::Zones));
+                let also = also.filter(|_| is_enabled(Safeguard::Zones));
                 for machine in run.placed.values().chain(also) {
-                    if let Some(m) = lead.machines.get(machine) {
+                    if let Some(m) = leader.machines.get(machine) {
                         *zones.entry(m.zone.clone()).or_insert(0) += 1;
                     }
                 }
@@ -580,18 +590,20 @@
         {
             return;
         }
-        let Some(lead) = &mut self.leader else { return };
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
         for (id, job) in &self.store_cache.jobs {
-            if job.spec.job_kind != JobKind::Gang || Self::blocked_by_recovery(lead, job) {
+            if job.spec.job_kind != JobKind::Gang || Self::blocked_by_recovery(leader, job) {
                 continue;
             }
-            let Some(run) = lead.job_runs.get(id) else {
+            let Some(run) = leader.job_runs.get(id) else {
                 continue;
             };
             if run.queued.is_empty() || run.ending.is_some() {
                 continue;
             }
-            run.stop_assigned(id, &mut lead.machines, StopReason::Regrouped, now);
+            run.stop_assigned(id, &mut leader.machines, StopReason::Regrouped, now);
         }
     }
 
@@ -599,32 +611,37 @@
         let now = self.now.mono;
         self.update_guarantees();
         self.refresh_board();
-        let Some(lead) = &mut self.leader else { return };
-        let mut board = std::mem::take(&mut lead.board);
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        let mut board = std::mem::take(&mut leader.board);
         let mut scratch = std::mem::take(&mut self.plan_scratch);
         let mut decided = backfill::Plan::default();
         let mut jobs = Vec::new();
-        if let Some(lead) = &self.leader {
-            let mut queue = self.queue(&self.view(lead), &board);
-            let mut teams = self.team_use(lead, &board);
+        if let Some(leader) = &self.leader {
+            let mut queue = self.queue(&self.view(leader), &board);
+            let mut teams = self.team_use(leader, &board);
             decided = backfill::plan(&mut board, &mut queue, &mut teams, now, &mut scratch);
             jobs = queue.into_iter().map(|w| (w.spec, w.team)).collect();
         }
         self.plan_scratch = scratch;
-        let Some(lead) = &mut self.leader else { return };
-        lead.board = board;
-        lead.last_plan = Some(now);
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        leader.board = board;
+        leader.last_plan = Some(now);
         // A step repeats at once while it starts tasks.
-        lead.plan_again = !decided.starts.is_empty();
-        lead.has_pending_demand = !jobs.is_empty();
-        lead.queue_head = decided.head.map(|(j, after)| (jobs[j].0.id.clone(), after));
+        leader.plan_again = !decided.starts.is_empty();
+        leader.has_pending_demand = !jobs.is_empty();
+        leader.queue_head = decided.head.map(|(j, after)| (jobs[j].0.id.clone(), after));
         let mut gang_attempt = None;
         for s in decided.starts {
             let (spec, team) = &jobs[s.job];
-            let id = lead.board.host(s.host).id.clone();
-            let (Some(run), Some(m)) =
-                (lead.job_runs.get_mut(&spec.id), lead.machines.get_mut(&id))
-            else {
+            let id = leader.board.host(s.host).id.clone();
+            let (Some(run), Some(m)) = (
+                leader.job_runs.get_mut(&spec.id),
+                leader.machines.get_mut(&id),
+            ) else {
                 continue;
             };
             let key = TaskId {
@@ -638,11 +655,11 @@
             run.placed.insert(s.row, m.id.clone());
             // The tasks of a gang find one another by their attempt.
             if spec.job_kind != JobKind::Gang || gang_attempt != Some(s.job) {
-                lead.attempts += 1;
+                leader.attempts += 1;
                 gang_attempt = (spec.job_kind == JobKind::Gang).then_some(s.job);
             }
             // Unique for ever, as terms are: an attempt is never used twice.
-            let attempt = (lead.term << 32) | lead.attempts;
+            let attempt = (leader.term << 32) | leader.attempts;
             tracing::debug!(task = %key, machine = %id, "task {key} attempt {attempt} placed on {id}");
             let t = self.machine_types.iter().find(|t| t.name == m.machine_type);
             let cache = t.map_or(0.0, |t| t.cache_gb);
@@ -662,8 +679,8 @@
             m.needs_push = true;
         }
         for (slot, key) in decided.stops {
-            let id = lead.board.host(slot).id.clone();
-            if let Some(m) = lead.machines.get_mut(&id)
+            let id = leader.board.host(slot).id.clone();
+            if let Some(m) = leader.machines.get_mut(&id)
                 && let Some(t) = m.tasks.get_mut(&key)
             {
                 tracing::info!(task = %key, machine = %id, "task {key} on {id} makes room");
@@ -677,28 +694,31 @@
         let now = self.now.mono;
         self.update_guarantees();
         self.refresh_board();
-        let Some(lead) = &mut self.leader else { return };
-        lead.last_scaling = Some(now);
-        lead.arrivals.note(now, 0);
-        lead.board.sum_again();
-        let Some(lead) = &self.leader else { return };
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        leader.last_scaling = Some(now);
+        leader.arrivals.note(now, 0);
+        leader.board.sum_again();
+        let Some(leader) = &self.leader else { return };
         if self.machine_types.is_empty() {
             return;
         }
-        let view = self.view(lead);
-        let facts = self.fleet_facts(lead);
+        let view = self.view(leader);
+        let facts = self.fleet_facts(leader);
         let bidding = self.policy.fleet_truth(Entry::Bidding, &facts);
         // A new leader bids when it knows what is there: until then all that runs seems to wait.
-        let known = lead.unresolved == 0 || now.saturating_duration_since(lead.since) > RECOVERY;
+        let known =
+            leader.unresolved == 0 || now.saturating_duration_since(leader.since) > RECOVERY;
         let mut asked = Vec::new();
         let unmet = self.pending_demand(&view, |entry, unmet| {
             if bidding {
                 asked.push(self.asked(entry, unmet.clone()));
             }
         });
-        let coming = self.coming(lead);
+        let coming = self.coming(leader);
         let mut zones: BTreeMap<&str, (u32, u32)> = BTreeMap::new();
-        for m in lead.machines.values().filter(|m| m.incarnation > 0) {
+        for m in leader.machines.values().filter(|m| m.incarnation > 0) {
             let z = zones.entry(&m.zone).or_default();
             z.0 += 1;
             // Machines that do not hear what they are told are of no more use than silent ones.
@@ -711,12 +731,14 @@
             .filter(|(_, (all, up))| up * 2 < *all)
             .map(|(z, _)| z.to_string())
             .collect();
-        let Some(lead) = &mut self.leader else { return };
-        let beliefs = &mut lead.bidding.beliefs;
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        let beliefs = &mut leader.bidding.beliefs;
         beliefs.shut_only(&cut, "its machines are not heard");
         let market = autoscaler::Market {
             types: self.machine_types.clone(),
-            refused: lead.bidding.beliefs.refused(now).cloned().collect(),
+            refused: leader.bidding.beliefs.refused(now).cloned().collect(),
             cut,
             spread: Spread::default(),
         };
@@ -725,20 +747,20 @@
         } else if bidding {
             self.bid(asked, &coming, market)
         } else {
-            autoscaler::rent(&lead.board, &coming, &unmet, &market, now)
+            autoscaler::rent(&leader.board, &coming, &unmet, &market, now)
         };
-        let Some(lead) = &self.leader else { return };
+        let Some(leader) = &self.leader else { return };
         // A new leader first learns what there is.
-        let settled = lead.unresolved == 0
-            && now.saturating_duration_since(lead.since) > self.settings.heartbeat_interval * 2;
+        let settled = leader.unresolved == 0
+            && now.saturating_duration_since(leader.since) > self.settings.heartbeat_interval * 2;
         let returns = if settled {
-            autoscaler::give_back(&lead.board, &unmet, now, |id| self.idle_keep(lead, id))
+            autoscaler::give_back(&leader.board, &unmet, now, |id| self.idle_keep(leader, id))
         } else {
             Vec::new()
         };
-        let may_rent = lead.cloud.list_requested.is_some() && !lead.cloud.list_in_flight
-            || now.saturating_duration_since(lead.since) > Duration::from_secs(3);
-        if may_rent && lead.cloud.scale_outs.len() < 8 {
+        let may_rent = leader.cloud.list_requested.is_some() && !leader.cloud.list_in_flight
+            || now.saturating_duration_since(leader.since) > Duration::from_secs(3);
+        if may_rent && leader.cloud.scale_outs.len() < 8 {
             for r in rents {
                 self.rent(r.offer, r.count);
             }
@@ -751,17 +773,21 @@
     /// One line on how things stand, for the log.
     fn log_summary(&mut self) {
         let now = self.now.mono;
-        let Some(lead) = &mut self.leader else { return };
-        if lead
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        if leader
             .last_status_log
             .is_some_and(|t| now < t + Duration::from_secs(10))
         {
             return;
         }
-        lead.last_status_log = Some(now);
-        let count = |f: &dyn Fn(&Machine) -> bool| lead.machines.values().filter(|m| f(m)).count();
+        leader.last_status_log = Some(now);
+        let count =
+            |f: &dyn Fn(&Machine) -> bool| leader.machines.values().filter(|m| f(m)).count();
         let tasks = |f: &dyn Fn(&Placement) -> bool| {
-            lead.machines
+            leader
+                .machines
                 .values()
                 .flat_map(|m| m.tasks.values())
                 .filter(|t| f(t))
@@ -769,7 +795,7 @@
         };
         let mut held = Resources::default();
         let mut whole = Resources::default();
-        for m in lead.machines.values().filter(|m| m.incarnation > 0) {
+        for m in leader.machines.values().filter(|m| m.incarnation > 0) {
             for t in m.tasks.values() {
                 held.add(&t.resources);
             }
@@ -777,7 +803,7 @@
                 whole.add(&t.room());
             }
         }
-        let waiting: usize = lead.job_runs.values().map(|r| r.queued.len()).sum();
+        let waiting: usize = leader.job_runs.values().map(|r| r.queued.len()).sum();
         tracing::info!(
             "standing: machines {} up ({} spot, {} idle) {} booting; cpus {:.0} of {:.0}; tasks {} running {} starting {waiting} waiting; jobs {}",
             count(&|m| m.incarnation > 0),
@@ -788,12 +814,12 @@
             whole.cpus,
             tasks(&|t| t.runs()),
             tasks(&|t| !t.runs()),
-            lead.job_runs.len(),
+            leader.job_runs.len(),
         );
     }
 
-    fn idle_keep(&self, lead: &LeaderState, id: &MachineId) -> Duration {
-        let Some(m) = lead.machines.get(id) else {
+    fn idle_keep(&self, leader: &LeaderState, id: &MachineId) -> Duration {
+        let Some(m) = leader.machines.get(id) else {
             return Duration::ZERO;
         };
         let t = self.type_of(&m.machine_type);
@@ -812,15 +838,15 @@
             ram: t.map_or(0.0, |t| t.ram),
             age: age.as_secs_f64(),
             boot: t.map_or(0.0, |t| t.boot_s),
-            pause: lead.arrivals.pause(),
+            pause: leader.arrivals.pause(),
         };
         let s = self.policy.machine_number(Entry::IdleKeep, &facts);
         Duration::from_secs_f64(s.clamp(0.0, 1e7))
     }
 
     /// Machines that were asked for and not named yet.
-    fn coming(&self, lead: &LeaderState) -> Vec<Coming> {
-        let rents = lead.cloud.scale_outs.values();
+    fn coming(&self, leader: &LeaderState) -> Vec<Coming> {
+        let rents = leader.cloud.scale_outs.values();
         let coming = rents.filter_map(|op| {
             let t = self.type_of(&op.body.machine_type)?;
             Some(Coming {
@@ -849,8 +875,8 @@
 
     /// What waits for room, in the queue's order, within the teams' limits.
     fn pending_demand(&self, view: &View, mut told: impl FnMut(&QueueEntry, &Unmet)) -> Vec<Unmet> {
-        let lead = view.lead;
-        let teams = self.team_use(lead, &lead.board);
+        let leader = view.leader;
+        let teams = self.team_use(leader, &leader.board);
         let mut spare: Vec<f64> = teams
             .iter()
             .map(|t| t.cpus_max.map_or(f64::INFINITY, |m| m - t.cpus))
@@ -863,14 +889,14 @@
         let mut out = Vec::new();
         // Machines that a new leader has not heard of yet may be running what it does not see;
         // what they cannot hold waits for certain, and renting for it need not wait.
-        let mut hidden = self.unobserved_resources(lead);
+        let mut hidden = self.unobserved_resources(leader);
         for entry in self.job_queue(view, true) {
             if entry.run.is_suspect() {
                 continue;
             }
             let spec = &entry.job.spec;
             let mut tasks = entry.run.queued.len() as u32;
-            if Self::blocked_by_recovery(lead, entry.job) {
+            if Self::blocked_by_recovery(leader, entry.job) {
                 let there = spec.resources.count_in(&hidden).min(tasks);
                 hidden.sub(&spec.resources.times(f64::from(there)));
                 tasks -= there;
--- a/src/core/simulation/checker.rs
+++ b/src/core/simulation/checker.rs
@@ -3,7 +3,7 @@
 use super::cluster::{Node, Simulation};
 use super::network::Link;
 use super::worker::Worker;
-use crate::fault_injection::{Safeguard, stands};
+use crate::fault_injection::{Safeguard, is_enabled};
 use crate::http::Answer;
 use crate::job::{JobKind, JobSpec, MachineId, TaskId};
 use crate::wire::{JobState, JobStatus, TaskState};
@@ -394,7 +394,7 @@
     pub(super) fn check(&self) {
         let acts = |n: &&Node| n.up && !n.paused && n.core.leads();
         let leaders = self.nodes.iter().filter(acts).count();
-        let one = leaders <= 1 || !stands(Safeguard::Word);
+        let one = leaders <= 1 || !is_enabled(Safeguard::Word);
         assert!(one, "{leaders} leaders act at the same time");
         let mut at: BTreeMap<&TaskId, &MachineId> = BTreeMap::new();
         let mut used: BTreeMap<&str, f64> = BTreeMap::new();
--- a/src/core/simulation/cluster.rs
+++ b/src/core/simulation/cluster.rs
@@ -374,7 +374,7 @@
         match node.lease {
             Some(id) if self.state.leases.contains_key(&id) => {
                 self.state.leases.insert(id, now + LEASE_TTL);
-                let mut stands = None;
+                let mut is_enabled = None;
                 if let Some(stand) = &node.stand {
                     let txn = CompareAndSwap {
                         conditions: stand.conditions.clone(),
@@ -382,7 +382,7 @@
                     };
                     let key_version = stand.key_version;
                     if let StoreOutcome::Committed { .. } = self.state.txn(&txn) {
-                        stands = Some(key_version);
+                        is_enabled = Some(key_version);
                     } else {
                         node.inbox.push(Command::Deposed { key_version });
                     }
@@ -390,7 +390,7 @@
                 node.inbox.push(Command::LeaseRenewed {
                     lease: id,
                     sent: now,
-                    confirmed_key_version: stands,
+                    confirmed_key_version: is_enabled,
                 });
             }
             Some(_) => {
--- a/src/core/simulation/counters.rs
+++ b/src/core/simulation/counters.rs
@@ -8,7 +8,7 @@
     /// Calls to the cloud.
     pub cloud_calls: u32,
     /// Reports that workers sent.
-    pub reports: u32,
+    pub heartbeats: u32,
     /// Tasks that workers started.
     pub starts: u32,
     /// Ended tasks that workers were told to forget.
--- a/src/core/simulation/mixed_versions.rs
+++ b/src/core/simulation/mixed_versions.rs
@@ -146,10 +146,10 @@
     let stored = serde_json::to_value(JobValue::live(Box::new(spec.clone()), 7)).unwrap();
     assert!(serde_json::from_value::<ProductionJob>(stored.clone()).is_err());
     assert!(serde_json::from_value::<ProductionJob>(value(LIVE)).is_ok());
-    let mut mirror = StoreCache::default();
-    mirror.put_job("wk-000412", serde_json::from_value(stored).unwrap(), 3);
-    assert_eq!(*mirror.jobs["wk-000412"].spec, spec);
-    assert!(!mirror.ready(&"wk-000412".into()));
+    let mut store_cache = StoreCache::default();
+    store_cache.put_job("wk-000412", serde_json::from_value(stored).unwrap(), 3);
+    assert_eq!(*store_cache.jobs["wk-000412"].spec, spec);
+    assert!(!store_cache.ready(&"wk-000412".into()));
     let parted = json!({"parts": 3, "stem": 7, "submitted_ms": 7});
     assert!(serde_json::from_value::<ProductionJob>(parted).is_err());
     // Passed on to it, the job is in a frame that it drops the connection for.
--- a/src/core/simulation/network.rs
+++ b/src/core/simulation/network.rs
@@ -285,12 +285,12 @@
     }
 
     /// A report comes to a node late.
-    pub fn deliver(&mut self, node: usize, report: Heartbeat) {
+    pub fn deliver(&mut self, node: usize, heartbeat: Heartbeat) {
         let ticket = self.new_ticket();
-        let report = Box::new(report);
+        let heartbeat = Box::new(heartbeat);
         self.nodes[node]
             .inbox
-            .push(Command::Heartbeat { ticket, report });
+            .push(Command::Heartbeat { ticket, heartbeat });
     }
 
     /// Frames that nobody answered within a second.
@@ -317,9 +317,9 @@
             .network
             .delayed_reports
             .extract_if(.., |(at, ..)| *at <= now);
-        for (_, node, report) in due.collect::<Vec<_>>() {
+        for (_, node, heartbeat) in due.collect::<Vec<_>>() {
             if self.nodes[node].up {
-                self.deliver(node, report);
+                self.deliver(node, heartbeat);
             }
         }
         let due = self
@@ -347,8 +347,8 @@
     }
 
     /// Copies of what workers reported arrive at every controller.
-    pub fn replay_at_next_leadership(&mut self, reports: Vec<Heartbeat>) {
-        self.network.reports_to_replay.extend(reports);
+    pub fn replay_at_next_leadership(&mut self, heartbeats: Vec<Heartbeat>) {
+        self.network.reports_to_replay.extend(heartbeats);
     }
 
     /// Commands of which copies are under way.
@@ -360,11 +360,11 @@
 
     /// What was kept for the beginning of a leadership arrives at every controller.
     pub(super) fn replay_reports(&mut self) {
-        for report in std::mem::take(&mut self.network.reports_to_replay) {
+        for heartbeat in std::mem::take(&mut self.network.reports_to_replay) {
             for node in 0..self.nodes.len() {
                 if self.nodes[node].up {
                     self.counters.reports_replayed += 1;
-                    self.deliver(node, report.clone());
+                    self.deliver(node, heartbeat.clone());
                 }
             }
         }
--- a/src/core/simulation/scenarios/delegation.rs
+++ b/src/core/simulation/scenarios/delegation.rs
@@ -46,10 +46,13 @@
 fn followers_answer_unchanged_and_relay_new_reports() {
     let (mut simulation, leader) = delegating_cluster(501, 60);
     simulation.run(5.0);
-    let before = (answered(&simulation, leader), simulation.counters.reports);
+    let before = (
+        answered(&simulation, leader),
+        simulation.counters.heartbeats,
+    );
     simulation.run(10.0);
     let told = answered(&simulation, leader) - before.0;
-    let all = u64::from(simulation.counters.reports - before.1);
+    let all = u64::from(simulation.counters.heartbeats - before.1);
     assert!(told * 2 > all, "{told} of {all} were answered by others");
     // Nobody was lost by it, and work goes through all of them.
     assert_eq!(simulation.workers.len(), 60);
--- a/src/core/simulation/scenarios/dependencies.rs
+++ b/src/core/simulation/scenarios/dependencies.rs
@@ -8,9 +8,9 @@
 use std::time::Duration;
 
 /// The next link of a chain, or the end of a diamond.
-fn after(id: &str, awaits: &[&str], tasks: u32, seconds: u64) -> JobSpec {
+fn after(id: &str, dependencies: &[&str], tasks: u32, seconds: u64) -> JobSpec {
     let mut spec = sample(id, tasks, 1.0, seconds);
-    spec.dependencies = awaits.iter().map(|a| (*a).into()).collect();
+    spec.dependencies = dependencies.iter().map(|a| (*a).into()).collect();
     spec
 }
 
@@ -233,8 +233,8 @@
         simulation.run(1.0);
         simulation.set_peers_reachable(delay % 2 == 0);
         let other = follower(leader);
-        for (id, awaits) in [("wk-3", ["wk-1"]), ("wk-4", ["wk-2"])] {
-            let spec = after(id, &awaits, 1, 2);
+        for (id, dependencies) in [("wk-3", ["wk-1"]), ("wk-4", ["wk-2"])] {
+            let spec = after(id, &dependencies, 1, 2);
             simulation.register_job(&spec);
             simulation.ask(other, Ask::Submit(Box::new(spec)));
         }
--- a/src/core/simulation/scenarios/old_reports.rs
+++ b/src/core/simulation/scenarios/old_reports.rs
@@ -259,10 +259,10 @@
     simulation.run(1.0);
     let id = simulation.workers.keys().next().unwrap().clone();
     for node in 0..3 {
-        let mut report = simulation.report_of(&id);
-        (report.fencing_token, report.incarnation) = (u64::MAX, 1_000_000);
-        report.tasks.clear();
-        simulation.deliver(node, report);
+        let mut heartbeat = simulation.report_of(&id);
+        (heartbeat.fencing_token, heartbeat.incarnation) = (u64::MAX, 1_000_000);
+        heartbeat.tasks.clear();
+        simulation.deliver(node, heartbeat);
         simulation.run(0.5);
     }
     let lead = simulation.nodes[leader].core.leader.as_ref().unwrap();
--- a/src/core/simulation/scenarios/scheduling.rs
+++ b/src/core/simulation/scenarios/scheduling.rs
@@ -112,9 +112,9 @@
 
     // A planning and a renting step a second at least, and nothing to do: machines that report
     // nothing new are not looked at.
-    let (before, reports) = (looked(&simulation), simulation.counters.reports);
+    let (before, heartbeats) = (looked(&simulation), simulation.counters.heartbeats);
     simulation.run(3.0);
-    assert!(simulation.counters.reports - reports > 2000);
+    assert!(simulation.counters.heartbeats - heartbeats > 2000);
     let spent = looked(&simulation) - before;
     assert!(spent < 100, "{spent} for reports that tell nothing new");
 
--- a/src/core/simulation/scenarios/size.rs
+++ b/src/core/simulation/scenarios/size.rs
@@ -79,11 +79,11 @@
 
 /// Heartbeats of so many machines at once; the tickets that are answered at once, with their status.
 fn heartbeats(core: &mut Core, now: Now, count: usize) -> Vec<(Ticket, u16, Option<u32>)> {
-    let report = |n: usize| Command::Heartbeat {
+    let heartbeat = |n: usize| Command::Heartbeat {
         ticket: n as Ticket + 1,
-        report: heartbeat(n),
+        heartbeat: heartbeat(n),
     };
-    let effects = core.step(now, (0..count).map(report).collect());
+    let effects = core.step(now, (0..count).map(heartbeat).collect());
     let answered = effects.into_iter().filter_map(|effect| match effect {
         Effect::Answer { ticket, answer } => Some((ticket, answer.status, answer.retry_after)),
         _ => None,
--- a/src/core/simulation/worker.rs
+++ b/src/core/simulation/worker.rs
@@ -28,7 +28,7 @@
 pub(super) struct ReportExchange {
     pub(super) node: usize,
     pub(super) ticket: Ticket,
-    pub(super) session: u64,
+    pub(super) incarnation: u64,
     pub(super) sent: Instant,
 }
 
@@ -78,7 +78,7 @@
 
 impl Worker {
     /// Its next report.
-    fn report(&mut self, id: &MachineId) -> Heartbeat {
+    fn heartbeat(&mut self, id: &MachineId) -> Heartbeat {
         self.sequence += 1;
         Heartbeat {
             machine: id.clone(),
@@ -125,7 +125,7 @@
 impl Simulation {
     /// A machine's report as of now, for the network to hold.
     pub fn report_of(&mut self, id: &MachineId) -> Heartbeat {
-        self.workers.get_mut(id).unwrap().report(id)
+        self.workers.get_mut(id).unwrap().heartbeat(id)
     }
 
     /// Carries out a controller's orders, and checks each start against the rules.
@@ -295,7 +295,7 @@
         match (answer.status, orders) {
             (200, Some(a))
                 if a.fencing_token >= worker.fencing_token
-                    && exchange.session == worker.incarnation =>
+                    && exchange.incarnation == worker.incarnation =>
             {
                 worker.fencing_token = a.fencing_token;
                 worker.lease_from = exchange.sent;
@@ -323,31 +323,31 @@
         {
             return worker.turn_to_next(self.setup.nodes);
         }
-        let report = Box::new(worker.report(id));
-        let session = worker.incarnation;
+        let heartbeat = Box::new(worker.heartbeat(id));
+        let incarnation = worker.incarnation;
         if !self.faults.duplicate_delay.is_zero() {
             let at = now + self.duplicate_after();
             let to = self.rng.random_range(0..self.setup.nodes);
-            let copy = (*report).clone();
+            let copy = (*heartbeat).clone();
             self.network.delayed_reports.push((at, to, copy));
         }
         let share = self.faults.replayed_report_share;
         if share > 0.0 && self.rng.random_bool(share) {
-            self.network.reports_to_replay.push((*report).clone());
+            self.network.reports_to_replay.push((*heartbeat).clone());
         }
-        self.counters.reports += 1;
+        self.counters.heartbeats += 1;
         let ticket = self.new_ticket();
         let exchange = ReportExchange {
             node,
             ticket,
-            session,
+            incarnation,
             sent: now,
         };
         let worker = self.workers.get_mut(id).expect("the worker exists");
         worker.waiting = Some(exchange);
         self.nodes[node]
             .inbox
-            .push(Command::Heartbeat { ticket, report });
+            .push(Command::Heartbeat { ticket, heartbeat });
     }
 
     /// How much later a duplicate arrives.
@@ -367,7 +367,7 @@
         }
         let worker = self.workers.get_mut(id)?;
         Some(DirectOutcome::Heartbeat {
-            report: Box::new(worker.report(id)),
+            heartbeat: Box::new(worker.heartbeat(id)),
             executed: fits,
         })
     }
--- a/src/core/store/cache.rs
+++ b/src/core/store/cache.rs
@@ -13,7 +13,7 @@
 use crate::core::store::keys::{LEADER, REBUILDING, TERM, TYPES, done_key};
 use crate::core::store::large_jobs::{self, LargeJobParts, PartValue, PartedJob};
 use crate::core::store::versions::KeyVersions;
-use crate::fault_injection::{Safeguard, stands};
+use crate::fault_injection::{Safeguard, is_enabled};
 use crate::job::{JobId, JobOutcome, JobSpec, MachineId};
 use crate::store_client::PREFIX;
 use crate::wire::{Change, Item, MachineType, WatchEvent};
@@ -215,7 +215,7 @@
             return;
         };
         // How a job ended is never written again.
-        if name.starts_with("j/") && is_over(&value) && stands(Safeguard::Forget) {
+        if name.starts_with("j/") && is_over(&value) && is_enabled(Safeguard::Forget) {
             self.versions.forget(key);
         } else {
             self.versions.put(key, version);
@@ -340,10 +340,11 @@
                     self.residual_tasks.insert(id.clone(), left);
                 }
                 let job = self.jobs.remove(&id);
-                let awaits = job.as_ref().map_or(&[][..], |j| &j.spec.dependencies);
+                let dependencies = job.as_ref().map_or(&[][..], |j| &j.spec.dependencies);
                 // What it needs owes it nothing any more.
-                self.changed.extend(awaits.iter().cloned());
-                self.changed.extend(self.dependencies.end(&id, awaits, end));
+                self.changed.extend(dependencies.iter().cloned());
+                self.changed
+                    .extend(self.dependencies.end(&id, dependencies, end));
                 let pieces = job.map(|j| j.stored_ranges).unwrap_or_default();
                 let early = self
                     .take_orphaned_ranges(&id)
--- a/src/core/store/cache/stored.rs
+++ b/src/core/store/cache/stored.rs
@@ -1,4 +1,4 @@
-//! Values as they are stored, under the keys that `mirror` lists.
+//! Values as they are stored, under the keys that `store_cache` lists.
 
 use crate::core::store::keys::PartGeneration;
 use crate::job::{JobOutcome, JobSpec, MachineId, Resources};
--- a/src/core/store/cache/tests.rs
+++ b/src/core/store/cache/tests.rs
@@ -55,23 +55,23 @@
             cancelled_ms: at_ms,
         }),
     };
-    let mut mirror = StoreCache::default();
-    mirror.expire_residual_tasks(10_000);
+    let mut store_cache = StoreCache::default();
+    store_cache.expire_residual_tasks(10_000);
     for n in 0..8000 {
-        mirror.put_job(&format!("wk-{n:06}"), cancelled(9000 + n), n + 1);
+        store_cache.put_job(&format!("wk-{n:06}"), cancelled(9000 + n), n + 1);
     }
     assert_eq!(
-        mirror.residual_tasks.len(),
+        store_cache.residual_tasks.len(),
         7000,
         "a thousand ended too long ago"
     );
-    mirror.reset(Vec::new(), 9000);
-    mirror.put_job("wk-100000", cancelled(9999), 9001);
+    store_cache.reset(Vec::new(), 9000);
+    store_cache.put_job("wk-100000", cancelled(9999), 9001);
     assert_eq!(
-        mirror.residual_tasks.len(),
+        store_cache.residual_tasks.len(),
         7000,
         "a list changes nothing of that"
     );
-    mirror.expire_residual_tasks(16_500);
-    assert_eq!(mirror.residual_tasks.len(), 500);
+    store_cache.expire_residual_tasks(16_500);
+    assert_eq!(store_cache.residual_tasks.len(), 500);
 }
--- a/src/core/store/integrity.rs
+++ b/src/core/store/integrity.rs
@@ -16,7 +16,7 @@
 use crate::core::store::cache::{IdentityValue, RebuildingValue};
 use crate::core::store::keys::{NOTHING, REBUILDING, identity_key, key, named};
 use crate::core::{CallId, Core, Effect, Pending, Ticket};
-use crate::fault_injection::{Safeguard, stands};
+use crate::fault_injection::{Safeguard, is_enabled};
 use crate::http::Answer;
 use crate::peer::memory_exchange::{MemoryPage, MemoryRequest, PAGE_BYTES, encode_recalled};
 use crate::store_client::{StoreOutcome, StoreRequest};
@@ -319,8 +319,8 @@
     /// Whoever leads next can have done so only after our word: a term newer than a leader's own was
     /// given by a store that is no more.
     pub(in crate::core) fn check_newer_term(&mut self) {
-        let Some(lead) = &self.leader else { return };
-        let (ours, newest) = (lead.term, self.newest_term());
+        let Some(leader) = &self.leader else { return };
+        let (ours, newest) = (leader.term, self.newest_term());
         if newest > ours && self.acting() {
             self.declare_data_loss(format!(
                 "term {newest} was there before, and this is term {ours}"
@@ -356,7 +356,7 @@
         let within =
             |since: Option<Instant>, window| since.is_some_and(|t| self.now.mono < t + window);
         let window = self.settings.heartbeat_interval * 5 / 2;
-        let others = !self.settings.peers.is_empty() && stands(Safeguard::JustBegun);
+        let others = !self.settings.peers.is_empty() && is_enabled(Safeguard::JustBegun);
         within(self.store_integrity.first_seen_empty, window)
             || others && within(self.store_integrity.first_read, LOSS_DETECTION_DELAY)
             || self.store_is_incomplete()
--- a/src/core/store/keys.rs
+++ b/src/core/store/keys.rs
@@ -1,4 +1,4 @@
-//! Keys of the state service, see `mirror`.
+//! Keys of the state service, see `store_cache`.
 
 use crate::store_client::PREFIX;
 use crate::wire::Condition;
--- a/src/core/store/machine_records.rs
+++ b/src/core/store/machine_records.rs
@@ -59,13 +59,13 @@
 
 impl MachineRecords {
     /// What a new leader finds on record.
-    pub fn new(mirror: &StoreCache, value_bytes: usize) -> MachineRecords {
+    pub fn new(store_cache: &StoreCache, value_bytes: usize) -> MachineRecords {
         let mut r = MachineRecords {
             limit: value_bytes / 8 * 7,
-            single_key_machines: mirror.single_key_machines.clone(),
+            single_key_machines: store_cache.single_key_machines.clone(),
             ..MachineRecords::default()
         };
-        for (&n, ids) in &mirror.pages {
+        for (&n, ids) in &store_cache.pages {
             // A page far beyond any number written here is not ours; it stays as it is.
             if n >= 1 << 16 {
                 continue;
@@ -74,7 +74,7 @@
                 r.pages.resize_with(n + 1, Page::default);
             }
             for id in ids {
-                if let Some(value) = mirror.machines.get(id) {
+                if let Some(value) = store_cache.machines.get(id) {
                     r.put(n, id.clone(), value.clone());
                 }
             }
--- a/src/core/store/machine_records/tests.rs
+++ b/src/core/store/machine_records/tests.rs
@@ -10,7 +10,7 @@
     }
 }
 
-fn told(mirror: &mut StoreCache, change: Change, version: u64) {
+fn told(store_cache: &mut StoreCache, change: Change, version: u64) {
     let (put, delete, value) = match change {
         Change::Put { key, value, .. } => (Some(key), None, value),
         Change::Delete { key } => (None, Some(key), serde_json::Value::Null),
@@ -22,23 +22,23 @@
         version,
         lease: None,
     };
-    mirror.apply(vec![event], version);
+    store_cache.apply(vec![event], version);
 }
 
 /// What a leader writes is what the next one finds, page by page, machines that came one by
 /// one and all at once, and those of an earlier version's keys too.
 #[test]
 fn a_thousand_machines_are_on_record_in_a_few_pages_and_leave_it_again() {
-    let mut mirror = StoreCache::default();
+    let mut store_cache = StoreCache::default();
     let old = Item {
         key: machine_key("i-old"),
         value: serde_json::to_value(value(0)).unwrap(),
         version: 1,
         lease: None,
     };
-    mirror.reset(vec![old], 1);
+    store_cache.reset(vec![old], 1);
     let now = Instant::now();
-    let mut r = MachineRecords::new(&mirror, 8192);
+    let mut r = MachineRecords::new(&store_cache, 8192);
     let ids: Vec<MachineId> = (0..1000).map(|i| format!("i-{i:06}").into()).collect();
     let (mut version, mut writes) = (1, 0);
     for (i, id) in ids.iter().enumerate() {
@@ -49,16 +49,16 @@
                 for change in write.changes {
                     assert!(to_json(&change).len() < 8192);
                     writes += 1;
-                    told(&mut mirror, change, version);
+                    told(&mut store_cache, change, version);
                 }
             }
         }
     }
     assert!(writes < 40, "{writes} writes for a thousand machines");
-    assert_eq!(mirror.machines.len(), 1001);
+    assert_eq!(store_cache.machines.len(), 1001);
 
     // Another leader takes over what it finds and forgets most of it.
-    let mut r = MachineRecords::new(&mirror, 8192);
+    let mut r = MachineRecords::new(&store_cache, 8192);
     for id in ids.iter().skip(10) {
         r.remove(id, now);
     }
@@ -67,14 +67,14 @@
     while let Some(write) = r.next(now + STALE_PAGE_DELAY, false, 9) {
         version += 1;
         for change in write.changes {
-            told(&mut mirror, change, version);
+            told(&mut store_cache, change, version);
         }
     }
     told(
-        &mut mirror,
+        &mut store_cache,
         r.next_single_key_deletion().unwrap(),
         version + 1,
     );
-    let left: Vec<&MachineId> = mirror.machines.keys().collect();
+    let left: Vec<&MachineId> = store_cache.machines.keys().collect();
     assert_eq!(left, ids.iter().take(10).collect::<Vec<_>>());
 }
--- a/src/core/store/rebuild.rs
+++ b/src/core/store/rebuild.rs
@@ -149,22 +149,24 @@
             copy_available: own,
             ..Rebuild::default()
         };
-        let Some(lead) = &mut self.leader else { return };
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
         tracing::warn!(
-            term = lead.term,
+            term = leader.term,
             "term {}: rebuilding the state service: {}; {} jobs to write back, a copy here: {own}",
-            lead.term,
+            leader.term,
             mark.reason,
             self.store_cache.missing_from_store.len()
         );
         // A leader that knew of no loss told machines to stop what is of no job: it may be of one all the
         // same, and must not be started elsewhere before it is gone.
-        for m in lead.machines.values() {
+        for m in leader.machines.values() {
             for key in m.tasks.keys().filter(|k| !self.store_cache.knows(&k.job)) {
                 rebuild.hold(key, &m.id);
             }
         }
-        lead.rebuild = Some(rebuild);
+        leader.rebuild = Some(rebuild);
         // Done rows are written again, whichever of them are stored.
         for (id, job) in self
             .store_cache
@@ -172,65 +174,69 @@
             .iter()
             .filter(|(_, j)| j.done.len() > 0)
         {
-            if let Some(run) = lead.job_runs.get_mut(id) {
+            if let Some(run) = leader.job_runs.get_mut(id) {
                 let rows = (0..job.spec.tasks).filter(|r| job.done.contains(*r));
                 run.unpersisted_done = rows.collect();
-                lead.writes.progress.insert(id.clone(), lead.since);
+                leader.writes.progress.insert(id.clone(), leader.since);
             }
         }
-        lead.writes.machine_types = !self.machine_types.is_empty();
+        leader.writes.machine_types = !self.machine_types.is_empty();
     }
 
     /// Until the workers' leases have run out, a machine unknown to everybody may hold tasks.
-    fn worker_leases_expired(&self, lead: &LeaderState) -> bool {
-        self.now.mono > lead.since + lease_expiry(self.settings.worker_lease)
+    fn worker_leases_expired(&self, leader: &LeaderState) -> bool {
+        self.now.mono > leader.since + lease_expiry(self.settings.worker_lease)
     }
 
     /// Whether the leader may speak of what is not final.
     pub(in crate::core) fn may_report_state(&self) -> bool {
-        let Some(lead) = &self.leader else {
+        let Some(leader) = &self.leader else {
             return false;
         };
-        let complete = |r: &Rebuild| r.complete() || self.worker_leases_expired(lead);
-        self.acting() && lead.rebuild.as_ref().is_some_and(complete)
+        let complete = |r: &Rebuild| r.complete() || self.worker_leases_expired(leader);
+        self.acting() && leader.rebuild.as_ref().is_some_and(complete)
     }
 
     /// Whether tasks may be started, as far as a loss of data is concerned.
-    pub(in crate::core) fn may_start_tasks(&self, lead: &LeaderState) -> bool {
-        let Some(r) = &lead.rebuild else { return true };
-        let up = |id: &MachineId| lead.machines.get(id).is_none_or(|m| m.incarnation > 0);
-        let heard = lead.unresolved == 0 && r.booting.iter().all(up);
+    pub(in crate::core) fn may_start_tasks(&self, leader: &LeaderState) -> bool {
+        let Some(r) = &leader.rebuild else {
+            return true;
+        };
+        let up = |id: &MachineId| leader.machines.get(id).is_none_or(|m| m.incarnation > 0);
+        let heard = leader.unresolved == 0 && r.booting.iter().all(up);
         let seen_all = r.complete() && r.listed && heard;
-        seen_all || self.worker_leases_expired(lead)
+        seen_all || self.worker_leases_expired(leader)
     }
 
     /// Called in every step of an acting leader.
     pub(in crate::core) fn advance_rebuild(&mut self) {
         let now = self.now.mono;
         if self.store_cache.rebuilding.is_none() {
-            if let Some(lead) = &mut self.leader
-                && lead.rebuild.take().is_some()
+            if let Some(leader) = &mut self.leader
+                && leader.rebuild.take().is_some()
             {
                 tracing::warn!(
-                    term = lead.term,
+                    term = leader.term,
                     "term {}: the state service is whole again",
-                    lead.term
+                    leader.term
                 );
-                lead.plan_again = true;
+                leader.plan_again = true;
             }
             return;
         }
         if self.leader.as_ref().is_some_and(|l| l.rebuild.is_none()) {
             self.start_rebuild();
         }
-        let Some(lead) = &self.leader else { return };
-        let starts = self.may_start_tasks(lead);
-        let Some(lead) = &mut self.leader else { return };
-        let (term, since) = (lead.term, lead.since);
-        let Some(r) = &mut lead.rebuild else { return };
+        let Some(leader) = &self.leader else { return };
+        let starts = self.may_start_tasks(leader);
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        let (term, since) = (leader.term, leader.since);
+        let Some(r) = &mut leader.rebuild else { return };
         if starts && r.started_at.is_none() {
             r.started_at = Some(now);
-            lead.plan_again = true;
+            leader.plan_again = true;
             let took = now.saturating_duration_since(since).as_millis();
             tracing::warn!(
                 term = term,
@@ -253,20 +259,20 @@
         }
         if r.complete() && r.complete_at.is_none() {
             r.complete_at = Some(now);
-            lead.plan_again = true;
+            leader.plan_again = true;
             let took = now.saturating_duration_since(since).as_millis();
             tracing::warn!(
                 term = term,
                 "term {term}: all that is remembered is known after {took} ms"
             );
         }
-        let w = &lead.writes;
+        let w = &leader.writes;
         let written = self.store_cache.missing_from_store.is_empty()
             && w.progress.is_empty()
             && w.ends.is_empty();
         let quiet = r.held_tasks.is_empty() && r.held_results.is_empty();
         let over = r.complete() && r.all_queried_twice() && starts && (quiet || r.settled);
-        lead.writes.rebuild_complete = over && written && w.records.all_written();
+        leader.writes.rebuild_complete = over && written && w.records.all_written();
     }
 
     /// A page of another controller's memory, or no answer.
@@ -340,13 +346,15 @@
             let Some(value) = self.store_cache.machines.get(&id).cloned() else {
                 continue;
             };
-            let Some(lead) = &mut self.leader else { break };
-            if lead.machines.get(&id).is_some() || lead.deleted_machines.contains(&id) {
+            let Some(leader) = &mut self.leader else {
+                break;
+            };
+            if leader.machines.get(&id).is_some() || leader.deleted_machines.contains(&id) {
                 continue;
             }
             tracing::info!(machine = %id, "machine {id}: another controller remembers it");
-            lead.expect_machine(&id, &value, now);
-            lead.writes.records.add(&id, value);
+            leader.expect_machine(&id, &value, now);
+            leader.writes.records.add(&id, value);
         }
         new.jobs
     }
@@ -355,11 +363,11 @@
     /// asked for too early.
     pub(in crate::core) fn machine_list_due(
         &self,
-        lead: &LeaderState,
+        leader: &LeaderState,
         asked: Option<Instant>,
     ) -> bool {
-        let from = lead.since + self.settings.machine_list_lag * 2 + LIST_MARGIN;
-        let waits = lead.rebuild.as_ref().is_some_and(|r| !r.listed);
+        let from = leader.since + self.settings.machine_list_lag * 2 + LIST_MARGIN;
+        let waits = leader.rebuild.as_ref().is_some_and(|r| !r.listed);
         waits && self.now.mono >= from && asked.is_none_or(|t| t < from)
     }
 
@@ -374,15 +382,17 @@
         // The list tells of a time at most twice its lag ago, and all that the lost store could have
         // had on record was rented before this leadership began.
         let after = self.settings.machine_list_lag * 2 + LIST_MARGIN;
-        let Some(lead) = &mut self.leader else { return };
-        let since = lead.since;
-        let Some(r) = &mut lead.rebuild else { return };
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        let since = leader.since;
+        let Some(r) = &mut leader.rebuild else { return };
         let first = !r.listed;
         r.listed |= sent >= since + after;
         if first {
             r.booting.extend(booting);
             for (id, value) in unknown {
-                lead.expect_machine(&id, &value, now);
+                leader.expect_machine(&id, &value, now);
             }
         }
     }
@@ -393,8 +403,10 @@
         if !self.store_cache.knows(id) {
             return;
         }
-        let Some(lead) = &mut self.leader else { return };
-        let Some(r) = &mut lead.rebuild else { return };
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        let Some(r) = &mut leader.rebuild else { return };
         let held = r.held_tasks.remove(id).unwrap_or_default();
         let done = r.held_results.remove(id).unwrap_or_default();
         if held.is_empty() && done.is_empty() {
@@ -409,13 +421,13 @@
                 job: id.clone(),
                 index: row,
             };
-            let Some(m) = lead.machines.get_mut(&machine) else {
+            let Some(m) = leader.machines.get_mut(&machine) else {
                 continue;
             };
             let Some(t) = m.tasks.get_mut(&key) else {
                 continue;
             };
-            let run = lead.job_runs.get_mut(id);
+            let run = leader.job_runs.get_mut(id);
             match (job, run) {
                 (Some(job), Some(run))
                     if row < job.spec.tasks && run.ending.is_none() && !job.done.contains(row) =>
@@ -431,7 +443,7 @@
                 }
             }
         }
-        lead.plan_again = true;
+        leader.plan_again = true;
         for (key, machine) in adopted {
             self.stop_duplicates(&key, &machine);
         }
@@ -443,10 +455,10 @@
 
     /// Held tasks are of some team, and nothing tells of which: they count towards each of them with
     /// all that their machines have.
-    pub(in crate::core) fn held_resources(&self, lead: &LeaderState) -> Resources {
+    pub(in crate::core) fn held_resources(&self, leader: &LeaderState) -> Resources {
         let mut room = Resources::default();
-        let machines = lead.rebuild.iter().flat_map(Rebuild::held_machines);
-        for m in machines.filter_map(|id| lead.machines.get(id)) {
+        let machines = leader.rebuild.iter().flat_map(Rebuild::held_machines);
+        for m in machines.filter_map(|id| leader.machines.get(id)) {
             if let Some(t) = self.type_of(&m.machine_type) {
                 room.add(&t.room());
             }
@@ -477,10 +489,10 @@
         }
         let text = String::from_utf8(to_json(spec)).unwrap_or_default();
         let texts = large_jobs::cut(&text, bytes);
-        let lead = self.leader.as_ref()?;
+        let leader = self.leader.as_ref()?;
         // This leadership's own writing of it.
-        let stem = lead.term;
-        let from = lead
+        let stem = leader.term;
+        let from = leader
             .writes
             .missing_parts_written
             .get(id)
@@ -517,8 +529,10 @@
         if !self.acting() {
             return self.answer(ticket, self.not_the_leader());
         }
-        let Some(lead) = &mut self.leader else { return };
-        let Some(r) = &mut lead.rebuild else {
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        let Some(r) = &mut leader.rebuild else {
             return self.answer(ticket, Answer::error(409, "nothing is being rebuilt"));
         };
         r.settled = true;
@@ -526,9 +540,9 @@
         r.held_results.clear();
         let stopped: usize = held.values().map(BTreeSet::len).sum();
         tracing::warn!(
-            term = lead.term,
+            term = leader.term,
             "term {}: settled by an operator; {stopped} tasks of unknown jobs stop",
-            lead.term
+            leader.term
         );
         for (job, rows) in held {
             for (row, machine) in rows {
@@ -536,7 +550,7 @@
                     job: job.clone(),
                     index: row,
                 };
-                if let Some(m) = lead.machines.get_mut(&machine)
+                if let Some(m) = leader.machines.get_mut(&machine)
                     && let Some(t) = m.tasks.get_mut(&key)
                 {
                     t.stop(StopReason::Over, now);
@@ -589,7 +603,7 @@
         let Some((mark, _)) = &self.store_cache.rebuilding else {
             return serde_json::Value::Null;
         };
-        let Some((lead, r)) = (self.leader.as_ref()).and_then(|l| Some((l, l.rebuild.as_ref()?)))
+        let Some((leader, r)) = (self.leader.as_ref()).and_then(|l| Some((l, l.rebuild.as_ref()?)))
         else {
             return serde_json::json!({"lost": mark.reason, "since_ms": mark.since_ms});
         };
@@ -609,7 +623,7 @@
             .held_results
             .iter()
             .flat_map(|(job, rows)| rows.iter().map(move |row| format!("{job}/{row} done")));
-        let waits = if self.may_start_tasks(lead) {
+        let waits = if self.may_start_tasks(leader) {
             None
         } else if !r.complete() {
             Some("for what other controllers remember")
--- a/src/core/store/writes.rs
+++ b/src/core/store/writes.rs
@@ -8,7 +8,7 @@
 use crate::core::store::keys::{LEADER, REBUILDING, TYPES, done_key, job_key, key, machine_key};
 use crate::core::store::machine_records::MachineRecords;
 use crate::core::{CallId, Core, Pending};
-use crate::fault_injection::{Safeguard, stands};
+use crate::fault_injection::{Safeguard, is_enabled};
 use crate::job::{JobId, JobOutcome};
 use crate::store_client::{StoreOutcome, StoreRequest};
 use crate::wire::{Change, CompareAndSwap, Condition, to_json};
@@ -84,8 +84,10 @@
     /// meanwhile goes together in the one after it.
     pub(in crate::core) fn send_writes(&mut self) {
         let now = self.now.mono;
-        let Some(lead) = &mut self.leader else { return };
-        if let Some(sent) = &mut lead.writes.in_flight {
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        if let Some(sent) = &mut leader.writes.in_flight {
             if let Some(refused) = &mut sent.refused {
                 if now >= refused.since + CONFLICT_SETTLE_TIMEOUT {
                     refused.since = now;
@@ -109,7 +111,7 @@
             }
             return;
         }
-        if self.store_cache.revision < lead.writes.minimum_revision
+        if self.store_cache.revision < leader.writes.minimum_revision
             || self.write_budget.left(now) < 1.0
         {
             return;
@@ -118,16 +120,18 @@
             return;
         };
         let call = self.ask_state(Pending::Write, StoreRequest::CompareAndSwap(txn.clone()));
-        if let Some(lead) = &mut self.leader {
-            lead.writes.in_flight = Some(InFlightWrite::new(txn, ops, call, now));
+        if let Some(leader) = &mut self.leader {
+            leader.writes.in_flight = Some(InFlightWrite::new(txn, ops, call, now));
         }
     }
 
     /// Parts that no job has referred to for long are of a submission that came to nothing.
     fn collect_garbage_keys(&mut self) {
         let now = self.now.mono;
-        let Some(lead) = &mut self.leader else { return };
-        let mut since = std::mem::take(&mut lead.unclaimed_parts);
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        let mut since = std::mem::take(&mut leader.unclaimed_parts);
         for (id, stem) in self.store_cache.parts.unclaimed() {
             let name = (id.clone(), *stem);
             let first = since.remove(&name).unwrap_or(now);
@@ -135,7 +139,7 @@
                 let keys = self.store_cache.parts.keys(id, *stem);
                 self.store_cache.garbage_keys.extend(keys);
             }
-            lead.unclaimed_parts.insert(name, first);
+            leader.unclaimed_parts.insert(name, first);
         }
     }
 
@@ -153,26 +157,29 @@
         // what a lease takes to run out, they have to be gone before.
         let in_time =
             cancellation_bound(self.settings.worker_lease) <= self.settings.cancellation_deadline;
-        let lead = self.leader.as_mut()?;
-        let left_over: BTreeSet<JobId> = if in_time || !stands(Safeguard::InTime) {
+        let leader = self.leader.as_mut()?;
+        let left_over: BTreeSet<JobId> = if in_time || !is_enabled(Safeguard::InTime) {
             BTreeSet::new()
         } else {
-            let cancelled = lead
+            let cancelled = leader
                 .writes
                 .ends
                 .iter()
                 .filter(|(_, end)| **end == JobOutcome::Cancelled);
             let jobs = &self.store_cache.jobs;
             let left = cancelled.filter(|(id, _)| {
-                let placed = lead.job_runs.get(*id).is_some_and(|r| !r.placed.is_empty());
+                let placed = leader
+                    .job_runs
+                    .get(*id)
+                    .is_some_and(|r| !r.placed.is_empty());
                 placed
                     || jobs
                         .get(*id)
-                        .is_some_and(|j| Self::blocked_by_recovery(lead, j))
+                        .is_some_and(|j| Self::blocked_by_recovery(leader, j))
             });
             left.map(|(id, _)| id.clone()).collect()
         };
-        let w = &mut lead.writes;
+        let w = &mut leader.writes;
         w.quarantined_keys.retain(|_, until| now < *until);
         let mut batch = Batch {
             most: most.min(w.max_changes.unwrap_or(most)),
@@ -204,13 +211,13 @@
         let owed = std::mem::take(&mut self.store_cache.missing_from_store);
         self.add_missing_jobs(&mut batch, &owed);
         self.store_cache.missing_from_store = owed;
-        let lead = self.leader.as_mut()?;
-        let w = &mut lead.writes;
+        let leader = self.leader.as_mut()?;
+        let w = &mut leader.writes;
         let mut due: Vec<(Instant, &JobId)> = w.progress.iter().map(|(id, t)| (*t, id)).collect();
         due.retain(|(t, id)| now >= *t + PROGRESS_DELAY && !w.ends.contains_key(*id));
         due.sort();
         'jobs: for (_, id) in due {
-            let (Some(run), Some(job)) = (lead.job_runs.get(id), self.store_cache.jobs.get(id))
+            let (Some(run), Some(job)) = (leader.job_runs.get(id), self.store_cache.jobs.get(id))
             else {
                 continue;
             };
@@ -284,10 +291,10 @@
         // leadership must change nothing.
         let mut conditions = vec![Condition {
             key: key(LEADER),
-            version: lead.key_version,
+            version: leader.key_version,
         }];
         // In a store that has lost data, another leader key may have the same version.
-        conditions.extend(lead.named());
+        conditions.extend(leader.named());
         // And one that is carried out after newer ones of this leader must not undo them.
         conditions.extend(changes.iter().map(|c| Condition {
             key: c.key().into(),
@@ -304,8 +311,8 @@
 
     /// What the store has lost, ends of jobs first: these are final, and some user was told of them.
     fn add_missing_jobs(&self, batch: &mut Batch, owed: &BTreeSet<JobId>) {
-        let Some(lead) = &self.leader else { return };
-        let w = &lead.writes;
+        let Some(leader) = &self.leader else { return };
+        let w = &leader.writes;
         let over = |id: &&JobId| self.store_cache.finished.contains_key(*id);
         let ended = owed.iter().filter(over);
         let live = owed.iter().filter(|id| !over(id));
@@ -332,20 +339,22 @@
 
     pub(in crate::core) fn write_outcome(&mut self, call: CallId, outcome: StoreOutcome) {
         let now = self.now.mono;
-        let Some(lead) = &mut self.leader else { return };
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
         let ours = |s: &InFlightWrite| s.call == Some(call);
-        if !lead.writes.in_flight.as_ref().is_some_and(ours) {
+        if !leader.writes.in_flight.as_ref().is_some_and(ours) {
             return;
         }
-        let retry = |lead: &mut LeaderState, pause| {
-            if let Some(sent) = &mut lead.writes.in_flight {
+        let retry = |leader: &mut LeaderState, pause| {
+            if let Some(sent) = &mut leader.writes.in_flight {
                 sent.call = None;
                 sent.retry_at = now + pause;
             }
         };
         match outcome {
             StoreOutcome::Committed { revision } => self.write_committed(revision),
-            StoreOutcome::Conflict { revision, .. } if !stands(Safeguard::Conflict) => {
+            StoreOutcome::Conflict { revision, .. } if !is_enabled(Safeguard::Conflict) => {
                 self.write_committed(revision);
             }
             StoreOutcome::Conflict { failed, revision } => {
@@ -374,7 +383,7 @@
                 // It was not executed, and would be refused for ever: its limits are lower than
                 // the settings say. Fewer changes go together, down to one; a change that is
                 // refused by itself is set aside, as the others must not wait for it.
-                let w = &mut lead.writes;
+                let w = &mut leader.writes;
                 let Some(InFlightWrite { txn, ops, .. }) = w.in_flight.take() else {
                     return;
                 };
@@ -400,17 +409,17 @@
             }
             StoreOutcome::Refused(e) => {
                 tracing::debug!("write refused: {e}");
-                retry(lead, Duration::from_millis(250));
+                retry(leader, Duration::from_millis(250));
             }
             StoreOutcome::Unknown(e) => {
                 tracing::info!("write without an answer: {e}");
-                retry(lead, Duration::from_millis(50));
+                retry(leader, Duration::from_millis(50));
             }
             StoreOutcome::Found(_)
             | StoreOutcome::Missing { .. }
             | StoreOutcome::Page { .. }
             | StoreOutcome::Runs(_) => {
-                retry(lead, Duration::from_millis(250));
+                retry(leader, Duration::from_millis(250));
             }
         }
     }
@@ -442,7 +451,7 @@
         else {
             return;
         };
-        if let Some(at) = sent.committed.filter(|_| stands(Safeguard::OwnWrite)) {
+        if let Some(at) = sent.committed.filter(|_| is_enabled(Safeguard::OwnWrite)) {
             return self.write_committed(at);
         }
         let known = |r: &&RefusedWrite| revision >= r.revision;
@@ -464,9 +473,11 @@
 
     /// The transaction on its way is in the store since this revision.
     fn write_committed(&mut self, revision: u64) {
-        let Some(lead) = &mut self.leader else { return };
-        lead.writes.conflicts = 0;
-        let Some(sent) = lead.writes.in_flight.take() else {
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        leader.writes.conflicts = 0;
+        let Some(sent) = leader.writes.in_flight.take() else {
             return;
         };
         self.store_cache.record_write(&sent.txn.changes, revision);
@@ -479,10 +490,10 @@
     /// to be said is worked out anew when this copy shows what the service had then. Says how often in a
     /// row.
     fn rebuild_write(&mut self, revision: u64) -> u32 {
-        let Some(lead) = &mut self.leader else {
+        let Some(leader) = &mut self.leader else {
             return 0;
         };
-        let w = &mut lead.writes;
+        let w = &mut leader.writes;
         let Some(InFlightWrite { txn, ops, .. }) = w.in_flight.take() else {
             return 0;
         };
@@ -499,13 +510,15 @@
 
     /// Deletions that were not carried out, other than of whole pages.
     fn requeue_deletions(&mut self, txn: &CompareAndSwap) {
-        let Some(lead) = &mut self.leader else { return };
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
         for change in &txn.changes {
             let Change::Delete { key: name } = change else {
                 continue;
             };
             if let Some(id) = name.strip_prefix(&machine_key("")) {
-                lead.writes.records.delete_single_key(id.into());
+                leader.writes.records.delete_single_key(id.into());
             } else if name.starts_with(&key("d/")) || name.starts_with(&key("s/")) {
                 self.store_cache.garbage_keys.insert(name.clone());
             }
@@ -513,47 +526,49 @@
     }
 
     fn apply_committed(&mut self, op: WriteOp, revision: u64) {
-        let Some(lead) = &mut self.leader else { return };
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
         match op {
             WriteOp::End(id, end, left) => {
-                lead.writes.ends.remove(&id);
-                lead.writes.followers.remove(&id);
+                leader.writes.ends.remove(&id);
+                leader.writes.followers.remove(&id);
                 self.store_cache.end_written(&id, end, left, revision);
                 self.sync_job_runs();
             }
             WriteOp::Progress(id, rows) => {
-                if let Some(run) = lead.job_runs.get_mut(&id) {
+                if let Some(run) = leader.job_runs.get_mut(&id) {
                     for row in rows {
                         run.unpersisted_done.remove(&row);
                     }
                     if run.unpersisted_done.is_empty() {
-                        lead.writes.progress.remove(&id);
+                        leader.writes.progress.remove(&id);
                     } else {
-                        lead.writes.progress.insert(id, self.now.mono);
+                        leader.writes.progress.insert(id, self.now.mono);
                     }
                 } else {
-                    lead.writes.progress.remove(&id);
+                    leader.writes.progress.remove(&id);
                 }
             }
             WriteOp::Pages(_, ids) => {
                 for id in ids {
-                    if lead.machines.get(&id).is_some_and(|m| !m.recorded)
-                        && let Some(m) = lead.machines.get_mut(&id)
+                    if leader.machines.get(&id).is_some_and(|m| !m.recorded)
+                        && let Some(m) = leader.machines.get_mut(&id)
                     {
                         m.recorded = true;
-                        lead.plan_again = true;
+                        leader.plan_again = true;
                     }
                 }
             }
-            WriteOp::Types => lead.writes.machine_types = false,
+            WriteOp::Types => leader.writes.machine_types = false,
             WriteOp::Owed(id) => {
-                lead.writes.missing_parts_written.remove(&id);
+                leader.writes.missing_parts_written.remove(&id);
                 self.store_cache.missing_from_store.remove(&id);
             }
             WriteOp::OwedParts(id, upto) => {
-                lead.writes.missing_parts_written.insert(id, upto);
+                leader.writes.missing_parts_written.insert(id, upto);
             }
-            WriteOp::Rebuilt => lead.writes.rebuild_complete = false,
+            WriteOp::Rebuilt => leader.writes.rebuild_complete = false,
         }
     }
 }
--- a/src/core/workers/commands.rs
+++ b/src/core/workers/commands.rs
@@ -10,7 +10,7 @@
     Exited, Machine, Phase, Placement, StopReason, TOKEN_EPOCH_BITS,
 };
 use crate::core::{Core, Effect, Pending, Ticket, Work};
-use crate::fault_injection::{Safeguard, stands};
+use crate::fault_injection::{Safeguard, is_enabled};
 use crate::http::Answer;
 use crate::job::{MachineId, TaskId};
 use crate::wire::{DirectCommands, HeartbeatResponse, TaskCommand, to_json};
@@ -29,7 +29,7 @@
 impl Core {
     /// What the machine should be told, given its newest report.
     pub(in crate::core) fn commands_for(&self, m: &Machine, in_answer: bool) -> Vec<TaskCommand> {
-        let Some(lead) = &self.leader else {
+        let Some(leader) = &self.leader else {
             return Vec::new();
         };
         let mut orders = Vec::new();
@@ -39,7 +39,7 @@
             };
             // A start that nobody has seen come to be is mostly there all the same, and begins to run before
             // the next report where nothing stops it.
-            let over = reason == StopReason::Over && stands(Safeguard::UnseenStops);
+            let over = reason == StopReason::Over && is_enabled(Safeguard::UnseenStops);
             if t.phase == Phase::Unseen && !over {
                 continue;
             }
@@ -58,12 +58,12 @@
             for Exited { key, attempt, .. } in &m.exited {
                 // A completed task is kept in the reports until a later leader would know it
                 // without them.
-                let unwritten = lead
+                let unwritten = leader
                     .job_runs
                     .get(&key.job)
                     .is_some_and(|r| r.unpersisted_done.contains(&key.index));
                 // Nor is the result of a job that may be known again.
-                let forgotten = lead.may_be_of_lost_job(self.store_cache.knows(&key.job));
+                let forgotten = leader.may_be_of_lost_job(self.store_cache.knows(&key.job));
                 if !unwritten
                     && !forgotten
                     && m.tasks.get(key).is_none_or(|t| t.attempt != *attempt)
@@ -119,27 +119,27 @@
         &mut self,
         id: &MachineId,
     ) -> Option<HeartbeatResponse> {
-        let lead = self.leader.as_ref()?;
-        let Some(m) = lead.machines.get(id) else {
+        let leader = self.leader.as_ref()?;
+        let Some(m) = leader.machines.get(id) else {
             // Not taken on before it has shown that it is there.
-            let (token, orders) = (lead.term << TOKEN_EPOCH_BITS, Vec::new());
-            return (!lead.deleted_machines.contains(id)).then_some(HeartbeatResponse {
+            let (token, orders) = (leader.term << TOKEN_EPOCH_BITS, Vec::new());
+            return (!leader.deleted_machines.contains(id)).then_some(HeartbeatResponse {
                 fencing_token: token,
                 commands: orders,
             });
         };
         // After a `clear`, a copy of the direct command that started the task would start it anew. The answer
         // that clears carries a higher token than that came with, which the worker heeds first.
-        let token = m.token(lead.term);
+        let token = m.token(leader.term);
         if m.exited.iter().any(|e| e.started_under_token >= token)
             && let Some(m) = self.leader.as_mut().and_then(|l| l.machines.get_mut(id))
         {
             m.token_epoch += 1;
         }
-        let lead = self.leader.as_ref()?;
-        let m = lead.machines.get(id)?;
+        let leader = self.leader.as_ref()?;
+        let m = leader.machines.get(id)?;
         let body = HeartbeatResponse {
-            fencing_token: m.token(lead.term),
+            fencing_token: m.token(leader.term),
             commands: self.commands_for(m, true),
         };
         let unaware = m.unresolved;
@@ -173,21 +173,24 @@
             return;
         };
         self.refresh_board();
-        let Some(lead) = &mut self.leader else { return };
-        let term = lead.term;
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        let term = leader.term;
         let silent = self.settings.heartbeat_interval * 2;
         let fresh = |m: &Machine| now.saturating_duration_since(m.last_heartbeat) < silent;
-        let machines = &lead.machines.all;
-        lead.machines
+        let machines = &leader.machines.all;
+        leader
+            .machines
             .to_push
             .retain(|id| machines.get(id).is_some_and(|m| m.needs_push));
         // What is to be stopped is told to a machine that does not report as well: calls may reach it.
         let to_stop = |m: &Machine| {
             let over = |t: &Placement| matches!(t.stopping, Some((StopReason::Over, _)));
-            stands(Safeguard::MuteStops) && m.tasks.values().any(over)
+            is_enabled(Safeguard::MuteStops) && m.tasks.values().any(over)
         };
         let (mut due, mut mute): (Vec<MachineId>, Vec<MachineId>) = Default::default();
-        for m in (lead.machines.to_push.iter()).filter_map(|id| machines.get(id)) {
+        for m in (leader.machines.to_push.iter()).filter_map(|id| machines.get(id)) {
             let may = m.incarnation > 0
                 && !m.lease_expired
                 && m.no_command_in_flight()
@@ -203,11 +206,11 @@
         let calls = due.into_iter().map(|id| (id, MAX_DIRECT_CALLS, true));
         let stops = mute.into_iter().map(|id| (id, MAX_DIRECT_CALLS / 4, false));
         for (id, most, all) in calls.chain(stops) {
-            let Some(lead) = &self.leader else { return };
-            if lead.direct_calls_in_flight >= most {
+            let Some(leader) = &self.leader else { return };
+            if leader.direct_calls_in_flight >= most {
                 break;
             }
-            let Some(m) = lead.machines.get(&id) else {
+            let Some(m) = leader.machines.get(&id) else {
                 continue;
             };
             let mut orders = self.commands_for(m, false);
@@ -227,8 +230,8 @@
                 continue;
             }
             let call = self.call(Pending::Direct(id.clone()));
-            if let Some(lead) = &mut self.leader
-                && let Some(m) = lead.machines.get_mut(&id)
+            if let Some(leader) = &mut self.leader
+                && let Some(m) = leader.machines.get_mut(&id)
             {
                 m.call_in_flight = Some(call);
                 let starts = body.commands.iter();
@@ -239,7 +242,7 @@
                     m.started_under_token = body.fencing_token;
                 }
                 self.stats.work[Work::StartByCall as usize] += starts as u64;
-                lead.direct_calls_in_flight += 1;
+                leader.direct_calls_in_flight += 1;
             }
             self.effects.push(Effect::Direct {
                 call,
@@ -258,10 +261,12 @@
             Some(Pending::Show(id)) => return self.token_probe_answered(&id, outcome),
             _ => return,
         };
-        let Some(lead) = &mut self.leader else { return };
-        let term = lead.term;
-        lead.direct_calls_in_flight = lead.direct_calls_in_flight.saturating_sub(1);
-        let Some(m) = lead.machines.get_mut(&id) else {
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        let term = leader.term;
+        leader.direct_calls_in_flight = leader.direct_calls_in_flight.saturating_sub(1);
+        let Some(m) = leader.machines.get_mut(&id) else {
             return;
         };
         if m.call_in_flight != Some(call) {
@@ -270,36 +275,40 @@
         m.call_in_flight = None;
         // Asked after we knew more of it than this tells: it has begun anew.
         let began_anew = match &outcome {
-            DirectOutcome::Heartbeat { report, .. } => {
+            DirectOutcome::Heartbeat { heartbeat, .. } => {
                 let known = m.restart_probe.take_if(|(_, of)| *of == call);
-                known.is_some_and(|(known, _)| (report.incarnation, report.sequence) <= known)
+                known.is_some_and(|(known, _)| (heartbeat.incarnation, heartbeat.sequence) <= known)
             }
             _ => false,
         };
         let answers = matches!(outcome, DirectOutcome::Heartbeat { .. });
         m.failed_calls = if answers { 0 } else { m.failed_calls + 1 };
         if answers {
-            (lead.last_direct_contact, lead.failed_direct_calls) = (now, 0);
+            (leader.last_direct_contact, leader.failed_direct_calls) = (now, 0);
         } else {
-            lead.failed_direct_calls += 1;
+            leader.failed_direct_calls += 1;
         }
         if !answers && m.unresolved && m.failed_calls < MAX_UNANSWERED_PROBES {
-            lead.probe_retries
+            leader
+                .probe_retries
                 .insert((now + PROBE_RETRY_PAUSE, id.clone()));
         }
         match outcome {
-            DirectOutcome::Heartbeat { report, executed } => {
+            DirectOutcome::Heartbeat {
+                heartbeat,
+                executed,
+            } => {
                 if !executed {
                     tracing::debug!(machine = %id, "machine {id}: direct commands refused");
                     m.push_after = now + Duration::from_millis(500);
                 }
                 let zone = m.zone.clone();
-                lead.mark_zone_reachable(&zone);
-                if report.machine == id {
+                leader.mark_zone_reachable(&zone);
+                if heartbeat.machine == id {
                     if began_anew {
-                        self.machine_restarted(&id, report.fencing_token);
+                        self.machine_restarted(&id, heartbeat.fencing_token);
                     }
-                    self.apply_heartbeat(&id, *report, false);
+                    self.apply_heartbeat(&id, *heartbeat, false);
                 }
             }
             DirectOutcome::NotSent(e) => {
--- a/src/core/workers/delegation.rs
+++ b/src/core/workers/delegation.rs
@@ -183,9 +183,9 @@
             return None;
         }
         let from: Arc<str> = sync.from.as_str().into();
-        let lead = self.leader.as_mut()?;
-        let term = lead.term;
-        let d = (lead.delegates.by_name)
+        let leader = self.leader.as_mut()?;
+        let term = leader.term;
+        let d = (leader.delegates.by_name)
             .entry(from.clone())
             .or_insert_with(|| Delegate {
                 issued: IssuedGrant::first(sync.incarnation, 0, now),
@@ -203,24 +203,24 @@
             Request::Fresh => {
                 d.revocations.clear();
                 let until = d.issued.until;
-                lead.end_delegations(&from, until);
+                leader.end_delegations(&from, until);
             }
             Request::Next => self.confirm_revocations(&from, sync.acknowledged),
         }
-        let lead = self.leader.as_mut()?;
+        let leader = self.leader.as_mut()?;
         if !sync.answered.is_empty() || !sync.heartbeats.is_empty() {
-            lead.last_heartbeat = Some(now);
+            leader.last_heartbeat = Some(now);
         }
-        lead.delegates.relayed_heartbeats += sync.heartbeats.len() as u64;
-        lead.delegates.delegated_answers += sync.answered.len() as u64;
+        leader.delegates.relayed_heartbeats += sync.heartbeats.len() as u64;
+        leader.delegates.delegated_answers += sync.answered.len() as u64;
         // What it heard under an earlier term tells nothing in this one.
         if sync.term == term {
             for h in &sync.answered {
-                lead.record_delegated_heartbeat(h, &from, now);
+                leader.record_delegated_heartbeat(h, &from, now);
             }
         }
         for id in &sync.served {
-            if let Some(m) = lead.machines.get_mut_quiet(id)
+            if let Some(m) = leader.machines.get_mut_quiet(id)
                 && m.unresolved
             {
                 m.claimed_until = Some(now + PROBE_CLAIM);
@@ -228,27 +228,27 @@
             }
         }
         for id in &sync.unanswered_probes {
-            if let Some(m) = lead.machines.get_mut_quiet(id)
+            if let Some(m) = leader.machines.get_mut_quiet(id)
                 && m.unresolved
             {
                 m.failed_calls += 1;
                 m.claimed_until = None;
-                lead.probe_retries.insert((now, id.clone()));
+                leader.probe_retries.insert((now, id.clone()));
             }
         }
-        let mut reports = Vec::new();
+        let mut heartbeats = Vec::new();
         for r in sync.heartbeats {
             if r.id == 0 {
                 let id = r.heartbeat.machine.clone();
                 let known = (self.leader.as_ref()).is_some_and(|l| l.machines.get(&id).is_some());
                 if known {
-                    if let Some(lead) = &mut self.leader {
-                        lead.mark_zone_reachable(&r.heartbeat.zone);
+                    if let Some(leader) = &mut self.leader {
+                        leader.mark_zone_reachable(&r.heartbeat.zone);
                     }
                     self.apply_heartbeat(&id, *r.heartbeat, false);
                 }
             } else {
-                reports.push((r.id, self.accept_heartbeat(*r.heartbeat, Some(&from))));
+                heartbeats.push((r.id, self.accept_heartbeat(*r.heartbeat, Some(&from))));
             }
         }
         Some(PendingBatch {
@@ -256,19 +256,21 @@
             number: sync.number,
             from,
             probes_pending: sync.pending_probes as usize + sync.served.len(),
-            heartbeats: reports,
+            heartbeats: heartbeats,
         })
     }
 
     /// The borrower has taken in our answers up to this one, and said so after that.
     fn confirm_revocations(&mut self, from: &Arc<str>, answered: u64) {
-        let Some(lead) = &mut self.leader else { return };
-        let Some(d) = lead.delegates.by_name.get_mut(from) else {
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        let Some(d) = leader.delegates.by_name.get_mut(from) else {
             return;
         };
         let heard = |_: &MachineId, sent: &mut Option<u64>| sent.is_some_and(|n| n <= answered);
         for (id, _) in d.revocations.extract_if(.., heard) {
-            if let Some(m) = lead.machines.get_mut_quiet(&id)
+            if let Some(m) = leader.machines.get_mut_quiet(&id)
                 && m.delegated_to.as_ref() == Some(from)
             {
                 (m.delegated_to, m.revoked) = (None, false);
@@ -322,10 +324,12 @@
             });
         }
         let members = self.member_statuses(&work.from);
-        let Some(lead) = &mut self.leader else { return };
-        let asks = lead.assign_probes(work.probes_pending, now);
-        let term = lead.term;
-        let Some(d) = lead.delegates.by_name.get_mut(&work.from) else {
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        let asks = leader.assign_probes(work.probes_pending, now);
+        let term = leader.term;
+        let Some(d) = leader.delegates.by_name.get_mut(&work.from) else {
             return;
         };
         let recalled = d.recalls_for_frame(work.number);
@@ -360,10 +364,10 @@
 
     /// Lends a machine to which there is nothing to say.
     fn delegate(&mut self, id: &MachineId, to: &Arc<str>) -> bool {
-        let Some(lead) = &mut self.leader else {
+        let Some(leader) = &mut self.leader else {
             return false;
         };
-        let Some(m) = lead.machines.get_mut_quiet(id) else {
+        let Some(m) = leader.machines.get_mut_quiet(id) else {
             return false;
         };
         if m.unresolved {
@@ -374,7 +378,7 @@
             return false;
         }
         m.delegated_to = Some(to.clone());
-        if let Some(d) = lead.delegates.by_name.get_mut(to) {
+        if let Some(d) = leader.delegates.by_name.get_mut(to) {
             d.has_delegations = true;
         }
         true
@@ -383,13 +387,15 @@
     /// Grants that have run out, silent machines, and who serves how many.
     pub(in crate::core) fn check_delegates(&mut self) {
         let now = self.now.mono;
-        let report = self.settings.heartbeat_interval;
-        let Some(lead) = &mut self.leader else { return };
-        if lead.delegates.by_name.is_empty() {
+        let heartbeat = self.settings.heartbeat_interval;
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        if leader.delegates.by_name.is_empty() {
             return;
         }
         let mut ended = Vec::new();
-        for (name, d) in &mut lead.delegates.by_name {
+        for (name, d) in &mut leader.delegates.by_name {
             if d.has_delegations && now >= d.issued.until {
                 d.has_delegations = false;
                 d.revocations.clear();
@@ -398,34 +404,36 @@
         }
         for (name, until) in ended {
             tracing::info!(
-                term = lead.term,
+                term = leader.term,
                 "term {}: {name}'s grant has run out",
-                lead.term
+                leader.term
             );
-            lead.end_delegations(&name, until);
+            leader.end_delegations(&name, until);
         }
         // Before a silent machine can count as lost, it has to be here again.
-        let silent: Vec<MachineId> = (lead.machines.values())
+        let silent: Vec<MachineId> = (leader.machines.values())
             .filter(|m| m.delegated_to.is_some() && !m.revoked)
-            .filter(|m| now.saturating_duration_since(m.last_heartbeat) > report * 7 / 4)
+            .filter(|m| now.saturating_duration_since(m.last_heartbeat) > heartbeat * 7 / 4)
             .map(|m| m.id.clone())
             .collect();
         for id in silent {
-            lead.recall(&id);
+            leader.recall(&id);
         }
-        if (lead.delegates.last_rebalance).is_none_or(|t| now >= t + REBALANCE_INTERVAL) {
-            lead.delegates.last_rebalance = Some(now);
+        if (leader.delegates.last_rebalance).is_none_or(|t| now >= t + REBALANCE_INTERVAL) {
+            leader.delegates.last_rebalance = Some(now);
             self.rebalance_workers();
         }
     }
 
     fn rebalance_workers(&mut self) {
         let now = self.now.mono;
-        let Some(lead) = &mut self.leader else { return };
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
         let me = self.settings.name.as_str();
         let mut loads: BTreeMap<&str, u32> = BTreeMap::new();
         let fresh = self.settings.heartbeat_interval * 2;
-        for m in lead.machines.values() {
+        for m in leader.machines.values() {
             if m.incarnation > 0 && now.saturating_duration_since(m.last_heartbeat) < fresh {
                 *loads.entry(m.via.as_deref().unwrap_or(me)).or_default() += 1;
             }
@@ -435,14 +443,14 @@
                 && (self.members.get(name))
                     .is_some_and(|m| m.capabilities.has(Capabilities::REPORTS))
         };
-        let others: Vec<&Arc<str>> = lead.delegates.by_name.keys().filter(able).collect();
+        let others: Vec<&Arc<str>> = leader.delegates.by_name.keys().filter(able).collect();
         let load = |name: &str| loads.get(name).copied().unwrap_or(0);
-        let leader = Server {
+        let leader_server = Server {
             name: me.to_string(),
             load: load(me),
             weight: if others.len() > 1 { LEADER_WEIGHT } else { 1.0 },
         };
-        let mut servers = vec![leader];
+        let mut servers = vec![leader_server];
         servers.extend(others.iter().map(|name| Server {
             name: name.to_string(),
             load: load(name),
@@ -450,15 +458,15 @@
         }));
         let total: u32 = servers.iter().map(|s| s.load).sum();
         let moves = share::moves(&servers, (total / MOVED_FRACTION).max(MIN_MOVED));
-        lead.delegates.own_reassignments.clear();
-        for d in lead.delegates.by_name.values_mut() {
+        leader.delegates.own_reassignments.clear();
+        for d in leader.delegates.by_name.values_mut() {
             d.reassignments.clear();
         }
         for m in moves {
             tracing::debug!("{} workers of {} are to go to {}", m.count, m.from, m.to);
             if m.from == me {
-                lead.delegates.own_reassignments.push((m.to, m.count));
-            } else if let Some(d) = lead.delegates.by_name.get_mut(m.from.as_str()) {
+                leader.delegates.own_reassignments.push((m.to, m.count));
+            } else if let Some(d) = leader.delegates.by_name.get_mut(m.from.as_str()) {
                 d.reassignments.push((m.to, m.count));
             }
         }
--- a/src/core/workers/heartbeat_queue.rs
+++ b/src/core/workers/heartbeat_queue.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy)]
 struct Bounds {
     /// Whoever waits for an answer holds a connection.
-    reports: usize,
+    heartbeats: usize,
     frame_bytes: usize,
 }
 
@@ -33,7 +33,7 @@
     fn of(settings: &Settings) -> Bounds {
         let memory = settings.memory_mb * BYTES_PER_MB * MEMORY_SHARE;
         Bounds {
-            reports: settings.max_sockets,
+            heartbeats: settings.max_sockets,
             frame_bytes: (memory / MEMORY_PER_FRAME_BYTE) as usize,
         }
     }
@@ -42,27 +42,27 @@
 /// A queue that knows how many bytes its reports take in frames.
 #[derive(Default)]
 pub(in crate::core) struct ReportQueue {
-    reports: VecDeque<Waiting>,
+    heartbeats: VecDeque<Waiting>,
     frame_bytes: usize,
 }
 
 impl ReportQueue {
     pub fn len(&self) -> usize {
-        self.reports.len()
+        self.heartbeats.len()
     }
 
     pub fn is_empty(&self) -> bool {
-        self.reports.is_empty()
+        self.heartbeats.is_empty()
     }
 
     pub fn iter(&self) -> impl Iterator<Item = &Waiting> {
-        self.reports.iter()
+        self.heartbeats.iter()
     }
 
     /// Whether another report may wait.
     pub fn has_room(&self, settings: &Settings) -> bool {
         let most = Bounds::of(settings);
-        self.reports.len() < most.reports && self.frame_bytes < most.frame_bytes
+        self.heartbeats.len() < most.heartbeats && self.frame_bytes < most.frame_bytes
     }
 
     /// Whether the next frame leaves reports behind.
@@ -72,26 +72,26 @@
 
     pub fn push(&mut self, waiting: Waiting) {
         self.frame_bytes += heartbeat_batch::encoded_heartbeat_size(&waiting.heartbeat);
-        self.reports.push_back(waiting);
+        self.heartbeats.push_back(waiting);
     }
 
     /// Puts reports back that were taken out, in the order in which they came.
-    pub fn put_back(&mut self, reports: Vec<Waiting>) {
-        for waiting in reports.into_iter().rev() {
+    pub fn put_back(&mut self, heartbeats: Vec<Waiting>) {
+        for waiting in heartbeats.into_iter().rev() {
             self.frame_bytes += heartbeat_batch::encoded_heartbeat_size(&waiting.heartbeat);
-            self.reports.push_front(waiting);
+            self.heartbeats.push_front(waiting);
         }
     }
 
     fn pop(&mut self) -> Option<Waiting> {
-        let waiting = self.reports.pop_front()?;
+        let waiting = self.heartbeats.pop_front()?;
         self.frame_bytes -= heartbeat_batch::encoded_heartbeat_size(&waiting.heartbeat);
         Some(waiting)
     }
 
     /// The oldest report, if it has waited for longer than this.
     pub fn pop_overdue(&mut self, now: Instant, longest: Duration) -> Option<Waiting> {
-        let oldest = self.reports.front()?.received;
+        let oldest = self.heartbeats.front()?.received;
         if now.saturating_duration_since(oldest) <= longest {
             return None;
         }
@@ -102,7 +102,7 @@
     pub fn take_frame(&mut self) -> Vec<Waiting> {
         let mut taken = Vec::new();
         let mut size = 0;
-        while let Some(next) = self.reports.front() {
+        while let Some(next) = self.heartbeats.front() {
             size += heartbeat_batch::encoded_heartbeat_size(&next.heartbeat);
             if size > heartbeat_batch::FULL && !taken.is_empty() {
                 break;
@@ -114,7 +114,7 @@
 
     pub fn take_all(&mut self) -> VecDeque<Waiting> {
         self.frame_bytes = 0;
-        std::mem::take(&mut self.reports)
+        std::mem::take(&mut self.heartbeats)
     }
 }
 
--- a/src/core/workers/heartbeat_queue/tests.rs
+++ b/src/core/workers/heartbeat_queue/tests.rs
@@ -2,7 +2,7 @@
 use crate::core::simulation::{SETUP, settings};
 
 fn waiting(number: u64, received: Instant) -> Waiting {
-    let report = Heartbeat {
+    let heartbeat = Heartbeat {
         machine: format!("i-{number:06}").into(),
         addr: "10.0.0.1:9000".into(),
         machine_type: "small".into(),
@@ -16,13 +16,13 @@
     };
     Waiting {
         ticket: Some(number),
-        heartbeat: Box::new(report),
+        heartbeat: Box::new(heartbeat),
         received,
     }
 }
 
-fn tickets(reports: impl IntoIterator<Item = Waiting>) -> Vec<u64> {
-    reports.into_iter().filter_map(|w| w.ticket).collect()
+fn tickets(heartbeats: impl IntoIterator<Item = Waiting>) -> Vec<u64> {
+    heartbeats.into_iter().filter_map(|w| w.ticket).collect()
 }
 
 #[test]
