--- a/src/core/workers/heartbeats.rs
+++ b/src/core/workers/heartbeats.rs
@@ -5,7 +5,7 @@
 };
 use crate::core::store::cache::MachineValue;
 use crate::core::{Core, Ticket, note};
-use crate::fault_injection::{Safeguard, stands};
+use crate::fault_injection::{Safeguard, is_enabled};
 use crate::http::Answer;
 use crate::job::{JobId, JobKind, MachineId, Resources, TaskId};
 use crate::planning::cluster_snapshot::image_tag;
@@ -28,20 +28,20 @@
 
 impl Core {
     /// Takes in a report; a ticket that comes back is answered at the end of the step.
-    pub(in crate::core) fn report(
+    pub(in crate::core) fn heartbeat(
         &mut self,
         ticket: Ticket,
-        report: Box<Heartbeat>,
+        heartbeat: Box<Heartbeat>,
     ) -> Option<(Ticket, MachineId)> {
         if !self.acting() {
-            if self.is_well_formed(&report) {
-                self.relay_heartbeat(ticket, report);
+            if self.is_well_formed(&heartbeat) {
+                self.relay_heartbeat(ticket, heartbeat);
             } else {
                 self.answer(ticket, Answer::error(400, "malformed report"));
             }
             return None;
         }
-        match self.accept_heartbeat(*report, None) {
+        match self.accept_heartbeat(*heartbeat, None) {
             Ok(machine) => Some((ticket, machine)),
             Err(answer) => {
                 self.answer(ticket, answer);
@@ -52,48 +52,48 @@
 
     /// What no worker says changes nothing: a token that nobody gave, above all, would pass for the sign of a
     /// store that has lost data.
-    fn is_well_formed(&self, report: &Heartbeat) -> bool {
-        let id = &report.machine;
+    fn is_well_formed(&self, heartbeat: &Heartbeat) -> bool {
+        let id = &heartbeat.machine;
         !id.is_empty()
             && id.len() <= 100
             && id.bytes().all(|b| b.is_ascii_graphic() && b != b'/')
-            && report.addr.parse::<SocketAddrV4>().is_ok()
-            && report.incarnation > 0
-            && self.plausible_term(report.fencing_token >> TOKEN_EPOCH_BITS)
+            && heartbeat.addr.parse::<SocketAddrV4>().is_ok()
+            && heartbeat.incarnation > 0
+            && self.plausible_term(heartbeat.fencing_token >> TOKEN_EPOCH_BITS)
     }
 
     /// A report that came here, or by way of another controller; what comes back is the machine,
     /// or why the report is not answered as it would like.
     pub(in crate::core) fn accept_heartbeat(
         &mut self,
-        report: Heartbeat,
+        heartbeat: Heartbeat,
         via: Option<&Arc<str>>,
     ) -> Result<MachineId, Answer> {
         let now = self.now.mono;
-        let id = report.machine.clone();
-        if !self.is_well_formed(&report) {
+        let id = heartbeat.machine.clone();
+        if !self.is_well_formed(&heartbeat) {
             return Err(Answer::error(400, "malformed report"));
         }
         let no_leader = || Answer::busy("no leader here", 1);
-        self.observe_fencing_token(report.fencing_token);
-        let lead = self.leader.as_mut().ok_or_else(no_leader)?;
-        if lead.deleted_machines.contains(&id) {
+        self.observe_fencing_token(heartbeat.fencing_token);
+        let leader = self.leader.as_mut().ok_or_else(no_leader)?;
+        if leader.deleted_machines.contains(&id) {
             // Sent before the machine was deleted, and held up on the way.
             return Err(Answer::busy("this machine is gone", 30));
         }
-        let term = lead.term;
-        let proven = report.fencing_token >= term << TOKEN_EPOCH_BITS;
-        if let Some(m) = lead.machines.get_mut_quiet(&id)
+        let term = leader.term;
+        let proven = heartbeat.fencing_token >= term << TOKEN_EPOCH_BITS;
+        if let Some(m) = leader.machines.get_mut_quiet(&id)
             && !m.unresolved
-            && m.is_unchanged_by(&report, term)
+            && m.is_unchanged_by(&heartbeat, term)
         {
-            m.sequence = report.sequence;
+            m.sequence = heartbeat.sequence;
             m.last_heartbeat = now;
             m.lease_renewed = now;
-            lead.record_heartbeat(via, now);
-            lead.record_route(&id, via);
+            leader.record_heartbeat(via, now);
+            leader.record_route(&id, via);
             if via.is_none()
-                && let Some(to) = lead.next_reassignment(&id)
+                && let Some(to) = leader.next_reassignment(&id)
             {
                 return Err(redirect_to(&to));
             }
@@ -102,29 +102,30 @@
         // A report that tells of a machine on nobody's record may be a copy that comes late, of one that
         // is long gone. The answer shows the token; the next report proves that it is there. Where the
         // store has lost data, whatever may be there counts at once.
-        if !proven && lead.rebuild.is_none() && lead.machines.get(&id).is_none() {
+        if !proven && leader.rebuild.is_none() && leader.machines.get(&id).is_none() {
             return Ok(id);
         }
-        lead.machines.get_or_add(&id, || {
+        leader.machines.get_or_add(&id, || {
             tracing::info!(machine = %id, "machine {id}: unexpected, taken on");
             Machine::new(
                 id.clone(),
-                &report.machine_type,
-                &report.zone,
-                report.spot,
+                &heartbeat.machine_type,
+                &heartbeat.zone,
+                heartbeat.spot,
                 now,
             )
         });
         // Passed on once more, as our answer to the other controller was lost: what it says is
         // known, and nothing newer is.
         let again = via.is_some()
-            && lead.machines.get(&id).is_some_and(|m| {
+            && leader.machines.get(&id).is_some_and(|m| {
                 // By way of anybody else it is a copy.
-                let same = (m.incarnation, m.sequence) == (report.incarnation, report.sequence);
+                let same =
+                    (m.incarnation, m.sequence) == (heartbeat.incarnation, heartbeat.sequence);
                 same && m.via.as_ref() == via && !m.lease_expired
             });
-        let token = report.fencing_token;
-        if !again && !self.apply_heartbeat(&id, report, true) {
+        let token = heartbeat.fencing_token;
+        if !again && !self.apply_heartbeat(&id, heartbeat, true) {
             if let Some(m) = (self.leader.as_mut()).and_then(|l| l.machines.get_mut(&id))
                 && token < m.highest_token
                 && !m.unresolved
@@ -136,8 +137,8 @@
             return Err(Answer::busy("an older report", 1));
         }
         let lease = self.settings.worker_lease;
-        let lead = self.leader.as_mut().ok_or_else(no_leader)?;
-        let m = (lead.machines.get_mut(&id)).ok_or_else(no_leader)?;
+        let leader = self.leader.as_mut().ok_or_else(no_leader)?;
+        let m = (leader.machines.get_mut(&id)).ok_or_else(no_leader)?;
         let unaware = m.unresolved;
         if unaware && !proven {
             // Old tasks wait for what it has. If no answer of ours comes to it, its lease runs out from
@@ -151,14 +152,14 @@
         if !m.recorded {
             // Before its first task: a later leader must know every place a task may be.
             let value = MachineValue::from(&*m);
-            lead.writes.records.add(&id, value);
+            leader.writes.records.add(&id, value);
         }
         if proven || !unaware {
             // What does not show our token may be of any age: it tells what may be there, and not that
             // a worker is heard.
-            lead.record_heartbeat(via, now);
+            leader.record_heartbeat(via, now);
         }
-        lead.record_route(&id, via);
+        leader.record_route(&id, via);
         Ok(id)
     }
 
@@ -178,32 +179,32 @@
     pub(in crate::core) fn apply_heartbeat(
         &mut self,
         id: &MachineId,
-        report: Heartbeat,
+        heartbeat: Heartbeat,
         answered: bool,
     ) -> bool {
         let now = self.now.mono;
-        let Some(lead) = &mut self.leader else {
+        let Some(leader) = &mut self.leader else {
             return false;
         };
-        let term = lead.term;
-        let Some(m) = lead.machines.get_mut(id) else {
+        let term = leader.term;
+        let Some(m) = leader.machines.get_mut(id) else {
             return false;
         };
-        if (report.incarnation, report.sequence) <= (m.incarnation, m.sequence)
-            || report.fencing_token < m.highest_token
+        if (heartbeat.incarnation, heartbeat.sequence) <= (m.incarnation, m.sequence)
+            || heartbeat.fencing_token < m.highest_token
         {
             return false;
         }
         // Made before that session's lease ran out, and held up on the way: what it tells of is
         // gone, and may have been started elsewhere since.
-        if m.lease_expired && report.incarnation == m.incarnation {
+        if m.lease_expired && heartbeat.incarnation == m.incarnation {
             return false;
         }
         let mut lost = Vec::new();
-        if report.incarnation > m.incarnation {
+        if heartbeat.incarnation > m.incarnation {
             if m.incarnation > 0 {
                 // The earlier session's tasks were killed, and its commands are refused.
-                tracing::info!(machine = %id, "machine {id}: session {} begins", report.incarnation);
+                tracing::info!(machine = %id, "machine {id}: session {} begins", heartbeat.incarnation);
                 lost = m.tasks.keys().cloned().collect();
             }
             if m.incarnation > 0 && !m.unresolved {
@@ -228,30 +229,30 @@
                 && m.incarnation == 0
             {
                 let announced = Duration::from_secs_f64(t.boot_s.clamp(0.0, 1e6));
-                lead.bidding.beliefs.came_up(&t.name, announced, took);
+                leader.bidding.beliefs.came_up(&t.name, announced, took);
             }
         }
-        let noticed = m.reclaim_at.is_none() && report.reclaim_in_s.is_some();
-        m.incarnation = report.incarnation;
-        m.sequence = report.sequence;
-        m.highest_token = report.fencing_token;
+        let noticed = m.reclaim_at.is_none() && heartbeat.reclaim_in_s.is_some();
+        m.incarnation = heartbeat.incarnation;
+        m.sequence = heartbeat.sequence;
+        m.highest_token = heartbeat.fencing_token;
         m.last_heartbeat = now;
         // With our term's token seen, whatever the predecessors sent is refused from now on.
         let knows_us =
-            report.fencing_token >= term << TOKEN_EPOCH_BITS || !stands(Safeguard::Proof);
-        m.addr = report.addr;
-        m.spot = report.spot;
-        m.reclaim_at = report
+            heartbeat.fencing_token >= term << TOKEN_EPOCH_BITS || !is_enabled(Safeguard::Proof);
+        m.addr = heartbeat.addr;
+        m.spot = heartbeat.spot;
+        m.reclaim_at = heartbeat
             .reclaim_in_s
             .filter(|n| n.is_finite())
             .map(|n| now + Duration::from_secs_f64(n.clamp(0.0, 86400.0)));
         if m.doubtful_until_token
-            .is_some_and(|token| report.fencing_token >= token)
+            .is_some_and(|token| heartbeat.fencing_token >= token)
         {
             m.doubtful_until_token = None;
         }
         if m.unconfirmed_token
-            .is_some_and(|token| report.fencing_token >= token)
+            .is_some_and(|token| heartbeat.fencing_token >= token)
         {
             m.unconfirmed_token = None;
         }
@@ -259,7 +260,7 @@
         let untaken = answered && m.start_unconfirmed && m.failed_calls > 0;
         if noticed {
             let offer = (m.machine_type.clone(), m.zone.clone(), m.spot);
-            lead.bidding.beliefs.lost(&offer, 1, now);
+            leader.bidding.beliefs.lost(&offer, 1, now);
         }
         if answered {
             m.start_unconfirmed = false;
@@ -270,7 +271,7 @@
         self.tasks_lost(id, lost, "its session ended");
         let mut seen = BTreeSet::new();
         let mut exited = Vec::new();
-        for row in report.tasks {
+        for row in heartbeat.tasks {
             let Some(key) = parse_task_id(&row.task) else {
                 tracing::warn!(machine = %id, "machine {id}: unreadable task {:?}", row.task);
                 continue;
@@ -283,10 +284,10 @@
                 self.task_live(id, &key, &row);
             }
         }
-        let Some(lead) = &mut self.leader else {
+        let Some(leader) = &mut self.leader else {
             return false;
         };
-        let Some(m) = lead.machines.get_mut(id) else {
+        let Some(m) = leader.machines.get_mut(id) else {
             return false;
         };
         let before = std::mem::take(&mut m.exited);
@@ -335,9 +336,11 @@
 
     fn task_live(&mut self, id: &MachineId, key: &TaskId, row: &TaskStatus) {
         let now = self.now.mono;
-        let Some(lead) = &mut self.leader else { return };
-        let forgotten = lead.may_be_of_lost_job(self.store_cache.knows(&key.job));
-        let Some(m) = lead.machines.get_mut(id) else {
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        let forgotten = leader.may_be_of_lost_job(self.store_cache.knows(&key.job));
+        let Some(m) = leader.machines.get_mut(id) else {
             return;
         };
         let phase = Phase::of(row.state);
@@ -367,13 +370,13 @@
             };
             // Nobody remembers the job, and it may have been accepted all the same.
             let mut wanted = forgotten;
-            if forgotten && let Some(r) = &mut lead.rebuild {
+            if forgotten && let Some(r) = &mut leader.rebuild {
                 r.hold(key, id);
                 tracing::warn!(task = %key, machine = %id, "task {key} on {id}: its job is unknown; held");
             }
             if let (Some(job), Some(run)) = (
                 self.store_cache.jobs.get(&key.job),
-                lead.job_runs.get_mut(&key.job),
+                leader.job_runs.get_mut(&key.job),
             ) {
                 if let Some(other) = run.placed.get(&key.index).filter(|m| *m != id) {
                     tracing::warn!(task = %key, machine = %id, "task {key} is or was on {id}, and on {other}");
@@ -391,8 +394,10 @@
             m.tasks.insert(key.clone(), t);
             self.stop_duplicates(key, id);
         }
-        let Some(lead) = &mut self.leader else { return };
-        let Some(m) = lead.machines.get_mut(id) else {
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        let Some(m) = leader.machines.get_mut(id) else {
             return;
         };
         let Some(t) = m.tasks.get_mut(key) else {
@@ -410,7 +415,7 @@
         if phase == Phase::Running && t.running_since.is_none() {
             t.running_since = Some(now);
             tracing::debug!(task = %key, machine = %id, "task {key} attempt {} runs on {id}", t.attempt);
-            if let Some(run) = lead.job_runs.get_mut(&key.job)
+            if let Some(run) = leader.job_runs.get_mut(&key.job)
                 && run.started.is_none()
             {
                 run.started = Some(now);
@@ -426,14 +431,16 @@
 
     fn task_exited(&mut self, id: &MachineId, key: &TaskId, row: &TaskStatus) {
         let now = self.now.mono;
-        let Some(lead) = &mut self.leader else { return };
-        let forgotten = lead.may_be_of_lost_job(self.store_cache.knows(&key.job));
-        let Some(m) = lead.machines.get_mut(id) else {
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        let forgotten = leader.may_be_of_lost_job(self.store_cache.knows(&key.job));
+        let Some(m) = leader.machines.get_mut(id) else {
             return;
         };
         let ours = m.tasks.get(key).is_some_and(|t| t.attempt == row.attempt);
         let why = row.cause.unwrap_or(ExitCause::Other);
-        if forgotten && let Some(r) = &mut lead.rebuild {
+        if forgotten && let Some(r) = &mut leader.rebuild {
             r.remove_held(key, id);
             if why == ExitCause::Done {
                 r.record_result(key);
@@ -451,7 +458,7 @@
         if m.tasks.is_empty() {
             m.idle_since = now;
         }
-        lead.plan_again = true;
+        leader.plan_again = true;
         tracing::debug!(task = %key, machine = %id, "task {key} attempt {} on {id} ended: {why:?}", t.attempt);
         let ran = t.running_since.map(|s| now.saturating_duration_since(s));
         if why == ExitCause::Done {
@@ -478,8 +485,8 @@
             ExitCause::Other => hold = Some(Duration::from_millis(500)),
             ExitCause::Done | ExitCause::Stopped => {}
         }
-        if let Some(lead) = &mut self.leader
-            && let Some(run) = lead.job_runs.get_mut(&key.job)
+        if let Some(leader) = &mut self.leader
+            && let Some(run) = leader.job_runs.get_mut(&key.job)
         {
             if let Some(d) = hold {
                 run.backoff_until.insert(key.index, now + d);
@@ -494,12 +501,14 @@
     /// when all of them have shown this term's token; `fresh` is about to be certain.
     pub(in crate::core) fn stop_duplicates(&mut self, key: &TaskId, fresh: &MachineId) {
         let now = self.now.mono;
-        let Some(lead) = &mut self.leader else { return };
-        let Some(run) = lead.job_runs.get(&key.job) else {
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        let Some(run) = leader.job_runs.get(&key.job) else {
             return;
         };
         let holders = run.assigned_machines(key.index);
-        let machines = &mut lead.machines;
+        let machines = &mut leader.machines;
         let unsure = |id: &&MachineId| machines.get(id).is_some_and(|m| m.unresolved);
         if holders.len() < 2 || holders.iter().any(unsure) {
             return;
@@ -535,8 +544,10 @@
 
     fn note_failure(&mut self, id: &MachineId, key: &TaskId) {
         let now = self.now.mono;
-        let Some(lead) = &mut self.leader else { return };
-        let Some(run) = lead.job_runs.get_mut(&key.job) else {
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        let Some(run) = leader.job_runs.get_mut(&key.job) else {
             return;
         };
         *run.failures.entry(id.clone()).or_default() += 1;
@@ -546,7 +557,7 @@
         if run.is_suspect() {
             // The machines it was tried on are cleared of its failures.
             for machine in run.failures.keys() {
-                if let Some(m) = lead.machines.get_mut(machine) {
+                if let Some(m) = leader.machines.get_mut(machine) {
                     m.fault_history.failed_jobs.remove(&key.job);
                     if m.fault_history.failed_jobs.is_empty() {
                         m.fault_history.failures = 0;
@@ -556,12 +567,12 @@
             }
             return;
         }
-        let Some(m) = lead.machines.get_mut(id) else {
+        let Some(m) = leader.machines.get_mut(id) else {
             return;
         };
         m.fault_history.failures += 1;
         m.fault_history.failed_jobs.insert(key.job.clone());
-        let most = if stands(Safeguard::Avoid) {
+        let most = if is_enabled(Safeguard::Avoid) {
             MAX_AVOIDANCE_DOUBLINGS
         } else {
             u32::MAX
@@ -572,14 +583,14 @@
 
     /// A machine on which work of several jobs failed, with no success in between, is faulty.
     pub(in crate::core) fn faulty(&self, m: &Machine) -> bool {
-        let Some(lead) = &self.leader else {
+        let Some(leader) = &self.leader else {
             return false;
         };
         let believable = m
             .fault_history
             .failed_jobs
             .iter()
-            .filter(|j| lead.job_runs.get(*j).is_none_or(|r| !r.is_suspect()))
+            .filter(|j| leader.job_runs.get(*j).is_none_or(|r| !r.is_suspect()))
             .count();
         (believable >= 2 && m.fault_history.failures >= 2)
             || (believable >= 1
@@ -587,16 +598,18 @@
                 && m.fault_history
                     .failed_jobs
                     .iter()
-                    .any(|j| lead.job_runs.get(j).is_some_and(|r| r.succeeded)))
+                    .any(|j| leader.job_runs.get(j).is_some_and(|r| r.succeeded)))
             || m.fault_history.slowness.faulty()
     }
 
     pub(in crate::core) fn task_completed(&mut self, key: &TaskId, on: Option<&MachineId>) {
         let now = self.now.mono;
-        let Some(lead) = &mut self.leader else { return };
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
         let (Some(job), Some(run)) = (
             self.store_cache.jobs.get_mut(&key.job),
-            lead.job_runs.get_mut(&key.job),
+            leader.job_runs.get_mut(&key.job),
         ) else {
             return;
         };
@@ -613,12 +626,12 @@
         }
         if job.done.insert(key.index) {
             run.unpersisted_done.insert(key.index);
-            lead.writes.progress.entry(key.job.clone()).or_insert(now);
+            leader.writes.progress.entry(key.job.clone()).or_insert(now);
         }
         run.queued.remove(&key.index);
         run.backoff_until.remove(&key.index);
         for machine in run.release(key.index) {
-            if let Some(m) = lead.machines.get_mut(&machine)
+            if let Some(m) = leader.machines.get_mut(&machine)
                 && let Some(t) = m.tasks.get_mut(key)
             {
                 t.stop(StopReason::Over, now);
@@ -631,9 +644,11 @@
     /// These tasks are not on the machine any more, without a result.
     pub(in crate::core) fn tasks_lost(&mut self, id: &MachineId, tasks: Vec<TaskId>, why: &str) {
         let now = self.now.mono;
-        let Some(lead) = &mut self.leader else { return };
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
         for key in tasks {
-            let Some(m) = lead.machines.get_mut(id) else {
+            let Some(m) = leader.machines.get_mut(id) else {
                 return;
             };
             let Some(t) = m.tasks.remove(&key) else {
@@ -642,11 +657,11 @@
             if m.tasks.is_empty() {
                 m.idle_since = now;
             }
-            lead.plan_again = true;
-            if let Some(r) = &mut lead.rebuild {
+            leader.plan_again = true;
+            if let Some(r) = &mut leader.rebuild {
                 r.remove_held(&key, id);
             }
-            if let Some(run) = lead.job_runs.get_mut(&key.job)
+            if let Some(run) = leader.job_runs.get_mut(&key.job)
                 && run.unassign(key.index, id)
             {
                 run.queued.insert(key.index);
--- a/src/core/workers/relay.rs
+++ b/src/core/workers/relay.rs
@@ -12,7 +12,7 @@
 use crate::core::workers::heartbeat_queue::{ReportQueue, Waiting};
 use crate::core::workers::heartbeats::redirect_to;
 use crate::core::{Core, Effect, Pending, Ticket};
-use crate::fault_injection::{Safeguard, stands};
+use crate::fault_injection::{Safeguard, is_enabled};
 use crate::http::Answer;
 use crate::job::MachineId;
 use crate::peer::heartbeat_batch::{
@@ -64,7 +64,7 @@
     number: u64,
     at: Instant,
     to: String,
-    reports: Vec<Waiting>,
+    heartbeats: Vec<Waiting>,
 }
 
 #[derive(Default)]
@@ -116,7 +116,7 @@
 
     /// Reports that wait for the leader's answer.
     pub fn waiting(&self) -> usize {
-        let sent = self.in_flight.as_ref().map_or(0, |s| s.reports.len());
+        let sent = self.in_flight.as_ref().map_or(0, |s| s.heartbeats.len());
         self.waiting.len() + sent
     }
 
@@ -134,15 +134,15 @@
     }
 
     /// This controller led until now: the workers that reported to it stay with it.
-    pub fn adopt_workers(&mut self, lead: &LeaderState) {
+    pub fn adopt_workers(&mut self, leader: &LeaderState) {
         self.grant = None;
-        for m in lead.machines.values() {
+        for m in leader.machines.values() {
             if m.incarnation > 0 && m.via.is_none() && !m.lease_expired {
                 let w = Worker {
                     incarnation: m.incarnation,
                     sequence: m.sequence,
                     addr: m.addr.clone(),
-                    fencing_token: m.token(lead.term),
+                    fencing_token: m.token(leader.term),
                     last_heartbeat: m.last_heartbeat,
                     steady_response: None,
                 };
@@ -165,23 +165,23 @@
 
     /// The token to answer this report with, if it says what the last one said and that was all
     /// that the leader wanted to hear.
-    fn steady_answer(&mut self, report: &Heartbeat, now: Instant) -> Option<u64> {
-        let digest = self.digest(report);
-        let w = self.workers.get_mut(&report.machine)?;
+    fn steady_answer(&mut self, heartbeat: &Heartbeat, now: Instant) -> Option<u64> {
+        let digest = self.digest(heartbeat);
+        let w = self.workers.get_mut(&heartbeat.machine)?;
         let (said, token) = w.steady_response?;
-        let same = report.incarnation == w.incarnation
-            && report.sequence > w.sequence
+        let same = heartbeat.incarnation == w.incarnation
+            && heartbeat.sequence > w.sequence
             // The worker would drop an answer with a lower token than it has seen, and yet stay
             // here while its lease runs out.
-            && report.fencing_token == token
-            && report.reclaim_in_s.is_none()
+            && heartbeat.fencing_token == token
+            && heartbeat.reclaim_in_s.is_none()
             && digest == said;
         if !same {
             return None;
         }
-        (w.sequence, w.last_heartbeat) = (report.sequence, now);
-        if !self.unreported.contains(&report.machine) {
-            self.unreported.insert(report.machine.clone());
+        (w.sequence, w.last_heartbeat) = (heartbeat.sequence, now);
+        if !self.unreported.contains(&heartbeat.machine) {
+            self.unreported.insert(heartbeat.machine.clone());
         }
         Some(token)
     }
@@ -256,17 +256,17 @@
 
 impl Core {
     /// A worker reports here, and another controller leads, or none.
-    pub(in crate::core) fn relay_heartbeat(&mut self, ticket: Ticket, report: Box<Heartbeat>) {
+    pub(in crate::core) fn relay_heartbeat(&mut self, ticket: Ticket, heartbeat: Box<Heartbeat>) {
         let now = self.now.mono;
-        self.observe_fencing_token(report.fencing_token);
+        self.observe_fencing_token(heartbeat.fencing_token);
         if !self.delegating {
             return self.redirect(ticket);
         }
         if let Some(grant) = self.relay.grant
-            && (grant.holds(self.store_cache.term, now) || !stands(Safeguard::Grant))
-            && let Some(token) = self.relay.steady_answer(&report, now)
+            && (grant.holds(self.store_cache.term, now) || !is_enabled(Safeguard::Grant))
+            && let Some(token) = self.relay.steady_answer(&heartbeat, now)
         {
-            let answer = match self.relay.next_reassignment(&report.machine) {
+            let answer = match self.relay.next_reassignment(&heartbeat.machine) {
                 Some(to) => redirect_to(&to),
                 None => {
                     let orders = Vec::new();
@@ -274,7 +274,7 @@
                         fencing_token: token,
                         commands: orders,
                     });
-                    let until = stands(Safeguard::Grant).then_some(grant.until);
+                    let until = is_enabled(Safeguard::Grant).then_some(grant.until);
                     Answer::new(200, body).until(until)
                 }
             };
@@ -288,7 +288,7 @@
         }
         self.relay.waiting.push(Waiting {
             ticket: Some(ticket),
-            heartbeat: report,
+            heartbeat: heartbeat,
             received: now,
         });
     }
@@ -312,7 +312,7 @@
         let mut out = Vec::new();
         for w in self.relay.waiting.take_all() {
             match w.ticket {
-                Some(ticket) => out.extend(self.report(ticket, w.heartbeat)),
+                Some(ticket) => out.extend(self.heartbeat(ticket, w.heartbeat)),
                 None => {
                     let id = w.heartbeat.machine.clone();
                     self.apply_heartbeat(&id, *w.heartbeat, false);
@@ -393,8 +393,8 @@
         }
         sync.answered = relay.heard_for_frame(now);
         sync.acknowledged = relay.acknowledge();
-        let reports = relay.waiting.take_frame();
-        sync.heartbeats = (reports.iter().enumerate())
+        let heartbeats = relay.waiting.take_frame();
+        sync.heartbeats = (heartbeats.iter().enumerate())
             .map(|(n, w)| RelayedHeartbeat {
                 id: w.ticket.map_or(0, |_| n as u64 + 1),
                 heartbeat: w.heartbeat.clone(),
@@ -406,7 +406,7 @@
             number,
             at: now,
             to: leader.clone(),
-            reports,
+            heartbeats,
         });
         self.effects.push(Effect::HeartbeatBatch {
             peer: leader,
@@ -435,19 +435,19 @@
                 self.relay.retry_not_before = Some(now + wait.min(MAX_BACK_OFF));
             }
             tracing::debug!("{} gives no answer for our workers", sent.to);
-            return self.requeue_heartbeats(sent.reports);
+            return self.requeue_heartbeats(sent.heartbeats);
         };
         self.relay.failures = 0;
         self.relay.retry_not_before = None;
         self.peer_reachable_at = now;
         if answer.refused {
             self.relay.retry_not_before = Some(now + REFUSED);
-            return self.requeue_heartbeats(sent.reports);
+            return self.requeue_heartbeats(sent.heartbeats);
         }
         // It does not lead, or not yet, or not any more.
         let succeeded = (self.relay.grant).is_some_and(|g| g.term > answer.term);
         if answer.grant.is_zero() || succeeded {
-            return self.requeue_heartbeats(sent.reports);
+            return self.requeue_heartbeats(sent.heartbeats);
         }
         let held = HeldGrant::new(answer.term, sent.at, answer.grant);
         self.members
@@ -466,15 +466,15 @@
         }
         if self.relay.registered_term != answer.term {
             self.relay.registered_term = answer.term;
-            self.begin_token_probes(answer.term, &sent.reports);
+            self.begin_token_probes(answer.term, &sent.heartbeats);
         }
         for (id, addr) in answer.probes {
-            let session = self.relay.workers.get(&id).map_or(0, |w| w.incarnation);
-            self.relay.pending_probes.push((id, session, addr));
+            let incarnation = self.relay.workers.get(&id).map_or(0, |w| w.incarnation);
+            self.relay.pending_probes.push((id, incarnation, addr));
         }
         let mut told: BTreeMap<u64, RelayedResponse> =
             answer.responses.into_iter().map(|t| (t.id, t)).collect();
-        for (n, w) in sent.reports.into_iter().enumerate() {
+        for (n, w) in sent.heartbeats.into_iter().enumerate() {
             let Some(ticket) = w.ticket else { continue };
             match told.remove(&(n as u64 + 1)) {
                 Some(t) => self.deliver_response(ticket, w, t.outcome, held),
@@ -528,8 +528,8 @@
     }
 
     /// Reports whose frame came to nothing wait on, or their workers are led to the leader.
-    fn requeue_heartbeats(&mut self, reports: Vec<Waiting>) {
-        self.relay.waiting.put_back(reports);
+    fn requeue_heartbeats(&mut self, heartbeats: Vec<Waiting>) {
+        self.relay.waiting.put_back(heartbeats);
         if !self.may_wait_for_leader() {
             for w in self.relay.waiting.take_all() {
                 if let Some(ticket) = w.ticket {
@@ -574,7 +574,7 @@
         };
         let token = grant.term << crate::core::machines::machine::TOKEN_EPOCH_BITS;
         while self.relay.probes_in_flight < MAX_DIRECT_CALLS
-            && let Some((id, session, addr)) = self.relay.pending_probes.pop()
+            && let Some((id, incarnation, addr)) = self.relay.pending_probes.pop()
         {
             let seen = |w: &Worker| w.fencing_token >= token;
             if self.relay.workers.get(&id).is_some_and(seen) {
@@ -582,12 +582,12 @@
             }
             let Ok(addr) = addr.parse() else { continue };
             // Of a worker that never reported here, the session is not known.
-            let request = if session == 0 {
+            let request = if incarnation == 0 {
                 DirectRequest::Status { token }
             } else {
                 DirectRequest::Commands(DirectCommands {
                     fencing_token: token,
-                    incarnation: session,
+                    incarnation: incarnation,
                     commands: Vec::new(),
                 })
             };
@@ -605,22 +605,22 @@
     /// A worker's answer to the token; without one, the leader is told, and asks it once more.
     pub(in crate::core) fn token_probe_answered(&mut self, id: &MachineId, outcome: DirectOutcome) {
         self.relay.probes_in_flight = self.relay.probes_in_flight.saturating_sub(1);
-        let DirectOutcome::Heartbeat { report, .. } = outcome else {
+        let DirectOutcome::Heartbeat { heartbeat, .. } = outcome else {
             self.relay.unanswered_probes.push(id.clone());
             return;
         };
-        if report.machine != *id || !self.relay.waiting.has_room(&self.settings) {
+        if heartbeat.machine != *id || !self.relay.waiting.has_room(&self.settings) {
             return;
         }
         if let Some(w) = self.relay.workers.get_mut(id)
-            && report.incarnation == w.incarnation
+            && heartbeat.incarnation == w.incarnation
         {
-            w.sequence = w.sequence.max(report.sequence);
-            w.fencing_token = w.fencing_token.max(report.fencing_token);
+            w.sequence = w.sequence.max(heartbeat.sequence);
+            w.fencing_token = w.fencing_token.max(heartbeat.fencing_token);
         }
         self.relay.waiting.push(Waiting {
             ticket: None,
-            heartbeat: report,
+            heartbeat: heartbeat,
             received: self.now.mono,
         });
     }
--- a/src/fault_injection.rs
+++ b/src/fault_injection.rs
@@ -70,12 +70,12 @@
 
 /// Whether a guard is in force.
 #[cfg(test)]
-pub fn stands(guard: Safeguard) -> bool {
+pub fn is_enabled(guard: Safeguard) -> bool {
     OUT.get() != Some(guard)
 }
 
 #[cfg(not(test))]
 #[inline(always)]
-pub fn stands(_: Safeguard) -> bool {
+pub fn is_enabled(_: Safeguard) -> bool {
     true
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -354,8 +354,8 @@
         } => {
             burlusher::logging::start(log_format, std::env::var("LOG_LEVEL").ok().as_deref())?;
             let settings = Settings::load(&config)?;
-            let archivist = Snapshotter::open(settings.store_addr, &dir);
-            archivist
+            let snapshotter = Snapshotter::open(settings.store_addr, &dir);
+            snapshotter
                 .map_err(|e| format!("{}: {e}", dir.display()))?
                 .run()
         }
--- a/src/peer/heartbeat_batch.rs
+++ b/src/peer/heartbeat_batch.rs
@@ -125,20 +125,20 @@
     number: U64,
     answered: U64,
     term: U64,
-    abilities: U32,
+    capabilities: U32,
     load: U32,
     to_show: U32,
     mine: U32,
     failed: U32,
     heard: U32,
-    reports: U32,
+    heartbeats: U32,
 }
 
 #[derive(FromBytes, IntoBytes, Immutable, KnownLayout, Unaligned)]
 #[repr(C)]
 struct AnsweredHeartbeatHeader {
-    session: U64,
-    seq: U64,
+    incarnation: U64,
+    sequence: U64,
     age_ms: U32,
 }
 
@@ -146,8 +146,8 @@
 #[repr(C)]
 struct HeartbeatHeader {
     name: U64,
-    session: U64,
-    seq: U64,
+    incarnation: U64,
+    sequence: U64,
     token: U64,
     notice_ms: U32,
     rows: U32,
@@ -200,7 +200,7 @@
 #[derive(FromBytes, IntoBytes, Immutable, KnownLayout, Unaligned)]
 #[repr(C)]
 struct MemberStatusHeader {
-    abilities: U32,
+    capabilities: U32,
     load: U32,
     age_ms: U32,
 }
@@ -345,13 +345,13 @@
         number: U64::new(s.number),
         answered: U64::new(s.acknowledged),
         term: U64::new(s.term),
-        abilities: U32::new(s.capabilities),
+        capabilities: U32::new(s.capabilities),
         load: U32::new(s.load),
         to_show: U32::new(s.pending_probes),
         mine: count(s.served.len()),
         failed: count(s.unanswered_probes.len()),
         heard: count(s.answered.len()),
-        reports: count(s.heartbeats.len()),
+        heartbeats: count(s.heartbeats.len()),
     });
     out.text(&s.from);
     for id in s.served.iter().chain(&s.unanswered_probes) {
@@ -359,8 +359,8 @@
     }
     for h in &s.answered {
         out.put(&AnsweredHeartbeatHeader {
-            session: U64::new(h.incarnation),
-            seq: U64::new(h.sequence),
+            incarnation: U64::new(h.incarnation),
+            sequence: U64::new(h.sequence),
             age_ms: ms(h.age),
         });
         out.text(&h.machine);
@@ -369,8 +369,8 @@
         let notice = |s: f64| ms(Duration::from_secs_f64(s.clamp(0.0, 1e6)));
         out.put(&HeartbeatHeader {
             name: U64::new(*id),
-            session: U64::new(r.incarnation),
-            seq: U64::new(r.sequence),
+            incarnation: U64::new(r.incarnation),
+            sequence: U64::new(r.sequence),
             token: U64::new(r.fencing_token),
             notice_ms: r
                 .reclaim_in_s
@@ -413,21 +413,21 @@
             task: b.text()?.to_string(),
         })
     })?;
-    let report = Heartbeat {
+    let heartbeat = Heartbeat {
         machine: machine.into(),
         addr,
         machine_type: kind,
         zone,
         spot: f.spot != 0,
-        incarnation: f.session.get(),
-        sequence: f.seq.get(),
+        incarnation: f.incarnation.get(),
+        sequence: f.sequence.get(),
         fencing_token: f.token.get(),
         reclaim_in_s: (f.notice_ms.get() != NONE).then(|| span(f.notice_ms).as_secs_f64()),
         tasks: rows,
     };
     Some(RelayedHeartbeat {
         id: f.name.get(),
-        heartbeat: Box::new(report),
+        heartbeat: Box::new(heartbeat),
     })
 }
 
@@ -439,7 +439,7 @@
         number: f.number.get(),
         acknowledged: f.answered.get(),
         term: f.term.get(),
-        capabilities: f.abilities.get(),
+        capabilities: f.capabilities.get(),
         load: f.load.get(),
         pending_probes: f.to_show.get(),
         from: b.text()?.to_string(),
@@ -448,13 +448,13 @@
         answered: b.list(f.heard, |b| {
             let h = b.get::<AnsweredHeartbeatHeader>()?;
             Some(AnsweredHeartbeat {
-                incarnation: h.session.get(),
-                sequence: h.seq.get(),
+                incarnation: h.incarnation.get(),
+                sequence: h.sequence.get(),
                 age: span(h.age_ms),
                 machine: b.text()?.into(),
             })
         })?,
-        heartbeats: b.list(f.reports, decode_report)?,
+        heartbeats: b.list(f.heartbeats, decode_report)?,
     };
     b.0.is_empty().then_some(sync)
 }
@@ -523,7 +523,7 @@
     }
     for m in &s.members {
         out.put(&MemberStatusHeader {
-            abilities: U32::new(m.capabilities),
+            capabilities: U32::new(m.capabilities),
             load: U32::new(m.load),
             age_ms: ms(m.age),
         });
@@ -584,7 +584,7 @@
         members: b.list(f.members, |b| {
             let m = b.get::<MemberStatusHeader>()?;
             Some(MemberStatus {
-                capabilities: m.abilities.get(),
+                capabilities: m.capabilities.get(),
                 load: m.load.get(),
                 age: span(m.age_ms),
                 name: b.text()?.to_string(),
--- a/src/peer/heartbeat_batch/tests.rs
+++ b/src/peer/heartbeat_batch/tests.rs
@@ -13,7 +13,7 @@
         cause: why,
         checkpointed: saved,
     };
-    let report = Heartbeat {
+    let heartbeat = Heartbeat {
         machine: "i-000001".into(),
         addr: "10.0.0.1:9000".into(),
         machine_type: "g8".into(),
@@ -47,7 +47,7 @@
         }],
         heartbeats: vec![RelayedHeartbeat {
             id: 3,
-            heartbeat: Box::new(report),
+            heartbeat: Box::new(heartbeat),
         }],
     };
     let bytes = body(&encode_sync(&sync));
@@ -161,7 +161,7 @@
         cause: None,
         checkpointed: None,
     };
-    let report = |rows| RelayedHeartbeat {
+    let heartbeat = |rows| RelayedHeartbeat {
         id: 1,
         heartbeat: Box::new(Heartbeat {
             machine: machine(1),
@@ -182,7 +182,7 @@
         served: names(),
         unanswered_probes: names(),
         answered: (0..most_heard).map(heard).collect(),
-        heartbeats: vec![report(crate::http::MAX_BODY / bytes_of_row)],
+        heartbeats: vec![heartbeat(crate::http::MAX_BODY / bytes_of_row)],
         ..HeartbeatBatch::default()
     };
     assert!(sync.served.len() > 2000 && sync.answered.len() > 4000);
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -265,19 +265,19 @@
 
 fn decode_awaiting(body: &[u8]) -> Option<JobSpec> {
     let (count, mut rest) = U32::ref_from_prefix(body).ok()?;
-    let mut awaits: Vec<JobId> = Vec::new();
+    let mut dependencies: Vec<JobId> = Vec::new();
     for _ in 0..count.get() {
         let (len, tail) = U32::ref_from_prefix(rest).ok()?;
         rest = tail;
         let id = text(&mut rest, len.get())?;
-        if !crate::wire::is_job_id(&id) || awaits.last().is_some_and(|last| **last >= *id) {
+        if !crate::wire::is_job_id(&id) || dependencies.last().is_some_and(|last| **last >= *id) {
             return None;
         }
-        awaits.push(id.into());
+        dependencies.push(id.into());
     }
     let spec = decode_spec(rest)?;
     Some(JobSpec {
-        dependencies: awaits,
+        dependencies: dependencies,
         ..spec
     })
 }
--- a/src/planning/cluster_snapshot.rs
+++ b/src/planning/cluster_snapshot.rs
@@ -2,7 +2,7 @@
 //! machine. The owner puts a machine again whenever something about it changed, so a step costs
 //! what changed and what is looked for, not all there is.
 
-use crate::fault_injection::{Safeguard, stands};
+use crate::fault_injection::{Safeguard, is_enabled};
 use crate::job::{JobSpec, MachineId, Priority, Resources, TaskId};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,7 +14,7 @@
 
 /// Whether a job may use machines of this kind, in this zone, ordinary or spot.
 pub fn allows(spec: &JobSpec, (kind, zone, spot): &Offer) -> bool {
-    (spec.spot || !spot || !stands(Safeguard::Spot))
+    (spec.spot || !spot || !is_enabled(Safeguard::Spot))
         && spec.allows_type(kind)
         && spec.allows_zone(zone)
 }
--- a/src/service.rs
+++ b/src/service.rs
@@ -184,8 +184,8 @@
         if let Some((items, revision)) = snapshotter::remembered(dir)? {
             core.remember(items, revision);
         }
-        let mut archivist = Snapshotter::open(state_addr, dir)?;
-        spawn("archivist", move || archivist.run())?;
+        let mut snapshotter = Snapshotter::open(state_addr, dir)?;
+        spawn("archivist", move || snapshotter.run())?;
     }
     own(core, &inbox_side, outbox)
 }
@@ -539,15 +539,15 @@
                 },
                 Some(id) => match client.renew(id) {
                     Ok(true) => {
-                        let stands = keeper.confirm_leadership(&mut client, &inbox);
+                        let is_enabled = keeper.confirm_leadership(&mut client, &inbox);
                         // Refused for the service's limit, say: the leader's word waits for it.
-                        if stands.is_none() && lock(&keeper.stand).is_some() {
+                        if is_enabled.is_none() && lock(&keeper.stand).is_some() {
                             pause = Duration::from_millis(150);
                         }
                         inbox.put(Command::LeaseRenewed {
                             lease: id,
                             sent,
-                            confirmed_key_version: stands,
+                            confirmed_key_version: is_enabled,
                         });
                     }
                     Ok(false) => {
--- a/src/service/inbox.rs
+++ b/src/service/inbox.rs
@@ -53,7 +53,7 @@
     tickets: AtomicU64,
     /// Who waits for an answer of the owner.
     waiting: Mutex<BTreeMap<Ticket, Waiting>>,
-    reports: AdmissionGate<RawReport>,
+    heartbeats: AdmissionGate<RawReport>,
     renewal: LeaseRenewalPriority,
     answer_timeout: Duration,
 }
@@ -72,7 +72,7 @@
                 filled: Condvar::new(),
                 tickets: AtomicU64::new(1),
                 waiting: Mutex::default(),
-                reports: AdmissionGate::new(REPORTS_AT_A_TIME),
+                heartbeats: AdmissionGate::new(REPORTS_AT_A_TIME),
                 renewal: LeaseRenewalPriority::new(),
                 answer_timeout,
             }),
@@ -139,31 +139,35 @@
     }
 
     /// Passes a worker's report on as soon as there is a place for it.
-    pub fn report(&self, body: Vec<u8>, responder: Responder) {
+    pub fn heartbeat(&self, body: Vec<u8>, responder: Responder) {
         let bytes = body.len();
-        let report = RawReport { body, responder };
-        match self.shared.reports.enter(report, bytes, Instant::now()) {
-            Entry::Inside(report) => {
-                if !self.forward_request(report) {
+        let heartbeat = RawReport { body, responder };
+        match self
+            .shared
+            .heartbeats
+            .enter(heartbeat, bytes, Instant::now())
+        {
+            Entry::Inside(heartbeat) => {
+                if !self.forward_request(heartbeat) {
                     self.leave_gate();
                 }
             }
             Entry::Waits => {}
-            Entry::Full(report) => report.responder.answer(&overloaded()),
+            Entry::Full(heartbeat) => heartbeat.responder.answer(&overloaded()),
         }
     }
 
     /// Reads a report that has a place at the gate. False: it was answered at once.
-    fn forward_request(&self, report: RawReport) -> bool {
-        let RawReport { body, responder } = report;
-        let report = match serde_json::from_slice(&body) {
-            Ok(report) => report,
+    fn forward_request(&self, heartbeat: RawReport) -> bool {
+        let RawReport { body, responder } = heartbeat;
+        let heartbeat = match serde_json::from_slice(&body) {
+            Ok(heartbeat) => heartbeat,
             Err(e) => {
                 responder.answer(&Answer::error(400, &e.to_string()));
                 return false;
             }
         };
-        let command = |ticket| Command::Heartbeat { ticket, report };
+        let command = |ticket| Command::Heartbeat { ticket, heartbeat };
         match self.enqueue(command, Reply::Heartbeat(responder)) {
             Ok(_) => true,
             Err((reply, answer)) => {
@@ -177,7 +181,7 @@
 
     /// Gives a report's place to those that wait, until one of them needs it for longer.
     fn leave_gate(&self) {
-        while let Some(next) = self.shared.reports.leave() {
+        while let Some(next) = self.shared.heartbeats.leave() {
             if self.forward_request(next) {
                 return;
             }
@@ -211,8 +215,8 @@
     /// Answers those who have waited for too long.
     pub fn give_up_late(&self, now: Instant) {
         let longest = self.shared.answer_timeout;
-        for report in self.shared.reports.take_late(now, longest) {
-            report.responder.answer(&overloaded());
+        for heartbeat in self.shared.heartbeats.take_late(now, longest) {
+            heartbeat.responder.answer(&overloaded());
         }
         for waiting in self.take_unanswered(now) {
             self.complete(waiting.reply, no_answer());
--- a/src/service/routes.rs
+++ b/src/service/routes.rs
@@ -131,7 +131,7 @@
         let public = Reply::Public;
         match (request.method.as_str(), path_of(&request)) {
             ("GET", PATH_READY) => responder.answer(&self.health()),
-            ("POST", PATH_HEARTBEAT) => self.inbox.report(request.body, responder),
+            ("POST", PATH_HEARTBEAT) => self.inbox.heartbeat(request.body, responder),
             ("POST", PATH_JOBS) => self.submit(&request.body, responder),
             ("GET", PATH_STATUS) => self.inbox.ask(Command::Status, public(responder)),
             ("POST", PATH_SETTLE) => self.inbox.ask(Command::Settle, public(responder)),
--- a/src/service/tests.rs
+++ b/src/service/tests.rs
@@ -21,10 +21,10 @@
     Command::User(request)
 }
 
-fn report() -> Command {
+fn heartbeat() -> Command {
     Command::Heartbeat {
         ticket: 0,
-        report: serde_json::from_str(REPORT).unwrap(),
+        heartbeat: serde_json::from_str(REPORT).unwrap(),
     }
 }
 
@@ -33,7 +33,7 @@
 fn neither_reports_nor_questions_keep_what_is_urgent_waiting() {
     let mut lanes = Lanes::default();
     for _ in 0..1000 {
-        lanes.put(report());
+        lanes.put(heartbeat());
         lanes.put(user(1, Ask::Show("wk-1".into())));
     }
     lanes.put(user(2, Ask::Cancel("wk-1".into())));
@@ -147,7 +147,7 @@
 fn who_gets_no_answer_is_told_to_come_back() {
     let front = Front::new(2000);
     let count = PLACES + 10;
-    let reports: Vec<TcpStream> = (0..count)
+    let heartbeats: Vec<TcpStream> = (0..count)
         .map(|_| front.send("POST", wire::PATH_HEARTBEAT, REPORT))
         .collect();
     front.reports_arrive(PLACES);
@@ -161,7 +161,7 @@
     front.inbox.give_up_late(Instant::now());
     assert_eq!(front.inbox.next(Duration::ZERO).len(), 1 + SHARES[2]);
     front.inbox.give_up_late(Instant::now() + PATIENCE);
-    let answers: Vec<String> = reports.into_iter().map(read).collect();
+    let answers: Vec<String> = heartbeats.into_iter().map(read).collect();
     let told = |text: &str| {
         let busy = |a: &&String| a.starts_with("HTTP/1.1 503") && a.contains("Retry-After: 1\r\n");
         answers
--- a/src/snapshotter.rs
+++ b/src/snapshotter.rs
@@ -247,13 +247,13 @@
 }
 
 pub fn summary(image: &Image) -> Summary {
-    let mut mirror = StoreCache::default();
-    mirror.reset(items(image), image.revision);
+    let mut store_cache = StoreCache::default();
+    store_cache.reset(items(image), image.revision);
     Summary {
-        live: mirror.jobs.keys().map(|id| id.to_string()).collect(),
-        ended: mirror.finished.len(),
-        machines: mirror.machines.len(),
-        term: mirror.term,
+        live: store_cache.jobs.keys().map(|id| id.to_string()).collect(),
+        ended: store_cache.finished.len(),
+        machines: store_cache.machines.len(),
+        term: store_cache.term,
     }
 }
 
@@ -261,13 +261,13 @@
 pub fn offers(listed: &Listed) -> Result<Vec<SnapshotPage>, String> {
     let line = (listed.line.as_ref())
         .map_err(|faults| format!("{}: nothing to be read: {faults:?}", listed.name))?;
-    let mut mirror = StoreCache::default();
-    mirror.reset(items(&line.image), line.image.revision);
+    let mut store_cache = StoreCache::default();
+    store_cache.reset(items(&line.image), line.image.revision);
     let mut out: Vec<SnapshotPage> = Vec::new();
     let mut after = String::new();
     loop {
         // Large jobs are whole in it, whatever the parts in which they were stored.
-        let (items, more) = mirror.memory(&after, OFFERED);
+        let (items, more) = store_cache.memory(&after, OFFERED);
         if let Some((key, _)) = items.last() {
             after = key.clone();
         }
--- a/src/worker_client.rs
+++ b/src/worker_client.rs
@@ -21,7 +21,7 @@
 pub enum DirectOutcome {
     /// The worker's report after the commands; `executed` is false if it refused them all.
     Heartbeat {
-        report: Box<Heartbeat>,
+        heartbeat: Box<Heartbeat>,
         executed: bool,
     },
     /// The request never left, so nothing will come of it.
@@ -32,8 +32,8 @@
 
 fn parse(status: u16, body: &[u8]) -> DirectOutcome {
     match (status, serde_json::from_slice::<Heartbeat>(body)) {
-        (200 | 409, Ok(report)) => DirectOutcome::Heartbeat {
-            report: Box::new(report),
+        (200 | 409, Ok(heartbeat)) => DirectOutcome::Heartbeat {
+            heartbeat: Box::new(heartbeat),
             executed: status == 200,
         },
         (400, _) => DirectOutcome::NotSent("refused as malformed".into()),
@@ -57,16 +57,17 @@
         DirectRequest::Status { token } => {
             // An empty list of commands has no effect but the token's. Most workers are in their
             // first session; one that is not answers with its report, which says which it is in.
-            let show = |session| DirectCommands {
+            let show = |incarnation| DirectCommands {
                 fencing_token: *token,
-                incarnation: session,
+                incarnation: incarnation,
                 commands: Vec::new(),
             };
             match command(&mut http, &show(1)) {
-                DirectOutcome::Heartbeat { report, executed }
-                    if !executed && report.incarnation > 1 =>
-                {
-                    command(&mut http, &show(report.incarnation))
+                DirectOutcome::Heartbeat {
+                    heartbeat,
+                    executed,
+                } if !executed && heartbeat.incarnation > 1 => {
+                    command(&mut http, &show(heartbeat.incarnation))
                 }
                 other => other,
             }
