--- a/src/core/simulation/cloud.rs
+++ b/src/core/simulation/cloud.rs
@@ -5,6 +5,7 @@
 use crate::wire::{ListedMachine, ListedState};
 
 impl Simulation {
+    /// What a call to the cloud comes to.
     pub(super) fn call_cloud(&mut self, request: CloudRequest) -> CloudOutcome {
         self.counters.cloud_calls += 1;
         if self.faults.cloud_down {
--- a/src/core/simulation/cluster.rs
+++ b/src/core/simulation/cluster.rs
@@ -20,20 +20,25 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime};
 
+/// How much time passes between two steps of a controller.
 pub const TICK: Duration = Duration::from_millis(50);
 
 /// How many controllers there are, and what a cancellation may take.
 #[derive(Clone, Copy, Debug)]
 pub struct Setup {
+    /// Controllers.
     pub nodes: usize,
+    /// The longest that tasks of a cancelled job may be left on machines.
     pub cancel: Duration,
 }
 
+/// What most tests use.
 pub const SETUP: Setup = Setup {
     nodes: 3,
     cancel: Duration::from_secs(20),
 };
 
+/// The settings of a controller of that name.
 pub fn settings(name: &str, setup: Setup) -> Settings {
     let peers: Vec<serde_json::Value> = (0..setup.nodes)
         .map(|n| format!("n{n}"))
@@ -60,14 +65,19 @@
     Settings::parse(&text.to_string()).unwrap()
 }
 
+/// A simulated controller and its connections.
 pub struct Node {
+    /// What is tested.
     pub core: Core,
+    /// Its process runs.
     pub up: bool,
+    /// How its calls to the state service go.
     pub state: Link,
+    /// It and the other controllers reach one another.
     pub peers_reachable: bool,
-    /// Its watch of the state service is delayed.
+    /// Nothing of its watch of the state service reaches it.
     pub watch_delayed: bool,
-    /// It stands still, while what is sent to it waits.
+    /// It makes no step, while what is sent to it waits.
     pub paused: bool,
     /// Processor time that its steps took.
     pub busy: Duration,
@@ -85,8 +95,10 @@
     pub(super) restart_at: Option<Instant>,
 }
 
+/// The cluster, everything around it, and what is known of the run so far.
 pub struct Simulation {
     pub setup: Setup,
+    /// Virtual time.
     pub now: Instant,
     pub(super) start: Instant,
     pub nodes: Vec<Node>,
@@ -95,15 +107,20 @@
     pub faults: Faults,
     pub checker: Checker,
     pub counters: Counters,
+    /// Machines that exist, each with its worker.
     pub workers: BTreeMap<MachineId, Worker>,
+    /// Machine types that the cloud offers.
     pub types: Vec<MachineType>,
+    /// How many machines of each type can still be rented, spot ones apart.
     pub capacity: BTreeMap<(String, bool), u32>,
     pub(super) rentals: BTreeMap<String, Vec<MachineId>>,
     pub(super) next_machine: u32,
     pub(super) next_ticket: Ticket,
     /// Users ask every controller at once, and repeat the submission, as soon as a job is accepted or over.
     pub query_after_answers: bool,
+    /// The policy of controllers that start from now on.
     pub policy: Arc<Policy>,
+    /// Jobs whose tasks fail wherever they start.
     pub broken_jobs: BTreeSet<String>,
     /// How long a rented machine takes until it is up.
     pub boot_time: Duration,
@@ -114,7 +131,7 @@
     pub(super) rng: SmallRng,
 }
 
-/// With `LOG_LEVEL` set, the log of a story is printed, for whoever looks into one.
+/// With `LOG_LEVEL` set, the log of a scenario is printed.
 pub fn enable_log() {
     if let Ok(level) = std::env::var("LOG_LEVEL") {
         let _ = crate::logging::start(crate::logging::LogFormat::Text, Some(&level));
@@ -122,14 +139,17 @@
 }
 
 impl Simulation {
+    /// Three controllers with the built-in policy; no machine is rented yet.
     pub fn new(seed: u64) -> Simulation {
         Simulation::with_policy(seed, Policy::built_in())
     }
 
+    /// The same with another policy.
     pub fn with_policy(seed: u64, policy: Policy) -> Simulation {
         Simulation::with_setup(seed, policy, SETUP)
     }
 
+    /// The same with another setup as well.
     pub fn with_setup(seed: u64, policy: Policy, setup: Setup) -> Simulation {
         let now = Instant::now();
         let mut simulation = Simulation {
@@ -202,6 +222,7 @@
         ticket
     }
 
+    /// What a controller's clocks show now.
     pub(super) fn clock(&self) -> Now {
         let wall = Duration::from_secs(1_700_000_000) + (self.now - self.start);
         Now {
@@ -210,6 +231,7 @@
         }
     }
 
+    /// A controller that has just started.
     pub(super) fn fresh_node(&mut self, i: usize) -> Node {
         let s = Arc::new(settings(&format!("n{i}"), self.setup));
         let nonce = self.rng.random();
@@ -233,10 +255,12 @@
         }
     }
 
+    /// A number below `n`.
     pub fn random(&mut self, n: usize) -> usize {
         self.rng.random_range(0..n)
     }
 
+    /// The controller that leads now.
     pub fn leader(&self) -> Option<usize> {
         (0..self.nodes.len()).find(|i| self.nodes[*i].up && self.nodes[*i].core.leads())
     }
@@ -283,6 +307,7 @@
         id
     }
 
+    /// Lets so many seconds pass.
     pub fn run(&mut self, seconds: f64) {
         let ticks = (seconds / TICK.as_secs_f64()).round() as u32;
         for _ in 0..ticks {
@@ -340,6 +365,7 @@
         self.check_starvation();
     }
 
+    /// Starts a controller again whose time has come.
     fn restart_if_due(&mut self, i: usize) {
         if self.nodes[i].restart_at.is_some_and(|t| t <= self.now) {
             let (state, peers) = (self.nodes[i].state, self.nodes[i].peers_reachable);
@@ -349,6 +375,7 @@
         }
     }
 
+    /// Hands a controller what has arrived, and carries out what it decides.
     fn step_controller(&mut self, i: usize) {
         let commands = std::mem::take(&mut self.nodes[i].inbox);
         let clock = self.clock();
@@ -363,6 +390,7 @@
         }
     }
 
+    /// Renews a controller's lease at the state service, or takes one, every 600 ms.
     pub(super) fn keep_lease(&mut self, i: usize) {
         let now = self.now;
         let node = &mut self.nodes[i];
@@ -411,6 +439,7 @@
         }
     }
 
+    /// Tells a controller what has changed in the state service.
     pub(super) fn deliver_watch(&mut self, i: usize) {
         let node = &mut self.nodes[i];
         if !node.up || self.faults.store_outage || !node.state.reads() || node.watch_delayed {
--- /dev/null
+++ b/src/core/simulation/disabled_guard.rs
@@ -0,0 +1,27 @@
+//! Scenarios played with a guard taken out of the program, to show that the rule which it keeps is
+//! checked.
+
+use crate::guard::{Guard, OUT};
+use std::any::Any;
+use std::panic::{AssertUnwindSafe, catch_unwind};
+
+/// What a scenario fails with when a guard is taken out, if it does.
+pub fn failure_without(guard: Guard, scenario: impl FnOnce()) -> Option<String> {
+    OUT.set(Some(guard));
+    let failure = catch_unwind(AssertUnwindSafe(scenario)).err();
+    OUT.set(None);
+    failure.and_then(message)
+}
+
+/// Fails unless a scenario breaks this rule when a guard is taken out.
+pub fn fails_without(guard: Guard, rule: &str, scenario: impl FnOnce()) {
+    let said = failure_without(guard, scenario);
+    let said = said.unwrap_or_else(|| panic!("{guard:?} is out, and nothing is found"));
+    assert!(said.contains(rule), "{guard:?} is out: {said}");
+}
+
+/// The message of a panic.
+fn message(panic: Box<dyn Any + Send>) -> Option<String> {
+    let text = panic.downcast_ref::<&str>().map(|s| s.to_string());
+    text.or_else(|| panic.downcast::<String>().ok().map(|s| *s))
+}
--- a/src/core/simulation/faults.rs
+++ b/src/core/simulation/faults.rs
@@ -59,6 +59,7 @@
 }
 
 impl Simulation {
+    /// A controller ends, and starts again after this time.
     pub fn kill(&mut self, i: usize, restart_after: Duration) {
         self.checker.survivors.remove(&i);
         if let Some(memories) = &mut self.checker.complete_replicas {
@@ -113,7 +114,7 @@
         }
     }
 
-    /// The state service has lost everything; nobody is told.
+    /// The state service loses everything, and no controller is notified.
     pub fn lose_state(&mut self) {
         self.restore(&Backup(StateService {
             limits: self.state.limits,
@@ -186,13 +187,14 @@
         self.nodes[node].seen = None;
     }
 
-    /// A node reads all there is, and the answer is long under way: until `list_comes`, nothing else
+    /// A node reads all there is, and the answer is long under way: until `finish_listing`, nothing else
     /// reaches its copy.
     pub fn begin_listing(&mut self, node: usize) {
         self.nodes[node].reading = Some((self.state.items(), self.state.revision));
         self.nodes[node].watch_delayed = true;
     }
 
+    /// The answer to `begin_listing` arrives.
     pub fn finish_listing(&mut self, node: usize) {
         let n = &mut self.nodes[node];
         if let Some((items, revision)) = n.reading.take() {
--- a/src/core/simulation/mixed_versions.rs
+++ b/src/core/simulation/mixed_versions.rs
@@ -1,4 +1,4 @@
-//! Stories of an upgrade: this version and the one named as `production` in `deploy/service.toml`
+//! Upgrades: this version and the one named as `production` in `deploy/service.toml`
 //! serve side by side, and each works on what the other wrote. The literals here were written by
 //! that version's own encoders.
 
@@ -176,7 +176,7 @@
     assert_eq!(peer::encode_answer(&answer), bytes(ANSWER_FRAME));
 }
 
-/// A world in which production has served so far: its term, machines on pages as large as its
+/// A cluster in which production has served so far: its term, machines on pages as large as its
 /// limit allowed, and one job.
 fn cluster_after_production(
     seed: u64,
@@ -324,7 +324,7 @@
     }
 }
 
-/// A world with its leader, and a job that awaits hundreds of others, all done but `wk-1`, and so
+/// A cluster with its leader, and a job that awaits hundreds of others, all done but `wk-1`, and so
 /// fits into no value.
 fn with_large_job(seed: u64) -> (Simulation, usize, crate::job::JobSpec) {
     let mut simulation = cluster_after_production(seed, 4, None);
--- a/src/core/simulation/network.rs
+++ b/src/core/simulation/network.rs
@@ -172,6 +172,7 @@
         self.nodes[to].up && self.connected(from, to)
     }
 
+    /// Passes a user's request on to another controller.
     fn forward_request(&mut self, from: usize, ticket: Ticket, peer: String, request: PeerRequest) {
         let to = node_of(&peer);
         if !self.reaches(from, to) {
@@ -198,6 +199,7 @@
         }));
     }
 
+    /// Hands a frame of a controller that serves workers to the leader.
     fn send_sync(&mut self, from: usize, peer: &str, number: u64, frame: &[u8]) {
         let to = node_of(peer);
         if !self.reaches(from, to) {
@@ -214,6 +216,7 @@
         self.nodes[to].inbox.push(Command::Sync { ticket, sync });
     }
 
+    /// Asks another controller what it remembers.
     fn send_recall(&mut self, from: usize, peer: String, recall: Recall) {
         let to = node_of(&peer);
         if !self.reaches(from, to) {
@@ -233,6 +236,7 @@
             .push(Command::Recall { ticket, recall });
     }
 
+    /// Calls the state service; the answer may come later.
     fn send_to_store(&mut self, from: usize, call: CallId, request: &StateRequest) {
         let lost = self.counters.answers_lost;
         let outcome = self.call_state(from, request);
@@ -249,6 +253,7 @@
         self.network.delayed_answers.push((at, from, answer));
     }
 
+    /// Calls the cloud.
     fn send_to_cloud(
         &mut self,
         from: usize,
@@ -266,6 +271,7 @@
             .push(Command::Cloud { call, outcome });
     }
 
+    /// Calls a worker directly.
     fn send_to_worker(&mut self, from: usize, call: CallId, request: DirectRequest) {
         // All workers share an address here; the call's machine is the core's own note.
         let id = match self.nodes[from].core.pending.get(&call) {
--- a/src/core/simulation/randomized.rs
+++ b/src/core/simulation/randomized.rs
@@ -1,18 +1,21 @@
-//! Generated histories: random cuts, holds, freezes, ends and moves over three controllers that take
-//! reports for one another, with the rules checked at each step of the world. `proptest` makes them from
-//! a fixed seed, so that the verdict is always the same, and shrinks one that breaks a rule to the
-//! fewest troubles; such a one becomes a story. `HISTORIES=10000 cargo test histories` plays more, and
-//! `HISTORY_SEED=1` others.
+//! Randomized schedules of faults over three controllers that take reports for one another, with the
+//! rules checked at every tick. `proptest` makes them from a fixed seed, so that the verdict is always
+//! the same, and shrinks one that breaks a rule to the fewest steps; such a one becomes a test of its
+//! own at the end of this file. More of them, or others, are played by
+//!
+//! ```text
+//! HISTORIES=10000 cargo test --lib randomized
+//! HISTORY_SEED=1 cargo test --lib randomized
+//! ```
 
-use crate::core::simulation::{Backup, Link, Simulation};
-use crate::guard::{Guard, OUT};
+use crate::core::simulation::{Backup, Link, Simulation, failure_without};
+use crate::guard::Guard;
 use crate::job::{Kind, sample};
 use crate::policy::Policy;
 use crate::wire::JobState;
 use proptest::prelude::*;
 use proptest::strategy::ValueTree;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::time::Duration;
 
 #[derive(Clone, Debug)]
@@ -443,7 +446,7 @@
         }
     }
     simulation.until(90.0, "the store is whole", Simulation::store_complete);
-    // Each question about an accepted job is answered again 75 s after the last trouble at the latest,
+    // Each question about an accepted job is answered again 75 s after the last fault at the latest,
     // unless the store has lost what only its workers' leases can prove.
     for (n, (id, _)) in accepted.iter().enumerate() {
         let answered = |simulation: &mut Simulation| simulation.show(n % 3, id).0 == 200;
@@ -524,18 +527,15 @@
         (Guard::FreshRead, "was forgotten", 0),
     ];
     for (guard, rule, seed) in FAULTS {
-        OUT.set(Some(guard));
         // Each with a seed that finds it early.
         let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[seed; 32]);
         let mut runner = TestRunner::new_with_rng(Config::default(), rng);
         let schedules = (any::<u64>(), proptest::collection::vec(any_step(), 1..24));
         let found = (0..3000).find_map(|n| {
             let (seed, steps) = schedules.new_tree(&mut runner).ok()?.current();
-            let played = catch_unwind(AssertUnwindSafe(|| run_schedule(seed, &steps)));
-            let said = *played.err()?.downcast::<String>().ok()?;
+            let said = failure_without(guard, || run_schedule(seed, &steps))?;
             said.contains(rule).then_some((n, said))
         });
-        OUT.set(None);
         let (n, said) = found.unwrap_or_else(|| panic!("{guard:?} is out, and nothing is found"));
         println!("{guard:?}: history {n}: {said}");
     }
@@ -552,7 +552,7 @@
     }
 }
 
-/// Found by these histories: all controllers ended, their store was lost a moment after they were back,
+/// Found by these schedules: all controllers ended, their store was lost a moment after they were back,
 /// and was then rolled back to what it held while it was being rebuilt.
 #[test]
 fn store_rolled_back_into_rebuild_is_rebuilt() {
@@ -575,7 +575,7 @@
     );
 }
 
-/// Found by these histories: the store lost its data when one controller was away and another had just begun.
+/// Found by these schedules: the store lost its data when one controller was away and another had just begun.
 #[test]
 fn store_lost_during_restarts_is_rebuilt() {
     crate::core::simulation::enable_log();
@@ -604,7 +604,7 @@
     );
 }
 
-/// Found by these histories: the store was lost and, before it was named again, rolled back to what it had held.
+/// Found by these schedules: the store was lost and, before it was named again, rolled back to what it had held.
 #[test]
 fn store_rolled_back_right_after_loss_is_rebuilt() {
     crate::core::simulation::enable_log();
--- a/src/core/simulation/recorded_decisions.rs
+++ b/src/core/simulation/recorded_decisions.rs
@@ -79,6 +79,7 @@
 }
 
 impl DecisionRecorder {
+    /// Records from now on.
     pub fn new(start: Instant) -> DecisionRecorder {
         let wanted = std::env::var_os(TRANSCRIPT_DIRECTORY).is_some();
         DecisionRecorder {
--- a/src/core/simulation/scale.rs
+++ b/src/core/simulation/scale.rs
@@ -1,4 +1,4 @@
-//! Takeovers against size: how long a new leader takes, and how much it computes, in a world of 1,000 to
+//! Takeovers against size: how long a new leader takes, and how much it computes, in a cluster of 1,000 to
 //! 10,000 machines. Not a part of the tests that everybody runs:
 //!
 //!     cargo test --release --lib takeovers_against_size -- --ignored --nocapture
--- a/src/core/simulation/scenarios/bidding.rs
+++ b/src/core/simulation/scenarios/bidding.rs
@@ -1,5 +1,5 @@
-//! Stories of bidding: zones that drain, rentals without an answer, leaders that die between an
-//! award and what it was for, and ties. The world checks at every tick that no task is in two
+//! Bidding: zones that drain, rentals without an answer, leaders that die between an
+//! award and what it was for, and ties. The simulation checks at every tick that no task is in two
 //! places.
 
 use crate::core::simulation::Simulation;
--- a/src/core/simulation/scenarios/cancellation.rs
+++ b/src/core/simulation/scenarios/cancellation.rs
@@ -1,8 +1,8 @@
 //! Cancellations: one outcome for each, nothing started after it, everything stopped in time.
 
-use super::{eight_machines, fails_without, follower, four_machines, unlimited_job};
+use super::{eight_machines, follower, four_machines, unlimited_job};
 use crate::core::losses::late_cancellations;
-use crate::core::simulation::{Link, Setup, Simulation, settings};
+use crate::core::simulation::{Link, Setup, Simulation, fails_without, settings};
 use crate::guard::Guard;
 use crate::job::{MachineId, sample};
 use crate::policy::Policy;
@@ -22,7 +22,7 @@
     let other = follower(leader);
     let (_, state) = simulation.show(other, "wk-1");
     if state == Some(JobState::Cancelled) {
-        // The old leader may repeat that or say nothing, but not that it runs: `World` checks.
+        // The old leader may repeat that or say nothing, but not that it runs, which is checked.
         simulation.show(leader, "wk-1");
     }
     simulation.nodes[leader].state = Link::Good;
@@ -51,7 +51,7 @@
     assert_eq!(state, Some(JobState::Cancelled));
     simulation.faults.hold_commands = false;
     simulation.run(4.0);
-    // `World` would notice if these pushed the team over its limit or ran after the end.
+    // The simulation fails if these pushed the team over its limit or ran after the end.
     simulation.release();
     simulation.until_done("wk-2", 60.0);
     simulation.run(25.0);
@@ -102,7 +102,7 @@
             simulation.run(1.0);
             simulation.nodes[leader].state = Link::Good;
             simulation.release();
-            // The world fails at two different final answers, at `done` ahead of time, at a 404.
+            // The simulation fails at two different final answers, at `done` ahead of time, at a 404.
             let mut told = None;
             for _ in 0..40 {
                 for node in 0..3 {
--- a/src/core/simulation/scenarios/cancellation_at_handover.rs
+++ b/src/core/simulation/scenarios/cancellation_at_handover.rs
@@ -1,7 +1,7 @@
 //! Cancellations while leadership or workers pass from one controller to another.
 
-use super::{eight_machines, fails_without, unlimited_job};
-use crate::core::simulation::{Link, Setup, Simulation};
+use super::{eight_machines, unlimited_job};
+use crate::core::simulation::{Link, Setup, Simulation, fails_without};
 use crate::guard::Guard;
 use crate::job::sample;
 use crate::policy::Policy;
@@ -325,7 +325,7 @@
         201
     );
     simulation.run(1.0);
-    // The world checks the limit; what is certain to be within it is not held up.
+    // The simulation checks the limit; what is certain to be within it is not held up.
     assert_eq!(
         simulation.places("wk-000001").len(),
         5,
--- a/src/core/simulation/scenarios/delegation.rs
+++ b/src/core/simulation/scenarios/delegation.rs
@@ -1,6 +1,6 @@
-//! Stories of controllers that serve workers for the one that leads: what they may say alone, what
+//! Controllers that serve workers for the one that leads: what they may say alone, what
 //! is taken back, and what becomes of it when one of them is cut off, dies, or is an older version.
-//! The world checks at every tick that no task is in two places.
+//! The simulation checks at every tick that no task is in two places.
 
 use super::unlimited_job;
 use crate::core::simulation::Simulation;
@@ -10,6 +10,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+/// With or without controllers that serve workers for the leader.
 pub fn policy(delegate: bool) -> Policy {
     Policy::with("story", &format!("delegate = {delegate}")).unwrap()
 }
--- a/src/core/simulation/scenarios/dependencies.rs
+++ b/src/core/simulation/scenarios/dependencies.rs
@@ -17,7 +17,7 @@
 #[test]
 fn dependencies_run_in_order_through_takeover() {
     let (mut simulation, leader) = four_machines(40);
-    // `World` checks at every start that all that is awaited is done.
+    // The simulation checks at every start that all that is awaited is done.
     assert_eq!(
         simulation.submit(follower(leader), &after("wk-9", &[], 6, 4)),
         201
@@ -161,7 +161,7 @@
     let other = follower(leader);
     assert_eq!(simulation.show(other, "wk-3").1, Some(JobState::Cancelled));
     assert!(simulation.nodes[leader].core.leads());
-    // `World` would notice if the leader said otherwise from memory.
+    // The simulation fails if the leader said otherwise from memory.
     simulation.show(leader, "wk-3");
     simulation.nodes[leader].state = Link::Refused;
     simulation.show(leader, "wk-3");
--- a/src/core/simulation/scenarios/late_commands.rs
+++ b/src/core/simulation/scenarios/late_commands.rs
@@ -1,7 +1,7 @@
 //! Direct commands that are carried out late or once more.
 
-use super::{eight_machines, fails_without, four_machines, unlimited_job};
-use crate::core::simulation::Link;
+use super::{eight_machines, four_machines, unlimited_job};
+use crate::core::simulation::{Link, fails_without};
 use crate::guard::Guard;
 use crate::job::{MachineId, sample};
 use crate::wire::{JobState, Order};
--- a/src/core/simulation/scenarios/late_writes.rs
+++ b/src/core/simulation/scenarios/late_writes.rs
@@ -1,7 +1,7 @@
 //! Transactions that are carried out late, after newer ones.
 
-use super::{eight_machines, fails_without, four_machines, unlimited_job};
-use crate::core::simulation::{Link, Simulation};
+use super::{eight_machines, four_machines, unlimited_job};
+use crate::core::simulation::{Link, Simulation, fails_without};
 use crate::guard::Guard;
 use crate::job::{MachineId, sample};
 use crate::policy::Policy;
--- a/src/core/simulation/scenarios/loss_of_store.rs
+++ b/src/core/simulation/scenarios/loss_of_store.rs
@@ -1,8 +1,7 @@
-//! Stories of a state service that loses data. `World` checks at every tick that nothing runs twice,
-//! and at every answer that nothing is forgotten or unsaid.
+//! A state service that loses data. The simulation checks at every tick that nothing runs twice, and
+//! at every answer that nothing is forgotten or contradicted.
 
-use super::fails_without;
-use crate::core::simulation::{Link, Simulation};
+use crate::core::simulation::{Link, Simulation, fails_without};
 use crate::core::{Core, Effect, Pending};
 use crate::guard::Guard;
 use crate::job::{JobSpec, sample};
@@ -408,7 +407,7 @@
     let starts = simulation.counters.starts;
     simulation.lose_state();
     simulation.nodes[leader].state = Link::Refused;
-    // `World` fails if two act at the same time.
+    // The simulation fails if two act at the same time.
     simulation.run_until_other_leader(leader, 12.0);
     simulation.nodes[leader].state = Link::Good;
     assert_rebuilt(&mut simulation, starts);
--- a/src/core/simulation/scenarios/lost_answers.rs
+++ b/src/core/simulation/scenarios/lost_answers.rs
@@ -2,8 +2,8 @@
 //! they wrote; and leaderships that end while their leader key stands. The simulation fails at every step
 //! at which two leaderships have one term, a task is on two machines, or a user is told something older.
 
-use super::{eight_machines, fails_without, unlimited_job};
-use crate::core::simulation::{Link, Simulation};
+use super::{eight_machines, unlimited_job};
+use crate::core::simulation::{Link, Simulation, fails_without};
 use crate::guard::Guard;
 use crate::wire::JobState;
 use std::time::Duration;
@@ -225,7 +225,7 @@
     }
 }
 
-/// Found by generated histories: a store that had lost its data was led, and then rolled back. The next leader had
+/// Found by randomized schedules: a store that had lost its data was led, and then rolled back. The next leader had
 /// heard of the term in between, and led in that instead of the one that it had written.
 #[test]
 fn leader_of_store_lost_twice_has_own_term() {
--- a/src/core/simulation/scenarios/machine_failures.rs
+++ b/src/core/simulation/scenarios/machine_failures.rs
@@ -1,7 +1,7 @@
 //! Machines that hang, die or fail their tasks.
 
-use super::{fails_without, four_machines, unlimited_job};
-use crate::core::simulation::Simulation;
+use super::{four_machines, unlimited_job};
+use crate::core::simulation::{Simulation, fails_without};
 use crate::guard::Guard;
 use crate::job::sample;
 use crate::policy::Policy;
--- a/src/core/simulation/scenarios/mixed_faults.rs
+++ b/src/core/simulation/scenarios/mixed_faults.rs
@@ -8,7 +8,8 @@
 use crate::wire::JobState;
 use std::time::Duration;
 
-/// Troubles of every kind, alone and together, with the rules watched at every tick.
+/// Injects faults of every kind, alone and together, while jobs come and are cancelled; then heals
+/// the cluster, in which everything that was accepted has to end.
 pub fn inject_mixed_faults(simulation: &mut Simulation, seed: u64) {
     let mut ids: Vec<String> = Vec::new();
     let mut cancelled: Vec<String> = Vec::new();
@@ -141,7 +142,7 @@
     }
 }
 
-/// The mixture of troubles again, with a leader that bids.
+/// The same with a leader that bids.
 #[test]
 fn mixed_faults_with_bidding_break_no_rule() {
     for seed in 400..412 {
@@ -153,7 +154,7 @@
     }
 }
 
-/// The mixture of troubles again.
+/// The same with controllers that serve workers for the leader.
 #[test]
 fn mixed_faults_with_delegation_break_no_rule() {
     for seed in 600..630 {
--- a/src/core/simulation/scenarios/mod.rs
+++ b/src/core/simulation/scenarios/mod.rs
@@ -1,4 +1,5 @@
-//! Scenarios: each says what happens to the cluster and what must come of it.
+//! Scenarios by subject: each says what happens to the cluster and what must come of it. Here is what
+//! they share: clusters to start from, and jobs.
 
 mod bidding;
 mod cancellation;
@@ -21,23 +22,8 @@
 mod submissions;
 
 use crate::core::simulation::Simulation;
-use crate::guard::{Guard, OUT};
 use crate::job::{JobSpec, MachineId, sample};
 use crate::policy::Policy;
-use std::panic::{AssertUnwindSafe, catch_unwind};
-
-/// The same with a guard taken out breaks this rule.
-pub fn fails_without(guard: Guard, rule: &str, scenario: impl Fn()) {
-    OUT.set(Some(guard));
-    let said = catch_unwind(AssertUnwindSafe(scenario)).err();
-    OUT.set(None);
-    let said = said.and_then(|e| {
-        let text = e.downcast_ref::<&str>().map(|s| s.to_string());
-        text.or_else(|| e.downcast::<String>().ok().map(|s| *s))
-    });
-    let said = said.unwrap_or_else(|| panic!("{guard:?} is out, and nothing is found"));
-    assert!(said.contains(rule), "{guard:?} is out: {said}");
-}
 
 /// Three controllers with a leader, and machines for 16 CPUs.
 pub fn four_machines(seed: u64) -> (Simulation, usize) {
@@ -74,10 +60,12 @@
     spec
 }
 
+/// A controller that does not lead.
 pub fn follower(leader: usize) -> usize {
     (leader + 1) % 3
 }
 
+/// The machines that are in a zone.
 pub fn machines_in_zone(simulation: &Simulation, zone: &str) -> Vec<MachineId> {
     let there = simulation.workers.iter().filter(|(_, m)| m.zone == zone);
     there.map(|(id, _)| id.clone()).collect()
--- a/src/core/simulation/scenarios/old_reports.rs
+++ b/src/core/simulation/scenarios/old_reports.rs
@@ -1,7 +1,7 @@
 //! Reports that are old, repeated or of an earlier life of their machine.
 
-use super::{eight_machines, fails_without, four_machines, machines_in_zone, unlimited_job};
-use crate::core::simulation::Simulation;
+use super::{eight_machines, four_machines, machines_in_zone, unlimited_job};
+use crate::core::simulation::{Simulation, fails_without};
 use crate::guard::Guard;
 use crate::job::{MachineId, sample};
 use crate::wire::{JobState, Report};
@@ -307,7 +307,7 @@
     assert_eq!(simulation.counters.starts, 7);
 }
 
-/// Found by generated histories: a machine that heard nothing of a new leader began another session, which has
+/// Found by randomized schedules: a machine that heard nothing of a new leader began another session, which has
 /// a whole lease. When it was asked and known at last, its lease was counted from the last answer
 /// to an earlier one; what was then started on it was given up at once, and started elsewhere while it ran.
 #[test]
--- a/src/core/simulation/scenarios/partitions.rs
+++ b/src/core/simulation/scenarios/partitions.rs
@@ -1,7 +1,7 @@
 //! Partitions between controllers and workers, in one direction or both.
 
-use super::{eight_machines, fails_without, four_machines, machines_in_zone, unlimited_job};
-use crate::core::simulation::{LEASE, Link, Simulation};
+use super::{eight_machines, four_machines, machines_in_zone, unlimited_job};
+use crate::core::simulation::{LEASE, Link, Simulation, fails_without};
 use crate::guard::Guard;
 use crate::job::{MachineId, Rank, sample};
 use crate::wire::JobState;
--- a/src/core/simulation/scenarios/provisioning.rs
+++ b/src/core/simulation/scenarios/provisioning.rs
@@ -96,7 +96,7 @@
     simulation.run(10.0);
     let before = simulation.counters.cloud_calls;
     simulation.run(10.0);
-    // The limit in these stories is 10 calls a second, with bursts of one second's worth.
+    // The limit in these scenarios is 10 calls a second, with bursts of one second's worth.
     assert!(
         simulation.counters.cloud_calls - before <= 110,
         "{}",
--- a/src/core/simulation/scenarios/scheduling.rs
+++ b/src/core/simulation/scenarios/scheduling.rs
@@ -1,7 +1,7 @@
 //! Which jobs start, where and when.
 
-use super::{eight_machines, fails_without, four_machines, thousand_machines, unlimited_job};
-use crate::core::simulation::Simulation;
+use super::{eight_machines, four_machines, thousand_machines, unlimited_job};
+use crate::core::simulation::{Simulation, fails_without};
 use crate::guard::Guard;
 use crate::job::{Kind, MachineId, Rank, sample};
 use crate::policy::Policy;
@@ -105,7 +105,7 @@
         spec.team = "u".into();
         spec
     };
-    // All but one of two thousand places are taken, by tasks that end later than this story.
+    // All but one of two thousand places are taken, by tasks that end later than this scenario.
     simulation.submit(leader, &long_job("wk-1", 1999, 600));
     simulation.run(6.0);
     assert_eq!(simulation.places("wk-1").len(), 1999);
@@ -163,7 +163,7 @@
 }
 
 /// Jobs bound to one zone, spread over two or kept together lose machines, with the leader or without, some of
-/// them unheard; the world checks where each task starts against where the others are.
+/// them unheard; the simulation checks where each task starts against where the others are.
 #[test]
 fn zone_bound_jobs_restart_where_allowed() {
     for leader_ends in [true, false] {
--- a/src/core/simulation/store.rs
+++ b/src/core/simulation/store.rs
@@ -13,6 +13,7 @@
 pub(super) const STORE_TIMEOUT: Duration = Duration::from_millis(1500);
 
 #[derive(Clone)]
+/// A key's value.
 pub(super) struct Entry {
     pub(super) value: serde_json::Value,
     pub(super) version: u64,
@@ -22,11 +23,14 @@
 /// Bytes of a value, and changes of a transaction.
 pub type Limits = (usize, usize);
 
+/// Today's limits.
 pub const LIMITS: Limits = (8192, 16);
 
+/// Limits that are announced for later.
 pub const NEXT_LIMITS: Limits = (2048, 10);
 
 #[derive(Clone, Default)]
+/// The state service itself.
 pub(super) struct StateService {
     pub(super) limits: Limits,
     pub(super) keys: BTreeMap<String, Entry>,
@@ -39,6 +43,7 @@
 }
 
 impl StateService {
+    /// Deletes a key, and tells watchers.
     pub(super) fn drop_key(&mut self, key: &str) {
         if self.keys.remove(key).is_some() {
             self.events.push(Event {
@@ -51,6 +56,7 @@
         }
     }
 
+    /// Ends leases that have run out, with the keys that depend on them.
     pub(super) fn expire(&mut self, now: Instant) {
         let over: Vec<u64> = self
             .leases
@@ -96,6 +102,7 @@
         keys.map(item).collect()
     }
 
+    /// Answers a request.
     pub(super) fn perform(&mut self, request: &StateRequest) -> StateOutcome {
         match request {
             StateRequest::LeaseRuns(id) => StateOutcome::Runs(self.leases.contains_key(id)),
@@ -129,6 +136,7 @@
         }
     }
 
+    /// Carries a transaction out, if it is within the limits and its conditions hold.
     pub(super) fn txn(&mut self, txn: &Txn) -> StateOutcome {
         let (bytes, ops) = self.limits;
         let too_large = |c: &Change| match c {
@@ -194,6 +202,7 @@
 pub struct Backup(pub(super) StateService);
 
 impl Simulation {
+    /// What a controller's request comes to, with its link and the faults that are set.
     pub(super) fn call_state(&mut self, i: usize, request: &StateRequest) -> StateOutcome {
         if let (StateRequest::Txn(txn), Link::Good) = (request, self.nodes[i].state)
             && !self.faults.store_outage
@@ -284,7 +293,7 @@
         self.state.limits = limits;
     }
 
-    /// What the service has told its watchers, from the so-many-th change on.
+    /// Changes as watchers receive them, from this index on.
     pub fn events(&self, from: usize) -> Vec<Event> {
         self.state.events[from..].to_vec()
     }
--- a/src/core/simulation/users.rs
+++ b/src/core/simulation/users.rs
@@ -1,4 +1,4 @@
-//! What users and operators ask, and what they are told.
+//! Users and operators: what they ask of controllers, with and without waiting for the answer.
 
 use super::cluster::Simulation;
 use super::store::Backup;
@@ -9,6 +9,7 @@
 use std::time::Duration;
 
 impl Simulation {
+    /// Asks a controller; the answer is fetched by this ticket.
     pub fn ask(&mut self, node: usize, what: Ask) -> Ticket {
         let ticket = self.new_ticket();
         let received = self.now;
@@ -36,6 +37,7 @@
         None
     }
 
+    /// Submits a job and waits up to 3 s; the answer's status, 0 if there is none.
     pub fn submit(&mut self, node: usize, spec: &JobSpec) -> u16 {
         // A repetition may carry anything; the job is what it was.
         let known = self.checker.specs.contains_key(&*spec.id);
@@ -75,6 +77,7 @@
         self.ask(node, Ask::Submit(Box::new(spec.clone())));
     }
 
+    /// Asks for a job's state and waits up to 3 s; the answer's status, 0 if there is none, and the state.
     pub fn show(&mut self, node: usize, id: &str) -> (u16, Option<JobState>) {
         let asked = self.now;
         let answer = self.request(node, Ask::Show(id.into()));
@@ -82,6 +85,7 @@
         (answer.map_or(0, |a| a.status), state)
     }
 
+    /// Asks to cancel a job and waits up to 3 s; as `show`.
     pub fn cancel(&mut self, node: usize, id: &str) -> (u16, Option<JobState>) {
         self.checker.cancellation_requests.insert(id.into());
         let asked = self.now;
@@ -99,7 +103,7 @@
             .insert(ticket, (id.into(), self.now));
     }
 
-    /// What its user was told last, if that was final.
+    /// The final state that its user was told, if any.
     pub fn final_answer(&self, id: &str) -> Option<JobState> {
         self.checker.final_answers.get(id).map(|(state, _)| *state)
     }
@@ -138,11 +142,13 @@
         })
     }
 
-    /// A job that was accepted before this story.
+    /// Takes note of a job that is in the store without a submission, or that is submitted without
+    /// waiting for the answer.
     pub fn register_job(&mut self, spec: &JobSpec) {
         self.checker.specs.insert(spec.id.to_string(), spec.clone());
     }
 
+    /// Asks any controller for a job until it is done; fails after so many seconds.
     pub fn until_done(&mut self, id: &str, seconds: f64) {
         let end = self.now + Duration::from_secs_f64(seconds);
         loop {
@@ -155,6 +161,7 @@
         }
     }
 
+    /// Some task of a job has ended with a result.
     pub fn any_completed(&self, id: &str) -> bool {
         self.checker.completed.iter().any(|key| &*key.job == id)
     }
--- a/src/core/simulation/worker.rs
+++ b/src/core/simulation/worker.rs
@@ -32,25 +32,34 @@
 /// A task on a worker.
 #[derive(Clone, Debug)]
 pub struct WorkerTask {
+    /// Which start of the task this is.
     pub attempt: u64,
     pub state: RowState,
     pub why: Option<Why>,
+    /// When it ends with a result; a service does not.
     pub ends: Option<Instant>,
     /// When it has its image.
     pub runs: Instant,
 }
 
+/// A machine and the worker on it.
 pub struct Worker {
     pub kind: String,
     pub zone: String,
     pub spot: bool,
+    /// When its machine has booted.
     pub up_at: Instant,
+    /// Rises each time that it loses its tasks.
     pub session: u64,
+    /// Rises with each report.
     pub seq: u64,
+    /// The newest token that it was shown.
     pub token: u64,
     pub tasks: BTreeMap<TaskKey, WorkerTask>,
+    /// When the last report was sent that was answered.
     pub lease_from: Instant,
     pub next_report: Instant,
+    /// The controller that it reports to.
     pub node: usize,
     /// The report that it has sent and that has no answer yet.
     pub(super) waiting: Option<ReportExchange>,
@@ -362,6 +371,7 @@
         })
     }
 
+    /// What a controller's direct call comes to, with the faults that are set.
     pub(super) fn call_worker(
         &mut self,
         i: usize,
@@ -425,6 +435,7 @@
         }
     }
 
+    /// Where tasks of a job are that have not ended.
     pub fn places(&self, id: &str) -> Vec<(MachineId, TaskKey)> {
         let mut out = Vec::new();
         for (m, worker) in &self.workers {
