--- a/src/core/simulation/recorded_decisions.rs
+++ b/src/core/simulation/recorded_decisions.rs
@@ -383,6 +383,48 @@
     simulation.run(30.0);
 }
 
+/// A machine and a job that fail every task, deadlines that pass down to dependencies, and a takeover
+/// in which half of the machines are silent for longer than a new leader waits for them.
+fn failures_and_deadlines(simulation: &mut Simulation, _seed: u64) {
+    let failing = simulation.workers.keys().next().unwrap().clone();
+    simulation.workers.get_mut(&failing).unwrap().failing = true;
+    simulation.broken_jobs.insert("wk-40".into());
+    simulation.submit(0, &sample("wk-40", 2, 1.0, 3));
+    for n in 0..6 {
+        simulation.submit(n % 3, &sample(&format!("wk-5{n}"), 2, 2.0, 4));
+        simulation.run(2.0);
+    }
+    for n in 0..4u64 {
+        let mut first = sample(&format!("wk-6{n}"), 2, 2.0, 5);
+        first.deadline = (n % 2 == 0).then(|| Duration::from_secs(30 + n));
+        let mut last = sample(&format!("wk-7{n}"), 2, 2.0, 5);
+        last.awaits = vec![first.id.clone()];
+        last.deadline = Some(Duration::from_secs(36 + n));
+        simulation.submit(0, &first);
+        simulation.submit(1, &last);
+    }
+    simulation.run(12.0);
+    if let Some(worker) = simulation.workers.get_mut(&failing) {
+        worker.failing = false;
+    }
+    simulation.faults.cloud_down = true;
+    let silent: Vec<_> = simulation.workers.keys().step_by(2).cloned().collect();
+    silent.iter().for_each(|id| simulation.partition_worker(id));
+    if let Some(leader) = simulation.leader() {
+        simulation.kill(leader, Duration::from_secs(30));
+    }
+    simulation.run(6.0);
+    for n in 0..3 {
+        let mut urgent = sample(&format!("wk-8{n}"), 4, 2.0, 6);
+        (urgent.class, urgent.rank, urgent.spot) = ("urgent".into(), Rank::High, n % 2 == 0);
+        simulation.submit(n, &urgent);
+    }
+    simulation.faults.cloud_down = false;
+    simulation.run(14.0);
+    simulation.heal_worker_partitions();
+    simulation.run(40.0);
+}
+
 /// The store loses everything, is rolled back some time later, and then lost while the leader ends.
 fn losses_of_the_store(simulation: &mut Simulation, _seed: u64) {
     submit_all(simulation);
@@ -483,6 +525,35 @@
     assert_recorded(&cases, takeover_with_cancellations);
 }
 
+#[test]
+fn failure_and_deadline_decisions_are_as_recorded() {
+    let cases = [
+        recorded("failures-alone", 6001, ALONE, 613, 0x237f_9a89_cb2e_97dd),
+        recorded(
+            "failures-delegating",
+            6002,
+            DELEGATING,
+            1423,
+            0xb23a_e213_b21a_3f5c,
+        ),
+        recorded(
+            "failures-bidding",
+            6003,
+            BIDDING,
+            551,
+            0x716a_ee0c_4c41_4460,
+        ),
+        recorded(
+            "failures-both",
+            6004,
+            BIDDING_AND_DELEGATING,
+            1361,
+            0xbb26_3b97_f3b4_c119,
+        ),
+    ];
+    assert_recorded(&cases, failures_and_deadlines);
+}
+
 #[test]
 fn many_machine_decisions_are_as_recorded() {
     let cases = [
