--- a/src/core/simulation/worker.rs
+++ b/src/core/simulation/worker.rs
@@ -35,25 +35,34 @@
 /// A task on a worker.
 #[derive(Clone, Debug)]
 pub struct WorkerTask {
+    /// Which start of the task this is.
     pub attempt: u64,
     pub state: TaskState,
     pub why: Option<ExitCause>,
+    /// When it ends with a result; a service does not.
     pub ends: Option<Instant>,
     /// When it has its image.
     pub runs: Instant,
 }
 
+/// A machine and the worker on it.
 pub struct Worker {
     pub kind: String,
     pub zone: String,
     pub spot: bool,
+    /// When its machine has booted.
     pub up_at: Instant,
+    /// Rises each time that it loses its tasks.
     pub incarnation: u64,
+    /// Rises with each report.
     pub sequence: u64,
-    pub fencing_token: u64,
+    /// The newest token that it was shown.
+    pub token: u64,
     pub tasks: BTreeMap<TaskId, WorkerTask>,
+    /// When the last report was sent that was answered.
     pub lease_from: Instant,
     pub next_report: Instant,
+    /// The controller that it reports to.
     pub node: usize,
     /// The report that it has sent and that has no answer yet.
     pub(super) waiting: Option<ReportExchange>,
@@ -88,7 +97,7 @@
             spot: self.spot,
             incarnation: self.incarnation,
             sequence: self.sequence,
-            fencing_token: self.fencing_token,
+            fencing_token: self.token,
             reclaim_in_s: None,
             tasks: self
                 .tasks
@@ -294,10 +303,10 @@
         let orders: Option<HeartbeatResponse> = serde_json::from_slice(&answer.body).ok();
         match (answer.status, orders) {
             (200, Some(a))
-                if a.fencing_token >= worker.fencing_token
+                if a.fencing_token >= worker.token
                     && exchange.incarnation == worker.incarnation =>
             {
-                worker.fencing_token = a.fencing_token;
+                worker.token = a.fencing_token;
                 worker.lease_from = exchange.sent;
                 self.execute(id, &a.commands);
             }
@@ -359,10 +368,9 @@
     /// Executes direct commands as a worker does.
     pub fn direct(&mut self, id: &MachineId, body: &DirectCommands) -> Option<DirectOutcome> {
         let worker = self.workers.get_mut(id)?;
-        let fits =
-            body.fencing_token >= worker.fencing_token && body.incarnation == worker.incarnation;
+        let fits = body.fencing_token >= worker.token && body.incarnation == worker.incarnation;
         if fits {
-            worker.fencing_token = body.fencing_token;
+            worker.token = body.fencing_token;
             self.execute(id, &body.commands);
         }
         let worker = self.workers.get_mut(id)?;
@@ -372,6 +380,7 @@
         })
     }
 
+    /// What a controller's direct call comes to, with the faults that are set.
     pub(super) fn call_worker(
         &mut self,
         i: usize,
@@ -428,13 +437,14 @@
                 // What was under way to it ends with its connections.
                 self.network.held_commands.retain(|(to, _)| to != id);
                 self.network.delayed_commands.retain(|(_, to, _)| to != id);
-                (worker.incarnation, worker.sequence, worker.fencing_token) = (1, 0, 0);
+                (worker.incarnation, worker.sequence, worker.token) = (1, 0, 0);
             } else {
                 worker.incarnation += 1;
             }
         }
     }
 
+    /// Where tasks of a job are that have not ended.
     pub fn places(&self, id: &str) -> Vec<(MachineId, TaskId)> {
         let mut out = Vec::new();
         for (m, worker) in &self.workers {
