--- a/src/core/jobs/lifecycle.rs
+++ b/src/core/jobs/lifecycle.rs
@@ -78,15 +78,19 @@
                 ..JobRun::default()
             };
             leader.job_runs.insert(id.clone(), run);
-            leader.guarantees_changed = true;
+            leader.scheduler.guarantees_changed = true;
             if job.version > leader.key_version {
-                leader.arrivals.note(self.now.mono, 1);
+                leader.scheduler.arrivals.note(self.now.mono, 1);
                 let pace = leader
+                    .scheduler
                     .runtime_ratios
                     .get(&job.spec.class)
                     .map_or(1.0, RuntimeRatio::factor);
                 let (rank, run) = (job.spec.priority, job.spec.estimate.mul_f64(pace));
-                leader.bidding.arrived(self.now.mono, &job.spec, rank, run);
+                leader
+                    .scheduler
+                    .bidding
+                    .arrived(self.now.mono, &job.spec, rank, run);
             }
             // Accepted while a cancellation of what it needs is being written.
             let doubtful = |a: &JobId| {
@@ -98,7 +102,7 @@
                 let with_it = self.store_cache.dependencies.all_dependents(id);
                 leader.cancellation_pending.extend(with_it);
             }
-            leader.plan_again = true;
+            leader.scheduler.plan_again = true;
         }
         if !job.spec.dependencies.is_empty() && self.store_cache.ready(id) {
             let Some(run) = leader.job_runs.get_mut(id) else {
@@ -106,8 +110,8 @@
             };
             if run.ready.is_none() {
                 run.ready = Some(self.now);
-                leader.guarantees_changed = true;
-                leader.plan_again = true;
+                leader.scheduler.guarantees_changed = true;
+                leader.scheduler.plan_again = true;
                 tracing::info!(job = %id, "job {id}: all that it awaits is done");
             }
         }
@@ -137,8 +141,8 @@
         leader.writes.progress.remove(id);
         leader.cancellation_pending.remove(id);
         leader.inherited_urgency.remove(id);
-        leader.guarantees_changed = true;
-        leader.plan_again = true;
+        leader.scheduler.guarantees_changed = true;
+        leader.scheduler.plan_again = true;
         if let Some(end) = self.store_cache.finished.get(id) {
             tracing::info!(job = %id, "job {id} is over: {end:?}");
         }
--- a/src/core/jobs/urgency.rs
+++ b/src/core/jobs/urgency.rs
@@ -28,6 +28,7 @@
         let rates = self.machine_types.iter().map(|t| t.fetch_gb_per_s);
         let slowest = rates.fold(f64::INFINITY, f64::min).max(0.01);
         let pace = leader
+            .scheduler
             .runtime_ratios
             .get(&job.spec.class)
             .map_or(1.0, RuntimeRatio::factor);
@@ -77,7 +78,7 @@
                 } else {
                     leader.inherited_urgency.insert(id, u);
                 }
-                leader.plan_again = true;
+                leader.scheduler.plan_again = true;
             }
         }
     }
--- a/src/core/leadership/mod.rs
+++ b/src/core/leadership/mod.rs
@@ -230,18 +230,19 @@
         let Some(leader) = &mut self.leader else {
             return;
         };
-        if now > leader.last_able_to_act + INABILITY_THRESHOLD {
+        if now > leader.liveness.last_able_to_act + INABILITY_THRESHOLD {
             // The state service was away, and reports were answered with 503 meanwhile: the
             // workers went from node to node, and their silence proves nothing.
-            let paused = now.saturating_duration_since(leader.last_able_to_act);
+            let paused = now.saturating_duration_since(leader.liveness.last_able_to_act);
             tracing::info!(
                 term = leader.term,
                 "term {}: acts again after {paused:?}",
                 leader.term
             );
-            leader.silence_excused_until = leader.silence_excused_until.max(now + back_after);
+            leader.liveness.silence_excused_until =
+                leader.liveness.silence_excused_until.max(now + back_after);
         }
-        leader.last_able_to_act = now;
+        leader.liveness.last_able_to_act = now;
     }
 
     /// Workers are cut off from this node though the state service is not: another controller may reach them.
@@ -260,27 +261,31 @@
     fn is_isolated(&self, leader: &LeaderState) -> bool {
         let now = self.now.mono;
         let known = leader.machines.values().any(|m| m.incarnation > 0);
-        if !known && leader.unresolved == 0 {
+        if !known && leader.recovery.unresolved == 0 {
             return false;
         }
         let silent = leader
+            .liveness
             .last_heartbeat
             .unwrap_or(leader.since)
-            .max(leader.silence_excused_until);
+            .max(leader.liveness.silence_excused_until);
         let waited = now.saturating_duration_since(silent.max(leader.since));
         // Until the workers have found a new leader, little comes in any case.
         let longest = self.settings.heartbeat_interval * 2 + Duration::from_secs(2);
         let settled = now.saturating_duration_since(leader.since) > longest;
         let after = if settled {
-            leader.silence_limit.min(longest)
+            leader.liveness.silence_limit.min(longest)
         } else {
             longest
         };
         // Others hear them for this one, but what it has to say to them itself, commands
         // foremost, does not get through.
-        let unheeded = leader.failed_direct_calls >= MAX_FAILED_CALLS
+        let unheeded = leader.liveness.failed_direct_calls >= MAX_FAILED_CALLS
             && now.saturating_duration_since(
-                leader.last_direct_contact.max(leader.silence_excused_until),
+                leader
+                    .liveness
+                    .last_direct_contact
+                    .max(leader.liveness.silence_excused_until),
             ) > after;
         waited > after || unheeded
     }
@@ -367,7 +372,7 @@
         let arrivals = ArrivalRate::new(self.now, self.store_cache.jobs.values());
         let mut leader = LeaderState::new(key_version, term, now, arrivals);
         leader.leader_key_confirmed = self.campaign_started;
-        leader.silence_limit = self.settings.heartbeat_interval * 2;
+        leader.liveness.silence_limit = self.settings.heartbeat_interval * 2;
         leader.identity = self.store_cache.identity.clone();
         let records = &mut leader.writes.records;
         *records = MachineRecords::new(&self.store_cache, self.settings.max_value_bytes);
@@ -407,10 +412,10 @@
         );
         self.relay.adopt_workers(&leader);
         self.candidate_after = self.now.mono + Duration::from_millis(200);
-        for (ticket, _) in leader.deferred_responses.heartbeats {
+        for (ticket, _) in leader.scheduler.deferred_responses.heartbeats {
             self.redirect(ticket);
         }
-        for work in leader.deferred_responses.batches {
+        for work in leader.scheduler.deferred_responses.batches {
             self.refuse_batch(work.ticket, work.number);
         }
         let waiting: Vec<Ticket> = leader
--- a/src/core/leadership/recovery.rs
+++ b/src/core/leadership/recovery.rs
@@ -24,9 +24,9 @@
     /// yet come first: one that did not answer takes a call for long.
     pub(in crate::core) fn next_probe(&mut self, now: Instant) -> Option<MachineId> {
         loop {
-            let id = self.to_probe.pop().or_else(|| {
-                self.probe_retries.first().filter(|(at, _)| *at <= now)?;
-                self.probe_retries.pop_first().map(|(_, id)| id)
+            let id = self.recovery.to_probe.pop().or_else(|| {
+                self.recovery.retries.first().filter(|(at, _)| *at <= now)?;
+                self.recovery.retries.pop_first().map(|(_, id)| id)
             })?;
             let m = self.machines.get(&id);
             let Some(m) = m.filter(|m| m.unresolved) else {
@@ -34,7 +34,7 @@
             };
             if let Some(later) = m.claimed_until.filter(|t| now < *t) {
                 // Another controller is about it.
-                self.probe_retries.insert((later, id));
+                self.recovery.retries.insert((later, id));
             } else if m.call_in_flight.is_none() {
                 return Some(id);
             }
@@ -43,8 +43,8 @@
 
     /// A machine in this zone has answered a call.
     pub(in crate::core) fn mark_zone_reachable(&mut self, zone: &str) {
-        if !self.reachable_zones.contains(zone) {
-            self.reachable_zones.insert(zone.to_string());
+        if !self.recovery.reachable_zones.contains(zone) {
+            self.recovery.reachable_zones.insert(zone.to_string());
         }
     }
 }
@@ -73,7 +73,7 @@
             m.lease_renewed = now + LEASE_TTL;
             m.unresolved = true;
             leader.machines.get_or_add(id, || m);
-            leader.unresolved += 1;
+            leader.recovery.unresolved += 1;
         }
         // Zones take turns, so that one that is cut off does not hold up the others.
         let mut zones: BTreeMap<&str, Vec<&MachineId>> = BTreeMap::new();
@@ -99,10 +99,10 @@
         if self.delegating && turns.iter().any(ours) {
             let others: Vec<MachineId> = turns.extract_if(.., |id| !ours(id)).collect();
             let later = now + DELEGATE_HEAD_START;
-            leader.probe_retries = others.into_iter().map(|id| (later, id)).collect();
+            leader.recovery.retries = others.into_iter().map(|id| (later, id)).collect();
         }
-        leader.initially_unresolved = leader.unresolved;
-        leader.to_probe = turns;
+        leader.recovery.initially_unresolved = leader.recovery.unresolved;
+        leader.recovery.to_probe = turns;
         self.probe_machines();
     }
 
@@ -218,8 +218,8 @@
             std::mem::take(&mut m.unresolved)
         });
         if known {
-            leader.unresolved -= 1;
-            leader.plan_again = true;
+            leader.recovery.unresolved -= 1;
+            leader.scheduler.plan_again = true;
             self.stop_duplicates_on(id);
             let Some(leader) = &mut self.leader else {
                 return;
@@ -227,17 +227,17 @@
             tracing::debug!(term = leader.term, machine = %id, "term {}: machine {id} is known: {how}", leader.term);
             let took = (self.now.mono - leader.since).as_millis();
             // What is left then are machines that died with the last leader.
-            if leader.initially_unresolved > 0
-                && leader.unresolved * 100 <= leader.initially_unresolved
+            if leader.recovery.initially_unresolved > 0
+                && leader.recovery.unresolved * 100 <= leader.recovery.initially_unresolved
             {
-                let all = std::mem::take(&mut leader.initially_unresolved);
+                let all = std::mem::take(&mut leader.recovery.initially_unresolved);
                 tracing::info!(
                     term = leader.term,
                     "term {}: 99 % of {all} machines known after {took} ms",
                     leader.term
                 );
             }
-            if leader.unresolved == 0 {
+            if leader.recovery.unresolved == 0 {
                 tracing::info!(
                     term = leader.term,
                     "term {}: all machines are known after {} ms",
--- a/src/core/leadership/state.rs
+++ b/src/core/leadership/state.rs
@@ -47,17 +47,7 @@
     pub board: Board,
     /// Machines that are gone; what still arrives from them is old.
     pub deleted_machines: BTreeSet<MachineId>,
-    /// How many machines there are that an earlier leader may have given tasks that we have not seen yet.
-    pub unresolved: usize,
-    /// Those of them that are still to be asked, the next one last.
-    pub to_probe: Vec<MachineId>,
-    /// Those that did not answer and are asked once more, and when.
-    pub probe_retries: BTreeSet<(Instant, MachineId)>,
-    /// How many there were when this leader began, until nearly all are known.
-    pub initially_unresolved: usize,
-    /// Zones in which a machine has answered a call: elsewhere, a call without an answer says nothing of
-    /// the machine.
-    pub reachable_zones: BTreeSet<String>,
+    pub recovery: Recovery,
     /// Direct calls on their way.
     pub direct_calls_in_flight: usize,
     pub job_runs: BTreeMap<JobId, JobRun>,
@@ -70,7 +60,34 @@
     pub unclaimed_parts: BTreeMap<(JobId, PartGeneration), Instant>,
     pub writes: Writes,
     pub cloud: CloudOperations,
-    pub attempts: u64,
+    pub scheduler: SchedulerState,
+    pub liveness: Liveness,
+    /// Controllers that serve workers for this one.
+    pub delegates: Delegates,
+    /// The store's identity, on which all writes depend as on the leader key.
+    pub identity: Option<(String, u64)>,
+    /// While the store is incomplete.
+    pub rebuild: Option<Rebuild>,
+}
+
+/// Which machines may hold tasks of an earlier leader, and how far they have been probed.
+#[derive(Default)]
+pub struct Recovery {
+    /// How many machines there are that an earlier leader may have given tasks that we have not seen yet.
+    pub unresolved: usize,
+    /// Those of them that are still to be asked, the next one last.
+    pub to_probe: Vec<MachineId>,
+    /// Those that did not answer and are asked once more, and when.
+    pub retries: BTreeSet<(Instant, MachineId)>,
+    /// How many there were when this leader began, until nearly all are known.
+    pub initially_unresolved: usize,
+    /// Zones in which a machine has answered a call: elsewhere, a call without an answer says nothing of
+    /// the machine.
+    pub reachable_zones: BTreeSet<String>,
+}
+
+/// When machines, zones and this leader itself were last known to be alive.
+pub struct Liveness {
     /// Silence proves nothing before this moment.
     pub silence_excused_until: Instant,
     /// When this leader was last able to act.
@@ -83,6 +100,29 @@
     /// With as many machines as there are, silence for this long means that this node does not
     /// hear them.
     pub silence_limit: Duration,
+    pub last_machine_check: Option<Instant>,
+    /// Zones that are heard, and since when without a break.
+    pub zone_reachable_since: BTreeMap<String, Instant>,
+}
+
+impl Liveness {
+    fn new(now: Instant) -> Liveness {
+        Liveness {
+            silence_excused_until: now,
+            last_able_to_act: now,
+            last_heartbeat: None,
+            last_direct_contact: now,
+            failed_direct_calls: 0,
+            silence_limit: Duration::ZERO,
+            last_machine_check: None,
+            zone_reachable_since: BTreeMap::new(),
+        }
+    }
+}
+
+/// What planning and scaling carry over from one step to the next.
+pub struct SchedulerState {
+    pub attempts: u64,
     pub last_plan: Option<Instant>,
     pub plan_again: bool,
     /// Which jobs lie within their team's guarantee is to be found out again.
@@ -93,22 +133,32 @@
     /// so that they say what to start.
     pub deferred_responses: DeferredResponses,
     pub last_scaling: Option<Instant>,
-    pub last_machine_check: Option<Instant>,
     pub last_status_log: Option<Instant>,
-    /// Zones that are heard, and since when without a break.
-    pub zone_reachable_since: BTreeMap<String, Instant>,
     /// The head of the queue and when it may start, for the status view.
     pub queue_head: Option<(JobId, Option<Duration>)>,
     /// How actual run times compare with estimates, by class.
     pub runtime_ratios: BTreeMap<String, RuntimeRatio>,
     pub arrivals: ArrivalRate,
     pub bidding: Bidding,
-    /// Controllers that serve workers for this one.
-    pub delegates: Delegates,
-    /// The store's identity, on which all writes depend as on the leader key.
-    pub identity: Option<(String, u64)>,
-    /// While the store is incomplete.
-    pub rebuild: Option<Rebuild>,
+}
+
+impl SchedulerState {
+    fn new(arrivals: ArrivalRate) -> SchedulerState {
+        SchedulerState {
+            attempts: 0,
+            last_plan: None,
+            plan_again: true,
+            guarantees_changed: true,
+            has_pending_demand: false,
+            deferred_responses: DeferredResponses::default(),
+            last_scaling: None,
+            last_status_log: None,
+            queue_head: None,
+            runtime_ratios: BTreeMap::new(),
+            arrivals,
+            bidding: Bidding::default(),
+        }
+    }
 }
 
 impl LeaderState {
@@ -127,11 +177,7 @@
             machines: Machines::default(),
             board: Board::default(),
             deleted_machines: BTreeSet::new(),
-            unresolved: 0,
-            to_probe: Vec::new(),
-            probe_retries: BTreeSet::new(),
-            initially_unresolved: 0,
-            reachable_zones: BTreeSet::new(),
+            recovery: Recovery::default(),
             direct_calls_in_flight: 0,
             job_runs: BTreeMap::new(),
             cancellation_pending: BTreeSet::new(),
@@ -139,26 +185,8 @@
             unclaimed_parts: BTreeMap::new(),
             writes: Writes::default(),
             cloud: CloudOperations::default(),
-            attempts: 0,
-            silence_excused_until: now,
-            last_able_to_act: now,
-            last_heartbeat: None,
-            last_direct_contact: now,
-            failed_direct_calls: 0,
-            silence_limit: Duration::ZERO,
-            last_plan: None,
-            plan_again: true,
-            guarantees_changed: true,
-            has_pending_demand: false,
-            deferred_responses: DeferredResponses::default(),
-            last_scaling: None,
-            last_machine_check: None,
-            last_status_log: None,
-            zone_reachable_since: BTreeMap::new(),
-            queue_head: None,
-            runtime_ratios: BTreeMap::new(),
-            arrivals,
-            bidding: Bidding::default(),
+            scheduler: SchedulerState::new(arrivals),
+            liveness: Liveness::new(now),
             delegates: Delegates::default(),
             identity: None,
             rebuild: None,
@@ -172,9 +200,12 @@
 
     /// A worker is heard, here or by way of another controller.
     pub(in crate::core) fn record_heartbeat(&mut self, via: Option<&Arc<str>>, now: Instant) {
-        self.last_heartbeat = Some(now);
+        self.liveness.last_heartbeat = Some(now);
         if via.is_none() {
-            (self.last_direct_contact, self.failed_direct_calls) = (now, 0);
+            (
+                self.liveness.last_direct_contact,
+                self.liveness.failed_direct_calls,
+            ) = (now, 0);
         }
     }
 
--- a/src/core/machines/cloud_calls.rs
+++ b/src/core/machines/cloud_calls.rs
@@ -222,10 +222,10 @@
             }
         }
         if let Some(got) = got {
-            let beliefs = &mut leader.bidding.beliefs;
+            let beliefs = &mut leader.scheduler.bidding.beliefs;
             beliefs.answered(&offer, asked as u32, got as u32, now);
             if got < asked {
-                leader.last_scaling = None;
+                leader.scheduler.last_scaling = None;
             }
         }
     }
--- a/src/core/machines/failure_detection.rs
+++ b/src/core/machines/failure_detection.rs
@@ -81,12 +81,13 @@
             return;
         };
         if leader
+            .liveness
             .last_machine_check
             .is_some_and(|t| now < t + Duration::from_millis(250))
         {
             return;
         }
-        leader.last_machine_check = Some(now);
+        leader.liveness.last_machine_check = Some(now);
         self.check_delegates();
         let Some(leader) = &mut self.leader else {
             return;
@@ -126,14 +127,19 @@
             .values()
             .filter(|m| m.incarnation > 0)
             .count();
-        leader.silence_limit =
+        leader.liveness.silence_limit =
             longest_common_silence(heartbeat, sessions as u32).max(heartbeat / 2) + RESIGN_MARGIN;
         // After a cut, the machines behind it need a moment to be heard again.
         let back: BTreeMap<String, Instant> = zones
             .keys()
             .filter(|z| reachable(z))
             .map(|z| {
-                let since = leader.zone_reachable_since.get(*z).copied().unwrap_or(now);
+                let since = leader
+                    .liveness
+                    .zone_reachable_since
+                    .get(*z)
+                    .copied()
+                    .unwrap_or(now);
                 (z.to_string(), since)
             })
             .collect();
@@ -155,14 +161,14 @@
             }
             let since = m
                 .last_heartbeat
-                .max(leader.silence_excused_until)
+                .max(leader.liveness.silence_excused_until)
                 .max(leader.since);
             // Its controller is not heard: the worker has to find another one first.
             let since = excused.map_or(since, |t| since.max(t));
             let quiet = now.saturating_duration_since(since);
             let expected = m.incarnation > 0 || m.unresolved;
-            let heard =
-                heard_for(&m.zone).min(now.saturating_duration_since(leader.silence_excused_until));
+            let heard = heard_for(&m.zone)
+                .min(now.saturating_duration_since(leader.liveness.silence_excused_until));
             let all_heard = heard >= (heartbeat * 5 / 4).max(WORKER_RETRY);
             if expected && m.deleting.is_none() && quiet > heartbeat * 5 / 2 && all_heard {
                 silent.push((m.id.clone(), "it is silent"));
@@ -177,7 +183,7 @@
             let in_vain = m.unresolved
                 && (m.incarnation == 0 || deaf)
                 && m.failed_calls >= MAX_UNANSWERED_PROBES
-                && leader.reachable_zones.contains(&m.zone);
+                && leader.recovery.reachable_zones.contains(&m.zone);
             if in_vain && m.deleting.is_none() && reachable(&m.zone) {
                 silent.push((m.id.clone(), "it does not answer"));
             }
@@ -204,7 +210,7 @@
                 }
             }
         }
-        leader.zone_reachable_since = back;
+        leader.liveness.zone_reachable_since = back;
         let turned: Vec<MachineId> = leader
             .machines
             .values()
@@ -274,7 +280,7 @@
             );
             m.deleting = Some(why);
             leader.cloud.deletions.insert(id.clone(), now);
-            leader.plan_again = true;
+            leader.scheduler.plan_again = true;
         }
     }
 
@@ -298,7 +304,7 @@
         leader.deleted_machines.insert(id.clone());
         leader.cloud.deletions.remove(id);
         leader.writes.records.remove(id, now);
-        leader.plan_again = true;
+        leader.scheduler.plan_again = true;
     }
 
     /// Work that will not end before its machine is taken is stopped, to save or to start anew
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -505,7 +505,8 @@
             tracing::warn!("this process stood still for {} ms", late.as_millis());
             if let Some(leader) = &mut self.leader {
                 // The machines' silence proves nothing.
-                leader.silence_excused_until = now.mono + self.settings.heartbeat_interval * 2;
+                leader.liveness.silence_excused_until =
+                    now.mono + self.settings.heartbeat_interval * 2;
             }
         }
         self.forget_cancelled();
@@ -583,7 +584,7 @@
             self.send_writes();
         } else {
             if let Some(leader) = &mut self.leader {
-                let held = std::mem::take(&mut leader.deferred_responses);
+                let held = std::mem::take(&mut leader.scheduler.deferred_responses);
                 heartbeats.extend(held.heartbeats);
                 syncs.extend(held.batches);
             }
--- a/src/core/monitoring/metrics.rs
+++ b/src/core/monitoring/metrics.rs
@@ -158,7 +158,7 @@
         page.gauge(
             "machines_to_hear",
             "Machines that may hold tasks of an earlier term and have not shown the new token",
-            leader.unresolved as f64,
+            leader.recovery.unresolved as f64,
         );
         page.gauge(
             "jobs",
--- a/src/core/monitoring/status.rs
+++ b/src/core/monitoring/status.rs
@@ -64,7 +64,7 @@
             "leader": self.settings.name,
             "term": leader.term,
             "leads_s": self.since(leader.since),
-            "machines_not_heard_yet": leader.unresolved,
+            "machines_not_heard_yet": leader.recovery.unresolved,
             "refused_offers": refused,
             "bidding": self.markets_view(leader),
             "members": self.members_status(),
@@ -173,7 +173,7 @@
         if Self::blocked_by_recovery(leader, job) {
             return format!(
                 "its tasks may be on {} machines that have not reported to this leader",
-                leader.unresolved
+                leader.recovery.unresolved
             );
         }
         let failures: u32 = run.failures.values().sum();
@@ -185,7 +185,7 @@
         if failures > 0 && run.queued.iter().all(|r| run.backoff_until.contains_key(r)) {
             return format!("its tasks failed {failures} times; they are tried again later");
         }
-        match &leader.queue_head {
+        match &leader.scheduler.queue_head {
             Some((head, Some(after))) if head == id => {
                 format!(
                     "next in the queue; room is expected in {} s",
--- a/src/core/scheduling/bidding.rs
+++ b/src/core/scheduling/bidding.rs
@@ -28,7 +28,7 @@
         FleetFacts {
             machines: leader.machines.values().count() as f64,
             zones: self.settings.zones.len() as f64,
-            pause: leader.arrivals.pause(),
+            pause: leader.scheduler.arrivals.pause(),
         }
     }
 
@@ -81,7 +81,7 @@
         let now = self.now.mono;
         let mut out = Vec::new();
         let wave = ahead / WAVES;
-        for e in leader.bidding.expected.values_mut() {
+        for e in leader.scheduler.bidding.expected.values_mut() {
             let jobs = e.demand.surge(now) * wave.as_secs_f64();
             let (size, run) = e.demand.size();
             let tasks = jobs * size;
@@ -171,8 +171,8 @@
                 asked.insert(at, expected);
             }
         }
-        leader.bidding.expose(now, &machines);
-        let lots = bids::lots(&self.machine_types, &leader.bidding.beliefs, now);
+        leader.scheduler.bidding.expose(now, &machines);
+        let lots = bids::lots(&self.machine_types, &leader.scheduler.bidding.beliefs, now);
         let (more, cleared) = bids::rent(&leader.board, coming, &asked, &market, &lots, now);
         if !cleared.awards.is_empty() {
             tracing::debug!(
@@ -183,7 +183,7 @@
                 cleared.unserved,
             );
         }
-        leader.bidding.last = Some(cleared);
+        leader.scheduler.bidding.last = Some(cleared);
         self.leader = Some(leader);
         for (offer, count) in more {
             *rents.entry(offer).or_default() += count;
@@ -194,7 +194,7 @@
     /// Each market as it is believed to be, and what the last clearing made of all bids.
     pub(in crate::core) fn markets_view(&self, leader: &LeaderState) -> Value {
         let now = self.now.mono;
-        let beliefs = &leader.bidding.beliefs;
+        let beliefs = &leader.scheduler.bidding.beliefs;
         let mut markets = Vec::new();
         for (i, lot) in bids::lots(&self.machine_types, beliefs, now)
             .iter()
@@ -202,7 +202,7 @@
         {
             let (kind, zone, spot) = &lot.offer;
             let held = leader.board.classes.iter().find(|c| c.offer == lot.offer);
-            let last = leader.bidding.last.as_ref();
+            let last = leader.scheduler.bidding.last.as_ref();
             let award = last.and_then(|c| c.awards.iter().find(|a| a.lot == i));
             markets.push(json!({
                 "type": kind, "zone": zone, "spot": spot,
@@ -213,7 +213,7 @@
                 "shut": beliefs.outlook(&lot.offer, now).shut,
             }));
         }
-        let cleared = leader.bidding.last.as_ref().map(|c| {
+        let cleared = leader.scheduler.bidding.last.as_ref().map(|c| {
             json!({
                 "by": format!("{:?}", c.method).to_lowercase(),
                 "saves": c.saved.round(), "costs": c.cost.round(),
@@ -231,7 +231,7 @@
         };
         if let Some(m) = leader.machines.get(id) {
             let offer = (m.machine_type.clone(), m.zone.clone(), m.spot);
-            leader.bidding.beliefs.lost(&offer, 1, now);
+            leader.scheduler.bidding.beliefs.lost(&offer, 1, now);
         }
     }
 }
--- a/src/core/scheduling/mod.rs
+++ b/src/core/scheduling/mod.rs
@@ -61,6 +61,7 @@
     fn estimate(&self, job: &JobRecord) -> Duration {
         let factor = self
             .leader
+            .scheduler
             .runtime_ratios
             .get(&job.spec.class)
             .map_or(1.0, RuntimeRatio::factor);
@@ -110,6 +111,7 @@
             return;
         }
         let pace = leader
+            .scheduler
             .runtime_ratios
             .entry(job.spec.class.clone())
             .or_default();
@@ -136,10 +138,11 @@
         let Some(leader) = &mut self.leader else {
             return;
         };
-        let before = std::mem::take(&mut leader.deferred_responses);
+        let before = std::mem::take(&mut leader.scheduler.deferred_responses);
         // At a takeover all machines are new, and their answers show them the token: no time to lose.
-        let planned = leader.last_plan == Some(self.now.mono) || !leader.plan_again;
-        if planned || !leader.has_pending_demand || leader.unresolved > 0 {
+        let planned =
+            leader.scheduler.last_plan == Some(self.now.mono) || !leader.scheduler.plan_again;
+        if planned || !leader.scheduler.has_pending_demand || leader.recovery.unresolved > 0 {
             now_due.heartbeats.extend(before.heartbeats);
             now_due.batches.extend(before.batches);
             return;
@@ -150,25 +153,28 @@
         (held.heartbeats).extend(now_due.heartbeats.extract_if(.., |(_, id)| freed(id)));
         let some = |w: &mut PendingBatch| w.machines().any(freed);
         held.batches.extend(now_due.batches.extract_if(.., some));
-        leader.deferred_responses = held;
+        leader.scheduler.deferred_responses = held;
     }
 
     /// Until the next plan, if answers wait for it.
     pub(in crate::core) fn until_next_plan(&self) -> Option<Duration> {
         let leader = self.leader.as_ref()?;
-        let held = !leader.deferred_responses.heartbeats.is_empty()
-            || !leader.deferred_responses.batches.is_empty();
-        let at = leader.last_plan? + PLAN_PAUSE;
+        let held = !leader.scheduler.deferred_responses.heartbeats.is_empty()
+            || !leader.scheduler.deferred_responses.batches.is_empty();
+        let at = leader.scheduler.last_plan? + PLAN_PAUSE;
         held.then(|| at.saturating_duration_since(self.now.mono))
     }
 
     pub(in crate::core) fn schedule(&mut self) {
         let now = self.now.mono;
         let Some(leader) = &self.leader else { return };
-        let since = leader.last_plan.map(|t| now.saturating_duration_since(t));
+        let since = leader
+            .scheduler
+            .last_plan
+            .map(|t| now.saturating_duration_since(t));
         let due = match since {
             None => true,
-            Some(d) => (leader.plan_again && d >= PLAN_PAUSE) || d >= PLAN_INTERVAL,
+            Some(d) => (leader.scheduler.plan_again && d >= PLAN_PAUSE) || d >= PLAN_INTERVAL,
         };
         if due {
             self.stats.work[Work::Plan as usize] += 1;
@@ -177,6 +183,7 @@
         }
         let Some(leader) = &self.leader else { return };
         if leader
+            .scheduler
             .last_scaling
             .is_none_or(|t| now >= t + SCALING_INTERVAL)
         {
@@ -216,7 +223,7 @@
                 team.gpus += held.gpus;
             }
         }
-        if leader.unresolved == 0 {
+        if leader.recovery.unresolved == 0 {
             return used;
         }
         // Old tasks that nobody has shown yet may run on machines that have not reported: no
@@ -253,7 +260,7 @@
     /// What machines hold, or may hold, that the leader has not heard of yet.
     fn unobserved_resources(&self, leader: &LeaderState) -> Resources {
         let mut hidden = Resources::default();
-        if leader.unresolved == 0 {
+        if leader.recovery.unresolved == 0 {
             return hidden;
         }
         for m in leader.machines.values().filter(|m| m.unresolved) {
@@ -278,7 +285,7 @@
         let Some(leader) = &mut self.leader else {
             return;
         };
-        if !std::mem::take(&mut leader.guarantees_changed) {
+        if !std::mem::take(&mut leader.scheduler.guarantees_changed) {
             return;
         }
         let mut jobs: Vec<(SystemTime, &JobId, &JobRecord, &mut JobRun)> = Vec::new();
@@ -365,7 +372,9 @@
 
     /// Whether the job's unseen tasks may run somewhere that has not reported yet.
     pub(in crate::core) fn blocked_by_recovery(leader: &LeaderState, job: &JobRecord) -> bool {
-        leader.unresolved > 0 && job.version < leader.key_version && is_enabled(Safeguard::Unseen)
+        leader.recovery.unresolved > 0
+            && job.version < leader.key_version
+            && is_enabled(Safeguard::Unseen)
     }
 
     /// Jobs with waiting tasks that may be started, in the queue's order: within the guarantee
@@ -629,11 +638,11 @@
             return;
         };
         leader.board = board;
-        leader.last_plan = Some(now);
+        leader.scheduler.last_plan = Some(now);
         // A step repeats at once while it starts tasks.
-        leader.plan_again = !decided.starts.is_empty();
-        leader.has_pending_demand = !jobs.is_empty();
-        leader.queue_head = decided.head.map(|(j, after)| (jobs[j].0.id.clone(), after));
+        leader.scheduler.plan_again = !decided.starts.is_empty();
+        leader.scheduler.has_pending_demand = !jobs.is_empty();
+        leader.scheduler.queue_head = decided.head.map(|(j, after)| (jobs[j].0.id.clone(), after));
         let mut gang_attempt = None;
         for s in decided.starts {
             let (spec, team) = &jobs[s.job];
@@ -655,11 +664,11 @@
             run.placed.insert(s.row, m.id.clone());
             // The tasks of a gang find one another by their attempt.
             if spec.job_kind != JobKind::Gang || gang_attempt != Some(s.job) {
-                leader.attempts += 1;
+                leader.scheduler.attempts += 1;
                 gang_attempt = (spec.job_kind == JobKind::Gang).then_some(s.job);
             }
             // Unique for ever, as terms are: an attempt is never used twice.
-            let attempt = (leader.term << 32) | leader.attempts;
+            let attempt = (leader.term << 32) | leader.scheduler.attempts;
             tracing::debug!(task = %key, machine = %id, "task {key} attempt {attempt} placed on {id}");
             let t = self.machine_types.iter().find(|t| t.name == m.machine_type);
             let cache = t.map_or(0.0, |t| t.cache_gb);
@@ -697,8 +706,8 @@
         let Some(leader) = &mut self.leader else {
             return;
         };
-        leader.last_scaling = Some(now);
-        leader.arrivals.note(now, 0);
+        leader.scheduler.last_scaling = Some(now);
+        leader.scheduler.arrivals.note(now, 0);
         leader.board.sum_again();
         let Some(leader) = &self.leader else { return };
         if self.machine_types.is_empty() {
@@ -708,8 +717,8 @@
         let facts = self.fleet_facts(leader);
         let bidding = self.policy.fleet_truth(Entry::Bidding, &facts);
         // A new leader bids when it knows what is there: until then all that runs seems to wait.
-        let known =
-            leader.unresolved == 0 || now.saturating_duration_since(leader.since) > RECOVERY;
+        let known = leader.recovery.unresolved == 0
+            || now.saturating_duration_since(leader.since) > RECOVERY;
         let mut asked = Vec::new();
         let unmet = self.pending_demand(&view, |entry, unmet| {
             if bidding {
@@ -734,11 +743,17 @@
         let Some(leader) = &mut self.leader else {
             return;
         };
-        let beliefs = &mut leader.bidding.beliefs;
+        let beliefs = &mut leader.scheduler.bidding.beliefs;
         beliefs.shut_only(&cut, "its machines are not heard");
         let market = autoscaler::Market {
             types: self.machine_types.clone(),
-            refused: leader.bidding.beliefs.refused(now).cloned().collect(),
+            refused: leader
+                .scheduler
+                .bidding
+                .beliefs
+                .refused(now)
+                .cloned()
+                .collect(),
             cut,
             spread: Spread::default(),
         };
@@ -751,7 +766,7 @@
         };
         let Some(leader) = &self.leader else { return };
         // A new leader first learns what there is.
-        let settled = leader.unresolved == 0
+        let settled = leader.recovery.unresolved == 0
             && now.saturating_duration_since(leader.since) > self.settings.heartbeat_interval * 2;
         let returns = if settled {
             autoscaler::give_back(&leader.board, &unmet, now, |id| self.idle_keep(leader, id))
@@ -777,12 +792,13 @@
             return;
         };
         if leader
+            .scheduler
             .last_status_log
             .is_some_and(|t| now < t + Duration::from_secs(10))
         {
             return;
         }
-        leader.last_status_log = Some(now);
+        leader.scheduler.last_status_log = Some(now);
         let count =
             |f: &dyn Fn(&Machine) -> bool| leader.machines.values().filter(|m| f(m)).count();
         let tasks = |f: &dyn Fn(&Placement) -> bool| {
@@ -838,7 +854,7 @@
             ram: t.map_or(0.0, |t| t.ram),
             age: age.as_secs_f64(),
             boot: t.map_or(0.0, |t| t.boot_s),
-            pause: leader.arrivals.pause(),
+            pause: leader.scheduler.arrivals.pause(),
         };
         let s = self.policy.machine_number(Entry::IdleKeep, &facts);
         Duration::from_secs_f64(s.clamp(0.0, 1e7))
@@ -937,7 +953,7 @@
     pub(in crate::core) fn refused_offers(&self) -> Vec<Offer> {
         let now = self.now.mono;
         self.leader.as_ref().map_or(Vec::new(), |l| {
-            l.bidding.beliefs.refused(now).cloned().collect()
+            l.scheduler.bidding.beliefs.refused(now).cloned().collect()
         })
     }
 }
--- a/src/core/simulation/scenarios/delegation.rs
+++ b/src/core/simulation/scenarios/delegation.rs
@@ -124,7 +124,7 @@
     simulation.kill(leader, Duration::from_secs(30));
     let next = simulation.run_until_other_leader(leader, 5.0);
     simulation.until(1.0, "all machines known", |simulation| {
-        (simulation.nodes[next].core.leader.as_ref()).is_some_and(|l| l.unresolved == 0)
+        (simulation.nodes[next].core.leader.as_ref()).is_some_and(|l| l.recovery.unresolved == 0)
     });
     simulation.run(5.0);
     for (n, before) in others {
@@ -161,7 +161,7 @@
     simulation.until(8.0, "a leader", |simulation| simulation.leader().is_some());
     let leader = simulation.leader().unwrap();
     simulation.until(3.0, "all machines known", |simulation| {
-        (simulation.nodes[leader].core.leader.as_ref()).is_some_and(|l| l.unresolved == 0)
+        (simulation.nodes[leader].core.leader.as_ref()).is_some_and(|l| l.recovery.unresolved == 0)
     });
     for n in 0..3 {
         assert!(
--- a/src/core/simulation/scenarios/old_reports.rs
+++ b/src/core/simulation/scenarios/old_reports.rs
@@ -342,7 +342,7 @@
     (m.inbound_partitioned, m.next_report) = (false, simulation.now + Duration::from_secs(5));
     let lead = simulation.nodes[next].core.leader.as_mut().unwrap();
     assert!(lead.machines.get(&id).unwrap().unresolved, "too late");
-    lead.to_probe.push(id.clone());
+    lead.recovery.to_probe.push(id.clone());
     simulation.run(0.1);
     assert_eq!(
         simulation.submit(next, &unlimited_job("wk-000001", 5, 4.0, 20)),
--- a/src/core/simulation/scenarios/scheduling.rs
+++ b/src/core/simulation/scenarios/scheduling.rs
@@ -158,7 +158,7 @@
     assert_eq!(lead.machines.values().count(), 1000);
     simulation.until(5.0, "all machines known", |simulation| {
         let lead = simulation.nodes[leader].core.leader.as_ref();
-        lead.is_some_and(|l| l.unresolved == 0)
+        lead.is_some_and(|l| l.recovery.unresolved == 0)
     });
 }
 
@@ -276,7 +276,7 @@
     let row = *run.placed.keys().next().unwrap();
     run.placed.insert(row, other);
     run.other_machines.insert(row, vec![first]);
-    (lead.plan_again, lead.last_plan) = (true, None);
+    (lead.scheduler.plan_again, lead.scheduler.last_plan) = (true, None);
     simulation.run(0.3);
     simulation.until_done("wk-000001", 60.0);
 }
--- a/src/core/simulation/scenarios/size.rs
+++ b/src/core/simulation/scenarios/size.rs
@@ -150,6 +150,7 @@
             .leader
             .as_ref()
             .unwrap()
+            .recovery
             .unresolved
     };
     let mut rounds = 0;
@@ -208,7 +209,7 @@
     assert_eq!(leader == 0, leads);
     simulation.until(2.0, "all machines are known", |simulation| {
         let lead = simulation.nodes[leader].core.leader.as_ref();
-        lead.is_some_and(|l| l.unresolved == 0)
+        lead.is_some_and(|l| l.recovery.unresolved == 0)
     });
     let elsewhere = simulation.workers.values().filter(|m| m.node != 0).count();
     // Some are sent on, as loads are evened out.
--- a/src/core/store/rebuild.rs
+++ b/src/core/store/rebuild.rs
@@ -203,7 +203,7 @@
             return true;
         };
         let up = |id: &MachineId| leader.machines.get(id).is_none_or(|m| m.incarnation > 0);
-        let heard = leader.unresolved == 0 && r.booting.iter().all(up);
+        let heard = leader.recovery.unresolved == 0 && r.booting.iter().all(up);
         let seen_all = r.complete() && r.listed && heard;
         seen_all || self.worker_leases_expired(leader)
     }
@@ -220,7 +220,7 @@
                     "term {}: the state service is whole again",
                     leader.term
                 );
-                leader.plan_again = true;
+                leader.scheduler.plan_again = true;
             }
             return;
         }
@@ -236,7 +236,7 @@
         let Some(r) = &mut leader.rebuild else { return };
         if starts && r.started_at.is_none() {
             r.started_at = Some(now);
-            leader.plan_again = true;
+            leader.scheduler.plan_again = true;
             let took = now.saturating_duration_since(since).as_millis();
             tracing::warn!(
                 term = term,
@@ -259,7 +259,7 @@
         }
         if r.complete() && r.complete_at.is_none() {
             r.complete_at = Some(now);
-            leader.plan_again = true;
+            leader.scheduler.plan_again = true;
             let took = now.saturating_duration_since(since).as_millis();
             tracing::warn!(
                 term = term,
@@ -443,7 +443,7 @@
                 }
             }
         }
-        leader.plan_again = true;
+        leader.scheduler.plan_again = true;
         for (key, machine) in adopted {
             self.stop_duplicates(&key, &machine);
         }
@@ -675,7 +675,7 @@
         }
         // Nobody but this leader has answered it since.
         m.lease_renewed = since;
-        self.unresolved += usize::from(!std::mem::replace(&mut m.unresolved, true));
-        self.to_probe.push(id.clone());
+        self.recovery.unresolved += usize::from(!std::mem::replace(&mut m.unresolved, true));
+        self.recovery.to_probe.push(id.clone());
     }
 }
--- a/src/core/store/writes.rs
+++ b/src/core/store/writes.rs
@@ -556,7 +556,7 @@
                         && let Some(m) = leader.machines.get_mut(&id)
                     {
                         m.recorded = true;
-                        leader.plan_again = true;
+                        leader.scheduler.plan_again = true;
                     }
                 }
             }
--- a/src/core/workers/commands.rs
+++ b/src/core/workers/commands.rs
@@ -284,13 +284,17 @@
         let answers = matches!(outcome, DirectOutcome::Heartbeat { .. });
         m.failed_calls = if answers { 0 } else { m.failed_calls + 1 };
         if answers {
-            (leader.last_direct_contact, leader.failed_direct_calls) = (now, 0);
+            (
+                leader.liveness.last_direct_contact,
+                leader.liveness.failed_direct_calls,
+            ) = (now, 0);
         } else {
-            leader.failed_direct_calls += 1;
+            leader.liveness.failed_direct_calls += 1;
         }
         if !answers && m.unresolved && m.failed_calls < MAX_UNANSWERED_PROBES {
             leader
-                .probe_retries
+                .recovery
+                .retries
                 .insert((now + PROBE_RETRY_PAUSE, id.clone()));
         }
         match outcome {
--- a/src/core/workers/delegation.rs
+++ b/src/core/workers/delegation.rs
@@ -133,7 +133,9 @@
             };
             m.claimed_until = Some(now + PROBE_CLAIM);
             // If nothing comes of it, it is asked from here.
-            self.probe_retries.insert((now + PROBE_CLAIM, id.clone()));
+            self.recovery
+                .retries
+                .insert((now + PROBE_CLAIM, id.clone()));
             out.push((id, m.addr.clone()));
         }
         out
@@ -209,7 +211,7 @@
         }
         let leader = self.leader.as_mut()?;
         if !sync.answered.is_empty() || !sync.heartbeats.is_empty() {
-            leader.last_heartbeat = Some(now);
+            leader.liveness.last_heartbeat = Some(now);
         }
         leader.delegates.relayed_heartbeats += sync.heartbeats.len() as u64;
         leader.delegates.delegated_answers += sync.answered.len() as u64;
@@ -233,7 +235,7 @@
             {
                 m.failed_calls += 1;
                 m.claimed_until = None;
-                leader.probe_retries.insert((now, id.clone()));
+                leader.recovery.retries.insert((now, id.clone()));
             }
         }
         let mut heartbeats = Vec::new();
--- a/src/core/workers/heartbeats.rs
+++ b/src/core/workers/heartbeats.rs
@@ -229,7 +229,11 @@
                 && m.incarnation == 0
             {
                 let announced = Duration::from_secs_f64(t.boot_s.clamp(0.0, 1e6));
-                leader.bidding.beliefs.came_up(&t.name, announced, took);
+                leader
+                    .scheduler
+                    .bidding
+                    .beliefs
+                    .came_up(&t.name, announced, took);
             }
         }
         let noticed = m.reclaim_at.is_none() && heartbeat.reclaim_in_s.is_some();
@@ -260,7 +264,7 @@
         let untaken = answered && m.start_unconfirmed && m.failed_calls > 0;
         if noticed {
             let offer = (m.machine_type.clone(), m.zone.clone(), m.spot);
-            leader.bidding.beliefs.lost(&offer, 1, now);
+            leader.scheduler.bidding.beliefs.lost(&offer, 1, now);
         }
         if answered {
             m.start_unconfirmed = false;
@@ -458,7 +462,7 @@
         if m.tasks.is_empty() {
             m.idle_since = now;
         }
-        leader.plan_again = true;
+        leader.scheduler.plan_again = true;
         tracing::debug!(task = %key, machine = %id, "task {key} attempt {} on {id} ended: {why:?}", t.attempt);
         let ran = t.running_since.map(|s| now.saturating_duration_since(s));
         if why == ExitCause::Done {
@@ -657,7 +661,7 @@
             if m.tasks.is_empty() {
                 m.idle_since = now;
             }
-            leader.plan_again = true;
+            leader.scheduler.plan_again = true;
             if let Some(r) = &mut leader.rebuild {
                 r.remove_held(&key, id);
             }
