--- a/src/core/workers/commands.rs
+++ b/src/core/workers/commands.rs
@@ -14,7 +14,7 @@
 use crate::http::Answer;
 use crate::job::{MachineId, TaskId};
 use crate::wire::{DirectCommands, HeartbeatResponse, TaskCommand, to_json};
-use crate::worker_client::{DirectOutcome, DirectRequest};
+use crate::worker_client::{self, DirectOutcome, DirectRequest};
 use std::time::Duration;
 
 const PROBE_RETRY_PAUSE: Duration = Duration::from_millis(300);
@@ -22,7 +22,7 @@
 pub(in crate::core) const MAX_COMMANDS: usize = 400;
 /// Direct calls on their way at a time: what the threads that make them finish well within the
 /// leader's word, so that none is given up unsent for having queued too long.
-pub(in crate::core) const MAX_DIRECT_CALLS: usize = 2 * crate::service::DIRECT_THREADS;
+pub(in crate::core) const MAX_DIRECT_CALLS: usize = 2 * worker_client::CALL_THREADS;
 /// After an answer with a new token, a worker's next report has come.
 const TOKEN_CONFIRMATION_DELAY: Duration = Duration::from_millis(900);
 
--- a/src/service.rs
+++ b/src/service.rs
@@ -40,7 +40,6 @@
 /// have to go on meanwhile.
 const STATE_THREADS: usize = 12;
 const CLOUD_THREADS: usize = 4;
-pub const DIRECT_THREADS: usize = 24;
 const PEER_THREADS: usize = 3;
 /// Submissions should be accepted well within 300 ms even if the leader has just died.
 const PEER_TIMEOUT: Duration = Duration::from_millis(200);
@@ -194,7 +193,7 @@
 /// process may have, less what it opens itself, and as its memory allows.
 pub fn most_connections(settings: &Settings) -> usize {
     let peers = settings.peers.len() * PEER_THREADS + MOST_PEER_CONNECTIONS;
-    let own = STATE_THREADS + CLOUD_THREADS + DIRECT_THREADS + peers + SPARE_SOCKETS;
+    let own = STATE_THREADS + CLOUD_THREADS + worker_client::CALL_THREADS + peers + SPARE_SOCKETS;
     let base = BASE_MB.min(settings.memory_mb / 2.0);
     let by_memory = (settings.memory_mb - base) / CONNECTION_MB;
     (settings.max_sockets.saturating_sub(own)).clamp(16, by_memory.max(16.0) as usize)
@@ -334,7 +333,7 @@
 }
 
 fn direct_pool(inbox: &Inbox) -> io::Result<Sender<DirectCall>> {
-    pool("direct", DIRECT_THREADS, || {
+    pool("direct", worker_client::CALL_THREADS, || {
         let inbox = inbox.clone();
         Box::new(move |(call, addr, request, not_after): DirectCall| {
             inbox.renewal().yield_to_lease_renewal();
--- a/src/worker_client.rs
+++ b/src/worker_client.rs
@@ -5,6 +5,8 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
+/// Threads that make direct calls, and so how many of them are made at a time.
+pub const CALL_THREADS: usize = 24;
 const CONNECT: Duration = Duration::from_millis(500);
 const TIMEOUT: Duration = Duration::from_millis(1500);
 
