--- a/src/core/leadership/state.rs
+++ b/src/core/leadership/state.rs
@@ -2,31 +2,21 @@
 //! is under way at the cloud, and what it has lent. Data; what is done with it is in the modules above.
 
 use crate::core::jobs::job_run::{ArrivalRate, JobRun, RuntimeRatio, Urgency};
+use crate::core::machines::cloud_operations::CloudOperations;
 use crate::core::machines::machine::{Machine, Machines};
 use crate::core::scheduling::demand::Bidding;
-use crate::core::store::cache::ResidualTasks;
 use crate::core::store::keys::{PartGeneration, named};
-use crate::core::store::machine_records::MachineRecords;
+use crate::core::store::pending_writes::Writes;
 use crate::core::store::rebuild::Rebuild;
-use crate::core::workers::delegation::PendingBatch;
-use crate::core::{CallId, Ticket};
-use crate::job::{JobId, JobOutcome, MachineId};
+use crate::core::workers::delegates::Delegates;
+use crate::core::workers::pending_responses::DeferredResponses;
+use crate::job::{JobId, MachineId};
 use crate::planning::cluster_snapshot::Board;
-use crate::wire::{CompareAndSwap, Condition, ScaleOutRequest};
-use burlusher_membership::grant::IssuedGrant;
-use burlusher_membership::view::FailureDetectorTimeouts;
+use crate::wire::Condition;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A controller that serves workers says something at least every `HEARTBEAT`.
-pub(in crate::core) const PATIENCE: FailureDetectorTimeouts = FailureDetectorTimeouts {
-    suspect_after: Duration::from_millis(1500),
-    lost_after: Duration::from_millis(6000),
-};
-/// With nothing to say, a frame goes to the leader this often: it keeps the grant.
-pub(in crate::core) const HEARTBEAT: Duration = Duration::from_millis(400);
-
 #[derive(Clone, Copy, Debug)]
 pub struct Lease {
     pub id: u64,
@@ -214,142 +204,3 @@
         m.usable(now, heartbeat * 9 / 4) && !m.avoided(now) && !m.unresolved
     }
 }
-
-#[derive(Default)]
-pub struct DeferredResponses {
-    pub heartbeats: Vec<(Ticket, MachineId)>,
-    pub batches: Vec<PendingBatch>,
-}
-
-/// One durable change of the leader's.
-#[derive(Clone, Debug)]
-pub enum WriteOp {
-    /// With what may be left of it on machines.
-    End(JobId, JobOutcome, Option<ResidualTasks>),
-    Progress(JobId, Vec<u32>),
-    /// Pages of machines, and who is on them.
-    Pages(Vec<usize>, Vec<MachineId>),
-    Types,
-    /// A job that the store had lost, or so many parts of it.
-    Owed(JobId),
-    OwedParts(JobId, usize),
-    /// The store is whole again.
-    Rebuilt,
-}
-
-/// Changes that wait for the next transaction, and the one that is on its way.
-#[derive(Default)]
-pub struct Writes {
-    pub ends: BTreeMap<JobId, JobOutcome>,
-    /// Jobs cancelled with one that they need: that is durable already, and these follow.
-    pub followers: BTreeSet<JobId>,
-    /// Jobs with done tasks that are not written yet, and since when.
-    pub progress: BTreeMap<JobId, Instant>,
-    pub records: MachineRecords,
-    pub machine_types: bool,
-    /// The mark of an incomplete store is to be taken off.
-    pub rebuild_complete: bool,
-    /// How many parts are written of large jobs that are owed.
-    pub missing_parts_written: BTreeMap<JobId, usize>,
-    pub in_flight: Option<InFlightWrite>,
-    /// Nothing is sent before the copy is as new as this: a write was refused for what had changed then.
-    pub minimum_revision: u64,
-    /// Writes refused for that in a row.
-    pub conflicts: u32,
-    /// Changes that a transaction may have, if the service refused one of those allowed.
-    pub max_changes: Option<usize>,
-    /// Keys that the service refuses to have put, and until when that is not tried again.
-    pub quarantined_keys: BTreeMap<String, Instant>,
-}
-
-/// The transaction that is on its way, or whose outcome is unknown.
-pub struct InFlightWrite {
-    pub txn: CompareAndSwap,
-    pub ops: Vec<WriteOp>,
-    pub call: Option<CallId>,
-    pub retry_at: Instant,
-    /// Where the state service shows it to have been committed.
-    pub committed: Option<u64>,
-    /// It was refused for what the state service held at some revision: whether that is its own first copy
-    /// is known when this process's copy of the store has come as far.
-    pub refused: Option<RefusedWrite>,
-}
-
-/// A refused transaction, until it is known who made the change for which it was refused.
-pub struct RefusedWrite {
-    pub conflicting_keys: Vec<String>,
-    pub revision: u64,
-    pub since: Instant,
-}
-
-impl InFlightWrite {
-    pub fn new(
-        txn: CompareAndSwap,
-        ops: Vec<WriteOp>,
-        call: CallId,
-        now: Instant,
-    ) -> InFlightWrite {
-        InFlightWrite {
-            txn,
-            ops,
-            call: Some(call),
-            retry_at: now,
-            committed: None,
-            refused: None,
-        }
-    }
-}
-
-/// What is known and under way at the cloud.
-#[derive(Default)]
-pub struct CloudOperations {
-    pub scale_outs: BTreeMap<String, ScaleOutOperation>,
-    pub next_request: u64,
-    pub list_requested: Option<Instant>,
-    pub list_in_flight: bool,
-    /// How many machines the newest list had.
-    pub listed_machines: usize,
-    pub deletions: BTreeMap<MachineId, Instant>,
-    pub delete_calls_in_flight: usize,
-}
-
-pub struct ScaleOutOperation {
-    pub body: ScaleOutRequest,
-    pub since: Instant,
-    pub call: Option<u64>,
-    pub retry_at: Instant,
-}
-
-/// One controller that serves workers.
-pub struct Delegate {
-    pub issued: IssuedGrant,
-    /// Machines not to be answered from memory, each with the answer that first said so.
-    pub revocations: BTreeMap<MachineId, Option<u64>>,
-    /// Workers it is to send elsewhere.
-    pub reassignments: Vec<(String, u32)>,
-    /// Machines may be lent to it.
-    pub has_delegations: bool,
-}
-
-#[derive(Default)]
-pub struct Delegates {
-    pub by_name: BTreeMap<Arc<str>, Delegate>,
-    /// Workers that report here and are to go elsewhere.
-    pub own_reassignments: Vec<(String, u32)>,
-    pub last_rebalance: Option<Instant>,
-    /// Reports taken in that came by way of others, for the status view.
-    pub relayed_heartbeats: u64,
-    /// Those answered by others.
-    pub delegated_answers: u64,
-}
-
-impl Delegates {
-    /// How long after a report the leader may hear of it, where another controller answered it.
-    pub(in crate::core) fn delegation_delay(&self) -> Duration {
-        if self.by_name.is_empty() {
-            Duration::ZERO
-        } else {
-            HEARTBEAT * 3 / 2
-        }
-    }
-}
--- a/src/core/machines/cloud_calls.rs
+++ b/src/core/machines/cloud_calls.rs
@@ -1,7 +1,7 @@
 //! Renting: calls to the cloud within its limit, and what its answers and its list say of machines.
 
 use crate::cloud_client::{CloudOutcome, CloudRequest, MAX_DELETED_PER_CALL, PAGE};
-use crate::core::leadership::state::ScaleOutOperation;
+use crate::core::machines::cloud_operations::ScaleOutOperation;
 use crate::core::machines::machine::Machine;
 use crate::core::store::cache::MachineValue;
 use crate::core::{Core, Effect, Pending};
--- a/src/core/machines/mod.rs
+++ b/src/core/machines/mod.rs
@@ -2,5 +2,6 @@
 //! add and delete them.
 
 pub mod cloud_calls;
+pub mod cloud_operations;
 pub mod failure_detection;
 pub mod machine;
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -447,7 +447,7 @@
         let read_budget = RateLimiter::new(share * QUESTIONS_SHARE, now.mono);
         let delegating = policy.fleet_truth(Entry::Delegate, &FleetFacts::default());
         let others = (settings.peers.iter()).map(|p| (p.name.clone(), p.zone.clone()));
-        let view = MembershipView::new(others, leadership::state::PATIENCE);
+        let view = MembershipView::new(others, workers::delegates::PATIENCE);
         Core {
             write_budget,
             read_budget,
@@ -569,7 +569,7 @@
             self.advance_rebuild();
             self.check_machines();
             self.schedule();
-            let mut due = leadership::state::DeferredResponses {
+            let mut due = workers::pending_responses::DeferredResponses {
                 heartbeats: heartbeats,
                 batches: syncs,
             };
--- a/src/core/scheduling/mod.rs
+++ b/src/core/scheduling/mod.rs
@@ -4,10 +4,10 @@
 pub mod demand;
 
 use crate::core::jobs::job_run::{JobRun, RuntimeRatio, Urgency};
-use crate::core::leadership::state::{DeferredResponses as Waiters, LeaderState};
+use crate::core::leadership::state::LeaderState;
 use crate::core::machines::machine::{Machine, Phase, Placement, StopReason};
 use crate::core::store::cache::JobRecord;
-use crate::core::workers::delegation::PendingBatch;
+use crate::core::workers::pending_responses::{DeferredResponses as Waiters, PendingBatch};
 use crate::core::{Core, Work};
 use crate::fault_injection::{Safeguard, is_enabled};
 use crate::job::{JobId, JobKind, MachineId, Priority, Resources, TaskId};
--- a/src/core/store/mod.rs
+++ b/src/core/store/mod.rs
@@ -10,6 +10,7 @@
 pub mod keys;
 pub mod large_jobs;
 pub mod machine_records;
+pub mod pending_writes;
 pub mod read_barrier;
 pub mod rebuild;
 pub mod versions;
--- a/src/core/store/rebuild.rs
+++ b/src/core/store/rebuild.rs
@@ -13,12 +13,13 @@
 //!   nothing is held; or when an operator settles it.
 
 use crate::core::leadership::json;
-use crate::core::leadership::state::{LeaderState, WriteOp};
+use crate::core::leadership::state::LeaderState;
 use crate::core::machines::failure_detection::lease_expiry;
 use crate::core::machines::machine::{Machine, StopReason};
 use crate::core::store::cache::{JobValue, MachineValue};
 use crate::core::store::keys::{job_key, part_key};
 use crate::core::store::large_jobs::{self, PartValue};
+use crate::core::store::pending_writes::WriteOp;
 use crate::core::{Core, Effect, Ticket};
 use crate::http::Answer;
 use crate::job::{JobId, MachineId, Resources, TaskId};
--- a/src/core/store/writes.rs
+++ b/src/core/store/writes.rs
@@ -2,11 +2,12 @@
 //! at a time, and each takes effect here when it is known to be committed.
 
 use crate::core::leadership::json;
-use crate::core::leadership::state::{InFlightWrite, LeaderState, RefusedWrite, WriteOp};
+use crate::core::leadership::state::LeaderState;
 use crate::core::machines::failure_detection::cancellation_bound;
 use crate::core::store::cache::{DoneValue, JobValue};
 use crate::core::store::keys::{LEADER, REBUILDING, TYPES, done_key, job_key, key, machine_key};
 use crate::core::store::machine_records::MachineRecords;
+use crate::core::store::pending_writes::{InFlightWrite, RefusedWrite, WriteOp};
 use crate::core::{CallId, Core, Pending};
 use crate::fault_injection::{Safeguard, is_enabled};
 use crate::job::{JobId, JobOutcome};
--- a/src/core/workers/delegation.rs
+++ b/src/core/workers/delegation.rs
@@ -13,9 +13,11 @@
 //!   "nothing new" with a token that is still good, which is harmless; the command itself goes to
 //!   the worker directly, or into the next answer that comes by way of the leader.
 
-use crate::core::leadership::state::{Delegate, LeaderState, PATIENCE};
+use crate::core::leadership::state::LeaderState;
 use crate::core::machines::machine::WORKER_RETRY;
 use crate::core::workers::commands::MAX_DIRECT_CALLS;
+use crate::core::workers::delegates::{Delegate, PATIENCE};
+use crate::core::workers::pending_responses::PendingBatch;
 use crate::core::{Core, Ticket};
 use crate::http::Answer;
 use crate::job::MachineId;
@@ -47,25 +49,6 @@
 /// Answers in one frame take this much; a worker whose answer does not fit any more asks again.
 const MAX_RESPONSE_BYTES: usize = 400 * 1024;
 
-/// A frame that is answered at the end of the step.
-pub struct PendingBatch {
-    pub ticket: Ticket,
-    pub number: u64,
-    from: Arc<str>,
-    /// Workers that the sender has still to ask.
-    probes_pending: usize,
-    heartbeats: Vec<(u64, Result<MachineId, Answer>)>,
-}
-
-impl PendingBatch {
-    /// The machines whose reports it answers.
-    pub(in crate::core) fn machines(&self) -> impl Iterator<Item = &MachineId> {
-        self.heartbeats
-            .iter()
-            .filter_map(|(_, taken)| taken.as_ref().ok())
-    }
-}
-
 impl LeaderState {
     /// Takes a machine back from the controller that may answer its reports.
     pub(in crate::core) fn recall(&mut self, id: &MachineId) {
--- a/src/core/workers/mod.rs
+++ b/src/core/workers/mod.rs
@@ -2,7 +2,9 @@
 //! for the leader (relay on a follower, delegation on the leader).
 
 pub mod commands;
+pub mod delegates;
 pub mod delegation;
 pub mod heartbeat_queue;
 pub mod heartbeats;
+pub mod pending_responses;
 pub mod relay;
--- a/src/core/workers/relay.rs
+++ b/src/core/workers/relay.rs
@@ -7,8 +7,9 @@
 //! at the very moment at which a new leader has most to do. When it comes, the workers need not
 //! look for it, and this controller shows them its token.
 
-use crate::core::leadership::state::{HEARTBEAT, LeaderState};
+use crate::core::leadership::state::LeaderState;
 use crate::core::workers::commands::MAX_DIRECT_CALLS;
+use crate::core::workers::delegates::HEARTBEAT;
 use crate::core::workers::heartbeat_queue::{ReportQueue, Waiting};
 use crate::core::workers::heartbeats::redirect_to;
 use crate::core::{Core, Effect, Pending, Ticket};
