--- a/src/core/jobs/lifecycle.rs
+++ b/src/core/jobs/lifecycle.rs
@@ -21,7 +21,7 @@
         let Some(run) = leader.job_runs.get_mut(id) else {
             return self.answer(ticket, Answer::busy("not ready", 1));
         };
-        if is_enabled(Safeguard::Cancelled) {
+        if is_enabled(Safeguard::DurableCancellation) {
             run.cancel_waiters.push(ticket);
         } else {
             let body = state_body(id, JobState::Cancelled, None, None);
@@ -35,7 +35,7 @@
             run.ending = Some(JobOutcome::Cancelled);
             // What they do from now on is of no use to anybody, and what was still to start would start after
             // its user was told. Should the end never be written, a later leader starts them again.
-            if is_enabled(Safeguard::Early) && is_enabled(Safeguard::Stopped) {
+            if is_enabled(Safeguard::StopOnCancelRequest) && is_enabled(Safeguard::StopEndedJobs) {
                 let id = Self::job_id(id);
                 run.stop_assigned(&id, &mut leader.machines, StopReason::Over, self.now.mono);
             }
@@ -78,7 +78,7 @@
                 ..JobRun::default()
             };
             leader.job_runs.insert(id.clone(), run);
-            leader.scheduler.guarantees_changed = true;
+            leader.scheduler.invalidate_guarantees();
             if job.version > leader.key_version {
                 leader.scheduler.arrivals.note(self.now.mono, 1);
                 let pace = leader
@@ -102,7 +102,7 @@
                 let with_it = self.store_cache.dependencies.all_dependents(id);
                 leader.cancellation_pending.extend(with_it);
             }
-            leader.scheduler.plan_again = true;
+            leader.scheduler.request_plan();
         }
         if !job.spec.dependencies.is_empty() && self.store_cache.ready(id) {
             let Some(run) = leader.job_runs.get_mut(id) else {
@@ -110,8 +110,8 @@
             };
             if run.ready.is_none() {
                 run.ready = Some(self.now);
-                leader.scheduler.guarantees_changed = true;
-                leader.scheduler.plan_again = true;
+                leader.scheduler.invalidate_guarantees();
+                leader.scheduler.request_plan();
                 tracing::info!(job = %id, "job {id}: all that it awaits is done");
             }
         }
@@ -141,12 +141,12 @@
         leader.writes.progress.remove(id);
         leader.cancellation_pending.remove(id);
         leader.inherited_urgency.remove(id);
-        leader.scheduler.guarantees_changed = true;
-        leader.scheduler.plan_again = true;
+        leader.scheduler.invalidate_guarantees();
+        leader.scheduler.request_plan();
         if let Some(end) = self.store_cache.finished.get(id) {
             tracing::info!(job = %id, "job {id} is over: {end:?}");
         }
-        if is_enabled(Safeguard::Stopped) {
+        if is_enabled(Safeguard::StopEndedJobs) {
             run.stop_assigned(id, &mut leader.machines, StopReason::Over, now);
         }
         if let Some(answer) = self.final_answer(id) {
@@ -166,7 +166,7 @@
             return;
         };
         let missing = job.spec.tasks.saturating_sub(job.done.len());
-        let all = missing == 0 || missing == 1 && !is_enabled(Safeguard::AllDone);
+        let all = missing == 0 || missing == 1 && !is_enabled(Safeguard::ArrayCompletion);
         let all = job.spec.job_kind != JobKind::Service && all;
         if all && run.ending.is_none() {
             run.ending = Some(JobOutcome::Done);
--- a/src/core/jobs/queries.rs
+++ b/src/core/jobs/queries.rs
@@ -1,11 +1,12 @@
 //! What users ask for: requests are answered from what is final, by an acting leader from memory, or by a read that is
 //! begun after the question came; otherwise they are passed on to the leader.
 
+use crate::core::command::{Pending, ReadPurpose};
 use crate::core::jobs::job_run::JobRun;
 use crate::core::store::cache::JobValue;
 use crate::core::store::keys::job_key;
 use crate::core::store::read_barrier::Question;
-use crate::core::{Core, Effect, Pending, ReadPurpose, Ticket};
+use crate::core::{Core, Effect, Ticket};
 use crate::fault_injection::{Safeguard, is_enabled};
 use crate::http::Answer;
 use crate::job::{JobOutcome, JobSpec, MachineId, TaskId};
@@ -330,7 +331,7 @@
 
     pub(in crate::core) fn read_job_key(&mut self, id: String, purpose: ReadPurpose) {
         let key = job_key(&id);
-        self.ask_state(Pending::Read { id, purpose }, StoreRequest::Get(key));
+        self.ask_state(Pending::ReadJob { id, purpose }, StoreRequest::Get(key));
     }
 
     pub(in crate::core) fn read(
@@ -369,7 +370,7 @@
             }
             StoreOutcome::Missing { .. } => match purpose {
                 ReadPurpose::Reject(_, answer) => self.answer(ticket, answer),
-                _ if is_enabled(Safeguard::Unknown) => {
+                _ if is_enabled(Safeguard::UnknownJob) => {
                     self.answer(ticket, Answer::error(404, "no such job"));
                 }
                 _ => {
--- a/src/core/jobs/submissions.rs
+++ b/src/core/jobs/submissions.rs
@@ -1,20 +1,20 @@
 //! Submissions: whether a job can run, and how it comes to be in the state service. Any controller accepts one by a
 //! create-only key; its user is told when that is durable.
 
+use crate::core::command::{Pending, ReadPurpose};
 use crate::core::jobs::queries::{final_state, rebuilding_answer, state_body};
-use crate::core::leadership::json;
 use crate::core::store::cache::JobValue;
 use crate::core::store::keys::{PartGeneration, job_key, part_key};
 use crate::core::store::large_jobs::{self, PartValue, PartWrite};
 use crate::core::store::read_barrier::Question;
 use crate::core::store::writes::MAX_TRANSACTION_BYTES;
-use crate::core::{Core, Pending, ReadPurpose, Ticket, note};
+use crate::core::{Core, Ticket, record};
 use crate::fault_injection::{Safeguard, is_enabled};
 use crate::http::Answer;
 use crate::job::{JobId, JobKind, JobSpec};
 use crate::settings::Settings;
 use crate::store_client::{StoreOutcome, StoreRequest};
-use crate::wire::{Change, CompareAndSwap, Condition, JobState, to_json};
+use crate::wire::{Change, CompareAndSwap, Condition, JobState, to_json, to_json_value};
 use std::time::{Duration, Instant, SystemTime};
 
 /// The state service answers within some ten milliseconds. A creation without an answer for so long is settled
@@ -65,7 +65,7 @@
         conditions,
         changes: vec![Change::Put {
             key,
-            value: json(&value),
+            value: to_json_value(&value),
             lease: None,
         }],
     }
@@ -239,7 +239,7 @@
         let next = parts.parts.iter().enumerate().skip(from).take(most);
         let put = |(n, text): (usize, &String)| Change::Put {
             key: part_key(&spec.id, parts.generation, n as u32),
-            value: json(&PartValue { text: text.clone() }),
+            value: to_json_value(&PartValue { text: text.clone() }),
             lease: None,
         };
         let changes: Vec<Change> = next.map(put).collect();
@@ -248,7 +248,7 @@
             conditions: Vec::new(),
             changes,
         };
-        let pending = Pending::Parts {
+        let pending = Pending::CreateJobParts {
             ticket,
             spec,
             since,
@@ -310,7 +310,7 @@
     ) {
         let ms = self.submitted_ms(since);
         let txn = creation(&spec, ms, parts.as_deref());
-        let pending = Pending::Create {
+        let pending = Pending::CreateJob {
             ticket,
             spec,
             since,
@@ -327,7 +327,7 @@
     pub(in crate::core) fn resolve_creations(&mut self) {
         let now = self.now.mono;
         while let Some((_, call)) = self.unanswered_creations.pop_front_if(|(at, _)| *at <= now) {
-            let Some(Pending::Create { ticket, spec, .. }) = self.pending.get(&call) else {
+            let Some(Pending::CreateJob { ticket, spec, .. }) = self.pending.get(&call) else {
                 continue;
             };
             if !self.store_cache.knows(&spec.id) {
@@ -362,7 +362,7 @@
                     spec.team,
                     spec.tasks
                 );
-                note(&mut self.stats.accept, waited.as_millis());
+                record(&mut self.stats.accept, waited.as_millis());
                 let value = match parts {
                     None => JobValue::live(spec, ms),
                     // The copy reads it from its parts, which were written before.
@@ -381,14 +381,14 @@
                     .map_or(JobState::Queued, final_state);
                 self.answer(ticket, Answer::new(201, state_body(&id, state, None, None)));
             }
-            StoreOutcome::Conflict { .. } if is_enabled(Safeguard::Conflict) => {
+            StoreOutcome::Conflict { .. } if is_enabled(Safeguard::ConflictDetection) => {
                 self.read_job_key(spec.id.to_string(), ReadPurpose::Show(ticket));
             }
             StoreOutcome::Conflict { .. } => {
                 let body = state_body(&spec.id, JobState::Queued, None, None);
                 self.answer(ticket, Answer::new(201, body));
             }
-            StoreOutcome::Unknown(_) if !is_enabled(Safeguard::Accepted) => {
+            StoreOutcome::Unknown(_) if !is_enabled(Safeguard::DurableAcceptance) => {
                 let body = state_body(&spec.id, JobState::Queued, None, None);
                 self.answer(ticket, Answer::new(201, body));
             }
--- a/src/core/jobs/urgency.rs
+++ b/src/core/jobs/urgency.rs
@@ -78,7 +78,7 @@
                 } else {
                     leader.inherited_urgency.insert(id, u);
                 }
-                leader.scheduler.plan_again = true;
+                leader.scheduler.request_plan();
             }
         }
     }
--- /dev/null
+++ b/src/core/leadership/isolation.rs
@@ -0,0 +1,57 @@
+//! A leader that its workers do not reach, or that does not reach them, while the store is reachable: another
+//! controller may do better.
+
+use crate::core::Core;
+use crate::core::leadership::state::LeaderState;
+use std::time::Duration;
+
+/// Added to two heartbeat intervals: how long workers need to find a new leader.
+const FAILOVER_ALLOWANCE: Duration = Duration::from_secs(2);
+
+impl Core {
+    /// Notes that this leader is able to act. Where it was not for a while, its machines' silence proves nothing:
+    /// the store was away, heartbeats were answered with 503 meanwhile, and the workers went from controller to
+    /// controller.
+    pub(in crate::core) fn record_activity(&mut self) {
+        let now = self.now.mono;
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        if let Some(inactive) = leader.liveness.record_activity(now) {
+            let inactive_ms = inactive.as_millis() as u64;
+            tracing::info!(term = leader.term, inactive_ms, "leader acts again");
+            let until = now + self.settings.heartbeat_interval;
+            leader.liveness.excuse_silence(until);
+        }
+    }
+
+    /// Resigns if this leader is isolated from its workers and another controller may reach them.
+    pub(in crate::core) fn resign_if_isolated(&mut self) {
+        let now = self.now.mono;
+        let isolated = self.leader.as_ref().is_some_and(|l| self.is_isolated(l));
+        if isolated
+            && self.candidacy.may_resign_in_isolation(now)
+            && !self.settings.peers.is_empty()
+        {
+            self.candidacy.resigned_in_isolation(now);
+            self.resign("no worker reports here");
+        }
+    }
+
+    fn is_isolated(&self, leader: &LeaderState) -> bool {
+        let now = self.now.mono;
+        let has_reports = leader.machines.values().any(|m| m.incarnation > 0);
+        if !has_reports && leader.recovery.is_complete() {
+            return false;
+        }
+        // Until the workers have found a new leader, few heartbeats come in any case.
+        let failover_time = self.settings.heartbeat_interval * 2 + FAILOVER_ALLOWANCE;
+        let settled = now.saturating_duration_since(leader.since) > failover_time;
+        let limit = if settled {
+            leader.liveness.silence_limit.min(failover_time)
+        } else {
+            failover_time
+        };
+        leader.liveness.is_isolated(now, leader.since, limit)
+    }
+}
--- /dev/null
+++ b/src/core/leadership/probes.rs
@@ -0,0 +1,116 @@
+//! Probes: direct calls that show a machine the leader's token and ask what it has. During recovery all unresolved
+//! machines are probed; later those that may have restarted.
+
+use crate::core::command::Pending;
+use crate::core::leadership::state::LeaderState;
+use crate::core::workers::commands::MAX_DIRECT_CALLS;
+use crate::core::{CallId, Core, Effect};
+use crate::job::MachineId;
+use crate::worker_client::DirectRequest;
+use std::time::{Duration, Instant};
+
+/// Between two probes of a machine from which old heartbeats come.
+const RESTART_PROBE_INTERVAL: Duration = Duration::from_secs(2);
+
+impl LeaderState {
+    /// Takes the next unresolved machine that no call is in flight to and no delegate is about to probe.
+    pub(in crate::core) fn next_probe(&mut self, now: Instant) -> Option<MachineId> {
+        loop {
+            let id = self.recovery.take_next(now)?;
+            let machine = self.machines.get(&id);
+            let Some(machine) = machine.filter(|m| m.unresolved) else {
+                continue;
+            };
+            if let Some(later) = machine.claimed_until.filter(|t| now < *t) {
+                self.recovery.probe_at(later, id);
+            } else if machine.call_in_flight.is_none() {
+                return Some(id);
+            }
+        }
+    }
+}
+
+impl Core {
+    /// Probes as many unresolved machines as there are calls to spare.
+    pub(in crate::core) fn probe_machines(&mut self) {
+        let now = self.now.mono;
+        while let Some(leader) = &mut self.leader
+            && leader.direct_calls_in_flight < MAX_DIRECT_CALLS
+            && let Some(id) = leader.next_probe(now)
+        {
+            self.probe_machine(&id);
+        }
+    }
+
+    /// A heartbeat came that is older than what is known: a copy that comes late, or the machine has restarted and
+    /// counts its heartbeats from one. Its answer to a probe that is sent now tells which.
+    pub(in crate::core) fn probe_for_restart(&mut self, id: &MachineId) {
+        let now = self.now.mono;
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        let call_to_spare = leader.direct_calls_in_flight < MAX_DIRECT_CALLS;
+        let Some(m) = leader.machines.get_mut_quiet(id) else {
+            return;
+        };
+        if !call_to_spare || m.call_in_flight.is_some() || m.incarnation == 0 || now < m.push_after
+        {
+            return;
+        }
+        m.push_after = now + RESTART_PROBE_INTERVAL;
+        let known = (m.incarnation, m.sequence);
+        // Shown with the probe: what was sent to the machine before its restart is refused from then on.
+        m.token_epoch += 1;
+        if let Some(call) = self.probe_machine(id)
+            && let Some(leader) = &mut self.leader
+            && let Some(m) = leader.machines.get_mut_quiet(id)
+        {
+            m.restart_probe = Some((known, call));
+        }
+    }
+
+    /// The machine has restarted, with none of its former tasks, and counts its heartbeats from one. `seen_token` is
+    /// the highest fencing token that it has seen since.
+    pub(in crate::core) fn machine_restarted(&mut self, id: &MachineId, seen_token: u64) {
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        let term = leader.term;
+        let Some(m) = leader.machines.get_mut(id) else {
+            return;
+        };
+        tracing::warn!(term, machine = %id, "machine restarted");
+        m.incarnation = 0;
+        m.sequence = 0;
+        m.highest_token = seen_token;
+        m.doubtful_until_token = None;
+        m.start_unconfirmed = false;
+        m.lease_expired = false;
+        m.exited.clear();
+        m.images.clear();
+        m.require_token_proof(term);
+        let tasks = m.tasks.keys().cloned().collect();
+        self.tasks_lost(id, tasks, "it has begun anew");
+    }
+
+    /// Shows a machine the new token and asks what it has. `None` if that cannot be asked.
+    fn probe_machine(&mut self, id: &MachineId) -> Option<CallId> {
+        let not_after = self.leader_until()?;
+        let machine = self.leader.as_ref()?.machines.get(id)?;
+        let addr = machine.addr.parse().ok()?;
+        let call = self.call(Pending::DirectCall(id.clone()));
+        let leader = self.leader.as_mut()?;
+        let term = leader.term;
+        let machine = leader.machines.get_mut(id)?;
+        machine.call_in_flight = Some(call);
+        let token = machine.token(term);
+        leader.direct_calls_in_flight += 1;
+        self.effects.push(Effect::DirectCall {
+            call,
+            addr,
+            request: DirectRequest::Status { token },
+            not_after,
+        });
+        Some(call)
+    }
+}
--- a/src/core/leadership/stale_key.rs
+++ b/src/core/leadership/stale_key.rs
@@ -1,30 +1,63 @@
-//! A leader key whose lease the state service does not know, which would keep everybody from leading.
+//! A leader key whose lease the store does not know, which would keep everybody from leading.
+//!
+//! Such a key, restored without its lease, say, would stay for ever. Where no leader is heard from for long, its lease
+//! is looked up. Once the store does not know it, nobody can renew it, so whoever it belonged to ceases to act within
+//! a lease's time; after that the key is deleted, unless it is another one by then.
 
-use crate::core::leadership::LEASE_TTL;
+use crate::core::Core;
+use crate::core::command::Pending;
+use crate::core::leadership::lease::LEASE_TTL;
 use crate::core::store::keys::{LEADER, key, named};
-use crate::core::{Core, Pending};
 use crate::store_client::{StoreOutcome, StoreRequest};
 use crate::wire::{Change, CompareAndSwap, Condition};
 use std::time::{Duration, Instant};
 
-/// A leader that is not heard for this long has its lease asked for, so often at most.
-const STALE_KEY_CHECK_INTERVAL: Duration = Duration::from_secs(4);
+/// A leader that is silent for this long has its lease looked up, and again so often.
+const LOOKUP_INTERVAL: Duration = Duration::from_secs(4);
+/// The same where no leader has ever been heard from: one of an earlier version says nothing to the others.
+const LOOKUP_INTERVAL_UNHEARD: Duration = LOOKUP_INTERVAL.saturating_mul(3);
 
-/// A leader key of which it is not sure whether anybody stands behind it.
+/// A leader key of which it is not known whether any process holds it.
 #[derive(Clone, Copy, Debug)]
 pub struct StaleLeaderKey {
+    /// The key's version.
     version: u64,
+    /// When this version was first seen.
     since: Instant,
-    last_query: Option<Instant>,
-    /// When it was found that the state service does not know its lease.
+    /// When the store was last asked about it.
+    last_request: Option<Instant>,
+    /// When it was found that the store does not know its lease.
     lease_unknown_since: Option<Instant>,
 }
 
+impl StaleLeaderKey {
+    fn new(version: u64, now: Instant) -> StaleLeaderKey {
+        StaleLeaderKey {
+            version,
+            since: now,
+            last_request: None,
+            lease_unknown_since: None,
+        }
+    }
+
+    /// Whether no request was sent for this long.
+    fn may_request(&self, now: Instant, interval: Duration) -> bool {
+        self.last_request.is_none_or(|t| now >= t + interval)
+    }
+
+    /// Whether its lease is to be looked up, where a leader was last heard from at `last_heard`.
+    fn lookup_due(&self, now: Instant, last_heard: Option<Instant>) -> bool {
+        let silent_since = last_heard.map_or(self.since, |t| self.since.max(t));
+        let interval = match last_heard {
+            Some(_) => LOOKUP_INTERVAL,
+            None => LOOKUP_INTERVAL_UNHEARD,
+        };
+        now >= silent_since + interval && self.may_request(now, interval)
+    }
+}
+
 impl Core {
-    /// A leader key whose lease the state service does not know, restored without it, say, would stay for
-    /// ever, and nobody could lead. Where no leader is heard for long, its lease is asked for. Once that
-    /// is not known, nobody can renew it, so whoever it belonged to ceases to act within a lease's time;
-    /// after that the key is taken away, unless it is another one by then.
+    /// Looks up the lease of a leader key that may be stale, and deletes the key once that is certain.
     pub(in crate::core) fn check_stale_leader_key(&mut self) {
         let now = self.now.mono;
         let Some((value, version)) = &self.store_cache.leader else {
@@ -35,61 +68,51 @@
             return;
         }
         let (lease, version) = (value.lease, *version);
-        if self.stale_leader_key.is_none_or(|d| d.version != version) {
-            self.stale_leader_key = Some(StaleLeaderKey {
-                version,
-                since: now,
-                last_query: None,
-                lease_unknown_since: None,
-            });
-        }
-        let heard = self.relay.grant.map(|g| g.until);
-        let Some(d) = &mut self.stale_leader_key else {
-            return;
-        };
-        if let Some(gone) = d.lease_unknown_since {
-            if now < gone + LEASE_TTL || d.last_query.is_some_and(|t| now < t + LEASE_TTL) {
-                return;
+        let known = self.stale_leader_key.filter(|k| k.version == version);
+        let stale = self
+            .stale_leader_key
+            .insert(known.unwrap_or(StaleLeaderKey::new(version, now)));
+        if let Some(unknown_since) = stale.lease_unknown_since {
+            if now >= unknown_since + LEASE_TTL && stale.may_request(now, LEASE_TTL) {
+                stale.last_request = Some(now);
+                self.delete_leader_key(version);
             }
-            d.last_query = Some(now);
-            tracing::warn!("the leader key hangs on no lease any more, and is taken away");
-            let mut conditions = vec![Condition {
-                key: key(LEADER),
-                version,
-            }];
-            // In a store that has lost data, another leader key may have the same version.
-            conditions.extend(self.store_cache.identity.as_ref().map(named));
-            let txn = CompareAndSwap {
-                conditions,
-                changes: vec![Change::Delete { key: key(LEADER) }],
-            };
-            self.ask_state(Pending::Bury, StoreRequest::CompareAndSwap(txn));
             return;
         }
-        // Whoever leads is heard, where controllers work together; an earlier version is not.
-        let silent = heard.map_or(d.since, |t| d.since.max(t));
-        let every = if heard.is_some() {
-            STALE_KEY_CHECK_INTERVAL
-        } else {
-            STALE_KEY_CHECK_INTERVAL * 3
-        };
-        let due = now >= silent + every && d.last_query.is_none_or(|t| now >= t + every);
-        if due && self.leader.is_none() {
-            d.last_query = Some(now);
-            self.ask_state(
-                Pending::CheckLeaderLease(version),
-                StoreRequest::CheckLease(lease),
-            );
+        let last_heard = self.relay.grant.map(|g| g.until);
+        if self.leader.is_none() && stale.lookup_due(now, last_heard) {
+            stale.last_request = Some(now);
+            let request = StoreRequest::CheckLease(lease);
+            self.ask_state(Pending::CheckLeaderLease(version), request);
         }
     }
 
+    fn delete_leader_key(&mut self, version: u64) {
+        tracing::warn!(version, "deleting leader key without a lease");
+        let mut conditions = vec![Condition {
+            key: key(LEADER),
+            version,
+        }];
+        // In a store that has lost data, another leader key may have the same version.
+        conditions.extend(self.store_cache.identity.as_ref().map(named));
+        let transaction = CompareAndSwap {
+            conditions,
+            changes: vec![Change::Delete { key: key(LEADER) }],
+        };
+        self.ask_state(
+            Pending::DeleteStaleLeaderKey,
+            StoreRequest::CompareAndSwap(transaction),
+        );
+    }
+
     /// Whether the lease of a leader key of this version runs.
     pub(in crate::core) fn leader_lease_checked(&mut self, version: u64, outcome: StoreOutcome) {
         let now = self.now.mono;
-        if let (Some(d), StoreOutcome::Runs(false)) = (&mut self.stale_leader_key, outcome)
-            && d.version == version
+        if let Some(stale) = &mut self.stale_leader_key
+            && matches!(outcome, StoreOutcome::Runs(false))
+            && stale.version == version
         {
-            d.lease_unknown_since.get_or_insert(now);
+            stale.lease_unknown_since.get_or_insert(now);
         }
     }
 }
--- a/src/core/leadership/state.rs
+++ b/src/core/leadership/state.rs
@@ -1,15 +1,16 @@
-//! What only a leader has: its lease and term, the machines and runs that it knows, what it writes, what
-//! is under way at the cloud, and what it has lent. Data; what is done with it is in the modules above.
+//! What only a leader has. Data, put together from the data of each concern; it is created when a leadership begins
+//! and dropped when it ends.
 
-use crate::core::jobs::job_run::{ArrivalRate, JobRun, RuntimeRatio, Urgency};
+use crate::core::jobs::job_run::{ArrivalRate, JobRun, Urgency};
+use crate::core::leadership::liveness::Liveness;
+use crate::core::leadership::recovery_state::Recovery;
 use crate::core::machines::cloud_operations::CloudOperations;
 use crate::core::machines::machine::{Machine, Machines};
-use crate::core::scheduling::demand::Bidding;
+use crate::core::scheduling::state::SchedulerState;
 use crate::core::store::keys::{PartGeneration, named};
 use crate::core::store::pending_writes::Writes;
 use crate::core::store::rebuild::Rebuild;
 use crate::core::workers::delegates::Delegates;
-use crate::core::workers::pending_responses::DeferredResponses;
 use crate::job::{JobId, MachineId};
 use crate::planning::cluster_snapshot::Board;
 use crate::wire::Condition;
@@ -17,140 +18,52 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-#[derive(Clone, Copy, Debug)]
-pub struct Lease {
-    pub id: u64,
-    /// When the last successful renewal was sent.
-    pub renewed_at: Instant,
-}
-
 /// What only a leader has.
 pub struct LeaderState {
+    /// The version of the leader key that began this leadership.
     pub key_version: u64,
+    /// The term of this leadership, which no other leadership has.
     pub term: u64,
+    /// When this leadership began.
     pub since: Instant,
-    /// When it was last seen that the leader key stands, by when that was asked. Renewals of the lease
-    /// alone prove nothing: in a store that has lost data its number may have been given again.
+    /// When it was last seen that the leader key exists, by when that was asked. Renewals of the lease alone prove
+    /// nothing: in a store that has lost data its number may have been given to another process.
     pub leader_key_confirmed: Instant,
+    /// All machines that this leader knows.
     pub machines: Machines,
-    /// What placing and renting see of the machines.
+    /// What planning and scaling see of the machines.
     pub board: Board,
-    /// Machines that are gone; what still arrives from them is old.
+    /// Machines that are deleted; what still arrives from them is old.
     pub deleted_machines: BTreeSet<MachineId>,
+    /// Which machines may hold tasks of earlier leaders.
     pub recovery: Recovery,
-    /// Direct calls on their way.
+    /// How many direct calls are in flight.
     pub direct_calls_in_flight: usize,
+    /// Each live job's progress.
     pub job_runs: BTreeMap<JobId, JobRun>,
-    /// Live jobs that need one whose cancellation is being written: that may be durable already,
-    /// and another node may have told their users that they are cancelled.
+    /// Live jobs that depend on one whose cancellation is being written: that may be durable already, and another
+    /// controller may have answered a user that they are cancelled.
     pub cancellation_pending: BTreeSet<JobId>,
-    /// How urgent jobs are that are needed by more urgent ones.
+    /// How urgent jobs are that more urgent ones depend on.
     pub inherited_urgency: BTreeMap<JobId, Urgency>,
-    /// Parts that no job refers to, and since when.
+    /// Parts of large jobs that no job refers to, and since when.
     pub unclaimed_parts: BTreeMap<(JobId, PartGeneration), Instant>,
+    /// Changes that are to be written to the store.
     pub writes: Writes,
+    /// What is in flight at the cloud.
     pub cloud: CloudOperations,
+    /// What planning and scaling carry over from one step to the next.
     pub scheduler: SchedulerState,
+    /// When machines and this leader were last known to be alive.
     pub liveness: Liveness,
     /// Controllers that serve workers for this one.
     pub delegates: Delegates,
-    /// The store's identity, on which all writes depend as on the leader key.
+    /// The store's identity and its version, on which all writes depend as on the leader key.
     pub identity: Option<(String, u64)>,
     /// While the store is incomplete.
     pub rebuild: Option<Rebuild>,
 }
 
-/// Which machines may hold tasks of an earlier leader, and how far they have been probed.
-#[derive(Default)]
-pub struct Recovery {
-    /// How many machines there are that an earlier leader may have given tasks that we have not seen yet.
-    pub unresolved: usize,
-    /// Those of them that are still to be asked, the next one last.
-    pub to_probe: Vec<MachineId>,
-    /// Those that did not answer and are asked once more, and when.
-    pub retries: BTreeSet<(Instant, MachineId)>,
-    /// How many there were when this leader began, until nearly all are known.
-    pub initially_unresolved: usize,
-    /// Zones in which a machine has answered a call: elsewhere, a call without an answer says nothing of
-    /// the machine.
-    pub reachable_zones: BTreeSet<String>,
-}
-
-/// When machines, zones and this leader itself were last known to be alive.
-pub struct Liveness {
-    /// Silence proves nothing before this moment.
-    pub silence_excused_until: Instant,
-    /// When this leader was last able to act.
-    pub last_able_to_act: Instant,
-    pub last_heartbeat: Option<Instant>,
-    /// When a worker last reported here or answered a direct call, and how many such calls have
-    /// failed since.
-    pub last_direct_contact: Instant,
-    pub failed_direct_calls: u32,
-    /// With as many machines as there are, silence for this long means that this node does not
-    /// hear them.
-    pub silence_limit: Duration,
-    pub last_machine_check: Option<Instant>,
-    /// Zones that are heard, and since when without a break.
-    pub zone_reachable_since: BTreeMap<String, Instant>,
-}
-
-impl Liveness {
-    fn new(now: Instant) -> Liveness {
-        Liveness {
-            silence_excused_until: now,
-            last_able_to_act: now,
-            last_heartbeat: None,
-            last_direct_contact: now,
-            failed_direct_calls: 0,
-            silence_limit: Duration::ZERO,
-            last_machine_check: None,
-            zone_reachable_since: BTreeMap::new(),
-        }
-    }
-}
-
-/// What planning and scaling carry over from one step to the next.
-pub struct SchedulerState {
-    pub attempts: u64,
-    pub last_plan: Option<Instant>,
-    pub plan_again: bool,
-    /// Which jobs lie within their team's guarantee is to be found out again.
-    pub guarantees_changed: bool,
-    /// Work waited for room at the last plan.
-    pub has_pending_demand: bool,
-    /// Reports of machines that were freed, and frames with such: their answers wait for the next plan,
-    /// so that they say what to start.
-    pub deferred_responses: DeferredResponses,
-    pub last_scaling: Option<Instant>,
-    pub last_status_log: Option<Instant>,
-    /// The head of the queue and when it may start, for the status view.
-    pub queue_head: Option<(JobId, Option<Duration>)>,
-    /// How actual run times compare with estimates, by class.
-    pub runtime_ratios: BTreeMap<String, RuntimeRatio>,
-    pub arrivals: ArrivalRate,
-    pub bidding: Bidding,
-}
-
-impl SchedulerState {
-    fn new(arrivals: ArrivalRate) -> SchedulerState {
-        SchedulerState {
-            attempts: 0,
-            last_plan: None,
-            plan_again: true,
-            guarantees_changed: true,
-            has_pending_demand: false,
-            deferred_responses: DeferredResponses::default(),
-            last_scaling: None,
-            last_status_log: None,
-            queue_head: None,
-            runtime_ratios: BTreeMap::new(),
-            arrivals,
-            bidding: Bidding::default(),
-        }
-    }
-}
-
 impl LeaderState {
     /// A leadership that begins now and knows nothing yet.
     pub(in crate::core) fn new(
@@ -183,19 +96,16 @@
         }
     }
 
-    /// That the store is still the one it was.
+    /// The condition that the store is still the one it was.
     pub(in crate::core) fn named(&self) -> Option<Condition> {
         self.identity.as_ref().map(named)
     }
 
-    /// A worker is heard, here or by way of another controller.
+    /// A worker's heartbeat came, here or by way of another controller.
     pub(in crate::core) fn record_heartbeat(&mut self, via: Option<&Arc<str>>, now: Instant) {
-        self.liveness.last_heartbeat = Some(now);
+        self.liveness.record_heartbeat(now);
         if via.is_none() {
-            (
-                self.liveness.last_direct_contact,
-                self.liveness.failed_direct_calls,
-            ) = (now, 0);
+            self.liveness.record_direct_contact(now);
         }
     }
 
--- /dev/null
+++ b/src/core/leadership/step_down.rs
@@ -0,0 +1,46 @@
+//! How a leadership ends.
+
+use crate::core::leadership::state::LeaderState;
+use crate::core::{Core, Effect, Ticket};
+use crate::http::Answer;
+
+impl Core {
+    /// Ends this process's leadership, if it has one: requests that wait for its decisions are answered, and the
+    /// outcomes of its calls are disregarded. The lease is kept.
+    pub(in crate::core) fn step_down(&mut self, reason: &str) {
+        let Some(mut leader) = self.leader.take() else {
+            return;
+        };
+        self.effects.push(Effect::LeadershipProof(None));
+        tracing::warn!(term = leader.term, reason, "stepped down");
+        self.relay.adopt_workers(&leader);
+        self.candidacy.leadership_ended(self.now.mono);
+        self.answer_waiting(&mut leader);
+        self.pending.retain(|_, call| call.survives_step_down());
+    }
+
+    /// Answers all requests that wait for a decision of this leader.
+    fn answer_waiting(&mut self, leader: &mut LeaderState) {
+        let responses = leader.scheduler.take_deferred_responses();
+        for (ticket, _) in responses.heartbeats {
+            self.redirect(ticket);
+        }
+        for batch in responses.batches {
+            self.refuse_batch(batch.ticket, batch.number);
+        }
+        let runs = leader.job_runs.values_mut();
+        let cancellations: Vec<Ticket> = runs
+            .flat_map(|run| std::mem::take(&mut run.cancel_waiters))
+            .collect();
+        for ticket in cancellations {
+            self.answer(ticket, Answer::busy("the leader changed", 1));
+        }
+    }
+
+    /// Steps down and revokes the lease, so that another controller can take over at once.
+    pub(in crate::core) fn resign(&mut self, reason: &str) {
+        self.step_down(reason);
+        self.candidacy.resigned(self.now.mono);
+        self.release_lease();
+    }
+}
--- a/src/core/machines/cloud_calls.rs
+++ b/src/core/machines/cloud_calls.rs
@@ -1,10 +1,11 @@
 //! Renting: calls to the cloud within its limit, and what its answers and its list say of machines.
 
 use crate::cloud_client::{CloudOutcome, CloudRequest, MAX_DELETED_PER_CALL, PAGE};
+use crate::core::command::Pending;
 use crate::core::machines::cloud_operations::ScaleOutOperation;
 use crate::core::machines::machine::Machine;
 use crate::core::store::cache::MachineValue;
-use crate::core::{Core, Effect, Pending};
+use crate::core::{Core, Effect};
 use crate::job::MachineId;
 use crate::planning::cluster_snapshot::Offer;
 use crate::wire::{ListedMachine, ListedState, ScaleOutRequest};
@@ -45,7 +46,7 @@
             };
             leader.cloud.list_in_flight = true;
             leader.cloud.list_requested = Some(now);
-            self.ask_cloud(Pending::List { sent: now }, CloudRequest::List);
+            self.ask_cloud(Pending::ListMachines { sent: now }, CloudRequest::List);
         }
         let Some(leader) = &mut self.leader else {
             return;
@@ -63,7 +64,7 @@
                     leader.cloud.deletions.insert(id.clone(), again);
                 }
                 let request = CloudRequest::Delete(names.clone());
-                self.ask_cloud(Pending::Delete(names), request);
+                self.ask_cloud(Pending::ScaleIn(names), request);
             }
         }
         let Some(leader) = &self.leader else { return };
@@ -81,7 +82,7 @@
             let Some(body) = op.map(|op| op.body.clone()) else {
                 return;
             };
-            let call = self.ask_cloud(Pending::Rent(name.clone()), CloudRequest::Rent(body));
+            let call = self.ask_cloud(Pending::ScaleOut(name.clone()), CloudRequest::Rent(body));
             let op = self
                 .leader
                 .as_mut()
@@ -95,7 +96,7 @@
     fn ask_cloud(&mut self, pending: Pending, request: CloudRequest) -> u64 {
         let not_after = self.leader_until();
         let call = self.call(pending);
-        self.effects.push(Effect::Cloud {
+        self.effects.push(Effect::CloudCall {
             call,
             request,
             not_after,
@@ -139,7 +140,8 @@
     pub(in crate::core) fn cloud_outcome(&mut self, call: u64, outcome: CloudOutcome) {
         let now = self.now.mono;
         let pending = self.pending.remove(&call);
-        if let (Some(Pending::Types), CloudOutcome::Types(types)) = (&pending, &outcome) {
+        if let (Some(Pending::ListMachineTypes), CloudOutcome::Types(types)) = (&pending, &outcome)
+        {
             return self.set_machine_types(types.clone());
         }
         if let CloudOutcome::Trouble(e) | CloudOutcome::Invalid(e) = &outcome {
@@ -149,7 +151,7 @@
             return;
         };
         match pending {
-            Some(Pending::List { sent }) => {
+            Some(Pending::ListMachines { sent }) => {
                 leader.cloud.list_in_flight = false;
                 if let CloudOutcome::Listed(list) = outcome {
                     leader.cloud.listed_machines = list.len();
@@ -159,7 +161,7 @@
                     self.observe_listed_machines(sent, list);
                 }
             }
-            Some(Pending::Delete(names)) => {
+            Some(Pending::ScaleIn(names)) => {
                 leader.cloud.delete_calls_in_flight =
                     leader.cloud.delete_calls_in_flight.saturating_sub(1);
                 if let CloudOutcome::Deleted(_) = outcome {
@@ -178,7 +180,7 @@
                     }
                 }
             }
-            Some(Pending::Rent(name)) => self.scale_out_outcome(&name, outcome),
+            Some(Pending::ScaleOut(name)) => self.scale_out_outcome(&name, outcome),
             _ => {}
         }
     }
@@ -225,7 +227,7 @@
             let beliefs = &mut leader.scheduler.bidding.beliefs;
             beliefs.answered(&offer, asked as u32, got as u32, now);
             if got < asked {
-                leader.scheduler.last_scaling = None;
+                leader.scheduler.scale_at_once();
             }
         }
     }
--- a/src/core/machines/failure_detection.rs
+++ b/src/core/machines/failure_detection.rs
@@ -1,7 +1,7 @@
 //! Losses: machines that fall silent, are taken, or never come up, and what becomes of their tasks.
 
 use crate::core::Core;
-use crate::core::leadership::LEASE_TTL;
+use crate::core::leadership::lease::LEASE_TTL;
 use crate::core::machines::machine::{Machine, Placement, StopReason, WORKER_RETRY};
 use crate::job::{JobKind, MachineId, TaskId};
 use crate::settings::Settings;
@@ -280,7 +280,7 @@
             );
             m.deleting = Some(why);
             leader.cloud.deletions.insert(id.clone(), now);
-            leader.scheduler.plan_again = true;
+            leader.scheduler.request_plan();
         }
     }
 
@@ -304,7 +304,7 @@
         leader.deleted_machines.insert(id.clone());
         leader.cloud.deletions.remove(id);
         leader.writes.records.remove(id, now);
-        leader.scheduler.plan_again = true;
+        leader.scheduler.request_plan();
     }
 
     /// Work that will not end before its machine is taken is stopped, to save or to start anew
--- a/src/core/machines/machine.rs
+++ b/src/core/machines/machine.rs
@@ -401,7 +401,7 @@
     /// It can be given tasks now.
     pub fn usable(&self, now: Instant, patience: Duration) -> bool {
         self.incarnation > 0
-            && (self.recorded || !is_enabled(Safeguard::Recorded))
+            && (self.recorded || !is_enabled(Safeguard::MachineRecords))
             && !self.lease_expired
             && self.deleting.is_none()
             && self.reclaim_at.is_none()
@@ -409,7 +409,7 @@
             && self.unconfirmed_token.is_none()
             && now.saturating_duration_since(self.last_heartbeat) < patience
             // Answers to direct commands keep no lease: without reports, what is started dies with it.
-            && (now.saturating_duration_since(self.lease_renewed) < patience || !is_enabled(Safeguard::Mute))
+            && (now.saturating_duration_since(self.lease_renewed) < patience || !is_enabled(Safeguard::HeartbeatRequired))
     }
 
     /// Its latest failures speak against giving it tasks now.
--- /dev/null
+++ b/src/core/machines/machine_types.rs
@@ -0,0 +1,55 @@
+//! The cloud's machine types. Every controller knows them, for it has to judge submissions alone at times.
+
+use crate::cloud_client::CloudRequest;
+use crate::core::command::Pending;
+use crate::core::{Core, Effect};
+use crate::wire::MachineType;
+use std::time::Duration;
+
+/// Between two requests while no type is known.
+const FIRST_REFRESH_INTERVAL: Duration = Duration::from_secs(2);
+/// Between two requests of the leader.
+const LEADER_REFRESH_INTERVAL: Duration = Duration::from_secs(60);
+/// Between two requests of a follower.
+const FOLLOWER_REFRESH_INTERVAL: Duration = Duration::from_secs(600);
+
+impl Core {
+    /// Asks the cloud for its machine types from time to time.
+    pub(in crate::core) fn refresh_machine_types(&mut self) {
+        let now = self.now.mono;
+        let interval = if self.machine_types.is_empty() {
+            FIRST_REFRESH_INTERVAL
+        } else if self.leader.is_some() {
+            LEADER_REFRESH_INTERVAL
+        } else {
+            FOLLOWER_REFRESH_INTERVAL
+        };
+        if self.types_requested.is_some_and(|t| now < t + interval) {
+            return;
+        }
+        self.types_requested = Some(now);
+        let call = self.call(Pending::ListMachineTypes);
+        self.effects.push(Effect::CloudCall {
+            call,
+            request: CloudRequest::Types,
+            not_after: None,
+        });
+    }
+
+    /// Takes in the cloud's answer. The leader writes new types to the store, and looks at all machines again.
+    pub(in crate::core) fn set_machine_types(&mut self, types: Vec<MachineType>) {
+        if types.is_empty() || types == self.machine_types {
+            return;
+        }
+        if let Some(leader) = &mut self.leader {
+            leader.writes.machine_types = true;
+            leader.machines.mark_all_changed();
+        }
+        self.machine_types = types;
+    }
+
+    /// The machine type of this name, if the cloud has it.
+    pub(in crate::core) fn type_of(&self, name: &str) -> Option<&MachineType> {
+        self.machine_types.iter().find(|t| t.name == name)
+    }
+}
--- a/src/core/machines/mod.rs
+++ b/src/core/machines/mod.rs
@@ -5,3 +5,4 @@
 pub mod cloud_operations;
 pub mod failure_detection;
 pub mod machine;
+pub mod machine_types;
--- a/src/core/monitoring/metrics.rs
+++ b/src/core/monitoring/metrics.rs
@@ -54,7 +54,7 @@
         }
         for (work, name) in WORK {
             let help = "What the owner has done since this process began";
-            page.counter(name, help, self.stats.work[work as usize]);
+            page.counter(name, help, self.stats.done(work));
         }
         let [losses, incomplete, owed, held] = self.rebuild_metrics();
         page.gauge(
@@ -158,7 +158,7 @@
         page.gauge(
             "machines_to_hear",
             "Machines that may hold tasks of an earlier term and have not shown the new token",
-            leader.recovery.unresolved as f64,
+            leader.recovery.unresolved() as f64,
         );
         page.gauge(
             "jobs",
--- a/src/core/monitoring/status.rs
+++ b/src/core/monitoring/status.rs
@@ -64,7 +64,7 @@
             "leader": self.settings.name,
             "term": leader.term,
             "leads_s": self.since(leader.since),
-            "machines_not_heard_yet": leader.recovery.unresolved,
+            "machines_not_heard_yet": leader.recovery.unresolved(),
             "refused_offers": refused,
             "bidding": self.markets_view(leader),
             "members": self.members_status(),
@@ -173,7 +173,7 @@
         if Self::blocked_by_recovery(leader, job) {
             return format!(
                 "its tasks may be on {} machines that have not reported to this leader",
-                leader.recovery.unresolved
+                leader.recovery.unresolved()
             );
         }
         let failures: u32 = run.failures.values().sum();
--- a/src/core/scheduling/mod.rs
+++ b/src/core/scheduling/mod.rs
@@ -2,6 +2,7 @@
 
 pub mod bidding;
 pub mod demand;
+pub mod state;
 
 use crate::core::jobs::job_run::{JobRun, RuntimeRatio, Urgency};
 use crate::core::leadership::state::LeaderState;
@@ -142,7 +143,7 @@
         // At a takeover all machines are new, and their answers show them the token: no time to lose.
         let planned =
             leader.scheduler.last_plan == Some(self.now.mono) || !leader.scheduler.plan_again;
-        if planned || !leader.scheduler.has_pending_demand || leader.recovery.unresolved > 0 {
+        if planned || !leader.scheduler.has_pending_demand || !leader.recovery.is_complete() {
             now_due.heartbeats.extend(before.heartbeats);
             now_due.batches.extend(before.batches);
             return;
@@ -177,7 +178,7 @@
             Some(d) => (leader.scheduler.plan_again && d >= PLAN_PAUSE) || d >= PLAN_INTERVAL,
         };
         if due {
-            self.stats.work[Work::Plan as usize] += 1;
+            self.stats.count(Work::Plan, 1);
             self.restart_broken_gangs();
             self.place();
         }
@@ -209,7 +210,7 @@
             TeamUse {
                 cpus: held.cpus,
                 gpus: held.gpus,
-                cpus_max: t.cpus_max.filter(|_| is_enabled(Safeguard::Limit)),
+                cpus_max: t.cpus_max.filter(|_| is_enabled(Safeguard::TeamLimit)),
                 gpus_max: t.gpus_max,
                 cpus_own: t.cpus,
                 gpus_own: t.gpus,
@@ -223,7 +224,7 @@
                 team.gpus += held.gpus;
             }
         }
-        if leader.recovery.unresolved == 0 {
+        if leader.recovery.is_complete() {
             return used;
         }
         // Old tasks that nobody has shown yet may run on machines that have not reported: no
@@ -244,7 +245,7 @@
             .store_cache
             .residual_tasks
             .values()
-            .filter(|_| is_enabled(Safeguard::Left))
+            .filter(|_| is_enabled(Safeguard::ResidualUsage))
         {
             if let Some(team) = self.settings.team_index(&left.team) {
                 unseen[team].add(&left.resources.times(f64::from(left.tasks)));
@@ -260,7 +261,7 @@
     /// What machines hold, or may hold, that the leader has not heard of yet.
     fn unobserved_resources(&self, leader: &LeaderState) -> Resources {
         let mut hidden = Resources::default();
-        if leader.recovery.unresolved == 0 {
+        if leader.recovery.is_complete() {
             return hidden;
         }
         for m in leader.machines.values().filter(|m| m.unresolved) {
@@ -372,9 +373,9 @@
 
     /// Whether the job's unseen tasks may run somewhere that has not reported yet.
     pub(in crate::core) fn blocked_by_recovery(leader: &LeaderState, job: &JobRecord) -> bool {
-        leader.recovery.unresolved > 0
+        !leader.recovery.is_complete()
             && job.version < leader.key_version
-            && is_enabled(Safeguard::Unseen)
+            && is_enabled(Safeguard::RecoveryWait)
     }
 
     /// Jobs with waiting tasks that may be started, in the queue's order: within the guarantee
@@ -400,9 +401,9 @@
             // What was tried and failed was not passed.
             let overdue = run.failures.is_empty()
                 && self.policy.truth(Entry::Overdue, &facts)
-                && is_enabled(Safeguard::Overdue);
+                && is_enabled(Safeguard::OverdueFirst);
             // Among those that were passed for too long, the one that has waited longest.
-            let longest_first = overdue && is_enabled(Safeguard::Longest);
+            let longest_first = overdue && is_enabled(Safeguard::LongestWaitingFirst);
             let order = if longest_first {
                 facts.submitted
             } else {
@@ -424,7 +425,7 @@
             // A suspect job is never the head for which room is kept. Where more of a high rank waits for too long
             // than there is room for, what is overdue of a low one would be passed for ever by rank.
             let precedence = |x: &QueueEntry| {
-                let by_rank = !x.overdue || !is_enabled(Safeguard::Longest);
+                let by_rank = !x.overdue || !is_enabled(Safeguard::LongestWaitingFirst);
                 let rank = by_rank.then_some((!x.facts.guaranteed, x.rank));
                 (x.run.is_suspect(), !x.overdue, rank)
             };
@@ -550,7 +551,7 @@
             if job.spec.one_zone || job.spec.spread {
                 // Also where a row only may be.
                 let also = run.other_machines.values().flatten();
-                let also = also.filter(|_| is_enabled(Safeguard::Zones));
+                let also = also.filter(|_| is_enabled(Safeguard::ZoneEligibility));
                 for machine in run.placed.values().chain(also) {
                     if let Some(m) = leader.machines.get(machine) {
                         *zones.entry(m.zone.clone()).or_insert(0) += 1;
@@ -717,8 +718,8 @@
         let facts = self.fleet_facts(leader);
         let bidding = self.policy.fleet_truth(Entry::Bidding, &facts);
         // A new leader bids when it knows what is there: until then all that runs seems to wait.
-        let known = leader.recovery.unresolved == 0
-            || now.saturating_duration_since(leader.since) > RECOVERY;
+        let known =
+            leader.recovery.is_complete() || now.saturating_duration_since(leader.since) > RECOVERY;
         let mut asked = Vec::new();
         let unmet = self.pending_demand(&view, |entry, unmet| {
             if bidding {
@@ -766,7 +767,7 @@
         };
         let Some(leader) = &self.leader else { return };
         // A new leader first learns what there is.
-        let settled = leader.recovery.unresolved == 0
+        let settled = leader.recovery.is_complete()
             && now.saturating_duration_since(leader.since) > self.settings.heartbeat_interval * 2;
         let returns = if settled {
             autoscaler::give_back(&leader.board, &unmet, now, |id| self.idle_keep(leader, id))
--- a/src/core/simulation/checker.rs
+++ b/src/core/simulation/checker.rs
@@ -261,7 +261,7 @@
             let Some(lead) = &node.core.leader else {
                 continue;
             };
-            let this = (i, node.core.nonce, node.core.leaderships);
+            let this = (i, node.core.nonce, node.core.candidacy.leaderships());
             let known = self.checker.leaderships.get(&lead.term);
             begun |= known.is_none();
             let other = known.filter(|k| **k != this);
@@ -394,7 +394,7 @@
     pub(super) fn check(&self) {
         let acts = |n: &&Node| n.up && !n.paused && n.core.leads();
         let leaders = self.nodes.iter().filter(acts).count();
-        let one = leaders <= 1 || !is_enabled(Safeguard::Word);
+        let one = leaders <= 1 || !is_enabled(Safeguard::LeaseValidity);
         assert!(one, "{leaders} leaders act at the same time");
         let mut at: BTreeMap<&TaskId, &MachineId> = BTreeMap::new();
         let mut used: BTreeMap<&str, f64> = BTreeMap::new();
--- a/src/core/simulation/cluster.rs
+++ b/src/core/simulation/cluster.rs
@@ -412,7 +412,8 @@
                     if let StoreOutcome::Committed { .. } = self.state.txn(&txn) {
                         is_enabled = Some(key_version);
                     } else {
-                        node.inbox.push(Command::Deposed { key_version });
+                        node.inbox
+                            .push(Command::LeadershipDisproved { key_version });
                     }
                 }
                 node.inbox.push(Command::LeaseRenewed {
@@ -449,7 +450,7 @@
         match node.seen {
             None => {
                 let items = self.state.items();
-                node.inbox.push(Command::Listed { items, revision });
+                node.inbox.push(Command::StoreListed { items, revision });
             }
             // After a loss of data, it may wait for a revision that the service has yet to come to.
             Some(seen) => {
@@ -459,7 +460,7 @@
                 if events.is_empty() && waits {
                     return;
                 }
-                node.inbox.push(Command::Changed { events, revision });
+                node.inbox.push(Command::StoreChanged { events, revision });
             }
         }
         node.watch_answered_at = self.now;
--- a/src/core/simulation/disabled_guard.rs
+++ b/src/core/simulation/disabled_guard.rs
@@ -1,15 +1,15 @@
 //! Scenarios played with a guard taken out of the program, to show that the rule which it keeps is
 //! checked.
 
-use crate::fault_injection::{OUT, Safeguard};
+use crate::fault_injection::{DISABLED, Safeguard};
 use std::any::Any;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
 /// What a scenario fails with when a guard is taken out, if it does.
 pub fn failure_without(guard: Safeguard, scenario: impl FnOnce()) -> Option<String> {
-    OUT.set(Some(guard));
+    DISABLED.set(Some(guard));
     let failure = catch_unwind(AssertUnwindSafe(scenario)).err();
-    OUT.set(None);
+    DISABLED.set(None);
     failure.and_then(message)
 }
 
--- a/src/core/simulation/faults.rs
+++ b/src/core/simulation/faults.rs
@@ -96,7 +96,7 @@
             let key_version = lead.key_version;
             self.nodes[node]
                 .inbox
-                .push(Command::Deposed { key_version });
+                .push(Command::LeadershipDisproved { key_version });
         }
     }
 
@@ -198,7 +198,7 @@
     pub fn finish_listing(&mut self, node: usize) {
         let n = &mut self.nodes[node];
         if let Some((items, revision)) = n.reading.take() {
-            n.inbox.push(Command::Listed { items, revision });
+            n.inbox.push(Command::StoreListed { items, revision });
             (n.seen, n.watch_delayed) = (Some(revision), false);
         }
     }
--- a/src/core/simulation/network.rs
+++ b/src/core/simulation/network.rs
@@ -3,7 +3,8 @@
 use super::cluster::Simulation;
 use super::store::STORE_TIMEOUT;
 use crate::cloud_client::{CloudOutcome, CloudRequest};
-use crate::core::{Ask, CallId, Command, Effect, Pending, Ticket, UserRequest};
+use crate::core::command::Pending;
+use crate::core::{Ask, CallId, Command, Effect, Ticket, UserRequest};
 use crate::http::Answer;
 use crate::job::MachineId;
 use crate::peer::heartbeat_batch;
@@ -101,14 +102,17 @@
                 number,
                 frame,
             } => self.send_batch(from, &peer, number, &frame),
-            Effect::MemoryRequest { peer, recall } => self.send_recall(from, peer, recall),
-            Effect::State { call, request } => self.send_to_store(from, call, &request),
-            Effect::Cloud {
+            Effect::MemoryRequest {
+                peer,
+                request: recall,
+            } => self.send_recall(from, peer, recall),
+            Effect::StoreCall { call, request } => self.send_to_store(from, call, &request),
+            Effect::CloudCall {
                 call,
                 request,
                 not_after,
             } => self.send_to_cloud(from, call, request, not_after),
-            Effect::Direct { call, request, .. } => self.send_to_worker(from, call, request),
+            Effect::DirectCall { call, request, .. } => self.send_to_worker(from, call, request),
             Effect::RereadStore => self.nodes[from].seen = None,
             Effect::ReleaseLease => {
                 if let Some(id) = self.nodes[from].lease.take() {
@@ -217,9 +221,10 @@
         let sync = Box::new(heartbeat_batch::decode_sync(&body).unwrap());
         let ticket = self.new_ticket();
         self.network.syncs.insert(ticket, (from, number, self.now));
-        self.nodes[to]
-            .inbox
-            .push(Command::HeartbeatBatch { ticket, sync });
+        self.nodes[to].inbox.push(Command::HeartbeatBatch {
+            ticket,
+            batch: sync,
+        });
     }
 
     /// Asks another controller what it remembers.
@@ -237,16 +242,17 @@
         self.network
             .recalls
             .insert(ticket, (from, peer, recall.clone()));
-        self.nodes[to]
-            .inbox
-            .push(Command::MemoryRequest { ticket, recall });
+        self.nodes[to].inbox.push(Command::MemoryRequest {
+            ticket,
+            request: recall,
+        });
     }
 
     /// Calls the state service; the answer may come later.
     fn send_to_store(&mut self, from: usize, call: CallId, request: &StoreRequest) {
         let lost = self.counters.answers_lost;
         let outcome = self.call_state(from, request);
-        let answer = Command::State { call, outcome };
+        let answer = Command::StoreOutcome { call, outcome };
         if self.counters.answers_lost > lost {
             let at = self.now + STORE_TIMEOUT;
             return self.network.delayed_answers.push((at, from, answer));
@@ -274,20 +280,20 @@
         };
         self.nodes[from]
             .inbox
-            .push(Command::Cloud { call, outcome });
+            .push(Command::CloudOutcome { call, outcome });
     }
 
     /// Calls a worker directly.
     fn send_to_worker(&mut self, from: usize, call: CallId, request: DirectRequest) {
         // All workers share an address here; the call's machine is the core's own note.
         let id = match self.nodes[from].core.pending.get(&call) {
-            Some(Pending::Direct(id) | Pending::Show(id)) => id.clone(),
+            Some(Pending::DirectCall(id) | Pending::TokenProbe(id)) => id.clone(),
             _ => return,
         };
         let outcome = self.call_worker(from, &id, request);
         self.nodes[from]
             .inbox
-            .push(Command::Direct { call, outcome });
+            .push(Command::DirectOutcome { call, outcome });
     }
 
     /// A report comes to a node late.
--- a/src/core/simulation/randomized.rs
+++ b/src/core/simulation/randomized.rs
@@ -515,15 +515,15 @@
 #[test]
 fn checker_detects_each_disabled_guard() {
     const FAULTS: [(Safeguard, &str, u8); 10] = [
-        (Safeguard::Unseen, " and on ", 0),
-        (Safeguard::Limit, "team t uses", 0),
-        (Safeguard::Spot, "is on a spot machine", 0),
-        (Safeguard::Stopped, "of a cancelled job is on", 0),
-        (Safeguard::Accepted, "was forgotten", 6),
-        (Safeguard::Unknown, "was invented", 0),
-        (Safeguard::AllDone, "is not done", 0),
-        (Safeguard::Cancelled, "said to be", 6),
-        (Safeguard::Term, "two leaderships have term", 0),
+        (Safeguard::RecoveryWait, " and on ", 0),
+        (Safeguard::TeamLimit, "team t uses", 0),
+        (Safeguard::SpotEligibility, "is on a spot machine", 0),
+        (Safeguard::StopEndedJobs, "of a cancelled job is on", 0),
+        (Safeguard::DurableAcceptance, "was forgotten", 6),
+        (Safeguard::UnknownJob, "was invented", 0),
+        (Safeguard::ArrayCompletion, "is not done", 0),
+        (Safeguard::DurableCancellation, "said to be", 6),
+        (Safeguard::UniqueTerm, "two leaderships have term", 0),
         (Safeguard::FreshRead, "was forgotten", 0),
     ];
     for (guard, rule, seed) in FAULTS {
--- a/src/core/simulation/recorded_decisions.rs
+++ b/src/core/simulation/recorded_decisions.rs
@@ -141,13 +141,13 @@
                 number,
                 frame,
             } => json!([SYNC, peer, number, text(frame)]),
-            Effect::State { call, request } => state_content(*call, request),
-            Effect::Cloud {
+            Effect::StoreCall { call, request } => state_content(*call, request),
+            Effect::CloudCall {
                 call,
                 request,
                 not_after,
             } => cloud_content(*call, request, not_after.map(|t| self.millis(t))),
-            Effect::Direct {
+            Effect::DirectCall {
                 call,
                 addr,
                 request,
@@ -163,7 +163,10 @@
                     }
                 }
             }
-            Effect::MemoryRequest { peer, recall } => {
+            Effect::MemoryRequest {
+                peer,
+                request: recall,
+            } => {
                 json!([RECALL, peer, text(&memory_exchange::encode_recall(recall))])
             }
             Effect::RereadStore => json!([READ_AFRESH]),
--- a/src/core/simulation/scale.rs
+++ b/src/core/simulation/scale.rs
@@ -84,7 +84,7 @@
         simulation.tick();
         let passed = (simulation.now - since).as_millis().max(1);
         let left = (simulation.nodes[next].core.leader.as_ref())
-            .map_or(usize::MAX, |l| l.recovery.unresolved);
+            .map_or(usize::MAX, |l| l.recovery.unresolved());
         if row.known_ms == 0 && left * 100 <= machines {
             row.known_ms = passed;
             row.leader_ms = simulation.nodes[next].busy.as_millis();
--- a/src/core/simulation/scenarios/cancellation.rs
+++ b/src/core/simulation/scenarios/cancellation.rs
@@ -174,7 +174,7 @@
 fn no_start_after_confirmed_cancellation() {
     cancelled_while_it_starts(600);
     fails_without(
-        Safeguard::Early,
+        Safeguard::StopOnCancelRequest,
         "it starts after its user was told",
         || cancelled_while_it_starts(600),
     );
@@ -277,9 +277,13 @@
     );
     let waited = cancelled_in_less_than_a_lease();
     assert!(waited > 3, "told before it is certain");
-    fails_without(Safeguard::InTime, "of a cancelled job is on", || {
-        cancelled_in_less_than_a_lease();
-    });
+    fails_without(
+        Safeguard::CancellationBound,
+        "of a cancelled job is on",
+        || {
+            cancelled_in_less_than_a_lease();
+        },
+    );
 }
 
 /// One-task jobs come four a second for two minutes, a quarter of them cancelled, while the state service answers
@@ -351,7 +355,11 @@
 #[test]
 fn many_short_jobs_leave_no_residue() {
     many_short_jobs();
-    fails_without(Safeguard::Forget, "versions are kept", many_short_jobs);
+    fails_without(
+        Safeguard::VersionPruning,
+        "versions are kept",
+        many_short_jobs,
+    );
 }
 
 /// Starts that went out with the answer to a report, and that no report has shown, when their job is cancelled.
@@ -384,7 +392,7 @@
 fn unreported_starts_stopped_by_cancellation() {
     cancelled_before_a_report_shows_it();
     fails_without(
-        Safeguard::UnseenStops,
+        Safeguard::StopUnseenTasks,
         "it starts after its user was told",
         cancelled_before_a_report_shows_it,
     );
--- a/src/core/simulation/scenarios/cancellation_at_handover.rs
+++ b/src/core/simulation/scenarios/cancellation_at_handover.rs
@@ -107,7 +107,7 @@
     for ends_after_ms in [-4000, -3000, 0, 100, 500, 2000] {
         limits_at_a_change_of_leader(ends_after_ms);
     }
-    fails_without(Safeguard::Left, "team t uses", || {
+    fails_without(Safeguard::ResidualUsage, "team t uses", || {
         limits_at_a_change_of_leader(0)
     });
 }
@@ -240,7 +240,10 @@
         met > 10,
         "{met} were confirmed before their tasks were gone"
     );
-    for (guard, handover) in [(Safeguard::Stopped, Moves), (Safeguard::Grant, Alone)] {
+    for (guard, handover) in [
+        (Safeguard::StopEndedJobs, Moves),
+        (Safeguard::GrantExpiry, Alone),
+    ] {
         fails_without(guard, "of a cancelled job is on", || {
             cancelled_around_a_handover(handover, true);
         });
--- a/src/core/simulation/scenarios/cancellation_in_outage.rs
+++ b/src/core/simulation/scenarios/cancellation_in_outage.rs
@@ -4,7 +4,7 @@
 //! cancelled job is on a machine longer than that after its user was told.
 
 use super::unlimited_job;
-use crate::core::leadership::LEASE_TTL;
+use crate::core::leadership::lease::LEASE_TTL;
 use crate::core::simulation::{LEASE, Link, Setup, Simulation, failure_without};
 use crate::fault_injection::Safeguard;
 use crate::policy::Policy;
@@ -244,7 +244,11 @@
 /// Each guard that keeps it, taken out by itself, is found by the rule.
 #[test]
 fn checker_detects_disabled_guards_in_outage() {
-    for guard in [Safeguard::Word, Safeguard::Grant, Safeguard::Stopped] {
+    for guard in [
+        Safeguard::LeaseValidity,
+        Safeguard::GrantExpiry,
+        Safeguard::StopEndedJobs,
+    ] {
         let found = cases().into_iter().enumerate().find_map(|(n, case)| {
             let said = failure_without(guard, || {
                 play(case, 700 + n as u64);
--- a/src/core/simulation/scenarios/delegation.rs
+++ b/src/core/simulation/scenarios/delegation.rs
@@ -76,10 +76,10 @@
         201
     );
     simulation.until_done("wk-1", 90.0);
-    let work = simulation.nodes[leader].core.stats.work;
+    let stats = &simulation.nodes[leader].core.stats;
     let (told, called) = (
-        work[Work::StartInAnswer as usize],
-        work[Work::StartByCall as usize],
+        stats.done(Work::StartInAnswer),
+        stats.done(Work::StartByCall),
     );
     assert_eq!(simulation.counters.starts, 300);
     assert!(
@@ -124,7 +124,7 @@
     simulation.kill(leader, Duration::from_secs(30));
     let next = simulation.run_until_other_leader(leader, 5.0);
     simulation.until(1.0, "all machines known", |simulation| {
-        (simulation.nodes[next].core.leader.as_ref()).is_some_and(|l| l.recovery.unresolved == 0)
+        (simulation.nodes[next].core.leader.as_ref()).is_some_and(|l| l.recovery.is_complete())
     });
     simulation.run(5.0);
     for (n, before) in others {
@@ -161,7 +161,7 @@
     simulation.until(8.0, "a leader", |simulation| simulation.leader().is_some());
     let leader = simulation.leader().unwrap();
     simulation.until(3.0, "all machines known", |simulation| {
-        (simulation.nodes[leader].core.leader.as_ref()).is_some_and(|l| l.recovery.unresolved == 0)
+        (simulation.nodes[leader].core.leader.as_ref()).is_some_and(|l| l.recovery.is_complete())
     });
     for n in 0..3 {
         assert!(
@@ -414,7 +414,7 @@
             mono: simulation.now,
             wall: std::time::SystemTime::UNIX_EPOCH + Duration::from_secs(1_700_000_000),
         };
-        let ask = Command::Figures {
+        let ask = Command::Metrics {
             ticket: u64::MAX,
             queue_lengths: [1, 2, 3],
         };
--- a/src/core/simulation/scenarios/late_commands.rs
+++ b/src/core/simulation/scenarios/late_commands.rs
@@ -67,7 +67,7 @@
             commands_of_a_former_leader(after_s, deposed);
         }
     }
-    fails_without(Safeguard::Unseen, " and on ", || {
+    fails_without(Safeguard::RecoveryWait, " and on ", || {
         commands_of_a_former_leader(3.0, false);
     });
 }
--- a/src/core/simulation/scenarios/late_writes.rs
+++ b/src/core/simulation/scenarios/late_writes.rs
@@ -195,7 +195,7 @@
         placed > 20,
         "only {placed} tasks were placed when the leader ended"
     );
-    fails_without(Safeguard::Recorded, "which is not on record", || {
+    fails_without(Safeguard::MachineRecords, "which is not on record", || {
         new_machines_while_writes_lag(0.9, Duration::ZERO, 5);
     });
 }
--- a/src/core/simulation/scenarios/loss_of_store.rs
+++ b/src/core/simulation/scenarios/loss_of_store.rs
@@ -1,8 +1,9 @@
 //! A state service that loses data. The simulation checks at every tick that nothing runs twice, and
 //! at every answer that nothing is forgotten or contradicted.
 
+use crate::core::command::Pending;
 use crate::core::simulation::{Link, Simulation, fails_without};
-use crate::core::{Core, Effect, Pending};
+use crate::core::{Core, Effect};
 use crate::fault_injection::Safeguard;
 use crate::job::{JobSpec, sample};
 use crate::policy::Policy;
@@ -604,7 +605,7 @@
     core.effects.clear();
     core.jobs_audited(String::new(), None, page(1));
     let suspicion = core.pending.values().find_map(|p| match p {
-        Pending::Audit { suspicion, .. } => suspicion.clone(),
+        Pending::AuditJobs { suspicion, .. } => suspicion.clone(),
         _ => None,
     });
     assert!(suspicion.is_some(), "it is read once more");
@@ -663,7 +664,7 @@
 fn restarted_controller_calls_no_job_unknown() {
     restart_on_rolled_back_store();
     fails_without(
-        Safeguard::JustBegun,
+        Safeguard::StartupUncertainty,
         "was forgotten",
         restart_on_rolled_back_store,
     );
--- a/src/core/simulation/scenarios/lost_answers.rs
+++ b/src/core/simulation/scenarios/lost_answers.rs
@@ -64,7 +64,7 @@
 fn leader_keeps_leading_when_answers_lost() {
     lose_answers_of_leader();
     fails_without(
-        Safeguard::OwnWrite,
+        Safeguard::OwnWriteDetection,
         "resigned for its own write",
         lose_answers_of_leader,
     );
@@ -103,7 +103,7 @@
     for link in [Link::Good, Link::AnswersLost, Link::WritesHeld] {
         step_down_with_the_key_standing(link);
     }
-    fails_without(Safeguard::Term, "two leaderships have term", || {
+    fails_without(Safeguard::UniqueTerm, "two leaderships have term", || {
         step_down_with_the_key_standing(Link::Good);
     });
 }
@@ -184,7 +184,7 @@
 fn conflict_not_reported_as_success() {
     writes_are_refused();
     fails_without(
-        Safeguard::Conflict,
+        Safeguard::ConflictDetection,
         "told of what is not durable",
         writes_are_refused,
     );
--- a/src/core/simulation/scenarios/machine_failures.rs
+++ b/src/core/simulation/scenarios/machine_failures.rs
@@ -122,7 +122,7 @@
 fn failed_machine_avoided_only_briefly() {
     only_machine_has_failed();
     fails_without(
-        Safeguard::Avoid,
+        Safeguard::AvoidanceLimit,
         "waits for 90 s while",
         only_machine_has_failed,
     );
--- a/src/core/simulation/scenarios/old_reports.rs
+++ b/src/core/simulation/scenarios/old_reports.rs
@@ -66,7 +66,11 @@
 #[test]
 fn old_reports_at_takeover_prove_nothing() {
     old_reports_as_a_leader_begins();
-    fails_without(Safeguard::Proof, " and on ", old_reports_as_a_leader_begins);
+    fails_without(
+        Safeguard::TokenProof,
+        " and on ",
+        old_reports_as_a_leader_begins,
+    );
 }
 
 /// The same through six changes of leader, with every report of some seconds kept for the next, machines that
@@ -342,7 +346,7 @@
     (m.inbound_partitioned, m.next_report) = (false, simulation.now + Duration::from_secs(5));
     let lead = simulation.nodes[next].core.leader.as_mut().unwrap();
     assert!(lead.machines.get(&id).unwrap().unresolved, "too late");
-    lead.recovery.to_probe.push(id.clone());
+    lead.recovery.probe_next(id.clone());
     simulation.run(0.1);
     assert_eq!(
         simulation.submit(next, &unlimited_job("wk-000001", 5, 4.0, 20)),
--- a/src/core/simulation/scenarios/partitions.rs
+++ b/src/core/simulation/scenarios/partitions.rs
@@ -323,7 +323,7 @@
 fn unreporting_machines_answering_commands_get_no_work() {
     commands_go_on_to_machines_that_do_not_report();
     fails_without(
-        Safeguard::Mute,
+        Safeguard::HeartbeatRequired,
         "work is started to die with the lease",
         commands_go_on_to_machines_that_do_not_report,
     );
--- a/src/core/simulation/scenarios/scheduling.rs
+++ b/src/core/simulation/scenarios/scheduling.rs
@@ -158,7 +158,7 @@
     assert_eq!(lead.machines.values().count(), 1000);
     simulation.until(5.0, "all machines known", |simulation| {
         let lead = simulation.nodes[leader].core.leader.as_ref();
-        lead.is_some_and(|l| l.recovery.unresolved == 0)
+        lead.is_some_and(|l| l.recovery.is_complete())
     });
 }
 
@@ -244,7 +244,7 @@
 fn no_job_starves_while_machine_has_room() {
     overload_with_urgent_work();
     fails_without(
-        Safeguard::Overdue,
+        Safeguard::OverdueFirst,
         "waits for 90 s while",
         overload_with_urgent_work,
     );
@@ -276,7 +276,7 @@
     let row = *run.placed.keys().next().unwrap();
     run.placed.insert(row, other);
     run.other_machines.insert(row, vec![first]);
-    (lead.scheduler.plan_again, lead.scheduler.last_plan) = (true, None);
+    lead.scheduler.plan_at_once();
     simulation.run(0.3);
     simulation.until_done("wk-000001", 60.0);
 }
@@ -285,7 +285,7 @@
 fn possible_task_zone_counts_for_one_zone_job() {
     one_zone_job_with_uncertain_task();
     fails_without(
-        Safeguard::Zones,
+        Safeguard::ZoneEligibility,
         "apart from",
         one_zone_job_with_uncertain_task,
     );
@@ -323,7 +323,7 @@
 fn low_rank_job_starts_behind_full_team_limit() {
     a_low_rank_behind_more_than_the_limit();
     fails_without(
-        Safeguard::Longest,
+        Safeguard::LongestWaitingFirst,
         "it has not begun",
         a_low_rank_behind_more_than_the_limit,
     );
--- a/src/core/simulation/scenarios/size.rs
+++ b/src/core/simulation/scenarios/size.rs
@@ -73,7 +73,7 @@
     };
     let mut core = Core::new(settings, policy(), 1, now);
     let (items, revision) = (Vec::new(), 1);
-    core.step(now, vec![Command::Listed { items, revision }]);
+    core.step(now, vec![Command::StoreListed { items, revision }]);
     (core, now)
 }
 
@@ -151,7 +151,7 @@
             .as_ref()
             .unwrap()
             .recovery
-            .unresolved
+            .unresolved()
     };
     let mut rounds = 0;
     while left(&simulation) > 0 {
@@ -197,7 +197,7 @@
     let later = now + Duration::from_secs(20);
     let others = if leads { 1..3 } else { 0..1 };
     for node in &mut simulation.nodes[others] {
-        node.core.candidate_after = later;
+        node.core.candidacy.wait_until(later);
     }
     for m in simulation.workers.values_mut() {
         (m.node, m.waiting, m.next_report) = (0, None, now);
@@ -209,7 +209,7 @@
     assert_eq!(leader == 0, leads);
     simulation.until(2.0, "all machines are known", |simulation| {
         let lead = simulation.nodes[leader].core.leader.as_ref();
-        lead.is_some_and(|l| l.recovery.unresolved == 0)
+        lead.is_some_and(|l| l.recovery.is_complete())
     });
     let elsewhere = simulation.workers.values().filter(|m| m.node != 0).count();
     // Some are sent on, as loads are evened out.
@@ -258,7 +258,7 @@
         delete: None,
         lease: None,
     };
-    let mut commands = vec![Command::Changed {
+    let mut commands = vec![Command::StoreChanged {
         events: vec![key],
         revision: 2,
     }];
--- a/src/core/simulation/users.rs
+++ b/src/core/simulation/users.rs
@@ -111,7 +111,9 @@
     /// An operator's word to a node; the answer's status.
     pub fn settle(&mut self, node: usize) -> u16 {
         let ticket = self.new_ticket();
-        self.nodes[node].inbox.push(Command::Settle(ticket));
+        self.nodes[node]
+            .inbox
+            .push(Command::AcceptIncompleteStore(ticket));
         self.run(0.2);
         self.network.answers.remove(&ticket).map_or(0, |a| a.status)
     }
@@ -121,7 +123,7 @@
         let items = backup.0.keys.iter();
         let items = items.map(|(k, e)| (k.clone(), e.value.clone()));
         let ticket = self.new_ticket();
-        self.nodes[node].inbox.push(Command::Offer {
+        self.nodes[node].inbox.push(Command::OfferSnapshot {
             ticket,
             store: store.into(),
             last: true,
--- /dev/null
+++ b/src/core/stats.rs
@@ -0,0 +1,146 @@
+//! Counters and latency histograms of this process, for metrics and the log.
+
+use crate::core::command::{Command, Effect};
+use hdrhistogram::Histogram;
+
+/// What the owner of the state does, as it is counted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Work {
+    /// Steps of `Core`.
+    Step,
+    /// Heartbeats received from workers.
+    Heartbeat,
+    /// Requests about jobs.
+    UserRequest,
+    /// Changes received from the store.
+    StoreEvent,
+    /// Frames received from peers.
+    FrameIn,
+    /// Frames sent to peers.
+    FrameOut,
+    /// Calls to the store.
+    StoreCall,
+    /// Calls to the cloud.
+    CloudCall,
+    /// Calls to workers.
+    DirectCall,
+    /// Planning rounds.
+    Plan,
+    /// Tasks started in the answer to a heartbeat.
+    StartInAnswer,
+    /// Tasks started by a direct call.
+    StartByCall,
+}
+
+/// All kinds of work, each with its name in metrics and in the log.
+pub const WORK: [(Work, &str); 12] = [
+    (Work::Step, "steps"),
+    (Work::Heartbeat, "reports"),
+    (Work::UserRequest, "requests"),
+    (Work::StoreEvent, "changes"),
+    (Work::FrameIn, "frames_in"),
+    (Work::FrameOut, "frames_out"),
+    (Work::StoreCall, "state_calls"),
+    (Work::CloudCall, "cloud_calls"),
+    (Work::DirectCall, "direct_calls"),
+    (Work::Plan, "plans"),
+    (Work::StartInAnswer, "starts_in_answers"),
+    (Work::StartByCall, "starts_by_calls"),
+];
+
+/// How often each kind of work was done, indexed by [`Work`].
+pub type WorkCounts = [u64; WORK.len()];
+
+/// The largest value that a histogram records; larger ones count as this. An hour in milliseconds, some seconds in
+/// microseconds.
+const MAX_RECORDED: u64 = 3_600_000;
+/// Significant decimal digits of recorded values.
+const PRECISION: u8 = 2;
+
+/// What this process has done since it began, and how long it took.
+pub struct Stats {
+    work: WorkCounts,
+    /// Milliseconds from a submission to its acceptance.
+    pub accept: Histogram<u64>,
+    /// Milliseconds from a task's readiness to its start.
+    pub start: Histogram<u64>,
+    /// Microseconds that a step took.
+    pub step: Histogram<u64>,
+}
+
+impl Default for Stats {
+    fn default() -> Stats {
+        Stats {
+            work: [0; WORK.len()],
+            accept: new_histogram(),
+            start: new_histogram(),
+            step: new_histogram(),
+        }
+    }
+}
+
+fn new_histogram() -> Histogram<u64> {
+    let mut histogram =
+        Histogram::new_with_bounds(1, MAX_RECORDED, PRECISION).expect("constant bounds are valid");
+    histogram.auto(false);
+    histogram
+}
+
+impl Stats {
+    /// Counts work that was done `times` times.
+    pub fn count(&mut self, work: Work, times: usize) {
+        self.work[work as usize] += times as u64;
+    }
+
+    /// How often each kind of work was done so far.
+    pub fn counts(&self) -> WorkCounts {
+        self.work
+    }
+
+    /// How often this work was done so far.
+    pub fn done(&self, work: Work) -> u64 {
+        self.work[work as usize]
+    }
+
+    /// Counts a command that was received.
+    pub(in crate::core) fn count_command(&mut self, command: &Command) {
+        match command {
+            Command::Heartbeat { .. } => self.count(Work::Heartbeat, 1),
+            Command::User(_) => self.count(Work::UserRequest, 1),
+            Command::HeartbeatBatch { .. }
+            | Command::HeartbeatBatchResponse { .. }
+            | Command::MemoryRequest { .. } => self.count(Work::FrameIn, 1),
+            Command::StoreChanged { events, .. } => self.count(Work::StoreEvent, events.len()),
+            _ => {}
+        }
+    }
+
+    /// Counts an effect that is to be carried out.
+    pub(in crate::core) fn count_effect(&mut self, effect: &Effect) {
+        match effect {
+            Effect::StoreCall { .. } => self.count(Work::StoreCall, 1),
+            Effect::CloudCall { .. } => self.count(Work::CloudCall, 1),
+            Effect::DirectCall { .. } => self.count(Work::DirectCall, 1),
+            Effect::HeartbeatBatch { .. }
+            | Effect::Forward { .. }
+            | Effect::MemoryRequest { .. } => self.count(Work::FrameOut, 1),
+            _ => {}
+        }
+    }
+
+    /// The work done since `last`, as text for the log; `last` is brought up to date.
+    pub fn work_since(&self, last: &mut WorkCounts) -> String {
+        let mut text = String::new();
+        for (work, name) in WORK {
+            let new = self.done(work) - last[work as usize];
+            text.push_str(&format!(" {name} {new}"));
+        }
+        *last = self.work;
+        text
+    }
+}
+
+/// Records a value; one beyond the histogram's range counts as the largest.
+pub fn record(histogram: &mut Histogram<u64>, value: u128) {
+    histogram.saturating_record(u64::try_from(value).unwrap_or(u64::MAX));
+}
--- a/src/core/store/cache.rs
+++ b/src/core/store/cache.rs
@@ -215,7 +215,7 @@
             return;
         };
         // How a job ended is never written again.
-        if name.starts_with("j/") && is_over(&value) && is_enabled(Safeguard::Forget) {
+        if name.starts_with("j/") && is_over(&value) && is_enabled(Safeguard::VersionPruning) {
             self.versions.forget(key);
         } else {
             self.versions.put(key, version);
--- a/src/core/store/integrity.rs
+++ b/src/core/store/integrity.rs
@@ -11,16 +11,17 @@
 //! nobody leads it before the word of any earlier leader has run out: that one's last renewal came
 //! before the loss, and the loss before it was noticed.
 
-use crate::core::leadership::{LEASE_TTL, json};
+use crate::core::command::Pending;
+use crate::core::leadership::lease::LEASE_TTL;
 use crate::core::machines::machine::TOKEN_EPOCH_BITS;
 use crate::core::store::cache::{IdentityValue, RebuildingValue};
 use crate::core::store::keys::{NOTHING, REBUILDING, identity_key, key, named};
-use crate::core::{CallId, Core, Effect, Pending, Ticket};
+use crate::core::{CallId, Core, Effect, Ticket};
 use crate::fault_injection::{Safeguard, is_enabled};
 use crate::http::Answer;
 use crate::peer::memory_exchange::{MemoryPage, MemoryRequest, PAGE_BYTES, encode_recalled};
 use crate::store_client::{StoreOutcome, StoreRequest};
-use crate::wire::{Change, CompareAndSwap, Condition, Item};
+use crate::wire::{Change, CompareAndSwap, Condition, Item, to_json_value};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant, SystemTime};
 
@@ -180,8 +181,7 @@
                 // Whatever number its lease has, another may have been given the same since. A leader
                 // key that was restored ends with its lease.
                 self.step_down("the state service has lost data");
-                self.lease = None;
-                self.effects.push(Effect::ReplaceLease);
+                self.replace_lease();
                 let before = self.store_cache.identity.as_ref().map(|(id, _)| id.clone());
                 self.store_cache.merge_after_loss(items, revision);
                 let c = &mut self.store_integrity;
@@ -356,7 +356,7 @@
         let within =
             |since: Option<Instant>, window| since.is_some_and(|t| self.now.mono < t + window);
         let window = self.settings.heartbeat_interval * 5 / 2;
-        let others = !self.settings.peers.is_empty() && is_enabled(Safeguard::JustBegun);
+        let others = !self.settings.peers.is_empty() && is_enabled(Safeguard::StartupUncertainty);
         within(self.store_integrity.first_seen_empty, window)
             || others && within(self.store_integrity.first_read, LOSS_DETECTION_DELAY)
             || self.store_is_incomplete()
@@ -376,8 +376,7 @@
     /// Gives the lease back, but stands again: the next leader begins to rebuild.
     pub(in crate::core) fn resign_to_rebuild(&mut self) {
         self.step_down("the state service has lost data");
-        self.lease = None;
-        self.effects.push(Effect::ReleaseLease);
+        self.release_lease();
     }
 
     /// Whether this process may try to lead, as far as the store is concerned.
@@ -443,7 +442,7 @@
             first_term: (self.store_has_no_identity() && self.store_integrity.data_loss.is_none())
                 .then_some(self.next_term()),
         };
-        let mut out = vec![Change::put(identity_key(&id), json(&value))];
+        let mut out = vec![Change::put(identity_key(&id), to_json_value(&value))];
         if let Some((old, _)) = known {
             let key = identity_key(old);
             out.push(Change::Delete { key });
@@ -510,7 +509,10 @@
                     summary_only: true,
                     after: String::new(),
                 };
-                self.effects.push(Effect::MemoryRequest { peer, recall });
+                self.effects.push(Effect::MemoryRequest {
+                    peer,
+                    request: recall,
+                });
             }
         }
         if self.store_integrity.suspected_again
@@ -577,7 +579,10 @@
         else {
             return;
         };
-        let under_way = self.pending.values().any(|p| matches!(p, Pending::Mark));
+        let under_way = self
+            .pending
+            .values()
+            .any(|p| matches!(p, Pending::MarkDataLoss));
         if !led || !waited(loss) || self.store_cache.rebuilding.is_some() || under_way {
             return;
         }
@@ -591,7 +596,7 @@
             conditions,
             changes,
         };
-        self.ask_state(Pending::Mark, StoreRequest::CompareAndSwap(txn));
+        self.ask_state(Pending::MarkDataLoss, StoreRequest::CompareAndSwap(txn));
     }
 
     fn incomplete_mark(&self, loss: &DataLoss) -> Change {
@@ -601,7 +606,7 @@
             since_ms: since.unwrap_or_default().as_millis() as u64,
             reason: loss.reason.clone(),
         };
-        Change::put(key(REBUILDING), json(&value))
+        Change::put(key(REBUILDING), to_json_value(&value))
     }
 
     /// Reads some jobs' keys from after this one on. What the watch tells may have a gap that no revision
@@ -613,7 +618,7 @@
             after: after.clone(),
             most: AUDIT_BATCH,
         };
-        self.ask_state(Pending::Audit { after, suspicion }, request);
+        self.ask_state(Pending::AuditJobs { after, suspicion }, request);
     }
 
     /// The copy may have changed after the keys were read, so only the same difference in a second read,
--- a/src/core/store/pending_writes.rs
+++ b/src/core/store/pending_writes.rs
@@ -9,68 +9,83 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
 
-/// One durable change of the leader's.
+/// One durable change of the leader's, as part of a transaction.
 #[derive(Clone, Debug)]
 pub enum WriteOp {
-    /// With what may be left of it on machines.
+    /// A job has ended; with what may remain of it on machines.
     End(JobId, JobOutcome, Option<ResidualTasks>),
+    /// These tasks of a job are done.
     Progress(JobId, Vec<u32>),
-    /// Pages of machines, and who is on them.
+    /// Pages of machine records, and the machines on them.
     Pages(Vec<usize>, Vec<MachineId>),
+    /// The cloud's machine types.
     Types,
-    /// A job that the store had lost, or so many parts of it.
+    /// A job that the store had lost.
     Owed(JobId),
+    /// So many parts of a large job that the store had lost.
     OwedParts(JobId, usize),
-    /// The store is whole again.
+    /// The store is complete again.
     Rebuilt,
 }
 
-/// Changes that wait for the next transaction, and the one that is on its way.
+/// Changes that wait for the next transaction, and the one that is in flight.
 #[derive(Default)]
 pub struct Writes {
+    /// Jobs that have ended, and how.
     pub ends: BTreeMap<JobId, JobOutcome>,
-    /// Jobs cancelled with one that they need: that is durable already, and these follow.
+    /// Jobs cancelled with one that they depend on: that is durable already, and these follow.
     pub followers: BTreeSet<JobId>,
     /// Jobs with done tasks that are not written yet, and since when.
     pub progress: BTreeMap<JobId, Instant>,
+    /// Machine records.
     pub records: MachineRecords,
+    /// The machine types are to be written.
     pub machine_types: bool,
-    /// The mark of an incomplete store is to be taken off.
+    /// The mark of an incomplete store is to be removed.
     pub rebuild_complete: bool,
-    /// How many parts are written of large jobs that are owed.
+    /// How many parts are written of large jobs that the store had lost.
     pub missing_parts_written: BTreeMap<JobId, usize>,
+    /// The transaction that is in flight, or whose outcome is unknown.
     pub in_flight: Option<InFlightWrite>,
-    /// Nothing is sent before the copy is as new as this: a write was refused for what had changed then.
+    /// Nothing is sent before the cache has this revision: a transaction was refused for what had changed then.
     pub minimum_revision: u64,
-    /// Writes refused for that in a row.
+    /// How many transactions in a row were refused for that.
     pub conflicts: u32,
-    /// Changes that a transaction may have, if the service refused one of those allowed.
+    /// How many changes a transaction may have, if the store refused one of the configured size.
     pub max_changes: Option<usize>,
-    /// Keys that the service refuses to have put, and until when that is not tried again.
+    /// Keys that the store refuses to have written, and until when that is not tried again.
     pub quarantined_keys: BTreeMap<String, Instant>,
 }
 
-/// The transaction that is on its way, or whose outcome is unknown.
+/// The transaction that is in flight, or whose outcome is unknown.
 pub struct InFlightWrite {
+    /// As sent.
     pub txn: CompareAndSwap,
+    /// The changes that are in it.
     pub ops: Vec<WriteOp>,
+    /// The call that carries it, until that has an outcome.
     pub call: Option<CallId>,
+    /// When it is sent again if its outcome is unknown.
     pub retry_at: Instant,
-    /// Where the state service shows it to have been committed.
+    /// The revision at which the store shows it to have been committed.
     pub committed: Option<u64>,
-    /// It was refused for what the state service held at some revision: whether that is its own first copy
-    /// is known when this process's copy of the store has come as far.
+    /// It was refused for what the store held at some revision: whether that is this transaction's own first copy is
+    /// known when the cache has come as far.
     pub refused: Option<RefusedWrite>,
 }
 
 /// A refused transaction, until it is known who made the change for which it was refused.
 pub struct RefusedWrite {
+    /// The keys whose versions differ from the conditions.
     pub conflicting_keys: Vec<String>,
+    /// The store's revision at the refusal.
     pub revision: u64,
+    /// When the refusal came.
     pub since: Instant,
 }
 
 impl InFlightWrite {
+    /// A transaction that is sent now, by this call.
     pub fn new(
         txn: CompareAndSwap,
         ops: Vec<WriteOp>,
--- a/src/core/store/read_barrier.rs
+++ b/src/core/store/read_barrier.rs
@@ -5,7 +5,8 @@
 //! has come as far, nothing can have been told to anybody before the question that the copy does
 //! not hold. Questions of one step share the read.
 
-use crate::core::{Core, Pending, Ticket};
+use crate::core::command::Pending;
+use crate::core::{Core, Ticket};
 use crate::http::Answer;
 use crate::job::JobSpec;
 use crate::store_client::{StoreOutcome, StoreRequest};
@@ -38,7 +39,7 @@
         let new = std::mem::take(&mut self.barriers.queued);
         if !new.is_empty() {
             let key = crate::core::store::keys::key(crate::core::store::keys::NOTHING);
-            self.ask_state(Pending::Barrier(new), StoreRequest::Get(key));
+            self.ask_state(Pending::ReadBarrier(new), StoreRequest::Get(key));
         }
     }
 
--- a/src/core/store/rebuild.rs
+++ b/src/core/store/rebuild.rs
@@ -12,7 +12,6 @@
 //! - *The end.* The mark is taken off when all is written back, all controllers were asked twice, and
 //!   nothing is held; or when an operator settles it.
 
-use crate::core::leadership::json;
 use crate::core::leadership::state::LeaderState;
 use crate::core::machines::failure_detection::lease_expiry;
 use crate::core::machines::machine::{Machine, StopReason};
@@ -24,7 +23,7 @@
 use crate::http::Answer;
 use crate::job::{JobId, MachineId, Resources, TaskId};
 use crate::peer::memory_exchange::{MemoryPage, MemoryRequest};
-use crate::wire::{Change, to_json};
+use crate::wire::{Change, to_json, to_json_value};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
@@ -204,7 +203,7 @@
             return true;
         };
         let up = |id: &MachineId| leader.machines.get(id).is_none_or(|m| m.incarnation > 0);
-        let heard = leader.recovery.unresolved == 0 && r.booting.iter().all(up);
+        let heard = leader.recovery.is_complete() && r.booting.iter().all(up);
         let seen_all = r.complete() && r.listed && heard;
         seen_all || self.worker_leases_expired(leader)
     }
@@ -221,7 +220,7 @@
                     "term {}: the state service is whole again",
                     leader.term
                 );
-                leader.scheduler.plan_again = true;
+                leader.scheduler.request_plan();
             }
             return;
         }
@@ -237,7 +236,7 @@
         let Some(r) = &mut leader.rebuild else { return };
         if starts && r.started_at.is_none() {
             r.started_at = Some(now);
-            leader.scheduler.plan_again = true;
+            leader.scheduler.request_plan();
             let took = now.saturating_duration_since(since).as_millis();
             tracing::warn!(
                 term = term,
@@ -256,11 +255,14 @@
                 after: m.after.clone(),
             };
             let peer = peer.clone();
-            self.effects.push(Effect::MemoryRequest { peer, recall });
+            self.effects.push(Effect::MemoryRequest {
+                peer,
+                request: recall,
+            });
         }
         if r.complete() && r.complete_at.is_none() {
             r.complete_at = Some(now);
-            leader.scheduler.plan_again = true;
+            leader.scheduler.request_plan();
             let took = now.saturating_duration_since(since).as_millis();
             tracing::warn!(
                 term = term,
@@ -444,7 +446,7 @@
                 }
             }
         }
-        leader.scheduler.plan_again = true;
+        leader.scheduler.request_plan();
         for (key, machine) in adopted {
             self.stop_duplicates(&key, &machine);
         }
@@ -483,10 +485,10 @@
             submitted_ms,
         }) = &value
         else {
-            return Some((vec![Change::put(job_key(id), json(&value))], owed));
+            return Some((vec![Change::put(job_key(id), to_json_value(&value))], owed));
         };
         if size <= bytes {
-            return Some((vec![Change::put(job_key(id), json(&value))], owed));
+            return Some((vec![Change::put(job_key(id), to_json_value(&value))], owed));
         }
         let text = String::from_utf8(to_json(spec)).unwrap_or_default();
         let texts = large_jobs::cut(&text, bytes);
@@ -503,7 +505,7 @@
             let next = texts.iter().enumerate().skip(from).take(most.max(1));
             let part = |(n, text): (usize, &String)| {
                 let key = part_key(id, stem, n as u32);
-                Change::put(key, json(&PartValue { text: text.clone() }))
+                Change::put(key, to_json_value(&PartValue { text: text.clone() }))
             };
             let changes: Vec<Change> = next.map(part).collect();
             let upto = from + changes.len();
@@ -514,7 +516,7 @@
             stem,
             submitted_ms: *submitted_ms,
         };
-        Some((vec![Change::put(job_key(id), json(&value))], owed))
+        Some((vec![Change::put(job_key(id), to_json_value(&value))], owed))
     }
 
     /// For operators' words, which only the leader can follow.
@@ -676,7 +678,9 @@
         }
         // Nobody but this leader has answered it since.
         m.lease_renewed = since;
-        self.recovery.unresolved += usize::from(!std::mem::replace(&mut m.unresolved, true));
-        self.recovery.to_probe.push(id.clone());
+        if !std::mem::replace(&mut m.unresolved, true) {
+            self.recovery.add_unresolved();
+        }
+        self.recovery.probe_next(id.clone());
     }
 }
--- a/src/core/store/writes.rs
+++ b/src/core/store/writes.rs
@@ -1,18 +1,18 @@
 //! The leader's durable writes: what waits to be written is gathered into transactions, one of which is on its way
 //! at a time, and each takes effect here when it is known to be committed.
 
-use crate::core::leadership::json;
+use crate::core::command::Pending;
 use crate::core::leadership::state::LeaderState;
 use crate::core::machines::failure_detection::cancellation_bound;
 use crate::core::store::cache::{DoneValue, JobValue};
 use crate::core::store::keys::{LEADER, REBUILDING, TYPES, done_key, job_key, key, machine_key};
 use crate::core::store::machine_records::MachineRecords;
 use crate::core::store::pending_writes::{InFlightWrite, RefusedWrite, WriteOp};
-use crate::core::{CallId, Core, Pending};
+use crate::core::{CallId, Core};
 use crate::fault_injection::{Safeguard, is_enabled};
 use crate::job::{JobId, JobOutcome};
 use crate::store_client::{StoreOutcome, StoreRequest};
-use crate::wire::{Change, CompareAndSwap, Condition, to_json};
+use crate::wire::{Change, CompareAndSwap, Condition, to_json, to_json_value};
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
@@ -159,7 +159,7 @@
         let in_time =
             cancellation_bound(self.settings.worker_lease) <= self.settings.cancellation_deadline;
         let leader = self.leader.as_mut()?;
-        let left_over: BTreeSet<JobId> = if in_time || !is_enabled(Safeguard::InTime) {
+        let left_over: BTreeSet<JobId> = if in_time || !is_enabled(Safeguard::CancellationBound) {
             BTreeSet::new()
         } else {
             let cancelled = leader
@@ -203,7 +203,7 @@
                 .residual_of(id, self.now.wall)
                 .filter(|_| cancelled);
             let (end, told) = (*end, left.clone());
-            if !batch.add(vec![put(key, json(&JobValue::Over { end, left }))]) {
+            if !batch.add(vec![put(key, to_json_value(&JobValue::Over { end, left }))]) {
                 break;
             }
             batch.ops.push(WriteOp::End(id.clone(), end, told));
@@ -236,7 +236,7 @@
                 let value = DoneValue {
                     tasks: job.done.ranges(base, piece),
                 };
-                if !batch.add(vec![put(key, json(&value))]) {
+                if !batch.add(vec![put(key, to_json_value(&value))]) {
                     break 'jobs;
                 }
                 let end = base.saturating_add(piece);
@@ -252,7 +252,7 @@
             }
             // Nothing of it can have started.
             let left = None;
-            if !batch.add(vec![put(key, json(&JobValue::Over { end, left }))]) {
+            if !batch.add(vec![put(key, to_json_value(&JobValue::Over { end, left }))]) {
                 break;
             }
             batch.ops.push(WriteOp::End(id.clone(), end, None));
@@ -260,7 +260,7 @@
         batch.pages(&mut w.records, now, false);
         // Every controller learns the types from the cloud as well; a list too long for a value
         // is not kept here.
-        let types = put(key(TYPES), json(&self.machine_types));
+        let types = put(key(TYPES), to_json_value(&self.machine_types));
         let small = to_json(&self.machine_types).len() <= batch.value_bytes;
         if w.machine_types
             && small
@@ -355,7 +355,9 @@
         };
         match outcome {
             StoreOutcome::Committed { revision } => self.write_committed(revision),
-            StoreOutcome::Conflict { revision, .. } if !is_enabled(Safeguard::Conflict) => {
+            StoreOutcome::Conflict { revision, .. }
+                if !is_enabled(Safeguard::ConflictDetection) =>
+            {
                 self.write_committed(revision);
             }
             StoreOutcome::Conflict { failed, revision } => {
@@ -452,7 +454,10 @@
         else {
             return;
         };
-        if let Some(at) = sent.committed.filter(|_| is_enabled(Safeguard::OwnWrite)) {
+        if let Some(at) = sent
+            .committed
+            .filter(|_| is_enabled(Safeguard::OwnWriteDetection))
+        {
             return self.write_committed(at);
         }
         let known = |r: &&RefusedWrite| revision >= r.revision;
@@ -557,7 +562,7 @@
                         && let Some(m) = leader.machines.get_mut(&id)
                     {
                         m.recorded = true;
-                        leader.scheduler.plan_again = true;
+                        leader.scheduler.request_plan();
                     }
                 }
             }
--- a/src/core/workers/commands.rs
+++ b/src/core/workers/commands.rs
@@ -5,11 +5,12 @@
 //! `clear`, a repeated `run` would start the task anew. So a `clear` goes only into the answer of
 //! a report (never executed late), and only while no other command can still arrive.
 
+use crate::core::command::Pending;
 use crate::core::machines::failure_detection::MAX_UNANSWERED_PROBES;
 use crate::core::machines::machine::{
     Exited, Machine, Phase, Placement, StopReason, TOKEN_EPOCH_BITS,
 };
-use crate::core::{Core, Effect, Pending, Ticket, Work};
+use crate::core::{Core, Effect, Ticket, Work};
 use crate::fault_injection::{Safeguard, is_enabled};
 use crate::http::Answer;
 use crate::job::{MachineId, TaskId};
@@ -39,7 +40,7 @@
             };
             // A start that nobody has seen come to be is mostly there all the same, and begins to run before
             // the next report where nothing stops it.
-            let over = reason == StopReason::Over && is_enabled(Safeguard::UnseenStops);
+            let over = reason == StopReason::Over && is_enabled(Safeguard::StopUnseenTasks);
             if t.phase == Phase::Unseen && !over {
                 continue;
             }
@@ -154,7 +155,7 @@
             m.start_unconfirmed = starts;
             m.needs_push = false;
         }
-        self.stats.work[Work::StartInAnswer as usize] += count as u64;
+        self.stats.count(Work::StartInAnswer, count);
         if let Some(m) = (self.leader.as_mut()).and_then(|l| l.machines.get_mut_quiet(id)) {
             m.freed = false;
             // A worker that sees a new token reports it within half a second, on the connection that
@@ -187,7 +188,7 @@
         // What is to be stopped is told to a machine that does not report as well: calls may reach it.
         let to_stop = |m: &Machine| {
             let over = |t: &Placement| matches!(t.stopping, Some((StopReason::Over, _)));
-            is_enabled(Safeguard::MuteStops) && m.tasks.values().any(over)
+            is_enabled(Safeguard::StopOnSilentMachines) && m.tasks.values().any(over)
         };
         let (mut due, mut mute): (Vec<MachineId>, Vec<MachineId>) = Default::default();
         for m in (leader.machines.to_push.iter()).filter_map(|id| machines.get(id)) {
@@ -229,7 +230,7 @@
             if body.commands.is_empty() {
                 continue;
             }
-            let call = self.call(Pending::Direct(id.clone()));
+            let call = self.call(Pending::DirectCall(id.clone()));
             if let Some(leader) = &mut self.leader
                 && let Some(m) = leader.machines.get_mut(&id)
             {
@@ -241,10 +242,10 @@
                 if starts > 0 {
                     m.started_under_token = body.fencing_token;
                 }
-                self.stats.work[Work::StartByCall as usize] += starts as u64;
+                self.stats.count(Work::StartByCall, starts);
                 leader.direct_calls_in_flight += 1;
             }
-            self.effects.push(Effect::Direct {
+            self.effects.push(Effect::DirectCall {
                 call,
                 addr,
                 request: DirectRequest::Commands(body),
@@ -257,8 +258,8 @@
     pub(in crate::core) fn direct_outcome(&mut self, call: u64, outcome: DirectOutcome) {
         let now = self.now.mono;
         let id = match self.pending.remove(&call) {
-            Some(Pending::Direct(id)) => id,
-            Some(Pending::Show(id)) => return self.token_probe_answered(&id, outcome),
+            Some(Pending::DirectCall(id)) => id,
+            Some(Pending::TokenProbe(id)) => return self.token_probe_answered(&id, outcome),
             _ => return,
         };
         let Some(leader) = &mut self.leader else {
@@ -284,18 +285,14 @@
         let answers = matches!(outcome, DirectOutcome::Heartbeat { .. });
         m.failed_calls = if answers { 0 } else { m.failed_calls + 1 };
         if answers {
-            (
-                leader.liveness.last_direct_contact,
-                leader.liveness.failed_direct_calls,
-            ) = (now, 0);
+            leader.liveness.record_direct_contact(now);
         } else {
-            leader.liveness.failed_direct_calls += 1;
+            leader.liveness.record_failed_call();
         }
         if !answers && m.unresolved && m.failed_calls < MAX_UNANSWERED_PROBES {
             leader
                 .recovery
-                .retries
-                .insert((now + PROBE_RETRY_PAUSE, id.clone()));
+                .probe_at(now + PROBE_RETRY_PAUSE, id.clone());
         }
         match outcome {
             DirectOutcome::Heartbeat {
@@ -307,7 +304,7 @@
                     m.push_after = now + Duration::from_millis(500);
                 }
                 let zone = m.zone.clone();
-                leader.mark_zone_reachable(&zone);
+                leader.recovery.mark_zone_reachable(&zone);
                 if heartbeat.machine == id {
                     if began_anew {
                         self.machine_restarted(&id, heartbeat.fencing_token);
--- a/src/core/workers/delegates.rs
+++ b/src/core/workers/delegates.rs
@@ -1,4 +1,5 @@
-//! The controllers that serve workers for the leader, as the leader knows them. Data; `delegation` acts on it.
+//! Delegates: the controllers that serve workers for the leader, as the leader knows them. Data; `delegation` acts on
+//! it.
 
 use crate::job::MachineId;
 use burlusher_membership::grant::IssuedGrant;
@@ -7,39 +8,43 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A controller that serves workers says something at least every `HEARTBEAT`.
+/// When a controller that serves workers is suspected or given up; it sends a batch at least every [`HEARTBEAT`].
 pub(in crate::core) const PATIENCE: FailureDetectorTimeouts = FailureDetectorTimeouts {
     suspect_after: Duration::from_millis(1500),
     lost_after: Duration::from_millis(6000),
 };
-/// With nothing to say, a frame goes to the leader this often: it keeps the grant.
+/// Without heartbeats to pass on, a delegate sends an empty batch to the leader this often: it keeps the grant.
 pub(in crate::core) const HEARTBEAT: Duration = Duration::from_millis(400);
 
 /// One controller that serves workers.
 pub struct Delegate {
+    /// The grant by which it may answer heartbeats itself.
     pub issued: IssuedGrant,
-    /// Machines not to be answered from memory, each with the answer that first said so.
+    /// Machines whose heartbeats it may not answer any more, each with the number of the response that first said so.
     pub revocations: BTreeMap<MachineId, Option<u64>>,
-    /// Workers it is to send elsewhere.
+    /// Workers that it is to redirect: to which controller, and how many.
     pub reassignments: Vec<(String, u32)>,
-    /// Machines may be lent to it.
+    /// Machines may be delegated to it.
     pub has_delegations: bool,
 }
 
+/// All delegates, and the balance of workers among controllers.
 #[derive(Default)]
 pub struct Delegates {
+    /// By the controllers' names.
     pub by_name: BTreeMap<Arc<str>, Delegate>,
-    /// Workers that report here and are to go elsewhere.
+    /// Workers that report to the leader itself and are to be redirected: to which controller, and how many.
     pub own_reassignments: Vec<(String, u32)>,
+    /// When the controllers' loads were last compared.
     pub last_rebalance: Option<Instant>,
-    /// Reports taken in that came by way of others, for the status view.
+    /// How many heartbeats came by way of delegates, for the status view.
     pub relayed_heartbeats: u64,
-    /// Those answered by others.
+    /// How many heartbeats delegates have answered themselves.
     pub delegated_answers: u64,
 }
 
 impl Delegates {
-    /// How long after a report the leader may hear of it, where another controller answered it.
+    /// How long after a heartbeat the leader may learn of it, if a delegate answered it.
     pub(in crate::core) fn delegation_delay(&self) -> Duration {
         if self.by_name.is_empty() {
             Duration::ZERO
--- a/src/core/workers/delegation.rs
+++ b/src/core/workers/delegation.rs
@@ -116,9 +116,7 @@
             };
             m.claimed_until = Some(now + PROBE_CLAIM);
             // If nothing comes of it, it is asked from here.
-            self.recovery
-                .retries
-                .insert((now + PROBE_CLAIM, id.clone()));
+            self.recovery.probe_at(now + PROBE_CLAIM, id.clone());
             out.push((id, m.addr.clone()));
         }
         out
@@ -194,7 +192,7 @@
         }
         let leader = self.leader.as_mut()?;
         if !sync.answered.is_empty() || !sync.heartbeats.is_empty() {
-            leader.liveness.last_heartbeat = Some(now);
+            leader.liveness.record_heartbeat(now);
         }
         leader.delegates.relayed_heartbeats += sync.heartbeats.len() as u64;
         leader.delegates.delegated_answers += sync.answered.len() as u64;
@@ -218,7 +216,7 @@
             {
                 m.failed_calls += 1;
                 m.claimed_until = None;
-                leader.recovery.retries.insert((now, id.clone()));
+                leader.recovery.probe_at(now, id.clone());
             }
         }
         let mut heartbeats = Vec::new();
@@ -228,7 +226,7 @@
                 let known = (self.leader.as_ref()).is_some_and(|l| l.machines.get(&id).is_some());
                 if known {
                     if let Some(leader) = &mut self.leader {
-                        leader.mark_zone_reachable(&r.heartbeat.zone);
+                        leader.recovery.mark_zone_reachable(&r.heartbeat.zone);
                     }
                     self.apply_heartbeat(&id, *r.heartbeat, false);
                 }
--- a/src/core/workers/heartbeats.rs
+++ b/src/core/workers/heartbeats.rs
@@ -4,7 +4,7 @@
     Exited, Machine, Phase, Placement, StopReason, TOKEN_EPOCH_BITS,
 };
 use crate::core::store::cache::MachineValue;
-use crate::core::{Core, Ticket, note};
+use crate::core::{Core, Ticket, record};
 use crate::fault_injection::{Safeguard, is_enabled};
 use crate::http::Answer;
 use crate::job::{JobId, JobKind, MachineId, Resources, TaskId};
@@ -242,8 +242,8 @@
         m.highest_token = heartbeat.fencing_token;
         m.last_heartbeat = now;
         // With our term's token seen, whatever the predecessors sent is refused from now on.
-        let knows_us =
-            heartbeat.fencing_token >= term << TOKEN_EPOCH_BITS || !is_enabled(Safeguard::Proof);
+        let knows_us = heartbeat.fencing_token >= term << TOKEN_EPOCH_BITS
+            || !is_enabled(Safeguard::TokenProof);
         m.addr = heartbeat.addr;
         m.spot = heartbeat.spot;
         m.reclaim_at = heartbeat
@@ -426,7 +426,7 @@
                 if let Some(job) = self.store_cache.jobs.get(&key.job)
                     && let Ok(waited) = self.now.wall.duration_since(job.submitted)
                 {
-                    note(&mut self.stats.start, waited.as_millis());
+                    record(&mut self.stats.start, waited.as_millis());
                 }
             }
         }
@@ -462,7 +462,7 @@
         if m.tasks.is_empty() {
             m.idle_since = now;
         }
-        leader.scheduler.plan_again = true;
+        leader.scheduler.request_plan();
         tracing::debug!(task = %key, machine = %id, "task {key} attempt {} on {id} ended: {why:?}", t.attempt);
         let ran = t.running_since.map(|s| now.saturating_duration_since(s));
         if why == ExitCause::Done {
@@ -576,7 +576,7 @@
         };
         m.fault_history.failures += 1;
         m.fault_history.failed_jobs.insert(key.job.clone());
-        let most = if is_enabled(Safeguard::Avoid) {
+        let most = if is_enabled(Safeguard::AvoidanceLimit) {
             MAX_AVOIDANCE_DOUBLINGS
         } else {
             u32::MAX
@@ -661,7 +661,7 @@
             if m.tasks.is_empty() {
                 m.idle_since = now;
             }
-            leader.scheduler.plan_again = true;
+            leader.scheduler.request_plan();
             if let Some(r) = &mut leader.rebuild {
                 r.remove_held(&key, id);
             }
--- a/src/core/workers/relay.rs
+++ b/src/core/workers/relay.rs
@@ -7,12 +7,13 @@
 //! at the very moment at which a new leader has most to do. When it comes, the workers need not
 //! look for it, and this controller shows them its token.
 
+use crate::core::command::Pending;
 use crate::core::leadership::state::LeaderState;
 use crate::core::workers::commands::MAX_DIRECT_CALLS;
 use crate::core::workers::delegates::HEARTBEAT;
 use crate::core::workers::heartbeat_queue::{ReportQueue, Waiting};
 use crate::core::workers::heartbeats::redirect_to;
-use crate::core::{Core, Effect, Pending, Ticket};
+use crate::core::{Core, Effect, Ticket};
 use crate::fault_injection::{Safeguard, is_enabled};
 use crate::http::Answer;
 use crate::job::MachineId;
@@ -264,7 +265,7 @@
             return self.redirect(ticket);
         }
         if let Some(grant) = self.relay.grant
-            && (grant.holds(self.store_cache.term, now) || !is_enabled(Safeguard::Grant))
+            && (grant.holds(self.store_cache.term, now) || !is_enabled(Safeguard::GrantExpiry))
             && let Some(token) = self.relay.steady_answer(&heartbeat, now)
         {
             let answer = match self.relay.next_reassignment(&heartbeat.machine) {
@@ -275,7 +276,7 @@
                         fencing_token: token,
                         commands: orders,
                     });
-                    let until = is_enabled(Safeguard::Grant).then_some(grant.until);
+                    let until = is_enabled(Safeguard::GrantExpiry).then_some(grant.until);
                     Answer::new(200, body).until(until)
                 }
             };
@@ -592,9 +593,9 @@
                     commands: Vec::new(),
                 })
             };
-            let call = self.call(Pending::Show(id));
+            let call = self.call(Pending::TokenProbe(id));
             self.relay.probes_in_flight += 1;
-            self.effects.push(Effect::Direct {
+            self.effects.push(Effect::DirectCall {
                 call,
                 addr,
                 request,
--- a/src/planning/cluster_snapshot.rs
+++ b/src/planning/cluster_snapshot.rs
@@ -14,7 +14,7 @@
 
 /// Whether a job may use machines of this kind, in this zone, ordinary or spot.
 pub fn allows(spec: &JobSpec, (kind, zone, spot): &Offer) -> bool {
-    (spec.spot || !spot || !is_enabled(Safeguard::Spot))
+    (spec.spot || !spot || !is_enabled(Safeguard::SpotEligibility))
         && spec.allows_type(kind)
         && spec.allows_zone(zone)
 }
--- a/src/service.rs
+++ b/src/service.rs
@@ -13,7 +13,7 @@
 mod routes;
 
 use crate::cloud_client::{CloudClient, CloudOutcome, CloudRequest};
-use crate::core::{Command, Core, Effect, LeadershipProof, Now, Ticket, Work, note};
+use crate::core::{Command, Core, Effect, LeadershipProof, Now, Ticket, Work, record};
 use crate::http::{Answer, Limits, Server};
 use crate::peer::heartbeat_batch;
 use crate::peer::memory_exchange::{self, MemoryRequest};
@@ -202,7 +202,7 @@
 /// The owner's loop.
 fn own(mut core: Core, inbox: &Inbox, outbox: Outbox) -> ! {
     let mut told = Instant::now();
-    let mut worked = core.stats.work;
+    let mut worked = core.stats.counts();
     loop {
         let commands = inbox.next(core.idle_for());
         let begun = Instant::now();
@@ -213,8 +213,8 @@
         if !answers.is_empty() {
             let _ = outbox.answers.send(answers);
         }
-        note(&mut core.stats.step, begun.elapsed().as_micros());
-        core.stats.work[Work::Step as usize] += 1;
+        record(&mut core.stats.step, begun.elapsed().as_micros());
+        core.stats.count(Work::Step, 1);
         if told.elapsed() > Duration::from_secs(60) {
             told = Instant::now();
             tracing::info!("work:{}", core.stats.work_since(&mut worked));
@@ -236,17 +236,17 @@
 fn carry_out(effect: Effect, out: &Outbox, answers: &mut Vec<AnswerCall>) {
     match effect {
         Effect::Answer { ticket, answer } => answers.push((ticket, answer)),
-        Effect::State { call, request } => {
+        Effect::StoreCall { call, request } => {
             let _ = out.state.send((call, request));
         }
-        Effect::Cloud {
+        Effect::CloudCall {
             call,
             request,
             not_after,
         } => {
             let _ = out.cloud.send((call, request, not_after));
         }
-        Effect::Direct {
+        Effect::DirectCall {
             call,
             addr,
             request,
@@ -263,7 +263,10 @@
                 let _ = tx.send(PeerCall::Pass(ticket, request));
             }
         }
-        Effect::MemoryRequest { peer, recall } => {
+        Effect::MemoryRequest {
+            peer,
+            request: recall,
+        } => {
             if let Some(tx) = out.peers.get(&peer) {
                 let _ = tx.send(PeerCall::MemoryRequest(recall));
             }
@@ -311,7 +314,7 @@
         Box::new(move |(call, request): StateCall| {
             wait_for_rate_limit(&budget);
             let outcome = client.perform(&request);
-            inbox.put(Command::State { call, outcome });
+            inbox.put(Command::StoreOutcome { call, outcome });
         })
     })
 }
@@ -327,7 +330,7 @@
             } else {
                 client.perform(&request)
             };
-            inbox.put(Command::Cloud { call, outcome });
+            inbox.put(Command::CloudOutcome { call, outcome });
         })
     })
 }
@@ -342,7 +345,7 @@
             } else {
                 worker_client::perform(addr, &request)
             };
-            inbox.put(Command::Direct { call, outcome });
+            inbox.put(Command::DirectOutcome { call, outcome });
         })
     })
 }
@@ -486,7 +489,7 @@
         match client.perform(&StoreRequest::CompareAndSwap(txn)) {
             StoreOutcome::Committed { .. } => Some(key_version),
             StoreOutcome::Conflict { .. } => {
-                inbox.put(Command::Deposed { key_version });
+                inbox.put(Command::LeadershipDisproved { key_version });
                 None
             }
             other => {
@@ -622,7 +625,7 @@
                 None => match client.list() {
                     Ok((items, revision)) => {
                         at = Some(revision);
-                        if !self.put(number, Command::Listed { items, revision }) {
+                        if !self.put(number, Command::StoreListed { items, revision }) {
                             return;
                         }
                         None
@@ -632,7 +635,7 @@
                 Some(since) => match client.watch(since, WATCH_WAIT) {
                     Ok(Some((revision, events))) => {
                         at = Some(revision.max(since));
-                        if !self.put(number, Command::Changed { events, revision }) {
+                        if !self.put(number, Command::StoreChanged { events, revision }) {
                             return;
                         }
                         // Changes that come close together are fetched together.
--- a/src/service/lanes.rs
+++ b/src/service/lanes.rs
@@ -21,8 +21,8 @@
 impl Lanes {
     pub fn of(command: &Command) -> usize {
         match command {
-            Command::Heartbeat { .. } | Command::Direct { .. } => 2,
-            Command::Status(_) | Command::Figures { .. } | Command::MemoryRequest { .. } => 1,
+            Command::Heartbeat { .. } | Command::DirectOutcome { .. } => 2,
+            Command::Status(_) | Command::Metrics { .. } | Command::MemoryRequest { .. } => 1,
             Command::User(r) if matches!(r.action, Ask::Show(_)) => 1,
             _ => 0,
         }
--- a/src/service/peers.rs
+++ b/src/service/peers.rs
@@ -60,7 +60,10 @@
         if kind == heartbeat_batch::KIND_HEARTBEAT_BATCH {
             let sync = heartbeat_batch::decode_sync(&body).ok_or(io::ErrorKind::InvalidData)?;
             let sync = Box::new(sync);
-            let answer = inbox.ask_and_wait(|ticket| Command::HeartbeatBatch { ticket, sync });
+            let answer = inbox.ask_and_wait(|ticket| Command::HeartbeatBatch {
+                ticket,
+                batch: sync,
+            });
             // Too late, or no frame at all: the asker counts it as no answer.
             if answer.expired() || answer.status != 200 {
                 return Ok(());
@@ -70,7 +73,10 @@
         }
         if kind == memory_exchange::KIND_MEMORY_REQUEST {
             let recall = memory_exchange::decode_recall(&body).ok_or(io::ErrorKind::InvalidData)?;
-            let answer = inbox.ask_and_wait(|ticket| Command::MemoryRequest { ticket, recall });
+            let answer = inbox.ask_and_wait(|ticket| Command::MemoryRequest {
+                ticket,
+                request: recall,
+            });
             if answer.status != 200 {
                 return Ok(());
             }
--- a/src/service/routes.rs
+++ b/src/service/routes.rs
@@ -71,7 +71,7 @@
     fn offer(&self, body: &[u8], responder: Responder) {
         match serde_json::from_slice::<SnapshotPage>(body) {
             Ok(offer) => {
-                let command = |ticket| Command::Offer {
+                let command = |ticket| Command::OfferSnapshot {
                     ticket,
                     store: offer.store,
                     last: offer.last,
@@ -85,7 +85,7 @@
 
     fn figures(&self, responder: Responder) {
         let lanes = self.inbox.waiting();
-        let command = |ticket| Command::Figures {
+        let command = |ticket| Command::Metrics {
             ticket,
             queue_lengths: lanes,
         };
@@ -134,7 +134,9 @@
             ("POST", PATH_HEARTBEAT) => self.inbox.heartbeat(request.body, responder),
             ("POST", PATH_JOBS) => self.submit(&request.body, responder),
             ("GET", PATH_STATUS) => self.inbox.ask(Command::Status, public(responder)),
-            ("POST", PATH_SETTLE) => self.inbox.ask(Command::Settle, public(responder)),
+            ("POST", PATH_SETTLE) => self
+                .inbox
+                .ask(Command::AcceptIncompleteStore, public(responder)),
             ("POST", PATH_SNAPSHOT) => self.offer(&request.body, responder),
             ("GET", PATH_METRICS) => self.figures(responder),
             (method, path) => {
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -280,6 +280,11 @@
     serde_json::to_vec(x).unwrap_or_default()
 }
 
+/// One of this program's own types as a JSON value, to be stored under a key; this cannot fail.
+pub fn to_json_value<T: Serialize>(x: &T) -> serde_json::Value {
+    serde_json::to_value(x).unwrap_or(serde_json::Value::Null)
+}
+
 // ---------------------------------------------------------------- workers
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
