--- a/src/core/command.rs
+++ b/src/core/command.rs
@@ -14,7 +14,7 @@
 use crate::wire::{Condition, Heartbeat, Item, WatchEvent};
 use crate::worker_client::{DirectOutcome, DirectRequest};
 use std::net::SocketAddrV4;
-use std::time::{Duration, Instant, SystemTime};
+use std::time::{Instant, SystemTime};
 
 /// Identifies a request of a client, worker or peer until it is answered; chosen by the caller of `step`.
 pub type Ticket = u64;
@@ -31,13 +31,6 @@
     pub wall: SystemTime,
 }
 
-impl Now {
-    /// How long ago a moment was; zero if it lies ahead.
-    pub(in crate::core) fn since(&self, earlier: Instant) -> Duration {
-        self.mono.saturating_duration_since(earlier)
-    }
-}
-
 /// One input of a step.
 #[derive(Debug)]
 pub enum Command {
