--- a/src/core/jobs/queries.rs
+++ b/src/core/jobs/queries.rs
@@ -331,7 +331,7 @@
 
     pub(in crate::core) fn read_job_key(&mut self, id: String, purpose: ReadPurpose) {
         let key = job_key(&id);
-        self.ask_state(Pending::ReadJob { id, purpose }, StoreRequest::Get(key));
+        self.call_store(Pending::ReadJob { id, purpose }, StoreRequest::Get(key));
     }
 
     pub(in crate::core) fn read(
--- a/src/core/jobs/submissions.rs
+++ b/src/core/jobs/submissions.rs
@@ -255,7 +255,7 @@
             parts,
             sent,
         };
-        self.ask_state(pending, StoreRequest::CompareAndSwap(txn));
+        self.call_store(pending, StoreRequest::CompareAndSwap(txn));
     }
 
     pub(in crate::core) fn parts_outcome(
@@ -317,7 +317,7 @@
             tries,
             parts,
         };
-        let call = self.ask_state(pending, StoreRequest::CompareAndSwap(txn));
+        let call = self.call_store(pending, StoreRequest::CompareAndSwap(txn));
         let look_at = self.now.mono + CREATION_CHECK_INTERVAL;
         self.unanswered_creations.push_back((look_at, call));
     }
--- a/src/core/leadership/campaign.rs
+++ b/src/core/leadership/campaign.rs
@@ -77,7 +77,7 @@
         }
         let transaction = self.campaign_transaction(leader_version, lease);
         self.candidacy.campaign_sent(now);
-        self.ask_state(Pending::Campaign, StoreRequest::CompareAndSwap(transaction));
+        self.call_store(Pending::Campaign, StoreRequest::CompareAndSwap(transaction));
     }
 
     fn campaign_transaction(&mut self, leader_version: u64, lease: Lease) -> CompareAndSwap {
--- a/src/core/leadership/probes.rs
+++ b/src/core/leadership/probes.rs
@@ -98,7 +98,7 @@
         let not_after = self.leader_until()?;
         let machine = self.leader.as_ref()?.machines.get(id)?;
         let addr = machine.addr.parse().ok()?;
-        let call = self.call(Pending::DirectCall(id.clone()));
+        let call = self.register_call(Pending::DirectCall(id.clone()));
         let leader = self.leader.as_mut()?;
         let term = leader.term;
         let machine = leader.machines.get_mut(id)?;
--- a/src/core/leadership/recovery.rs
+++ b/src/core/leadership/recovery.rs
@@ -12,7 +12,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// Machines that report to other controllers are probed after this: these controllers are heard from first, and probe
+/// Machines that report to other controllers are probed after this: their batches come first, and they probe
 /// the machines themselves.
 const DELEGATE_HEAD_START: Duration = Duration::from_millis(400);
 
--- a/src/core/leadership/stale_key.rs
+++ b/src/core/leadership/stale_key.rs
@@ -1,6 +1,6 @@
 //! A leader key whose lease the store does not know, which would keep everybody from leading.
 //!
-//! Such a key, restored without its lease, say, would stay for ever. Where no leader is heard from for long, its lease
+//! Such a key, restored without its lease, say, would stay for ever. Where no leader shows itself for long, its lease
 //! is looked up. Once the store does not know it, nobody can renew it, so whoever it belonged to ceases to act within
 //! a lease's time; after that the key is deleted, unless it is another one by then.
 
@@ -14,8 +14,8 @@
 
 /// A leader that is silent for this long has its lease looked up, and again so often.
 const LOOKUP_INTERVAL: Duration = Duration::from_secs(4);
-/// The same where no leader has ever been heard from: one of an earlier version says nothing to the others.
-const LOOKUP_INTERVAL_UNHEARD: Duration = LOOKUP_INTERVAL.saturating_mul(3);
+/// The same where no leader has ever shown itself: one of an earlier version sends nothing to the others.
+const LOOKUP_INTERVAL_WITHOUT_CONTACT: Duration = LOOKUP_INTERVAL.saturating_mul(3);
 
 /// A leader key of which it is not known whether any process holds it.
 #[derive(Clone, Copy, Debug)]
@@ -45,12 +45,12 @@
         self.last_request.is_none_or(|t| now >= t + interval)
     }
 
-    /// Whether its lease is to be looked up, where a leader was last heard from at `last_heard`.
-    fn lookup_due(&self, now: Instant, last_heard: Option<Instant>) -> bool {
-        let silent_since = last_heard.map_or(self.since, |t| self.since.max(t));
-        let interval = match last_heard {
+    /// Whether its lease is to be looked up, where a leader last showed itself at `last_contact`.
+    fn lookup_due(&self, now: Instant, last_contact: Option<Instant>) -> bool {
+        let silent_since = last_contact.map_or(self.since, |t| self.since.max(t));
+        let interval = match last_contact {
             Some(_) => LOOKUP_INTERVAL,
-            None => LOOKUP_INTERVAL_UNHEARD,
+            None => LOOKUP_INTERVAL_WITHOUT_CONTACT,
         };
         now >= silent_since + interval && self.may_request(now, interval)
     }
@@ -79,11 +79,11 @@
             }
             return;
         }
-        let last_heard = self.relay.grant.map(|g| g.until);
-        if self.leader.is_none() && stale.lookup_due(now, last_heard) {
+        let last_contact = self.relay.grant.map(|g| g.until);
+        if self.leader.is_none() && stale.lookup_due(now, last_contact) {
             stale.last_request = Some(now);
             let request = StoreRequest::CheckLease(lease);
-            self.ask_state(Pending::CheckLeaderLease(version), request);
+            self.call_store(Pending::CheckLeaderLease(version), request);
         }
     }
 
@@ -99,7 +99,7 @@
             conditions,
             changes: vec![Change::Delete { key: key(LEADER) }],
         };
-        self.ask_state(
+        self.call_store(
             Pending::DeleteStaleLeaderKey,
             StoreRequest::CompareAndSwap(transaction),
         );
--- a/src/core/machines/cloud_calls.rs
+++ b/src/core/machines/cloud_calls.rs
@@ -95,7 +95,7 @@
 
     fn ask_cloud(&mut self, pending: Pending, request: CloudRequest) -> u64 {
         let not_after = self.leader_until();
-        let call = self.call(pending);
+        let call = self.register_call(pending);
         self.effects.push(Effect::CloudCall {
             call,
             request,
--- a/src/core/machines/failure_detection.rs
+++ b/src/core/machines/failure_detection.rs
@@ -60,12 +60,12 @@
     pub(in crate::core) fn forget_cancelled(&mut self) {
         let now = self.now.mono;
         if self
-            .cancelled_forgotten
+            .last_residual_check
             .is_some_and(|t| now < t + FORGET_EVERY)
         {
             return;
         }
-        self.cancelled_forgotten = Some(now);
+        self.last_residual_check = Some(now);
         let gone =
             lease_expiry(self.settings.worker_lease).max(self.settings.cancellation_deadline);
         if let Ok(since) = (self.now.wall - gone).duration_since(SystemTime::UNIX_EPOCH) {
--- a/src/core/machines/machine_types.rs
+++ b/src/core/machines/machine_types.rs
@@ -24,11 +24,14 @@
         } else {
             FOLLOWER_REFRESH_INTERVAL
         };
-        if self.types_requested.is_some_and(|t| now < t + interval) {
+        if self
+            .machine_types_requested
+            .is_some_and(|t| now < t + interval)
+        {
             return;
         }
-        self.types_requested = Some(now);
-        let call = self.call(Pending::ListMachineTypes);
+        self.machine_types_requested = Some(now);
+        let call = self.register_call(Pending::ListMachineTypes);
         self.effects.push(Effect::CloudCall {
             call,
             request: CloudRequest::Types,
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -44,7 +44,7 @@
 use crate::core::leadership::state::LeaderState;
 use crate::core::store::integrity::StoreIntegrity;
 use crate::core::store::read_barrier::ReadBarriers;
-use crate::core::workers::delegates::PATIENCE;
+use crate::core::workers::delegates::DELEGATE_TIMEOUTS;
 use crate::core::workers::pending_responses::DeferredResponses;
 use crate::core::workers::relay::Relay;
 use crate::http::Answer;
@@ -90,7 +90,7 @@
     unanswered_creations: VecDeque<(Instant, CallId)>,
     store_cache: StoreCache,
     /// When it was last checked whether cancelled jobs can still have tasks on machines.
-    cancelled_forgotten: Option<Instant>,
+    last_residual_check: Option<Instant>,
     lease: Option<Lease>,
     leader: Option<LeaderState>,
     candidacy: Candidacy,
@@ -106,7 +106,7 @@
     /// Peers that gave no answer lately, and until when they are not asked.
     unreachable_peers: BTreeMap<String, Instant>,
     machine_types: Vec<MachineType>,
-    types_requested: Option<Instant>,
+    machine_types_requested: Option<Instant>,
     store_reachable_at: Instant,
     peer_reachable_at: Instant,
     last_peer_probe: Option<Instant>,
@@ -136,7 +136,7 @@
         let delegating = policy.fleet_truth(Entry::Delegate, &FleetFacts::default());
         let peers = settings.peers.iter();
         let members = peers.map(|p| (p.name.clone(), p.zone.clone()));
-        let members = MembershipView::new(members, PATIENCE);
+        let members = MembershipView::new(members, DELEGATE_TIMEOUTS);
         Core {
             settings,
             policy,
@@ -148,7 +148,7 @@
             pending: BTreeMap::new(),
             unanswered_creations: VecDeque::new(),
             store_cache: StoreCache::default(),
-            cancelled_forgotten: None,
+            last_residual_check: None,
             lease: None,
             leader: None,
             candidacy: Candidacy::new(now.mono),
@@ -161,7 +161,7 @@
             store_integrity: StoreIntegrity::default(),
             unreachable_peers: BTreeMap::new(),
             machine_types: Vec::new(),
-            types_requested: None,
+            machine_types_requested: None,
             store_reachable_at: now.mono,
             peer_reachable_at: now.mono,
             last_peer_probe: None,
@@ -330,15 +330,15 @@
     }
 
     /// Registers a call; its number goes into the effect that makes it.
-    fn call(&mut self, pending: Pending) -> CallId {
+    fn register_call(&mut self, pending: Pending) -> CallId {
         let id = self.next_call;
         self.next_call += 1;
         self.pending.insert(id, pending);
         id
     }
 
-    fn ask_state(&mut self, pending: Pending, request: StoreRequest) -> CallId {
-        let call = self.call(pending);
+    fn call_store(&mut self, pending: Pending, request: StoreRequest) -> CallId {
+        let call = self.register_call(pending);
         self.store_integrity.call(call);
         self.effects.push(Effect::StoreCall { call, request });
         call
--- a/src/core/store/integrity.rs
+++ b/src/core/store/integrity.rs
@@ -527,7 +527,7 @@
         }
         // Restored while it was away: the revision tells, unless others' changes make up for it first.
         if std::mem::take(&mut self.store_integrity.was_unreachable) && self.store_cache.loaded {
-            self.ask_state(Pending::CheckRevision, StoreRequest::Get(key(NOTHING)));
+            self.call_store(Pending::CheckRevision, StoreRequest::Get(key(NOTHING)));
         }
         if !self.store_cache.loaded || !due(self.store_integrity.last_check, CHECK_INTERVAL) {
             return;
@@ -550,14 +550,14 @@
         match name.filter(|_| self.store_integrity.check_identity_next) {
             Some(name) => {
                 let version = self.store_cache.identity.as_ref().map_or(0, |(_, v)| *v);
-                self.ask_state(Pending::CheckIdentity(version), StoreRequest::Get(name));
+                self.call_store(Pending::CheckIdentity(version), StoreRequest::Get(name));
             }
             // Where there is no mark, its absence tells the revision. A store rolled back into its
             // rebuilding shows it again, and no watch tells of that.
             None => {
                 let unmarked = self.store_cache.rebuilding.is_none();
                 let look_at = key(if unmarked { REBUILDING } else { NOTHING });
-                self.ask_state(Pending::CheckRevision, StoreRequest::Get(look_at));
+                self.call_store(Pending::CheckRevision, StoreRequest::Get(look_at));
             }
         }
     }
@@ -596,7 +596,7 @@
             conditions,
             changes,
         };
-        self.ask_state(Pending::MarkDataLoss, StoreRequest::CompareAndSwap(txn));
+        self.call_store(Pending::MarkDataLoss, StoreRequest::CompareAndSwap(txn));
     }
 
     fn incomplete_mark(&self, loss: &DataLoss) -> Change {
@@ -618,7 +618,7 @@
             after: after.clone(),
             most: AUDIT_BATCH,
         };
-        self.ask_state(Pending::AuditJobs { after, suspicion }, request);
+        self.call_store(Pending::AuditJobs { after, suspicion }, request);
     }
 
     /// The copy may have changed after the keys were read, so only the same difference in a second read,
--- a/src/core/store/read_barrier.rs
+++ b/src/core/store/read_barrier.rs
@@ -39,7 +39,7 @@
         let new = std::mem::take(&mut self.barriers.queued);
         if !new.is_empty() {
             let key = crate::core::store::keys::key(crate::core::store::keys::NOTHING);
-            self.ask_state(Pending::ReadBarrier(new), StoreRequest::Get(key));
+            self.call_store(Pending::ReadBarrier(new), StoreRequest::Get(key));
         }
     }
 
--- a/src/core/store/writes.rs
+++ b/src/core/store/writes.rs
@@ -102,7 +102,7 @@
             // No answer, or refused: the very same again. Should the first copy be applied as well,
             // the second of the two finds other versions, and changes nothing.
             let txn = sent.txn.clone();
-            let call = self.ask_state(Pending::Write, StoreRequest::CompareAndSwap(txn));
+            let call = self.call_store(Pending::Write, StoreRequest::CompareAndSwap(txn));
             if let Some(sent) = self
                 .leader
                 .as_mut()
@@ -120,7 +120,7 @@
         let Some((txn, ops)) = self.build_transaction() else {
             return;
         };
-        let call = self.ask_state(Pending::Write, StoreRequest::CompareAndSwap(txn.clone()));
+        let call = self.call_store(Pending::Write, StoreRequest::CompareAndSwap(txn.clone()));
         if let Some(leader) = &mut self.leader {
             leader.writes.in_flight = Some(InFlightWrite::new(txn, ops, call, now));
         }
--- a/src/core/workers/commands.rs
+++ b/src/core/workers/commands.rs
@@ -230,7 +230,7 @@
             if body.commands.is_empty() {
                 continue;
             }
-            let call = self.call(Pending::DirectCall(id.clone()));
+            let call = self.register_call(Pending::DirectCall(id.clone()));
             if let Some(leader) = &mut self.leader
                 && let Some(m) = leader.machines.get_mut(&id)
             {
--- a/src/core/workers/delegates.rs
+++ b/src/core/workers/delegates.rs
@@ -8,13 +8,13 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// When a controller that serves workers is suspected or given up; it sends a batch at least every [`HEARTBEAT`].
-pub(in crate::core) const PATIENCE: FailureDetectorTimeouts = FailureDetectorTimeouts {
+/// When a controller that serves workers is suspected or given up; it sends a batch at least every [`MAX_BATCH_INTERVAL`].
+pub(in crate::core) const DELEGATE_TIMEOUTS: FailureDetectorTimeouts = FailureDetectorTimeouts {
     suspect_after: Duration::from_millis(1500),
     lost_after: Duration::from_millis(6000),
 };
 /// Without heartbeats to pass on, a delegate sends an empty batch to the leader this often: it keeps the grant.
-pub(in crate::core) const HEARTBEAT: Duration = Duration::from_millis(400);
+pub(in crate::core) const MAX_BATCH_INTERVAL: Duration = Duration::from_millis(400);
 
 /// One controller that serves workers.
 pub struct Delegate {
@@ -49,7 +49,7 @@
         if self.by_name.is_empty() {
             Duration::ZERO
         } else {
-            HEARTBEAT * 3 / 2
+            MAX_BATCH_INTERVAL * 3 / 2
         }
     }
 }
--- a/src/core/workers/delegation.rs
+++ b/src/core/workers/delegation.rs
@@ -16,7 +16,7 @@
 use crate::core::leadership::state::LeaderState;
 use crate::core::machines::machine::WORKER_RETRY;
 use crate::core::workers::commands::MAX_DIRECT_CALLS;
-use crate::core::workers::delegates::{Delegate, PATIENCE};
+use crate::core::workers::delegates::{DELEGATE_TIMEOUTS, Delegate};
 use crate::core::workers::pending_responses::PendingBatch;
 use crate::core::{Core, Ticket};
 use crate::http::Answer;
@@ -100,7 +100,8 @@
             .by_name
             .values()
             .map(|d| d.issued.last_request);
-        let late = |at: &Instant| now.saturating_duration_since(*at) > PATIENCE.suspect_after;
+        let late =
+            |at: &Instant| now.saturating_duration_since(*at) > DELEGATE_TIMEOUTS.suspect_after;
         heard.filter(late).max().map(|at| at + WORKER_RETRY)
     }
 
--- a/src/core/workers/relay.rs
+++ b/src/core/workers/relay.rs
@@ -10,7 +10,7 @@
 use crate::core::command::Pending;
 use crate::core::leadership::state::LeaderState;
 use crate::core::workers::commands::MAX_DIRECT_CALLS;
-use crate::core::workers::delegates::HEARTBEAT;
+use crate::core::workers::delegates::MAX_BATCH_INTERVAL;
 use crate::core::workers::heartbeat_queue::{ReportQueue, Waiting};
 use crate::core::workers::heartbeats::redirect_to;
 use crate::core::{Core, Effect, Ticket};
@@ -350,7 +350,7 @@
         };
         let relay = &self.relay;
         let pause = if relay.waiting.is_empty() {
-            HEARTBEAT
+            MAX_BATCH_INTERVAL
         } else if relay.waiting.exceeds_a_frame() {
             Duration::ZERO
         } else {
@@ -593,7 +593,7 @@
                     commands: Vec::new(),
                 })
             };
-            let call = self.call(Pending::TokenProbe(id));
+            let call = self.register_call(Pending::TokenProbe(id));
             self.relay.probes_in_flight += 1;
             self.effects.push(Effect::DirectCall {
                 call,
