--- a/src/core/command.rs
+++ b/src/core/command.rs
@@ -2,6 +2,7 @@
 //! that are between the two.
 
 use crate::cloud_client::{CloudOutcome, CloudRequest};
+use crate::core::ids::{CallId, Ticket};
 use crate::core::jobs::queries::UserRequest;
 use crate::core::store::large_jobs::PartWrite;
 use crate::core::store::read_barrier::Question;
@@ -14,22 +15,7 @@
 use crate::wire::{Condition, Heartbeat, Item, WatchEvent};
 use crate::worker_client::{DirectOutcome, DirectRequest};
 use std::net::SocketAddrV4;
-use std::time::{Instant, SystemTime};
-
-/// Identifies a request of a client, worker or peer until it is answered; chosen by the caller of `step`.
-pub type Ticket = u64;
-
-/// Identifies a call to another service until its outcome is known; chosen by `Core`, never used twice.
-pub type CallId = u64;
-
-/// The monotonic clock and the time of day, read once per step.
-#[derive(Clone, Copy, Debug)]
-pub struct Now {
-    /// For durations and deadlines.
-    pub mono: Instant,
-    /// For times that users see or that are stored.
-    pub wall: SystemTime,
-}
+use std::time::Instant;
 
 /// One input of a step.
 #[derive(Debug)]
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! | folder | owns | main types |
 //! |---|---|---|
-//! | `command`, `stats` | what goes into a step and comes out of it; counters | [`Command`], [`Effect`], [`Stats`] |
+//! | `command`, `clock`, `ids`, `stats` | what goes into a step and comes out of it; counters | [`Command`], [`Effect`], [`Stats`] |
 //! | `leadership` | the lease, the leader key and its term, campaign and step-down, recovery of a new leader | `LeaderState`, `Lease`, `Candidacy`, `Recovery` |
 //! | `store` | the cache of the key-value store, the leader's durable writes, loss of the store's data | [`StoreCache`], `Writes`, `StoreIntegrity`, `Rebuild` |
 //! | `workers` | heartbeats, commands, fencing tokens; delegation of workers to other controllers | `Delegates`, `Relay` |
@@ -19,7 +19,9 @@
 #[cfg(test)]
 mod simulation;
 
+mod clock;
 mod command;
+mod ids;
 mod jobs;
 mod leadership;
 mod machines;
@@ -29,7 +31,9 @@
 mod store;
 mod workers;
 
-pub use command::{CallId, Command, Effect, LeadershipProof, Now, Ticket};
+pub use clock::Now;
+pub use command::{Command, Effect, LeadershipProof};
+pub use ids::{CallId, Ticket};
 pub use jobs::queries::{Ask, UserRequest};
 pub use jobs::submissions::max_unfinished_tasks;
 pub use leadership::lease::LEASE_TTL;
--- a/src/core/store/pending_writes.rs
+++ b/src/core/store/pending_writes.rs
@@ -1,7 +1,7 @@
 //! The leader's durable writes: what waits for the next transaction, and the one transaction that is in flight.
 //! Data; `writes` builds and sends the transactions.
 
-use crate::core::CallId;
+use crate::core::ids::CallId;
 use crate::core::store::cache::ResidualTasks;
 use crate::core::store::machine_records::MachineRecords;
 use crate::job::{JobId, JobOutcome, MachineId};
--- a/src/core/workers/pending_responses.rs
+++ b/src/core/workers/pending_responses.rs
@@ -1,7 +1,7 @@
 //! Responses to heartbeats, single ones and batches from delegates, that wait for the end of a step or for the next
 //! planning round. Data.
 
-use crate::core::Ticket;
+use crate::core::ids::Ticket;
 use crate::http::Answer;
 use crate::job::MachineId;
 use std::sync::Arc;
