--- a/src/core/machines/failure_detection.rs
+++ b/src/core/machines/failure_detection.rs
@@ -1,7 +1,7 @@
 //! Losses: machines that fall silent, are taken, or never come up, and what becomes of their tasks.
 
 use crate::core::Core;
-use crate::core::leadership::LEASE_TTL;
+use crate::core::leadership::lease::LEASE_TTL;
 use crate::core::machines::machine::{Machine, Placement, StopReason, WORKER_RETRY};
 use crate::job::{JobKind, MachineId, TaskId};
 use crate::settings::Settings;
@@ -60,12 +60,12 @@
     pub(in crate::core) fn forget_cancelled(&mut self) {
         let now = self.now.mono;
         if self
-            .cancelled_forgotten
+            .last_residual_check
             .is_some_and(|t| now < t + FORGET_EVERY)
         {
             return;
         }
-        self.cancelled_forgotten = Some(now);
+        self.last_residual_check = Some(now);
         let gone =
             lease_expiry(self.settings.worker_lease).max(self.settings.cancellation_deadline);
         if let Ok(since) = (self.now.wall - gone).duration_since(SystemTime::UNIX_EPOCH) {
@@ -280,7 +280,7 @@
             );
             m.deleting = Some(why);
             leader.cloud.deletions.insert(id.clone(), now);
-            leader.scheduler.plan_again = true;
+            leader.scheduler.request_plan();
         }
     }
 
@@ -304,7 +304,7 @@
         leader.deleted_machines.insert(id.clone());
         leader.cloud.deletions.remove(id);
         leader.writes.records.remove(id, now);
-        leader.scheduler.plan_again = true;
+        leader.scheduler.request_plan();
     }
 
     /// Work that will not end before its machine is taken is stopped, to save or to start anew
--- a/src/core/workers/delegation.rs
+++ b/src/core/workers/delegation.rs
@@ -13,9 +13,11 @@
 //!   "nothing new" with a token that is still good, which is harmless; the command itself goes to
 //!   the worker directly, or into the next answer that comes by way of the leader.
 
-use crate::core::leadership::state::{Delegate, LeaderState, PATIENCE};
+use crate::core::leadership::state::LeaderState;
 use crate::core::machines::machine::WORKER_RETRY;
 use crate::core::workers::commands::MAX_DIRECT_CALLS;
+use crate::core::workers::delegates::{DELEGATE_TIMEOUTS, Delegate};
+use crate::core::workers::pending_responses::PendingBatch;
 use crate::core::{Core, Ticket};
 use crate::http::Answer;
 use crate::job::MachineId;
@@ -47,25 +49,6 @@
 /// Answers in one frame take this much; a worker whose answer does not fit any more asks again.
 const MAX_RESPONSE_BYTES: usize = 400 * 1024;
 
-/// A frame that is answered at the end of the step.
-pub struct PendingBatch {
-    pub ticket: Ticket,
-    pub number: u64,
-    from: Arc<str>,
-    /// Workers that the sender has still to ask.
-    probes_pending: usize,
-    heartbeats: Vec<(u64, Result<MachineId, Answer>)>,
-}
-
-impl PendingBatch {
-    /// The machines whose reports it answers.
-    pub(in crate::core) fn machines(&self) -> impl Iterator<Item = &MachineId> {
-        self.heartbeats
-            .iter()
-            .filter_map(|(_, taken)| taken.as_ref().ok())
-    }
-}
-
 impl LeaderState {
     /// Takes a machine back from the controller that may answer its reports.
     pub(in crate::core) fn recall(&mut self, id: &MachineId) {
@@ -117,7 +100,8 @@
             .by_name
             .values()
             .map(|d| d.issued.last_request);
-        let late = |at: &Instant| now.saturating_duration_since(*at) > PATIENCE.suspect_after;
+        let late =
+            |at: &Instant| now.saturating_duration_since(*at) > DELEGATE_TIMEOUTS.suspect_after;
         heard.filter(late).max().map(|at| at + WORKER_RETRY)
     }
 
@@ -133,9 +117,7 @@
             };
             m.claimed_until = Some(now + PROBE_CLAIM);
             // If nothing comes of it, it is asked from here.
-            self.recovery
-                .retries
-                .insert((now + PROBE_CLAIM, id.clone()));
+            self.recovery.probe_at(now + PROBE_CLAIM, id.clone());
             out.push((id, m.addr.clone()));
         }
         out
@@ -211,7 +193,7 @@
         }
         let leader = self.leader.as_mut()?;
         if !sync.answered.is_empty() || !sync.heartbeats.is_empty() {
-            leader.liveness.last_heartbeat = Some(now);
+            leader.liveness.record_heartbeat(now);
         }
         leader.delegates.relayed_heartbeats += sync.heartbeats.len() as u64;
         leader.delegates.delegated_answers += sync.answered.len() as u64;
@@ -235,7 +217,7 @@
             {
                 m.failed_calls += 1;
                 m.claimed_until = None;
-                leader.recovery.retries.insert((now, id.clone()));
+                leader.recovery.probe_at(now, id.clone());
             }
         }
         let mut heartbeats = Vec::new();
@@ -245,7 +227,7 @@
                 let known = (self.leader.as_ref()).is_some_and(|l| l.machines.get(&id).is_some());
                 if known {
                     if let Some(leader) = &mut self.leader {
-                        leader.mark_zone_reachable(&r.heartbeat.zone);
+                        leader.recovery.mark_zone_reachable(&r.heartbeat.zone);
                     }
                     self.apply_heartbeat(&id, *r.heartbeat, false);
                 }
--- a/src/service.rs
+++ b/src/service.rs
@@ -13,7 +13,7 @@
 mod routes;
 
 use crate::cloud_client::{CloudClient, CloudOutcome, CloudRequest};
-use crate::core::{Command, Core, Effect, LeadershipProof, Now, Ticket, Work, note};
+use crate::core::{Command, Core, Effect, LeadershipProof, Now, Ticket, Work, record};
 use crate::http::{Answer, Limits, Server};
 use crate::peer::heartbeat_batch;
 use crate::peer::memory_exchange::{self, MemoryRequest};
@@ -40,7 +40,6 @@
 /// have to go on meanwhile.
 const STATE_THREADS: usize = 12;
 const CLOUD_THREADS: usize = 4;
-pub const DIRECT_THREADS: usize = 24;
 const PEER_THREADS: usize = 3;
 /// Submissions should be accepted well within 300 ms even if the leader has just died.
 const PEER_TIMEOUT: Duration = Duration::from_millis(200);
@@ -194,7 +193,7 @@
 /// process may have, less what it opens itself, and as its memory allows.
 pub fn most_connections(settings: &Settings) -> usize {
     let peers = settings.peers.len() * PEER_THREADS + MOST_PEER_CONNECTIONS;
-    let own = STATE_THREADS + CLOUD_THREADS + DIRECT_THREADS + peers + SPARE_SOCKETS;
+    let own = STATE_THREADS + CLOUD_THREADS + worker_client::CALL_THREADS + peers + SPARE_SOCKETS;
     let base = BASE_MB.min(settings.memory_mb / 2.0);
     let by_memory = (settings.memory_mb - base) / CONNECTION_MB;
     (settings.max_sockets.saturating_sub(own)).clamp(16, by_memory.max(16.0) as usize)
@@ -203,7 +202,7 @@
 /// The owner's loop.
 fn own(mut core: Core, inbox: &Inbox, outbox: Outbox) -> ! {
     let mut told = Instant::now();
-    let mut worked = core.stats.work;
+    let mut worked = core.stats.counts();
     loop {
         let commands = inbox.next(core.idle_for());
         let begun = Instant::now();
@@ -214,8 +213,8 @@
         if !answers.is_empty() {
             let _ = outbox.answers.send(answers);
         }
-        note(&mut core.stats.step, begun.elapsed().as_micros());
-        core.stats.work[Work::Step as usize] += 1;
+        record(&mut core.stats.step, begun.elapsed().as_micros());
+        core.stats.count(Work::Step, 1);
         if told.elapsed() > Duration::from_secs(60) {
             told = Instant::now();
             tracing::info!("work:{}", core.stats.work_since(&mut worked));
@@ -237,17 +236,17 @@
 fn carry_out(effect: Effect, out: &Outbox, answers: &mut Vec<AnswerCall>) {
     match effect {
         Effect::Answer { ticket, answer } => answers.push((ticket, answer)),
-        Effect::State { call, request } => {
+        Effect::StoreCall { call, request } => {
             let _ = out.state.send((call, request));
         }
-        Effect::Cloud {
+        Effect::CloudCall {
             call,
             request,
             not_after,
         } => {
             let _ = out.cloud.send((call, request, not_after));
         }
-        Effect::Direct {
+        Effect::DirectCall {
             call,
             addr,
             request,
@@ -264,7 +263,10 @@
                 let _ = tx.send(PeerCall::Pass(ticket, request));
             }
         }
-        Effect::MemoryRequest { peer, recall } => {
+        Effect::MemoryRequest {
+            peer,
+            request: recall,
+        } => {
             if let Some(tx) = out.peers.get(&peer) {
                 let _ = tx.send(PeerCall::MemoryRequest(recall));
             }
@@ -312,7 +314,7 @@
         Box::new(move |(call, request): StateCall| {
             wait_for_rate_limit(&budget);
             let outcome = client.perform(&request);
-            inbox.put(Command::State { call, outcome });
+            inbox.put(Command::StoreOutcome { call, outcome });
         })
     })
 }
@@ -328,13 +330,13 @@
             } else {
                 client.perform(&request)
             };
-            inbox.put(Command::Cloud { call, outcome });
+            inbox.put(Command::CloudOutcome { call, outcome });
         })
     })
 }
 
 fn direct_pool(inbox: &Inbox) -> io::Result<Sender<DirectCall>> {
-    pool("direct", DIRECT_THREADS, || {
+    pool("direct", worker_client::CALL_THREADS, || {
         let inbox = inbox.clone();
         Box::new(move |(call, addr, request, not_after): DirectCall| {
             inbox.renewal().yield_to_lease_renewal();
@@ -343,7 +345,7 @@
             } else {
                 worker_client::perform(addr, &request)
             };
-            inbox.put(Command::Direct { call, outcome });
+            inbox.put(Command::DirectOutcome { call, outcome });
         })
     })
 }
@@ -487,7 +489,7 @@
         match client.perform(&StoreRequest::CompareAndSwap(txn)) {
             StoreOutcome::Committed { .. } => Some(key_version),
             StoreOutcome::Conflict { .. } => {
-                inbox.put(Command::Deposed { key_version });
+                inbox.put(Command::LeadershipDisproved { key_version });
                 None
             }
             other => {
@@ -623,7 +625,7 @@
                 None => match client.list() {
                     Ok((items, revision)) => {
                         at = Some(revision);
-                        if !self.put(number, Command::Listed { items, revision }) {
+                        if !self.put(number, Command::StoreListed { items, revision }) {
                             return;
                         }
                         None
@@ -633,7 +635,7 @@
                 Some(since) => match client.watch(since, WATCH_WAIT) {
                     Ok(Some((revision, events))) => {
                         at = Some(revision.max(since));
-                        if !self.put(number, Command::Changed { events, revision }) {
+                        if !self.put(number, Command::StoreChanged { events, revision }) {
                             return;
                         }
                         // Changes that come close together are fetched together.
