--- a/src/core/jobs/submissions.rs
+++ b/src/core/jobs/submissions.rs
@@ -7,7 +7,7 @@
 use crate::core::store::keys::{PartGeneration, job_key, part_key};
 use crate::core::store::large_jobs::{self, PartValue, PartWrite};
 use crate::core::store::read_barrier::Question;
-use crate::core::store::writes::MAX_TRANSACTION_BYTES;
+use crate::core::store::transaction::MAX_TRANSACTION_BYTES;
 use crate::core::{Core, Pending, ReadPurpose, Ticket, note};
 use crate::fault_injection::{Safeguard, is_enabled};
 use crate::http::Answer;
--- a/src/core/store/mod.rs
+++ b/src/core/store/mod.rs
@@ -12,5 +12,6 @@
 pub mod machine_records;
 pub mod read_barrier;
 pub mod rebuild;
+pub mod transaction;
 pub mod versions;
 pub mod writes;
--- a/src/core/store/rebuild.rs
+++ b/src/core/store/rebuild.rs
@@ -12,18 +12,15 @@
 //! - *The end.* The mark is taken off when all is written back, all controllers were asked twice, and
 //!   nothing is held; or when an operator settles it.
 
-use crate::core::leadership::json;
-use crate::core::leadership::state::{LeaderState, WriteOp};
+use crate::core::leadership::state::LeaderState;
 use crate::core::machines::failure_detection::lease_expiry;
 use crate::core::machines::machine::{Machine, StopReason};
-use crate::core::store::cache::{JobValue, MachineValue};
-use crate::core::store::keys::{job_key, part_key};
-use crate::core::store::large_jobs::{self, PartValue};
+use crate::core::store::cache::MachineValue;
 use crate::core::{Core, Effect, Ticket};
 use crate::http::Answer;
 use crate::job::{JobId, MachineId, Resources, TaskId};
 use crate::peer::memory_exchange::{MemoryPage, MemoryRequest};
-use crate::wire::{Change, to_json};
+use crate::wire::to_json;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
@@ -466,56 +463,6 @@
         room
     }
 
-    /// The changes that bring one owed job back: its key, or the next parts of a large one.
-    pub(in crate::core) fn missing_job_changes(
-        &self,
-        id: &JobId,
-        most: usize,
-    ) -> Option<(Vec<Change>, WriteOp)> {
-        let value = self.store_cache.job_value(id)?;
-        let bytes = self.settings.max_value_bytes / 16 * 15;
-        let size = to_json(&value).len();
-        let owed = WriteOp::Owed(id.clone());
-        let (JobValue::Live { spec, submitted_ms }
-        | JobValue::Awaiting {
-            dependent: spec,
-            submitted_ms,
-        }) = &value
-        else {
-            return Some((vec![Change::put(job_key(id), json(&value))], owed));
-        };
-        if size <= bytes {
-            return Some((vec![Change::put(job_key(id), json(&value))], owed));
-        }
-        let text = String::from_utf8(to_json(spec)).unwrap_or_default();
-        let texts = large_jobs::cut(&text, bytes);
-        let leader = self.leader.as_ref()?;
-        // This leadership's own writing of it.
-        let stem = leader.term;
-        let from = leader
-            .writes
-            .missing_parts_written
-            .get(id)
-            .copied()
-            .unwrap_or(0);
-        if from < texts.len() {
-            let next = texts.iter().enumerate().skip(from).take(most.max(1));
-            let part = |(n, text): (usize, &String)| {
-                let key = part_key(id, stem, n as u32);
-                Change::put(key, json(&PartValue { text: text.clone() }))
-            };
-            let changes: Vec<Change> = next.map(part).collect();
-            let upto = from + changes.len();
-            return Some((changes, WriteOp::OwedParts(id.clone(), upto)));
-        }
-        let value = JobValue::Parted {
-            parts: texts.len() as u32,
-            stem,
-            submitted_ms: *submitted_ms,
-        };
-        Some((vec![Change::put(job_key(id), json(&value))], owed))
-    }
-
     /// For operators' words, which only the leader can follow.
     fn not_the_leader(&self) -> Answer {
         let leader = self.leader_name().unwrap_or("nobody");
--- /dev/null
+++ b/src/core/store/transaction.rs
@@ -0,0 +1,411 @@
+//! Builds the leader's next transaction from everything that waits to be written.
+//!
+//! Kinds of change are taken in order of importance until the transaction is full: ends of jobs, new machines,
+//! what a lost store held, done tasks, dependents cancelled with their dependency, stale machine pages, machine
+//! types, the end of a rebuild, and last the deletion of keys that are of no use any more.
+
+use crate::core::leadership::json;
+use crate::core::leadership::state::{LeaderState, WriteOp};
+use crate::core::machines::failure_detection::cancellation_bound;
+use crate::core::store::cache::{DoneValue, JobValue, StoreCache};
+use crate::core::store::keys::{LEADER, REBUILDING, TYPES, done_key, job_key, key, part_key};
+use crate::core::store::large_jobs::{self, PartValue};
+use crate::core::{Core, Now};
+use crate::fault_injection::{Safeguard, is_enabled};
+use crate::job::{JobId, JobOutcome, JobSpec};
+use crate::settings::Settings;
+use crate::wire::{Change, CompareAndSwap, Condition, MachineType, to_json};
+use std::time::{Duration, Instant};
+
+/// A submission takes 5 s at the most; its parts wait this long for their job.
+const UNCLAIMED_PARTS_TTL: Duration = Duration::from_secs(60);
+/// Done ranges may wait this long to be written together; users may learn of them 3 s late.
+const PROGRESS_DELAY: Duration = Duration::from_millis(2000);
+/// A transaction may have 64 KiB; this leaves room for its frame.
+pub(in crate::core) const MAX_TRANSACTION_BYTES: usize = 56 * 1024;
+/// What a condition takes of that, beside its key.
+const CONDITION_BYTES: usize = 48;
+/// What the separator after a change takes of that.
+const SEPARATOR_BYTES: usize = 2;
+
+/// A transaction, and what it means to the leader once it is committed.
+pub(super) struct Transaction {
+    /// What is sent to the store.
+    pub(super) request: CompareAndSwap,
+    /// The effects of its commit, in the order of its changes.
+    pub(super) ops: Vec<WriteOp>,
+}
+
+/// Changes and their effects, within the limits on a transaction.
+struct Batch {
+    max_changes: usize,
+    bytes: usize,
+    changes: Vec<Change>,
+    ops: Vec<WriteOp>,
+}
+
+impl Batch {
+    fn new(max_changes: usize) -> Batch {
+        Batch {
+            max_changes,
+            bytes: 0,
+            changes: Vec::new(),
+            ops: Vec::new(),
+        }
+    }
+
+    /// How many more changes it may have.
+    fn room(&self) -> usize {
+        self.max_changes.saturating_sub(self.changes.len())
+    }
+
+    /// Adds changes that belong together, if there is room for all of them.
+    fn add(&mut self, mut changes: Vec<Change>) -> bool {
+        let bytes: usize = changes.iter().map(transaction_bytes).sum();
+        if changes.len() > self.room() || self.bytes + bytes > MAX_TRANSACTION_BYTES {
+            return false;
+        }
+        self.bytes += bytes;
+        self.changes.append(&mut changes);
+        true
+    }
+
+    /// Adds changes that belong together and their effect, if there is room.
+    fn add_op(&mut self, changes: Vec<Change>, op: WriteOp) -> bool {
+        let added = self.add(changes);
+        if added {
+            self.ops.push(op);
+        }
+        added
+    }
+}
+
+/// What a change and the condition on its key take of a transaction.
+fn transaction_bytes(change: &Change) -> usize {
+    to_json(change).len() + SEPARATOR_BYTES + change.key().len() + CONDITION_BYTES
+}
+
+/// Gathers what waits to be written. Each `add` method stops where the transaction is full.
+struct TransactionBuilder<'a> {
+    leader: &'a mut LeaderState,
+    store_cache: &'a mut StoreCache,
+    settings: &'a Settings,
+    machine_types: &'a [MachineType],
+    now: Now,
+    batch: Batch,
+}
+
+impl TransactionBuilder<'_> {
+    fn build(mut self) -> Option<Transaction> {
+        let now = self.now.mono;
+        let quarantined = &mut self.leader.writes.quarantined_keys;
+        quarantined.retain(|_, until| now < *until);
+        self.add_job_ends();
+        self.add_new_machines();
+        self.add_missing_jobs();
+        self.add_progress();
+        self.add_cancelled_dependents();
+        self.add_stale_machines();
+        self.add_machine_types();
+        self.add_rebuild_completion();
+        self.add_garbage_deletions();
+        if self.batch.changes.is_empty() {
+            // A list too long for a value stays unwritten.
+            self.leader.writes.machine_types = false;
+            return None;
+        }
+        Some(self.finish())
+    }
+
+    fn is_quarantined(&self, key: &str) -> bool {
+        self.leader.writes.quarantined_keys.contains_key(key)
+    }
+
+    fn add_job_ends(&mut self) {
+        for (id, &end) in &self.leader.writes.ends {
+            let key = job_key(id);
+            if self.is_quarantined(&key) || self.cancellation_must_wait(id, end) {
+                continue;
+            }
+            let cancelled = end == JobOutcome::Cancelled;
+            let residual = self.store_cache.residual_of(id, self.now.wall);
+            let left = residual.filter(|_| cancelled);
+            let op = WriteOp::End(id.clone(), end, left.clone());
+            let value = json(&JobValue::Over { end, left });
+            if !self.batch.add_op(vec![Change::put(key, value)], op) {
+                break;
+            }
+        }
+    }
+
+    /// A user who has been answered that a job is cancelled counts on its tasks being gone within `cancel_s`.
+    /// Where that is less than what a worker's lease takes to expire, they have to be gone before.
+    fn cancellation_must_wait(&self, id: &JobId, end: JobOutcome) -> bool {
+        let settings = self.settings;
+        let in_time = cancellation_bound(settings.worker_lease) <= settings.cancellation_deadline;
+        if end != JobOutcome::Cancelled || in_time || !is_enabled(Safeguard::InTime) {
+            return false;
+        }
+        let run = self.leader.job_runs.get(id);
+        let job = self.store_cache.jobs.get(id);
+        run.is_some_and(|run| !run.placed.is_empty())
+            || job.is_some_and(|job| Core::blocked_by_recovery(self.leader, job))
+    }
+
+    /// Pages with new machines: no task starts on a machine before it is on record.
+    fn add_new_machines(&mut self) {
+        self.add_machine_pages(true);
+    }
+
+    /// Pages that still list machines that are gone, and keys of single machines that are.
+    fn add_stale_machines(&mut self) {
+        self.add_machine_pages(false);
+    }
+
+    fn add_machine_pages(&mut self, only_new: bool) {
+        let (records, batch) = (&mut self.leader.writes.records, &mut self.batch);
+        while batch.room() > 0
+            && let Some(write) = records.next(self.now.mono, only_new, batch.room())
+        {
+            if !batch.add(write.changes) {
+                return records.requeue(write.pages);
+            }
+            batch.ops.push(WriteOp::Pages(write.pages, write.machines));
+        }
+        while !only_new
+            && batch.room() > 0
+            && let Some(change) = records.next_single_key_deletion()
+        {
+            batch.changes.push(change);
+        }
+    }
+
+    /// What the store has lost, ends of jobs first: these are final, and some user was answered with them.
+    fn add_missing_jobs(&mut self) {
+        let missing = &self.store_cache.missing_from_store;
+        let ended = |id: &&JobId| self.store_cache.finished.contains_key(*id);
+        let live = missing.iter().filter(|id| !ended(id));
+        for id in missing.iter().filter(ended).chain(live) {
+            if self.is_quarantined(&job_key(id)) || self.leader.writes.ends.contains_key(id) {
+                continue;
+            }
+            let Some((changes, op)) = self.missing_job_changes(id) else {
+                continue;
+            };
+            if !self.batch.add_op(changes, op) {
+                return;
+            }
+        }
+    }
+
+    /// The changes that bring one missing job back: its key, or the next parts of a large one.
+    fn missing_job_changes(&self, id: &JobId) -> Option<(Vec<Change>, WriteOp)> {
+        let value = self.store_cache.job_value(id)?;
+        let value_bytes = self.settings.max_value_bytes / 16 * 15;
+        match &value {
+            JobValue::Live { spec, submitted_ms }
+            | JobValue::Awaiting {
+                dependent: spec,
+                submitted_ms,
+            } if to_json(&value).len() > value_bytes => {
+                Some(self.large_job_changes(id, spec, *submitted_ms, value_bytes))
+            }
+            _ => Some(job_key_change(id, &value)),
+        }
+    }
+
+    /// The next parts of a large job that are not written yet, or then the key that refers to them.
+    fn large_job_changes(
+        &self,
+        id: &JobId,
+        spec: &JobSpec,
+        submitted_ms: u64,
+        value_bytes: usize,
+    ) -> (Vec<Change>, WriteOp) {
+        let text = String::from_utf8(to_json(spec)).unwrap_or_default();
+        let texts = large_jobs::cut(&text, value_bytes);
+        // This leadership's own writing of it.
+        let generation = self.leader.term;
+        let written = &self.leader.writes.missing_parts_written;
+        let written = written.get(id).copied().unwrap_or(0);
+        if written >= texts.len() {
+            let value = JobValue::Parted {
+                parts: texts.len() as u32,
+                stem: generation,
+                submitted_ms,
+            };
+            return job_key_change(id, &value);
+        }
+        let next = texts.into_iter().enumerate().skip(written);
+        let part = |(n, text)| {
+            let key = part_key(id, generation, n as u32);
+            Change::put(key, json(&PartValue { text }))
+        };
+        let changes: Vec<Change> = next.take(self.batch.room().max(1)).map(part).collect();
+        let written = written + changes.len();
+        (changes, WriteOp::OwedParts(id.clone(), written))
+    }
+
+    /// Done tasks of live jobs, those that have waited longest first.
+    fn add_progress(&mut self) {
+        let writes = &self.leader.writes;
+        let mut due: Vec<(Instant, JobId)> = (writes.progress.iter())
+            .filter(|(_, since)| self.now.mono >= **since + PROGRESS_DELAY)
+            .filter(|(id, _)| !writes.ends.contains_key(*id))
+            .map(|(id, since)| (*since, id.clone()))
+            .collect();
+        due.sort();
+        for (_, id) in due {
+            if !self.add_done_ranges(&id) {
+                return;
+            }
+        }
+    }
+
+    /// Adds the done ranges of one job, up to one that the store refuses. False: the transaction is full.
+    fn add_done_ranges(&mut self, id: &JobId) -> bool {
+        let run = self.leader.job_runs.get(id);
+        let (Some(run), Some(job)) = (run, self.store_cache.jobs.get(id)) else {
+            return true;
+        };
+        let size = done_range_size(self.settings);
+        // From the last range down: a range of an earlier version may reach further than ours under the
+        // same key, and what it says beyond is to be on record elsewhere first.
+        let bases = job.ranges_to_write(&run.unpersisted_done, size);
+        for base in bases.into_iter().rev() {
+            let key = done_key(id, base);
+            if self.is_quarantined(&key) {
+                return true;
+            }
+            let tasks = job.done.ranges(base, size);
+            let end = base.saturating_add(size);
+            let persisted = run.unpersisted_done.range(base..end).copied().collect();
+            let op = WriteOp::Progress(id.clone(), persisted);
+            let change = Change::put(key, json(&DoneValue { tasks }));
+            if !self.batch.add_op(vec![change], op) {
+                return false;
+            }
+        }
+        true
+    }
+
+    /// Jobs cancelled with one that they depend on. Nothing of them can have started.
+    fn add_cancelled_dependents(&mut self) {
+        let end = JobOutcome::Cancelled;
+        for id in &self.leader.writes.followers {
+            let key = job_key(id);
+            if self.is_quarantined(&key) || self.leader.writes.ends.contains_key(id) {
+                continue;
+            }
+            let value = json(&JobValue::Over { end, left: None });
+            let op = WriteOp::End(id.clone(), end, None);
+            if !self.batch.add_op(vec![Change::put(key, value)], op) {
+                break;
+            }
+        }
+    }
+
+    /// Every controller learns the types from the cloud as well; a list too long for a value is not kept here.
+    fn add_machine_types(&mut self) {
+        let key = key(TYPES);
+        let fits = to_json(&self.machine_types).len() <= self.settings.max_value_bytes;
+        if self.leader.writes.machine_types && fits && !self.is_quarantined(&key) {
+            let change = Change::put(key, json(&self.machine_types));
+            self.batch.add_op(vec![change], WriteOp::Types);
+        }
+    }
+
+    /// The mark of an incomplete store is deleted alone, after everything else is written.
+    fn add_rebuild_completion(&mut self) {
+        if self.leader.writes.rebuild_complete && self.batch.changes.is_empty() {
+            let key = key(REBUILDING);
+            self.batch
+                .add_op(vec![Change::Delete { key }], WriteOp::Rebuilt);
+        }
+    }
+
+    fn add_garbage_deletions(&mut self) {
+        while self.batch.room() > 0
+            && let Some(key) = self.store_cache.garbage_keys.pop_first()
+        {
+            if self.store_cache.versions.of(&key) > 0 {
+                self.batch.add(vec![Change::Delete { key }]);
+            }
+        }
+    }
+
+    fn finish(self) -> Transaction {
+        let Batch { changes, ops, .. } = self.batch;
+        // Conditional on the leader key: a transaction that arrives after the end of this
+        // leadership must change nothing.
+        let mut conditions = vec![Condition {
+            key: key(LEADER),
+            version: self.leader.key_version,
+        }];
+        // In a store that has lost data, another leader key may have the same version.
+        conditions.extend(self.leader.named());
+        // And one that is carried out after newer ones of this leader must not undo them.
+        conditions.extend(changes.iter().map(|change| Condition {
+            key: change.key().into(),
+            version: self.store_cache.versions.of(change.key()),
+        }));
+        let request = CompareAndSwap {
+            conditions,
+            changes,
+        };
+        Transaction { request, ops }
+    }
+}
+
+/// Writes a missing job's key, which completes it.
+fn job_key_change(id: &JobId, value: &JobValue) -> (Vec<Change>, WriteOp) {
+    let change = Change::put(job_key(id), json(value));
+    (vec![change], WriteOp::Owed(id.clone()))
+}
+
+/// Tasks per stored range, so that even every other task of a range fits into one value.
+fn done_range_size(settings: &Settings) -> u32 {
+    let tasks = (settings.max_value_bytes as u32 / 4).clamp(64, 2048);
+    1 << tasks.ilog2()
+}
+
+impl Core {
+    /// The next transaction of this leader, if anything waits to be written.
+    pub(super) fn build_transaction(&mut self) -> Option<Transaction> {
+        self.collect_garbage_keys();
+        let allowed = self.settings.max_transaction_changes.saturating_sub(1);
+        let budget = self.write_budget.left(self.now.mono) as usize;
+        let max_changes = allowed.max(1).min(budget);
+        let leader = self.leader.as_mut()?;
+        let accepted = leader.writes.max_changes.unwrap_or(max_changes);
+        let builder = TransactionBuilder {
+            leader,
+            store_cache: &mut self.store_cache,
+            settings: &self.settings,
+            machine_types: &self.machine_types,
+            now: self.now,
+            batch: Batch::new(max_changes.min(accepted)),
+        };
+        let transaction = builder.build()?;
+        self.write_budget.spend(transaction.request.changes.len());
+        Some(transaction)
+    }
+
+    /// Parts that no job has referred to for long are of a submission that came to nothing.
+    fn collect_garbage_keys(&mut self) {
+        let now = self.now.mono;
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        let mut since = std::mem::take(&mut leader.unclaimed_parts);
+        for (id, generation) in self.store_cache.parts.unclaimed() {
+            let name = (id.clone(), *generation);
+            let first = since.remove(&name).unwrap_or(now);
+            if now >= first + UNCLAIMED_PARTS_TTL {
+                let keys = self.store_cache.parts.keys(id, *generation);
+                self.store_cache.garbage_keys.extend(keys);
+            }
+            leader.unclaimed_parts.insert(name, first);
+        }
+    }
+}
