--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -645,7 +645,7 @@
         if !matches!(outcome, StoreOutcome::Refused(_) | StoreOutcome::Unknown(_)) {
             self.store_reachable_at = self.now.mono;
         }
-        self.heed_revision(call, &outcome);
+        self.observe_revision(call, &outcome);
         match self.pending.remove(&call) {
             Some(Pending::Create {
                 ticket,
