--- a/src/core/monitoring/metrics.rs
+++ b/src/core/monitoring/metrics.rs
@@ -56,26 +56,26 @@
             let help = "What the owner has done since this process began";
             page.counter(name, help, self.stats.work[work as usize]);
         }
-        let [losses, incomplete, owed, held] = self.rebuild_metrics();
+        let rebuild = self.rebuild_metrics();
         page.gauge(
             "state_losses",
             "Losses of data of the state service that this process has noticed",
-            losses,
+            rebuild.losses,
         );
         page.gauge(
             "state_incomplete",
             "1 while the state service is rebuilt after a loss of data",
-            incomplete,
+            rebuild.incomplete,
         );
         page.gauge(
             "state_jobs_owed",
             "Jobs remembered here that the state service has lost",
-            owed,
+            rebuild.missing_jobs,
         );
         page.gauge(
             "tasks_held",
             "Tasks on machines whose jobs nobody remembers",
-            held,
+            rebuild.held_tasks,
         );
         page.gauge(
             "state_changes_left",
--- /dev/null
+++ b/src/core/store/rebuild/held_tasks.rs
@@ -0,0 +1,93 @@
+//! Tasks on machines whose jobs nobody remembers: they are adopted when their job becomes known.
+
+use super::{HeldTask, Rebuild};
+use crate::core::Core;
+use crate::core::leadership::state::LeaderState;
+use crate::core::machines::machine::StopReason;
+use crate::job::{JobId, MachineId, Resources, TaskId};
+use std::collections::BTreeSet;
+
+impl Core {
+    /// A job has become known that tasks on machines are of.
+    pub(in crate::core) fn adopt_job(&mut self, id: &JobId) {
+        if !self.store_cache.knows(id) {
+            return;
+        }
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        let Some(rebuild) = &mut leader.rebuild else {
+            return;
+        };
+        let held = rebuild.held_tasks.remove(id).unwrap_or_default();
+        let done = rebuild.held_results.remove(id).unwrap_or_default();
+        if held.is_empty() && done.is_empty() {
+            return;
+        }
+        rebuild.adopted_jobs += 1;
+        leader.scheduler.plan_again = true;
+        tracing::warn!(job = %id, held = held.len(), done = done.len(), "job adopted");
+        for (task, machine) in self.adopt_held_tasks(id, held) {
+            self.stop_duplicates(&task, &machine);
+        }
+        for index in done {
+            let job = id.clone();
+            self.task_completed(&TaskId { job, index }, None);
+        }
+    }
+
+    /// Takes over the held tasks that the job still needs, and stops the others. Returns those taken over.
+    fn adopt_held_tasks(
+        &mut self,
+        id: &JobId,
+        held: BTreeSet<HeldTask>,
+    ) -> Vec<(TaskId, MachineId)> {
+        let Some(leader) = &mut self.leader else {
+            return Vec::new();
+        };
+        let job = self.store_cache.jobs.get(id);
+        let mut adopted = Vec::new();
+        for HeldTask { index, machine } in held {
+            let key = TaskId {
+                job: id.clone(),
+                index,
+            };
+            let Some(holder) = leader.machines.get_mut(&machine) else {
+                continue;
+            };
+            let Some(task) = holder.tasks.get_mut(&key) else {
+                continue;
+            };
+            match (job, leader.job_runs.get_mut(id)) {
+                (Some(job), Some(run))
+                    if index < job.spec.tasks
+                        && run.ending.is_none()
+                        && !job.done.contains(index) =>
+                {
+                    task.resources = job.spec.resources;
+                    task.team = self.settings.team_index(&job.spec.team);
+                    run.hold(index, &machine);
+                    adopted.push((key, machine));
+                }
+                _ => {
+                    task.stop(StopReason::Over, self.now.mono);
+                    holder.needs_push = true;
+                }
+            }
+        }
+        adopted
+    }
+
+    /// Held tasks are of some team, and nothing shows of which: they count towards each of them with
+    /// all that their machines have.
+    pub(in crate::core) fn held_resources(&self, leader: &LeaderState) -> Resources {
+        let mut room = Resources::default();
+        let machines = leader.rebuild.iter().flat_map(Rebuild::held_machines);
+        for m in machines.filter_map(|id| leader.machines.get(id)) {
+            if let Some(t) = self.type_of(&m.machine_type) {
+                room.add(&t.room());
+            }
+        }
+        room
+    }
+}
--- /dev/null
+++ b/src/core/store/rebuild/machine_list.rs
@@ -0,0 +1,79 @@
+//! Machines that are on nobody's record: a list of the cloud shows them, or another controller remembers them.
+
+use crate::core::Core;
+use crate::core::leadership::state::LeaderState;
+use crate::core::machines::machine::Machine;
+use crate::core::store::cache::MachineValue;
+use crate::job::MachineId;
+use std::time::{Duration, Instant};
+
+/// Added to twice the lag of the cloud's list.
+const LIST_MARGIN: Duration = Duration::from_millis(200);
+
+impl Core {
+    /// Whether starts wait for a list of the cloud that can be asked for now, the last one having been
+    /// asked for too early.
+    pub(in crate::core) fn machine_list_due(
+        &self,
+        leader: &LeaderState,
+        asked: Option<Instant>,
+    ) -> bool {
+        let from = leader.since + self.settings.machine_list_lag * 2 + LIST_MARGIN;
+        let waits = leader.rebuild.as_ref().is_some_and(|r| !r.listed);
+        waits && self.now.mono >= from && asked.is_none_or(|t| t < from)
+    }
+
+    /// A list of the cloud was read while a store is being rebuilt: whatever it shows may hold tasks.
+    pub(in crate::core) fn observe_machine_list(
+        &mut self,
+        sent: Instant,
+        unknown: Vec<(MachineId, MachineValue)>,
+        booting: Vec<MachineId>,
+    ) {
+        let now = self.now.mono;
+        // The list shows a time at most twice its lag ago, and all that the lost store could have
+        // had on record was rented before this leadership began.
+        let after = self.settings.machine_list_lag * 2 + LIST_MARGIN;
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        let since = leader.since;
+        let Some(rebuild) = &mut leader.rebuild else {
+            return;
+        };
+        let first = !rebuild.listed;
+        rebuild.listed |= sent >= since + after;
+        if first {
+            rebuild.booting.extend(booting);
+            for (id, value) in unknown {
+                leader.expect_machine(&id, &value, now);
+            }
+        }
+    }
+}
+
+impl LeaderState {
+    /// A machine that may hold tasks and is on nobody's record here.
+    pub(super) fn expect_machine(&mut self, id: &MachineId, value: &MachineValue, now: Instant) {
+        let since = self.since;
+        let machine = self.machines.get_or_add(id, || {
+            let mut machine = Machine::new(
+                id.clone(),
+                &value.machine_type,
+                &value.zone,
+                value.spot,
+                now,
+            );
+            machine.addr = value.addr.clone();
+            machine
+        });
+        if machine.incarnation > 0 {
+            return;
+        }
+        // Nobody but this leader has answered it since then.
+        machine.lease_renewed = since;
+        let was_unresolved = std::mem::replace(&mut machine.unresolved, true);
+        self.recovery.unresolved += usize::from(!was_unresolved);
+        self.recovery.to_probe.push(id.clone());
+    }
+}
--- /dev/null
+++ b/src/core/store/rebuild/operator.rs
@@ -0,0 +1,93 @@
+//! An operator's commands for an incomplete store: take it as it is, or join a snapshot.
+
+use super::HeldTask;
+use crate::core::leadership::state::LeaderState;
+use crate::core::machines::machine::StopReason;
+use crate::core::{Core, Ticket};
+use crate::http::Answer;
+use crate::job::{JobId, TaskId};
+use crate::wire::to_json;
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Instant;
+
+impl Core {
+    /// For operators' commands, which only the leader can follow.
+    fn not_the_leader(&self) -> Answer {
+        let leader = self.leader_name().unwrap_or("nobody");
+        Answer::error(409, &format!("not the leader; that is {leader}"))
+    }
+
+    /// An operator takes the store as it is: what nobody remembers is stopped, and unknown from now
+    /// on.
+    pub(in crate::core) fn settle(&mut self, ticket: Ticket) {
+        let now = self.now.mono;
+        if !self.acting() {
+            return self.answer(ticket, self.not_the_leader());
+        }
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        let Some(rebuild) = &mut leader.rebuild else {
+            return self.answer(ticket, Answer::error(409, "nothing is being rebuilt"));
+        };
+        rebuild.settled = true;
+        rebuild.held_results.clear();
+        let held = std::mem::take(&mut rebuild.held_tasks);
+        let stopped: usize = held.values().map(BTreeSet::len).sum();
+        tracing::warn!(
+            term = leader.term,
+            stopped,
+            "rebuild settled by an operator"
+        );
+        leader.stop_held_tasks(held, now);
+        let body = serde_json::json!({"settled": true, "tasks_stopped": stopped});
+        self.answer(ticket, Answer::new(200, to_json(&body)));
+    }
+
+    /// A snapshot, or a page of one, offered as one more memory; `store` is the one that it is of, and
+    /// `last` says that with this page it is whole.
+    pub(in crate::core) fn merge_snapshot(
+        &mut self,
+        ticket: Ticket,
+        store: &str,
+        last: bool,
+        items: Vec<(String, serde_json::Value)>,
+    ) {
+        if !self.acting() {
+            return self.answer(ticket, self.not_the_leader());
+        }
+        let rebuild = self.leader.as_ref().and_then(|l| l.rebuild.as_ref());
+        let Some(rebuild) = rebuild else {
+            let text = "nothing is being rebuilt: the state service has lost nothing that is known";
+            return self.answer(ticket, Answer::error(409, text));
+        };
+        if let Some(lost) = rebuild.lost_store.as_deref().filter(|lost| *lost != store) {
+            let text = format!("a snapshot of {store}, and what lost data is {lost}");
+            return self.answer(ticket, Answer::error(409, &text));
+        }
+        let new = self.join_memory(items);
+        if let Some(rebuild) = self.leader.as_mut().and_then(|l| l.rebuild.as_mut()) {
+            rebuild.snapshot_jobs += new;
+            rebuild.copy_available |= last;
+        }
+        let body = serde_json::json!({"new_jobs": new});
+        self.answer(ticket, Answer::new(200, to_json(&body)));
+    }
+}
+
+impl LeaderState {
+    /// Tasks of jobs that stay unknown stop.
+    fn stop_held_tasks(&mut self, held: BTreeMap<JobId, BTreeSet<HeldTask>>, now: Instant) {
+        for (job, tasks) in held {
+            for HeldTask { index, machine } in tasks {
+                let job = job.clone();
+                if let Some(holder) = self.machines.get_mut(&machine)
+                    && let Some(task) = holder.tasks.get_mut(&TaskId { job, index })
+                {
+                    task.stop(StopReason::Over, now);
+                    holder.needs_push = true;
+                }
+            }
+        }
+    }
+}
