--- a/src/core/leadership/mod.rs
+++ b/src/core/leadership/mod.rs
@@ -121,7 +121,7 @@
             return self.suspect_data_loss("its revision went back");
         }
         if events.is_empty() {
-            self.store_cache.heed_revision(revision);
+            self.store_cache.advance_revision(revision);
             // A list may have told of our key before the copy was known to be as new.
             if self.leader.is_none() && self.holds_leader_key() {
                 self.store_cache_changed();
--- a/src/core/simulation/mixed_versions.rs
+++ b/src/core/simulation/mixed_versions.rs
@@ -4,7 +4,7 @@
 
 use crate::core::simulation::{LIMITS, NEXT_LIMITS, Simulation};
 use crate::core::store::cache::{
-    DoneValue, JobValue, LeaderValue, PageValue, RowSet, StoreCache, TermValue,
+    DoneValue, JobValue, LeaderValue, PageValue, TaskSet, StoreCache, TermValue,
 };
 use crate::job::{JobKind, JobOutcome, JobSpec, Priority, Resources, sample};
 use crate::peer::{self, PeerAnswer, PeerRequest};
@@ -204,7 +204,7 @@
             json!({"spec": spec, "submitted_ms": 1_699_999_999_000_u64}),
         );
         simulation.put(&format!("burlusher/d/{}/0", spec.id), json!({"rows": done}));
-        let mut rows = RowSet::default();
+        let mut rows = TaskSet::default();
         rows.add_ranges(0, done, spec.tasks);
         let job = &spec.id;
         for row in (0..spec.tasks).filter(|r| rows.contains(*r)) {
@@ -219,8 +219,8 @@
 }
 
 /// Rows that production, or a later leader, finds on record.
-fn is_recorded(simulation: &Simulation, id: &str) -> RowSet {
-    let mut rows = RowSet::default();
+fn is_recorded(simulation: &Simulation, id: &str) -> TaskSet {
+    let mut rows = TaskSet::default();
     for (key, v) in simulation.stored(&format!("burlusher/d/{id}/")) {
         let base: u32 = key.rsplit('/').next().unwrap().parse().unwrap();
         rows.add_ranges(base, v["rows"].as_str().unwrap(), u32::MAX);
--- /dev/null
+++ b/src/core/store/cache/apply.rs
@@ -0,0 +1,320 @@
+//! The store's changes applied to the copy: one method per kind of key.
+
+use super::stored::is_over;
+use super::{
+    DoneValue, IdentityValue, JobRecord, JobValue, LeaderValue, MachineValue, PageValue,
+    ResidualTasks, StoreCache, TaskSet, TermValue,
+};
+use crate::core::store::keys::{PartGeneration, StoreKey, done_key};
+use crate::core::store::large_jobs::{PartValue, PartedJob};
+use crate::fault_injection::{Safeguard, is_enabled};
+use crate::job::{JobId, JobOutcome, JobSpec, MachineId};
+use crate::store_client::PREFIX;
+use serde_json::Value;
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+use std::time::{Duration, SystemTime};
+
+impl StoreCache {
+    /// The store holds this value under this key.
+    pub(super) fn put(&mut self, key: &str, value: Value, version: u64) {
+        if !key.starts_with(PREFIX) {
+            return;
+        }
+        let kind = StoreKey::parse(key);
+        let ended = matches!(kind, Some(StoreKey::Job(_))) && is_over(&value);
+        // How a job ended is never written again.
+        if ended && is_enabled(Safeguard::Forget) {
+            self.versions.forget(key);
+        } else {
+            self.versions.put(key, version);
+        }
+        let Some(kind) = kind else {
+            return;
+        };
+        if let Err(error) = self.put_value(kind, key, value, version) {
+            tracing::error!(key, %error, "unreadable value in the store");
+        }
+    }
+
+    fn put_value(
+        &mut self,
+        kind: StoreKey,
+        key: &str,
+        value: Value,
+        version: u64,
+    ) -> Result<(), serde_json::Error> {
+        match kind {
+            StoreKey::Leader => self.put_leader(serde_json::from_value(value)?, version),
+            StoreKey::Term => self.put_term(serde_json::from_value(value)?, version),
+            StoreKey::MachineTypes => self.machine_types = serde_json::from_value(value)?,
+            StoreKey::Rebuilding => {
+                self.rebuilding = Some((serde_json::from_value(value)?, version));
+            }
+            StoreKey::Job(id) => self.put_job(id, serde_json::from_value(value)?, version),
+            StoreKey::DoneRange { job, base } => {
+                let value: DoneValue = serde_json::from_value(value)?;
+                self.put_done_range(JobId::from(job), base, value.tasks);
+            }
+            StoreKey::JobPart {
+                job,
+                generation,
+                number,
+            } => {
+                let value: PartValue = serde_json::from_value(value)?;
+                self.put_part(key, &JobId::from(job), generation, number, value.text);
+            }
+            StoreKey::MachinePage(n) => {
+                let value: PageValue = serde_json::from_value(value)?;
+                self.put_page(n, value.machines);
+            }
+            StoreKey::Machine(id) => {
+                let id = MachineId::from(id);
+                self.machines
+                    .insert(id.clone(), serde_json::from_value(value)?);
+                self.single_key_machines.insert(id);
+            }
+            StoreKey::Identity(id) => self.put_identity(id, value, version),
+        }
+        Ok(())
+    }
+
+    fn put_leader(&mut self, value: LeaderValue, version: u64) {
+        if self.leader.as_ref().is_none_or(|(_, old)| *old < version) {
+            self.leader = Some((value, version));
+        }
+    }
+
+    /// A store that has lost its terms does not bring back one that was used.
+    fn put_term(&mut self, value: TermValue, version: u64) {
+        if version > self.term_version {
+            self.term = self.term.max(value.term);
+            self.stored_term = value.term;
+            self.term_version = version;
+        }
+    }
+
+    /// Another identity than the one known is a sign of a loss, unless this process has noticed that itself.
+    fn put_identity(&mut self, id: &str, value: Value, version: u64) {
+        let known = self.identity.as_ref();
+        let same = known.is_some_and(|(known, _)| known == id);
+        if known.is_some() && !same && !self.expects_new_identity {
+            self.identity_changed = true;
+            return;
+        }
+        if same && known.is_some_and(|(_, known)| *known >= version) {
+            return;
+        }
+        let read = serde_json::from_value::<IdentityValue>(value);
+        self.first_term = read.ok().and_then(|v| v.first_term);
+        self.expects_new_identity &= same;
+        self.identity = Some((id.to_string(), version));
+    }
+
+    fn put_part(
+        &mut self,
+        key: &str,
+        id: &JobId,
+        generation: PartGeneration,
+        number: u32,
+        text: String,
+    ) {
+        self.parts.put(id, generation, number, text);
+        if self.finished.contains_key(id) {
+            self.garbage_keys.insert(key.into());
+        }
+        self.join_parts(id);
+    }
+
+    /// Reads a job whose last part has come.
+    fn join_parts(&mut self, id: &JobId) {
+        if let Some((head, spec)) = self.parts.complete(id) {
+            let value = JobValue::live(Box::new(spec), head.submitted_ms);
+            self.put_job(id, value, head.version);
+        }
+    }
+
+    /// A job's key has this value; version 0 where the store does not hold it, and somebody remembers it.
+    pub fn put_job(&mut self, id: &str, value: JobValue, version: u64) {
+        let id = JobId::from(id);
+        self.changed.insert(id.clone());
+        if version > 0 {
+            self.note_stored_form(&id, matches!(value, JobValue::Over { .. }));
+        }
+        match value {
+            JobValue::Parted {
+                parts: count,
+                stem: generation,
+                submitted_ms,
+            } => {
+                let head = PartedJob {
+                    generation,
+                    count,
+                    submitted_ms,
+                    version,
+                };
+                self.put_parted_job(&id, head);
+            }
+            JobValue::Over { end, left } => self.put_ended_job(id, end, left),
+            JobValue::Live { spec, submitted_ms }
+            | JobValue::Awaiting {
+                dependent: spec,
+                submitted_ms,
+            } => self.put_live_job(id, *spec, submitted_ms, version),
+        }
+    }
+
+    /// Notes whether the store has what is remembered of a job, by the form in which it is stored.
+    fn note_stored_form(&mut self, id: &JobId, over: bool) {
+        if over || !self.finished.contains_key(id) {
+            self.missing_from_store.remove(id);
+        } else if !self.unconfirmed_ends.contains_key(id) {
+            // Stored as live, and remembered as over: a store that has lost data, unless the end has
+            // been written since by this process.
+            self.missing_from_store.insert(id.clone());
+        }
+    }
+
+    /// Whether the job itself, or its end, has been read already: an event may repeat what a newer list
+    /// has shown.
+    fn is_read(&self, id: &JobId) -> bool {
+        self.finished.contains_key(id) || self.jobs.contains_key(id)
+    }
+
+    fn put_parted_job(&mut self, id: &JobId, head: PartedJob) {
+        if !self.is_read(id) {
+            self.parts.expect(id, head);
+            self.join_parts(id);
+        }
+    }
+
+    fn put_ended_job(&mut self, id: JobId, end: JobOutcome, residual: Option<ResidualTasks>) {
+        let expired_before = self.residual_expired_before_ms;
+        if let Some(residual) = residual.filter(|r| r.cancelled_ms >= expired_before) {
+            self.residual_tasks.insert(id.clone(), residual);
+        }
+        let job = self.jobs.remove(&id);
+        let dependencies = job.as_ref().map_or(&[][..], |j| &j.spec.dependencies);
+        // Its dependencies inherit no urgency from it any more.
+        self.changed.extend(dependencies.iter().cloned());
+        let dependents = self.dependencies.end(&id, dependencies, end);
+        self.changed.extend(dependents);
+        let stored_ranges = job.map(|j| j.stored_ranges).unwrap_or_default();
+        let orphaned = self.take_orphaned_ranges(&id).into_iter();
+        let bases = stored_ranges
+            .into_keys()
+            .chain(orphaned.map(|(base, _)| base));
+        self.garbage_keys
+            .extend(bases.map(|base| done_key(&id, base)));
+        self.garbage_keys.extend(self.parts.end(&id));
+        self.finished.insert(id, end);
+    }
+
+    fn put_live_job(&mut self, id: JobId, spec: JobSpec, submitted_ms: u64, version: u64) {
+        if self.is_read(&id) {
+            return;
+        }
+        let mut done = TaskSet::default();
+        let mut stored_ranges = BTreeMap::new();
+        for (base, ranges) in self.take_orphaned_ranges(&id) {
+            stored_ranges.insert(base, done.add_ranges(base, &ranges, spec.tasks));
+        }
+        let cancelled = self
+            .dependencies
+            .begin(&id, &spec.dependencies, &self.finished);
+        self.changed.extend(cancelled);
+        let record = JobRecord {
+            submitted: SystemTime::UNIX_EPOCH + Duration::from_millis(submitted_ms),
+            spec: Arc::new(spec),
+            version,
+            done,
+            stored_ranges,
+        };
+        self.jobs.insert(id, record);
+    }
+
+    fn take_orphaned_ranges(&mut self, id: &JobId) -> Vec<(u32, String)> {
+        let all = (id.clone(), 0)..=(id.clone(), u32::MAX);
+        let bases: Vec<u32> = self
+            .orphaned_ranges
+            .range(all)
+            .map(|((_, base), _)| *base)
+            .collect();
+        let take = |base| Some((base, self.orphaned_ranges.remove(&(id.clone(), base))?));
+        bases.into_iter().filter_map(take).collect()
+    }
+
+    fn put_page(&mut self, n: usize, machines: BTreeMap<MachineId, MachineValue>) {
+        let now: BTreeSet<MachineId> = machines.keys().cloned().collect();
+        let before = if now.is_empty() {
+            self.pages.remove(&n)
+        } else {
+            self.pages.insert(n, now)
+        };
+        self.machines.extend(machines);
+        for id in before.unwrap_or_default() {
+            // It may have moved to another page, whichever of the two was shown first.
+            if !self.single_key_machines.contains(&id)
+                && !self.pages.values().any(|p| p.contains(&id))
+            {
+                self.machines.remove(&id);
+            }
+        }
+    }
+
+    fn put_done_range(&mut self, id: JobId, base: u32, ranges: String) {
+        if let Some(job) = self.jobs.get_mut(&id) {
+            let end = job.done.add_ranges(base, &ranges, job.spec.tasks);
+            job.stored_ranges.insert(base, end);
+            self.changed.insert(id);
+        } else if self.finished.contains_key(&id) {
+            self.garbage_keys.insert(done_key(&id, base));
+        } else {
+            self.orphaned_ranges.insert((id, base), ranges);
+        }
+    }
+
+    /// The store's key was deleted at this version.
+    pub(super) fn delete(&mut self, key: &str, version: u64) {
+        if !key.starts_with(PREFIX) {
+            return;
+        }
+        if self.versions.of(key) <= version {
+            self.versions.forget(key);
+        }
+        match StoreKey::parse(key) {
+            Some(StoreKey::Leader) if self.leader.as_ref().is_some_and(|(_, v)| *v < version) => {
+                self.leader = None;
+            }
+            Some(StoreKey::Rebuilding) => self.delete_incomplete_mark(),
+            Some(StoreKey::DoneRange { job, base }) => {
+                self.garbage_keys.remove(key);
+                self.orphaned_ranges.remove(&(JobId::from(job), base));
+            }
+            Some(StoreKey::JobPart {
+                job,
+                generation,
+                number,
+            }) => {
+                self.garbage_keys.remove(key);
+                self.parts.delete(&JobId::from(job), generation, number);
+            }
+            Some(StoreKey::MachinePage(n)) => self.put_page(n, BTreeMap::new()),
+            Some(StoreKey::Machine(id)) => {
+                self.single_key_machines.remove(id);
+                if !self.pages.values().any(|p| p.contains(id)) {
+                    self.machines.remove(id);
+                }
+            }
+            _ => {}
+        }
+    }
+
+    /// The store is complete: whatever it lists of machines is all there is again.
+    fn delete_incomplete_mark(&mut self) {
+        self.rebuilding = None;
+        let pages = self.pages.values().flatten();
+        let listed: BTreeSet<&MachineId> = pages.chain(&self.single_key_machines).collect();
+        self.machines.retain(|id, _| listed.contains(id));
+    }
+}
--- a/src/core/store/cache/loss.rs
+++ b/src/core/store/cache/loss.rs
@@ -1,6 +1,7 @@
 //! Whether what is stored can be what the copy was made of; and the copy of a store that has lost data.
 
-use super::{StoreCache, is_over};
+use super::StoreCache;
+use super::stored::is_over;
 use crate::core::store::keys::{TERM, identity_key, job_key, key as stored_key};
 use crate::core::store::large_jobs::LargeJobParts;
 use crate::core::store::versions::KeyVersions;
@@ -11,7 +12,7 @@
 
 impl StoreCache {
     /// Why what is stored cannot be what this copy was made of, if so. A list that was begun before
-    /// this process's own newest writes does not hold them, and is no contradiction.
+    /// this process's own newest writes does not hold them, and is no contradiction. Lists are ordered by key.
     pub fn find_contradiction(&self, items: &[Item], revision: u64) -> Option<String> {
         if revision < self.revision {
             let before = self.revision;
@@ -19,34 +20,44 @@
                 "its revision went back from {before} to {revision}"
             ));
         }
-        let find = |key: &str| {
-            // Lists come ordered by key.
-            let at = items.binary_search_by(|i| i.key.as_str().cmp(key));
-            at.ok().map(|n| &items[n])
-        };
         if let Some((id, version)) = &self.identity
-            && find(&identity_key(id)).is_none_or(|i| i.version != *version)
+            && find_item(items, &identity_key(id)).is_none_or(|i| i.version != *version)
         {
             return Some(format!("it is not the store {id} any more"));
         }
         if self.term_version > 0
-            && find(&stored_key(TERM)).is_none_or(|i| i.version < self.term_version)
+            && find_item(items, &stored_key(TERM)).is_none_or(|i| i.version < self.term_version)
         {
             return Some(format!("it has forgotten term {}", self.term));
         }
-        let absent = |id: &JobId| find(&job_key(id)).is_none();
-        let newer = |id: &JobId, at: u64| at > revision || self.missing_from_store.contains(id);
-        if let Some((id, _)) =
-            (self.jobs.iter()).find(|(id, j)| !newer(id, j.version) && absent(id))
-        {
+        if let Some(id) = self.find_absent_job(items, revision) {
             return Some(format!("it has forgotten job {id}"));
         }
-        let ahead = |id: &JobId| self.unconfirmed_ends.get(id).copied().unwrap_or(0);
-        let undone = |id: &&JobId| {
-            !newer(id, ahead(id)) && find(&job_key(id)).is_none_or(|item| !is_over(&item.value))
-        };
-        let undone = self.finished.keys().find(undone)?;
-        Some(format!("it has forgotten how job {undone} ended"))
+        let id = self.find_absent_end(items, revision)?;
+        Some(format!("it has forgotten how job {id} ended"))
+    }
+
+    /// Whether a list of this revision may lack what was written to a job's key at another one.
+    fn may_lack(&self, id: &JobId, written_at: u64, revision: u64) -> bool {
+        written_at > revision || self.missing_from_store.contains(id)
+    }
+
+    /// A live job that has no key in the list.
+    fn find_absent_job(&self, items: &[Item], revision: u64) -> Option<&JobId> {
+        let absent = |id: &JobId| find_item(items, &job_key(id)).is_none();
+        let mut jobs = self.jobs.iter();
+        let (id, _) =
+            jobs.find(|(id, job)| !self.may_lack(id, job.version, revision) && absent(id))?;
+        Some(id)
+    }
+
+    /// A job that is over here, and not in the list.
+    fn find_absent_end(&self, items: &[Item], revision: u64) -> Option<&JobId> {
+        let written_at = |id: &JobId| self.unconfirmed_ends.get(id).copied().unwrap_or(0);
+        let not_over =
+            |id: &JobId| find_item(items, &job_key(id)).is_none_or(|item| !is_over(&item.value));
+        let mut finished = self.finished.keys();
+        finished.find(|id| !self.may_lack(id, written_at(id), revision) && not_over(id))
     }
 
     /// How jobs' keys, from after one and up to another, do not say what the copy does; the copy is as
@@ -58,31 +69,32 @@
         last: Option<&str>,
     ) -> Option<String> {
         let prefix = stored_key("j/");
-        let name = |key: &str| JobId::from(key.strip_prefix(&prefix).unwrap_or(""));
-        for i in items {
-            let id = name(&i.key);
+        let job_id = |key: &str| JobId::from(key.strip_prefix(&prefix).unwrap_or(""));
+        for item in items {
+            let id = job_id(&item.key);
             if !self.knows(&id) {
                 return Some(format!("it has job {id}, of which the watch has not told"));
             }
-            if !is_over(&i.value)
+            if !is_over(&item.value)
                 && self.finished.contains_key(&id)
                 && !self.unconfirmed_ends.contains_key(&id)
             {
                 return Some(format!("it has forgotten how job {id} ended"));
             }
         }
-        let stored: BTreeSet<JobId> = items.iter().map(|i| name(&i.key)).collect();
-        let end = last.map_or(Bound::Unbounded, |l| Bound::Included(name(l)));
-        let range = (Bound::Excluded(name(after)), end);
+        let stored: BTreeSet<JobId> = items.iter().map(|item| job_id(&item.key)).collect();
+        let end = last.map_or(Bound::Unbounded, |key| Bound::Included(job_id(key)));
+        let range = (Bound::Excluded(job_id(after)), end);
         let live = self.jobs.range::<JobId, _>(range.clone()).map(|(id, _)| id);
         let ended = self.finished.range::<JobId, _>(range).map(|(id, _)| id);
-        let known = |id: &&JobId| !stored.contains(*id) && !self.missing_from_store.contains(*id);
-        let gone = live.chain(ended).find(known)?;
+        let expected = |id: &&JobId| !self.missing_from_store.contains(*id);
+        let mut known = live.chain(ended).filter(expected);
+        let gone = known.find(|id| !stored.contains(*id))?;
         Some(format!("it has forgotten job {gone}"))
     }
 
     /// The store has lost data: what is remembered stays, what is stored joins it, and what of the
-    /// first is not among the second is owed to the store. Versions begin anew.
+    /// first is not among the second is missing from the store. Versions begin anew.
     pub fn merge_after_loss(&mut self, items: Vec<Item>, revision: u64) {
         let prefix = stored_key("j/");
         let stored: BTreeMap<JobId, bool> = (items.iter())
@@ -93,17 +105,7 @@
             job.version = 0;
             job.stored_ranges.clear();
         }
-        (self.identity, self.first_term, self.expects_new_identity) = (None, None, false);
-        (self.leader, self.rebuilding, self.identity_changed) = (None, None, false);
-        (self.revision, self.term_version) = (revision, 0);
-        (self.pages, self.single_key_machines) = Default::default();
-        (
-            self.orphaned_ranges,
-            self.garbage_keys,
-            self.unconfirmed_ends,
-        ) = Default::default();
-        self.parts = LargeJobParts::default();
-        self.versions = KeyVersions::default();
+        self.clear_stored(revision);
         for item in items {
             self.put(&item.key, item.value, item.version);
         }
@@ -118,9 +120,34 @@
         self.loaded = true;
     }
 
-    /// The store has lost data and goes by a name all the same: it gets another one, so that no write
+    /// Forgets what is known of the store itself, other than what it held.
+    fn clear_stored(&mut self, revision: u64) {
+        self.identity = None;
+        self.first_term = None;
+        self.expects_new_identity = false;
+        self.identity_changed = false;
+        self.leader = None;
+        self.rebuilding = None;
+        self.revision = revision;
+        self.term_version = 0;
+        self.pages.clear();
+        self.single_key_machines.clear();
+        self.orphaned_ranges.clear();
+        self.garbage_keys.clear();
+        self.unconfirmed_ends.clear();
+        self.parts = LargeJobParts::default();
+        self.versions = KeyVersions::default();
+    }
+
+    /// The store has lost data and has an identity all the same: it gets another one, so that no write
     /// that was meant for what is lost can come to be applied.
     pub fn expect_new_identity(&mut self) {
         self.expects_new_identity = self.identity.is_some();
     }
 }
+
+/// The item of a key in a list ordered by key.
+fn find_item<'a>(items: &'a [Item], key: &str) -> Option<&'a Item> {
+    let at = items.binary_search_by(|item| item.key.as_str().cmp(key));
+    at.ok().map(|n| &items[n])
+}
--- a/src/core/store/cache/memory.rs
+++ b/src/core/store/cache/memory.rs
@@ -1,40 +1,45 @@
 //! What is remembered of a store, handed over in pages, and what others remember taken in. The rules do not depend on
-//! order: ends are final, done rows unite, a machine once known is known.
+//! order: ends are final, done tasks unite, a machine once known is known.
 
-use super::{DoneValue, JobValue, PageValue, RowSet, StoreCache, TermValue};
-use crate::core::store::keys::{TERM, TYPES, done_key, job_key, key as stored_key, page_key};
+use super::{DoneValue, JobValue, MachineValue, PageValue, StoreCache, TaskSet, TermValue};
+use crate::core::store::keys::{
+    StoreKey, TERM, TYPES, done_key, job_key, key as stored_key, page_key,
+};
 use crate::job::{JobId, MachineId};
-use crate::store_client::PREFIX;
 use crate::wire::to_json;
 use serde::Serialize;
+use serde_json::Value;
+use std::collections::BTreeMap;
 use std::ops::Bound;
 use std::time::SystemTime;
 
 /// Machines in one page of a memory handed over.
-const MEMORY_PAGE: usize = 100;
+const MACHINES_PER_PAGE: usize = 100;
+/// What separators and quotes take of a page, for each item.
+const ITEM_OVERHEAD_BYTES: usize = 8;
 
 /// A page of a memory in the making.
-struct Page {
-    items: Vec<(String, serde_json::Value)>,
+struct PageBuilder {
+    items: Vec<(String, Value)>,
     bytes: usize,
-    most_bytes: usize,
+    max_bytes: usize,
 }
 
-impl Page {
-    /// Says whether there is room for more.
+impl PageBuilder {
+    /// Adds an item. Returns whether there is room for more.
     fn add<T: Serialize>(&mut self, key: String, value: &T) -> bool {
         let text = to_json(value);
-        self.bytes += key.len() + text.len() + 8;
-        let value = serde_json::from_slice(&text).unwrap_or(serde_json::Value::Null);
+        self.bytes += key.len() + text.len() + ITEM_OVERHEAD_BYTES;
+        let value = serde_json::from_slice(&text).unwrap_or(Value::Null);
         self.items.push((key, value));
-        self.bytes < self.most_bytes
+        self.bytes < self.max_bytes
     }
 }
 
-/// What another controller, or a snapshot, remembers.
+/// What was new in what another controller, or a snapshot, remembers.
 #[derive(Debug, Default)]
 pub struct Remembered {
-    /// Done rows of live jobs, which the leader counts as it does those that machines report.
+    /// Done tasks of live jobs, which the leader counts as it does those in heartbeats.
     pub done: Vec<(JobId, Vec<u32>)>,
     /// Machines that were not known here.
     pub machines: Vec<MachineId>,
@@ -44,52 +49,48 @@
 
 impl StoreCache {
     /// Takes in what others remember, as far as it is not known here.
-    pub fn remember(&mut self, items: Vec<(String, serde_json::Value)>) -> Remembered {
+    pub fn remember(&mut self, items: Vec<(String, Value)>) -> Remembered {
         let mut new = Remembered::default();
         for (key, value) in items {
-            let Some(name) = key.strip_prefix(PREFIX) else {
-                continue;
-            };
-            let read = match name.split_once('/') {
-                None if name == TERM => serde_json::from_value(value)
-                    .map(|v: TermValue| self.term = self.term.max(v.term)),
-                None if name == TYPES && self.machine_types.is_empty() => {
-                    serde_json::from_value(value).map(|v| self.machine_types = v)
-                }
-                Some(("j", id)) => serde_json::from_value(value).map(|v| {
-                    new.jobs += usize::from(self.merge_job(id, v));
-                }),
-                Some(("p", _)) => serde_json::from_value(value).map(|v: PageValue| {
-                    for (id, m) in v.machines {
-                        if !self.machines.contains_key(&id) {
-                            self.machines.insert(id.clone(), m);
-                            new.machines.push(id);
-                        }
-                    }
-                }),
-                Some(("d", rest)) => serde_json::from_value(value).map(|v: DoneValue| {
-                    if let Some((id, base)) = rest.split_once('/')
-                        && let Ok(base) = base.parse()
-                        && let Some(job) = self.jobs.get(id)
-                    {
-                        let mut rows = RowSet::default();
-                        rows.add_ranges(base, &v.tasks, job.spec.tasks);
-                        let rows = (0..job.spec.tasks).filter(|r| rows.contains(*r));
-                        let rows: Vec<u32> = rows.filter(|r| !job.done.contains(*r)).collect();
-                        if !rows.is_empty() {
-                            new.done.push((JobId::from(id), rows));
-                        }
-                    }
-                }),
-                _ => Ok(()),
-            };
-            if let Err(e) = read {
-                tracing::error!("another's memory: unreadable value of {key}: {e}");
+            if let Err(error) = self.remember_item(&key, value, &mut new) {
+                tracing::error!(key, %error, "unreadable value in another's memory");
             }
         }
         new
     }
 
+    fn remember_item(
+        &mut self,
+        key: &str,
+        value: Value,
+        new: &mut Remembered,
+    ) -> Result<(), serde_json::Error> {
+        match StoreKey::parse(key) {
+            Some(StoreKey::Term) => {
+                let value: TermValue = serde_json::from_value(value)?;
+                self.term = self.term.max(value.term);
+            }
+            Some(StoreKey::MachineTypes) if self.machine_types.is_empty() => {
+                self.machine_types = serde_json::from_value(value)?;
+            }
+            Some(StoreKey::Job(id)) => {
+                let is_new = self.merge_job(id, serde_json::from_value(value)?);
+                new.jobs += usize::from(is_new);
+            }
+            Some(StoreKey::MachinePage(_)) => {
+                let value: PageValue = serde_json::from_value(value)?;
+                new.machines.extend(self.merge_machines(value.machines));
+            }
+            Some(StoreKey::DoneRange { job, base }) => {
+                let value: DoneValue = serde_json::from_value(value)?;
+                new.done
+                    .extend(self.new_done_tasks(job, base, &value.tasks));
+            }
+            _ => {}
+        }
+        Ok(())
+    }
+
     /// Says whether anything of it was new.
     fn merge_job(&mut self, id: &str, value: JobValue) -> bool {
         let job = JobId::from(id);
@@ -106,81 +107,111 @@
         true
     }
 
+    /// Returns the machines that were not known.
+    fn merge_machines(&mut self, machines: BTreeMap<MachineId, MachineValue>) -> Vec<MachineId> {
+        let mut new = Vec::new();
+        for (id, machine) in machines {
+            if !self.machines.contains_key(&id) {
+                self.machines.insert(id.clone(), machine);
+                new.push(id);
+            }
+        }
+        new
+    }
+
+    /// Tasks of a live job that are done by these ranges, and not by what is known here.
+    fn new_done_tasks(&self, id: &str, base: u32, ranges: &str) -> Option<(JobId, Vec<u32>)> {
+        let job = self.jobs.get(id)?;
+        let mut done = TaskSet::default();
+        done.add_ranges(base, ranges, job.spec.tasks);
+        let is_new = |task: &u32| done.contains(*task) && !job.done.contains(*task);
+        let tasks: Vec<u32> = (0..job.spec.tasks).filter(is_new).collect();
+        (!tasks.is_empty()).then(|| (JobId::from(id), tasks))
+    }
+
     /// What this copy holds, as keys and values of the store in a fixed order, from after a key on
     /// and up to so many bytes; with whether there is more.
-    pub fn memory(
-        &self,
-        after: &str,
-        most_bytes: usize,
-    ) -> (Vec<(String, serde_json::Value)>, bool) {
-        let after = after.strip_prefix(PREFIX).unwrap_or("");
-        let (stage, last) = after.split_once('/').unwrap_or(("j", ""));
-        let mut page = Page {
+    pub fn memory(&self, after: &str, max_bytes: usize) -> (Vec<(String, Value)>, bool) {
+        let mut page = PageBuilder {
             items: Vec::new(),
             bytes: 0,
-            most_bytes,
+            max_bytes,
         };
-        let more = !self.fill(stage, last, &mut page);
-        (page.items, more)
+        let complete = self.fill(after, &mut page);
+        (page.items, !complete)
     }
 
-    /// Jobs come before their done rows, as these say nothing without them. False: the page is full.
-    fn fill(&self, stage: &str, last: &str, page: &mut Page) -> bool {
-        if stage == "j" {
-            let from = (Bound::Excluded(last), Bound::Unbounded);
-            let mut ended = self
-                .finished
-                .range::<str, _>(from)
-                .map(|(id, _)| id)
-                .peekable();
-            let mut live = self.jobs.range::<str, _>(from).map(|(id, _)| id).peekable();
-            loop {
-                let next = match (ended.peek(), live.peek()) {
-                    (Some(a), Some(b)) if a <= b => ended.next(),
-                    (_, Some(_)) => live.next(),
-                    (_, None) => ended.next(),
-                };
-                let Some(id) = next else { break };
-                if let Some(value) = self.job_value(id)
-                    && !page.add(job_key(id), &value)
-                {
-                    return false;
-                }
+    /// Jobs come before their done tasks, as these say nothing without them. False: the page is full.
+    fn fill(&self, after: &str, page: &mut PageBuilder) -> bool {
+        let filled = match StoreKey::parse(after) {
+            Some(StoreKey::MachinePage(n)) => self.fill_machines(n.saturating_add(1), page),
+            Some(StoreKey::DoneRange { job, .. }) => {
+                self.fill_done(job, page) && self.fill_machines(0, page)
+            }
+            Some(StoreKey::Job(id)) => self.fill_from_jobs(id, page),
+            _ => self.fill_from_jobs("", page),
+        };
+        if filled {
+            page.add(stored_key(TERM), &TermValue { term: self.term });
+            if !self.machine_types.is_empty() {
+                page.add(stored_key(TYPES), &self.machine_types);
             }
         }
-        if stage != "p" {
-            let last = last.split_once('/').map_or("", |(id, _)| id);
-            let last = if stage == "d" { last } else { "" };
-            let from = (Bound::Excluded(last), Bound::Unbounded);
-            for (id, job) in self
-                .jobs
-                .range::<str, _>(from)
-                .filter(|(_, j)| j.done.len() > 0)
+        filled
+    }
+
+    fn fill_from_jobs(&self, after: &str, page: &mut PageBuilder) -> bool {
+        self.fill_jobs(after, page) && self.fill_done("", page) && self.fill_machines(0, page)
+    }
+
+    /// Jobs, live and ended, by id.
+    fn fill_jobs(&self, after: &str, page: &mut PageBuilder) -> bool {
+        let from = (Bound::Excluded(after), Bound::Unbounded);
+        let ended = self.finished.range::<str, _>(from);
+        let live = self.jobs.range::<str, _>(from);
+        let mut ended = ended.map(|(id, _)| id).peekable();
+        let mut live = live.map(|(id, _)| id).peekable();
+        loop {
+            let next = match (ended.peek(), live.peek()) {
+                (Some(a), Some(b)) if a <= b => ended.next(),
+                (_, Some(_)) => live.next(),
+                (_, None) => ended.next(),
+            };
+            let Some(id) = next else {
+                return true;
+            };
+            if let Some(value) = self.job_value(id)
+                && !page.add(job_key(id), &value)
             {
-                let rows = job.done.ranges(0, job.spec.tasks);
-                if !page.add(done_key(id, 0), &DoneValue { tasks: rows }) {
-                    return false;
-                }
+                return false;
             }
         }
-        let done = if stage == "p" {
-            last.parse().ok()
-        } else {
-            None
-        };
+    }
+
+    /// Done tasks of live jobs.
+    fn fill_done(&self, after: &str, page: &mut PageBuilder) -> bool {
+        let from = (Bound::Excluded(after), Bound::Unbounded);
+        let jobs = self.jobs.range::<str, _>(from);
+        for (id, job) in jobs.filter(|(_, job)| job.done.len() > 0) {
+            let tasks = job.done.ranges(0, job.spec.tasks);
+            if !page.add(done_key(id, 0), &DoneValue { tasks }) {
+                return false;
+            }
+        }
+        true
+    }
+
+    /// Machines, in pages of their own.
+    fn fill_machines(&self, first_page: usize, page: &mut PageBuilder) -> bool {
         let machines: Vec<_> = self.machines.iter().collect();
-        let pages = machines.chunks(MEMORY_PAGE).enumerate();
-        for (n, some) in pages.skip(done.map_or(0, |n: usize| n + 1)) {
-            let machines = some.iter().map(|(id, m)| ((*id).clone(), (*m).clone()));
+        let pages = machines.chunks(MACHINES_PER_PAGE).enumerate();
+        for (n, machines) in pages.skip(first_page) {
+            let machines = machines.iter().map(|(id, m)| ((*id).clone(), (*m).clone()));
             let machines = machines.collect();
             if !page.add(page_key(n), &PageValue { machines }) {
                 return false;
             }
         }
-        page.add(stored_key(TERM), &TermValue { term: self.term });
-        if !self.machine_types.is_empty() {
-            page.add(stored_key(TYPES), &self.machine_types);
-        }
         true
     }
 
@@ -192,7 +223,8 @@
         }
         let job = self.jobs.get(id)?;
         let since = job.submitted.duration_since(SystemTime::UNIX_EPOCH);
-        let ms = since.unwrap_or_default().as_millis() as u64;
-        Some(JobValue::live(Box::new((*job.spec).clone()), ms))
+        let submitted_ms = since.unwrap_or_default().as_millis() as u64;
+        let spec = Box::new((*job.spec).clone());
+        Some(JobValue::live(spec, submitted_ms))
     }
 }
--- a/src/core/store/cache/task_set.rs
+++ b/src/core/store/cache/task_set.rs
@@ -1,33 +1,35 @@
-//! A set of a job's rows, written as ranges.
+//! A set of a job's tasks by index, stored as ranges.
 
-/// A set of a job's rows.
+/// A set of a job's tasks, by index.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct RowSet {
+pub struct TaskSet {
     bits: Vec<u64>,
     count: u32,
 }
 
-impl RowSet {
-    pub fn contains(&self, row: u32) -> bool {
-        let (w, b) = (row as usize / 64, row % 64);
-        self.bits.get(w).is_some_and(|x| x >> b & 1 == 1)
+impl TaskSet {
+    /// Whether a task is in the set.
+    pub fn contains(&self, task: u32) -> bool {
+        let (word, bit) = (task as usize / 64, task % 64);
+        self.bits.get(word).is_some_and(|x| x >> bit & 1 == 1)
     }
 
-    pub fn insert(&mut self, row: u32) -> bool {
-        let (w, b) = (row as usize / 64, row % 64);
-        if self.contains(row) {
+    /// Adds a task; false if it was there already.
+    pub fn insert(&mut self, task: u32) -> bool {
+        let (word, bit) = (task as usize / 64, task % 64);
+        if self.contains(task) {
             return false;
         }
-        if self.bits.len() <= w {
-            self.bits.resize(w + 1, 0);
+        if self.bits.len() <= word {
+            self.bits.resize(word + 1, 0);
         }
-        self.bits[w] |= 1 << b;
+        self.bits[word] |= 1 << bit;
         self.count += 1;
         true
     }
 
-    /// Adds all rows of another set.
-    pub fn join(&mut self, other: &RowSet) {
+    /// Adds all tasks of another set.
+    pub fn join(&mut self, other: &TaskSet) {
         if self.bits.len() < other.bits.len() {
             self.bits.resize(other.bits.len(), 0);
         }
@@ -37,6 +39,7 @@
         self.count = self.bits.iter().map(|b| b.count_ones()).sum();
     }
 
+    /// How many tasks there are.
     pub fn len(&self) -> u32 {
         self.count
     }
@@ -44,39 +47,39 @@
     /// The ranges within `base..base + size`, counted from `base`: "0-4,7".
     pub fn ranges(&self, base: u32, size: u32) -> String {
         let mut out = String::new();
-        let mut row = base;
+        let mut task = base;
         let end = base.saturating_add(size).min(self.bits.len() as u32 * 64);
-        while row < end {
-            if !self.contains(row) {
-                row += 1;
+        while task < end {
+            if !self.contains(task) {
+                task += 1;
                 continue;
             }
-            let first = row;
-            while row < end && self.contains(row) {
-                row += 1;
+            let first = task;
+            while task < end && self.contains(task) {
+                task += 1;
             }
             if !out.is_empty() {
                 out.push(',');
             }
             out.push_str(&(first - base).to_string());
-            if row - first > 1 {
-                out.push_str(&format!("-{}", row - 1 - base));
+            if task - first > 1 {
+                out.push_str(&format!("-{}", task - 1 - base));
             }
         }
         out
     }
 
-    /// Adds what `ranges` wrote, and says where it ends; rows from `limit` on and unreadable parts
+    /// Adds what `ranges` wrote, and returns where it ends; tasks from `limit` on and unreadable parts
     /// are passed over.
     pub fn add_ranges(&mut self, base: u32, text: &str, limit: u32) -> u32 {
         let mut end = base;
         for part in text.split(',') {
             let (first, last) = part.split_once('-').unwrap_or((part, part));
-            if let (Ok(a), Ok(b)) = (first.parse::<u32>(), last.parse::<u32>()) {
-                for row in a..=b.min(limit) {
-                    if let Some(row) = base.checked_add(row).filter(|r| *r < limit) {
-                        self.insert(row);
-                        end = end.max(row + 1);
+            if let (Ok(first), Ok(last)) = (first.parse::<u32>(), last.parse::<u32>()) {
+                for task in first..=last.min(limit) {
+                    if let Some(task) = base.checked_add(task).filter(|t| *t < limit) {
+                        self.insert(task);
+                        end = end.max(task + 1);
                     }
                 }
             }
--- a/src/core/store/cache/tests.rs
+++ b/src/core/store/cache/tests.rs
@@ -20,23 +20,23 @@
 
 #[test]
 fn done_rows_survive_their_stored_form_in_pieces_of_any_size() {
-    let mut rows = RowSet::default();
+    let mut rows = TaskSet::default();
     for r in [0, 1, 2, 3, 63, 64, 65, 127, 200, 5000] {
         assert!(rows.insert(r));
         assert!(!rows.insert(r));
     }
     assert_eq!(rows.ranges(0, 128), "0-3,63-65,127");
     for size in [1, 64, 100, 6000] {
-        let mut back = RowSet::default();
+        let mut back = TaskSet::default();
         for base in (0..6000).step_by(size) {
             back.add_ranges(base, &rows.ranges(base, size as u32), 6000);
         }
         assert_eq!(back, rows);
     }
-    let mut odd = RowSet::default();
+    let mut odd = TaskSet::default();
     odd.add_ranges(0, "x,3-1,,2-9999999999,4000000000,7-8", 8);
     assert!(odd.contains(7) && odd.len() == 1);
-    let mut alternate = RowSet::default();
+    let mut alternate = TaskSet::default();
     (0..2048).step_by(2).for_each(|r| {
         alternate.insert(r);
     });
--- a/src/core/store/commit.rs
+++ b/src/core/store/commit.rs
@@ -1,7 +1,7 @@
 //! Finds out whether a transaction was committed from what the state service holds, where its answer was lost.
 //!
 //! All changes of a transaction share one revision, so it was committed at the revision at which exactly its
-//! changes happened. The watch tells them like any other change; a list shows them as values that are equal
+//! changes happened. The watch shows them like any other change; a list shows them as values that are equal
 //! and share a version.
 
 use crate::wire::{Change, CompareAndSwap, Condition, Item, WatchEvent};
@@ -16,16 +16,16 @@
 
 /// Whether these events, of one revision, are the changes of the transaction.
 fn is_commit(txn: &CompareAndSwap, group: &[WatchEvent]) -> bool {
-    let told = |change: &Change| group.iter().any(|event| same_change(change, event));
+    let shown = |change: &Change| group.iter().any(|event| same_change(change, event));
     let expected = txn.changes.iter().filter(|c| leaves_event(txn, c));
-    let all_told = expected.clone().all(told);
+    let all_shown = expected.clone().all(shown);
     let nothing_else = group
         .iter()
         .all(|e| txn.changes.iter().any(|c| same_change(c, e)));
-    expected.count() > 0 && all_told && nothing_else
+    expected.count() > 0 && all_shown && nothing_else
 }
 
-/// The deletion of a key that is not there changes nothing, and the watch tells nothing of it.
+/// The deletion of a key that is not there changes nothing, and the watch shows nothing of it.
 fn leaves_event(txn: &CompareAndSwap, change: &Change) -> bool {
     let absent = |key: &str| {
         txn.conditions
--- a/src/core/store/large_jobs.rs
+++ b/src/core/store/large_jobs.rs
@@ -8,31 +8,26 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
+/// A part as it is stored.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PartValue {
+    /// A piece of the job's JSON.
     pub text: String,
 }
 
-/// The parts of a key's name after `s/`.
-pub fn parse(rest: &str) -> Option<(JobId, PartGeneration, u32)> {
-    let (id, rest) = rest.split_once('/')?;
-    let (stem, n) = rest.split_once('/')?;
-    Some((JobId::from(id), stem.parse().ok()?, n.parse().ok()?))
-}
-
 /// Cuts a text so that each part fits into a value of so many bytes, whatever has to be escaped.
 pub fn cut(text: &str, value_bytes: usize) -> Vec<String> {
-    let most = value_bytes.saturating_sub(32).max(16) / 2;
+    let max_bytes = value_bytes.saturating_sub(32).max(16) / 2;
     let mut parts = Vec::new();
     let mut rest = text;
     while !rest.is_empty() {
-        let mut end = most.min(rest.len());
+        let mut end = max_bytes.min(rest.len());
         while !rest.is_char_boundary(end) {
             end -= 1;
         }
-        let (part, more) = rest.split_at(end);
+        let (part, remaining) = rest.split_at(end);
         parts.push(part.to_string());
-        rest = more;
+        rest = remaining;
     }
     parts
 }
@@ -40,20 +35,28 @@
 /// Parts on their way, and which of them are stored at which version.
 #[derive(Clone, Debug)]
 pub struct PartWrite {
+    /// The writing that they belong to.
     pub generation: PartGeneration,
+    /// The texts of all parts.
     pub parts: Vec<String>,
+    /// The versions of those that are stored, from the first one on.
     pub versions: Vec<u64>,
 }
 
 /// An accepted job, some parts of which have not been read yet.
 #[derive(Clone, Copy, Debug)]
 pub struct PartedJob {
+    /// The writing of parts that its key refers to.
     pub generation: PartGeneration,
+    /// How many parts it has.
     pub count: u32,
+    /// When it was accepted, in milliseconds since 1970.
     pub submitted_ms: u64,
+    /// The version of its key.
     pub version: u64,
 }
 
+/// Parts of large jobs, as far as they are read.
 #[derive(Default)]
 pub struct LargeJobParts {
     /// What is stored, by job and writing. Texts are dropped once their job has been read.
@@ -64,15 +67,17 @@
 }
 
 impl LargeJobParts {
-    pub fn put(&mut self, id: &JobId, stem: PartGeneration, n: u32, text: String) {
-        let read = self.generation_read.get(id) == Some(&stem);
+    /// The store holds this part.
+    pub fn put(&mut self, id: &JobId, generation: PartGeneration, n: u32, text: String) {
+        let read = self.generation_read.get(id) == Some(&generation);
         let text = if read { String::new() } else { text };
-        let parts = self.texts.entry((id.clone(), stem)).or_default();
+        let parts = self.texts.entry((id.clone(), generation)).or_default();
         parts.insert(n, text);
     }
 
-    pub fn delete(&mut self, id: &JobId, stem: PartGeneration, n: u32) {
-        let key = (id.clone(), stem);
+    /// The store does not hold this part any more.
+    pub fn delete(&mut self, id: &JobId, generation: PartGeneration, n: u32) {
+        let key = (id.clone(), generation);
         if let Some(parts) = self.texts.get_mut(&key) {
             parts.remove(&n);
             if parts.is_empty() {
@@ -81,6 +86,7 @@
         }
     }
 
+    /// A job is accepted; its parts may be read before or after this.
     pub fn expect(&mut self, id: &JobId, head: PartedJob) {
         if !self.generation_read.contains_key(id) {
             self.incomplete_jobs.insert(id.clone(), head);
@@ -93,42 +99,46 @@
         let parts = self.texts.get_mut(&(id.clone(), head.generation))?;
         let all = (0..head.count).map(|n| parts.get(&n).map(String::as_str));
         let text: String = all.collect::<Option<Vec<_>>>()?.concat();
-        parts.values_mut().for_each(|t| *t = String::new());
+        parts.values_mut().for_each(|text| *text = String::new());
         self.incomplete_jobs.remove(id);
         self.generation_read.insert(id.clone(), head.generation);
         match serde_json::from_str(&text) {
             Ok(spec) => Some((head, spec)),
             Err(e) => {
-                tracing::error!(job = %id, "job {id}: its parts are unreadable: {e}");
+                tracing::error!(job = %id, error = %e, "unreadable parts of a job");
                 None
             }
         }
     }
 
-    /// A job is over; the keys that are of no use any more.
+    /// A job is over. Returns the keys that are of no use any more.
     pub fn end(&mut self, id: &JobId) -> Vec<String> {
         self.incomplete_jobs.remove(id);
         self.generation_read.remove(id);
         let all = (id.clone(), 0)..=(id.clone(), PartGeneration::MAX);
-        let stored = self.texts.range(all).map(|((_, stem), _)| *stem);
-        let stems: Vec<PartGeneration> = stored.collect();
-        stems.iter().flat_map(|s| self.keys(id, *s)).collect()
+        let stored = self
+            .texts
+            .range(all)
+            .map(|((_, generation), _)| *generation);
+        stored.flat_map(|g| self.keys(id, g)).collect()
     }
 
     /// Writings that no accepted job refers to.
     pub fn unclaimed(&self) -> impl Iterator<Item = &(JobId, PartGeneration)> {
-        self.texts.keys().filter(|(id, stem)| {
-            self.generation_read.get(id) != Some(stem)
-                && self.incomplete_jobs.get(id).map(|h| h.generation) != Some(*stem)
+        self.texts.keys().filter(|(id, generation)| {
+            self.generation_read.get(id) != Some(generation)
+                && self.incomplete_jobs.get(id).map(|h| h.generation) != Some(*generation)
         })
     }
 
-    pub fn keys(&self, id: &JobId, stem: PartGeneration) -> Vec<String> {
-        let parts = self.texts.get(&(id.clone(), stem));
+    /// The keys of one writing's parts.
+    pub fn keys(&self, id: &JobId, generation: PartGeneration) -> Vec<String> {
+        let parts = self.texts.get(&(id.clone(), generation));
         let numbers = parts.into_iter().flat_map(|p| p.keys());
-        numbers.map(|n| part_key(id, stem, *n)).collect()
+        numbers.map(|n| part_key(id, generation, *n)).collect()
     }
 
+    /// Whether the job is accepted, and some of its parts are not read yet.
     pub fn awaited_parts(&self, id: &str) -> bool {
         self.incomplete_jobs.contains_key(id)
     }
--- a/src/core/store/machine_records.rs
+++ b/src/core/store/machine_records.rs
@@ -6,7 +6,7 @@
 //! written; then what is too much for it moves to other pages in one transaction. Earlier versions
 //! forget a machine when one page ceases to list it, even where another one lists it already, and
 //! a task on a machine that the next leader does not know of would be started twice. The service
-//! tells the changes of a transaction in their order, so the page that gives machines up goes
+//! shows the changes of a transaction in their order, so the page that gives machines up goes
 //! first, and those that take them on follow.
 
 use crate::core::store::cache::{MachineValue, PageValue, StoreCache};
@@ -16,15 +16,33 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// A machine that is gone may stay on record this long: a new leader would only ask in vain.
+/// A machine that is gone may stay on record this long: a new leader would only probe it in vain.
 const STALE_PAGE_DELAY: Duration = Duration::from_secs(2);
 
 #[derive(Default)]
 struct Page {
     machines: BTreeMap<MachineId, MachineValue>,
+    /// What they take of a value.
     bytes: usize,
 }
 
+impl Page {
+    /// Whether so many bytes more fit; an empty page takes any machine.
+    fn has_room(&self, more: usize, limit: usize) -> bool {
+        self.machines.is_empty() || self.bytes + more <= limit
+    }
+
+    /// The change that brings the stored page up to date.
+    fn change(&self, key: String) -> Change {
+        if self.machines.is_empty() {
+            return Change::Delete { key };
+        }
+        let machines = self.machines.clone();
+        let value = serde_json::to_value(PageValue { machines });
+        Change::put(key, value.unwrap_or_default())
+    }
+}
+
 /// The pages as they are or will be in the state service, and what is to be written of them.
 #[derive(Default)]
 pub struct MachineRecords {
@@ -48,43 +66,52 @@
 
 /// Pages to write in one transaction, in this order, and the machines that are then on record.
 pub struct PageWrite {
+    /// Numbers of the pages.
     pub pages: Vec<usize>,
+    /// The change of each page.
     pub changes: Vec<Change>,
+    /// Machines that are on record once this is committed.
     pub machines: Vec<MachineId>,
 }
 
-fn size(id: &MachineId, value: &MachineValue) -> usize {
-    id.len() + to_json(value).len() + 4
+/// What quotes and separators take of a page, for each machine.
+const ENTRY_OVERHEAD_BYTES: usize = 4;
+/// Pages from this number on are not ours, and stay as they are.
+const MAX_PAGES: usize = 1 << 16;
+
+/// Bytes that a machine takes of its page.
+fn entry_bytes(id: &MachineId, value: &MachineValue) -> usize {
+    id.len() + to_json(value).len() + ENTRY_OVERHEAD_BYTES
 }
 
 impl MachineRecords {
     /// What a new leader finds on record.
     pub fn new(store_cache: &StoreCache, value_bytes: usize) -> MachineRecords {
-        let mut r = MachineRecords {
+        let mut records = MachineRecords {
             limit: value_bytes / 8 * 7,
             single_key_machines: store_cache.single_key_machines.clone(),
             ..MachineRecords::default()
         };
         for (&n, ids) in &store_cache.pages {
-            // A page far beyond any number written here is not ours; it stays as it is.
-            if n >= 1 << 16 {
+            if n >= MAX_PAGES {
                 continue;
             }
-            if r.pages.len() <= n {
-                r.pages.resize_with(n + 1, Page::default);
+            if records.pages.len() <= n {
+                records.pages.resize_with(n + 1, Page::default);
             }
             for id in ids {
                 if let Some(value) = store_cache.machines.get(id) {
-                    r.put(n, id.clone(), value.clone());
+                    records.put(n, id.clone(), value.clone());
                 }
             }
         }
-        r
+        records
     }
 
+    /// Puts a machine on a page.
     fn put(&mut self, n: usize, id: MachineId, value: MachineValue) {
         let page = &mut self.pages[n];
-        page.bytes += size(&id, &value);
+        page.bytes += entry_bytes(&id, &value);
         page.machines.insert(id.clone(), value);
         self.page_of.insert(id, n);
     }
@@ -95,13 +122,9 @@
             self.pages_to_write.insert(*n);
             return;
         }
-        let more = size(id, &value);
+        let more = entry_bytes(id, &value);
         let limit = self.limit;
-        let free = |p: &Page| p.machines.is_empty() || p.bytes + more <= limit;
-        let n = self.pages.iter().position(free).unwrap_or_else(|| {
-            self.pages.push(Page::default());
-            self.pages.len() - 1
-        });
+        let n = self.find_or_add_page(|page| page.has_room(more, limit));
         self.put(n, id.clone(), value);
         self.pages_to_write.insert(n);
     }
@@ -116,30 +139,26 @@
         };
         let page = &mut self.pages[n];
         if let Some(value) = page.machines.remove(id) {
-            page.bytes -= size(id, &value);
+            page.bytes -= entry_bytes(id, &value);
         }
         self.stale_pages.entry(n).or_insert(now);
     }
 
-    /// The next pages to write, those with new machines first; no more than `most` changes.
-    pub fn next(&mut self, now: Instant, only_new: bool, most: usize) -> Option<PageWrite> {
-        if let Some(i) = self
-            .atomic_groups
-            .iter()
-            .position(|pages| pages.len() <= most)
-        {
-            let pages = self.atomic_groups.swap_remove(i);
+    /// The next pages to write, those with new machines first; no more than `max_changes`. The
+    /// first page that fits with new machines; else, unless `only_new`, one that lists machines that are gone.
+    pub fn next(&mut self, now: Instant, only_new: bool, max_changes: usize) -> Option<PageWrite> {
+        let mut groups = self.atomic_groups.iter();
+        if let Some(group) = groups.position(|pages| pages.len() <= max_changes) {
+            let pages = self.atomic_groups.swap_remove(group);
             return Some(self.write(pages));
         }
         self.deferred_pages.retain(|_, until| now < *until);
-        let fits = |n: usize| self.pieces(n) <= most && !self.deferred_pages.contains_key(&n);
-        let late = |since: Instant| !only_new && now >= since + STALE_PAGE_DELAY;
-        let due = self.pages_to_write.iter().copied().find(|n| fits(*n));
-        let n = due.or_else(|| {
-            let mut stale = self.stale_pages.iter();
-            stale.find_map(|(n, since)| (late(*since) && fits(*n)).then_some(*n))
-        })?;
-        let pages = if self.pieces(n) > 1 {
+        let new = self.next_new_page(max_changes);
+        let n = match new {
+            None if !only_new => self.next_stale_page(now, max_changes),
+            new => new,
+        }?;
+        let pages = if self.pages_after_split(n) > 1 {
             self.split(n)
         } else {
             vec![n]
@@ -147,8 +166,35 @@
         Some(self.write(pages))
     }
 
+    /// The first page with new machines that can be written now.
+    fn next_new_page(&self, max_changes: usize) -> Option<usize> {
+        let mut pages = self.pages_to_write.iter().copied();
+        pages.find(|n| self.can_write(*n, max_changes))
+    }
+
+    /// The first page that has listed machines that are gone for long enough, and can be written now.
+    fn next_stale_page(&self, now: Instant, max_changes: usize) -> Option<usize> {
+        let due = |since: Instant| now >= since + STALE_PAGE_DELAY;
+        let mut pages = self.stale_pages.iter();
+        let (n, _) = pages.find(|(n, since)| due(**since) && self.can_write(**n, max_changes))?;
+        Some(*n)
+    }
+
+    fn can_write(&self, n: usize, max_changes: usize) -> bool {
+        self.pages_after_split(n) <= max_changes && !self.deferred_pages.contains_key(&n)
+    }
+
+    /// The first page of which this holds, or a new one at the end.
+    fn find_or_add_page(&mut self, suits: impl Fn(&Page) -> bool) -> usize {
+        let found = self.pages.iter().position(suits);
+        found.unwrap_or_else(|| {
+            self.pages.push(Page::default());
+            self.pages.len() - 1
+        })
+    }
+
     /// How many pages the machines of this one take; a page that others move to as well.
-    fn pieces(&self, n: usize) -> usize {
+    fn pages_after_split(&self, n: usize) -> usize {
         match self.pages[n].bytes {
             bytes if bytes <= self.limit => 1,
             bytes => bytes.div_ceil(self.limit / 4 * 3) + 1,
@@ -160,26 +206,22 @@
         let mut pages = vec![n];
         let all = std::mem::take(&mut self.pages[n]);
         for (id, value) in all.machines {
-            let more = size(&id, &value);
-            let room = |p: &Page| p.machines.is_empty() || p.bytes + more <= self.limit;
+            let more = entry_bytes(&id, &value);
             let last = *pages.last().unwrap_or(&n);
-            let to = if room(&self.pages[last]) {
+            let target = if self.pages[last].has_room(more, self.limit) {
                 last
             } else {
                 // Empty ones only: each other page with room would be one more to write.
-                let empty = |p: &Page| p.machines.is_empty();
-                let vacant = self.pages.iter().position(empty).unwrap_or_else(|| {
-                    self.pages.push(Page::default());
-                    self.pages.len() - 1
-                });
+                let vacant = self.find_or_add_page(|page| page.machines.is_empty());
                 pages.push(vacant);
                 vacant
             };
-            self.put(to, id, value);
+            self.put(target, id, value);
         }
         pages
     }
 
+    /// The changes that bring these pages up to date.
     fn write(&mut self, pages: Vec<usize>) -> PageWrite {
         let mut changes = Vec::new();
         let mut machines = Vec::new();
@@ -188,19 +230,7 @@
             self.stale_pages.remove(&n);
             let page = &self.pages[n];
             machines.extend(page.machines.keys().cloned());
-            let key = page_key(n);
-            changes.push(if page.machines.is_empty() {
-                Change::Delete { key }
-            } else {
-                let value = PageValue {
-                    machines: page.machines.clone(),
-                };
-                Change::Put {
-                    key,
-                    value: serde_json::to_value(value).unwrap_or_default(),
-                    lease: None,
-                }
-            });
+            changes.push(page.change(page_key(n)));
         }
         PageWrite {
             pages,
@@ -209,13 +239,14 @@
         }
     }
 
-    /// It is in the state service, as far as what is due tells.
+    /// Whether the machine is on record in the state service, as far as what is to be written shows.
     pub fn known(&self, id: &MachineId) -> bool {
         let page = self.page_of.get(id);
         self.single_key_machines.contains(id)
             || page.is_some_and(|n| !self.pages_to_write.contains(n))
     }
 
+    /// Whether the machine is on record, or is to be.
     pub fn has(&self, id: &MachineId) -> bool {
         self.page_of.contains_key(id) || self.single_key_machines.contains(id)
     }
@@ -227,11 +258,10 @@
 
     /// The pages were not written after all.
     pub fn requeue(&mut self, pages: Vec<usize>) {
-        match pages.as_slice() {
-            [n] => {
-                self.pages_to_write.insert(*n);
-            }
-            _ => self.atomic_groups.push(pages),
+        if let [n] = pages[..] {
+            self.pages_to_write.insert(n);
+        } else {
+            self.atomic_groups.push(pages);
         }
     }
 
--- a/src/core/store/read_barrier.rs
+++ b/src/core/store/read_barrier.rs
@@ -1,10 +1,11 @@
-//! Questions that one key cannot answer. How a job stands that awaits others depends on how those
+//! Linearizable reads of what one key cannot answer. The state of a job with dependencies depends on how those
 //! have ended, and whether a job that a submission names was ever accepted, on all keys there are.
 //!
-//! A read begun after the question came tells the state service's revision; once this node's copy
-//! has come as far, nothing can have been told to anybody before the question that the copy does
-//! not hold. Questions of one step share the read.
+//! A read begun after the request came shows the state service's revision; once this node's copy
+//! has come as far, nothing can have been answered to anybody before the request that the copy does
+//! not hold. Requests of one step share the read.
 
+use crate::core::store::keys::{NOTHING, key};
 use crate::core::{Core, Pending, Ticket};
 use crate::http::Answer;
 use crate::job::JobSpec;
@@ -12,53 +13,69 @@
 use std::time::{Duration, Instant};
 
 /// The watch brings changes within some ten milliseconds; a user waits 2 s for a poll.
-const PATIENCE: Duration = Duration::from_millis(1500);
+const BARRIER_TIMEOUT: Duration = Duration::from_millis(1500);
 
+/// A request that waits for a read barrier.
 #[derive(Debug)]
 pub enum Question {
+    /// How the job with this id stands.
     Show(Ticket, String),
+    /// A job to accept, and when it was received.
     Submit(Ticket, Box<JobSpec>, Instant),
 }
 
+/// Requests for which the store's revision is being read, or which wait until the copy has come as far.
 #[derive(Default)]
 pub struct ReadBarriers {
-    /// Asked in this step.
+    /// Received in this step.
     queued: Vec<Question>,
-    /// The revision that each group waits for, and until when.
-    waiting: Vec<(u64, Instant, Vec<Question>)>,
+    waiting: Vec<WaitingGroup>,
+}
+
+/// Requests that wait for the copy.
+struct WaitingGroup {
+    /// The revision that the copy has to reach.
+    revision: u64,
+    deadline: Instant,
+    questions: Vec<Question>,
 }
 
 impl Core {
+    /// The request is answered after a read that begins at the end of this step.
     pub(in crate::core) fn queue_barrier_query(&mut self, question: Question) {
         self.barriers.queued.push(question);
     }
 
-    /// Called at the end of a step.
+    /// Begins the read for the requests of this step; called at its end.
     pub(in crate::core) fn send_barrier(&mut self) {
         let new = std::mem::take(&mut self.barriers.queued);
         if !new.is_empty() {
-            let key = crate::core::store::keys::key(crate::core::store::keys::NOTHING);
-            self.ask_state(Pending::Barrier(new), StoreRequest::Get(key));
+            self.ask_state(Pending::Barrier(new), StoreRequest::Get(key(NOTHING)));
         }
     }
 
+    /// The read has shown the store's revision, or has failed.
     pub(in crate::core) fn barrier_read(
         &mut self,
         questions: Vec<Question>,
         outcome: StoreOutcome,
     ) {
         let StoreOutcome::Missing { revision } = outcome else {
-            tracing::debug!("no revision: {outcome:?}");
+            tracing::debug!(?outcome, "read barrier failed");
             return self.defer(questions);
         };
-        let until = self.now.mono + PATIENCE;
-        self.barriers.waiting.push((revision, until, questions));
+        self.barriers.waiting.push(WaitingGroup {
+            revision,
+            deadline: self.now.mono + BARRIER_TIMEOUT,
+            questions,
+        });
         self.answer_barriers();
     }
 
+    /// The users are asked to try again.
     fn defer(&mut self, questions: Vec<Question>) {
-        for q in questions {
-            let (Question::Show(ticket, _) | Question::Submit(ticket, ..)) = q;
+        for question in questions {
+            let (Question::Show(ticket, _) | Question::Submit(ticket, ..)) = question;
             self.answer(ticket, Answer::busy("the state cannot be read now", 1));
         }
     }
@@ -66,20 +83,24 @@
     /// Answers what the copy is new enough for; what has waited for too long is put off.
     pub(in crate::core) fn answer_barriers(&mut self) {
         let (now, revision) = (self.now.mono, self.store_cache.revision);
-        for (needed, until, questions) in std::mem::take(&mut self.barriers.waiting) {
-            if self.store_cache.loaded && revision >= needed {
-                for q in questions {
-                    match q {
-                        Question::Show(ticket, id) => self.show_fresh(ticket, &id),
-                        Question::Submit(ticket, spec, received) => {
-                            self.accept(ticket, spec, received, true);
-                        }
-                    }
-                }
-            } else if now >= until {
-                self.defer(questions);
+        for group in std::mem::take(&mut self.barriers.waiting) {
+            if self.store_cache.loaded && revision >= group.revision {
+                self.answer_questions(group.questions);
+            } else if now >= group.deadline {
+                self.defer(group.questions);
             } else {
-                self.barriers.waiting.push((needed, until, questions));
+                self.barriers.waiting.push(group);
+            }
+        }
+    }
+
+    fn answer_questions(&mut self, questions: Vec<Question>) {
+        for question in questions {
+            match question {
+                Question::Show(ticket, id) => self.show_fresh(ticket, &id),
+                Question::Submit(ticket, spec, received) => {
+                    self.accept(ticket, spec, received, true);
+                }
             }
         }
     }
--- a/src/core/store/versions.rs
+++ b/src/core/store/versions.rs
@@ -5,24 +5,33 @@
 use crate::wire::Change;
 use std::collections::BTreeMap;
 
+/// Versions of keys: those that the store has shown, and those that this process has written since.
 #[derive(Default)]
 pub struct KeyVersions {
-    /// What the state service has told, by key.
+    /// What the state service has shown, by key.
     observed: BTreeMap<String, u64>,
-    /// What this process wrote and the watch has yet to tell: since which revision, and whether the key
-    /// is there since.
-    unconfirmed: BTreeMap<String, (u64, bool)>,
+    /// What this process wrote and the watch has yet to show.
+    unconfirmed: BTreeMap<String, UnconfirmedWrite>,
+}
+
+/// A committed write of this process.
+struct UnconfirmedWrite {
+    revision: u64,
+    /// Whether the key exists since; it was deleted otherwise.
+    exists: bool,
 }
 
 impl KeyVersions {
-    /// 0: the key is not there.
+    /// The version of a key; 0 where there is no such key.
     pub fn of(&self, key: &str) -> u64 {
         match self.unconfirmed.get(key) {
-            Some((revision, there)) => revision * u64::from(*there),
+            Some(write) if write.exists => write.revision,
+            Some(_) => 0,
             None => self.observed.get(key).copied().unwrap_or(0),
         }
     }
 
+    /// The store has shown a key with this version; an older one than known changes nothing.
     pub fn put(&mut self, key: &str, version: u64) {
         match self.observed.get_mut(key) {
             Some(known) => *known = version.max(*known),
@@ -37,18 +46,22 @@
         self.observed.remove(key);
     }
 
-    /// This process wrote it, which its copy, of this revision, may not show yet.
+    /// This process wrote these changes, which its copy, of revision `copy`, may not show yet.
     pub fn record_write(&mut self, changes: &[Change], revision: u64, copy: u64) {
-        for change in changes.iter().filter(|_| revision > copy) {
-            let there = matches!(change, Change::Put { .. });
-            self.unconfirmed
-                .insert(change.key().into(), (revision, there));
+        if revision <= copy {
+            return;
+        }
+        for change in changes {
+            let exists = matches!(change, Change::Put { .. });
+            let write = UnconfirmedWrite { revision, exists };
+            self.unconfirmed.insert(change.key().into(), write);
         }
     }
 
     /// The copy has come as far as this revision.
     pub fn drop_confirmed(&mut self, revision: u64) {
-        self.unconfirmed.retain(|_, (at, _)| *at > revision);
+        self.unconfirmed
+            .retain(|_, write| write.revision > revision);
     }
 
     /// Keys of which versions are kept.
@@ -57,7 +70,7 @@
         self.observed.len() + self.unconfirmed.len()
     }
 
-    /// Another list of all there is takes the place of what was told.
+    /// Another list of all there is takes the place of what was shown.
     pub fn clear_observed(&mut self) {
         self.observed.clear();
     }
