--- a/src/core/jobs/submissions.rs
+++ b/src/core/jobs/submissions.rs
@@ -42,7 +42,7 @@
         None => JobValue::live(Box::new(spec.clone()), submitted_ms),
         Some(w) => JobValue::Parted {
             parts: w.parts.len() as u32,
-            stem: w.generation,
+            generation: w.generation,
             submitted_ms,
         },
     };
@@ -368,7 +368,7 @@
                     // The copy reads it from its parts, which were written before.
                     Some(w) => JobValue::Parted {
                         parts: w.parts.len() as u32,
-                        stem: w.generation,
+                        generation: w.generation,
                         submitted_ms: ms,
                     },
                 };
--- a/src/core/simulation/mixed_versions.rs
+++ b/src/core/simulation/mixed_versions.rs
@@ -4,7 +4,7 @@
 
 use crate::core::simulation::{LIMITS, NEXT_LIMITS, Simulation};
 use crate::core::store::cache::{
-    DoneValue, JobValue, LeaderValue, PageValue, TaskSet, StoreCache, TermValue,
+    DoneValue, JobValue, LeaderValue, PageValue, StoreCache, TaskSet, TermValue,
 };
 use crate::job::{JobKind, JobOutcome, JobSpec, Priority, Resources, sample};
 use crate::peer::{self, PeerAnswer, PeerRequest};
--- a/src/core/store/cache/apply.rs
+++ b/src/core/store/cache/apply.rs
@@ -144,7 +144,7 @@
         match value {
             JobValue::Parted {
                 parts: count,
-                stem: generation,
+                generation,
                 submitted_ms,
             } => {
                 let head = PartedJob {
--- a/src/core/store/cache/stored.rs
+++ b/src/core/store/cache/stored.rs
@@ -77,7 +77,8 @@
         /// How many parts it has.
         parts: u32,
         /// The writing of parts that it refers to.
-        stem: PartGeneration,
+        #[serde(rename = "stem")]
+        generation: PartGeneration,
         /// When it was accepted, in milliseconds since 1970.
         submitted_ms: u64,
     },
--- a/src/core/store/keys.rs
+++ b/src/core/store/keys.rs
@@ -147,3 +147,6 @@
 pub fn part_key(id: &str, generation: PartGeneration, n: u32) -> String {
     key(&format!("s/{id}/{generation}/{n}"))
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/core/store/rebuild.rs
+++ b/src/core/store/rebuild.rs
@@ -4,7 +4,7 @@
 //! - *Answers.* Ends are final wherever they come from. What is not final, and whether a job is unknown,
 //!   is answered only when all controllers have handed over what they remember, or have nothing, or when
 //!   the workers' leases have expired meanwhile. An unknown job is answered 503 until the mark is gone.
-//! - *Starts.* A machine that was rented just before the loss may be on nobody's record. So nothing
+//! - *Starts.* A machine that was created just before the loss may be on nobody's record. So nothing
 //!   starts before a list of the cloud that must have every machine of then, and a heartbeat from each of
 //!   them; or before the lease of every worker has expired.
 //! - *Held tasks.* Tasks of jobs that nobody remembers go on, their results are kept, and nothing of such a
--- a/src/core/store/rebuild/machine_list.rs
+++ b/src/core/store/rebuild/machine_list.rs
@@ -32,7 +32,7 @@
     ) {
         let now = self.now.mono;
         // The list shows a time at most twice its lag ago, and all that the lost store could have
-        // had on record was rented before this leadership began.
+        // had on record was created before this leadership began.
         let after = self.settings.machine_list_lag * 2 + LIST_MARGIN;
         let Some(leader) = &mut self.leader else {
             return;
--- a/src/core/store/transaction.rs
+++ b/src/core/store/transaction.rs
@@ -231,7 +231,7 @@
         if written >= texts.len() {
             let value = JobValue::Parted {
                 parts: texts.len() as u32,
-                stem: generation,
+                generation,
                 submitted_ms,
             };
             return job_key_change(id, &value);
