--- a/src/core/jobs/submissions.rs
+++ b/src/core/jobs/submissions.rs
@@ -7,7 +7,7 @@
 use crate::core::store::keys::{PartGeneration, job_key, part_key};
 use crate::core::store::large_jobs::{self, PartValue, PartWrite};
 use crate::core::store::read_barrier::Question;
-use crate::core::store::writes::MAX_TRANSACTION_BYTES;
+use crate::core::store::transaction::MAX_TRANSACTION_BYTES;
 use crate::core::{Core, Ticket, record};
 use crate::fault_injection::{Safeguard, is_enabled};
 use crate::http::Answer;
@@ -42,7 +42,7 @@
         None => JobValue::live(Box::new(spec.clone()), submitted_ms),
         Some(w) => JobValue::Parted {
             parts: w.parts.len() as u32,
-            stem: w.generation,
+            generation: w.generation,
             submitted_ms,
         },
     };
@@ -368,7 +368,7 @@
                     // The copy reads it from its parts, which were written before.
                     Some(w) => JobValue::Parted {
                         parts: w.parts.len() as u32,
-                        stem: w.generation,
+                        generation: w.generation,
                         submitted_ms: ms,
                     },
                 };
