--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -1,32 +1,35 @@
-//! Whether a worker says the same as before, without keeping what it said.
+//! Whether a worker's heartbeat says the same as before, without keeping what it said.
 
 use siphasher::sip128::{Hasher128, SipHasher13};
 use std::hash::Hasher;
 
-/// A keyed hash of everything that one report says, in 128 bits: with a key that each process
-/// draws for itself, two different reports of a machine are never taken for one another, even if
+/// A keyed hash of everything that one heartbeat says, in 128 bits: with a key that each process
+/// draws for itself, two different heartbeats of a machine are never taken for one another, even if
 /// somebody chose the names of tasks for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Digest(u128);
 
-/// Takes in the parts of a report one after another.
+/// Takes in the parts of a heartbeat one after another.
 pub struct Digester(SipHasher13);
 
 impl Digester {
+    /// A digester with the process's key.
     pub fn new(key: u64) -> Digester {
         Digester(SipHasher13::new_with_keys(key, !key))
     }
 
-    /// A text, with its length, so that no two sequences of texts run into one another.
+    /// Adds a text, with its length, so that no two sequences of texts run into one another.
     pub fn text(&mut self, text: &str) {
         self.0.write_usize(text.len());
         self.0.write(text.as_bytes());
     }
 
-    pub fn number(&mut self, n: u64) {
-        self.0.write_u64(n);
+    /// Adds a number.
+    pub fn number(&mut self, number: u64) {
+        self.0.write_u64(number);
     }
 
+    /// The digest of everything added.
     pub fn finish(self) -> Digest {
         Digest(self.0.finish128().as_u128())
     }
--- a/crates/membership/src/grant/tests.rs
+++ b/crates/membership/src/grant/tests.rs
@@ -9,32 +9,41 @@
 #[test]
 fn a_grant_ends_before_the_leaders_word_however_long_the_answer_took() {
     let t = Instant::now();
-    let word = t + ms(2600);
+    let leader_until = t + ms(2600);
     for (sent, worked) in [(0, 0), (0, 900), (100, 2500), (0, 2599)] {
-        let mut issued = IssuedGrant::first(1, 1, t + ms(worked));
-        let span = issued.grant(word, t + ms(worked));
+        let mut issued = IssuedGrant::new(1, 1, t + ms(worked));
+        let span = issued.extend(leader_until, t + ms(worked));
         let held = HeldGrant::new(4, t + ms(sent), span);
-        assert!(held.until <= word, "{sent} {worked}");
-        assert!(!held.holds(4, word));
-        assert!(!held.holds(5, t));
+        assert!(held.expires_at <= leader_until, "{sent} {worked}");
+        assert!(!held.is_valid(4, leader_until));
+        assert!(!held.is_valid(5, t));
     }
 }
 
 #[test]
 fn requests_that_were_held_up_are_known_and_a_new_process_begins_anew() {
     let t = Instant::now();
-    let mut issued = IssuedGrant::first(1, 5, t);
-    assert_eq!(issued.request(1, 5, t + ms(1)), Request::Old);
-    assert_eq!(issued.request(1, 7, t + ms(2)), Request::Next);
-    assert_eq!(issued.request(1, 6, t + ms(3)), Request::Old);
-    assert_eq!(issued.last_request, t + ms(2));
-    issued.grant(t + ms(900), t + ms(4));
+    let mut issued = IssuedGrant::new(1, 5, t);
+    assert_eq!(issued.accept_request(1, 5, t + ms(1)), RequestOrder::Stale);
+    assert_eq!(issued.accept_request(1, 7, t + ms(2)), RequestOrder::Next);
+    assert_eq!(issued.accept_request(1, 6, t + ms(3)), RequestOrder::Stale);
+    assert_eq!(issued.last_request_at, t + ms(2));
+    issued.extend(t + ms(900), t + ms(4));
     // What the process before was granted counts until it has run out.
-    assert_eq!(issued.request(2, 1, t + ms(5)), Request::Old);
-    assert_eq!(issued.request(2, 9, t + ms(900)), Request::Fresh);
-    issued.grant(t + ms(2000), t + ms(901));
+    assert_eq!(issued.accept_request(2, 1, t + ms(5)), RequestOrder::Stale);
+    assert_eq!(
+        issued.accept_request(2, 9, t + ms(900)),
+        RequestOrder::NewIncarnation
+    );
+    issued.extend(t + ms(2000), t + ms(901));
     // A frame of the former life: the leader forgot what it had lent to the living one, which
     // went on to renew leases that the leader saw run out.
-    assert_eq!(issued.request(1, 8, t + ms(950)), Request::Old);
-    assert_eq!(issued.request(2, 10, t + ms(951)), Request::Next);
+    assert_eq!(
+        issued.accept_request(1, 8, t + ms(950)),
+        RequestOrder::Stale
+    );
+    assert_eq!(
+        issued.accept_request(2, 10, t + ms(951)),
+        RequestOrder::Next
+    );
 }
--- a/crates/membership/src/share/tests.rs
+++ b/crates/membership/src/share/tests.rs
@@ -12,7 +12,7 @@
 fn settle(mut all: Vec<Server>) -> (Vec<Server>, u32) {
     let mut moved = 0;
     for _ in 0..200 {
-        for m in moves(&all, 20) {
+        for m in plan_moves(&all, 20) {
             moved += m.count;
             all.iter_mut().find(|s| s.name == m.from).unwrap().load -= m.count;
             all.iter_mut().find(|s| s.name == m.to).unwrap().load += m.count;
@@ -27,17 +27,17 @@
     assert!(all[0].load <= 160 && all[1].load >= 500 && all[2].load >= 500);
     assert!(moved <= 1200);
     // Even enough: nobody is moved, so nothing flaps.
-    assert!(moves(&all, 20).is_empty());
+    assert!(plan_moves(&all, 20).is_empty());
     let near = servers(&[(110, 1.0), (100, 1.0), (90, 1.0)]);
-    assert!(moves(&near, 20).is_empty());
+    assert!(plan_moves(&near, 20).is_empty());
     // Nobody to go to, or nobody at all.
-    assert!(moves(&servers(&[(500, 0.25)]), 20).is_empty());
-    assert!(moves(&[], 20).is_empty());
+    assert!(plan_moves(&servers(&[(500, 0.25)]), 20).is_empty());
+    assert!(plan_moves(&[], 20).is_empty());
 }
 
 #[test]
 fn few_are_moved_at_a_time_and_none_for_little() {
-    let some = moves(&servers(&[(1000, 1.0), (0, 1.0)]), 20);
+    let some = plan_moves(&servers(&[(1000, 1.0), (0, 1.0)]), 20);
     assert_eq!(some.iter().map(|m| m.count).sum::<u32>(), 20);
-    assert!(moves(&servers(&[(8, 1.0), (0, 1.0)]), 20).is_empty());
+    assert!(plan_moves(&servers(&[(8, 1.0), (0, 1.0)]), 20).is_empty());
 }
--- a/crates/membership/src/view/tests.rs
+++ b/crates/membership/src/view/tests.rs
@@ -6,32 +6,32 @@
 
 #[test]
 fn suspicion_comes_before_loss_and_what_others_hear_holds_it_back() {
-    let patience = FailureDetectorTimeouts {
+    let timeouts = FailureDetectorTimeouts {
         suspect_after: ms(1200),
         lost_after: ms(4000),
     };
     let names = ["n1", "n2"].map(|n| (n.to_string(), "a".to_string()));
-    let mut view = MembershipView::new(names, patience);
+    let mut view = MembershipView::new(names, timeouts);
     let t = Instant::now();
-    assert_eq!(view.standing("n1", t), Standing::Unknown);
-    assert!(!view.heard("n9", 1, Capabilities::REPORTS, 0, t));
-    assert!(view.heard("n1", 1, Capabilities::REPORTS, 10, t));
-    assert_eq!(view.standing("n1", t + ms(1000)), Standing::Alive);
-    assert_eq!(view.standing("n1", t + ms(2000)), Standing::Suspect);
-    assert_eq!(view.standing("n1", t + ms(5000)), Standing::Lost);
+    assert_eq!(view.state("n1", t), MemberState::Unknown);
+    assert!(!view.record_contact("n9", 1, Capabilities::SERVES_WORKERS, 0, t));
+    assert!(view.record_contact("n1", 1, Capabilities::SERVES_WORKERS, 10, t));
+    assert_eq!(view.state("n1", t + ms(1000)), MemberState::Alive);
+    assert_eq!(view.state("n1", t + ms(2000)), MemberState::Suspect);
+    assert_eq!(view.state("n1", t + ms(5000)), MemberState::Lost);
     // Cut one way: another one still hears it.
-    view.told("n1", Capabilities::REPORTS, 12, t + ms(4500));
-    assert_eq!(view.standing("n1", t + ms(5000)), Standing::Suspect);
+    view.merge_report("n1", Capabilities::SERVES_WORKERS, 12, t + ms(4500));
+    assert_eq!(view.state("n1", t + ms(5000)), MemberState::Suspect);
     assert_eq!(view.get("n1").unwrap().load, 12);
-    assert_eq!(view.standing("n1", t + ms(9000)), Standing::Lost);
-    assert!(view.heard("n1", 2, Capabilities::REPORTS, 0, t + ms(9000)));
-    assert_eq!(view.standing("n1", t + ms(9000)), Standing::Alive);
+    assert_eq!(view.state("n1", t + ms(9000)), MemberState::Lost);
+    assert!(view.record_contact("n1", 2, Capabilities::SERVES_WORKERS, 0, t + ms(9000)));
+    assert_eq!(view.state("n1", t + ms(9000)), MemberState::Alive);
     // An old version says nothing of abilities.
     assert!(
         !view
             .get("n2")
             .unwrap()
             .capabilities
-            .has(Capabilities::REPORTS)
+            .has(Capabilities::SERVES_WORKERS)
     );
 }
--- a/src/core/leadership/stale_key.rs
+++ b/src/core/leadership/stale_key.rs
@@ -43,7 +43,7 @@
                 lease_unknown_since: None,
             });
         }
-        let heard = self.relay.grant.map(|g| g.until);
+        let heard = self.relay.grant().map(|g| g.expires_at);
         let Some(d) = &mut self.stale_leader_key else {
             return;
         };
--- a/src/core/machines/failure_detection.rs
+++ b/src/core/machines/failure_detection.rs
@@ -147,7 +147,7 @@
             back.get(zone)
                 .map_or(Duration::ZERO, |t| now.saturating_duration_since(*t))
         };
-        let excused = leader.silence_excuse(now);
+        let excused = leader.silence_inconclusive_until(now);
         let mut over = Vec::new();
         let mut silent = Vec::new();
         for m in leader.machines.values() {
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -524,7 +524,9 @@
                 Command::Heartbeat { ticket, heartbeat } => {
                     heartbeats.extend(self.heartbeat(ticket, heartbeat))
                 }
-                Command::HeartbeatBatch { ticket, sync } => syncs.extend(self.sync(ticket, *sync)),
+                Command::HeartbeatBatch { ticket, sync } => {
+                    syncs.extend(self.receive_batch(ticket, *sync))
+                }
                 Command::HeartbeatBatchResponse { number, answer } => {
                     self.batch_answered(number, answer)
                 }
--- a/src/core/monitoring/metrics.rs
+++ b/src/core/monitoring/metrics.rs
@@ -3,7 +3,7 @@
 use crate::core::{Core, Ticket, WORK};
 use crate::http::Answer;
 use crate::metrics::Page;
-use burlusher_membership::view::{Capabilities, Standing};
+use burlusher_membership::view::{Capabilities, MemberState};
 use std::collections::BTreeMap;
 
 const QUANTILES: [(&str, f64); 3] = [("0.5", 0.5), ("0.95", 0.95), ("0.99", 0.99)];
@@ -87,10 +87,10 @@
             "Calls that the cloud's limit leaves the leader now",
             self.cloud_budget.left(now),
         );
-        let standing = |name: &str| match self.members.standing(name, now) {
-            Standing::Alive => 2.0,
-            Standing::Suspect => 1.0,
-            Standing::Unknown | Standing::Lost => 0.0,
+        let standing = |name: &str| match self.members.state(name, now) {
+            MemberState::Alive => 2.0,
+            MemberState::Suspect => 1.0,
+            MemberState::Unknown | MemberState::Lost => 0.0,
         };
         page.gauges(
             "members",
@@ -101,7 +101,7 @@
                 .map(|(name, _)| (name, standing(name))),
         );
         let able = |capabilities: Capabilities| {
-            f64::from(u8::from(capabilities.has(Capabilities::REPORTS)))
+            f64::from(u8::from(capabilities.has(Capabilities::SERVES_WORKERS)))
         };
         page.gauges(
             "takes_reports",
@@ -112,8 +112,8 @@
         page.gauge(
             "grant_seconds",
             "How long this controller may still answer for the leader",
-            self.relay.grant.map_or(0.0, |g| {
-                g.until.saturating_duration_since(now).as_secs_f64()
+            self.relay.grant().map_or(0.0, |g| {
+                g.expires_at.saturating_duration_since(now).as_secs_f64()
             }),
         );
         page.gauge(
--- a/src/core/simulation/network.rs
+++ b/src/core/simulation/network.rs
@@ -131,7 +131,7 @@
         }
         if let Some((asker, peer, asked)) = self.network.recalls.remove(&ticket) {
             let (_, body) = peer::read_frame(&mut answer.body.as_slice()).unwrap();
-            let recalled = memory_exchange::decode_recalled(&body).unwrap();
+            let recalled = memory_exchange::decode_memory_page(&body).unwrap();
             self.nodes[asker].inbox.push(Command::MemoryPage {
                 peer,
                 asked,
@@ -141,7 +141,7 @@
             // What cannot get through is as good as lost.
             let through = self.connected(asker, from);
             let frame = peer::read_frame(&mut answer.body.as_slice()).ok();
-            let synced = frame.and_then(|(_, body)| heartbeat_batch::decode_synced(&body));
+            let synced = frame.and_then(|(_, body)| heartbeat_batch::decode_batch_response(&body));
             self.nodes[asker]
                 .inbox
                 .push(Command::HeartbeatBatchResponse {
@@ -214,7 +214,7 @@
             return;
         }
         let (_, body) = peer::read_frame(&mut { frame }).unwrap();
-        let sync = Box::new(heartbeat_batch::decode_sync(&body).unwrap());
+        let sync = Box::new(heartbeat_batch::decode_batch(&body).unwrap());
         let ticket = self.new_ticket();
         self.network.syncs.insert(ticket, (from, number, self.now));
         self.nodes[to]
--- a/src/core/simulation/recorded_decisions.rs
+++ b/src/core/simulation/recorded_decisions.rs
@@ -164,7 +164,11 @@
                 }
             }
             Effect::MemoryRequest { peer, recall } => {
-                json!([RECALL, peer, text(&memory_exchange::encode_recall(recall))])
+                json!([
+                    RECALL,
+                    peer,
+                    text(&memory_exchange::encode_memory_request(recall))
+                ])
             }
             Effect::RereadStore => json!([READ_AFRESH]),
             Effect::ReleaseLease => json!([GIVE_UP_LEASE]),
--- a/src/core/simulation/scenarios/delegation.rs
+++ b/src/core/simulation/scenarios/delegation.rs
@@ -212,8 +212,13 @@
         assert!(answered(&simulation, leader) > 0);
         // Its grant has just been renewed, on a word that was renewed just before, when the one
         // cannot tell the other any more. Nor can the leader delete the machines.
-        let grant =
-            |simulation: &Simulation| simulation.nodes[other].core.relay.grant.map(|g| g.until);
+        let grant = |simulation: &Simulation| {
+            simulation.nodes[other]
+                .core
+                .relay
+                .grant()
+                .map(|g| g.expires_at)
+        };
         simulation.until(3.0, "a fresh grant", |simulation| {
             grant(simulation).is_some_and(|t| t > simulation.now + Duration::from_millis(2500))
         });
--- a/src/core/simulation/scenarios/size.rs
+++ b/src/core/simulation/scenarios/size.rs
@@ -268,7 +268,7 @@
             match effect {
                 Effect::HeartbeatBatch { number, frame, .. } => {
                     let (_, body) = peer::read_frame(&mut frame.as_slice()).unwrap();
-                    let answer = answer(&heartbeat_batch::decode_sync(&body).unwrap());
+                    let answer = answer(&heartbeat_batch::decode_batch(&body).unwrap());
                     let answer = Some(Box::new(answer));
                     commands.push(Command::HeartbeatBatchResponse { number, answer });
                     frames += 1;
--- a/src/core/store/integrity.rs
+++ b/src/core/store/integrity.rs
@@ -18,7 +18,7 @@
 use crate::core::{CallId, Core, Effect, Pending, Ticket};
 use crate::fault_injection::{Safeguard, is_enabled};
 use crate::http::Answer;
-use crate::peer::memory_exchange::{MemoryPage, MemoryRequest, PAGE_BYTES, encode_recalled};
+use crate::peer::memory_exchange::{MemoryPage, MemoryRequest, PAGE_BYTES, encode_memory_page};
 use crate::store_client::{StoreOutcome, StoreRequest};
 use crate::wire::{Change, CompareAndSwap, Condition, Item};
 use std::collections::{BTreeMap, BTreeSet};
@@ -683,7 +683,7 @@
             more,
             items: items.collect(),
         };
-        let body = encode_recalled(&told);
+        let body = encode_memory_page(&told);
         self.answer(ticket, Answer::new(200, body));
     }
 
--- a/src/core/workers/delegation/tests.rs
+++ b/src/core/workers/delegation/tests.rs
@@ -1,3 +1,4 @@
+use super::probes::MAX_PROBES_PER_DELEGATE;
 use super::*;
 use crate::core::workers::commands::MAX_COMMANDS;
 use crate::wire::TaskCommand;
@@ -8,31 +9,31 @@
     format!("instance-0123456789abcdef-0123456-{number:06}").into()
 }
 
-fn borrower() -> Delegate {
+fn delegate() -> Delegate {
     Delegate {
-        issued: IssuedGrant::first(1, 0, Instant::now()),
+        issued: IssuedGrant::new(1, 0, Instant::now()),
         revocations: (0..MACHINES).map(|n| (machine(n), None)).collect(),
         reassignments: Vec::new(),
         has_delegations: true,
     }
 }
 
-/// The borrower names only the newest answer that it has taken in: all that an earlier one took back has to be in
+/// The delegate names only the newest answer that it has taken in: all that an earlier one revoked has to be in
 /// each later one, also when machines are added that come first by name.
 #[test]
 fn what_an_answer_took_back_is_in_all_later_ones_until_it_is_acknowledged() {
-    let mut borrower = borrower();
-    let first = borrower.recalls_for_frame(1);
+    let mut delegate = delegate();
+    let first = delegate.revocations_for_frame(1);
     assert!(!first.is_empty() && first.len() < MACHINES);
-    borrower.revocations.insert("a-comes-first".into(), None);
-    assert_eq!(borrower.recalls_for_frame(2), first);
+    delegate.revocations.insert("a-comes-first".into(), None);
+    assert_eq!(delegate.revocations_for_frame(2), first);
     let mut taken_back = 0;
     for number in 2.. {
         let acknowledged =
             |_: &MachineId, since: &mut Option<u64>| since.is_some_and(|n| n < number);
-        taken_back += borrower.revocations.extract_if(.., acknowledged).count();
-        let told = borrower.recalls_for_frame(number);
-        let since = |id: &MachineId| borrower.revocations[id];
+        taken_back += delegate.revocations.extract_if(.., acknowledged).count();
+        let told = delegate.revocations_for_frame(number);
+        let since = |id: &MachineId| delegate.revocations[id];
         assert!(told.iter().all(|id| since(id) == Some(number)));
         if told.is_empty() {
             break;
@@ -52,7 +53,7 @@
         grace: 3.0,
     };
     let orders = vec![order; MAX_COMMANDS];
-    let answers = MAX_RESPONSE_BYTES / heartbeat_batch::size_of_answer(&orders) + 2;
+    let answers = MAX_RESPONSE_BYTES / heartbeat_batch::response_size(&orders) + 2;
     let told = |name| RelayedResponse {
         id: name,
         outcome: RelayedOutcome::Commands {
@@ -62,14 +63,14 @@
         },
     };
     let synced = HeartbeatBatchResponse {
-        revoked: borrower().recalls_for_frame(1),
+        revoked: delegate().revocations_for_frame(1),
         responses: (0..answers as u64).map(told).collect(),
         probes: (0..MAX_PROBES_PER_DELEGATE)
             .map(|n| (machine(n), "255.255.255.255:65535".into()))
             .collect(),
         ..HeartbeatBatchResponse::default()
     };
-    let frame = heartbeat_batch::encode_synced(&synced);
+    let frame = heartbeat_batch::encode_batch_response(&synced);
     let (_, body) = crate::peer::read_frame(&mut frame.as_slice()).unwrap();
-    assert_eq!(heartbeat_batch::decode_synced(&body), Some(synced));
+    assert_eq!(heartbeat_batch::decode_batch_response(&body), Some(synced));
 }
--- a/src/core/workers/heartbeat_queue.rs
+++ b/src/core/workers/heartbeat_queue.rs
@@ -67,7 +67,7 @@
 
     /// Whether the next frame leaves reports behind.
     pub fn exceeds_a_frame(&self) -> bool {
-        self.frame_bytes > heartbeat_batch::FULL
+        self.frame_bytes > heartbeat_batch::TARGET_BODY_BYTES
     }
 
     pub fn push(&mut self, waiting: Waiting) {
@@ -104,7 +104,7 @@
         let mut size = 0;
         while let Some(next) = self.heartbeats.front() {
             size += heartbeat_batch::encoded_heartbeat_size(&next.heartbeat);
-            if size > heartbeat_batch::FULL && !taken.is_empty() {
+            if size > heartbeat_batch::TARGET_BODY_BYTES && !taken.is_empty() {
                 break;
             }
             taken.extend(self.pop());
--- a/src/core/workers/heartbeat_queue/tests.rs
+++ b/src/core/workers/heartbeat_queue/tests.rs
@@ -67,7 +67,8 @@
         .map(|w| heartbeat_batch::encoded_heartbeat_size(&w.heartbeat))
         .sum();
     assert!(
-        size <= heartbeat_batch::FULL && size + 200 > heartbeat_batch::FULL,
+        size <= heartbeat_batch::TARGET_BODY_BYTES
+            && size + 200 > heartbeat_batch::TARGET_BODY_BYTES,
         "{size}"
     );
     queue.put_back(first);
--- /dev/null
+++ b/src/core/workers/relay/probes.rs
@@ -0,0 +1,107 @@
+//! Showing a new leader's fencing token to the workers that report here, so that they refuse
+//! whatever an earlier leader sent, and the leader knows what each of them has.
+
+use super::state::TokenProbe;
+use crate::core::machines::machine::TOKEN_EPOCH_BITS;
+use crate::core::workers::commands::MAX_DIRECT_CALLS;
+use crate::core::workers::heartbeat_queue::Waiting;
+use crate::core::{Core, Effect, Pending};
+use crate::job::MachineId;
+use crate::wire::DirectCommands;
+use crate::worker_client::{DirectOutcome, DirectRequest};
+
+impl Core {
+    /// The leader of a new term granted, and answered these heartbeats.
+    pub(super) fn begin_token_probes(&mut self, term: u64, answered: &[Waiting]) {
+        let now = self.now.mono;
+        let token = term << TOKEN_EPOCH_BITS;
+        let recent = self.recent_heartbeat_age();
+        self.relay.plan_token_probes(token, answered, recent, now);
+        tracing::info!(
+            term,
+            workers = self.relay.workers.len(),
+            probes = self.relay.probes.pending.len(),
+            "probing workers with the new fencing token"
+        );
+    }
+
+    /// The leader leaves the probes of these machines to this controller.
+    pub(super) fn add_token_probes(&mut self, machines: Vec<(MachineId, String)>) {
+        for (machine, addr) in machines {
+            let worker = self.relay.workers.get(&machine);
+            let incarnation = worker.map_or(0, |w| w.incarnation);
+            self.relay.probes.pending.push(TokenProbe {
+                machine,
+                incarnation,
+                addr,
+            });
+        }
+    }
+
+    /// Sends pending probes, as many at a time as there are direct calls, while the grant is valid.
+    pub(super) fn send_token_probes(&mut self) {
+        let now = self.now.mono;
+        let Some(grant) = self.relay.grant().filter(|g| now < g.expires_at) else {
+            self.relay.probes.pending.clear();
+            self.relay.probes.unanswered.clear();
+            return;
+        };
+        let token = grant.term << TOKEN_EPOCH_BITS;
+        while self.relay.probes.in_flight < MAX_DIRECT_CALLS
+            && let Some(probe) = self.relay.probes.pending.pop()
+        {
+            let worker = self.relay.workers.get(&probe.machine);
+            if worker.is_some_and(|w| w.fencing_token >= token) {
+                continue;
+            }
+            let Ok(addr) = probe.addr.parse() else {
+                continue;
+            };
+            let call = self.call(Pending::Show(probe.machine));
+            self.relay.probes.in_flight += 1;
+            self.effects.push(Effect::Direct {
+                call,
+                addr,
+                request: probe_request(token, probe.incarnation),
+                not_after: grant.expires_at,
+            });
+        }
+    }
+
+    /// A worker's answer to a probe. Without one, the leader is informed and probes it once more.
+    pub(in crate::core) fn token_probe_answered(&mut self, id: &MachineId, outcome: DirectOutcome) {
+        let probes = &mut self.relay.probes;
+        probes.in_flight = probes.in_flight.saturating_sub(1);
+        let DirectOutcome::Heartbeat { heartbeat, .. } = outcome else {
+            probes.unanswered.push(id.clone());
+            return;
+        };
+        if heartbeat.machine != *id || !self.relay.waiting.has_room(&self.settings) {
+            return;
+        }
+        if let Some(worker) = self.relay.workers.get_mut(id)
+            && heartbeat.incarnation == worker.incarnation
+        {
+            worker.sequence = worker.sequence.max(heartbeat.sequence);
+            worker.fencing_token = worker.fencing_token.max(heartbeat.fencing_token);
+        }
+        self.relay.waiting.push(Waiting {
+            ticket: None,
+            heartbeat,
+            received: self.now.mono,
+        });
+    }
+}
+
+/// Commands without any, which carry the token. A worker that never reported here is asked for its
+/// status instead, as its incarnation is not known.
+fn probe_request(token: u64, incarnation: u64) -> DirectRequest {
+    if incarnation == 0 {
+        return DirectRequest::Status { token };
+    }
+    DirectRequest::Commands(DirectCommands {
+        fencing_token: token,
+        incarnation,
+        commands: Vec::new(),
+    })
+}
--- a/src/core/workers/relay/tests.rs
+++ b/src/core/workers/relay/state/tests.rs
@@ -11,7 +11,7 @@
 fn serving(now: Instant) -> Relay {
     let mut relay = Relay::new(1);
     for number in 0..MACHINES {
-        let worker = Worker {
+        let worker = ServedWorker {
             incarnation: 1,
             sequence: 7,
             addr: "10.0.0.1:9000".into(),
@@ -29,26 +29,26 @@
 fn an_answer_is_acknowledged_only_when_all_that_were_answered_here_are_told() {
     let now = Instant::now();
     let mut relay = serving(now);
-    relay.last_acknowledged = 41;
-    let first = relay.heard_for_frame(now);
+    relay.last_answer = 41;
+    let first = relay.take_answered_for_frame(now);
     assert!(!first.is_empty() && first.len() < MACHINES);
     assert_eq!(relay.acknowledge(), 0, "others have yet to be told");
-    let second = relay.heard_for_frame(now);
+    let second = relay.take_answered_for_frame(now);
     assert_eq!(first.len() + second.len(), MACHINES);
     assert_eq!(relay.acknowledge(), 41);
-    relay.last_acknowledged = 42;
-    assert!(relay.heard_for_frame(now).is_empty());
+    relay.last_answer = 42;
+    assert!(relay.take_answered_for_frame(now).is_empty());
     assert_eq!(relay.acknowledge(), 42);
 }
 
 #[test]
 fn machines_without_an_answer_are_told_over_several_frames() {
     let mut relay = Relay::new(1);
-    relay.unanswered_probes = (0..MACHINES).map(machine).collect();
+    relay.probes.unanswered = (0..MACHINES).map(machine).collect();
     let mut told = Vec::new();
     let mut frames = 0;
-    while !relay.unanswered_probes.is_empty() {
-        told.extend(relay.failed_for_frame());
+    while !relay.probes.unanswered.is_empty() {
+        told.extend(relay.probes.take_unanswered_for_frame());
         frames += 1;
     }
     assert_eq!(told, (0..MACHINES).map(machine).collect::<Vec<_>>());
--- a/src/peer/heartbeat_batch.rs
+++ b/src/peer/heartbeat_batch.rs
@@ -16,11 +16,11 @@
 pub const KIND_HEARTBEAT_BATCH_RESPONSE: u8 = 7;
 
 /// A body is filled up to this; the rest goes into the next frame.
-pub const FULL: usize = 56 * 1024;
+pub const TARGET_BODY_BYTES: usize = 56 * 1024;
 /// Bounds of the other lists in a frame. Together with the reports, or with the answers to them, they stay
 /// under what a frame may have; what does not fit follows in the next frames.
-pub const MOST_HEARD_BYTES: usize = 300 * 1024;
-pub const MOST_NAMES_BYTES: usize = 100 * 1024;
+pub const MAX_ANSWERED_BYTES: usize = 300 * 1024;
+pub const MAX_NAMES_BYTES: usize = 100 * 1024;
 /// No notice, and no time to come back after.
 const NONE: u32 = u32::MAX;
 
@@ -302,27 +302,27 @@
 }
 
 /// The bytes that a machine's name takes in a frame.
-fn size_of_name(machine: &MachineId) -> usize {
+fn name_size(machine: &MachineId) -> usize {
     size_of::<U16>() + machine.len()
 }
 
 /// The bytes that a machine which was heard of takes in a frame.
-pub fn size_of_heard(machine: &MachineId) -> usize {
-    size_of::<AnsweredHeartbeatHeader>() + size_of_name(machine)
+pub fn answered_heartbeat_size(machine: &MachineId) -> usize {
+    size_of::<AnsweredHeartbeatHeader>() + name_size(machine)
 }
 
 /// How many of these machines, the first ones, a list of names in a frame takes.
 pub fn names_that_fit<'a>(machines: impl IntoIterator<Item = &'a MachineId>) -> usize {
     let mut size = 0;
     let fits = |machine: &&MachineId| {
-        size += size_of_name(machine);
-        size <= MOST_NAMES_BYTES
+        size += name_size(machine);
+        size <= MAX_NAMES_BYTES
     };
     machines.into_iter().take_while(fits).count()
 }
 
 /// The bytes that the answer to a report takes in a frame.
-pub fn size_of_answer(orders: &[TaskCommand]) -> usize {
+pub fn response_size(orders: &[TaskCommand]) -> usize {
     let size_of_order = |order: &TaskCommand| {
         let (TaskCommand::Start { task, .. }
         | TaskCommand::Stop { task, .. }
@@ -338,7 +338,7 @@
     64 + r.machine.len() + r.addr.len() + r.machine_type.len() + r.zone.len() + rows
 }
 
-pub fn encode_sync(s: &HeartbeatBatch) -> Vec<u8> {
+pub fn encode_batch(s: &HeartbeatBatch) -> Vec<u8> {
     let mut out = Out::default();
     out.put(&HeartbeatBatchHeader {
         incarnation: U64::new(s.incarnation),
@@ -431,7 +431,7 @@
     })
 }
 
-pub fn decode_sync(body: &[u8]) -> Option<HeartbeatBatch> {
+pub fn decode_batch(body: &[u8]) -> Option<HeartbeatBatch> {
     let mut b = In(body);
     let f = b.get::<HeartbeatBatchHeader>()?;
     let sync = HeartbeatBatch {
@@ -459,7 +459,7 @@
     b.0.is_empty().then_some(sync)
 }
 
-pub fn encode_synced(s: &HeartbeatBatchResponse) -> Vec<u8> {
+pub fn encode_batch_response(s: &HeartbeatBatchResponse) -> Vec<u8> {
     let mut out = Out::default();
     out.put(&HeartbeatBatchResponseHeader {
         number: U64::new(s.number),
@@ -566,7 +566,7 @@
     })
 }
 
-pub fn decode_synced(body: &[u8]) -> Option<HeartbeatBatchResponse> {
+pub fn decode_batch_response(body: &[u8]) -> Option<HeartbeatBatchResponse> {
     let mut b = In(body);
     let f = b.get::<HeartbeatBatchResponseHeader>()?;
     let synced = HeartbeatBatchResponse {
--- a/src/peer/heartbeat_batch/tests.rs
+++ b/src/peer/heartbeat_batch/tests.rs
@@ -50,11 +50,11 @@
             heartbeat: Box::new(heartbeat),
         }],
     };
-    let bytes = body(&encode_sync(&sync));
-    let back = decode_sync(&bytes).unwrap();
+    let bytes = body(&encode_batch(&sync));
+    let back = decode_batch(&bytes).unwrap();
     // `Heartbeat` has no equality of its own.
     assert_eq!(format!("{back:?}"), format!("{sync:?}"));
-    assert!((0..bytes.len()).all(|cut| decode_sync(&bytes[..cut]).is_none()));
+    assert!((0..bytes.len()).all(|cut| decode_batch(&bytes[..cut]).is_none()));
     let order = |grace| TaskCommand::Stop {
         task: "wk-000001/7".into(),
         attempt: 4,
@@ -92,9 +92,9 @@
             age: Duration::from_millis(300),
         }],
     };
-    let bytes = body(&encode_synced(&synced));
-    assert_eq!(decode_synced(&bytes), Some(synced));
-    assert!((0..bytes.len()).all(|cut| decode_synced(&bytes[..cut]).is_none()));
+    let bytes = body(&encode_batch_response(&synced));
+    assert_eq!(decode_batch_response(&bytes), Some(synced));
+    assert!((0..bytes.len()).all(|cut| decode_batch_response(&bytes[..cut]).is_none()));
 }
 
 /// A name as long as some clouds give.
@@ -111,7 +111,7 @@
 
 #[test]
 fn the_sizes_of_entries_are_those_that_they_take_in_a_frame() {
-    let empty = body(&encode_sync(&HeartbeatBatch::default())).len();
+    let empty = body(&encode_batch(&HeartbeatBatch::default())).len();
     let sync = HeartbeatBatch {
         served: vec![machine(1)],
         answered: vec![AnsweredHeartbeat {
@@ -122,14 +122,14 @@
         }],
         ..HeartbeatBatch::default()
     };
-    let size = size_of_name(&machine(1)) + size_of_heard(&machine(2));
-    assert_eq!(body(&encode_sync(&sync)).len(), empty + size);
+    let size = name_size(&machine(1)) + answered_heartbeat_size(&machine(2));
+    assert_eq!(body(&encode_batch(&sync)).len(), empty + size);
     let orders = vec![TaskCommand::Start {
         task: "wk-000001/7".into(),
         attempt: 4,
     }];
-    let empty = body(&encode_synced(&HeartbeatBatchResponse::default())).len();
-    let size = size_of_answer(&orders);
+    let empty = body(&encode_batch_response(&HeartbeatBatchResponse::default())).len();
+    let size = response_size(&orders);
     let synced = HeartbeatBatchResponse {
         responses: vec![RelayedResponse {
             id: 1,
@@ -141,7 +141,7 @@
         }],
         ..HeartbeatBatchResponse::default()
     };
-    assert_eq!(body(&encode_synced(&synced)).len(), empty + size);
+    assert_eq!(body(&encode_batch_response(&synced)).len(), empty + size);
 }
 
 #[test]
@@ -152,7 +152,7 @@
         sequence: u64::MAX,
         age: Duration::from_secs(1),
     };
-    let most_heard = MOST_HEARD_BYTES / size_of_heard(&machine(0)) + 1;
+    let most_heard = MAX_ANSWERED_BYTES / answered_heartbeat_size(&machine(0)) + 1;
     // A report as long as a request may be takes no more than that in a frame.
     let row = TaskStatus {
         task: "wk-000001/7".into(),
@@ -186,6 +186,6 @@
         ..HeartbeatBatch::default()
     };
     assert!(sync.served.len() > 2000 && sync.answered.len() > 4000);
-    let back = decode_sync(&body(&encode_sync(&sync))).unwrap();
+    let back = decode_batch(&body(&encode_batch(&sync))).unwrap();
     assert_eq!(back.answered, sync.answered);
 }
--- a/src/peer/memory_exchange.rs
+++ b/src/peer/memory_exchange.rs
@@ -56,7 +56,7 @@
     items: U32,
 }
 
-pub fn encode_recall(r: &MemoryRequest) -> Vec<u8> {
+pub fn encode_memory_request(r: &MemoryRequest) -> Vec<u8> {
     let mut out = Out::default();
     out.put(&MemoryRequestHeader {
         word_only: u8::from(r.summary_only),
@@ -65,7 +65,7 @@
     peer::frame(KIND_MEMORY_REQUEST, &out.0)
 }
 
-pub fn decode_recall(body: &[u8]) -> Option<MemoryRequest> {
+pub fn decode_memory_request(body: &[u8]) -> Option<MemoryRequest> {
     let mut rest = In(body);
     let fixed: &MemoryRequestHeader = rest.get()?;
     let word_only = fixed.word_only != 0;
@@ -76,7 +76,7 @@
     })
 }
 
-pub fn encode_recalled(r: &MemoryPage) -> Vec<u8> {
+pub fn encode_memory_page(r: &MemoryPage) -> Vec<u8> {
     let mut out = Out::default();
     out.put(&MemoryPageHeader {
         term: U64::new(r.term),
@@ -96,7 +96,7 @@
     peer::frame(KIND_MEMORY_PAGE, &out.0)
 }
 
-pub fn decode_recalled(body: &[u8]) -> Option<MemoryPage> {
+pub fn decode_memory_page(body: &[u8]) -> Option<MemoryPage> {
     let mut rest = In(body);
     let fixed: &MemoryPageHeader = rest.get()?;
     let stores = rest.list(fixed.stores, |r| Some(r.text()?.to_string()))?;
--- a/src/peer/memory_exchange/tests.rs
+++ b/src/peer/memory_exchange/tests.rs
@@ -15,14 +15,14 @@
         more: true,
         items: vec![("burlusher/j/wk-1".into(), "{}".repeat(40_000))],
     };
-    let (a, b) = (encode_recall(&asked), encode_recalled(&told));
+    let (a, b) = (encode_memory_request(&asked), encode_memory_page(&told));
     let body = |f: &[u8]| peer::read_frame(&mut &f[..]).unwrap().1;
-    assert_eq!(decode_recall(&body(&a)), Some(asked));
-    assert_eq!(decode_recalled(&body(&b)), Some(told));
+    assert_eq!(decode_memory_request(&body(&a)), Some(asked));
+    assert_eq!(decode_memory_page(&body(&b)), Some(told));
     for n in 0..body(&a).len() {
-        assert_eq!(decode_recall(&body(&a)[..n]), None);
+        assert_eq!(decode_memory_request(&body(&a)[..n]), None);
     }
     for n in (0..body(&b).len()).step_by(997) {
-        assert_eq!(decode_recalled(&body(&b)[..n]), None);
+        assert_eq!(decode_memory_page(&body(&b)[..n]), None);
     }
 }
--- a/src/service.rs
+++ b/src/service.rs
@@ -362,10 +362,10 @@
                 let (ticket, request) = match call {
                     PeerCall::Pass(ticket, request) => (ticket, request),
                     PeerCall::MemoryRequest(asked) => {
-                        let frame = memory_exchange::encode_recall(&asked);
+                        let frame = memory_exchange::encode_memory_request(&asked);
                         let decode = |kind, body: &[u8]| {
                             (kind == memory_exchange::KIND_MEMORY_PAGE)
-                                .then(|| memory_exchange::decode_recalled(body))?
+                                .then(|| memory_exchange::decode_memory_page(body))?
                         };
                         let answer = exchange(&mut kept, addr, &frame, RECALL_TIMEOUT, decode);
                         if let Err(e) = &answer {
@@ -410,7 +410,7 @@
             };
             let decode = |kind, body: &[u8]| {
                 (kind == heartbeat_batch::KIND_HEARTBEAT_BATCH_RESPONSE)
-                    .then(|| heartbeat_batch::decode_synced(body))?
+                    .then(|| heartbeat_batch::decode_batch_response(body))?
             };
             let answer = match addrs.get(&peer) {
                 Some(addr) => exchange(&mut stream, *addr, &frame, SYNC_TIMEOUT, decode),
--- a/src/service/peers.rs
+++ b/src/service/peers.rs
@@ -58,7 +58,7 @@
     loop {
         let (kind, body) = peer::read_frame(&mut stream)?;
         if kind == heartbeat_batch::KIND_HEARTBEAT_BATCH {
-            let sync = heartbeat_batch::decode_sync(&body).ok_or(io::ErrorKind::InvalidData)?;
+            let sync = heartbeat_batch::decode_batch(&body).ok_or(io::ErrorKind::InvalidData)?;
             let sync = Box::new(sync);
             let answer = inbox.ask_and_wait(|ticket| Command::HeartbeatBatch { ticket, sync });
             // Too late, or no frame at all: the asker counts it as no answer.
@@ -69,7 +69,8 @@
             continue;
         }
         if kind == memory_exchange::KIND_MEMORY_REQUEST {
-            let recall = memory_exchange::decode_recall(&body).ok_or(io::ErrorKind::InvalidData)?;
+            let recall =
+                memory_exchange::decode_memory_request(&body).ok_or(io::ErrorKind::InvalidData)?;
             let answer = inbox.ask_and_wait(|ticket| Command::MemoryRequest { ticket, recall });
             if answer.status != 200 {
                 return Ok(());
