--- a/src/peer/tests.rs
+++ b/src/peer/forwarding/tests.rs
@@ -1,4 +1,7 @@
 use super::*;
+use crate::job::{JobKind, Priority, Resources};
+use crate::peer::read_frame;
+use std::time::Duration;
 
 #[test]
 fn frames_come_back_as_they_went_and_malformed_ones_are_refused() {
@@ -30,11 +33,11 @@
     let mut plain = spec.clone();
     (plain.machine_types, plain.zone) = (None, None);
     plain.deadline = Some(Duration::from_secs(7));
-    let mut awaiting = spec.clone();
-    awaiting.dependencies = vec!["wk-1".into(), "wk-000077".into()];
-    awaiting.dependencies.sort();
+    let mut dependent = spec.clone();
+    dependent.dependencies = vec!["wk-1".into(), "wk-000077".into()];
+    dependent.dependencies.sort();
     for request in [
-        PeerRequest::Submit(Box::new(awaiting)),
+        PeerRequest::Submit(Box::new(dependent)),
         PeerRequest::Submit(Box::new(spec)),
         PeerRequest::Submit(Box::new(plain)),
         PeerRequest::Show("wk-1".into()),
@@ -49,7 +52,7 @@
         for cut in 0..body.len().saturating_sub(1) {
             // Cut bodies are refused or, for an id, are another id; they never panic.
             let got = decode_request(kind, &body[..cut]);
-            assert!(![KIND_SUBMIT, KIND_SUBMIT_AWAITING].contains(&kind) || got.is_none());
+            assert!(![KIND_SUBMIT, KIND_SUBMIT_DEPENDENT].contains(&kind) || got.is_none());
         }
     }
     let answer = PeerAnswer {
--- a/src/peer/heartbeat_batch/tests.rs
+++ b/src/peer/heartbeat_batch/tests.rs
@@ -1,11 +1,14 @@
+use super::request::{TaskStatusHeader, name_size};
 use super::*;
+use crate::wire::{ExitCause, TaskState, TaskStatus};
+use zerocopy::byteorder::little_endian::U16;
 
 fn body(frame: &[u8]) -> Vec<u8> {
     crate::peer::read_frame(&mut &frame[..]).unwrap().1
 }
 
-#[test]
-fn frames_come_back_as_they_went_and_cut_ones_are_refused() {
+/// A batch with one of everything.
+fn batch() -> HeartbeatBatch {
     let row = |state, why, saved| TaskStatus {
         task: "wk-000001/7".into(),
         attempt: u64::MAX - 3,
@@ -28,7 +31,7 @@
             row(TaskState::Exited, Some(ExitCause::Error), Some(false)),
         ],
     };
-    let sync = HeartbeatBatch {
+    HeartbeatBatch {
         from: "n1".into(),
         incarnation: 5,
         number: 6,
@@ -49,18 +52,17 @@
             id: 3,
             heartbeat: Box::new(heartbeat),
         }],
-    };
-    let bytes = body(&encode_batch(&sync));
-    let back = decode_batch(&bytes).unwrap();
-    // `Heartbeat` has no equality of its own.
-    assert_eq!(format!("{back:?}"), format!("{sync:?}"));
-    assert!((0..bytes.len()).all(|cut| decode_batch(&bytes[..cut]).is_none()));
+    }
+}
+
+/// A response with one of everything.
+fn response() -> HeartbeatBatchResponse {
     let order = |grace| TaskCommand::Stop {
         task: "wk-000001/7".into(),
         attempt: 4,
         grace,
     };
-    let synced = HeartbeatBatchResponse {
+    HeartbeatBatchResponse {
         number: 6,
         term: 9,
         grant: Duration::from_millis(2400),
@@ -91,12 +93,37 @@
             load: 7,
             age: Duration::from_millis(300),
         }],
-    };
+    }
+}
+
+#[test]
+fn frames_come_back_as_they_went_and_cut_ones_are_refused() {
+    let sync = batch();
+    let bytes = body(&encode_batch(&sync));
+    let back = decode_batch(&bytes).unwrap();
+    // `Heartbeat` has no equality of its own.
+    assert_eq!(format!("{back:?}"), format!("{sync:?}"));
+    assert!((0..bytes.len()).all(|cut| decode_batch(&bytes[..cut]).is_none()));
+    let synced = response();
     let bytes = body(&encode_batch_response(&synced));
     assert_eq!(decode_batch_response(&bytes), Some(synced));
     assert!((0..bytes.len()).all(|cut| decode_batch_response(&bytes[..cut]).is_none()));
 }
 
+/// The frames of `batch` and `response`, packed by hand from the layout that earlier versions read.
+const BATCH_FRAME: &str = "6c72756201060000eb0000000500000000000000060000000000000004000000000000000900000000000000010000002c0100000c0000000100000001000000010000000100000002006e310800692d3030303030310800692d30303030303301000000000000000c00000000000000fa0000000800692d30303030303203000000000000000200000000000000630000000000000000000000000100004c1d000002000000010800692d3030303030310d0031302e302e302e313a3930303002006738010061fcffffffffffffff02ff020b00776b2d3030303030312f37fcffffffffffffff0402000b00776b2d3030303030312f37";
+const RESPONSE_FRAME: &str = "6c72756201070000b400000006000000000000000900000000000000600900000001000000020000000100000001000000010000000800692d30303030303203000000000000004d00000000000000c80001ffffffff01000000010400000000000000dc0500000b00776b2d3030303030312f3704000000000000000000000000000000f701001e000000000000000800692d3030303030390d0031302e302e302e393a393030301400000002006e3201000000070000002c01000002006e32";
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|b| format!("{b:02x}")).collect()
+}
+
+#[test]
+fn frames_have_the_bytes_that_earlier_versions_read() {
+    assert_eq!(hex(&encode_batch(&batch())), BATCH_FRAME);
+    assert_eq!(hex(&encode_batch_response(&response())), RESPONSE_FRAME);
+}
+
 /// A name as long as some clouds give.
 fn machine(number: usize) -> MachineId {
     format!("instance-0123456789abcdef-0123456-{number:06}").into()
--- a/src/peer/memory_exchange.rs
+++ b/src/peer/memory_exchange.rs
@@ -1,17 +1,18 @@
-//! What controllers ask of each other's memory when the state service is not what they remember:
-//! frames of a fixed layout, read with `zerocopy`, on the same port as those of `peer`. Versions that
+//! What controllers ask of each other's memory when the state service does not hold what they
+//! remember: frames of a fixed layout, like the others of `peer` and on the same port. Versions that
 //! do not know these kinds drop the connection, which counts as no answer.
 
-use crate::peer;
-use crate::peer::heartbeat_batch::{In, Out, count};
+use super::frame::{FrameReader, FrameWriter, length};
 use zerocopy::byteorder::little_endian::{U32, U64};
 use zerocopy::{FromBytes, Immutable, IntoBytes, KnownLayout, Unaligned};
 
+/// The kind of frame that holds a `MemoryRequest`.
 pub const KIND_MEMORY_REQUEST: u8 = 8;
+/// The kind of frame that holds a `MemoryPage`.
 pub const KIND_MEMORY_PAGE: u8 = 9;
 
-/// A page of a memory is filled up to this: a few of them hold thousands of jobs, and one takes a
-/// controller well under its share's hundredth part of a second.
+/// Bytes up to which a page of a memory is filled: a few of them hold thousands of jobs, and one
+/// takes a controller well under its share's hundredth part of a second.
 pub const PAGE_BYTES: usize = 192 * 1024;
 
 /// Asks for what a controller remembers, from after a key on.
@@ -19,10 +20,11 @@
 pub struct MemoryRequest {
     /// No items are wanted: only what it knows of the store.
     pub summary_only: bool,
+    /// The key after which the page begins; empty for the first page.
     pub after: String,
 }
 
-/// A page of it.
+/// A page of what a controller remembers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MemoryPage {
     /// It has read the store at least once.
@@ -42,74 +44,79 @@
 #[derive(FromBytes, IntoBytes, Immutable, KnownLayout, Unaligned)]
 #[repr(C)]
 struct MemoryRequestHeader {
-    word_only: u8,
+    summary_only: u8,
 }
 
 #[derive(FromBytes, IntoBytes, Immutable, KnownLayout, Unaligned)]
 #[repr(C)]
 struct MemoryPageHeader {
     term: U64,
-    loaded: u8,
+    store_loaded: u8,
     remembers: u8,
     more: u8,
-    stores: U32,
+    complete_stores: U32,
     items: U32,
 }
 
-pub fn encode_memory_request(r: &MemoryRequest) -> Vec<u8> {
-    let mut out = Out::default();
-    out.put(&MemoryRequestHeader {
-        word_only: u8::from(r.summary_only),
+/// The frame of a request.
+pub fn encode_memory_request(request: &MemoryRequest) -> Vec<u8> {
+    let mut out = FrameWriter::default();
+    out.fixed(&MemoryRequestHeader {
+        summary_only: u8::from(request.summary_only),
     });
-    out.text(&r.after);
-    peer::frame(KIND_MEMORY_REQUEST, &out.0)
+    out.text(&request.after);
+    out.finish(KIND_MEMORY_REQUEST)
 }
 
+/// The request in the body of a frame; `None` if it is malformed.
 pub fn decode_memory_request(body: &[u8]) -> Option<MemoryRequest> {
-    let mut rest = In(body);
-    let fixed: &MemoryRequestHeader = rest.get()?;
-    let word_only = fixed.word_only != 0;
-    let after = rest.text()?.to_string();
-    rest.0.is_empty().then_some(MemoryRequest {
-        summary_only: word_only,
-        after,
-    })
+    let mut body = FrameReader::new(body);
+    let header: &MemoryRequestHeader = body.fixed()?;
+    let request = MemoryRequest {
+        summary_only: header.summary_only != 0,
+        after: body.text()?.to_string(),
+    };
+    body.finish(request)
 }
 
-pub fn encode_memory_page(r: &MemoryPage) -> Vec<u8> {
-    let mut out = Out::default();
-    out.put(&MemoryPageHeader {
-        term: U64::new(r.term),
-        loaded: u8::from(r.store_loaded),
-        remembers: u8::from(r.remembers),
-        more: u8::from(r.more),
-        stores: count(r.complete_stores.len()),
-        items: count(r.items.len()),
+/// The frame of a page.
+pub fn encode_memory_page(page: &MemoryPage) -> Vec<u8> {
+    let mut out = FrameWriter::default();
+    out.fixed(&MemoryPageHeader {
+        term: U64::new(page.term),
+        store_loaded: u8::from(page.store_loaded),
+        remembers: u8::from(page.remembers),
+        more: u8::from(page.more),
+        complete_stores: length(page.complete_stores.len()),
+        items: length(page.items.len()),
     });
-    for store in &r.complete_stores {
+    for store in &page.complete_stores {
         out.text(store);
     }
-    for (key, value) in &r.items {
+    for (key, value) in &page.items {
         out.text(key);
         out.long_text(value);
     }
-    peer::frame(KIND_MEMORY_PAGE, &out.0)
+    out.finish(KIND_MEMORY_PAGE)
 }
 
+/// The page in the body of a frame; `None` if it is malformed.
 pub fn decode_memory_page(body: &[u8]) -> Option<MemoryPage> {
-    let mut rest = In(body);
-    let fixed: &MemoryPageHeader = rest.get()?;
-    let stores = rest.list(fixed.stores, |r| Some(r.text()?.to_string()))?;
-    let item = |r: &mut In| Some((r.text()?.to_string(), r.long_text()?.to_string()));
-    let items = rest.list(fixed.items, item)?;
-    rest.0.is_empty().then_some(MemoryPage {
-        store_loaded: fixed.loaded != 0,
-        complete_stores: stores,
-        remembers: fixed.remembers != 0,
-        term: fixed.term.get(),
-        more: fixed.more != 0,
-        items,
-    })
+    let mut body = FrameReader::new(body);
+    let header: &MemoryPageHeader = body.fixed()?;
+    let page = MemoryPage {
+        store_loaded: header.store_loaded != 0,
+        complete_stores: body.list(header.complete_stores, |b| Some(b.text()?.to_string()))?,
+        remembers: header.remembers != 0,
+        term: header.term.get(),
+        more: header.more != 0,
+        items: body.list(header.items, decode_item)?,
+    };
+    body.finish(page)
+}
+
+fn decode_item(body: &mut FrameReader) -> Option<(String, String)> {
+    Some((body.text()?.to_string(), body.long_text()?.to_string()))
 }
 
 #[cfg(test)]
--- a/src/peer/memory_exchange/tests.rs
+++ b/src/peer/memory_exchange/tests.rs
@@ -16,7 +16,7 @@
         items: vec![("burlusher/j/wk-1".into(), "{}".repeat(40_000))],
     };
     let (a, b) = (encode_memory_request(&asked), encode_memory_page(&told));
-    let body = |f: &[u8]| peer::read_frame(&mut &f[..]).unwrap().1;
+    let body = |f: &[u8]| crate::peer::read_frame(&mut &f[..]).unwrap().1;
     assert_eq!(decode_memory_request(&body(&a)), Some(asked));
     assert_eq!(decode_memory_page(&body(&b)), Some(told));
     for n in 0..body(&a).len() {
@@ -26,3 +26,27 @@
         assert_eq!(decode_memory_page(&body(&b)[..n]), None);
     }
 }
+
+/// The frames below, packed by hand from the layout that earlier versions read.
+const REQUEST_FRAME: &str =
+    "6c72756201080000180000000115006275726c75736865722f6a2f776b2d303030343132";
+const PAGE_FRAME: &str = "6c727562010900003300000007000000000000000101010200000001000000020034650200346610006275726c75736865722f6a2f776b2d31020000007b7d";
+
+#[test]
+fn frames_have_the_bytes_that_earlier_versions_read() {
+    let request = MemoryRequest {
+        summary_only: true,
+        after: "burlusher/j/wk-000412".into(),
+    };
+    let page = MemoryPage {
+        store_loaded: true,
+        complete_stores: vec!["4e".into(), "4f".into()],
+        remembers: true,
+        term: 7,
+        more: true,
+        items: vec![("burlusher/j/wk-1".into(), "{}".into())],
+    };
+    let hex = |frame: Vec<u8>| -> String { frame.iter().map(|b| format!("{b:02x}")).collect() };
+    assert_eq!(hex(encode_memory_request(&request)), REQUEST_FRAME);
+    assert_eq!(hex(encode_memory_page(&page)), PAGE_FRAME);
+}
