--- a/src/core/simulation/checker.rs
+++ b/src/core/simulation/checker.rs
@@ -206,10 +206,10 @@
         zone: &str,
         beside: &BTreeMap<TaskId, String>,
     ) {
-        if let Some(told) = self.checker.cancelled_at.get(&*key.job) {
+        if let Some(confirmed_at) = self.checker.cancelled_at.get(&*key.job) {
             self.counters.late_starts += 1;
             assert!(
-                self.now <= *told + self.setup.cancel,
+                self.now <= *confirmed_at + self.setup.cancel,
                 "{key} of a cancelled job starts"
             );
         }
--- a/src/core/simulation/mixed_versions.rs
+++ b/src/core/simulation/mixed_versions.rs
@@ -49,7 +49,7 @@
 }
 
 impl ProductionMachines {
-    fn told(&mut self, event: &WatchEvent) {
+    fn observe(&mut self, event: &WatchEvent) {
         let key = event.put.as_ref().or(event.delete.as_ref()).unwrap();
         let Some(n) = key.strip_prefix("burlusher/p/") else {
             return;
@@ -308,7 +308,7 @@
             seen += events.len();
             for e in &events {
                 moved += usize::from(e.put.as_ref().is_some_and(|k| k.contains("/p/")));
-                theirs.told(e);
+                theirs.observe(e);
             }
             // A production node that led from here on would know them all.
             for (id, worker) in &simulation.workers {
--- a/src/core/simulation/recorded_decisions.rs
+++ b/src/core/simulation/recorded_decisions.rs
@@ -43,23 +43,23 @@
 // hashed and never change; a new kind gets a new number.
 const ANSWER: u32 = 1;
 const FORWARD: u32 = 2;
-const SYNC: u32 = 3;
-const STATE_GET: u32 = 4;
-const STATE_TRANSACTION: u32 = 5;
-const STATE_PAGE: u32 = 6;
-const STATE_LEASE_RUNS: u32 = 7;
+const HEARTBEAT_BATCH: u32 = 3;
+const STORE_GET: u32 = 4;
+const STORE_COMPARE_AND_SWAP: u32 = 5;
+const STORE_PAGE: u32 = 6;
+const STORE_CHECK_LEASE: u32 = 7;
 const CLOUD_TYPES: u32 = 8;
 const CLOUD_LIST: u32 = 9;
-const CLOUD_RENT: u32 = 10;
+const CLOUD_SCALE_OUT: u32 = 10;
 const CLOUD_DELETE: u32 = 11;
 const DIRECT_COMMANDS: u32 = 12;
 const DIRECT_STATUS: u32 = 13;
-const RECALL: u32 = 14;
-const READ_AFRESH: u32 = 15;
-const GIVE_UP_LEASE: u32 = 16;
-const CHANGE_LEASE: u32 = 17;
-const STAND_ON_NOTHING: u32 = 18;
-const STAND_ON_CONDITIONS: u32 = 19;
+const MEMORY_REQUEST: u32 = 14;
+const REREAD_STORE: u32 = 15;
+const RELEASE_LEASE: u32 = 16;
+const REPLACE_LEASE: u32 = 17;
+const NO_LEADERSHIP_PROOF: u32 = 18;
+const LEADERSHIP_CONDITIONS: u32 = 19;
 const READY: u32 = 20;
 
 /// How many effects a schedule had, and the hash of their lines.
@@ -124,7 +124,7 @@
                 peer,
                 number,
                 frame,
-            } => json!([SYNC, peer, number, text(frame)]),
+            } => json!([HEARTBEAT_BATCH, peer, number, text(frame)]),
             Effect::State { call, request } => state_content(*call, request),
             Effect::Cloud {
                 call,
@@ -139,19 +139,23 @@
             } => direct_content(*call, &addr.to_string(), request, self.millis(*not_after)),
             Effect::MemoryRequest { peer, recall } => {
                 json!([
-                    RECALL,
+                    MEMORY_REQUEST,
                     peer,
                     text(&memory_exchange::encode_memory_request(recall))
                 ])
             }
-            Effect::RereadStore => json!([READ_AFRESH]),
-            Effect::ReleaseLease => json!([GIVE_UP_LEASE]),
-            Effect::ReplaceLease => json!([CHANGE_LEASE]),
-            Effect::LeadershipProof(None) => json!([STAND_ON_NOTHING]),
+            Effect::RereadStore => json!([REREAD_STORE]),
+            Effect::ReleaseLease => json!([RELEASE_LEASE]),
+            Effect::ReplaceLease => json!([REPLACE_LEASE]),
+            Effect::LeadershipProof(None) => json!([NO_LEADERSHIP_PROOF]),
             Effect::LeadershipProof(Some(LeadershipProof {
                 key_version,
                 conditions,
-            })) => json!([STAND_ON_CONDITIONS, key_version, text(&to_json(conditions))]),
+            })) => json!([
+                LEADERSHIP_CONDITIONS,
+                key_version,
+                text(&to_json(conditions))
+            ]),
             Effect::Ready(ready) => json!([READY, ready]),
         }
     }
@@ -205,10 +209,12 @@
 
 fn state_content(call: u64, request: &StoreRequest) -> Value {
     match request {
-        StoreRequest::Get(key) => json!([STATE_GET, call, key]),
-        StoreRequest::CompareAndSwap(txn) => json!([STATE_TRANSACTION, call, text(&to_json(txn))]),
-        StoreRequest::Page { under, after, most } => json!([STATE_PAGE, call, under, after, most]),
-        StoreRequest::CheckLease(lease) => json!([STATE_LEASE_RUNS, call, lease]),
+        StoreRequest::Get(key) => json!([STORE_GET, call, key]),
+        StoreRequest::CompareAndSwap(txn) => {
+            json!([STORE_COMPARE_AND_SWAP, call, text(&to_json(txn))])
+        }
+        StoreRequest::Page { under, after, most } => json!([STORE_PAGE, call, under, after, most]),
+        StoreRequest::CheckLease(lease) => json!([STORE_CHECK_LEASE, call, lease]),
     }
 }
 
@@ -216,7 +222,7 @@
     match request {
         CloudRequest::Types => json!([CLOUD_TYPES, call, not_after]),
         CloudRequest::List => json!([CLOUD_LIST, call, not_after]),
-        CloudRequest::Rent(body) => json!([CLOUD_RENT, call, not_after, text(&to_json(body))]),
+        CloudRequest::Rent(body) => json!([CLOUD_SCALE_OUT, call, not_after, text(&to_json(body))]),
         CloudRequest::Delete(names) => {
             let body = MachineIds {
                 machines: names.clone(),
@@ -663,93 +669,94 @@
     assert_recorded(&cases, faulty_network);
 }
 
+const MIXED_FAULTS: [Recorded; 12] = [
+    recorded(
+        "mixed-faults-alone-1",
+        4001,
+        ALONE,
+        1544,
+        0xe4f1_1989_2a39_53e3,
+    ),
+    recorded(
+        "mixed-faults-delegating-1",
+        4002,
+        DELEGATING,
+        2096,
+        0xf499_63eb_574a_15de,
+    ),
+    recorded(
+        "mixed-faults-bidding-1",
+        4003,
+        BIDDING,
+        1107,
+        0x58b8_4c7a_6953_4910,
+    ),
+    recorded(
+        "mixed-faults-both-1",
+        4004,
+        BIDDING_AND_DELEGATING,
+        2398,
+        0xa9d2_07a2_0fb6_7a56,
+    ),
+    recorded(
+        "mixed-faults-alone-2",
+        4005,
+        ALONE,
+        1682,
+        0x75df_1d47_9b69_ce25,
+    ),
+    recorded(
+        "mixed-faults-delegating-2",
+        4006,
+        DELEGATING,
+        3568,
+        0xe868_cd98_0bf8_ccde,
+    ),
+    recorded(
+        "mixed-faults-bidding-2",
+        4007,
+        BIDDING,
+        1485,
+        0x558b_d065_d172_87f7,
+    ),
+    recorded(
+        "mixed-faults-both-2",
+        4008,
+        BIDDING_AND_DELEGATING,
+        2072,
+        0xd4a1_2f19_0f33_cb58,
+    ),
+    recorded(
+        "mixed-faults-alone-3",
+        4009,
+        ALONE,
+        1270,
+        0x10f3_0d99_f64d_e61c,
+    ),
+    recorded(
+        "mixed-faults-delegating-3",
+        4010,
+        DELEGATING,
+        4106,
+        0xfbbf_b5fe_b02f_1dfc,
+    ),
+    recorded(
+        "mixed-faults-bidding-3",
+        4011,
+        BIDDING,
+        1553,
+        0x83fc_d04d_d317_a4b0,
+    ),
+    recorded(
+        "mixed-faults-both-3",
+        4012,
+        BIDDING_AND_DELEGATING,
+        2846,
+        0x3796_5c5d_0199_acb4,
+    ),
+];
+
 #[test]
 fn mixed_fault_decisions_are_as_recorded() {
-    let cases = [
-        recorded(
-            "mixed-faults-alone-1",
-            4001,
-            ALONE,
-            1544,
-            0xe4f1_1989_2a39_53e3,
-        ),
-        recorded(
-            "mixed-faults-delegating-1",
-            4002,
-            DELEGATING,
-            2096,
-            0xf499_63eb_574a_15de,
-        ),
-        recorded(
-            "mixed-faults-bidding-1",
-            4003,
-            BIDDING,
-            1107,
-            0x58b8_4c7a_6953_4910,
-        ),
-        recorded(
-            "mixed-faults-both-1",
-            4004,
-            BIDDING_AND_DELEGATING,
-            2398,
-            0xa9d2_07a2_0fb6_7a56,
-        ),
-        recorded(
-            "mixed-faults-alone-2",
-            4005,
-            ALONE,
-            1682,
-            0x75df_1d47_9b69_ce25,
-        ),
-        recorded(
-            "mixed-faults-delegating-2",
-            4006,
-            DELEGATING,
-            3568,
-            0xe868_cd98_0bf8_ccde,
-        ),
-        recorded(
-            "mixed-faults-bidding-2",
-            4007,
-            BIDDING,
-            1485,
-            0x558b_d065_d172_87f7,
-        ),
-        recorded(
-            "mixed-faults-both-2",
-            4008,
-            BIDDING_AND_DELEGATING,
-            2072,
-            0xd4a1_2f19_0f33_cb58,
-        ),
-        recorded(
-            "mixed-faults-alone-3",
-            4009,
-            ALONE,
-            1270,
-            0x10f3_0d99_f64d_e61c,
-        ),
-        recorded(
-            "mixed-faults-delegating-3",
-            4010,
-            DELEGATING,
-            4106,
-            0xfbbf_b5fe_b02f_1dfc,
-        ),
-        recorded(
-            "mixed-faults-bidding-3",
-            4011,
-            BIDDING,
-            1553,
-            0x83fc_d04d_d317_a4b0,
-        ),
-        recorded(
-            "mixed-faults-both-3",
-            4012,
-            BIDDING_AND_DELEGATING,
-            2846,
-            0x3796_5c5d_0199_acb4,
-        ),
-    ];
-    assert_recorded(&cases, inject_mixed_faults);
+    assert_recorded(&MIXED_FAULTS, inject_mixed_faults);
 }
--- a/src/core/simulation/scale.rs
+++ b/src/core/simulation/scale.rs
@@ -210,8 +210,11 @@
     for (machines, jobs) in [(300, 500), (1000, 1500), (3000, 4500), (10_000, 15_000)] {
         for leader_lives in [true, false] {
             for seed in 1..=3 {
-                let [a, b, c, d, e, f] = lose(machines, jobs, leader_lives, seed);
-                println!("{machines},{jobs},{leader_lives},{seed},{a},{b},{c},{d},{e},{f}");
+                let figures = lose(machines, jobs, leader_lives, seed).map(|n| n.to_string());
+                println!(
+                    "{machines},{jobs},{leader_lives},{seed},{}",
+                    figures.join(",")
+                );
             }
         }
     }
--- a/src/core/simulation/users.rs
+++ b/src/core/simulation/users.rs
@@ -108,7 +108,7 @@
         self.checker.final_answers.get(id).map(|(state, _)| *state)
     }
 
-    /// An operator's word to a node; the answer's status.
+    /// An operator's command to a node to settle what remains of a lost store; the answer's status.
     pub fn settle(&mut self, node: usize) -> u16 {
         let ticket = self.new_ticket();
         self.nodes[node].inbox.push(Command::Settle(ticket));
--- a/src/core/workers/delegation/tests.rs
+++ b/src/core/workers/delegation/tests.rs
@@ -27,19 +27,19 @@
     assert!(!first.is_empty() && first.len() < MACHINES);
     delegate.revocations.insert("a-comes-first".into(), None);
     assert_eq!(delegate.revocations_for_frame(2), first);
-    let mut taken_back = 0;
+    let mut revoked = 0;
     for number in 2.. {
         let acknowledged =
             |_: &MachineId, since: &mut Option<u64>| since.is_some_and(|n| n < number);
-        taken_back += delegate.revocations.extract_if(.., acknowledged).count();
-        let told = delegate.revocations_for_frame(number);
+        revoked += delegate.revocations.extract_if(.., acknowledged).count();
+        let sent = delegate.revocations_for_frame(number);
         let since = |id: &MachineId| delegate.revocations[id];
-        assert!(told.iter().all(|id| since(id) == Some(number)));
-        if told.is_empty() {
+        assert!(sent.iter().all(|id| since(id) == Some(number)));
+        if sent.is_empty() {
             break;
         }
     }
-    assert_eq!(taken_back, MACHINES + 1);
+    assert_eq!(revoked, MACHINES + 1);
 }
 
 /// The fullest answer: as many starts as fit, with the longest ids, and one answer more, as it is only then seen
@@ -47,30 +47,30 @@
 #[test]
 fn the_fullest_answer_to_a_controller_with_6000_workers_can_be_read() {
     let digits = "9".repeat(32);
-    let order = TaskCommand::Stop {
+    let command = TaskCommand::Stop {
         task: format!("wk-{digits}/99999"),
         attempt: u64::MAX,
         grace: 3.0,
     };
-    let orders = vec![order; MAX_COMMANDS];
-    let answers = MAX_RESPONSE_BYTES / heartbeat_batch::response_size(&orders) + 2;
-    let told = |name| RelayedResponse {
+    let commands = vec![command; MAX_COMMANDS];
+    let answers = MAX_RESPONSE_BYTES / heartbeat_batch::response_size(&commands) + 2;
+    let response = |name| RelayedResponse {
         id: name,
         outcome: RelayedOutcome::Commands {
             fencing_token: 1,
-            commands: orders.clone(),
+            commands: commands.clone(),
             steady: false,
         },
     };
-    let synced = HeartbeatBatchResponse {
+    let answer = HeartbeatBatchResponse {
         revoked: delegate().revocations_for_frame(1),
-        responses: (0..answers as u64).map(told).collect(),
+        responses: (0..answers as u64).map(response).collect(),
         probes: (0..MAX_PROBES_PER_DELEGATE)
             .map(|n| (machine(n), "255.255.255.255:65535".into()))
             .collect(),
         ..HeartbeatBatchResponse::default()
     };
-    let frame = heartbeat_batch::encode_batch_response(&synced);
+    let frame = heartbeat_batch::encode_batch_response(&answer);
     let (_, body) = crate::peer::read_frame(&mut frame.as_slice()).unwrap();
-    assert_eq!(heartbeat_batch::decode_batch_response(&body), Some(synced));
+    assert_eq!(heartbeat_batch::decode_batch_response(&body), Some(answer));
 }
--- a/src/core/workers/relay/state/tests.rs
+++ b/src/core/workers/relay/state/tests.rs
@@ -45,12 +45,12 @@
 fn machines_without_an_answer_are_told_over_several_frames() {
     let mut relay = Relay::new(1);
     relay.probes.unanswered = (0..MACHINES).map(machine).collect();
-    let mut told = Vec::new();
+    let mut reported = Vec::new();
     let mut frames = 0;
     while !relay.probes.unanswered.is_empty() {
-        told.extend(relay.probes.take_unanswered_for_frame());
+        reported.extend(relay.probes.take_unanswered_for_frame());
         frames += 1;
     }
-    assert_eq!(told, (0..MACHINES).map(machine).collect::<Vec<_>>());
+    assert_eq!(reported, (0..MACHINES).map(machine).collect::<Vec<_>>());
     assert_eq!(frames, 3);
 }
--- a/src/peer/heartbeat_batch/tests.rs
+++ b/src/peer/heartbeat_batch/tests.rs
@@ -9,7 +9,7 @@
 
 /// A batch with one of everything.
 fn batch() -> HeartbeatBatch {
-    let row = |state, why, saved| TaskStatus {
+    let status = |state, why, saved| TaskStatus {
         task: "wk-000001/7".into(),
         attempt: u64::MAX - 3,
         state,
@@ -27,8 +27,8 @@
         fencing_token: 1 << 40,
         reclaim_in_s: Some(7.5),
         tasks: vec![
-            row(TaskState::Running, None, None),
-            row(TaskState::Exited, Some(ExitCause::Error), Some(false)),
+            status(TaskState::Running, None, None),
+            status(TaskState::Exited, Some(ExitCause::Error), Some(false)),
         ],
     };
     HeartbeatBatch {
@@ -57,7 +57,7 @@
 
 /// A response with one of everything.
 fn response() -> HeartbeatBatchResponse {
-    let order = |grace| TaskCommand::Stop {
+    let command = |grace| TaskCommand::Stop {
         task: "wk-000001/7".into(),
         attempt: 4,
         grace,
@@ -73,7 +73,7 @@
                 id: 3,
                 outcome: RelayedOutcome::Commands {
                     fencing_token: 77,
-                    commands: vec![order(1.5)],
+                    commands: vec![command(1.5)],
                     steady: true,
                 },
             },
@@ -98,15 +98,15 @@
 
 #[test]
 fn frames_come_back_as_they_went_and_cut_ones_are_refused() {
-    let sync = batch();
-    let bytes = body(&encode_batch(&sync));
+    let batch = batch();
+    let bytes = body(&encode_batch(&batch));
     let back = decode_batch(&bytes).unwrap();
     // `Heartbeat` has no equality of its own.
-    assert_eq!(format!("{back:?}"), format!("{sync:?}"));
+    assert_eq!(format!("{back:?}"), format!("{batch:?}"));
     assert!((0..bytes.len()).all(|cut| decode_batch(&bytes[..cut]).is_none()));
-    let synced = response();
-    let bytes = body(&encode_batch_response(&synced));
-    assert_eq!(decode_batch_response(&bytes), Some(synced));
+    let response = response();
+    let bytes = body(&encode_batch_response(&response));
+    assert_eq!(decode_batch_response(&bytes), Some(response));
     assert!((0..bytes.len()).all(|cut| decode_batch_response(&bytes[..cut]).is_none()));
 }
 
@@ -139,7 +139,7 @@
 #[test]
 fn the_sizes_of_entries_are_those_that_they_take_in_a_frame() {
     let empty = body(&encode_batch(&HeartbeatBatch::default())).len();
-    let sync = HeartbeatBatch {
+    let batch = HeartbeatBatch {
         served: vec![machine(1)],
         answered: vec![AnsweredHeartbeat {
             machine: machine(2),
@@ -150,45 +150,45 @@
         ..HeartbeatBatch::default()
     };
     let size = name_size(&machine(1)) + answered_heartbeat_size(&machine(2));
-    assert_eq!(body(&encode_batch(&sync)).len(), empty + size);
-    let orders = vec![TaskCommand::Start {
+    assert_eq!(body(&encode_batch(&batch)).len(), empty + size);
+    let commands = vec![TaskCommand::Start {
         task: "wk-000001/7".into(),
         attempt: 4,
     }];
     let empty = body(&encode_batch_response(&HeartbeatBatchResponse::default())).len();
-    let size = response_size(&orders);
-    let synced = HeartbeatBatchResponse {
+    let size = response_size(&commands);
+    let response = HeartbeatBatchResponse {
         responses: vec![RelayedResponse {
             id: 1,
             outcome: RelayedOutcome::Commands {
                 fencing_token: 1,
-                commands: orders,
+                commands,
                 steady: false,
             },
         }],
         ..HeartbeatBatchResponse::default()
     };
-    assert_eq!(body(&encode_batch_response(&synced)).len(), empty + size);
+    assert_eq!(body(&encode_batch_response(&response)).len(), empty + size);
 }
 
 #[test]
 fn the_fullest_frame_of_a_controller_with_6000_workers_can_be_read() {
-    let heard = |number| AnsweredHeartbeat {
+    let answered = |number| AnsweredHeartbeat {
         machine: machine(number),
         incarnation: 1,
         sequence: u64::MAX,
         age: Duration::from_secs(1),
     };
-    let most_heard = MAX_ANSWERED_BYTES / answered_heartbeat_size(&machine(0)) + 1;
+    let most_answered = MAX_ANSWERED_BYTES / answered_heartbeat_size(&machine(0)) + 1;
     // A report as long as a request may be takes no more than that in a frame.
-    let row = TaskStatus {
+    let status = TaskStatus {
         task: "wk-000001/7".into(),
         attempt: 1,
         state: TaskState::Running,
         cause: None,
         checkpointed: None,
     };
-    let heartbeat = |rows| RelayedHeartbeat {
+    let heartbeat = |tasks| RelayedHeartbeat {
         id: 1,
         heartbeat: Box::new(Heartbeat {
             machine: machine(1),
@@ -200,19 +200,19 @@
             sequence: 1,
             fencing_token: 1,
             reclaim_in_s: None,
-            tasks: vec![row.clone(); rows],
+            tasks: vec![status.clone(); tasks],
         }),
     };
-    let bytes_of_row = size_of::<TaskStatusHeader>() + size_of::<U16>() + row.task.len();
-    let sync = HeartbeatBatch {
+    let status_bytes = size_of::<TaskStatusHeader>() + size_of::<U16>() + status.task.len();
+    let batch = HeartbeatBatch {
         from: "n1".into(),
         served: names(),
         unanswered_probes: names(),
-        answered: (0..most_heard).map(heard).collect(),
-        heartbeats: vec![heartbeat(crate::http::MAX_BODY / bytes_of_row)],
+        answered: (0..most_answered).map(answered).collect(),
+        heartbeats: vec![heartbeat(crate::http::MAX_BODY / status_bytes)],
         ..HeartbeatBatch::default()
     };
-    assert!(sync.served.len() > 2000 && sync.answered.len() > 4000);
-    let back = decode_batch(&body(&encode_batch(&sync))).unwrap();
-    assert_eq!(back.answered, sync.answered);
+    assert!(batch.served.len() > 2000 && batch.answered.len() > 4000);
+    let back = decode_batch(&body(&encode_batch(&batch))).unwrap();
+    assert_eq!(back.answered, batch.answered);
 }
--- a/src/peer/memory_exchange/tests.rs
+++ b/src/peer/memory_exchange/tests.rs
@@ -3,11 +3,11 @@
 /// What comes from the network is never believed beyond what is there.
 #[test]
 fn frames_of_memory_come_back_whole_and_cut_ones_not_at_all() {
-    let asked = MemoryRequest {
+    let request = MemoryRequest {
         summary_only: true,
         after: "burlusher/j/wk-000412".into(),
     };
-    let told = MemoryPage {
+    let page = MemoryPage {
         store_loaded: true,
         complete_stores: vec!["4e".into(), "4f".into()],
         remembers: true,
@@ -15,10 +15,10 @@
         more: true,
         items: vec![("burlusher/j/wk-1".into(), "{}".repeat(40_000))],
     };
-    let (a, b) = (encode_memory_request(&asked), encode_memory_page(&told));
+    let (a, b) = (encode_memory_request(&request), encode_memory_page(&page));
     let body = |f: &[u8]| crate::peer::read_frame(&mut &f[..]).unwrap().1;
-    assert_eq!(decode_memory_request(&body(&a)), Some(asked));
-    assert_eq!(decode_memory_page(&body(&b)), Some(told));
+    assert_eq!(decode_memory_request(&body(&a)), Some(request));
+    assert_eq!(decode_memory_page(&body(&b)), Some(page));
     for n in 0..body(&a).len() {
         assert_eq!(decode_memory_request(&body(&a)[..n]), None);
     }
