--- a/src/core/simulation/scenarios/cancellation.rs
+++ b/src/core/simulation/scenarios/cancellation.rs
@@ -145,7 +145,7 @@
         simulation.until(15.0, "it starts", |simulation| {
             simulation.places(&id).len() == 8
         });
-        // The leader hears late that the cancellation is durable; another controller tells its user.
+        // The leader learns late that the cancellation is durable; another controller tells its user.
         simulation.faults.store_delay = slow;
         simulation.nodes[leader].watch_delayed = true;
         simulation.run(f64::from(n) * 0.05);
--- a/src/core/simulation/scenarios/cancellation_at_handover.rs
+++ b/src/core/simulation/scenarios/cancellation_at_handover.rs
@@ -370,7 +370,7 @@
         "they are still there"
     );
     assert_eq!(simulation.places("wk-000002").len(), 1);
-    // They are heard, and what they show is of no job that is known; they hear nothing.
+    // Their heartbeats arrive, and what they show is of no job that is known; they receive nothing.
     let token = simulation.nodes[next].core.leader.as_ref().unwrap().term << 20;
     for (id, _) in simulation.places("wk-000001") {
         let body = DirectCommands {
--- a/src/core/simulation/scenarios/delegation.rs
+++ b/src/core/simulation/scenarios/delegation.rs
@@ -1,5 +1,5 @@
 //! Controllers that serve workers for the one that leads: what they may say alone, what
-//! is taken back, and what becomes of it when one of them is cut off, dies, or is an older version.
+//! is revoked, and what becomes of it when one of them is cut off, dies, or is an older version.
 //! The simulation checks at every tick that no task is in two places.
 
 use super::unlimited_job;
@@ -195,7 +195,7 @@
 }
 
 /// A follower goes on answering until its grant ends, and the leader, which cannot hear it, counted
-/// the workers' leases from what it had last heard.
+/// the workers' leases from what it had last received.
 #[test]
 fn possibly_renewed_lease_not_expired() {
     for answered_after in [1.4, 1.7, 2.0, 2.3, 2.6] {
@@ -210,8 +210,8 @@
         move_workers_to(&mut simulation, other);
         simulation.run(5.0);
         assert!(answered(&simulation, leader) > 0);
-        // Its grant has just been renewed, on a word that was renewed just before, when the one
-        // cannot tell the other any more. Nor can the leader delete the machines.
+        // Its grant has just been renewed, on a leadership proof that was renewed just before, when
+        // the one cannot tell the other any more. Nor can the leader delete the machines.
         let grant = |simulation: &Simulation| {
             simulation.nodes[other]
                 .core
@@ -224,7 +224,7 @@
         });
         simulation.faults.cloud_down = true;
         simulation.nodes[other].peers_reachable = false;
-        // Each worker's next report is also its last: all of them live on, heard by nobody.
+        // Each worker's next heartbeat is also its last: all of them live on, reaching nobody.
         let at = simulation.now + Duration::from_secs_f64(answered_after);
         simulation
             .workers
@@ -245,7 +245,7 @@
 }
 
 /// Its workers wait 4 s for an answer before they look for another controller; meanwhile they were
-/// taken for dead, as the others in their zones were heard.
+/// taken for dead, as the others in their zones were in contact.
 #[test]
 fn paused_controller_workers_not_declared_dead() {
     let (mut simulation, leader) = delegating_cluster(512, 60);
@@ -260,9 +260,9 @@
     assert_eq!(simulation.workers.len(), 60);
 }
 
-/// When a grant has run out, the leader counts nothing as lent any more. A follower that went on
+/// When a grant has expired, the leader counts nothing as delegated any more. A follower that went on
 /// with what it had kept, once it got another grant, answered workers that the leader then never
-/// heard of.
+/// learned of.
 #[test]
 fn expired_grant_drops_delegations() {
     let (mut simulation, leader) = delegating_cluster(513, 60);
@@ -304,25 +304,25 @@
 fn pending_orders_revoke_delegation() {
     let (mut simulation, leader) = delegating_cluster(505, 12);
     simulation.run(6.0);
-    let lent = |simulation: &Simulation| {
+    let delegated = |simulation: &Simulation| {
         let lead = simulation.nodes[leader].core.leader.as_ref().unwrap();
         lead.machines
             .values()
             .filter(|m| m.delegated_to.is_some())
             .count()
     };
-    assert!(lent(&simulation) > 4);
+    assert!(delegated(&simulation) > 4);
     // Direct commands do not get through: starts go with answers to reports, which only the leader
     // can give.
     simulation.faults.hold_commands = true;
     simulation.submit(leader, &unlimited_job("wk-1", 48, 1.0, 4));
     simulation.run(1.2);
-    assert_eq!(lent(&simulation), 0);
+    assert_eq!(delegated(&simulation), 0);
     simulation.until_done("wk-1", 30.0);
     simulation.faults.hold_commands = false;
     simulation.release();
     simulation.run(8.0);
-    assert!(lent(&simulation) > 4);
+    assert!(delegated(&simulation) > 4);
     assert_eq!(simulation.counters.starts, 48);
 }
 
--- a/src/core/simulation/scenarios/dependencies.rs
+++ b/src/core/simulation/scenarios/dependencies.rs
@@ -68,7 +68,7 @@
             assert_eq!(simulation.submit(node, &after(&id, &["wk-777"], 1, 1)), 422);
             assert_eq!(simulation.submit(node, &after(&id, &[&id], 1, 1)), 422);
             assert_eq!(simulation.submit(node, &after(&id, &["wk-50"], 1, 1)), 422);
-            // Accepted a moment ago by another node, which this one has not heard of.
+            // Accepted a moment ago by another node, which this one has not learned of.
             let other = format!("wk-{}", n + 50);
             assert_eq!(
                 simulation.submit((node + 1) % 3, &sample(&other, 1, 1.0, 1)),
--- a/src/core/simulation/scenarios/late_commands.rs
+++ b/src/core/simulation/scenarios/late_commands.rs
@@ -7,8 +7,8 @@
 use crate::wire::{JobState, TaskCommand};
 use std::time::Duration;
 
-/// A leader's starts are held up on their way; it ends, or is deposed, another one begins and hears the others,
-/// and then they arrive at machines that have seen neither the new token nor anything else.
+/// A leader's starts are held up on their way; it ends, or is deposed, another one begins and receives
+/// the heartbeats of the others, and then the starts arrive at machines that have seen neither the new token nor anything else.
 fn commands_of_a_former_leader(after_s: f64, deposed: bool) {
     let (mut simulation, leader) = eight_machines(1220);
     // Machines have reported just now, so that starts go out by calls.
--- a/src/core/simulation/scenarios/late_writes.rs
+++ b/src/core/simulation/scenarios/late_writes.rs
@@ -7,7 +7,7 @@
 use crate::policy::Policy;
 use std::time::Duration;
 
-/// What the leader writes from now on is kept, and it hears nothing of it; what happens meanwhile it writes
+/// What the leader writes from now on is kept, and it receives no answer to it; what happens meanwhile it writes
 /// again once it can, so that the first copy is still under way when the second is carried out.
 fn hold_write(simulation: &mut Simulation, leader: usize, f: impl FnOnce(&mut Simulation)) {
     simulation.nodes[leader].state = Link::WritesHeld;
@@ -158,7 +158,7 @@
     });
     simulation.run(0.5 + ends_after as f64 * 0.1);
     let placed = simulation.places("wk-000001").len() as u32;
-    // Those that have tasks are heard by nobody, and the cloud tells nothing.
+    // Those that have tasks reach nobody, and the cloud tells nothing.
     simulation.faults.cloud_down = true;
     let busy = simulation
         .workers
--- a/src/core/simulation/scenarios/loss_of_store.rs
+++ b/src/core/simulation/scenarios/loss_of_store.rs
@@ -397,8 +397,8 @@
     simulation.until_done("wk-1", 90.0);
 }
 
-/// The leader hears nothing of the state service any more and acts until its word runs out; the others
-/// see the loss much sooner.
+/// The leader receives nothing from the state service any more and acts until its leadership proof
+/// expires; the others see the loss much sooner.
 #[test]
 fn next_leader_waits_for_isolated_leader_lease() {
     let (mut simulation, leader) = six_machines(914);
@@ -502,7 +502,7 @@
     simulation.run(12.0);
     assert_rebuilt(&mut simulation, starts);
     assert_eq!(simulation.stored("burlusher/j/wk-1").len(), 1);
-    // An old value of the other comes back, without a word from the watch.
+    // An old value of the other comes back, without an event of the watch.
     simulation.overwrite_value("burlusher/j/wk-2", live);
     simulation.run(12.0);
     assert_rebuilt(&mut simulation, starts);
--- a/src/core/simulation/scenarios/lost_answers.rs
+++ b/src/core/simulation/scenarios/lost_answers.rs
@@ -8,7 +8,7 @@
 use crate::wire::JobState;
 use std::time::Duration;
 
-/// Jobs come and are called off, one every half second, while this share of answers is lost; users look closely.
+/// Jobs come and are cancelled, one every half second, while this share of answers is lost; users look closely.
 fn lose_answers(simulation: &mut Simulation, share: f64, rounds: u32) {
     simulation.faults.lost_answer_share = share;
     simulation.query_after_answers = true;
@@ -230,7 +230,7 @@
 }
 
 /// Found by randomized schedules: a store that had lost its data was led, and then rolled back. The next leader had
-/// heard of the term in between, and led in that instead of the one that it had written.
+/// learned of the term in between, and led in that instead of the one that it had written.
 #[test]
 fn leader_of_store_lost_twice_has_own_term() {
     crate::core::simulation::randomized::store_lost_twice();
--- a/src/core/simulation/scenarios/mod.rs
+++ b/src/core/simulation/scenarios/mod.rs
@@ -34,7 +34,7 @@
     (simulation, leader)
 }
 
-/// A thousand machines in two zones and a leader that has heard from them; none can be rented.
+/// A thousand machines in two zones and a leader that has received their heartbeats; none can be rented.
 pub fn thousand_machines(seed: u64, kind: &str) -> (Simulation, usize) {
     let mut simulation = Simulation::new(seed);
     simulation.capacity.clear();
--- a/src/core/simulation/scenarios/old_reports.rs
+++ b/src/core/simulation/scenarios/old_reports.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 /// Reports made before tasks were started reach every controller as the next leader begins, before its first
-/// answer, and before the machines themselves are heard: they prove nothing about what is there.
+/// answer, and before the machines themselves are in contact: they prove nothing about what is there.
 fn old_reports_as_a_leader_begins() {
     let (mut simulation, leader) = eight_machines(1200);
     assert_eq!(
@@ -16,7 +16,7 @@
         201
     );
     simulation.run(3.0);
-    // Reports of idle machines, in sessions that go on.
+    // Heartbeats of idle machines, with incarnations that go on.
     let idle: Vec<MachineId> = (simulation
         .workers
         .iter()
@@ -36,7 +36,7 @@
     );
     simulation.run(0.3);
     assert_eq!(simulation.places("wk-000002").len(), 5);
-    // They are not heard from now on, and can't be asked or deleted.
+    // Their heartbeats do not arrive from now on, and they can't be asked or deleted.
     simulation.faults.cloud_down = true;
     for id in &idle {
         simulation.partition_worker(id);
@@ -204,7 +204,7 @@
     }
 }
 
-/// A new leader hears an old copy first: the task was there once. When that machine showed that it has
+/// A new leader receives an old copy first: the task was there once. When that machine showed that it has
 /// nothing, the task was started a third time, and stopped where it ran.
 #[test]
 fn old_report_at_new_leader_moves_no_task() {
@@ -312,8 +312,8 @@
     assert_eq!(simulation.counters.starts, 7);
 }
 
-/// Found by randomized schedules: a machine that heard nothing of a new leader began another session, which has
-/// a whole lease. When it was asked and known at last, its lease was counted from the last answer
+/// Found by randomized schedules: a machine that received nothing of a new leader began another
+/// incarnation, which has a whole lease. When it was asked and known at last, its lease was counted from the last answer
 /// to an earlier one; what was then started on it was given up at once, and started elsewhere while it ran.
 #[test]
 fn new_session_has_lease_from_its_start() {
@@ -338,7 +338,7 @@
     });
     simulation.reboot(&id, false);
     let m = simulation.workers.get_mut(&id).unwrap();
-    // It hears again, and is asked; its own reports do not come through for a while.
+    // It receives again, and is asked; its own heartbeats do not come through for a while.
     (m.inbound_partitioned, m.next_report) = (false, simulation.now + Duration::from_secs(5));
     let lead = simulation.nodes[next].core.leader.as_mut().unwrap();
     assert!(lead.machines.get(&id).unwrap().unresolved, "too late");
--- a/src/core/simulation/scenarios/outages.rs
+++ b/src/core/simulation/scenarios/outages.rs
@@ -41,7 +41,7 @@
 }
 
 /// After an outage of the state service the leader has its lease still; it resigned at once, for it
-/// had heard no worker while it could answer none, and the next one had to ask every machine.
+/// had received no heartbeat while it could answer none, and the next one had to ask every machine.
 #[test]
 fn leader_keeps_leading_after_store_outage() {
     let (mut simulation, leader) = thousand_machines(50, "small");
--- a/src/core/simulation/scenarios/partitions.rs
+++ b/src/core/simulation/scenarios/partitions.rs
@@ -7,12 +7,12 @@
 use crate::wire::JobState;
 use std::time::Duration;
 
-fn partition_inbound(simulation: &mut Simulation, zone: &str, deaf: bool) {
+fn partition_inbound(simulation: &mut Simulation, zone: &str, partitioned: bool) {
     let all = simulation.workers.values_mut().filter(|m| m.zone == zone);
-    all.for_each(|m| m.inbound_partitioned = deaf);
+    all.for_each(|m| m.inbound_partitioned = partitioned);
 }
 
-/// Work was given to machines that look idle and hear nothing, again in each of their sessions.
+/// Work was given to machines that look idle and receive nothing, again in each of their incarnations.
 #[test]
 fn inbound_partitioned_zone_gets_no_work() {
     let (mut simulation, leader) = eight_machines(61);
@@ -65,7 +65,7 @@
     assert_eq!(used.count(), 4, "it is used again");
 }
 
-/// What was placed on them waited for a new session, a whole lease.
+/// What was placed on them waited for a new incarnation, a whole lease.
 #[test]
 fn unconfirmed_starts_revoked_before_lease_end() {
     let (mut simulation, leader) = eight_machines(70);
@@ -109,7 +109,7 @@
     );
 }
 
-/// It hears its workers, and neither the state service nor the other controllers.
+/// It reaches its workers, and neither the state service nor the other controllers.
 #[test]
 fn isolated_controller_releases_workers_in_time() {
     for leads in [true, false] {
--- a/src/core/simulation/scenarios/scheduling.rs
+++ b/src/core/simulation/scenarios/scheduling.rs
@@ -148,7 +148,7 @@
         "{} changes",
         simulation.changes()
     );
-    // The next leader knows them all, and hears from them all.
+    // The next leader knows them all, and receives heartbeats of them all.
     simulation.kill(leader, Duration::from_secs(60));
     simulation.until(10.0, "another leader", |simulation| {
         simulation.leader().is_some()
@@ -270,7 +270,7 @@
         1,
         "there is no room in its zone"
     );
-    // An old copy was heard first: the row is on record there, and where it really is as well.
+    // An old copy was received first: the row is on record there, and where it really is as well.
     let lead = simulation.nodes[leader].core.leader.as_mut().unwrap();
     let run = lead.job_runs.get_mut("wk-000001").unwrap();
     let row = *run.placed.keys().next().unwrap();
--- a/src/core/simulation/scenarios/size.rs
+++ b/src/core/simulation/scenarios/size.rs
@@ -136,7 +136,8 @@
     simulation
 }
 
-/// Nearly all have to be asked, as they don't report; a leader that hears nobody at all would resign.
+/// Nearly all have to be asked, as they send no heartbeats; a leader that is reached by nobody at all
+/// would resign.
 #[test]
 fn a_new_leader_asks_6000_machines_that_do_not_report() {
     let mut simulation = recorded(Policy::with("size", "delegate = false").unwrap());
--- a/src/core/simulation/worker.rs
+++ b/src/core/simulation/worker.rs
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Its lease may have run out: then its tasks are gone, and it begins another session. A machine
+    /// Its lease may have expired: then its tasks are gone, and it begins another incarnation. A machine
     /// that hangs may resume within its lease.
     fn expire_lease(&mut self, now: Instant) {
         if now > self.lease_from + LEASE {
