--- a/src/core/leadership/stale_key.rs
+++ b/src/core/leadership/stale_key.rs
@@ -79,7 +79,7 @@
             }
             return;
         }
-        let last_contact = self.relay.grant.map(|g| g.until);
+        let last_contact = self.relay.grant().map(|g| g.expires_at);
         if self.leader.is_none() && stale.lookup_due(now, last_contact) {
             stale.last_request = Some(now);
             let request = StoreRequest::CheckLease(lease);
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -245,7 +245,7 @@
                 responses.heartbeats.extend(due);
             }
             Command::HeartbeatBatch { ticket, batch } => {
-                let due = self.sync(ticket, *batch);
+                let due = self.receive_batch(ticket, *batch);
                 responses.batches.extend(due);
             }
             Command::HeartbeatBatchResponse { number, answer } => {
--- a/src/core/simulation/scenarios/size.rs
+++ b/src/core/simulation/scenarios/size.rs
@@ -136,7 +136,8 @@
     simulation
 }
 
-/// Nearly all have to be asked, as they don't report; a leader that hears nobody at all would resign.
+/// Nearly all have to be asked, as they send no heartbeats; a leader that is reached by nobody at all
+/// would resign.
 #[test]
 fn a_new_leader_asks_6000_machines_that_do_not_report() {
     let mut simulation = recorded(Policy::with("size", "delegate = false").unwrap());
@@ -268,7 +269,7 @@
             match effect {
                 Effect::HeartbeatBatch { number, frame, .. } => {
                     let (_, body) = peer::read_frame(&mut frame.as_slice()).unwrap();
-                    let answer = answer(&heartbeat_batch::decode_sync(&body).unwrap());
+                    let answer = answer(&heartbeat_batch::decode_batch(&body).unwrap());
                     let answer = Some(Box::new(answer));
                     commands.push(Command::HeartbeatBatchResponse { number, answer });
                     frames += 1;
--- a/src/core/store/integrity/memory_exchange.rs
+++ b/src/core/store/integrity/memory_exchange.rs
@@ -4,7 +4,7 @@
 use super::is_due;
 use crate::core::{Core, Effect, Ticket};
 use crate::http::Answer;
-use crate::peer::memory_exchange::{MemoryPage, MemoryRequest, PAGE_BYTES, encode_recalled};
+use crate::peer::memory_exchange::{MemoryPage, MemoryRequest, PAGE_BYTES, encode_memory_page};
 use std::time::Duration;
 
 /// Between two requests to a controller for its summary of an empty store.
@@ -52,7 +52,7 @@
             more,
             items: items.collect(),
         };
-        let body = encode_recalled(&page);
+        let body = encode_memory_page(&page);
         self.answer(ticket, Answer::new(200, body));
     }
 
--- a/src/peer/heartbeat_batch/tests.rs
+++ b/src/peer/heartbeat_batch/tests.rs
@@ -1,12 +1,15 @@
+use super::request::{TaskStatusHeader, name_size};
 use super::*;
+use crate::wire::{ExitCause, TaskState, TaskStatus};
+use zerocopy::byteorder::little_endian::U16;
 
 fn body(frame: &[u8]) -> Vec<u8> {
     crate::peer::read_frame(&mut &frame[..]).unwrap().1
 }
 
-#[test]
-fn frames_come_back_as_they_went_and_cut_ones_are_refused() {
-    let row = |state, why, saved| TaskStatus {
+/// A batch with one of everything.
+fn batch() -> HeartbeatBatch {
+    let status = |state, why, saved| TaskStatus {
         task: "wk-000001/7".into(),
         attempt: u64::MAX - 3,
         state,
@@ -24,11 +27,11 @@
         fencing_token: 1 << 40,
         reclaim_in_s: Some(7.5),
         tasks: vec![
-            row(TaskState::Running, None, None),
-            row(TaskState::Exited, Some(ExitCause::Error), Some(false)),
+            status(TaskState::Running, None, None),
+            status(TaskState::Exited, Some(ExitCause::Error), Some(false)),
         ],
     };
-    let sync = HeartbeatBatch {
+    HeartbeatBatch {
         from: "n1".into(),
         incarnation: 5,
         number: 6,
@@ -49,18 +52,17 @@
             id: 3,
             heartbeat: Box::new(heartbeat),
         }],
-    };
-    let bytes = body(&encode_sync(&sync));
-    let back = decode_sync(&bytes).unwrap();
-    // `Heartbeat` has no equality of its own.
-    assert_eq!(format!("{back:?}"), format!("{sync:?}"));
-    assert!((0..bytes.len()).all(|cut| decode_sync(&bytes[..cut]).is_none()));
-    let order = |grace| TaskCommand::Stop {
+    }
+}
+
+/// A response with one of everything.
+fn response() -> HeartbeatBatchResponse {
+    let command = |grace| TaskCommand::Stop {
         task: "wk-000001/7".into(),
         attempt: 4,
         grace,
     };
-    let synced = HeartbeatBatchResponse {
+    HeartbeatBatchResponse {
         number: 6,
         term: 9,
         grant: Duration::from_millis(2400),
@@ -71,7 +73,7 @@
                 id: 3,
                 outcome: RelayedOutcome::Commands {
                     fencing_token: 77,
-                    commands: vec![order(1.5)],
+                    commands: vec![command(1.5)],
                     steady: true,
                 },
             },
@@ -91,10 +93,35 @@
             load: 7,
             age: Duration::from_millis(300),
         }],
-    };
-    let bytes = body(&encode_synced(&synced));
-    assert_eq!(decode_synced(&bytes), Some(synced));
-    assert!((0..bytes.len()).all(|cut| decode_synced(&bytes[..cut]).is_none()));
+    }
+}
+
+#[test]
+fn frames_come_back_as_they_went_and_cut_ones_are_refused() {
+    let batch = batch();
+    let bytes = body(&encode_batch(&batch));
+    let back = decode_batch(&bytes).unwrap();
+    // `Heartbeat` has no equality of its own.
+    assert_eq!(format!("{back:?}"), format!("{batch:?}"));
+    assert!((0..bytes.len()).all(|cut| decode_batch(&bytes[..cut]).is_none()));
+    let response = response();
+    let bytes = body(&encode_batch_response(&response));
+    assert_eq!(decode_batch_response(&bytes), Some(response));
+    assert!((0..bytes.len()).all(|cut| decode_batch_response(&bytes[..cut]).is_none()));
+}
+
+/// The frames of `batch` and `response`, packed by hand from the layout that earlier versions read.
+const BATCH_FRAME: &str = "6c72756201060000eb0000000500000000000000060000000000000004000000000000000900000000000000010000002c0100000c0000000100000001000000010000000100000002006e310800692d3030303030310800692d30303030303301000000000000000c00000000000000fa0000000800692d30303030303203000000000000000200000000000000630000000000000000000000000100004c1d000002000000010800692d3030303030310d0031302e302e302e313a3930303002006738010061fcffffffffffffff02ff020b00776b2d3030303030312f37fcffffffffffffff0402000b00776b2d3030303030312f37";
+const RESPONSE_FRAME: &str = "6c72756201070000b400000006000000000000000900000000000000600900000001000000020000000100000001000000010000000800692d30303030303203000000000000004d00000000000000c80001ffffffff01000000010400000000000000dc0500000b00776b2d3030303030312f3704000000000000000000000000000000f701001e000000000000000800692d3030303030390d0031302e302e302e393a393030301400000002006e3201000000070000002c01000002006e32";
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|b| format!("{b:02x}")).collect()
+}
+
+#[test]
+fn frames_have_the_bytes_that_earlier_versions_read() {
+    assert_eq!(hex(&encode_batch(&batch())), BATCH_FRAME);
+    assert_eq!(hex(&encode_batch_response(&response())), RESPONSE_FRAME);
 }
 
 /// A name as long as some clouds give.
@@ -111,8 +138,8 @@
 
 #[test]
 fn the_sizes_of_entries_are_those_that_they_take_in_a_frame() {
-    let empty = body(&encode_sync(&HeartbeatBatch::default())).len();
-    let sync = HeartbeatBatch {
+    let empty = body(&encode_batch(&HeartbeatBatch::default())).len();
+    let batch = HeartbeatBatch {
         served: vec![machine(1)],
         answered: vec![AnsweredHeartbeat {
             machine: machine(2),
@@ -122,46 +149,46 @@
         }],
         ..HeartbeatBatch::default()
     };
-    let size = size_of_name(&machine(1)) + size_of_heard(&machine(2));
-    assert_eq!(body(&encode_sync(&sync)).len(), empty + size);
-    let orders = vec![TaskCommand::Start {
+    let size = name_size(&machine(1)) + answered_heartbeat_size(&machine(2));
+    assert_eq!(body(&encode_batch(&batch)).len(), empty + size);
+    let commands = vec![TaskCommand::Start {
         task: "wk-000001/7".into(),
         attempt: 4,
     }];
-    let empty = body(&encode_synced(&HeartbeatBatchResponse::default())).len();
-    let size = size_of_answer(&orders);
-    let synced = HeartbeatBatchResponse {
+    let empty = body(&encode_batch_response(&HeartbeatBatchResponse::default())).len();
+    let size = response_size(&commands);
+    let response = HeartbeatBatchResponse {
         responses: vec![RelayedResponse {
             id: 1,
             outcome: RelayedOutcome::Commands {
                 fencing_token: 1,
-                commands: orders,
+                commands,
                 steady: false,
             },
         }],
         ..HeartbeatBatchResponse::default()
     };
-    assert_eq!(body(&encode_synced(&synced)).len(), empty + size);
+    assert_eq!(body(&encode_batch_response(&response)).len(), empty + size);
 }
 
 #[test]
 fn the_fullest_frame_of_a_controller_with_6000_workers_can_be_read() {
-    let heard = |number| AnsweredHeartbeat {
+    let answered = |number| AnsweredHeartbeat {
         machine: machine(number),
         incarnation: 1,
         sequence: u64::MAX,
         age: Duration::from_secs(1),
     };
-    let most_heard = MOST_HEARD_BYTES / size_of_heard(&machine(0)) + 1;
+    let most_answered = MAX_ANSWERED_BYTES / answered_heartbeat_size(&machine(0)) + 1;
     // A report as long as a request may be takes no more than that in a frame.
-    let row = TaskStatus {
+    let status = TaskStatus {
         task: "wk-000001/7".into(),
         attempt: 1,
         state: TaskState::Running,
         cause: None,
         checkpointed: None,
     };
-    let heartbeat = |rows| RelayedHeartbeat {
+    let heartbeat = |tasks| RelayedHeartbeat {
         id: 1,
         heartbeat: Box::new(Heartbeat {
             machine: machine(1),
@@ -173,19 +200,19 @@
             sequence: 1,
             fencing_token: 1,
             reclaim_in_s: None,
-            tasks: vec![row.clone(); rows],
+            tasks: vec![status.clone(); tasks],
         }),
     };
-    let bytes_of_row = size_of::<TaskStatusHeader>() + size_of::<U16>() + row.task.len();
-    let sync = HeartbeatBatch {
+    let status_bytes = size_of::<TaskStatusHeader>() + size_of::<U16>() + status.task.len();
+    let batch = HeartbeatBatch {
         from: "n1".into(),
         served: names(),
         unanswered_probes: names(),
-        answered: (0..most_heard).map(heard).collect(),
-        heartbeats: vec![heartbeat(crate::http::MAX_BODY / bytes_of_row)],
+        answered: (0..most_answered).map(answered).collect(),
+        heartbeats: vec![heartbeat(crate::http::MAX_BODY / status_bytes)],
         ..HeartbeatBatch::default()
     };
-    assert!(sync.served.len() > 2000 && sync.answered.len() > 4000);
-    let back = decode_sync(&body(&encode_sync(&sync))).unwrap();
-    assert_eq!(back.answered, sync.answered);
+    assert!(batch.served.len() > 2000 && batch.answered.len() > 4000);
+    let back = decode_batch(&body(&encode_batch(&batch))).unwrap();
+    assert_eq!(back.answered, batch.answered);
 }
