--- a/src/core/jobs/job_run.rs
+++ b/src/core/jobs/job_run.rs
@@ -1,7 +1,8 @@
 //! A job as its leader knows it: what runs of it, how its class runs, and how urgent it is. Data that
 //! planning, reports and users' requests act on.
 
-use crate::core::machines::machine::{Machines, StopReason};
+use crate::core::machines::placement::StopReason;
+use crate::core::machines::registry::Machines;
 use crate::core::store::cache::JobRecord;
 use crate::core::{Now, Ticket};
 use crate::job::{JobId, JobOutcome, MachineId, Priority, TaskId};
--- a/src/core/jobs/lifecycle.rs
+++ b/src/core/jobs/lifecycle.rs
@@ -2,7 +2,7 @@
 
 use crate::core::jobs::job_run::{JobRun, RuntimeRatio};
 use crate::core::jobs::queries::{rebuilding_answer, state_body};
-use crate::core::machines::machine::StopReason;
+use crate::core::machines::placement::StopReason;
 use crate::core::{Core, Effect, Ticket};
 use crate::fault_injection::{Safeguard, is_enabled};
 use crate::http::Answer;
--- a/src/core/leadership/recovery.rs
+++ b/src/core/leadership/recovery.rs
@@ -6,7 +6,7 @@
 
 use crate::core::leadership::LEASE_TTL;
 use crate::core::leadership::state::LeaderState;
-use crate::core::machines::machine::Machine;
+use crate::core::machines::machine::{Machine, RestartProbe};
 use crate::core::workers::commands::MAX_DIRECT_CALLS;
 use crate::core::{Core, Effect, Pending};
 use crate::job::{MachineId, TaskId};
@@ -35,7 +35,7 @@
             if let Some(later) = m.claimed_until.filter(|t| now < *t) {
                 // Another controller is about it.
                 self.recovery.retries.insert((later, id));
-            } else if m.call_in_flight.is_none() {
+            } else if m.direct_calls.in_flight.is_none() {
                 return Some(id);
             }
         }
@@ -129,17 +129,24 @@
         let Some(m) = leader.machines.get_mut_quiet(id) else {
             return;
         };
-        if !free || m.call_in_flight.is_some() || m.incarnation == 0 || now < m.push_after {
+        if !free
+            || m.direct_calls.in_flight.is_some()
+            || m.incarnation == 0
+            || now < m.direct_calls.retry_not_before
+        {
             return;
         }
-        m.push_after = now + RESTART_PROBE_INTERVAL;
+        m.direct_calls.retry_not_before = now + RESTART_PROBE_INTERVAL;
         // Shown with the question: what was sent to its former life is refused from then on.
         m.token_epoch += 1;
         self.probe_machine(id);
         if let Some(m) = (self.leader.as_mut()).and_then(|l| l.machines.get_mut_quiet(id))
-            && let Some(call) = m.call_in_flight
+            && let Some(call) = m.direct_calls.in_flight
         {
-            m.restart_probe = Some(((m.incarnation, m.sequence), call));
+            m.direct_calls.restart_probe = Some(RestartProbe {
+                known: (m.incarnation, m.sequence),
+                call,
+            });
         }
     }
 
@@ -179,7 +186,7 @@
         let Some(m) = leader.machines.get_mut(id) else {
             return;
         };
-        m.call_in_flight = Some(call);
+        m.direct_calls.in_flight = Some(call);
         leader.direct_calls_in_flight += 1;
         self.effects.push(Effect::Direct {
             call,
--- a/src/core/leadership/state.rs
+++ b/src/core/leadership/state.rs
@@ -2,7 +2,8 @@
 //! is under way at the cloud, and what it has lent. Data; what is done with it is in the modules above.
 
 use crate::core::jobs::job_run::{ArrivalRate, JobRun, RuntimeRatio, Urgency};
-use crate::core::machines::machine::{Machine, Machines};
+use crate::core::machines::machine::Machine;
+use crate::core::machines::registry::Machines;
 use crate::core::scheduling::demand::Bidding;
 use crate::core::store::cache::ResidualTasks;
 use crate::core::store::keys::{PartGeneration, named};
@@ -211,7 +212,7 @@
 
     /// Whether a machine may be given tasks now.
     pub fn accepts_tasks(&self, m: &Machine, now: Instant, heartbeat: Duration) -> bool {
-        m.usable(now, heartbeat * 9 / 4) && !m.avoided(now) && !m.unresolved
+        m.is_usable(now, heartbeat * 9 / 4) && !m.is_avoided(now) && !m.unresolved
     }
 }
 
--- a/src/core/machines/cloud_calls.rs
+++ b/src/core/machines/cloud_calls.rs
@@ -1,98 +1,163 @@
-//! Renting: calls to the cloud within its limit, and what its answers and its list say of machines.
+//! Calls to the cloud within its rate limit: lists of machines, deletions and scale-outs; and their outcomes.
 
 use crate::cloud_client::{CloudOutcome, CloudRequest, MAX_DELETED_PER_CALL, PAGE};
-use crate::core::leadership::state::ScaleOutOperation;
+
+use crate::core::leadership::state::{LeaderState, ScaleOutOperation};
 use crate::core::machines::machine::Machine;
-use crate::core::store::cache::MachineValue;
-use crate::core::{Core, Effect, Pending};
+use crate::core::{CallId, Core, Effect, Pending};
 use crate::job::MachineId;
 use crate::planning::cluster_snapshot::Offer;
-use crate::wire::{ListedMachine, ListedState, ScaleOutRequest};
-use std::collections::BTreeSet;
+use crate::wire::ScaleOutRequest;
 use std::time::{Duration, Instant};
 
 /// Deletions on their way at a time.
 const MAX_DELETE_CALLS: usize = 2;
+/// Between two lists at least, while machines boot or are silent.
+const SHORT_LIST_INTERVAL: Duration = Duration::from_secs(2);
+/// Between two lists at least, otherwise.
+const LONG_LIST_INTERVAL: Duration = Duration::from_secs(6);
+/// A list's pages take no more than this part of the allowed calls, as a divisor.
+const LIST_SHARE_DIVISOR: f64 = 3.0;
+/// After a deletion was sent, until it is sent again if it got no answer.
+const DELETE_RETRY_INTERVAL: Duration = Duration::from_secs(4);
+/// After a deletion failed, until it is sent again.
+const FAILED_DELETE_PAUSE: Duration = Duration::from_secs(1);
+/// After a scale-out whose outcome is not known, until it is asked again.
+const SCALE_OUT_RETRY_PAUSE: Duration = Duration::from_secs(2);
+
+impl LeaderState {
+    /// Between two lists of machines: a list takes a call for each page of them.
+    fn list_interval(
+        &self,
+        heartbeat_interval: Duration,
+        calls_per_s: f64,
+        now: Instant,
+    ) -> Duration {
+        let is_awaited = |m: &Machine| {
+            let silence = now.saturating_duration_since(m.last_heartbeat);
+            m.incarnation == 0 || silence > heartbeat_interval * 2
+        };
+        let pages = 1.0 + self.cloud.listed_machines as f64 / PAGE as f64;
+        let within_share = Duration::from_secs_f64(LIST_SHARE_DIVISOR * pages / calls_per_s);
+        within_share.max(if self.machines.values().any(is_awaited) {
+            SHORT_LIST_INTERVAL
+        } else {
+            LONG_LIST_INTERVAL
+        })
+    }
+
+    /// The next machines to be deleted by one call.
+    fn due_deletions(&self, now: Instant) -> Vec<MachineId> {
+        if self.cloud.delete_calls_in_flight >= MAX_DELETE_CALLS {
+            return Vec::new();
+        }
+        let deletions = self.cloud.deletions.iter();
+        deletions
+            .filter(|(_, due)| **due <= now)
+            .map(|(id, _)| id.clone())
+            .take(MAX_DELETED_PER_CALL)
+            .collect()
+    }
+
+    /// The names of the scale-outs that are to be asked for now.
+    fn due_scale_outs(&self, now: Instant) -> Vec<String> {
+        let operations = self.cloud.scale_outs.iter();
+        operations
+            .filter(|(_, operation)| operation.call.is_none() && now >= operation.retry_at)
+            .map(|(name, _)| name.clone())
+            .collect()
+    }
+
+    /// Adds the machines that a scale-out since `since` has brought.
+    fn add_provisioned_machines(
+        &mut self,
+        offer: &Offer,
+        ids: Vec<MachineId>,
+        since: Instant,
+        now: Instant,
+    ) {
+        let (machine_type, zone, spot) = offer;
+        for id in ids {
+            if !self.deleted_machines.contains(&id) {
+                let machine = (self.machines).get_or_add(&id, || {
+                    Machine::new(id.clone(), machine_type, zone, *spot, now)
+                });
+                machine.age = now.saturating_duration_since(since);
+            }
+        }
+    }
+}
 
 impl Core {
     /// Sends the calls that the cloud's limit allows now. What would have to wait stays here: a
-    /// call that queues elsewhere outlives the leader's word for it, is asked again, and so makes
+    /// call that queues elsewhere outlives the leader's lease, is asked again, and so makes
     /// the queue longer still.
     pub(in crate::core) fn call_cloud(&mut self) {
+        self.request_list();
+        self.request_deletions();
+        self.request_scale_outs();
+    }
+
+    fn request_list(&mut self) {
         let now = self.now.mono;
-        let Some(leader) = &mut self.leader else {
-            return;
-        };
-        let hurry = leader.machines.values().any(|m| {
-            m.incarnation == 0
-                || now.saturating_duration_since(m.last_heartbeat)
-                    > self.settings.heartbeat_interval * 2
-        });
-        // A list takes a call for each page of machines: no more than a third of what is allowed.
-        let pages = 1.0 + leader.cloud.listed_machines as f64 / PAGE as f64;
-        let every = Duration::from_secs_f64(3.0 * pages / self.settings.cloud_rps);
-        let every = every.max(Duration::from_secs(if hurry { 2 } else { 6 }));
-        let asked = leader.cloud.list_requested;
-        let awaited = (self.leader.as_ref()).is_some_and(|l| self.machine_list_due(l, asked));
-        let Some(leader) = &mut self.leader else {
+        let Some(leader) = &self.leader else { return };
+        let interval = leader.list_interval(
+            self.settings.heartbeat_interval,
+            self.settings.cloud_rps,
+            now,
+        );
+        let last = leader.cloud.list_requested;
+        let is_due =
+            self.machine_list_due(leader, last) || last.is_none_or(|at| now >= at + interval);
+        if leader.cloud.list_in_flight || !is_due || !self.cloud_budget.try_take(now) {
             return;
-        };
-        let list =
-            !leader.cloud.list_in_flight && (awaited || asked.is_none_or(|t| now >= t + every));
-        if list && self.cloud_budget.try_take(now) {
-            let Some(leader) = &mut self.leader else {
-                return;
-            };
+        }
+        if let Some(leader) = &mut self.leader {
             leader.cloud.list_in_flight = true;
             leader.cloud.list_requested = Some(now);
-            self.ask_cloud(Pending::List { sent: now }, CloudRequest::List);
         }
+        self.send_cloud_call(Pending::List { sent: now }, CloudRequest::List);
+    }
+
+    fn request_deletions(&mut self) {
+        let now = self.now.mono;
         let Some(leader) = &mut self.leader else {
             return;
         };
-        if leader.cloud.delete_calls_in_flight < MAX_DELETE_CALLS {
-            let due = leader.cloud.deletions.iter().filter(|(_, at)| **at <= now);
-            let names: Vec<MachineId> = due
-                .map(|d| d.0.clone())
-                .take(MAX_DELETED_PER_CALL)
-                .collect();
-            if !names.is_empty() && self.cloud_budget.try_take(now) {
-                leader.cloud.delete_calls_in_flight += 1;
-                for id in &names {
-                    let again = now + Duration::from_secs(4);
-                    leader.cloud.deletions.insert(id.clone(), again);
-                }
-                let request = CloudRequest::Delete(names.clone());
-                self.ask_cloud(Pending::Delete(names), request);
-            }
+        let ids = leader.due_deletions(now);
+        if ids.is_empty() || !self.cloud_budget.try_take(now) {
+            return;
+        }
+        leader.cloud.delete_calls_in_flight += 1;
+        for id in &ids {
+            let retry_at = now + DELETE_RETRY_INTERVAL;
+            leader.cloud.deletions.insert(id.clone(), retry_at);
         }
+        let request = CloudRequest::Delete(ids.clone());
+        self.send_cloud_call(Pending::Delete(ids), request);
+    }
+
+    fn request_scale_outs(&mut self) {
+        let now = self.now.mono;
         let Some(leader) = &self.leader else { return };
-        let due = leader.cloud.scale_outs.iter();
-        let due = due.filter(|(_, r)| r.call.is_none() && now >= r.retry_at);
-        let rents: Vec<String> = due.map(|(name, _)| name.clone()).collect();
-        for name in rents {
+        for name in leader.due_scale_outs(now) {
             if !self.cloud_budget.try_take(now) {
                 return;
             }
-            let op = self
-                .leader
-                .as_ref()
-                .and_then(|l| l.cloud.scale_outs.get(&name));
-            let Some(body) = op.map(|op| op.body.clone()) else {
+            let leader = self.leader.as_ref();
+            let operation = leader.and_then(|l| l.cloud.scale_outs.get(&name));
+            let Some(body) = operation.map(|operation| operation.body.clone()) else {
                 return;
             };
-            let call = self.ask_cloud(Pending::Rent(name.clone()), CloudRequest::Rent(body));
-            let op = self
-                .leader
-                .as_mut()
-                .and_then(|l| l.cloud.scale_outs.get_mut(&name));
-            if let Some(op) = op {
-                op.call = Some(call);
+            let call = self.send_cloud_call(Pending::Rent(name.clone()), CloudRequest::Rent(body));
+            let leader = self.leader.as_mut();
+            if let Some(operation) = leader.and_then(|l| l.cloud.scale_outs.get_mut(&name)) {
+                operation.call = Some(call);
             }
         }
     }
 
-    fn ask_cloud(&mut self, pending: Pending, request: CloudRequest) -> u64 {
+    fn send_cloud_call(&mut self, pending: Pending, request: CloudRequest) -> CallId {
         let not_after = self.leader_until();
         let call = self.call(pending);
         self.effects.push(Effect::Cloud {
@@ -103,8 +168,8 @@
         call
     }
 
-    /// Queues a rental under a name that no controller has ever used.
-    pub(in crate::core) fn rent(&mut self, offer: Offer, count: u32) {
+    /// Queues a scale-out under a name that no controller has ever used.
+    pub(in crate::core) fn scale_out(&mut self, offer: Offer, count: u32) {
         let now = self.now.mono;
         let Some(leader) = &mut self.leader else {
             return;
@@ -112,214 +177,117 @@
         leader.cloud.next_request += 1;
         // Terms are unique for ever, and so is the number within one.
         let name = format!("burlusher-{}-{}", leader.term, leader.cloud.next_request);
+        let (machine_type, zone, spot) = offer;
         tracing::info!(
-            "renting {count} of {} in {}, {}: {name}",
-            offer.0,
-            offer.1,
-            if offer.2 { "spot" } else { "ordinary" }
+            request = name,
+            count,
+            machine_type,
+            zone,
+            spot,
+            "scale-out requested"
         );
         let body = ScaleOutRequest {
             request_id: name.clone(),
-            machine_type: offer.0,
-            zone: offer.1,
-            spot: offer.2,
+            machine_type,
+            zone,
+            spot,
             count,
         };
-        leader.cloud.scale_outs.insert(
-            name,
-            ScaleOutOperation {
-                body,
-                since: now,
-                call: None,
-                retry_at: now,
-            },
-        );
+        let operation = ScaleOutOperation {
+            body,
+            since: now,
+            call: None,
+            retry_at: now,
+        };
+        leader.cloud.scale_outs.insert(name, operation);
     }
 
-    pub(in crate::core) fn cloud_outcome(&mut self, call: u64, outcome: CloudOutcome) {
-        let now = self.now.mono;
+    /// The outcome of a call to the cloud.
+    pub(in crate::core) fn cloud_outcome(&mut self, call: CallId, outcome: CloudOutcome) {
         let pending = self.pending.remove(&call);
         if let (Some(Pending::Types), CloudOutcome::Types(types)) = (&pending, &outcome) {
             return self.set_machine_types(types.clone());
         }
-        if let CloudOutcome::Trouble(e) | CloudOutcome::Invalid(e) = &outcome {
-            tracing::info!("cloud: {e}");
+        if let CloudOutcome::Trouble(error) | CloudOutcome::Invalid(error) = &outcome {
+            tracing::info!(error, "cloud call failed");
         }
-        let Some(leader) = &mut self.leader else {
-            return;
-        };
         match pending {
-            Some(Pending::List { sent }) => {
-                leader.cloud.list_in_flight = false;
-                if let CloudOutcome::Listed(list) = outcome {
-                    leader.cloud.listed_machines = list.len();
-                    for _ in 0..list.len() / PAGE {
-                        self.cloud_budget.take(now);
-                    }
-                    self.observe_listed_machines(sent, list);
-                }
-            }
-            Some(Pending::Delete(names)) => {
-                leader.cloud.delete_calls_in_flight =
-                    leader.cloud.delete_calls_in_flight.saturating_sub(1);
-                if let CloudOutcome::Deleted(_) = outcome {
-                    for id in &names {
-                        leader.cloud.deletions.remove(id);
-                        leader.deleted_machines.insert(id.clone());
-                    }
-                    for id in names {
-                        self.machine_gone(&id, "deleted");
-                    }
-                } else {
-                    for id in names {
-                        if let Some(at) = leader.cloud.deletions.get_mut(&id) {
-                            *at = now + Duration::from_secs(1);
-                        }
-                    }
-                }
-            }
+            Some(Pending::List { sent }) => self.list_outcome(sent, outcome),
+            Some(Pending::Delete(ids)) => self.deletion_outcome(ids, &outcome),
             Some(Pending::Rent(name)) => self.scale_out_outcome(&name, outcome),
             _ => {}
         }
     }
 
-    fn scale_out_outcome(&mut self, name: &str, outcome: CloudOutcome) {
+    fn list_outcome(&mut self, sent: Instant, outcome: CloudOutcome) {
         let now = self.now.mono;
         let Some(leader) = &mut self.leader else {
             return;
         };
-        let Some(op) = leader.cloud.scale_outs.get_mut(name) else {
+        leader.cloud.list_in_flight = false;
+        let CloudOutcome::Listed(list) = outcome else {
             return;
         };
-        op.call = None;
-        let offer = (
-            op.body.machine_type.clone(),
-            op.body.zone.clone(),
-            op.body.spot,
-        );
-        let asked = op.body.count as usize;
-        let since = op.since;
-        let mut got = Some(0);
-        match outcome {
-            CloudOutcome::Rented(ids) => {
-                got = Some(ids.len());
-                leader.cloud.scale_outs.remove(name);
-                for id in ids {
-                    let m = Machine::new(id.clone(), &offer.0, &offer.1, offer.2, now);
-                    if !leader.deleted_machines.contains(&id) {
-                        leader.machines.get_or_add(&id, || m).age =
-                            now.saturating_duration_since(since);
-                    }
-                }
-            }
-            CloudOutcome::NoCapacity | CloudOutcome::Invalid(_) => {
-                leader.cloud.scale_outs.remove(name);
-            }
-            // It may have been carried out: only the same name asked again tells.
-            _ => {
-                op.retry_at = now + Duration::from_secs(2);
-                got = None;
-            }
-        }
-        if let Some(got) = got {
-            let beliefs = &mut leader.scheduler.bidding.beliefs;
-            beliefs.answered(&offer, asked as u32, got as u32, now);
-            if got < asked {
-                leader.scheduler.last_scaling = None;
-            }
+        leader.cloud.listed_machines = list.len();
+        // Its further pages took a call each.
+        for _ in 0..list.len() / PAGE {
+            self.cloud_budget.take(now);
         }
+        self.observe_listed_machines(sent, &list);
     }
 
-    fn observe_listed_machines(&mut self, sent: Instant, list: Vec<ListedMachine>) {
+    fn deletion_outcome(&mut self, ids: Vec<MachineId>, outcome: &CloudOutcome) {
         let now = self.now.mono;
-        let lag = self.settings.machine_list_lag * 2 + Duration::from_secs(2);
         let Some(leader) = &mut self.leader else {
             return;
         };
-        let mut present = BTreeSet::new();
-        let mut gone = Vec::new();
-        // While the store is rebuilt, each of them may hold tasks.
-        let (mut unknown, mut booting) = (Vec::new(), Vec::new());
-        for l in list {
-            present.insert(l.id.clone());
-            if leader.deleted_machines.contains(&l.id) {
-                continue;
-            }
-            let known = leader.machines.get(&l.id);
-            if leader.rebuild.is_some() && known.is_none_or(|m| m.incarnation == 0) {
-                match l.state {
-                    ListedState::Running if known.is_none() => {
-                        let addr = l.addr.clone().unwrap_or_default();
-                        let value = MachineValue {
-                            addr,
-                            machine_type: l.machine_type.clone(),
-                            zone: l.zone.clone(),
-                            spot: l.spot,
-                        };
-                        unknown.push((l.id.clone(), value));
-                    }
-                    ListedState::Booting if known.is_none() => booting.push(l.id.clone()),
-                    _ => {}
+        let cloud = &mut leader.cloud;
+        cloud.delete_calls_in_flight = cloud.delete_calls_in_flight.saturating_sub(1);
+        if !matches!(outcome, CloudOutcome::Deleted(_)) {
+            for id in ids {
+                if let Some(retry_at) = cloud.deletions.get_mut(&id) {
+                    *retry_at = now + FAILED_DELETE_PAUSE;
                 }
             }
-            // Most machines are listed as they are known: nothing to change, nothing to note.
-            if known.is_some_and(|m| {
-                m.incarnation > 0 && m.listed_since.is_some() && !m.addr.is_empty()
-            }) && l.state != ListedState::Failed
-            {
-                continue;
-            }
-            let m = leader.machines.get_or_add(&l.id, || {
-                tracing::info!(machine = %l.id, "machine {}: found in the cloud's list, taken on", l.id);
-                Machine::new(l.id.clone(), &l.machine_type, &l.zone, l.spot, now)
-            });
-            m.listed_since.get_or_insert(now);
-            // Also of machines that an earlier leader rented: taken for new, they would be kept
-            // idle for the minute that is paid at least.
-            if l.age_s.is_finite() && l.age_s >= 0.0 {
-                let age = Duration::from_secs_f64(l.age_s.min(1e7));
-                m.age = age.saturating_sub(now.saturating_duration_since(m.known_since));
-            }
-            if m.addr.is_empty()
-                && let Some(addr) = l.addr
-            {
-                m.addr = addr;
-            }
-            if l.state == ListedState::Failed {
-                gone.push(l.id);
-            }
+            return;
         }
-        self.observe_machine_list(sent, unknown, booting);
-        for id in &gone {
-            // It stopped by itself, but stays in the list until it is deleted.
-            self.machine_gone(id, "the cloud lists it as failed");
-            if let Some(leader) = &mut self.leader {
-                leader.cloud.deletions.insert(id.clone(), now);
-            }
+        for id in &ids {
+            cloud.deletions.remove(id);
+            leader.deleted_machines.insert(id.clone());
         }
-        let Some(leader) = &self.leader else { return };
-        // The list tells of a time at most twice its lag ago. A machine known to exist before
-        // that time and absent now is gone.
-        let absent: Vec<MachineId> = leader
-            .machines
-            .values()
-            .filter(|m| !present.contains(&m.id) && m.known_since + lag < sent)
-            .filter(|m| now.saturating_duration_since(m.last_heartbeat) > Duration::from_secs(2))
-            .map(|m| m.id.clone())
-            .collect();
-        for id in absent {
-            self.machine_gone(&id, "the cloud does not list it any more");
+        for id in ids {
+            self.machine_gone(&id, "deleted");
         }
     }
-}
 
-impl From<&Machine> for MachineValue {
-    fn from(m: &Machine) -> MachineValue {
-        MachineValue {
-            addr: m.addr.clone(),
-            machine_type: m.machine_type.clone(),
-            zone: m.zone.clone(),
-            spot: m.spot,
+    fn scale_out_outcome(&mut self, name: &str, outcome: CloudOutcome) {
+        let now = self.now.mono;
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        let Some(operation) = leader.cloud.scale_outs.get_mut(name) else {
+            return;
+        };
+        operation.call = None;
+        let provisioned = match outcome {
+            CloudOutcome::Rented(ids) => ids,
+            CloudOutcome::NoCapacity | CloudOutcome::Invalid(_) => Vec::new(),
+            // It may have been carried out: only the same name asked again tells.
+            _ => {
+                operation.retry_at = now + SCALE_OUT_RETRY_PAUSE;
+                return;
+            }
+        };
+        let Some(operation) = leader.cloud.scale_outs.remove(name) else {
+            return;
+        };
+        let (body, count) = (operation.body, provisioned.len() as u32);
+        let offer = (body.machine_type, body.zone, body.spot);
+        leader.add_provisioned_machines(&offer, provisioned, operation.since, now);
+        let beliefs = &mut leader.scheduler.bidding.beliefs;
+        beliefs.answered(&offer, body.count, count, now);
+        if count < body.count {
+            leader.scheduler.last_scaling = None;
         }
     }
 }
--- a/src/core/machines/machine.rs
+++ b/src/core/machines/machine.rs
@@ -1,125 +1,138 @@
-//! A machine as the leader knows it: data that reports, commands, losses and renting act on. It
-//! imports nothing of theirs.
+//! A machine as the leader knows it: data that heartbeats, commands, failure detection and the calls to the
+//! cloud act on. It imports nothing of theirs.
 
+use crate::core::CallId;
+use crate::core::machines::fault_history::FaultHistory;
+use crate::core::machines::placement::{ExitedTask, Phase, Placement};
+use crate::core::store::cache::MachineValue;
 use crate::fault_injection::{Safeguard, is_enabled};
-use crate::job::{JobId, MachineId, Resources, TaskId};
+use crate::job::{MachineId, TaskId};
 use crate::planning::cluster_snapshot::ImageTag;
-use crate::wire::{Heartbeat, TaskState};
-use std::collections::{BTreeMap, BTreeSet};
+use crate::wire::{Heartbeat, TaskState, TaskStatus};
+use std::collections::BTreeMap;
+use std::fmt;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Tokens are `term << TOKEN_EPOCH_BITS | epoch`; see `Machine::epoch`.
+/// Fencing tokens are `term << TOKEN_EPOCH_BITS | epoch`; see `Machine::token_epoch`.
 pub const TOKEN_EPOCH_BITS: u32 = 20;
-/// A worker that gets no answer at one node tries the next one this much later (the protocol's
-/// 4 s and 1 s): after a cut it takes that long until all are heard again.
+/// A worker that gets no answer from one controller tries the next one this much later (the protocol's
+/// 4 s and 1 s): after a cut it takes that long until heartbeats of all arrive again.
 pub const WORKER_RETRY: Duration = Duration::from_secs(5);
+/// Added to a worker's lease before its tasks count as gone: for drift, and for slow timers.
+const LEASE_MARGIN: Duration = Duration::from_millis(1500);
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum StopReason {
-    /// Its job is over, or it should not be here.
-    Over,
-    /// Room is needed for other work.
-    Preempted,
-    /// Its machine will be taken.
-    Moved,
-    /// Its gang has lost a task and starts again.
-    Regrouped,
+/// From when a worker was last answered until its lease has run out for certain.
+pub(in crate::core) fn lease_expiry(lease: Duration) -> Duration {
+    lease + lease / 500 + LEASE_MARGIN
 }
 
+/// Why a machine is deleted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Phase {
-    /// Told to start, but not seen yet: it may be there, and may come to be there.
-    Unseen,
-    Fetching,
-    Running,
-    Saving,
+pub enum DeletionReason {
+    /// No heartbeats come from it, while its zone is reachable.
+    Silent,
+    /// It may hold tasks of an earlier term, and answers no calls.
+    Unresponsive,
+    /// The cloud gave notice to reclaim it, and it is silent since.
+    Reclaimed,
+    /// It has been silent for longer than its worker's lease.
+    LeaseExpired,
+    /// It took much too long to boot.
+    NeverCameUp,
+    /// Tasks fail on it, or are much too slow there.
+    Faulty,
+    /// It has had nothing to do for long enough.
+    Idle,
 }
 
-impl Phase {
-    pub(in crate::core) fn of(state: TaskState) -> Phase {
-        match state {
-            TaskState::Fetching => Phase::Fetching,
-            TaskState::Saving => Phase::Saving,
-            _ => Phase::Running,
-        }
+impl fmt::Display for DeletionReason {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            DeletionReason::Silent => "it is silent",
+            DeletionReason::Unresponsive => "it does not answer",
+            DeletionReason::Reclaimed => "it was to be taken and is silent",
+            DeletionReason::LeaseExpired => "its lease ran out",
+            DeletionReason::NeverCameUp => "it never came up",
+            DeletionReason::Faulty => "it is faulty",
+            DeletionReason::Idle => "it is idle",
+        })
     }
 }
 
-/// A task that is, or may be, on a machine.
+/// An image on a machine, or being fetched to it.
 #[derive(Clone, Debug)]
-pub struct Placement {
-    pub attempt: u64,
-    pub phase: Phase,
-    pub since: Instant,
-    pub running_since: Option<Instant>,
-    pub stopping: Option<(StopReason, Instant)>,
-    /// What it takes; kept here as it holds its room even after its job is over.
-    pub resources: Resources,
-    /// The team whose limit it counts toward, by its place in the settings.
-    pub team: Option<usize>,
+pub struct CachedImage {
+    /// Which image.
+    pub tag: ImageTag,
+    /// Its size in gigabytes.
+    pub size_gb: f64,
 }
 
-impl Placement {
-    pub fn runs(&self) -> bool {
-        matches!(self.phase, Phase::Running | Phase::Saving)
-    }
-
-    pub fn stop(&mut self, reason: StopReason, now: Instant) {
-        match self.stopping {
-            Some((StopReason::Over, _)) => {}
-            Some((_, since)) if reason == StopReason::Over => {
-                self.stopping = Some((reason, since));
-            }
-            Some(_) => {}
-            None => self.stopping = Some((reason, now)),
-        }
-    }
+/// A call made to find out whether a machine has begun anew.
+#[derive(Clone, Copy, Debug)]
+pub struct RestartProbe {
+    /// The incarnation and sequence number that were known when the call was made.
+    pub known: (u64, u64),
+    /// The call.
+    pub call: CallId,
 }
 
-/// A task that ended on a machine and is still in its reports.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Exited {
-    pub key: TaskId,
-    pub attempt: u64,
-    /// It may have been started by a direct command that came with this token, or with a lower one.
+/// Direct calls to a machine's worker.
+#[derive(Clone, Debug)]
+pub struct DirectCalls {
+    /// The call on its way.
+    pub in_flight: Option<CallId>,
+    /// No commands are sent by a call before this moment.
+    pub retry_not_before: Instant,
+    /// Calls in a row that got no answer.
+    pub failures: u32,
+    /// The call on its way that is to find out whether the machine has begun anew.
+    pub restart_probe: Option<RestartProbe>,
+    /// The token of the last call that started something.
     pub started_under_token: u64,
 }
 
+/// A machine as the leader knows it.
 pub struct Machine {
+    /// Its name, unique for ever.
     pub id: MachineId,
+    /// Its worker's address, empty until it is known.
     pub addr: String,
+    /// The name of its type.
     pub machine_type: String,
+    /// The zone that it is in.
     pub zone: String,
+    /// Whether the cloud may reclaim it.
     pub spot: bool,
-    /// 0 until its first report.
+    /// Which life of its worker the newest heartbeat is of; 0 until the first one.
     pub incarnation: u64,
+    /// The newest heartbeat's number within the incarnation.
     pub sequence: u64,
+    /// When the newest heartbeat came, in answer to a call too.
     pub last_heartbeat: Instant,
-    /// Receipt of the last report answered 200: its lease cannot have begun later.
+    /// Receipt of the last heartbeat answered 200: its lease cannot have begun later.
     pub lease_renewed: Instant,
-    /// When its session was first heard of: it has its lease from when it began, and need not have been
+    /// When its incarnation was first heard of: it has its lease from when it began, and need not have been
     /// answered since.
     pub incarnation_since: Instant,
-    /// Its tasks were counted out when its lease had run out; the session is over.
+    /// Its tasks were counted as lost when its lease had run out; the incarnation is over.
     pub lease_expired: bool,
+    /// The tasks that are, or may be, on it.
     pub tasks: BTreeMap<TaskId, Placement>,
-    /// Exited tasks in its newest report.
-    pub exited: Vec<Exited>,
-    /// The token under which it was last told directly to start something.
-    pub started_under_token: u64,
-    /// It gets no tasks before it has shown this token: its last session ended although it was answered,
-    /// or starts do not come to be, so what it is told may not reach it.
+    /// Exited tasks in its newest heartbeat.
+    pub exited: Vec<ExitedTask>,
+    /// Direct calls to its worker.
+    pub direct_calls: DirectCalls,
+    /// It gets no tasks before it has shown this token: its last incarnation ended although it was answered,
+    /// or starts do not come to be, so answers may not reach it.
     pub unconfirmed_token: Option<u64>,
     /// It has yet to show this term's token, and since when it has been answered with it.
     pub unproven_since: Option<Instant>,
-    /// An earlier leader may have given it tasks that we have not seen yet.
+    /// An earlier leader may have given it tasks that this one has not seen yet.
     pub unresolved: bool,
-    /// Something ended on it, or it came up, since it was last told anything.
+    /// Something ended on it, or it came up, since its last answer.
     pub freed: bool,
-    /// Its session and sequence when a call was made to find out whether it has begun anew, and that
-    /// call.
-    pub restart_probe: Option<((u64, u64), u64)>,
     /// The highest token that it has shown in this life of its: what shows a lower one is older, or of
     /// another life.
     pub highest_token: u64,
@@ -130,156 +143,56 @@
     pub token_epoch: u64,
     /// Direct commands may still arrive until the worker shows this token.
     pub doubtful_until_token: Option<u64>,
-    pub call_in_flight: Option<u64>,
-    /// The last answer to a report carried starts that no later report has confirmed or denied.
+    /// The last answer to a heartbeat carried starts that no later heartbeat has confirmed or denied.
     pub start_unconfirmed: bool,
-    /// It has something to be told before its next report.
+    /// There are commands for it that should not wait for its next heartbeat.
     pub needs_push: bool,
-    pub push_after: Instant,
-    /// Direct calls in a row that got no answer.
-    pub failed_calls: u32,
+    /// When it will be reclaimed, if the cloud gave notice.
     pub reclaim_at: Option<Instant>,
+    /// Since when this leader knows it.
     pub known_since: Instant,
+    /// When the first heartbeat came.
     pub up_since: Option<Instant>,
+    /// How old it was when this leader came to know it.
     pub age: Duration,
+    /// When the cloud's list first showed it.
     pub listed_since: Option<Instant>,
-    pub deleting: Option<&'static str>,
+    /// It is being deleted, and why.
+    pub deleting: Option<DeletionReason>,
+    /// Since when it has no tasks, if it has none.
     pub idle_since: Instant,
     /// Images on it or being fetched, the latest used last.
-    pub images: Vec<(ImageTag, f64)>,
-    pub fault_history: Faults,
-    /// Whether the board shows it as open for tasks; time alone may change that.
+    pub images: Vec<CachedImage>,
+    /// What speaks against giving it tasks.
+    pub fault_history: FaultHistory,
+    /// Whether planning takes it as open for tasks; time alone may change that.
     pub schedulable: bool,
-    /// The controller that its newest report came by; `None`: it reports to this one.
+    /// The controller that its newest heartbeat came by; `None`: it reports to this one.
     pub via: Option<Arc<str>>,
-    /// A controller that may answer its reports from memory.
+    /// A controller that may answer its heartbeats from memory.
     pub delegated_to: Option<Arc<str>>,
-    /// That controller is told, or has yet to be told, not to.
+    /// That delegation is revoked, and the controller has yet to confirm it.
     pub revoked: bool,
-    /// Another controller shows it the token; until then it is not asked from here.
+    /// Another controller shows it the token; until then it is not probed from here.
     pub claimed_until: Option<Instant>,
-    /// It is among those whose change has been noted.
+    /// It is among the changed machines of the registry.
     change_noted: bool,
 }
 
-/// All machines by id. Whoever changes one gets it from here, and that is noted: planning and
-/// the telling of commands then look at what changed, not at all there is.
-#[derive(Default)]
-pub struct Machines {
-    pub(in crate::core) all: BTreeMap<MachineId, Machine>,
-    /// For the board, and for commands that should not wait for a report.
-    changed: Vec<MachineId>,
-    pub(in crate::core) to_push: BTreeSet<MachineId>,
-}
-
-impl Machines {
-    pub fn get(&self, id: &MachineId) -> Option<&Machine> {
-        self.all.get(id)
-    }
-
-    pub fn get_mut(&mut self, id: &MachineId) -> Option<&mut Machine> {
-        let m = self.all.get_mut(id)?;
-        Some(m.mark_changed(&mut self.changed))
-    }
-
-    /// For what neither the board nor commands depend on: that it was heard, and when.
-    pub(in crate::core) fn get_mut_quiet(&mut self, id: &MachineId) -> Option<&mut Machine> {
-        self.all.get_mut(id)
-    }
-
-    /// The machine of this id, made first if there is none.
-    pub fn get_or_add(&mut self, id: &MachineId, make: impl FnOnce() -> Machine) -> &mut Machine {
-        let m = self.all.entry(id.clone()).or_insert_with(make);
-        m.mark_changed(&mut self.changed)
-    }
-
-    pub fn remove(&mut self, id: &MachineId) -> Option<Machine> {
-        self.changed.push(id.clone());
-        self.to_push.remove(id);
-        self.all.remove(id)
-    }
-
-    pub fn values(&self) -> impl Iterator<Item = &Machine> {
-        self.all.values()
-    }
-
-    /// What the board shows now; no change of the machine itself.
-    pub fn set_schedulable(&mut self, id: &MachineId, open: bool) {
-        if let Some(m) = self.all.get_mut(id) {
-            m.schedulable = open;
-        }
-    }
-
-    /// The types of machines changed, and with them what each is good for.
-    pub fn mark_all_changed(&mut self) {
-        for m in self.all.values_mut() {
-            m.mark_changed(&mut self.changed);
-        }
-    }
-
-    /// Those that changed since the last call, or are gone; the ones that have something to be
-    /// told join the others of that kind.
-    pub fn take_changed(&mut self) -> Vec<MachineId> {
-        let noted = std::mem::take(&mut self.changed);
-        for id in &noted {
-            if let Some(m) = self.all.get_mut(id) {
-                m.change_noted = false;
-                if m.needs_push {
-                    self.to_push.insert(id.clone());
-                }
-            }
-        }
-        noted
-    }
-}
-
-/// What speaks against a machine.
-#[derive(Clone, Debug, Default)]
-pub struct Faults {
-    /// Jobs of which tasks failed here since the last success.
-    pub failed_jobs: BTreeSet<JobId>,
-    pub failures: u32,
-    pub avoid_until: Option<Instant>,
-    pub slowness: Slowness,
-}
-
-/// Run times on a machine against those of the same jobs everywhere.
-#[derive(Clone, Copy, Debug, Default)]
-pub struct Slowness {
-    sum: f64,
-    weight: f64,
-}
-
-impl Slowness {
-    /// Notes the logarithm of a run time's ratio to the usual one; older notes fade.
-    pub fn note(&mut self, log_ratio: f64) {
-        const FADE: f64 = 0.95;
-        self.sum = self.sum * FADE + log_ratio;
-        self.weight = self.weight * FADE + 1.0;
-    }
-
-    fn mean(&self) -> f64 {
-        // A few doubtful notes say little.
-        self.sum / (self.weight + 2.0)
-    }
-
-    /// Two and a half times the usual, over several tasks.
-    pub fn faulty(&self) -> bool {
-        self.weight >= 5.0 && self.mean() > 0.9
-    }
-
-    /// Seconds that it is worth to avoid the machine.
-    pub fn delay(&self) -> f64 {
-        (self.mean() - 0.3).max(0.0) * 20.0
-    }
+/// Whether a task's id as a worker writes it is this task's.
+fn is_task(key: &TaskId, text: &str) -> bool {
+    text.strip_prefix(&*key.job)
+        .and_then(|rest| rest.strip_prefix('/'))
+        .is_some_and(|index| index.parse() == Ok(key.index))
 }
 
 impl Machine {
-    pub fn new(id: MachineId, kind: &str, zone: &str, spot: bool, now: Instant) -> Machine {
+    /// A machine of which nothing more is known yet.
+    pub fn new(id: MachineId, machine_type: &str, zone: &str, spot: bool, now: Instant) -> Machine {
         Machine {
             id,
             addr: String::new(),
-            machine_type: kind.into(),
+            machine_type: machine_type.into(),
             zone: zone.into(),
             spot,
             incarnation: 0,
@@ -290,21 +203,23 @@
             lease_expired: false,
             tasks: BTreeMap::new(),
             exited: Vec::new(),
-            started_under_token: 0,
+            direct_calls: DirectCalls {
+                in_flight: None,
+                retry_not_before: now,
+                failures: 0,
+                restart_probe: None,
+                started_under_token: 0,
+            },
             unconfirmed_token: None,
             unproven_since: None,
             unresolved: false,
             freed: false,
-            restart_probe: None,
             highest_token: 0,
             recorded: false,
             token_epoch: 0,
             doubtful_until_token: None,
-            call_in_flight: None,
             start_unconfirmed: false,
             needs_push: false,
-            push_after: now,
-            failed_calls: 0,
             reclaim_at: None,
             known_since: now,
             up_since: None,
@@ -313,7 +228,7 @@
             deleting: None,
             idle_since: now,
             images: Vec::new(),
-            fault_history: Faults::default(),
+            fault_history: FaultHistory::default(),
             schedulable: false,
             via: None,
             delegated_to: None,
@@ -323,47 +238,54 @@
         }
     }
 
+    /// The fencing token of whatever is sent to it in this term.
     pub fn token(&self, term: u64) -> u64 {
         (term << TOKEN_EPOCH_BITS) | self.token_epoch
     }
 
-    /// Whether a report says only what is known, under this term's token: most reports do, and
+    /// How old it is, as far as is known.
+    pub fn age_at(&self, now: Instant) -> Duration {
+        self.age + now.saturating_duration_since(self.known_since)
+    }
+
+    /// Whether a heartbeat says only what is known, under this term's token: most heartbeats do, and
     /// with a thousand machines that each hold dozens of tasks, taking them in anew every time
     /// was most of a leader's work.
     pub(in crate::core) fn is_unchanged_by(&self, heartbeat: &Heartbeat, term: u64) -> bool {
-        let calm = heartbeat.incarnation == self.incarnation
+        let is_next_of_incarnation = heartbeat.incarnation == self.incarnation
             && heartbeat.sequence > self.sequence
-            && heartbeat.fencing_token >= (term << TOKEN_EPOCH_BITS).max(self.highest_token)
-            && !self.lease_expired
+            && heartbeat.fencing_token >= (term << TOKEN_EPOCH_BITS).max(self.highest_token);
+        let nothing_open = !self.lease_expired
             && self.recorded
             && self.doubtful_until_token.is_none()
             && !self.start_unconfirmed
             && self.unconfirmed_token.is_none()
             && self.reclaim_at.is_none()
-            && heartbeat.reclaim_in_s.is_none()
-            && self.up_since.is_some()
+            && self.up_since.is_some();
+        let same_machine = heartbeat.reclaim_in_s.is_none()
             && self.spot == heartbeat.spot
             && self.addr == heartbeat.addr
             && heartbeat.tasks.len() == self.tasks.len() + self.exited.len();
-        let is = |key: &TaskId, text: &str| {
-            text.strip_prefix(&*key.job)
-                .and_then(|rest| rest.strip_prefix('/'))
-                .is_some_and(|row| row.parse() == Ok(key.index))
-        };
-        calm && heartbeat.tasks.iter().all(|row| {
-            if row.state == TaskState::Exited {
-                let mut exited = self.exited.iter();
-                return exited.any(|e| e.attempt == row.attempt && is(&e.key, &row.task));
-            }
-            let mut tasks = self.tasks.iter();
-            tasks.any(|(k, t)| {
-                t.attempt == row.attempt && t.phase == Phase::of(row.state) && is(k, &row.task)
-            })
+        is_next_of_incarnation
+            && nothing_open
+            && same_machine
+            && (heartbeat.tasks.iter()).all(|status| self.knows_status(status))
+    }
+
+    /// Whether a task is as it was in the heartbeat before.
+    fn knows_status(&self, status: &TaskStatus) -> bool {
+        if status.state == TaskState::Exited {
+            return (self.exited.iter())
+                .any(|e| e.attempt == status.attempt && is_task(&e.key, &status.task));
+        }
+        let phase = Phase::of(status.state);
+        self.tasks.iter().any(|(key, task)| {
+            task.attempt == status.attempt && task.phase == phase && is_task(key, &status.task)
         })
     }
 
-    /// Nothing is open between it and the leader: a report that says the same as its last one
-    /// would be answered with no orders.
+    /// Nothing is open between it and the leader: a heartbeat that says the same as its last one
+    /// would be answered with no commands.
     pub(in crate::core) fn is_steady(&self) -> bool {
         self.incarnation > 0
             && self.recorded
@@ -378,7 +300,7 @@
             && (self.tasks.values()).all(|t| t.phase != Phase::Unseen && t.stopping.is_none())
     }
 
-    /// What it is told may not reach it: a later token shows that it does.
+    /// Answers may not reach it: a later token shows that they do.
     pub(in crate::core) fn require_token_proof(&mut self, term: u64) {
         self.token_epoch += 1;
         self.unconfirmed_token = Some(self.token(term));
@@ -386,20 +308,26 @@
 
     /// No command that was sent can still arrive.
     pub(in crate::core) fn no_command_in_flight(&self) -> bool {
-        self.call_in_flight.is_none() && self.doubtful_until_token.is_none()
+        self.direct_calls.in_flight.is_none() && self.doubtful_until_token.is_none()
     }
 
-    /// Notes that it is about to change, once until that is taken notice of.
-    pub(in crate::core) fn mark_changed(&mut self, noted: &mut Vec<MachineId>) -> &mut Machine {
+    /// Notes that it is about to change, once until `clear_change_mark`.
+    pub(super) fn mark_changed(&mut self, changed: &mut Vec<MachineId>) -> &mut Machine {
         if !self.change_noted {
             self.change_noted = true;
-            noted.push(self.id.clone());
+            changed.push(self.id.clone());
         }
         self
     }
 
-    /// It can be given tasks now.
-    pub fn usable(&self, now: Instant, patience: Duration) -> bool {
+    /// Its changes so far are taken notice of.
+    pub(super) fn clear_change_mark(&mut self) {
+        self.change_noted = false;
+    }
+
+    /// It can be given tasks now: its last heartbeat is younger than `max_silence`, and nothing is open.
+    pub fn is_usable(&self, now: Instant, max_silence: Duration) -> bool {
+        let is_recent = |at: Instant| now.saturating_duration_since(at) < max_silence;
         self.incarnation > 0
             && (self.recorded || !is_enabled(Safeguard::Recorded))
             && !self.lease_expired
@@ -407,22 +335,35 @@
             && self.reclaim_at.is_none()
             && self.doubtful_until_token.is_none()
             && self.unconfirmed_token.is_none()
-            && now.saturating_duration_since(self.last_heartbeat) < patience
-            // Answers to direct commands keep no lease: without reports, what is started dies with it.
-            && (now.saturating_duration_since(self.lease_renewed) < patience || !is_enabled(Safeguard::Mute))
+            && is_recent(self.last_heartbeat)
+            // Answers to direct calls renew no lease: without heartbeats, what is started dies with it.
+            && (is_recent(self.lease_renewed) || !is_enabled(Safeguard::Mute))
     }
 
     /// Its latest failures speak against giving it tasks now.
-    pub fn avoided(&self, now: Instant) -> bool {
+    pub fn is_avoided(&self, now: Instant) -> bool {
         self.fault_history.avoid_until.is_some_and(|t| now < t)
     }
 
-    pub fn use_image(&mut self, image: ImageTag, gb: f64, cache_gb: f64) {
-        self.images.retain(|(i, _)| *i != image);
-        self.images.push((image, gb));
-        let mut total: f64 = self.images.iter().map(|(_, g)| g).sum();
+    /// A task uses this image: it is fetched to the machine's cache of `cache_gb`, and the images least
+    /// recently used give way.
+    pub fn use_image(&mut self, tag: ImageTag, size_gb: f64, cache_gb: f64) {
+        self.images.retain(|image| image.tag != tag);
+        self.images.push(CachedImage { tag, size_gb });
+        let mut total: f64 = self.images.iter().map(|image| image.size_gb).sum();
         while total > cache_gb && self.images.len() > 1 {
-            total -= self.images.remove(0).1;
+            total -= self.images.remove(0).size_gb;
+        }
+    }
+}
+
+impl From<&Machine> for MachineValue {
+    fn from(machine: &Machine) -> MachineValue {
+        MachineValue {
+            addr: machine.addr.clone(),
+            machine_type: machine.machine_type.clone(),
+            zone: machine.zone.clone(),
+            spot: machine.spot,
         }
     }
 }
--- a/src/core/machines/mod.rs
+++ b/src/core/machines/mod.rs
@@ -1,6 +1,26 @@
-//! Machines as the leader knows them: their record, the detection of failed ones, and the calls to the cloud that
-//! add and delete them.
+//! Machines as the leader knows them: their record, the detection of failed ones, their removal, and the calls
+//! to the cloud that add and delete them.
+//!
+//! `machine`, `placement`, `fault_history` and `registry` are data and import nothing of the logic.
 
+pub mod cancellation_bound;
 pub mod cloud_calls;
 pub mod failure_detection;
+pub mod fault_history;
 pub mod machine;
+pub mod machine_list;
+pub mod placement;
+pub mod reclamation;
+pub mod registry;
+pub mod removal;
+
+use crate::core::Core;
+use crate::core::machines::machine::Machine;
+use crate::job::MachineId;
+
+impl Core {
+    /// The machine of this id, to be changed, if this controller leads and knows it.
+    pub(in crate::core) fn machine_mut(&mut self, id: &MachineId) -> Option<&mut Machine> {
+        self.leader.as_mut()?.machines.get_mut(id)
+    }
+}
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -37,7 +37,7 @@
 pub use jobs::queries::{Ask, UserRequest};
 pub use jobs::submissions::max_unfinished_tasks;
 pub use leadership::LEASE_TTL;
-pub use machines::failure_detection::cancellation_warning;
+pub use machines::cancellation_bound::cancellation_warning;
 pub use store::cache::StoreCache;
 
 use crate::cloud_client::{CloudOutcome, CloudRequest};
--- a/src/core/monitoring/status.rs
+++ b/src/core/monitoring/status.rs
@@ -1,6 +1,7 @@
 //! A readable view of what runs where and why a job waits, for operators.
 
-use crate::core::machines::machine::{Machine, Phase};
+use crate::core::machines::machine::Machine;
+use crate::core::machines::placement::Phase;
 use crate::core::{Core, Ticket};
 use crate::http::Answer;
 use crate::job::{JobId, JobOutcome, JobSpec};
--- a/src/core/scheduling/mod.rs
+++ b/src/core/scheduling/mod.rs
@@ -5,7 +5,8 @@
 
 use crate::core::jobs::job_run::{JobRun, RuntimeRatio, Urgency};
 use crate::core::leadership::state::{DeferredResponses as Waiters, LeaderState};
-use crate::core::machines::machine::{Machine, Phase, Placement, StopReason};
+use crate::core::machines::machine::{DeletionReason, Machine};
+use crate::core::machines::placement::{Phase, Placement, StopReason};
 use crate::core::store::cache::JobRecord;
 use crate::core::workers::delegation::PendingBatch;
 use crate::core::{Core, Work};
@@ -492,7 +493,7 @@
         };
         let quiet = m.tasks.is_empty()
             && m.incarnation > 0
-            && m.call_in_flight.is_none()
+            && m.direct_calls.in_flight.is_none()
             && m.doubtful_until_token.is_none()
             && usage != Use::Closed
             && !unresolved;
@@ -518,7 +519,7 @@
             class: board.class(&offer, t.room(), t.fetch_gb_per_s),
             free,
             usage,
-            images: m.images.iter().map(|(i, _)| *i).collect(),
+            images: m.images.iter().map(|image| image.tag).collect(),
             fetching: usize::from(m.tasks.values().any(|t| !t.runs())),
             doubt: m.fault_history.slowness.delay() + f64::from(m.fault_history.failures) * 4.0,
             idle_since: quiet.then_some(m.idle_since),
@@ -777,11 +778,11 @@
             || now.saturating_duration_since(leader.since) > Duration::from_secs(3);
         if may_rent && leader.cloud.scale_outs.len() < 8 {
             for r in rents {
-                self.rent(r.offer, r.count);
+                self.scale_out(r.offer, r.count);
             }
         }
         for id in returns {
-            self.release_machine(&id, "it is idle");
+            self.release_machine(&id, DeletionReason::Idle);
         }
     }
 
--- a/src/core/simulation/scenarios/cancellation.rs
+++ b/src/core/simulation/scenarios/cancellation.rs
@@ -1,7 +1,7 @@
 //! Cancellations: one outcome for each, nothing started after it, everything stopped in time.
 
 use super::{eight_machines, follower, four_machines, unlimited_job};
-use crate::core::machines::failure_detection::cancellation_warning;
+use crate::core::machines::cancellation_bound::cancellation_warning;
 use crate::core::simulation::{Link, Setup, Simulation, fails_without, settings};
 use crate::fault_injection::Safeguard;
 use crate::job::{MachineId, sample};
--- a/src/core/store/rebuild.rs
+++ b/src/core/store/rebuild.rs
@@ -14,8 +14,8 @@
 
 use crate::core::leadership::json;
 use crate::core::leadership::state::{LeaderState, WriteOp};
-use crate::core::machines::failure_detection::lease_expiry;
-use crate::core::machines::machine::{Machine, StopReason};
+use crate::core::machines::machine::{Machine, lease_expiry};
+use crate::core::machines::placement::StopReason;
 use crate::core::store::cache::{JobValue, MachineValue};
 use crate::core::store::keys::{job_key, part_key};
 use crate::core::store::large_jobs::{self, PartValue};
--- a/src/core/store/writes.rs
+++ b/src/core/store/writes.rs
@@ -3,7 +3,7 @@
 
 use crate::core::leadership::json;
 use crate::core::leadership::state::{InFlightWrite, LeaderState, RefusedWrite, WriteOp};
-use crate::core::machines::failure_detection::cancellation_bound;
+use crate::core::machines::cancellation_bound::cancellation_bound;
 use crate::core::store::cache::{DoneValue, JobValue};
 use crate::core::store::keys::{LEADER, REBUILDING, TYPES, done_key, job_key, key, machine_key};
 use crate::core::store::machine_records::MachineRecords;
--- /dev/null
+++ b/src/core/workers/commands/direct_calls.rs
@@ -0,0 +1,259 @@
+//! Commands by direct calls to workers, for what should not wait for the next heartbeat, and their outcomes.
+
+use super::{MAX_DIRECT_CALLS, count_starts};
+use crate::core::machines::failure_detection::MAX_UNANSWERED_PROBES;
+use crate::core::machines::machine::Machine;
+use crate::core::{CallId, Core, Effect, Pending, Work};
+use crate::fault_injection::{Safeguard, is_enabled};
+use crate::job::MachineId;
+use crate::wire::{DirectCommands, Heartbeat, TaskCommand};
+use crate::worker_client::{DirectOutcome, DirectRequest};
+use std::net::SocketAddrV4;
+use std::time::{Duration, Instant};
+
+/// After a call without an answer to a machine that may hold tasks of an earlier term, until the next one.
+const PROBE_RETRY_PAUSE: Duration = Duration::from_millis(300);
+/// After a worker refused commands, until it is sent others.
+const REFUSED_RETRY_PAUSE: Duration = Duration::from_millis(500);
+/// After a call that got no answer, until the next one with commands.
+const FAILED_RETRY_PAUSE: Duration = Duration::from_secs(3);
+
+/// Which commands a direct call carries.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum CallScope {
+    All,
+    /// To a machine from which no heartbeats come: calls may reach it.
+    StopsOnly,
+}
+
+impl CallScope {
+    /// A call is made only while fewer are on their way: calls to dead machines take their threads for long.
+    fn max_calls_in_flight(self) -> usize {
+        match self {
+            CallScope::All => MAX_DIRECT_CALLS,
+            CallScope::StopsOnly => MAX_DIRECT_CALLS / 4,
+        }
+    }
+}
+
+impl Machine {
+    /// Whether its worker may be called with commands now.
+    fn accepts_direct_commands(&self, now: Instant) -> bool {
+        self.incarnation > 0
+            && !self.lease_expired
+            && self.no_command_in_flight()
+            && self.unconfirmed_token.is_none()
+            && now >= self.direct_calls.retry_not_before
+    }
+
+    /// Which commands may go to it by a call now: all while heartbeats come from it, else stops of what is of
+    /// no use any more.
+    fn call_scope(&self, now: Instant, max_silence: Duration) -> Option<CallScope> {
+        if !self.accepts_direct_commands(now) {
+            return None;
+        }
+        if now.saturating_duration_since(self.last_heartbeat) < max_silence {
+            return Some(CallScope::All);
+        }
+        let has_obsolete = self.tasks.values().any(|task| task.is_obsolete());
+        (has_obsolete && is_enabled(Safeguard::MuteStops)).then_some(CallScope::StopsOnly)
+    }
+}
+
+impl Core {
+    /// Calls workers with the commands that should not wait for their next heartbeat, and probes machines with
+    /// the calls that are left.
+    pub(in crate::core) fn send_direct_commands(&mut self) {
+        let Some(not_after) = self.leader_until() else {
+            return;
+        };
+        self.refresh_board();
+        for (id, scope) in self.machines_to_call() {
+            let Some(leader) = &self.leader else { return };
+            if leader.direct_calls_in_flight >= scope.max_calls_in_flight() {
+                break;
+            }
+            self.call_with_commands(&id, scope, not_after);
+        }
+        self.probe_machines();
+    }
+
+    /// Machines with commands that should not wait, those that send heartbeats first.
+    fn machines_to_call(&mut self) -> Vec<(MachineId, CallScope)> {
+        let now = self.now.mono;
+        let max_silence = self.settings.heartbeat_interval * 2;
+        let Some(leader) = &mut self.leader else {
+            return Vec::new();
+        };
+        let (mut live, mut silent) = (Vec::new(), Vec::new());
+        for machine in leader.machines.with_pending_push() {
+            match machine.call_scope(now, max_silence) {
+                Some(CallScope::All) => live.push((machine.id.clone(), CallScope::All)),
+                Some(CallScope::StopsOnly) => {
+                    silent.push((machine.id.clone(), CallScope::StopsOnly));
+                }
+                None => {}
+            }
+        }
+        live.append(&mut silent);
+        live
+    }
+
+    /// Calls a machine's worker with the commands for it, if there are any.
+    fn call_with_commands(&mut self, id: &MachineId, scope: CallScope, not_after: Instant) {
+        let Some((addr, body)) = self.direct_commands(id, scope) else {
+            return;
+        };
+        let call = self.call(Pending::Direct(id.clone()));
+        if let Some(leader) = &mut self.leader
+            && let Some(machine) = leader.machines.get_mut(id)
+        {
+            machine.direct_calls.in_flight = Some(call);
+            let starts = count_starts(&body.commands);
+            if starts > 0 {
+                machine.direct_calls.started_under_token = body.fencing_token;
+            }
+            self.stats.work[Work::StartByCall as usize] += starts as u64;
+            leader.direct_calls_in_flight += 1;
+        }
+        self.effects.push(Effect::Direct {
+            call,
+            addr,
+            request: DirectRequest::Commands(body),
+            not_after,
+        });
+    }
+
+    /// The commands that should not wait, and where to send them. The machine has none from now on.
+    fn direct_commands(
+        &mut self,
+        id: &MachineId,
+        scope: CallScope,
+    ) -> Option<(SocketAddrV4, DirectCommands)> {
+        let leader = self.leader.as_ref()?;
+        let machine = leader.machines.get(id)?;
+        let mut commands = self.commands_in_call(machine);
+        if scope == CallScope::StopsOnly {
+            commands.retain(|command| matches!(command, TaskCommand::Stop { .. }));
+        }
+        let body = DirectCommands {
+            fencing_token: machine.token(leader.term),
+            incarnation: machine.incarnation,
+            commands,
+        };
+        let machine = self.machine_mut(id)?;
+        machine.needs_push = false;
+        let addr = machine.addr.parse().ok()?;
+        (!body.commands.is_empty()).then_some((addr, body))
+    }
+
+    /// The outcome of a direct call: commands, a probe, or a token shown for the leader.
+    pub(in crate::core) fn direct_outcome(&mut self, call: CallId, outcome: DirectOutcome) {
+        let id = match self.pending.remove(&call) {
+            Some(Pending::Direct(id)) => id,
+            Some(Pending::Show(id)) => return self.token_probe_answered(&id, outcome),
+            _ => return,
+        };
+        let is_answered = matches!(outcome, DirectOutcome::Heartbeat { .. });
+        if self.finish_direct_call(&id, call, is_answered).is_none() {
+            return;
+        }
+        match outcome {
+            DirectOutcome::Heartbeat {
+                heartbeat,
+                executed,
+            } => self.direct_call_answered(&id, call, *heartbeat, executed),
+            DirectOutcome::NotSent(error) => {
+                tracing::debug!(machine = %id, error, "direct commands not sent");
+                self.pause_direct_calls(&id, FAILED_RETRY_PAUSE);
+            }
+            DirectOutcome::Unknown(error) => {
+                tracing::info!(machine = %id, error, "direct commands got no answer");
+                self.outdate_direct_commands(&id);
+                self.pause_direct_calls(&id, FAILED_RETRY_PAUSE);
+            }
+        }
+    }
+
+    /// The call is over. `None` if its machine is gone or the call was given up.
+    fn finish_direct_call(
+        &mut self,
+        id: &MachineId,
+        call: CallId,
+        is_answered: bool,
+    ) -> Option<()> {
+        let now = self.now.mono;
+        let leader = self.leader.as_mut()?;
+        leader.direct_calls_in_flight = leader.direct_calls_in_flight.saturating_sub(1);
+        let machine = leader.machines.get_mut(id)?;
+        let calls = &mut machine.direct_calls;
+        calls.in_flight.take_if(|in_flight| *in_flight == call)?;
+        if is_answered {
+            calls.failures = 0;
+            leader.liveness.last_direct_contact = now;
+            leader.liveness.failed_direct_calls = 0;
+            return Some(());
+        }
+        calls.failures += 1;
+        leader.liveness.failed_direct_calls += 1;
+        if machine.unresolved && calls.failures < MAX_UNANSWERED_PROBES {
+            let retry = (now + PROBE_RETRY_PAUSE, id.clone());
+            leader.recovery.retries.insert(retry);
+        }
+        Some(())
+    }
+
+    /// A worker answered a call with its heartbeat, and executed the commands or refused them all.
+    fn direct_call_answered(
+        &mut self,
+        id: &MachineId,
+        call: CallId,
+        heartbeat: Heartbeat,
+        executed: bool,
+    ) {
+        if !executed {
+            tracing::debug!(machine = %id, "direct commands refused");
+            self.pause_direct_calls(id, REFUSED_RETRY_PAUSE);
+        }
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        let Some(machine) = leader.machines.get_mut(id) else {
+            return;
+        };
+        // The probe was made after we knew more of the machine than the answer says: it has begun anew.
+        let probe = &mut machine.direct_calls.restart_probe;
+        let restarted = probe
+            .take_if(|probe| probe.call == call)
+            .is_some_and(|probe| (heartbeat.incarnation, heartbeat.sequence) <= probe.known);
+        let zone = machine.zone.clone();
+        leader.mark_zone_reachable(&zone);
+        if heartbeat.machine != *id {
+            return;
+        }
+        if restarted {
+            self.machine_restarted(id, heartbeat.fencing_token);
+        }
+        self.apply_call_reply(id, heartbeat);
+    }
+
+    fn pause_direct_calls(&mut self, id: &MachineId, pause: Duration) {
+        let resume_at = self.now.mono + pause;
+        if let Some(machine) = self.machine_mut(id) {
+            machine.direct_calls.retry_not_before = resume_at;
+        }
+    }
+
+    /// The commands of a call may be executed at any later time, until the worker has seen a higher
+    /// token; the next answer to a heartbeat carries one.
+    fn outdate_direct_commands(&mut self, id: &MachineId) {
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        let term = leader.term;
+        if let Some(machine) = leader.machines.get_mut(id) {
+            machine.token_epoch += 1;
+            machine.doubtful_until_token = Some(machine.token(term));
+        }
+    }
+}
--- a/src/core/workers/delegation.rs
+++ b/src/core/workers/delegation.rs
@@ -233,7 +233,7 @@
             if let Some(m) = leader.machines.get_mut_quiet(id)
                 && m.unresolved
             {
-                m.failed_calls += 1;
+                m.direct_calls.failures += 1;
                 m.claimed_until = None;
                 leader.recovery.retries.insert((now, id.clone()));
             }
@@ -247,7 +247,7 @@
                     if let Some(leader) = &mut self.leader {
                         leader.mark_zone_reachable(&r.heartbeat.zone);
                     }
-                    self.apply_heartbeat(&id, *r.heartbeat, false);
+                    self.apply_call_reply(&id, *r.heartbeat);
                 }
             } else {
                 heartbeats.push((r.id, self.accept_heartbeat(*r.heartbeat, Some(&from))));
--- a/src/core/workers/heartbeat_queue.rs
+++ b/src/core/workers/heartbeat_queue.rs
@@ -1,4 +1,4 @@
-//! Reports that wait for the leader's answer, in the order in which they came.
+//! Heartbeats that wait on a follower for the leader's answer, in the order in which they came.
 
 use crate::core::Ticket;
 use crate::peer::heartbeat_batch;
@@ -7,25 +7,28 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// The part of the process's memory that waiting reports may take.
+/// The part of the process's memory that waiting heartbeats may take.
 const MEMORY_SHARE: f64 = 0.125;
-/// Bytes of memory for each byte that a report takes in a frame, at most.
+/// Bytes of memory for each byte that a heartbeat takes in a frame, at most.
 const MEMORY_PER_FRAME_BYTE: f64 = 4.0;
 const BYTES_PER_MB: f64 = 1_048_576.0;
 
-/// A report that waits.
-pub(in crate::core) struct Waiting {
-    /// `None`: the report came as an answer to a direct command.
+/// A heartbeat that waits.
+pub(in crate::core) struct QueuedHeartbeat {
+    /// Whom to answer; `None`: the heartbeat came in reply to a direct call.
     pub ticket: Option<Ticket>,
+    /// The heartbeat.
     pub heartbeat: Box<Heartbeat>,
+    /// When it came.
     pub received: Instant,
 }
 
-/// What the platform's settings allow to wait.
+/// The most that the settings allow to wait.
 #[derive(Clone, Copy)]
 struct Bounds {
     /// Whoever waits for an answer holds a connection.
     heartbeats: usize,
+    /// The memory they take is bounded by their size in frames.
     frame_bytes: usize,
 }
 
@@ -39,58 +42,62 @@
     }
 }
 
-/// A queue that knows how many bytes its reports take in frames.
+/// A queue that counts how many bytes its heartbeats take in frames.
 #[derive(Default)]
-pub(in crate::core) struct ReportQueue {
-    heartbeats: VecDeque<Waiting>,
+pub(in crate::core) struct HeartbeatQueue {
+    heartbeats: VecDeque<QueuedHeartbeat>,
     frame_bytes: usize,
 }
 
-impl ReportQueue {
+impl HeartbeatQueue {
+    /// How many heartbeats wait.
     pub fn len(&self) -> usize {
         self.heartbeats.len()
     }
 
+    /// Whether none waits.
     pub fn is_empty(&self) -> bool {
         self.heartbeats.is_empty()
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = &Waiting> {
+    /// The heartbeats, the oldest first.
+    pub fn iter(&self) -> impl Iterator<Item = &QueuedHeartbeat> {
         self.heartbeats.iter()
     }
 
-    /// Whether another report may wait.
+    /// Whether another heartbeat may wait.
     pub fn has_room(&self, settings: &Settings) -> bool {
-        let most = Bounds::of(settings);
-        self.heartbeats.len() < most.heartbeats && self.frame_bytes < most.frame_bytes
+        let bounds = Bounds::of(settings);
+        self.heartbeats.len() < bounds.heartbeats && self.frame_bytes < bounds.frame_bytes
     }
 
-    /// Whether the next frame leaves reports behind.
+    /// Whether the next frame leaves heartbeats behind.
     pub fn exceeds_a_frame(&self) -> bool {
         self.frame_bytes > heartbeat_batch::FULL
     }
 
-    pub fn push(&mut self, waiting: Waiting) {
-        self.frame_bytes += heartbeat_batch::encoded_heartbeat_size(&waiting.heartbeat);
-        self.heartbeats.push_back(waiting);
+    /// Adds the newest heartbeat.
+    pub fn push(&mut self, queued: QueuedHeartbeat) {
+        self.frame_bytes += heartbeat_batch::encoded_heartbeat_size(&queued.heartbeat);
+        self.heartbeats.push_back(queued);
     }
 
-    /// Puts reports back that were taken out, in the order in which they came.
-    pub fn put_back(&mut self, heartbeats: Vec<Waiting>) {
-        for waiting in heartbeats.into_iter().rev() {
-            self.frame_bytes += heartbeat_batch::encoded_heartbeat_size(&waiting.heartbeat);
-            self.heartbeats.push_front(waiting);
+    /// Puts back heartbeats that were taken out, before all others and in the order in which they came.
+    pub fn put_back(&mut self, heartbeats: Vec<QueuedHeartbeat>) {
+        for queued in heartbeats.into_iter().rev() {
+            self.frame_bytes += heartbeat_batch::encoded_heartbeat_size(&queued.heartbeat);
+            self.heartbeats.push_front(queued);
         }
     }
 
-    fn pop(&mut self) -> Option<Waiting> {
-        let waiting = self.heartbeats.pop_front()?;
-        self.frame_bytes -= heartbeat_batch::encoded_heartbeat_size(&waiting.heartbeat);
-        Some(waiting)
+    fn pop(&mut self) -> Option<QueuedHeartbeat> {
+        let queued = self.heartbeats.pop_front()?;
+        self.frame_bytes -= heartbeat_batch::encoded_heartbeat_size(&queued.heartbeat);
+        Some(queued)
     }
 
-    /// The oldest report, if it has waited for longer than this.
-    pub fn pop_overdue(&mut self, now: Instant, longest: Duration) -> Option<Waiting> {
+    /// Takes out the oldest heartbeat, if it has waited for longer than this.
+    pub fn pop_overdue(&mut self, now: Instant, longest: Duration) -> Option<QueuedHeartbeat> {
         let oldest = self.heartbeats.front()?.received;
         if now.saturating_duration_since(oldest) <= longest {
             return None;
@@ -98,8 +105,8 @@
         self.pop()
     }
 
-    /// As many of the oldest reports as a frame takes, and at least one.
-    pub fn take_frame(&mut self) -> Vec<Waiting> {
+    /// Takes out as many of the oldest heartbeats as a frame takes, and at least one.
+    pub fn take_frame(&mut self) -> Vec<QueuedHeartbeat> {
         let mut taken = Vec::new();
         let mut size = 0;
         while let Some(next) = self.heartbeats.front() {
@@ -112,7 +119,8 @@
         taken
     }
 
-    pub fn take_all(&mut self) -> VecDeque<Waiting> {
+    /// Takes out all heartbeats, the oldest first.
+    pub fn take_all(&mut self) -> VecDeque<QueuedHeartbeat> {
         self.frame_bytes = 0;
         std::mem::take(&mut self.heartbeats)
     }
--- a/src/core/workers/heartbeat_queue/tests.rs
+++ b/src/core/workers/heartbeat_queue/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::core::simulation::{SETUP, settings};
 
-fn waiting(number: u64, received: Instant) -> Waiting {
+fn waiting(number: u64, received: Instant) -> QueuedHeartbeat {
     let heartbeat = Heartbeat {
         machine: format!("i-{number:06}").into(),
         addr: "10.0.0.1:9000".into(),
@@ -14,14 +14,14 @@
         reclaim_in_s: None,
         tasks: Vec::new(),
     };
-    Waiting {
+    QueuedHeartbeat {
         ticket: Some(number),
         heartbeat: Box::new(heartbeat),
         received,
     }
 }
 
-fn tickets(heartbeats: impl IntoIterator<Item = Waiting>) -> Vec<u64> {
+fn tickets(heartbeats: impl IntoIterator<Item = QueuedHeartbeat>) -> Vec<u64> {
     heartbeats.into_iter().filter_map(|w| w.ticket).collect()
 }
 
@@ -29,7 +29,7 @@
 fn the_settings_bound_what_waits_by_connections_and_by_memory() {
     let now = Instant::now();
     let filled = |settings: &Settings| {
-        let mut queue = ReportQueue::default();
+        let mut queue = HeartbeatQueue::default();
         while queue.has_room(settings) {
             queue.push(waiting(queue.len() as u64, now));
         }
@@ -55,7 +55,7 @@
 #[test]
 fn frames_take_the_oldest_first_and_what_comes_back_keeps_its_place() {
     let now = Instant::now();
-    let mut queue = ReportQueue::default();
+    let mut queue = HeartbeatQueue::default();
     for number in 0..2000 {
         queue.push(waiting(number, now));
     }
@@ -84,7 +84,7 @@
 fn reports_that_have_waited_for_too_long_leave_the_queue() {
     let now = Instant::now();
     let longest = Duration::from_secs(3);
-    let mut queue = ReportQueue::default();
+    let mut queue = HeartbeatQueue::default();
     queue.push(waiting(1, now));
     queue.push(waiting(2, now + Duration::from_secs(2)));
     assert!(queue.pop_overdue(now + longest, longest).is_none());
--- a/src/core/workers/relay.rs
+++ b/src/core/workers/relay.rs
@@ -9,7 +9,7 @@
 
 use crate::core::leadership::state::{HEARTBEAT, LeaderState};
 use crate::core::workers::commands::MAX_DIRECT_CALLS;
-use crate::core::workers::heartbeat_queue::{ReportQueue, Waiting};
+use crate::core::workers::heartbeat_queue::{HeartbeatQueue, QueuedHeartbeat};
 use crate::core::workers::heartbeats::redirect_to;
 use crate::core::{Core, Effect, Pending, Ticket};
 use crate::fault_injection::{Safeguard, is_enabled};
@@ -64,7 +64,7 @@
     number: u64,
     at: Instant,
     to: String,
-    heartbeats: Vec<Waiting>,
+    heartbeats: Vec<QueuedHeartbeat>,
 }
 
 #[derive(Default)]
@@ -76,7 +76,7 @@
     unreported: BTreeSet<MachineId>,
     /// The newest answer that was taken in before a frame which left none of them out.
     acknowledged: u64,
-    waiting: ReportQueue,
+    waiting: HeartbeatQueue,
     in_flight: Option<Sent>,
     last_number: u64,
     last_acknowledged: u64,
@@ -286,7 +286,7 @@
         if !self.relay.waiting.has_room(&self.settings) {
             return self.answer(ticket, Answer::busy("overloaded", 1));
         }
-        self.relay.waiting.push(Waiting {
+        self.relay.waiting.push(QueuedHeartbeat {
             ticket: Some(ticket),
             heartbeat: heartbeat,
             received: now,
@@ -315,7 +315,7 @@
                 Some(ticket) => out.extend(self.heartbeat(ticket, w.heartbeat)),
                 None => {
                     let id = w.heartbeat.machine.clone();
-                    self.apply_heartbeat(&id, *w.heartbeat, false);
+                    self.apply_call_reply(&id, *w.heartbeat);
                 }
             }
         }
@@ -486,7 +486,7 @@
     fn deliver_response(
         &mut self,
         ticket: Ticket,
-        w: Waiting,
+        w: QueuedHeartbeat,
         told: RelayedOutcome,
         held: HeldGrant,
     ) {
@@ -528,7 +528,7 @@
     }
 
     /// Reports whose frame came to nothing wait on, or their workers are led to the leader.
-    fn requeue_heartbeats(&mut self, heartbeats: Vec<Waiting>) {
+    fn requeue_heartbeats(&mut self, heartbeats: Vec<QueuedHeartbeat>) {
         self.relay.waiting.put_back(heartbeats);
         if !self.may_wait_for_leader() {
             for w in self.relay.waiting.take_all() {
@@ -542,7 +542,7 @@
     /// A new leader's token is shown to the workers that report here, so that whatever an earlier
     /// one sent is refused by them, and the leader knows what each of them has. Those whose reports
     /// wait here see it in the answers to these.
-    fn begin_token_probes(&mut self, term: u64, answered: &[Waiting]) {
+    fn begin_token_probes(&mut self, term: u64, answered: &[QueuedHeartbeat]) {
         let now = self.now.mono;
         let token = term << crate::core::machines::machine::TOKEN_EPOCH_BITS;
         let recent = self.settings.heartbeat_interval * 5 / 2;
@@ -618,7 +618,7 @@
             w.sequence = w.sequence.max(heartbeat.sequence);
             w.fencing_token = w.fencing_token.max(heartbeat.fencing_token);
         }
-        self.relay.waiting.push(Waiting {
+        self.relay.waiting.push(QueuedHeartbeat {
             ticket: None,
             heartbeat: heartbeat,
             received: self.now.mono,
