--- a/src/core/machines/machine.rs
+++ b/src/core/machines/machine.rs
@@ -113,7 +113,7 @@
     pub last_heartbeat: Instant,
     /// Receipt of the last heartbeat answered 200: its lease cannot have begun later.
     pub lease_renewed: Instant,
-    /// When its incarnation was first heard of: it has its lease from when it began, and need not have been
+    /// When the first heartbeat of its incarnation came: it has its lease from when it began, and need not have been
     /// answered since.
     pub incarnation_since: Instant,
     /// Its tasks were counted as lost when its lease had run out; the incarnation is over.
@@ -167,7 +167,7 @@
     pub fault_history: FaultHistory,
     /// Whether planning takes it as open for tasks; time alone may change that.
     pub schedulable: bool,
-    /// The controller that its newest heartbeat came by; `None`: it reports to this one.
+    /// The controller that its newest heartbeat came by; `None`: it sends them to this one.
     pub via: Option<Arc<str>>,
     /// A controller that may answer its heartbeats from memory.
     pub delegated_to: Option<Arc<str>>,
@@ -320,7 +320,7 @@
         self
     }
 
-    /// Its changes so far are taken notice of.
+    /// Its changes so far have been read.
     pub(super) fn clear_change_mark(&mut self) {
         self.change_noted = false;
     }
--- a/src/core/machines/machine_list.rs
+++ b/src/core/machines/machine_list.rs
@@ -52,7 +52,7 @@
 
     fn record_listed(&mut self, listed: &ListedMachine, now: Instant) {
         self.listed_since.get_or_insert(now);
-        // Also of machines that an earlier leader rented: taken for new, they would be kept
+        // Also of machines that an earlier leader provisioned: taken for new, they would be kept
         // idle for the minute that is paid at least.
         if listed.age_s.is_finite() && listed.age_s >= 0.0 {
             let age = Duration::from_secs_f64(listed.age_s.min(MAX_AGE_S));
--- a/src/core/machines/removal.rs
+++ b/src/core/machines/removal.rs
@@ -26,8 +26,8 @@
         }
         let tasks: Vec<TaskId> = machine.tasks.keys().cloned().collect();
         tracing::warn!(machine = %id, tasks = tasks.len(), "worker lease expired, tasks lost");
-        self.tasks_lost(id, tasks, "the lease ran out");
-        self.resolve_machine(id, "its lease ran out");
+        self.tasks_lost(id, tasks, "lease expired");
+        self.resolve_machine(id, "lease expired");
     }
 
     /// The machine is to be deleted; until that is confirmed, its tasks stay where they are.
@@ -62,7 +62,7 @@
         };
         tracing::info!(machine = %id, cause, "machine gone");
         let tasks: Vec<TaskId> = machine.tasks.keys().cloned().collect();
-        self.tasks_lost(id, tasks, "its machine is gone");
+        self.tasks_lost(id, tasks, "machine gone");
         self.resolve_machine(id, cause);
         let Some(leader) = &mut self.leader else {
             return;
--- a/src/core/workers/heartbeats/observation.rs
+++ b/src/core/workers/heartbeats/observation.rs
@@ -187,13 +187,13 @@
         let machine = self.machine_mut(id)?;
         machine.record(&heartbeat, now);
         let delivery = machine.observe_delivery(source);
-        self.tasks_lost(id, ended, "its session ended");
+        self.tasks_lost(id, ended, "incarnation ended");
         let reported = self.observe_tasks(id, heartbeat.tasks);
         self.reconcile_tasks(id, reported, &delivery)?;
         // With this term's token seen, whatever earlier leaders sent is refused from now on.
         let proves_term = heartbeat.fencing_token >= term << TOKEN_EPOCH_BITS;
         if proves_term || !is_enabled(Safeguard::Proof) {
-            self.resolve_machine(id, "it reported");
+            self.resolve_machine(id, "heartbeat received");
         }
         Some(())
     }
@@ -283,7 +283,7 @@
         if machine.unconfirmed_token.is_none() && delivery.all_settled && has_absent_start {
             machine.needs_push = true;
         }
-        self.tasks_lost(id, missing, "it is not on the machine any more");
+        self.tasks_lost(id, missing, "not on the machine");
         Some(())
     }
 }
