--- a/src/core/leadership/probes.rs
+++ b/src/core/leadership/probes.rs
@@ -3,6 +3,7 @@
 
 use crate::core::command::Pending;
 use crate::core::leadership::state::LeaderState;
+use crate::core::machines::machine::RestartProbe;
 use crate::core::workers::commands::MAX_DIRECT_CALLS;
 use crate::core::{CallId, Core, Effect};
 use crate::job::MachineId;
@@ -23,7 +24,7 @@
             };
             if let Some(later) = machine.claimed_until.filter(|t| now < *t) {
                 self.recovery.probe_at(later, id);
-            } else if machine.call_in_flight.is_none() {
+            } else if machine.direct_calls.in_flight.is_none() {
                 return Some(id);
             }
         }
@@ -53,11 +54,14 @@
         let Some(m) = leader.machines.get_mut_quiet(id) else {
             return;
         };
-        if !call_to_spare || m.call_in_flight.is_some() || m.incarnation == 0 || now < m.push_after
+        if !call_to_spare
+            || m.direct_calls.in_flight.is_some()
+            || m.incarnation == 0
+            || now < m.direct_calls.retry_not_before
         {
             return;
         }
-        m.push_after = now + RESTART_PROBE_INTERVAL;
+        m.direct_calls.retry_not_before = now + RESTART_PROBE_INTERVAL;
         let known = (m.incarnation, m.sequence);
         // Shown with the probe: what was sent to the machine before its restart is refused from then on.
         m.token_epoch += 1;
@@ -65,7 +69,7 @@
             && let Some(leader) = &mut self.leader
             && let Some(m) = leader.machines.get_mut_quiet(id)
         {
-            m.restart_probe = Some((known, call));
+            m.direct_calls.restart_probe = Some(RestartProbe { known, call });
         }
     }
 
@@ -102,7 +106,7 @@
         let leader = self.leader.as_mut()?;
         let term = leader.term;
         let machine = leader.machines.get_mut(id)?;
-        machine.call_in_flight = Some(call);
+        machine.direct_calls.in_flight = Some(call);
         let token = machine.token(term);
         leader.direct_calls_in_flight += 1;
         self.effects.push(Effect::DirectCall {
--- a/src/core/leadership/state.rs
+++ b/src/core/leadership/state.rs
@@ -5,7 +5,8 @@
 use crate::core::leadership::liveness::Liveness;
 use crate::core::leadership::recovery_state::Recovery;
 use crate::core::machines::cloud_operations::CloudOperations;
-use crate::core::machines::machine::{Machine, Machines};
+use crate::core::machines::machine::Machine;
+use crate::core::machines::registry::Machines;
 use crate::core::scheduling::state::SchedulerState;
 use crate::core::store::keys::{PartGeneration, named};
 use crate::core::store::pending_writes::Writes;
@@ -111,6 +112,6 @@
 
     /// Whether a machine may be given tasks now.
     pub fn accepts_tasks(&self, m: &Machine, now: Instant, heartbeat: Duration) -> bool {
-        m.usable(now, heartbeat * 9 / 4) && !m.avoided(now) && !m.unresolved
+        m.is_usable(now, heartbeat * 9 / 4) && !m.is_avoided(now) && !m.unresolved
     }
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -37,7 +37,7 @@
 pub use jobs::queries::{Ask, UserRequest};
 pub use jobs::submissions::max_unfinished_tasks;
 pub use leadership::lease::LEASE_TTL;
-pub use machines::failure_detection::cancellation_warning;
+pub use machines::cancellation_bound::cancellation_warning;
 pub use stats::{Stats, WORK, Work, record};
 pub use store::cache::StoreCache;
 
--- a/src/core/store/rebuild/held_tasks.rs
+++ b/src/core/store/rebuild/held_tasks.rs
@@ -3,7 +3,7 @@
 use super::{HeldTask, Rebuild};
 use crate::core::Core;
 use crate::core::leadership::state::LeaderState;
-use crate::core::machines::machine::StopReason;
+use crate::core::machines::placement::StopReason;
 use crate::job::{JobId, MachineId, Resources, TaskId};
 use std::collections::BTreeSet;
 
--- a/src/core/store/rebuild/operator.rs
+++ b/src/core/store/rebuild/operator.rs
@@ -2,7 +2,7 @@
 
 use super::HeldTask;
 use crate::core::leadership::state::LeaderState;
-use crate::core::machines::machine::StopReason;
+use crate::core::machines::placement::StopReason;
 use crate::core::{Core, Ticket};
 use crate::http::Answer;
 use crate::job::{JobId, TaskId};
--- a/src/core/store/rebuild/procedure.rs
+++ b/src/core/store/rebuild/procedure.rs
@@ -3,7 +3,7 @@
 use super::{PeerMemory, Rebuild};
 use crate::core::Core;
 use crate::core::leadership::state::LeaderState;
-use crate::core::machines::failure_detection::lease_expiry;
+use crate::core::machines::machine::lease_expiry;
 use crate::job::{MachineId, TaskId};
 
 impl Core {
--- a/src/core/store/transaction.rs
+++ b/src/core/store/transaction.rs
@@ -5,7 +5,7 @@
 //! types, the end of a rebuild, and last the deletion of keys that are of no use any more.
 
 use crate::core::leadership::state::LeaderState;
-use crate::core::machines::failure_detection::cancellation_bound;
+use crate::core::machines::cancellation_bound::cancellation_bound;
 use crate::core::store::cache::{DoneValue, JobValue, StoreCache};
 use crate::core::store::keys::{LEADER, REBUILDING, TYPES, done_key, job_key, key, part_key};
 use crate::core::store::large_jobs::{self, PartValue};
--- a/src/core/workers/delegation/probes.rs
+++ b/src/core/workers/delegation/probes.rs
@@ -58,7 +58,7 @@
             if let Some(m) = self.machines.get_mut_quiet(id)
                 && m.unresolved
             {
-                m.failed_calls += 1;
+                m.direct_calls.failures += 1;
                 m.claimed_until = None;
                 self.recovery.probe_at(now, id.clone());
             }
@@ -75,7 +75,7 @@
         let id = heartbeat.machine.clone();
         if leader.machines.get(&id).is_some() {
             leader.recovery.mark_zone_reachable(&heartbeat.zone);
-            self.apply_heartbeat(&id, heartbeat, false);
+            self.apply_call_reply(&id, heartbeat);
         }
     }
 }
--- a/src/core/workers/relay.rs
+++ b/src/core/workers/relay.rs
@@ -18,7 +18,7 @@
 pub use state::Relay;
 
 use crate::core::workers::delegates::MAX_BATCH_INTERVAL;
-use crate::core::workers::heartbeat_queue::Waiting;
+use crate::core::workers::heartbeat_queue::QueuedHeartbeat;
 use crate::core::workers::heartbeats::redirect_to;
 use crate::core::{Core, Effect, Ticket};
 use crate::fault_injection::{Safeguard, is_enabled};
@@ -63,7 +63,7 @@
         if !self.relay.waiting.has_room(&self.settings) {
             return self.answer(ticket, Answer::busy("overloaded", 1));
         }
-        self.relay.waiting.push(Waiting {
+        self.relay.waiting.push(QueuedHeartbeat {
             ticket: Some(ticket),
             heartbeat,
             received: self.now.mono,
@@ -106,7 +106,7 @@
                 Some(ticket) => accepted.extend(self.heartbeat(ticket, waiting.heartbeat)),
                 None => {
                     let id = waiting.heartbeat.machine.clone();
-                    self.apply_heartbeat(&id, *waiting.heartbeat, false);
+                    self.apply_call_reply(&id, *waiting.heartbeat);
                 }
             }
         }
@@ -251,7 +251,7 @@
 
     fn deliver_responses(
         &mut self,
-        heartbeats: Vec<Waiting>,
+        heartbeats: Vec<QueuedHeartbeat>,
         responses: Vec<RelayedResponse>,
         grant: HeldGrant,
     ) {
@@ -271,7 +271,7 @@
     fn deliver_response(
         &mut self,
         ticket: Ticket,
-        waiting: &Waiting,
+        waiting: &QueuedHeartbeat,
         outcome: RelayedOutcome,
         grant: HeldGrant,
     ) {
@@ -302,7 +302,7 @@
 
     /// Heartbeats whose batch came to nothing wait on, or their workers are redirected to the
     /// leader.
-    fn requeue_heartbeats(&mut self, heartbeats: Vec<Waiting>) {
+    fn requeue_heartbeats(&mut self, heartbeats: Vec<QueuedHeartbeat>) {
         self.relay.waiting.put_back(heartbeats);
         if self.may_wait_for_leader() {
             return;
--- a/src/core/workers/relay/probes.rs
+++ b/src/core/workers/relay/probes.rs
@@ -5,7 +5,7 @@
 use crate::core::command::Pending;
 use crate::core::machines::machine::TOKEN_EPOCH_BITS;
 use crate::core::workers::commands::MAX_DIRECT_CALLS;
-use crate::core::workers::heartbeat_queue::Waiting;
+use crate::core::workers::heartbeat_queue::QueuedHeartbeat;
 use crate::core::{Core, Effect};
 use crate::job::MachineId;
 use crate::wire::DirectCommands;
@@ -13,7 +13,7 @@
 
 impl Core {
     /// The leader of a new term granted, and answered these heartbeats.
-    pub(super) fn begin_token_probes(&mut self, term: u64, answered: &[Waiting]) {
+    pub(super) fn begin_token_probes(&mut self, term: u64, answered: &[QueuedHeartbeat]) {
         let now = self.now.mono;
         let token = term << TOKEN_EPOCH_BITS;
         let recent = self.recent_heartbeat_age();
@@ -86,7 +86,7 @@
             worker.sequence = worker.sequence.max(heartbeat.sequence);
             worker.fencing_token = worker.fencing_token.max(heartbeat.fencing_token);
         }
-        self.relay.waiting.push(Waiting {
+        self.relay.waiting.push(QueuedHeartbeat {
             ticket: None,
             heartbeat,
             received: self.now.mono,
--- a/src/core/workers/relay/state.rs
+++ b/src/core/workers/relay/state.rs
@@ -3,7 +3,7 @@
 
 use super::backoff::LeaderBackoff;
 use crate::core::leadership::state::LeaderState;
-use crate::core::workers::heartbeat_queue::{ReportQueue, Waiting};
+use crate::core::workers::heartbeat_queue::{HeartbeatQueue, QueuedHeartbeat};
 use crate::job::MachineId;
 use crate::peer::heartbeat_batch::{
     self, AnsweredHeartbeat, HeartbeatBatch, HeartbeatBatchResponse, RelayedHeartbeat,
@@ -64,7 +64,7 @@
     pub number: u64,
     pub sent_at: Instant,
     pub leader: String,
-    pub heartbeats: Vec<Waiting>,
+    pub heartbeats: Vec<QueuedHeartbeat>,
 }
 
 /// A worker that a new fencing token is to be shown to.
@@ -106,7 +106,7 @@
     acknowledged: u64,
     /// The newest answer that was taken in.
     last_answer: u64,
-    pub(super) waiting: ReportQueue,
+    pub(super) waiting: HeartbeatQueue,
     in_flight: Option<BatchInFlight>,
     last_number: u64,
     last_sent: Option<Instant>,
@@ -239,7 +239,7 @@
 
     /// Records a worker whose heartbeat the leader answered with commands or, if `steady_token` is
     /// given, with none and this token for as long as the worker reports the same.
-    pub(super) fn record_worker(&mut self, answered: &Waiting, steady_token: Option<u64>) {
+    pub(super) fn record_worker(&mut self, answered: &QueuedHeartbeat, steady_token: Option<u64>) {
         let heartbeat = &answered.heartbeat;
         let steady_response = steady_token.map(|fencing_token| SteadyResponse {
             digest: self.digest(heartbeat),
@@ -358,7 +358,7 @@
         term: u64,
         recent: Duration,
         now: Instant,
-    ) -> (HeartbeatBatch, Vec<Waiting>) {
+    ) -> (HeartbeatBatch, Vec<QueuedHeartbeat>) {
         self.last_number += 1;
         self.last_sent = Some(now);
         let unanswered_probes = self.probes.take_unanswered_for_frame();
@@ -418,7 +418,7 @@
     pub(super) fn plan_token_probes(
         &mut self,
         token: u64,
-        answered: &[Waiting],
+        answered: &[QueuedHeartbeat],
         recent: Duration,
         now: Instant,
     ) {
@@ -436,9 +436,9 @@
     }
 }
 
-/// Waiting heartbeats as they stand in a batch, each with its index from 1 as id. 0 is the id of
+/// QueuedHeartbeat heartbeats as they stand in a batch, each with its index from 1 as id. 0 is the id of
 /// those that want no response.
-fn relayed(heartbeats: &[Waiting]) -> Vec<RelayedHeartbeat> {
+fn relayed(heartbeats: &[QueuedHeartbeat]) -> Vec<RelayedHeartbeat> {
     let numbered = heartbeats.iter().enumerate();
     let relayed = numbered.map(|(index, waiting)| RelayedHeartbeat {
         id: waiting.ticket.map_or(0, |_| index as u64 + 1),
