--- a/crates/scale/src/connection.rs
+++ b/crates/scale/src/connection.rs
@@ -1,6 +1,6 @@
 //! One non-blocking HTTP/1.1 connection: bytes to write, bytes read, and whole messages out of these.
 
-use burlusher::http::{Answer, Request};
+use burlusher::http::{self, Request};
 use mio::net::TcpStream;
 use std::io::{self, Read, Write};
 
@@ -44,7 +44,7 @@
     }
 
     /// Adds an answer to what is to be written; says how many bytes it has.
-    pub fn answer(&mut self, answer: &Answer) -> usize {
+    pub fn answer(&mut self, answer: &http::Response) -> usize {
         let head = format!(
             "HTTP/1.1 {} Answer\r\nContent-Type: {}\r\nContent-Length: {}\r\n\r\n",
             answer.status,
--- a/crates/scale/src/hollow/tests.rs
+++ b/crates/scale/src/hollow/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use burlusher::http::{self, Answer, Client, Request};
+use burlusher::http::{self, Client, Request, Response};
 use burlusher::job::{JobSpec, Resources};
 use burlusher::wire::{DirectCommands, Heartbeat, TaskCommand, to_json};
 use burlusher_standin::cloud::Threads;
@@ -56,7 +56,7 @@
         let mut reports = kept.0.lock().unwrap();
         reports.push(serde_json::from_slice(&r.body).unwrap());
         kept.1.lock().unwrap().push(Instant::now());
-        Some(Answer::new(status, body.into()))
+        Some(Response::new(status, body.into()))
     };
     std::thread::spawn(move || http::serve(listener, 100, Arc::new(handle)));
     Controller {
--- a/crates/standin/src/cluster.rs
+++ b/crates/standin/src/cluster.rs
@@ -6,7 +6,7 @@
 use crate::state::StateService;
 use crate::users::{Users, load};
 use crate::worker::World;
-use burlusher::http::{self, Answer, Request};
+use burlusher::http::{self, Request, Response};
 use burlusher::wire::PATH_STATUS;
 use burlusher_market::Spread;
 use serde::Serialize;
@@ -158,7 +158,7 @@
     }
 }
 
-fn serve(handle: impl Fn(&Request) -> Answer + Send + Sync + 'static) -> Result<String, String> {
+fn serve(handle: impl Fn(&Request) -> Response + Send + Sync + 'static) -> Result<String, String> {
     let (listener, addr) = listen()?;
     std::thread::spawn(move || http::serve(listener, 200, Arc::new(move |r| Some(handle(&r)))));
     Ok(addr.to_string())
--- a/crates/standin/src/state.rs
+++ b/crates/standin/src/state.rs
@@ -1,6 +1,6 @@
 //! The stand-in state service: one lock, one map, watches that wait on a condition.
 
-use burlusher::http::{Answer, Request};
+use burlusher::http::{Request, Response};
 use burlusher::wire::{
     Change, CompareAndSwap, CompareAndSwapResponse, Item, KeyValuePage, LeaseRequest,
     LeaseResponse, WatchEvent, WatchResponse, to_json,
@@ -74,7 +74,7 @@
         }
     }
 
-    fn commit(&mut self, txn: CompareAndSwap) -> Answer {
+    fn commit(&mut self, txn: CompareAndSwap) -> Response {
         let version = |key: &str| self.keys.get(key).map_or(0, |i| i.version);
         let failed: Vec<String> = txn
             .conditions
@@ -84,7 +84,7 @@
             .collect();
         let answer = |status, revision, failed| {
             let body = CompareAndSwapResponse { revision, failed };
-            Answer::new(status, to_json(&body))
+            Response::new(status, to_json(&body))
         };
         if !failed.is_empty() {
             return answer(409, self.revision, failed);
@@ -94,7 +94,7 @@
             if let Change::Put { lease: Some(l), .. } = change
                 && gone(l)
             {
-                return Answer::error(400, "no such lease");
+                return Response::error(400, "no such lease");
             }
         }
         if !txn.changes.is_empty() {
@@ -180,12 +180,12 @@
         (of(&self.requests), of(&self.changes))
     }
 
-    pub fn answer(&self, r: &Request) -> Answer {
+    pub fn answer(&self, r: &Request) -> Response {
         self.requests.fetch_add(1, Ordering::Relaxed);
         let now = Instant::now();
         let mut s = self.store.lock().expect("no panic holds it");
         if s.down_until.is_some_and(|t| now < t) {
-            return Answer::error(503, "trouble");
+            return Response::error(503, "trouble");
         }
         s.end_leases(now);
         let path = r.path.split('?').next().unwrap_or("");
@@ -202,7 +202,7 @@
                 let items: Vec<Item> = found.by_ref().take(page).cloned().collect();
                 let more = found.next().is_some();
                 let revision = s.revision;
-                Answer::new(
+                Response::new(
                     200,
                     to_json(&KeyValuePage {
                         items,
@@ -213,13 +213,13 @@
             }
             ("GET", "/changes") => return self.watch(s, r),
             ("GET", key) if key.starts_with("/kv/") => match s.keys.get(&key[4..]) {
-                Some(item) => Answer::new(200, to_json(item)),
+                Some(item) => Response::new(200, to_json(item)),
                 None => {
                     let body = CompareAndSwapResponse {
                         revision: s.revision,
                         failed: Vec::new(),
                     };
-                    Answer::new(404, to_json(&body))
+                    Response::new(404, to_json(&body))
                 }
             },
             ("POST", "/txn") => match serde_json::from_slice::<CompareAndSwap>(&r.body) {
@@ -228,42 +228,42 @@
                     self.changes.fetch_add(changes, Ordering::Relaxed);
                     s.commit(txn)
                 }
-                Err(e) => Answer::error(400, &e.to_string()),
+                Err(e) => Response::error(400, &e.to_string()),
             },
             ("POST", "/leases") => match serde_json::from_slice::<LeaseRequest>(&r.body) {
                 Ok(l) => {
                     s.next_lease += 1;
                     let (id, ttl) = (s.next_lease, Duration::from_millis(l.ttl_ms));
                     s.leases.insert(id, (now + ttl, ttl));
-                    Answer::new(200, to_json(&LeaseResponse { lease: id }))
+                    Response::new(200, to_json(&LeaseResponse { lease: id }))
                 }
-                Err(e) => Answer::error(400, &e.to_string()),
+                Err(e) => Response::error(400, &e.to_string()),
             },
             (method, lease) if lease.starts_with("/leases/") => {
                 let id = lease[8..].split('/').next().and_then(|i| i.parse().ok());
                 match (method, id) {
                     ("DELETE", Some(id)) => {
                         s.end_lease(id);
-                        Answer::new(200, b"{}".to_vec())
+                        Response::new(200, b"{}".to_vec())
                     }
                     ("POST", Some(id)) => match s.leases.get_mut(&id) {
                         Some((end, ttl)) => {
                             *end = now + *ttl;
-                            Answer::new(200, to_json(&LeaseResponse { lease: id }))
+                            Response::new(200, to_json(&LeaseResponse { lease: id }))
                         }
-                        None => Answer::error(404, "no such lease"),
+                        None => Response::error(404, "no such lease"),
                     },
-                    _ => Answer::error(400, "malformed"),
+                    _ => Response::error(400, "malformed"),
                 }
             }
-            _ => Answer::error(400, "malformed"),
+            _ => Response::error(400, "malformed"),
         };
         self.changed.notify_all();
         answer
     }
 
     /// Waits until something with the prefix changed after the revision, or the time is over.
-    fn watch<'a>(&'a self, mut s: std::sync::MutexGuard<'a, Store>, r: &Request) -> Answer {
+    fn watch<'a>(&'a self, mut s: std::sync::MutexGuard<'a, Store>, r: &Request) -> Response {
         let under = query(&r.path, "under").unwrap_or("").to_string();
         let number = |name| query(&r.path, name).and_then(|v| v.parse::<u64>().ok());
         let since = number("since").unwrap_or(0);
@@ -272,7 +272,7 @@
         loop {
             s.end_leases(Instant::now());
             if s.events.len() >= KEPT && s.events.first().is_some_and(|e| e.version > since + 1) {
-                return Answer::error(410, "too old");
+                return Response::error(410, "too old");
             }
             let named = |e: &&WatchEvent| {
                 let key = e.put.as_ref().or(e.delete.as_ref());
@@ -282,7 +282,7 @@
             let left = until.saturating_duration_since(Instant::now());
             if !events.is_empty() || left.is_zero() {
                 let revision = s.revision;
-                return Answer::new(200, to_json(&WatchResponse { revision, events }));
+                return Response::new(200, to_json(&WatchResponse { revision, events }));
             }
             // Leases end without anybody's doing.
             let nap = left.min(Duration::from_millis(100));
--- a/crates/standin/src/worker.rs
+++ b/crates/standin/src/worker.rs
@@ -1,7 +1,7 @@
 //! A stand-in machine with its worker: it boots, reports, runs tasks by the clock, and is lost.
 
 use crate::records::Records;
-use burlusher::http::{Answer, Client, Request};
+use burlusher::http::{Client, Request, Response};
 use burlusher::job::{JobSpec, Resources};
 use burlusher::wire::{
     DirectCommands, ExitCause, Heartbeat, HeartbeatResponse, PATH_HEARTBEAT, Redirect, TaskCommand,
@@ -269,7 +269,7 @@
     }
 
     /// Direct commands and questions.
-    pub fn answer(&self, r: &Request) -> Option<Answer> {
+    pub fn answer(&self, r: &Request) -> Option<Response> {
         let mut w = self.inner.lock().expect("no panic holds it");
         if w.gone {
             return None;
@@ -277,7 +277,7 @@
         let mut status = 200;
         if r.method == "POST" {
             let Ok(body) = serde_json::from_slice::<DirectCommands>(&r.body) else {
-                return Some(Answer::error(400, "malformed"));
+                return Some(Response::error(400, "malformed"));
             };
             self.advance(&mut w);
             if body.fencing_token < w.token || body.incarnation != w.session {
@@ -288,7 +288,7 @@
             }
         }
         let report = self.report(&mut w);
-        Some(Answer::new(status, to_json(&report)))
+        Some(Response::new(status, to_json(&report)))
     }
 
     /// The report to send now, if one is due: an interval after the last one was sent, or sooner where something
--- a/src/core/jobs/lifecycle.rs
+++ b/src/core/jobs/lifecycle.rs
@@ -5,7 +5,7 @@
 use crate::core::machines::machine::StopReason;
 use crate::core::{Core, Effect, Ticket};
 use crate::fault_injection::{Safeguard, is_enabled};
-use crate::http::Answer;
+use crate::http::Response;
 use crate::job::{JobId, JobKind, JobOutcome};
 use crate::wire::JobState;
 
@@ -19,15 +19,15 @@
             return;
         };
         let Some(run) = leader.job_runs.get_mut(id) else {
-            return self.answer(ticket, Answer::busy("not ready", 1));
+            return self.answer(ticket, Response::busy("not ready", 1));
         };
         if is_enabled(Safeguard::Cancelled) {
             run.cancel_waiters.push(ticket);
         } else {
             let body = state_body(id, JobState::Cancelled, None, None);
-            self.effects.push(Effect::Answer {
+            self.effects.push(Effect::Response {
                 ticket,
-                answer: Answer::new(200, body),
+                answer: Response::new(200, body),
             });
         }
         if run.ending.is_none() {
--- a/src/core/jobs/queries.rs
+++ b/src/core/jobs/queries.rs
@@ -7,7 +7,7 @@
 use crate::core::store::read_barrier::Question;
 use crate::core::{Core, Effect, Pending, ReadPurpose, Ticket};
 use crate::fault_injection::{Safeguard, is_enabled};
-use crate::http::Answer;
+use crate::http::Response;
 use crate::job::{JobOutcome, JobSpec, MachineId, TaskId};
 use crate::peer::{PeerAnswer, PeerRequest};
 use crate::store_client::{StoreOutcome, StoreRequest};
@@ -34,7 +34,7 @@
 pub enum Ask {
     Submit(Box<JobSpec>),
     /// A submission that cannot be read, though its id can.
-    Malformed(String, Answer),
+    Malformed(String, Response),
     Show(String),
     Cancel(String),
 }
@@ -60,15 +60,15 @@
     }
 }
 
-pub(in crate::core) fn rebuilding_answer() -> Answer {
-    Answer::busy("the state service has lost data and is being rebuilt", 1)
+pub(in crate::core) fn rebuilding_answer() -> Response {
+    Response::busy("the state service has lost data and is being rebuilt", 1)
 }
 
 impl Core {
-    pub(in crate::core) fn final_answer(&self, id: &str) -> Option<Answer> {
+    pub(in crate::core) fn final_answer(&self, id: &str) -> Option<Response> {
         let end = self.store_cache.outcome_of(id)?;
         let body = state_body(id, final_state(end), None, None);
-        Some(Answer::new(200, body))
+        Some(Response::new(200, body))
     }
 
     /// The store has lost data, and somebody may remember more than is known here: what is not final
@@ -80,7 +80,7 @@
     /// The state of a live job, which only an acting leader may tell from memory, and only while
     /// no end of it, or cancellation of one that it needs, is being written: that write may be
     /// committed already, and another node may have told the user.
-    fn live_answer(&self, id: &str) -> Option<Answer> {
+    fn live_answer(&self, id: &str) -> Option<Response> {
         if !self.acting() || self.must_withhold_state() {
             return None;
         }
@@ -97,7 +97,7 @@
             JobState::Queued
         };
         let body = state_body(id, state, Some(job.done.len()), Some(running));
-        Some(Answer::new(200, body).until(self.leader_until()))
+        Some(Response::new(200, body).until(self.leader_until()))
     }
 
     pub(in crate::core) fn running_of(&self, id: &str, run: &JobRun) -> u32 {
@@ -131,14 +131,14 @@
         if !is_enabled(Safeguard::FreshRead) && matches!(request.action, Ask::Show(_)) {
             return match self.store_cache.jobs.contains_key(id.as_str()) {
                 true => self.show_fresh(request.ticket, &id),
-                false => self.answer(request.ticket, Answer::error(404, "no such job")),
+                false => self.answer(request.ticket, Response::error(404, "no such job")),
             };
         }
         if request.forwarded {
             // From a node that cannot reach the leader, or the state service: what needs no
             // leader is done here, if it can be.
             if self.store_is_stale() {
-                return self.answer(request.ticket, Answer::busy("not the leader", 1));
+                return self.answer(request.ticket, Response::busy("not the leader", 1));
             }
             return self.serve_without_leader(request);
         }
@@ -261,7 +261,7 @@
         // Nobody else is left to ask, and the state service would not be heard either: queued for it,
         // the request would be answered when its user has long gone.
         if self.store_is_stale() {
-            let answer = Answer::busy("the state service is not reached", 1);
+            let answer = Response::busy("the state service is not reached", 1);
             return self.answer(ticket, answer);
         }
         match request.action {
@@ -270,7 +270,7 @@
             Ask::Malformed(id, answer) => {
                 self.read_job_key(id, ReadPurpose::Reject(ticket, answer))
             }
-            Ask::Cancel(_) => self.answer(ticket, Answer::busy("no leader", 1)),
+            Ask::Cancel(_) => self.answer(ticket, Response::busy("no leader", 1)),
         }
     }
 
@@ -301,7 +301,7 @@
                     }
                     (None, _) => crate::wire::error_body("see the status"),
                 };
-                let mut answer = Answer::new(a.status, body);
+                let mut answer = Response::new(a.status, body);
                 answer.retry_after = a.retry_after;
                 return self.answer(ticket, answer);
             }
@@ -324,7 +324,7 @@
         if self.read_budget.try_take(self.now.mono) {
             self.read_job_key(id, ReadPurpose::Show(ticket));
         } else {
-            self.answer(ticket, Answer::busy("too many questions now", 1));
+            self.answer(ticket, Response::busy("too many questions now", 1));
         }
     }
 
@@ -350,31 +350,31 @@
             StoreOutcome::Missing { .. } if self.store_cache.jobs.contains_key(id.as_str()) => {
                 if !self.store_is_incomplete() {
                     self.suspect_data_loss("it has forgotten a job");
-                    let answer = Answer::busy("the state service may have lost data", 1);
+                    let answer = Response::busy("the state service may have lost data", 1);
                     return self.answer(ticket, answer);
                 }
                 // Remembered, and not written back yet.
                 match purpose {
                     ReadPurpose::Cancel(_) if self.acting() => self.cancel(ticket, &id),
                     ReadPurpose::Cancel(_) => {
-                        self.answer(ticket, Answer::busy("the leader changed", 1));
+                        self.answer(ticket, Response::busy("the leader changed", 1));
                     }
                     _ => self.show_fresh(ticket, &id),
                 }
             }
             StoreOutcome::Missing { .. } if self.existence_is_uncertain() => {
                 // It may have been accepted all the same.
-                let answer = Answer::busy("whether it was accepted cannot be told yet", 3);
+                let answer = Response::busy("whether it was accepted cannot be told yet", 3);
                 self.answer(ticket, answer);
             }
             StoreOutcome::Missing { .. } => match purpose {
                 ReadPurpose::Reject(_, answer) => self.answer(ticket, answer),
                 _ if is_enabled(Safeguard::Unknown) => {
-                    self.answer(ticket, Answer::error(404, "no such job"));
+                    self.answer(ticket, Response::error(404, "no such job"));
                 }
                 _ => {
                     let body = state_body(&id, JobState::Queued, None, None);
-                    self.answer(ticket, Answer::new(200, body));
+                    self.answer(ticket, Response::new(200, body));
                 }
             },
             StoreOutcome::Found(item) => {
@@ -382,7 +382,7 @@
                     Ok(v) => v,
                     Err(e) => {
                         tracing::error!(job = %id, "job {id}: unreadable: {e}");
-                        return self.answer(ticket, Answer::busy("unreadable", 5));
+                        return self.answer(ticket, Response::busy("unreadable", 5));
                     }
                 };
                 self.store_cache.put_job(&id, value, item.version);
@@ -400,7 +400,7 @@
                 } else if let (ReadPurpose::Cancel(_), true) = (&purpose, self.acting()) {
                     self.cancel(ticket, &id);
                 } else if let ReadPurpose::Cancel(_) = purpose {
-                    self.answer(ticket, Answer::busy("the leader changed", 1));
+                    self.answer(ticket, Response::busy("the leader changed", 1));
                 } else if self.awaits_others(&id)
                     || !self.store_cache.jobs.contains_key(id.as_str())
                 {
@@ -412,7 +412,7 @@
             }
             other => {
                 tracing::debug!(job = %id, "job {id}: not read: {other:?}");
-                self.answer(ticket, Answer::busy("the state cannot be read now", 1));
+                self.answer(ticket, Response::busy("the state cannot be read now", 1));
             }
         }
     }
@@ -429,10 +429,10 @@
         self.answer(ticket, answer);
     }
 
-    fn fresh_answer(&self, id: &str) -> Answer {
+    fn fresh_answer(&self, id: &str) -> Response {
         let known = self.final_answer(id).or_else(|| self.live_answer(id));
         known.unwrap_or_else(|| match self.store_cache.jobs.get(id) {
-            None => Answer::busy("the state cannot be read now", 1),
+            None => Response::busy("the state cannot be read now", 1),
             Some(_) if self.must_withhold_state() => rebuilding_answer(),
             Some(job) => {
                 let done = job.done.len();
@@ -441,7 +441,7 @@
                 } else {
                     JobState::Queued
                 };
-                Answer::new(200, state_body(id, state, Some(done), None))
+                Response::new(200, state_body(id, state, Some(done), None))
             }
         })
     }
--- a/src/core/jobs/submissions.rs
+++ b/src/core/jobs/submissions.rs
@@ -10,7 +10,7 @@
 use crate::core::store::writes::MAX_TRANSACTION_BYTES;
 use crate::core::{Core, Pending, ReadPurpose, Ticket, note};
 use crate::fault_injection::{Safeguard, is_enabled};
-use crate::http::Answer;
+use crate::http::Response;
 use crate::job::{JobId, JobKind, JobSpec};
 use crate::settings::Settings;
 use crate::store_client::{StoreOutcome, StoreRequest};
@@ -73,13 +73,13 @@
 
 impl Core {
     /// 422 for what can never run, 503 while that cannot be told.
-    fn validate_placement(&self, spec: &JobSpec) -> Result<(), Answer> {
-        let never = |text: &str| Err(Answer::error(422, text));
+    fn validate_placement(&self, spec: &JobSpec) -> Result<(), Response> {
+        let never = |text: &str| Err(Response::error(422, text));
         let Some(team) = self.settings.team(&spec.team) else {
             return never("unknown team");
         };
         if self.machine_types.is_empty() {
-            return Err(Answer::busy("machine types are not known yet", 2));
+            return Err(Response::busy("machine types are not known yet", 2));
         }
         // A type that names no zones is to be had in those of the settings.
         let fits = self.machine_types.iter().any(|t| {
@@ -107,12 +107,12 @@
     }
 
     /// 422 for what it awaits wrongly.
-    fn validate_dependencies(&self, spec: &JobSpec) -> Result<(), Answer> {
+    fn validate_dependencies(&self, spec: &JobSpec) -> Result<(), Response> {
         let service = |a: &JobId| {
             let job = self.store_cache.jobs.get(a);
             job.is_some_and(|j| j.spec.job_kind == JobKind::Service)
         };
-        let never = |text: String| Err(Answer::error(422, &text));
+        let never = |text: String| Err(Response::error(422, &text));
         if spec.dependencies.contains(&spec.id) {
             return never("it awaits itself".into());
         }
@@ -130,7 +130,7 @@
     }
 
     /// Why a submission was refused for good.
-    pub(in crate::core) fn rejection_reason(&self, spec: &JobSpec) -> Answer {
+    pub(in crate::core) fn rejection_reason(&self, spec: &JobSpec) -> Response {
         let judged = self
             .validate_placement(spec)
             .and_then(|()| self.validate_dependencies(spec));
@@ -139,7 +139,7 @@
                 Some(a) => format!("it awaits {a}, which was never accepted"),
                 None => "it can never run, the leader's log says why".into(),
             };
-            Answer::error(422, &text)
+            Response::error(422, &text)
         })
     }
 
@@ -189,7 +189,7 @@
             .sum();
         let most = max_unfinished_tasks(&self.settings);
         if !self.store_cache.jobs.is_empty() && live + u64::from(spec.tasks) > most {
-            return self.answer(ticket, Answer::busy("too many unfinished tasks", 30));
+            return self.answer(ticket, Response::busy("too many unfinished tasks", 30));
         }
         // Names of types that the cloud does not have allow nothing; they are not kept.
         if let Some(names) = &mut spec.machine_types {
@@ -209,7 +209,7 @@
         let parts = large_jobs::cut(&text, most);
         // The job's key is written on a condition for each part.
         if parts.len() > self.settings.max_transaction_changes * 4 - 1 {
-            let answer = Answer::error(422, "too large to be kept");
+            let answer = Response::error(422, "too large to be kept");
             return self.read_job_key(id, ReadPurpose::Reject(ticket, answer));
         }
         let parts = Box::new(PartWrite {
@@ -288,7 +288,7 @@
             // What was written is cleared when nobody has referred to it for long.
             other => {
                 tracing::info!(job = %spec.id, "job {}: its parts are not kept: {other:?}", spec.id);
-                self.answer(ticket, Answer::busy("the job cannot be kept now", 1));
+                self.answer(ticket, Response::busy("the job cannot be kept now", 1));
             }
         }
     }
@@ -379,18 +379,21 @@
                     .store_cache
                     .outcome_of(&id)
                     .map_or(JobState::Queued, final_state);
-                self.answer(ticket, Answer::new(201, state_body(&id, state, None, None)));
+                self.answer(
+                    ticket,
+                    Response::new(201, state_body(&id, state, None, None)),
+                );
             }
             StoreOutcome::Conflict { .. } if is_enabled(Safeguard::Conflict) => {
                 self.read_job_key(spec.id.to_string(), ReadPurpose::Show(ticket));
             }
             StoreOutcome::Conflict { .. } => {
                 let body = state_body(&spec.id, JobState::Queued, None, None);
-                self.answer(ticket, Answer::new(201, body));
+                self.answer(ticket, Response::new(201, body));
             }
             StoreOutcome::Unknown(_) if !is_enabled(Safeguard::Accepted) => {
                 let body = state_body(&spec.id, JobState::Queued, None, None);
-                self.answer(ticket, Answer::new(201, body));
+                self.answer(ticket, Response::new(201, body));
             }
             StoreOutcome::Unknown(e) if tries < 2 && waited < Duration::from_secs(3) => {
                 tracing::info!(job = %spec.id, "job {}: no answer to its creation: {e}", spec.id);
@@ -402,9 +405,9 @@
             }
             StoreOutcome::Invalid(e) => {
                 tracing::error!(job = %spec.id, "job {}: the state service refuses it: {e}", spec.id);
-                self.answer(ticket, Answer::error(422, "too large to be kept"));
+                self.answer(ticket, Response::error(422, "too large to be kept"));
             }
-            _ => self.answer(ticket, Answer::busy("the job cannot be kept now", 1)),
+            _ => self.answer(ticket, Response::busy("the job cannot be kept now", 1)),
         }
     }
 }
--- a/src/core/leadership/mod.rs
+++ b/src/core/leadership/mod.rs
@@ -15,7 +15,7 @@
 use crate::core::store::machine_records::MachineRecords;
 use crate::core::{Core, Effect, LeadershipProof, Pending, Ticket};
 use crate::fault_injection::{Safeguard, is_enabled};
-use crate::http::Answer;
+use crate::http::Response;
 use crate::store_client::{StoreOutcome, StoreRequest};
 use crate::wire::{Change, CompareAndSwap, Condition, Item, WatchEvent};
 use std::time::{Duration, Instant};
@@ -424,7 +424,7 @@
             .flat_map(|r| r.cancel_waiters)
             .collect();
         for ticket in waiting {
-            self.answer(ticket, Answer::busy("the leader changed", 1));
+            self.answer(ticket, Response::busy("the leader changed", 1));
         }
         self.pending.retain(|_, p| {
             matches!(
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -41,7 +41,7 @@
 pub use store::cache::StoreCache;
 
 use crate::cloud_client::{CloudOutcome, CloudRequest};
-use crate::http::Answer;
+use crate::http::Response;
 use crate::job::{JobId, JobSpec, MachineId};
 use crate::peer::heartbeat_batch::{HeartbeatBatch, HeartbeatBatchResponse};
 use crate::peer::memory_exchange::{MemoryPage, MemoryRequest};
@@ -159,9 +159,9 @@
 
 #[derive(Debug)]
 pub enum Effect {
-    Answer {
+    Response {
         ticket: Ticket,
-        answer: Answer,
+        answer: Response,
     },
     Forward {
         ticket: Ticket,
@@ -275,7 +275,7 @@
     Accepted(Ticket),
     Cancel(Ticket),
     /// It is invalid as submitted, which may be said only of a job that is not known.
-    Reject(Ticket, Answer),
+    Reject(Ticket, Response),
 }
 
 pub struct Core {
@@ -637,8 +637,8 @@
         call
     }
 
-    fn answer(&mut self, ticket: Ticket, answer: Answer) {
-        self.effects.push(Effect::Answer { ticket, answer });
+    fn answer(&mut self, ticket: Ticket, answer: Response) {
+        self.effects.push(Effect::Response { ticket, answer });
     }
 
     fn state_outcome(&mut self, call: CallId, outcome: StoreOutcome) {
--- a/src/core/monitoring/metrics.rs
+++ b/src/core/monitoring/metrics.rs
@@ -1,7 +1,7 @@
 //! What monitoring is told; see `metrics`.
 
 use crate::core::{Core, Ticket, WORK};
-use crate::http::Answer;
+use crate::http::Response;
 use crate::metrics::Page;
 use burlusher_membership::view::{Capabilities, Standing};
 use std::collections::BTreeMap;
@@ -124,7 +124,7 @@
         if self.acting() {
             self.leader_figures(&mut page);
         }
-        self.answer(ticket, Answer::new(200, page.text().into_bytes()));
+        self.answer(ticket, Response::new(200, page.text().into_bytes()));
     }
 
     fn leader_figures(&self, page: &mut Page) {
--- a/src/core/monitoring/status.rs
+++ b/src/core/monitoring/status.rs
@@ -2,7 +2,7 @@
 
 use crate::core::machines::machine::{Machine, Phase};
 use crate::core::{Core, Ticket};
-use crate::http::Answer;
+use crate::http::Response;
 use crate::job::{JobId, JobOutcome, JobSpec};
 use serde_json::{Value, json};
 use std::time::SystemTime;
@@ -29,7 +29,7 @@
         body["step_us"] = quantiles(&self.stats.step);
         body["rebuild"] = self.rebuild_status();
         body["up_s"] = json!(self.since(self.started));
-        self.answer(ticket, Answer::new(200, body.to_string().into_bytes()));
+        self.answer(ticket, Response::new(200, body.to_string().into_bytes()));
     }
 
     fn since(&self, t: std::time::Instant) -> u64 {
--- a/src/core/simulation/checker.rs
+++ b/src/core/simulation/checker.rs
@@ -4,7 +4,7 @@
 use super::network::Link;
 use super::worker::Worker;
 use crate::fault_injection::{Safeguard, is_enabled};
-use crate::http::Answer;
+use crate::http::Response;
 use crate::job::{JobKind, JobSpec, MachineId, TaskId};
 use crate::wire::{JobState, JobStatus, TaskState};
 use std::collections::{BTreeMap, BTreeSet};
@@ -112,7 +112,7 @@
         &mut self,
         id: &str,
         asked: Instant,
-        answer: Option<&Answer>,
+        answer: Option<&Response>,
     ) -> Option<JobState> {
         let answer = answer?;
         if answer.status == 404 && !self.checker.data_lost_for_good {
--- a/src/core/simulation/network.rs
+++ b/src/core/simulation/network.rs
@@ -4,7 +4,7 @@
 use super::store::STORE_TIMEOUT;
 use crate::cloud_client::{CloudOutcome, CloudRequest};
 use crate::core::{Ask, CallId, Command, Effect, Pending, Ticket, UserRequest};
-use crate::http::Answer;
+use crate::http::Response;
 use crate::job::MachineId;
 use crate::peer::heartbeat_batch;
 use crate::peer::memory_exchange::{self, MemoryRequest};
@@ -26,7 +26,7 @@
     /// Requests between controllers for what they remember: who asked whom, and for what.
     pub(super) recalls: BTreeMap<Ticket, (usize, String, MemoryRequest)>,
     /// Answers that nobody has fetched yet.
-    pub(super) answers: BTreeMap<Ticket, Answer>,
+    pub(super) answers: BTreeMap<Ticket, Response>,
     /// Duplicates of reports: when each arrives, and at which controller.
     pub(super) delayed_reports: Vec<(Instant, usize, Heartbeat)>,
     /// Direct commands that are late or duplicates: when each arrives, and at which machine.
@@ -75,7 +75,7 @@
 }
 
 /// What a controller reads of another one's answer to a forwarded request.
-fn peer_answer(answer: &Answer) -> PeerAnswer {
+fn peer_answer(answer: &Response) -> PeerAnswer {
     let body: Option<JobStatus> = serde_json::from_slice(&answer.body).ok();
     PeerAnswer {
         status: answer.status,
@@ -90,7 +90,7 @@
     /// Carries out what a step of controller `from` decided.
     pub(super) fn apply_effect(&mut self, from: usize, effect: Effect) {
         match effect {
-            Effect::Answer { ticket, answer } => self.deliver_answer(from, ticket, answer),
+            Effect::Response { ticket, answer } => self.deliver_answer(from, ticket, answer),
             Effect::Forward {
                 ticket,
                 peer,
@@ -125,7 +125,7 @@
     }
 
     /// Hands an answer to whoever asked: another controller, a user, or whoever fetches it.
-    fn deliver_answer(&mut self, from: usize, ticket: Ticket, answer: Answer) {
+    fn deliver_answer(&mut self, from: usize, ticket: Ticket, answer: Response) {
         if answer.not_after.is_some_and(|t| self.now >= t) {
             return;
         }
--- a/src/core/simulation/recorded_decisions.rs
+++ b/src/core/simulation/recorded_decisions.rs
@@ -22,7 +22,7 @@
 use crate::core::simulation::scenarios::mixed_faults::inject_mixed_faults;
 use crate::core::simulation::{Link, NEXT_LIMITS, Simulation};
 use crate::core::{Effect, LeadershipProof};
-use crate::http::Answer;
+use crate::http::Response;
 use crate::job::{JobKind, JobSpec, Priority, sample};
 use crate::peer;
 use crate::peer::memory_exchange;
@@ -111,8 +111,8 @@
     /// An effect in a form that depends on what it does, not on how the program names it.
     fn content(&self, effect: &Effect) -> Value {
         match effect {
-            Effect::Answer { ticket, answer } => {
-                let Answer {
+            Effect::Response { ticket, answer } => {
+                let Response {
                     status,
                     body,
                     retry_after,
--- a/src/core/simulation/scenarios/delegation.rs
+++ b/src/core/simulation/scenarios/delegation.rs
@@ -420,7 +420,7 @@
         };
         let effects = simulation.nodes[node].core.step(now, vec![ask]);
         let body = effects.into_iter().find_map(|e| match e {
-            Effect::Answer { ticket, answer } if ticket == u64::MAX => Some(answer.body),
+            Effect::Response { ticket, answer } if ticket == u64::MAX => Some(answer.body),
             _ => None,
         });
         let text = String::from_utf8(body.unwrap()).unwrap();
--- a/src/core/simulation/scenarios/size.rs
+++ b/src/core/simulation/scenarios/size.rs
@@ -85,7 +85,7 @@
     };
     let effects = core.step(now, (0..count).map(heartbeat).collect());
     let answered = effects.into_iter().filter_map(|effect| match effect {
-        Effect::Answer { ticket, answer } => Some((ticket, answer.status, answer.retry_after)),
+        Effect::Response { ticket, answer } => Some((ticket, answer.status, answer.retry_after)),
         _ => None,
     });
     answered.collect()
@@ -273,7 +273,7 @@
                     commands.push(Command::HeartbeatBatchResponse { number, answer });
                     frames += 1;
                 }
-                Effect::Answer { answer, .. } => {
+                Effect::Response { answer, .. } => {
                     assert_eq!(answer.status, 200);
                     answered += 1;
                 }
--- a/src/core/simulation/users.rs
+++ b/src/core/simulation/users.rs
@@ -3,7 +3,7 @@
 use super::cluster::Simulation;
 use super::store::Backup;
 use crate::core::{Ask, Command, Ticket, UserRequest};
-use crate::http::Answer;
+use crate::http::Response;
 use crate::job::{JobSpec, TaskId};
 use crate::wire::JobState;
 use std::time::Duration;
@@ -26,7 +26,7 @@
     }
 
     /// Asks one node and waits up to 3 s for its answer.
-    pub(super) fn request(&mut self, node: usize, what: Ask) -> Option<Answer> {
+    pub(super) fn request(&mut self, node: usize, what: Ask) -> Option<Response> {
         let ticket = self.ask(node, what);
         for _ in 0..60 {
             self.tick();
--- a/src/core/simulation/worker.rs
+++ b/src/core/simulation/worker.rs
@@ -2,7 +2,7 @@
 
 use super::cluster::{Simulation, TICK};
 use crate::core::{Command, Ticket};
-use crate::http::Answer;
+use crate::http::Response;
 use crate::job::{JobKind, MachineId, TaskId};
 use crate::wire::{
     DirectCommands, ExitCause, Heartbeat, HeartbeatResponse, TaskCommand, TaskState, TaskStatus,
@@ -79,7 +79,7 @@
 }
 
 /// The node that an answer refers a worker to.
-pub(super) fn redirect_target(answer: &Answer) -> Option<usize> {
+pub(super) fn redirect_target(answer: &Response) -> Option<usize> {
     let body: serde_json::Value = serde_json::from_slice(&answer.body).ok()?;
     let name = body.get("foreman")?.as_str()?;
     name.strip_prefix('n')?.parse().ok()
--- a/src/core/store/integrity.rs
+++ b/src/core/store/integrity.rs
@@ -17,7 +17,7 @@
 use crate::core::store::keys::{NOTHING, REBUILDING, identity_key, key, named};
 use crate::core::{CallId, Core, Effect, Pending, Ticket};
 use crate::fault_injection::{Safeguard, is_enabled};
-use crate::http::Answer;
+use crate::http::Response;
 use crate::peer::memory_exchange::{MemoryPage, MemoryRequest, PAGE_BYTES, encode_recalled};
 use crate::store_client::{StoreOutcome, StoreRequest};
 use crate::wire::{Change, CompareAndSwap, Condition, Item};
@@ -684,7 +684,7 @@
             items: items.collect(),
         };
         let body = encode_recalled(&told);
-        self.answer(ticket, Answer::new(200, body));
+        self.answer(ticket, Response::new(200, body));
     }
 
     pub(in crate::core) fn recalled(
--- a/src/core/store/read_barrier.rs
+++ b/src/core/store/read_barrier.rs
@@ -6,7 +6,7 @@
 //! not hold. Questions of one step share the read.
 
 use crate::core::{Core, Pending, Ticket};
-use crate::http::Answer;
+use crate::http::Response;
 use crate::job::JobSpec;
 use crate::store_client::{StoreOutcome, StoreRequest};
 use std::time::{Duration, Instant};
@@ -59,7 +59,7 @@
     fn defer(&mut self, questions: Vec<Question>) {
         for q in questions {
             let (Question::Show(ticket, _) | Question::Submit(ticket, ..)) = q;
-            self.answer(ticket, Answer::busy("the state cannot be read now", 1));
+            self.answer(ticket, Response::busy("the state cannot be read now", 1));
         }
     }
 
--- a/src/core/store/rebuild.rs
+++ b/src/core/store/rebuild.rs
@@ -20,7 +20,7 @@
 use crate::core::store::keys::{job_key, part_key};
 use crate::core::store::large_jobs::{self, PartValue};
 use crate::core::{Core, Effect, Ticket};
-use crate::http::Answer;
+use crate::http::Response;
 use crate::job::{JobId, MachineId, Resources, TaskId};
 use crate::peer::memory_exchange::{MemoryPage, MemoryRequest};
 use crate::wire::{Change, to_json};
@@ -517,9 +517,9 @@
     }
 
     /// For operators' words, which only the leader can follow.
-    fn not_the_leader(&self) -> Answer {
+    fn not_the_leader(&self) -> Response {
         let leader = self.leader_name().unwrap_or("nobody");
-        Answer::error(409, &format!("not the leader; that is {leader}"))
+        Response::error(409, &format!("not the leader; that is {leader}"))
     }
 
     /// An operator takes the store as it is: what nobody remembers is stopped, and unknown from now
@@ -533,7 +533,7 @@
             return;
         };
         let Some(r) = &mut leader.rebuild else {
-            return self.answer(ticket, Answer::error(409, "nothing is being rebuilt"));
+            return self.answer(ticket, Response::error(409, "nothing is being rebuilt"));
         };
         r.settled = true;
         let held = std::mem::take(&mut r.held_tasks);
@@ -559,7 +559,7 @@
             }
         }
         let body = serde_json::json!({"settled": true, "tasks_stopped": stopped});
-        self.answer(ticket, Answer::new(200, to_json(&body)));
+        self.answer(ticket, Response::new(200, to_json(&body)));
     }
 
     /// A snapshot, or a page of one, offered as one more memory; `store` is the one that it is of, and
@@ -577,14 +577,14 @@
         let rebuild = self.leader.as_ref().and_then(|l| l.rebuild.as_ref());
         let Some(r) = rebuild else {
             let text = "nothing is being rebuilt: the state service has lost nothing that is known";
-            return self.answer(ticket, Answer::error(409, text));
+            return self.answer(ticket, Response::error(409, text));
         };
         if r.lost_store.as_deref().is_some_and(|of| of != store) {
             let text = format!(
                 "a snapshot of {store}, and what lost data is {}",
                 r.lost_store.as_deref().unwrap_or("?")
             );
-            return self.answer(ticket, Answer::error(409, &text));
+            return self.answer(ticket, Response::error(409, &text));
         }
         let new = self.join(items);
         if let Some(r) = self.leader.as_mut().and_then(|l| l.rebuild.as_mut()) {
@@ -592,7 +592,7 @@
             r.copy_available |= last;
         }
         let body = serde_json::json!({"new_jobs": new});
-        self.answer(ticket, Answer::new(200, to_json(&body)));
+        self.answer(ticket, Response::new(200, to_json(&body)));
     }
 
     /// For the status view.
--- a/src/core/workers/commands.rs
+++ b/src/core/workers/commands.rs
@@ -11,7 +11,7 @@
 };
 use crate::core::{Core, Effect, Pending, Ticket, Work};
 use crate::fault_injection::{Safeguard, is_enabled};
-use crate::http::Answer;
+use crate::http::Response;
 use crate::job::{MachineId, TaskId};
 use crate::wire::{DirectCommands, HeartbeatResponse, TaskCommand, to_json};
 use crate::worker_client::{DirectOutcome, DirectRequest};
@@ -108,8 +108,8 @@
     pub(in crate::core) fn respond_to_heartbeat(&mut self, ticket: Ticket, id: &MachineId) {
         let until = self.leader_until();
         let answer = match self.heartbeat_response(id) {
-            Some(body) => Answer::new(200, to_json(&body)).until(until),
-            None => Answer::busy("this machine is gone", 30),
+            Some(body) => Response::new(200, to_json(&body)).until(until),
+            None => Response::busy("this machine is gone", 30),
         };
         self.answer(ticket, answer);
     }
--- a/src/core/workers/delegation.rs
+++ b/src/core/workers/delegation.rs
@@ -17,7 +17,7 @@
 use crate::core::machines::machine::WORKER_RETRY;
 use crate::core::workers::commands::MAX_DIRECT_CALLS;
 use crate::core::{Core, Ticket};
-use crate::http::Answer;
+use crate::http::Response;
 use crate::job::MachineId;
 use crate::peer::heartbeat_batch::{
     self, AnsweredHeartbeat, HeartbeatBatch, HeartbeatBatchResponse, MemberStatus, RelayedOutcome,
@@ -54,7 +54,7 @@
     from: Arc<str>,
     /// Workers that the sender has still to ask.
     probes_pending: usize,
-    heartbeats: Vec<(u64, Result<MachineId, Answer>)>,
+    heartbeats: Vec<(u64, Result<MachineId, Response>)>,
 }
 
 impl PendingBatch {
@@ -289,7 +289,7 @@
         };
         self.answer(
             ticket,
-            Answer::new(200, heartbeat_batch::encode_synced(&answer)),
+            Response::new(200, heartbeat_batch::encode_synced(&answer)),
         );
     }
 
@@ -301,15 +301,15 @@
         let mut answers = Vec::new();
         let mut size = 0;
         for (name, taken) in work.heartbeats {
-            let refused = |a: &Answer| RelayedOutcome::Refused {
+            let refused = |a: &Response| RelayedOutcome::Refused {
                 status: a.status,
                 retry_after: a.retry_after,
             };
             let told = taken.and_then(|id| {
                 if size > MAX_RESPONSE_BYTES {
-                    return Err(Answer::busy("overloaded", 1));
+                    return Err(Response::busy("overloaded", 1));
                 }
-                let gone = || Answer::busy("this machine is gone", 30);
+                let gone = || Response::busy("this machine is gone", 30);
                 let body = self.heartbeat_response(&id).ok_or_else(gone)?;
                 size += heartbeat_batch::size_of_answer(&body.commands);
                 let calm = body.commands.is_empty() && self.delegate(&id, &work.from);
@@ -347,7 +347,7 @@
             members,
         };
         let frame = heartbeat_batch::encode_synced(&answer);
-        self.answer(work.ticket, Answer::new(200, frame).until(Some(word)));
+        self.answer(work.ticket, Response::new(200, frame).until(Some(word)));
     }
 
     fn member_statuses(&self, to: &str) -> Vec<MemberStatus> {
--- a/src/core/workers/heartbeats.rs
+++ b/src/core/workers/heartbeats.rs
@@ -6,7 +6,7 @@
 use crate::core::store::cache::MachineValue;
 use crate::core::{Core, Ticket, note};
 use crate::fault_injection::{Safeguard, is_enabled};
-use crate::http::Answer;
+use crate::http::Response;
 use crate::job::{JobId, JobKind, MachineId, Resources, TaskId};
 use crate::planning::cluster_snapshot::image_tag;
 use crate::wire::{ExitCause, Heartbeat, Redirect, TaskState, TaskStatus, parse_task_id, to_json};
@@ -21,9 +21,9 @@
 const MAX_AVOIDANCE_DOUBLINGS: u32 = 3;
 
 /// The worker is to report to that controller.
-pub(in crate::core) fn redirect_to(controller: &str) -> Answer {
+pub(in crate::core) fn redirect_to(controller: &str) -> Response {
     let leader = Some(controller);
-    Answer::new(421, to_json(&Redirect { leader }))
+    Response::new(421, to_json(&Redirect { leader }))
 }
 
 impl Core {
@@ -37,7 +37,7 @@
             if self.is_well_formed(&heartbeat) {
                 self.relay_heartbeat(ticket, heartbeat);
             } else {
-                self.answer(ticket, Answer::error(400, "malformed report"));
+                self.answer(ticket, Response::error(400, "malformed report"));
             }
             return None;
         }
@@ -68,18 +68,18 @@
         &mut self,
         heartbeat: Heartbeat,
         via: Option<&Arc<str>>,
-    ) -> Result<MachineId, Answer> {
+    ) -> Result<MachineId, Response> {
         let now = self.now.mono;
         let id = heartbeat.machine.clone();
         if !self.is_well_formed(&heartbeat) {
-            return Err(Answer::error(400, "malformed report"));
+            return Err(Response::error(400, "malformed report"));
         }
-        let no_leader = || Answer::busy("no leader here", 1);
+        let no_leader = || Response::busy("no leader here", 1);
         self.observe_fencing_token(heartbeat.fencing_token);
         let leader = self.leader.as_mut().ok_or_else(no_leader)?;
         if leader.deleted_machines.contains(&id) {
             // Sent before the machine was deleted, and held up on the way.
-            return Err(Answer::busy("this machine is gone", 30));
+            return Err(Response::busy("this machine is gone", 30));
         }
         let term = leader.term;
         let proven = heartbeat.fencing_token >= term << TOKEN_EPOCH_BITS;
@@ -134,7 +134,7 @@
                 m.lease_renewed = m.lease_renewed.max(now);
             }
             self.probe_for_restart(&id);
-            return Err(Answer::busy("an older report", 1));
+            return Err(Response::busy("an older report", 1));
         }
         let lease = self.settings.worker_lease;
         let leader = self.leader.as_mut().ok_or_else(no_leader)?;
@@ -145,7 +145,7 @@
             // the last one on: so there is a last one.
             let since = *m.unproven_since.get_or_insert(now);
             if now > since + lease / 2 {
-                return Err(Answer::busy("this machine does not take its answers", 1));
+                return Err(Response::busy("this machine does not take its answers", 1));
             }
         }
         m.lease_renewed = now;
@@ -170,7 +170,7 @@
         let leader = self.leader_name().filter(|n| *n != me && !stale);
         let answer = match leader {
             Some(leader) => redirect_to(leader),
-            None => Answer::busy("no leader here", 1),
+            None => Response::busy("no leader here", 1),
         };
         self.answer(ticket, answer);
     }
--- a/src/core/workers/relay.rs
+++ b/src/core/workers/relay.rs
@@ -13,7 +13,7 @@
 use crate::core::workers::heartbeats::redirect_to;
 use crate::core::{Core, Effect, Pending, Ticket};
 use crate::fault_injection::{Safeguard, is_enabled};
-use crate::http::Answer;
+use crate::http::Response;
 use crate::job::MachineId;
 use crate::peer::heartbeat_batch::{
     self, AnsweredHeartbeat, HeartbeatBatch, HeartbeatBatchResponse, RelayedHeartbeat,
@@ -275,7 +275,7 @@
                         commands: orders,
                     });
                     let until = is_enabled(Safeguard::Grant).then_some(grant.until);
-                    Answer::new(200, body).until(until)
+                    Response::new(200, body).until(until)
                 }
             };
             return self.answer(ticket, answer);
@@ -284,7 +284,7 @@
             return self.redirect(ticket);
         }
         if !self.relay.waiting.has_room(&self.settings) {
-            return self.answer(ticket, Answer::busy("overloaded", 1));
+            return self.answer(ticket, Response::busy("overloaded", 1));
         }
         self.relay.waiting.push(Waiting {
             ticket: Some(ticket),
@@ -332,7 +332,7 @@
             .drop_expired_workers(now, self.settings.worker_lease);
         while let Some(w) = self.relay.waiting.pop_overdue(now, MAX_WAIT) {
             if let Some(ticket) = w.ticket {
-                self.answer(ticket, Answer::busy("no leader yet", 1));
+                self.answer(ticket, Response::busy("no leader yet", 1));
             }
         }
         if self.relay.failures_term != self.store_cache.term {
@@ -478,7 +478,7 @@
             let Some(ticket) = w.ticket else { continue };
             match told.remove(&(n as u64 + 1)) {
                 Some(t) => self.deliver_response(ticket, w, t.outcome, held),
-                None => self.answer(ticket, Answer::busy("no answer", 1)),
+                None => self.answer(ticket, Response::busy("no answer", 1)),
             }
         }
     }
@@ -497,7 +497,7 @@
                 retry_after,
             } => {
                 self.relay.workers.remove(&r.machine);
-                let mut answer = Answer::error(status, "see the status");
+                let mut answer = Response::error(status, "see the status");
                 answer.retry_after = retry_after;
                 self.answer(ticket, answer);
             }
@@ -522,7 +522,7 @@
                 });
                 // Before the leader's word is over, and before the worker stops to wait.
                 let until = held.until.min(w.received + RESPONSE_DEADLINE);
-                self.answer(ticket, Answer::new(200, body).until(Some(until)));
+                self.answer(ticket, Response::new(200, body).until(Some(until)));
             }
         }
     }
--- a/src/http/connection.rs
+++ b/src/http/connection.rs
@@ -6,7 +6,7 @@
 //! asks for writability, which holds at once, so that no further kind of descriptor is needed.
 
 use super::parser::Parser;
-use super::{Answer, IDLE, Request, SLOWEST_REQUEST, WRITE_TIMEOUT, encode_answer};
+use super::{IDLE, Request, Response, SLOWEST_REQUEST, WRITE_TIMEOUT, encode_answer};
 use mio::net::TcpStream;
 use mio::unix::SourceFd;
 use mio::{Interest, Registry, Token};
@@ -52,7 +52,7 @@
     Wait(usize),
     Request(Request, Responder),
     /// The request cannot be served: this is its answer.
-    Refused(Answer, Responder),
+    Refused(Response, Responder),
     Closed,
 }
 
@@ -245,7 +245,7 @@
     }
 
     /// Answers that there is no room, where no request has been read.
-    pub fn turn_away(&self, answer: &Answer) {
+    pub fn turn_away(&self, answer: &Response) {
         if self.lock().phase != Phase::Reading {
             return;
         }
@@ -271,7 +271,7 @@
 
     /// Sends the answer without waiting for the peer to take it. One that only a leader may give
     /// and that comes too late is not given: silence is always safe.
-    pub fn answer(mut self, answer: &Answer) {
+    pub fn answer(mut self, answer: &Response) {
         if answer.expired() {
             return;
         }
@@ -281,7 +281,7 @@
     }
 
     /// Answers, and closes the connection.
-    pub fn refuse(mut self, answer: &Answer) {
+    pub fn refuse(mut self, answer: &Response) {
         self.close = true;
         self.answer(answer);
     }
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -33,7 +33,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Answer {
+pub struct Response {
     pub status: u16,
     pub body: Vec<u8>,
     /// Seconds after which the asker should come back.
@@ -43,9 +43,9 @@
     pub content_type: &'static str,
 }
 
-impl Answer {
-    pub fn new(status: u16, body: Vec<u8>) -> Answer {
-        Answer {
+impl Response {
+    pub fn new(status: u16, body: Vec<u8>) -> Response {
+        Response {
             status,
             body,
             retry_after: None,
@@ -54,23 +54,23 @@
         }
     }
 
-    pub fn error(status: u16, text: &str) -> Answer {
-        Answer::new(status, crate::wire::error_body(text))
+    pub fn error(status: u16, text: &str) -> Response {
+        Response::new(status, crate::wire::error_body(text))
     }
 
     /// "Not now": the asker is told when to come back.
-    pub fn busy(text: &str, after: u32) -> Answer {
-        let mut a = Answer::error(503, text);
+    pub fn busy(text: &str, after: u32) -> Response {
+        let mut a = Response::error(503, text);
         a.retry_after = Some(after);
         a
     }
 
-    pub fn until(mut self, deadline: Option<Instant>) -> Answer {
+    pub fn until(mut self, deadline: Option<Instant>) -> Response {
         self.not_after = deadline;
         self
     }
 
-    pub fn of_type(mut self, content_type: &'static str) -> Answer {
+    pub fn of_type(mut self, content_type: &'static str) -> Response {
         // An error stays what it is.
         if self.status == 200 {
             self.content_type = content_type;
@@ -102,7 +102,7 @@
 }
 
 /// An answer as it goes over the wire.
-fn encode_answer(answer: &Answer, close: bool) -> Vec<u8> {
+fn encode_answer(answer: &Response, close: bool) -> Vec<u8> {
     let mut head = format!(
         "HTTP/1.1 {} {}\r\nContent-Type: {}\r\nContent-Length: {}\r\n",
         answer.status,
--- a/src/http/parser.rs
+++ b/src/http/parser.rs
@@ -1,6 +1,6 @@
 //! Requests out of the bytes of a connection, as they come.
 
-use super::{Answer, MAX_BODY, MAX_HEAD, MAX_HEADERS, Request, header};
+use super::{MAX_BODY, MAX_HEAD, MAX_HEADERS, Request, Response, header};
 
 /// What is known of a request once its head is complete.
 struct Head {
@@ -42,7 +42,7 @@
 
     /// The next request, if it is complete; bytes of the one after it are kept. The error is the
     /// answer to a request that cannot be served.
-    pub fn next(&mut self) -> Result<Option<Parsed>, Answer> {
+    pub fn next(&mut self) -> Result<Option<Parsed>, Response> {
         if self.head.is_none() && !self.buffer.is_empty() {
             self.head = parse_head(&self.buffer)?;
         }
@@ -77,22 +77,22 @@
     }
 }
 
-fn parse_head(buffer: &[u8]) -> Result<Option<Head>, Answer> {
+fn parse_head(buffer: &[u8]) -> Result<Option<Head>, Response> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
     let end = match head.parse(buffer) {
         Err(httparse::Error::TooManyHeaders) => {
-            return Err(Answer::error(431, "too many headers"));
+            return Err(Response::error(431, "too many headers"));
         }
-        Err(e) => return Err(Answer::error(400, &format!("bad request: {e}"))),
+        Err(e) => return Err(Response::error(400, &format!("bad request: {e}"))),
         Ok(httparse::Status::Partial) if buffer.len() > MAX_HEAD => {
-            return Err(Answer::error(431, "head too large"));
+            return Err(Response::error(431, "head too large"));
         }
         Ok(httparse::Status::Partial) => return Ok(None),
         Ok(httparse::Status::Complete(end)) => end,
     };
     if header(head.headers, "transfer-encoding").is_some() {
-        return Err(Answer::error(501, "send a Content-Length"));
+        return Err(Response::error(501, "send a Content-Length"));
     }
     let body_length = body_length(header(head.headers, "content-length"))?;
     let wants_close = header(head.headers, "connection")
@@ -107,16 +107,16 @@
     }))
 }
 
-fn body_length(content_length: Option<&str>) -> Result<usize, Answer> {
+fn body_length(content_length: Option<&str>) -> Result<usize, Response> {
     let length = match content_length {
         None => 0,
         Some(text) if !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit()) => {
             text.parse().unwrap_or(usize::MAX)
         }
-        Some(_) => return Err(Answer::error(400, "bad Content-Length")),
+        Some(_) => return Err(Response::error(400, "bad Content-Length")),
     };
     if length > MAX_BODY {
-        return Err(Answer::error(413, "body over 64 KiB"));
+        return Err(Response::error(413, "body over 64 KiB"));
     }
     Ok(length)
 }
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -8,7 +8,7 @@
 //! checks, and peers that never send a whole request leave room for both.
 
 use super::connection::{Connection, Progress, Responder};
-use super::{Answer, MAX_BODY, Request};
+use super::{MAX_BODY, Request, Response};
 use mio::event::Event;
 use mio::net::TcpListener;
 use mio::{Events, Interest, Poll, Registry, Token};
@@ -274,7 +274,7 @@
         match progress {
             Progress::Wait(_) if fits => {}
             Progress::Wait(_) => {
-                connection.turn_away(&Answer::busy("overloaded", FULL_RETRY));
+                connection.turn_away(&Response::busy("overloaded", FULL_RETRY));
                 self.table.remove(token);
             }
             Progress::Closed => {
@@ -359,11 +359,11 @@
     }
 }
 
-fn too_many() -> Answer {
-    Answer::busy("too many connections", FULL_RETRY)
+fn too_many() -> Response {
+    Response::busy("too many connections", FULL_RETRY)
 }
 
-type Handle = dyn Fn(Request) -> Option<Answer> + Send + Sync;
+type Handle = dyn Fn(Request) -> Option<Response> + Send + Sync;
 
 /// Serves with a handler that may block, so that each request has a thread while it is handled;
 /// at most `most` connections at a time. Without an answer the connection is closed.
@@ -408,7 +408,7 @@
                 tracing::warn!("no thread for a request: {e}");
             }
             if let Some(responder) = take(&slot) {
-                responder.answer(&Answer::busy("overloaded", 1));
+                responder.answer(&Response::busy("overloaded", 1));
             }
         }
     }
--- a/src/http/tests.rs
+++ b/src/http/tests.rs
@@ -14,7 +14,7 @@
         serve(
             listener,
             most,
-            Arc::new(|r: Request| Some(Answer::new(200, r.body))),
+            Arc::new(|r: Request| Some(Response::new(200, r.body))),
         )
     });
     addr
@@ -92,11 +92,11 @@
         match request.path.as_str() {
             "/late" => {
                 let deadline = Some(Instant::now() - Duration::from_millis(1));
-                responder.answer(&Answer::new(200, Vec::new()).until(deadline));
+                responder.answer(&Response::new(200, Vec::new()).until(deadline));
             }
             "/silent" => drop(responder),
-            "/big" => responder.answer(&Answer::new(200, vec![b'x'; BIG_BODY])),
-            path => responder.answer(&Answer::new(200, path.as_bytes().to_vec())),
+            "/big" => responder.answer(&Response::new(200, vec![b'x'; BIG_BODY])),
+            path => responder.answer(&Response::new(200, path.as_bytes().to_vec())),
         }
     }
 }
@@ -345,7 +345,7 @@
     let mut asked: Vec<_> = (0..20).map(|_| receiver.recv().unwrap()).collect();
     asked.sort_by_key(|(path, _)| std::cmp::Reverse(path.clone()));
     for (path, responder) in asked {
-        responder.answer(&Answer::new(200, path.into_bytes()));
+        responder.answer(&Response::new(200, path.into_bytes()));
     }
     for (n, stream) in streams.iter_mut().enumerate() {
         assert!(answer(stream).ends_with(&format!("\r\n/{n}")));
--- a/src/service.rs
+++ b/src/service.rs
@@ -14,7 +14,7 @@
 
 use crate::cloud_client::{CloudClient, CloudOutcome, CloudRequest};
 use crate::core::{Command, Core, Effect, LeadershipProof, Now, Ticket, Work, note};
-use crate::http::{Answer, Limits, Server};
+use crate::http::{Limits, Response, Server};
 use crate::peer::heartbeat_batch;
 use crate::peer::memory_exchange::{self, MemoryRequest};
 use crate::peer::{self, PeerRequest};
@@ -125,7 +125,7 @@
     MemoryRequest(MemoryRequest),
 }
 type SyncCall = (String, u64, Vec<u8>);
-type AnswerCall = (Ticket, Answer);
+type AnswerCall = (Ticket, Response);
 
 struct Outbox {
     state: Sender<StateCall>,
@@ -236,7 +236,7 @@
 
 fn carry_out(effect: Effect, out: &Outbox, answers: &mut Vec<AnswerCall>) {
     match effect {
-        Effect::Answer { ticket, answer } => answers.push((ticket, answer)),
+        Effect::Response { ticket, answer } => answers.push((ticket, answer)),
         Effect::State { call, request } => {
             let _ = out.state.send((call, request));
         }
--- a/src/service/inbox.rs
+++ b/src/service/inbox.rs
@@ -5,7 +5,7 @@
 use super::lock;
 use super::renewal::LeaseRenewalPriority;
 use crate::core::{Command, Ticket};
-use crate::http::{Answer, Responder};
+use crate::http::{Responder, Response};
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::mpsc::{SyncSender, sync_channel};
@@ -33,7 +33,7 @@
     /// A worker's report, which has a place at the gate.
     Heartbeat(Responder),
     /// A thread that waits for it.
-    Thread(SyncSender<Answer>),
+    Thread(SyncSender<Response>),
 }
 
 struct Waiting {
@@ -101,13 +101,13 @@
         &self,
         make: impl FnOnce(Ticket) -> Command,
         reply: Reply,
-    ) -> Result<Ticket, (Reply, Answer)> {
+    ) -> Result<Ticket, (Reply, Response)> {
         let ticket = self.shared.tickets.fetch_add(1, Ordering::Relaxed);
         let command = make(ticket);
         let wake = {
             let mut lanes = lock(&self.shared.lanes);
             if lanes.waiting()[Lanes::of(&command)] >= QUEUE {
-                return Err((reply, Answer::busy("overloaded", 2)));
+                return Err((reply, Response::busy("overloaded", 2)));
             }
             let since = Instant::now();
             lock(&self.shared.waiting).insert(ticket, Waiting { reply, since });
@@ -125,7 +125,7 @@
     }
 
     /// Asks the owner and waits for its answer.
-    pub fn ask_and_wait(&self, make: impl FnOnce(Ticket) -> Command) -> Answer {
+    pub fn ask_and_wait(&self, make: impl FnOnce(Ticket) -> Command) -> Response {
         let (sender, receiver) = sync_channel(1);
         let ticket = match self.enqueue(make, Reply::Thread(sender)) {
             Ok(ticket) => ticket,
@@ -163,7 +163,7 @@
         let heartbeat = match serde_json::from_slice(&body) {
             Ok(heartbeat) => heartbeat,
             Err(e) => {
-                responder.answer(&Answer::error(400, &e.to_string()));
+                responder.answer(&Response::error(400, &e.to_string()));
                 return false;
             }
         };
@@ -189,14 +189,14 @@
     }
 
     /// An answer of the owner.
-    pub fn answer(&self, ticket: Ticket, answer: Answer) {
+    pub fn answer(&self, ticket: Ticket, answer: Response) {
         let waiting = lock(&self.shared.waiting).remove(&ticket);
         if let Some(waiting) = waiting {
             self.complete(waiting.reply, answer);
         }
     }
 
-    fn complete(&self, reply: Reply, answer: Answer) {
+    fn complete(&self, reply: Reply, answer: Response) {
         match reply {
             Reply::Public(responder) => responder.answer(&answer),
             Reply::Typed(responder, content_type) => {
@@ -255,10 +255,10 @@
     }
 }
 
-fn no_answer() -> Answer {
-    Answer::busy("no answer in time", 1)
+fn no_answer() -> Response {
+    Response::busy("no answer in time", 1)
 }
 
-fn overloaded() -> Answer {
-    Answer::busy("overloaded", 1)
+fn overloaded() -> Response {
+    Response::busy("overloaded", 1)
 }
--- a/src/service/routes.rs
+++ b/src/service/routes.rs
@@ -2,7 +2,7 @@
 
 use super::inbox::{Inbox, Reply};
 use crate::core::{Ask, Command, UserRequest};
-use crate::http::{Answer, Class, Handler, Request, Responder};
+use crate::http::{Class, Handler, Request, Responder, Response};
 use crate::wire::{
     self, PATH_CANCEL, PATH_HEARTBEAT, PATH_JOBS, PATH_METRICS, PATH_READY, PATH_SETTLE,
     PATH_SNAPSHOT, PATH_STATUS, SnapshotPage,
@@ -32,11 +32,11 @@
         Routes { inbox, ready }
     }
 
-    fn health(&self) -> Answer {
+    fn health(&self) -> Response {
         if self.ready.load(Ordering::Relaxed) {
-            Answer::new(200, b"{}".to_vec())
+            Response::new(200, b"{}".to_vec())
         } else {
-            Answer::busy("not ready", 1)
+            Response::busy("not ready", 1)
         }
     }
 
@@ -58,7 +58,7 @@
         match wire::parse_submission(body) {
             Ok(spec) => self.ask_for_user(Ask::Submit(Box::new(spec)), responder),
             Err(e) => {
-                let refusal = Answer::error(400, &e);
+                let refusal = Response::error(400, &e);
                 // An accepted job's id gets 200 whatever else the body holds.
                 match wire::submitted_id(body) {
                     Some(id) => self.ask_for_user(Ask::Malformed(id, refusal), responder),
@@ -79,7 +79,7 @@
                 };
                 self.inbox.ask(command, Reply::Public(responder));
             }
-            Err(e) => responder.answer(&Answer::error(400, &e.to_string())),
+            Err(e) => responder.answer(&Response::error(400, &e.to_string())),
         }
     }
 
@@ -97,14 +97,14 @@
     fn job(&self, method: &str, rest: &str, responder: Responder) {
         let (id, action) = rest.split_once('/').unwrap_or((rest, ""));
         if !wire::is_job_id(id) {
-            responder.answer(&Answer::error(404, "no such job"));
+            responder.answer(&Response::error(404, "no such job"));
             return;
         }
         match (method, action) {
             ("GET", "") => self.ask_for_user(Ask::Show(id.to_string()), responder),
             ("POST", PATH_CANCEL) => self.ask_for_user(Ask::Cancel(id.to_string()), responder),
-            ("GET" | "POST", _) => responder.answer(&Answer::error(404, "no such path")),
-            _ => responder.answer(&Answer::error(405, "wrong method")),
+            ("GET" | "POST", _) => responder.answer(&Response::error(404, "no such path")),
+            _ => responder.answer(&Response::error(405, "wrong method")),
         }
     }
 }
@@ -142,9 +142,9 @@
                 match job {
                     Some(rest) => self.job(method, rest, responder),
                     None if OTHER_PATHS.contains(&path) => {
-                        responder.answer(&Answer::error(405, "wrong method"));
+                        responder.answer(&Response::error(405, "wrong method"));
                     }
-                    None => responder.answer(&Answer::error(404, "no such path")),
+                    None => responder.answer(&Response::error(404, "no such path")),
                 }
             }
         }
--- a/src/service/tests.rs
+++ b/src/service/tests.rs
@@ -193,7 +193,7 @@
             let Command::Heartbeat { ticket, .. } = command else {
                 panic!("not a report: {command:?}");
             };
-            front.inbox.answer(ticket, Answer::new(200, Vec::new()));
+            front.inbox.answer(ticket, Response::new(200, Vec::new()));
             worked_on += 1;
         }
     }
