--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,5 +1,5 @@
-//! Figures for monitoring, in the usual text format. They are put together when somebody asks, from
-//! what the owner knows anyhow: between two questions they cost nothing.
+//! Metrics in the OpenMetrics text format. A page is put together when somebody asks for it, from
+//! what the owner knows anyhow: between two requests metrics cost nothing.
 
 use prometheus_client::encoding::text::encode;
 use prometheus_client::metrics::counter::Counter;
@@ -8,26 +8,29 @@
 use prometheus_client::registry::Registry;
 use std::sync::atomic::AtomicU64;
 
+/// All names begin with this and an underscore.
+const PREFIX: &str = "burlusher";
+
 type Labels = Vec<(String, String)>;
 
-/// One page of figures in the making.
+/// One page of metrics in the making.
 pub struct Page(Registry);
 
 impl Default for Page {
     fn default() -> Page {
-        Page(Registry::with_prefix("burlusher"))
+        Page(Registry::with_prefix(PREFIX))
     }
 }
 
 impl Page {
-    /// Something that goes up and down.
+    /// Adds a value that goes up and down.
     pub fn gauge(&mut self, name: &str, help: &str, value: f64) {
         let gauge = Gauge::<f64, AtomicU64>::default();
         gauge.set(value);
         self.0.register(name, help, gauge);
     }
 
-    /// The same for each of several, told apart by a label.
+    /// Adds several such values of one name, which differ in the value of a label.
     pub fn gauges<'a>(
         &mut self,
         name: &str,
@@ -36,24 +39,26 @@
         values: impl IntoIterator<Item = (&'a str, f64)>,
     ) {
         let family = Family::<Labels, Gauge<f64, AtomicU64>>::default();
-        for (of, value) in values {
-            let labels = vec![(label.to_string(), of.to_string())];
+        for (label_value, value) in values {
+            let labels = vec![(label.to_string(), label_value.to_string())];
             family.get_or_create(&labels).set(value);
         }
         self.0.register(name, help, family);
     }
 
-    /// Something that only grows while a process, or a leader, lasts. The format adds `_total`.
+    /// Adds a count that only grows while a process, or a leader, lasts. The format appends `_total`
+    /// to its name.
     pub fn counter(&mut self, name: &str, help: &str, value: u64) {
         let counter = Counter::<u64>::default();
         counter.inc_by(value);
         self.0.register(name, help, counter);
     }
 
+    /// The page as text.
     pub fn text(&self) -> String {
-        let mut out = String::new();
+        let mut text = String::new();
         // Writing into a string does not fail.
-        let _ = encode(&mut out, &self.0);
-        out
+        let _ = encode(&mut text, &self.0);
+        text
     }
 }
--- a/src/status_view.rs
+++ b/src/status_view.rs
@@ -1,11 +1,49 @@
 //! The status view as a page of text for a terminal.
+//!
+//! It is read as JSON of any form, so that the command also shows the view of a controller of another
+//! version: what is missing appears as "-".
 
 use serde_json::Value;
 use std::fmt::Write;
 
-fn text(v: &Value) -> String {
-    match v {
-        Value::String(s) => s.clone(),
+/// Renders what `GET /api/status` returns.
+pub fn render(view: &Value) -> String {
+    let mut page = Page::default();
+    if is_true(&view["leads"]) {
+        render_leader(&mut page, view);
+    } else {
+        page.line(format!(
+            "{} does not lead; the leader is {}. Ask there for jobs and machines.",
+            text(&view["node"]),
+            text(&view["leader"])
+        ));
+    }
+    if !view["rebuild"].is_null() {
+        render_rebuild(&mut page, &view["rebuild"]);
+    }
+    page.line("\nMEMBERS");
+    for member in list(view, "members") {
+        render_member(&mut page, member);
+    }
+    for name in ["accept_ms", "start_ms", "step_us"] {
+        render_histogram(&mut page, name, &view[name]);
+    }
+    page.0
+}
+
+#[derive(Default)]
+struct Page(String);
+
+impl Page {
+    fn line(&mut self, line: impl AsRef<str>) {
+        // Writing into a string does not fail.
+        let _ = writeln!(self.0, "{}", line.as_ref());
+    }
+}
+
+fn text(value: &Value) -> String {
+    match value {
+        Value::String(text) => text.clone(),
         Value::Null => "-".into(),
         other => other.to_string(),
     }
@@ -15,160 +53,173 @@
     view[name].as_array().into_iter().flatten()
 }
 
-/// A state service that has lost data: what it waits for, and what an operator may have to decide.
-fn rebuild(r: &Value, line: &mut impl FnMut(String)) {
-    line(format!(
-        "\nTHE STATE SERVICE HAS LOST DATA: {}",
-        text(&r["lost"])
-    ));
-    if r["memories"].is_null() {
-        return line("the controller that leads knows more".into());
+fn is_true(value: &Value) -> bool {
+    *value == Value::Bool(true)
+}
+
+fn spot_or_ordinary(value: &Value) -> &'static str {
+    if is_true(&value["spot"]) {
+        "spot"
+    } else {
+        "ordinary"
     }
-    line(format!(
-        "all that is remembered is known: {}; starts wait: {}; {} jobs to write back, {} brought by snapshots",
-        text(&r["complete"]),
-        text(&r["starts_wait"]),
-        text(&r["jobs_to_write"]),
-        text(&r["from_snapshots"])
+}
+
+fn render_leader(page: &mut Page, view: &Value) {
+    page.line(format!(
+        "{} leads in term {} for {} s; {} machines not heard of yet",
+        text(&view["node"]),
+        text(&view["term"]),
+        text(&view["leads_s"]),
+        text(&view["machines_not_heard_yet"])
     ));
-    for m in list(r, "memories") {
-        line(format!("{:<14} {}", text(&m["node"]), text(&m["standing"])));
+    for offer in list(view, "refused_offers") {
+        page.line(format!("the cloud refuses {}", text(offer)));
     }
-    line(format!(
-        "of jobs that nobody remembers: {} tasks on machines, {} results",
-        text(&r["held_tasks"]),
-        text(&r["held_results"])
+    render_markets(page, &view["bidding"]);
+    page.line("\nMACHINES");
+    for machine in list(view, "machines") {
+        render_machine(page, machine);
+    }
+    page.line(format!(
+        "\nJOBS ({} live, {} finished)",
+        text(&view["jobs_live"]),
+        text(&view["jobs_finished"])
     ));
-    for task in list(r, "held") {
-        line(format!("    {}", text(task)));
+    for job in list(view, "jobs") {
+        render_job(page, job);
     }
 }
 
-/// Renders what `GET /api/status` returns.
-pub fn render(view: &Value) -> String {
-    let mut out = String::new();
-    let mut line = |s: String| {
-        let _ = writeln!(out, "{s}");
-    };
-    if view["leads"] != Value::Bool(true) {
-        line(format!(
-            "{} does not lead; the leader is {}. Ask there for jobs and machines.",
-            text(&view["node"]),
-            text(&view["leader"])
+fn render_markets(page: &mut Page, bidding: &Value) {
+    let cleared = &bidding["cleared"];
+    if cleared.is_object() {
+        page.line(format!(
+            "\nMARKETS (last cleared by {}: saves {}, costs {}; {} tasks not worth a machine)",
+            text(&cleared["by"]),
+            text(&cleared["saves"]),
+            text(&cleared["costs"]),
+            text(&cleared["tasks_not_worth_a_machine"])
         ));
     } else {
-        line(format!(
-            "{} leads in term {} for {} s; {} machines not heard of yet",
-            text(&view["node"]),
-            text(&view["term"]),
-            text(&view["leads_s"]),
-            text(&view["machines_not_heard_yet"])
-        ));
-        for offer in list(view, "refused_offers") {
-            line(format!("the cloud refuses {}", text(offer)));
-        }
-        let bidding = &view["bidding"];
-        if let Some(c) = bidding["cleared"].as_object() {
-            line(format!(
-                "\nMARKETS (last cleared by {}: saves {}, costs {}; {} tasks not worth a machine)",
-                text(&c["by"]),
-                text(&c["saves"]),
-                text(&c["costs"]),
-                text(&c["tasks_not_worth_a_machine"])
-            ));
-        } else {
-            line("\nMARKETS (nothing bids)".into());
-        }
-        for m in list(bidding, "markets") {
-            let spot = m["spot"] == Value::Bool(true);
-            line(format!(
-                "{:<12} {:<12} {:<9} price {:<7} up in {:>4} s, {:>6} lost an hour each, {} held, {} awarded{}",
-                text(&m["type"]),
-                text(&m["zone"]),
-                if spot { "spot" } else { "ordinary" },
-                text(&m["price"]),
-                text(&m["ready_s"]),
-                text(&m["lost_per_hour"]),
-                text(&m["held"]),
-                text(&m["awarded"]),
-                match m["shut"].as_str() {
-                    Some(why) => format!("; not asked: {why}"),
-                    None => String::new(),
-                }
-            ));
-        }
-        line("\nMACHINES".into());
-        for m in list(view, "machines") {
-            let spot = m["spot"] == Value::Bool(true);
-            let by = m["reports_to"].as_str();
-            line(format!(
-                "{:<12} {:<12} {:<12} {:<9} {}{}",
-                text(&m["machine"]),
-                text(&m["type"]),
-                text(&m["zone"]),
-                if spot { "spot" } else { "ordinary" },
-                text(&m["state"]),
-                by.map_or(String::new(), |node| format!(", reports to {node}"))
-            ));
-            for t in list(m, "tasks") {
-                line(format!("    {}", text(t)));
-            }
-        }
-        line(format!(
-            "\nJOBS ({} live, {} finished)",
-            text(&view["jobs_live"]),
-            text(&view["jobs_finished"])
-        ));
-        for j in list(view, "jobs") {
-            line(format!(
-                "{:<14} {:<16} {:<12} {}/{} done, {} running, {} starting, {} waiting{}: {}",
-                text(&j["job"]),
-                text(&j["class"]),
-                text(&j["team"]),
-                text(&j["done"]),
-                text(&j["tasks"]),
-                text(&j["running"]),
-                text(&j["starting"]),
-                text(&j["waiting"]),
-                match j["slack_s"].as_i64() {
-                    Some(s) => format!(", slack {s} s"),
-                    None => String::new(),
-                },
-                text(&j["why"])
-            ));
-        }
+        page.line("\nMARKETS (nothing bids)");
     }
-    if !view["rebuild"].is_null() {
-        rebuild(&view["rebuild"], &mut line);
-    }
-    line("\nMEMBERS".into());
-    for m in list(view, "members") {
-        line(format!(
-            "{:<14} {:<12} {}, {} workers{}{}",
-            text(&m["node"]),
-            text(&m["zone"]),
-            text(&m["standing"]),
-            text(&m["workers"]),
-            if m["takes_reports"] == Value::Bool(true) {
-                ", takes reports"
-            } else {
-                ""
-            },
-            if m["granted"] == Value::Bool(true) {
-                ", has a grant"
-            } else {
-                ""
-            }
-        ));
+    for market in list(bidding, "markets") {
+        render_market(page, market);
     }
-    for name in ["accept_ms", "start_ms", "step_us"] {
-        let h = &view[name];
-        line(format!(
-            "{name}: {} counted, p50 {}, p95 {}, p99 {}, max {}",
-            h["count"], h["p50"], h["p95"], h["p99"], h["max"]
+}
+
+fn render_market(page: &mut Page, market: &Value) {
+    let closed = match market["shut"].as_str() {
+        Some(reason) => format!("; not asked: {reason}"),
+        None => String::new(),
+    };
+    page.line(format!(
+        "{:<12} {:<12} {:<9} price {:<7} up in {:>4} s, {:>6} lost an hour each, {} held, {} awarded{closed}",
+        text(&market["type"]),
+        text(&market["zone"]),
+        spot_or_ordinary(market),
+        text(&market["price"]),
+        text(&market["ready_s"]),
+        text(&market["lost_per_hour"]),
+        text(&market["held"]),
+        text(&market["awarded"]),
+    ));
+}
+
+fn render_machine(page: &mut Page, machine: &Value) {
+    let reports_to = match machine["reports_to"].as_str() {
+        Some(controller) => format!(", reports to {controller}"),
+        None => String::new(),
+    };
+    page.line(format!(
+        "{:<12} {:<12} {:<12} {:<9} {}{reports_to}",
+        text(&machine["machine"]),
+        text(&machine["type"]),
+        text(&machine["zone"]),
+        spot_or_ordinary(machine),
+        text(&machine["state"]),
+    ));
+    for task in list(machine, "tasks") {
+        page.line(format!("    {}", text(task)));
+    }
+}
+
+fn render_job(page: &mut Page, job: &Value) {
+    let slack = match job["slack_s"].as_i64() {
+        Some(seconds) => format!(", slack {seconds} s"),
+        None => String::new(),
+    };
+    page.line(format!(
+        "{:<14} {:<16} {:<12} {}/{} done, {} running, {} starting, {} waiting{slack}: {}",
+        text(&job["job"]),
+        text(&job["class"]),
+        text(&job["team"]),
+        text(&job["done"]),
+        text(&job["tasks"]),
+        text(&job["running"]),
+        text(&job["starting"]),
+        text(&job["waiting"]),
+        text(&job["why"])
+    ));
+}
+
+/// A state service that has lost data: what its rebuilding waits for, and what an operator may have
+/// to decide.
+fn render_rebuild(page: &mut Page, rebuild: &Value) {
+    page.line(format!(
+        "\nTHE STATE SERVICE HAS LOST DATA: {}",
+        text(&rebuild["lost"])
+    ));
+    if rebuild["memories"].is_null() {
+        page.line("the controller that leads knows more");
+        return;
+    }
+    page.line(format!(
+        "all that is remembered is known: {}; starts wait: {}; {} jobs to write back, {} brought by snapshots",
+        text(&rebuild["complete"]),
+        text(&rebuild["starts_wait"]),
+        text(&rebuild["jobs_to_write"]),
+        text(&rebuild["from_snapshots"])
+    ));
+    for memory in list(rebuild, "memories") {
+        page.line(format!(
+            "{:<14} {}",
+            text(&memory["node"]),
+            text(&memory["standing"])
         ));
     }
-    out
+    page.line(format!(
+        "of jobs that nobody remembers: {} tasks on machines, {} results",
+        text(&rebuild["held_tasks"]),
+        text(&rebuild["held_results"])
+    ));
+    for task in list(rebuild, "held") {
+        page.line(format!("    {}", text(task)));
+    }
+}
+
+fn render_member(page: &mut Page, member: &Value) {
+    let if_true = |name: &str, text: &'static str| match is_true(&member[name]) {
+        true => text,
+        false => "",
+    };
+    page.line(format!(
+        "{:<14} {:<12} {}, {} workers{}{}",
+        text(&member["node"]),
+        text(&member["zone"]),
+        text(&member["standing"]),
+        text(&member["workers"]),
+        if_true("takes_reports", ", takes reports"),
+        if_true("granted", ", has a grant")
+    ));
+}
+
+fn render_histogram(page: &mut Page, name: &str, histogram: &Value) {
+    page.line(format!(
+        "{name}: {} counted, p50 {}, p95 {}, p99 {}, max {}",
+        histogram["count"], histogram["p50"], histogram["p95"], histogram["p99"], histogram["max"]
+    ));
 }
 
 #[cfg(test)]
