--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -20,7 +20,7 @@
 
 pub use client::{CallError, Client, ClientResponse};
 pub use connection::Responder;
-pub use server::{Class, Handler, Limits, Server, serve};
+pub use server::{ConnectionClass, Handler, Limits, Server, serve};
 
 use std::time::{Duration, Instant};
 
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -44,7 +44,7 @@
 
 /// What a connection is for, by its first request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Class {
+pub enum ConnectionClass {
     /// Heartbeats.
     Worker,
     /// Handled at once, whatever else waits.
@@ -56,7 +56,7 @@
 /// Handles requests, without blocking.
 pub trait Handler {
     /// The class of a request; the first one decides that of its connection.
-    fn class(&self, request: &Request) -> Class;
+    fn class(&self, request: &Request) -> ConnectionClass;
 
     /// Whether all requests but health checks are to wait for a moment.
     fn defers_requests(&self) -> bool {
@@ -105,7 +105,7 @@
 struct Entry {
     connection: Arc<Connection>,
     /// `None` until a whole request has come.
-    class: Option<Class>,
+    class: Option<ConnectionClass>,
     /// Bytes of an incomplete request.
     buffered: usize,
 }
@@ -133,21 +133,21 @@
     fn remove(&mut self, token: Token) -> Option<Entry> {
         let entry = self.entries.remove(&token)?;
         self.newcomers.remove(&token);
-        self.workers -= usize::from(entry.class == Some(Class::Worker));
+        self.workers -= usize::from(entry.class == Some(ConnectionClass::Worker));
         self.buffered -= entry.buffered;
         Some(entry)
     }
 
     /// Records the class of a whole request; the first one decides what its connection is for.
     /// Returns false if there is no room for another connection of the class.
-    fn classify(&mut self, token: Token, class: Class, limits: &Limits) -> bool {
+    fn classify(&mut self, token: Token, class: ConnectionClass, limits: &Limits) -> bool {
         let Some(entry) = self.entries.get_mut(&token) else {
             return false;
         };
         if entry.class.is_some() {
             return true;
         }
-        if class == Class::Worker {
+        if class == ConnectionClass::Worker {
             if self.workers >= limits.workers {
                 return false;
             }
@@ -222,8 +222,8 @@
     /// Serves for the rest of the process's life.
     pub fn run(mut self, mut handler: impl Handler) -> ! {
         let mut events = Events::with_capacity(EVENTS_AT_A_TIME);
-        let mut ticked = Instant::now();
-        let mut swept = ticked;
+        let mut last_tick = Instant::now();
+        let mut last_sweep = last_tick;
         loop {
             let timeout = self.poll_timeout(&handler);
             if let Err(e) = self.poll.poll(&mut events, Some(timeout))
@@ -238,12 +238,12 @@
             }
             self.accept(now);
             self.work_through_backlog(&mut handler);
-            if now >= ticked + TICK_INTERVAL {
-                ticked = now;
+            if now >= last_tick + TICK_INTERVAL {
+                last_tick = now;
                 handler.tick(now);
             }
-            if now >= swept + SWEEP_INTERVAL {
-                swept = now;
+            if now >= last_sweep + SWEEP_INTERVAL {
+                last_sweep = now;
                 self.table.remove_finished(now);
             }
         }
@@ -307,7 +307,7 @@
         let class = handler.class(&request);
         if !self.table.classify(token, class, &self.limits) {
             responder.send_and_close(&too_many_connections());
-        } else if class == Class::HealthCheck {
+        } else if class == ConnectionClass::HealthCheck {
             handler.handle(request, responder);
         } else {
             self.backlog.push_back((request, responder));
@@ -398,8 +398,8 @@
 }
 
 impl Handler for ThreadPerRequest {
-    fn class(&self, _: &Request) -> Class {
-        Class::Other
+    fn class(&self, _: &Request) -> ConnectionClass {
+        ConnectionClass::Other
     }
 
     fn handle(&mut self, request: Request, responder: Responder) {
--- a/src/http/tests.rs
+++ b/src/http/tests.rs
@@ -78,11 +78,11 @@
 }
 
 impl Handler for Echo {
-    fn class(&self, request: &Request) -> Class {
+    fn class(&self, request: &Request) -> ConnectionClass {
         match request.path.as_str() {
-            "/hello" => Class::Worker,
-            "/ready" => Class::HealthCheck,
-            _ => Class::Other,
+            "/hello" => ConnectionClass::Worker,
+            "/ready" => ConnectionClass::HealthCheck,
+            _ => ConnectionClass::Other,
         }
     }
 
@@ -324,8 +324,8 @@
 struct Deferred(Sender<(String, Responder)>);
 
 impl Handler for Deferred {
-    fn class(&self, _: &Request) -> Class {
-        Class::Other
+    fn class(&self, _: &Request) -> ConnectionClass {
+        ConnectionClass::Other
     }
 
     fn handle(&mut self, request: Request, responder: Responder) {
--- a/src/service/routes.rs
+++ b/src/service/routes.rs
@@ -2,7 +2,7 @@
 
 use super::inbox::{Inbox, ReplyTo};
 use crate::core::{Ask, Command, UserRequest};
-use crate::http::{Class, Handler, Request, Responder, Response};
+use crate::http::{ConnectionClass, Handler, Request, Responder, Response};
 use crate::wire::{
     self, PATH_CANCEL, PATH_HEARTBEAT, PATH_JOBS, PATH_METRICS, PATH_READY, PATH_SETTLE,
     PATH_SNAPSHOT, PATH_STATUS, SnapshotPage,
@@ -129,11 +129,11 @@
 }
 
 impl Handler for Routes {
-    fn class(&self, request: &Request) -> Class {
+    fn class(&self, request: &Request) -> ConnectionClass {
         match (request.method.as_str(), path_of(request)) {
-            ("POST", PATH_HEARTBEAT) => Class::Worker,
-            (_, PATH_READY) => Class::HealthCheck,
-            _ => Class::Other,
+            ("POST", PATH_HEARTBEAT) => ConnectionClass::Worker,
+            (_, PATH_READY) => ConnectionClass::HealthCheck,
+            _ => ConnectionClass::Other,
         }
     }
 
--- a/src/service/tests.rs
+++ b/src/service/tests.rs
@@ -170,7 +170,7 @@
     );
     front.inbox.expire_requests(Instant::now() + PATIENCE);
     let answers: Vec<String> = heartbeats.into_iter().map(read).collect();
-    let told = |text: &str| {
+    let rejected = |text: &str| {
         let busy = |a: &&String| a.starts_with("HTTP/1.1 503") && a.contains("Retry-After: 1\r\n");
         answers
             .iter()
@@ -179,7 +179,7 @@
             .count()
     };
     assert_eq!(
-        (told("no answer in time"), told("overloaded")),
+        (rejected("no answer in time"), rejected("overloaded")),
         (PLACES, 10)
     );
     assert!(read(question).contains("no answer in time"));
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -26,13 +26,39 @@
         (r#""fd_limit": -1"#, "fd_limit"),
         (r#""fd_limit": 20"#, "fd_limit"),
     ] {
-        let told = with(&format!(r#", "quota": {{{quota}}}"#)).unwrap_err();
+        let error = with(&format!(r#", "quota": {{{quota}}}"#)).unwrap_err();
         assert!(
-            told.starts_with(&format!("params.quota.{field}: ")),
-            "{told}"
+            error.starts_with(&format!("params.quota.{field}: ")),
+            "{error}"
         );
     }
-    let told = with(r#", "quota": {"mem_mb": "much"}"#).unwrap_err();
-    assert!(told.contains("much") && told.contains("line"), "{told}");
+    let error = with(r#", "quota": {"mem_mb": "much"}"#).unwrap_err();
+    assert!(error.contains("much") && error.contains("line"), "{error}");
     assert!(with(r#", "quota": {"mem_mb": 1e999}"#).is_err());
 }
+
+#[test]
+fn an_error_states_the_field_and_the_reason() {
+    let error = |quota: &str| with(&format!(r#", "quota": {{{quota}}}"#)).unwrap_err();
+    assert_eq!(
+        error(r#""mem_mb": 8"#),
+        "params.quota.mem_mb: 8 is too little, at least 32 are needed"
+    );
+    assert_eq!(
+        error(r#""mem_mb": -5"#),
+        "params.quota.mem_mb: -5 must be above 0"
+    );
+    assert_eq!(
+        error(r#""fd_limit": 20"#),
+        "params.quota.fd_limit: 20 is too little, at least 96 are needed"
+    );
+}
+
+#[test]
+fn an_error_in_a_file_has_the_file_and_the_cause() {
+    use std::error::Error;
+    let error = Settings::load(Path::new("/nonexistent/settings.json")).unwrap_err();
+    assert_eq!(error.to_string(), "/nonexistent/settings.json");
+    let cause = error.source().unwrap().to_string();
+    assert_eq!(cause, "No such file or directory (os error 2)");
+}
--- a/src/wire/tests.rs
+++ b/src/wire/tests.rs
@@ -13,11 +13,15 @@
 }
 
 #[test]
-fn a_submission_is_read_and_every_fault_in_it_is_refused() {
+fn a_submission_is_read_and_written_again() {
     let spec = parse_submission(&body(|_| ())).unwrap();
     assert_eq!(parse_submission(&submission(&spec)).unwrap(), spec);
     assert_eq!((spec.tasks, spec.priority), (16, Priority::High));
     assert_eq!(spec.deadline, Some(Duration::from_secs(900)));
+}
+
+#[test]
+fn a_submission_with_a_fault_in_a_field_is_refused() {
     let faults: &[(&str, Value)] = &[
         ("name_id", "wk-".into()),
         ("name_id", "job-7".into()),
@@ -45,6 +49,10 @@
         let bad = body(|v| v[field] = value.clone());
         assert!(parse_submission(&bad).is_err(), "{field} = {value}");
     }
+}
+
+#[test]
+fn a_submission_without_a_required_field_is_refused() {
     let whole: Value = serde_json::from_slice(&body(|_| ())).unwrap();
     let fields = whole.as_object().unwrap();
     let may_be_null = ["breeds", "parcel", "due_s", "new_field"];
@@ -61,6 +69,10 @@
         let null = body(|v| v[field] = Value::Null);
         assert_eq!(parse_submission(&null).is_err(), required, "{field} null");
     }
+}
+
+#[test]
+fn a_submission_with_an_amount_out_of_range_is_refused() {
     for amount in [
         "cpus",
         "accelerators",
@@ -90,8 +102,14 @@
             );
         }
     }
-    // Values in the fields' order, and an object for a word, passed.
-    let row: Vec<&Value> = [
+}
+
+/// Values in the fields' order, and an object for a name, passed.
+#[test]
+fn a_submission_of_another_form_is_refused() {
+    let whole: Value = serde_json::from_slice(&body(|_| ())).unwrap();
+    let fields = whole.as_object().unwrap();
+    let values: Vec<&Value> = [
         "name_id",
         "crop",
         "steward",
@@ -117,9 +135,9 @@
     .iter()
     .map(|f| &fields[*f])
     .collect();
-    let mut row = serde_json::json!(row);
-    row[20] = Value::Null;
-    assert!(parse_submission(row.to_string().as_bytes()).is_err());
+    let mut values = serde_json::json!(values);
+    values[20] = Value::Null;
+    assert!(parse_submission(values.to_string().as_bytes()).is_err());
     for (field, value) in [("shape", "array"), ("rank", "urgent")] {
         let bad = body(|v| v[field] = serde_json::json!({value: null}));
         assert!(parse_submission(&bad).is_err(), "{field} as an object");
@@ -127,6 +145,10 @@
     for bad in ["", "[]", "{", "null", "7", "{\"cpus\":NaN}"] {
         assert!(parse_submission(bad.as_bytes()).is_err(), "{bad}");
     }
+}
+
+#[test]
+fn optional_fields_of_a_submission_may_be_left_out_or_null() {
     let omitted = body(|v| {
         for f in ["breeds", "parcel", "due_s"] {
             v.as_object_mut().unwrap().remove(f);
@@ -146,3 +168,24 @@
         assert_eq!(named, read);
     }
 }
+
+#[test]
+fn an_error_names_the_field_for_the_user() {
+    let error = |field: &str, value: Value| {
+        let bad = body(|v| v[field] = value.clone());
+        parse_submission(&bad).unwrap_err().to_string()
+    };
+    assert_eq!(error("name_id", "wk-".into()), "name_id: not a job id");
+    assert_eq!(
+        error("awaits", serde_json::json!(["wk-1/0"])),
+        "awaits: \"wk-1/0\" is not a job id"
+    );
+    assert_eq!(error("rows", 0.into()), "rows: must be 1 to 100000");
+    assert_eq!(error("ram_gb", (-1).into()), "ram_gb: out of range");
+    let name = "a name must have 1 to 200 bytes";
+    assert_eq!(error("seedstock", "".into()), name);
+    assert!(error("shape", "ring".into()).starts_with("shape: \"ring\" is not known"));
+    assert!(error("rank", "top".into()).starts_with("rank: \"top\" is not known"));
+    let list = parse_submission(b"[]").unwrap_err().to_string();
+    assert_eq!(list, "not a JSON object");
+}
