--- a/src/logging.rs
+++ b/src/logging.rs
@@ -15,8 +15,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum LogFormat {
     /// The message, then its fields as `name=value`.
+    #[value(help = None::<&str>)]
     Text,
     /// One JSON object a line.
+    #[value(help = None::<&str>)]
     Json,
 }
 
