--- a/src/cloud_client.rs
+++ b/src/cloud_client.rs
@@ -17,7 +17,7 @@
 /// Most names that one deletion may carry.
 pub const MAX_DELETED_PER_CALL: usize = 100;
 /// Machines on one page of the list.
-pub const PAGE: usize = 500;
+pub const MACHINES_PER_PAGE: usize = 500;
 
 /// A request of `core` to the cloud.
 #[derive(Clone, Debug, PartialEq)]
@@ -27,7 +27,7 @@
     /// All machines of ours.
     List,
     /// More machines of one type.
-    Rent(ScaleOutRequest),
+    ScaleOut(ScaleOutRequest),
     /// Deletes machines, `MAX_DELETED_PER_CALL` at the most.
     Delete(Vec<MachineId>),
 }
@@ -40,7 +40,7 @@
     /// All machines of ours.
     Listed(Vec<ListedMachine>),
     /// The machines that were provisioned.
-    Rented(Vec<MachineId>),
+    Provisioned(Vec<MachineId>),
     /// The cloud has no machine of the type and zone at present.
     NoCapacity,
     /// The machines whose deletion was accepted.
@@ -48,7 +48,7 @@
     /// The request itself is at fault.
     Invalid(String),
     /// Not done, or not known to be: the same request may be repeated.
-    Trouble(String),
+    Failed(String),
 }
 
 /// How a request failed.
@@ -59,7 +59,7 @@
     #[error("invalid request: {0}")]
     Invalid(String),
     #[error("{0}")]
-    Trouble(String),
+    Failed(String),
 }
 
 impl From<CloudError> for CloudOutcome {
@@ -67,14 +67,14 @@
         match error {
             CloudError::NoCapacity => CloudOutcome::NoCapacity,
             CloudError::Invalid(text) => CloudOutcome::Invalid(text),
-            CloudError::Trouble(text) => CloudOutcome::Trouble(text),
+            CloudError::Failed(text) => CloudOutcome::Failed(text),
         }
     }
 }
 
 impl From<CallError> for CloudError {
     fn from(error: CallError) -> CloudError {
-        CloudError::Trouble(error.to_string())
+        CloudError::Failed(error.to_string())
     }
 }
 
@@ -96,7 +96,9 @@
         let result = match request {
             CloudRequest::Types => self.types().map(CloudOutcome::Types),
             CloudRequest::List => self.list().map(CloudOutcome::Listed),
-            CloudRequest::Rent(request) => self.scale_out(request).map(CloudOutcome::Rented),
+            CloudRequest::ScaleOut(request) => {
+                self.scale_out(request).map(CloudOutcome::Provisioned)
+            }
             CloudRequest::Delete(machines) => self.delete(machines).map(CloudOutcome::Deleted),
         };
         result.unwrap_or_else(CloudOutcome::from)
@@ -115,7 +117,7 @@
             let after = machines
                 .last()
                 .map_or(String::new(), |machine| format!("since={}&", machine.id));
-            let path = format!("{PATH_MACHINES}?{after}page={PAGE}");
+            let path = format!("{PATH_MACHINES}?{after}page={MACHINES_PER_PAGE}");
             let page: MachineListPage = parse(&self.call("GET", &path, b"")?)?;
             let is_last = !page.more || page.machines.is_empty();
             machines.extend(page.machines);
@@ -146,13 +148,13 @@
             200 => Ok(response.body),
             503 if text.contains("no capacity") => Err(CloudError::NoCapacity),
             400 => Err(CloudError::Invalid(text)),
-            status => Err(CloudError::Trouble(format!("{status} {text}"))),
+            status => Err(CloudError::Failed(format!("{status} {text}"))),
         }
     }
 }
 
 fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, CloudError> {
-    serde_json::from_slice(body).map_err(|e| CloudError::Trouble(format!("malformed answer: {e}")))
+    serde_json::from_slice(body).map_err(|e| CloudError::Failed(format!("malformed answer: {e}")))
 }
 
 /// Whether all amounts are finite and none is negative.
--- a/src/core/leadership/mod.rs
+++ b/src/core/leadership/mod.rs
@@ -358,7 +358,7 @@
             StoreOutcome::Found(_)
             | StoreOutcome::Missing { .. }
             | StoreOutcome::Page { .. }
-            | StoreOutcome::Runs(_) => Duration::ZERO,
+            | StoreOutcome::LeaseAlive(_) => Duration::ZERO,
         };
         self.candidate_after = self.candidate_after.max(self.now.mono + pause);
     }
--- a/src/core/leadership/stale_key.rs
+++ b/src/core/leadership/stale_key.rs
@@ -86,7 +86,7 @@
     /// Whether the lease of a leader key of this version runs.
     pub(in crate::core) fn leader_lease_checked(&mut self, version: u64, outcome: StoreOutcome) {
         let now = self.now.mono;
-        if let (Some(d), StoreOutcome::Runs(false)) = (&mut self.stale_leader_key, outcome)
+        if let (Some(d), StoreOutcome::LeaseAlive(false)) = (&mut self.stale_leader_key, outcome)
             && d.version == version
         {
             d.lease_unknown_since.get_or_insert(now);
--- a/src/core/machines/cloud_calls.rs
+++ b/src/core/machines/cloud_calls.rs
@@ -1,6 +1,6 @@
 //! Renting: calls to the cloud within its limit, and what its answers and its list say of machines.
 
-use crate::cloud_client::{CloudOutcome, CloudRequest, MAX_DELETED_PER_CALL, PAGE};
+use crate::cloud_client::{CloudOutcome, CloudRequest, MACHINES_PER_PAGE, MAX_DELETED_PER_CALL};
 use crate::core::leadership::state::ScaleOutOperation;
 use crate::core::machines::machine::Machine;
 use crate::core::store::cache::MachineValue;
@@ -29,7 +29,7 @@
                     > self.settings.heartbeat_interval * 2
         });
         // A list takes a call for each page of machines: no more than a third of what is allowed.
-        let pages = 1.0 + leader.cloud.listed_machines as f64 / PAGE as f64;
+        let pages = 1.0 + leader.cloud.listed_machines as f64 / MACHINES_PER_PAGE as f64;
         let every = Duration::from_secs_f64(3.0 * pages / self.settings.cloud_rps);
         let every = every.max(Duration::from_secs(if hurry { 2 } else { 6 }));
         let asked = leader.cloud.list_requested;
@@ -81,7 +81,7 @@
             let Some(body) = op.map(|op| op.body.clone()) else {
                 return;
             };
-            let call = self.ask_cloud(Pending::Rent(name.clone()), CloudRequest::Rent(body));
+            let call = self.ask_cloud(Pending::Rent(name.clone()), CloudRequest::ScaleOut(body));
             let op = self
                 .leader
                 .as_mut()
@@ -142,7 +142,7 @@
         if let (Some(Pending::Types), CloudOutcome::Types(types)) = (&pending, &outcome) {
             return self.set_machine_types(types.clone());
         }
-        if let CloudOutcome::Trouble(e) | CloudOutcome::Invalid(e) = &outcome {
+        if let CloudOutcome::Failed(e) | CloudOutcome::Invalid(e) = &outcome {
             tracing::info!("cloud: {e}");
         }
         let Some(leader) = &mut self.leader else {
@@ -153,7 +153,7 @@
                 leader.cloud.list_in_flight = false;
                 if let CloudOutcome::Listed(list) = outcome {
                     leader.cloud.listed_machines = list.len();
-                    for _ in 0..list.len() / PAGE {
+                    for _ in 0..list.len() / MACHINES_PER_PAGE {
                         self.cloud_budget.take(now);
                     }
                     self.observe_listed_machines(sent, list);
@@ -201,7 +201,7 @@
         let since = op.since;
         let mut got = Some(0);
         match outcome {
-            CloudOutcome::Rented(ids) => {
+            CloudOutcome::Provisioned(ids) => {
                 got = Some(ids.len());
                 leader.cloud.scale_outs.remove(name);
                 for id in ids {
--- a/src/core/simulation/cloud.rs
+++ b/src/core/simulation/cloud.rs
@@ -9,7 +9,7 @@
     pub(super) fn call_cloud(&mut self, request: CloudRequest) -> CloudOutcome {
         self.counters.cloud_calls += 1;
         if self.faults.cloud_down {
-            return CloudOutcome::Trouble("503".into());
+            return CloudOutcome::Failed("503".into());
         }
         match request {
             CloudRequest::Types => CloudOutcome::Types(self.types.clone()),
@@ -31,9 +31,9 @@
                     })
                     .collect(),
             ),
-            CloudRequest::Rent(body) => {
+            CloudRequest::ScaleOut(body) => {
                 if let Some(ids) = self.rentals.get(&body.request_id) {
-                    return CloudOutcome::Rented(ids.clone());
+                    return CloudOutcome::Provisioned(ids.clone());
                 }
                 if self.faults.zones_without_capacity.contains(&body.zone) {
                     return CloudOutcome::NoCapacity;
@@ -66,9 +66,9 @@
                 }
                 self.rentals.insert(body.request_id, ids.clone());
                 if self.faults.rental_answers_lost {
-                    return CloudOutcome::Trouble("timeout".into());
+                    return CloudOutcome::Failed("timeout".into());
                 }
-                CloudOutcome::Rented(ids)
+                CloudOutcome::Provisioned(ids)
             }
             CloudRequest::Delete(names) => {
                 for id in &names {
--- a/src/core/simulation/network.rs
+++ b/src/core/simulation/network.rs
@@ -268,7 +268,7 @@
         not_after: Option<Instant>,
     ) {
         let outcome = if not_after.is_some_and(|t| self.now >= t) {
-            CloudOutcome::Trouble("late".into())
+            CloudOutcome::Failed("late".into())
         } else {
             self.call_cloud(request)
         };
--- a/src/core/simulation/recorded_decisions.rs
+++ b/src/core/simulation/recorded_decisions.rs
@@ -198,7 +198,11 @@
     match request {
         StoreRequest::Get(key) => json!([STATE_GET, call, key]),
         StoreRequest::CompareAndSwap(txn) => json!([STATE_TRANSACTION, call, text(&to_json(txn))]),
-        StoreRequest::Page { under, after, most } => json!([STATE_PAGE, call, under, after, most]),
+        StoreRequest::Page {
+            prefix,
+            after,
+            limit,
+        } => json!([STATE_PAGE, call, prefix, after, limit]),
         StoreRequest::CheckLease(lease) => json!([STATE_LEASE_RUNS, call, lease]),
     }
 }
@@ -207,7 +211,7 @@
     match request {
         CloudRequest::Types => json!([CLOUD_TYPES, call, not_after]),
         CloudRequest::List => json!([CLOUD_LIST, call, not_after]),
-        CloudRequest::Rent(body) => json!([CLOUD_RENT, call, not_after, text(&to_json(body))]),
+        CloudRequest::ScaleOut(body) => json!([CLOUD_RENT, call, not_after, text(&to_json(body))]),
         CloudRequest::Delete(names) => {
             let body = MachineIds {
                 machines: names.clone(),
--- a/src/core/simulation/store.rs
+++ b/src/core/simulation/store.rs
@@ -105,7 +105,7 @@
     /// Answers a request.
     pub(super) fn perform(&mut self, request: &StoreRequest) -> StoreOutcome {
         match request {
-            StoreRequest::CheckLease(id) => StoreOutcome::Runs(self.leases.contains_key(id)),
+            StoreRequest::CheckLease(id) => StoreOutcome::LeaseAlive(self.leases.contains_key(id)),
             StoreRequest::Get(key) => match self.keys.get(key) {
                 Some(e) => StoreOutcome::Found(Item {
                     key: key.clone(),
@@ -117,9 +117,13 @@
                     revision: self.revision,
                 },
             },
-            StoreRequest::Page { under, after, most } => {
+            StoreRequest::Page {
+                prefix,
+                after,
+                limit,
+            } => {
                 let keys = self.keys.iter();
-                let mut found = keys.filter(|(k, _)| k.starts_with(under.as_str()) && *k > after);
+                let mut found = keys.filter(|(k, _)| k.starts_with(prefix.as_str()) && *k > after);
                 let item = |(k, e): (&String, &Entry)| Item {
                     key: k.clone(),
                     value: e.value.clone(),
@@ -127,7 +131,7 @@
                     lease: e.lease,
                 };
                 StoreOutcome::Page {
-                    items: found.by_ref().take(*most).map(item).collect(),
+                    items: found.by_ref().take(*limit).map(item).collect(),
                     more: found.next().is_some(),
                     revision: self.revision,
                 }
--- a/src/core/store/integrity.rs
+++ b/src/core/store/integrity.rs
@@ -609,9 +609,9 @@
     /// any time.
     fn audit(&mut self, after: String, suspicion: Option<String>) {
         let request = StoreRequest::Page {
-            under: key("j/"),
+            prefix: key("j/"),
             after: after.clone(),
-            most: AUDIT_BATCH,
+            limit: AUDIT_BATCH,
         };
         self.ask_state(Pending::Audit { after, suspicion }, request);
     }
--- a/src/core/store/writes.rs
+++ b/src/core/store/writes.rs
@@ -418,7 +418,7 @@
             StoreOutcome::Found(_)
             | StoreOutcome::Missing { .. }
             | StoreOutcome::Page { .. }
-            | StoreOutcome::Runs(_) => {
+            | StoreOutcome::LeaseAlive(_) => {
                 retry(leader, Duration::from_millis(250));
             }
         }
--- a/src/service/cloud_pool.rs
+++ b/src/service/cloud_pool.rs
@@ -34,7 +34,7 @@
 
 fn perform(client: &mut CloudClient, call: &CloudCall) -> CloudOutcome {
     if call.not_after.is_some_and(|end| Instant::now() >= end) {
-        return CloudOutcome::Trouble("the leader's time was over".into());
+        return CloudOutcome::Failed("the leader's time was over".into());
     }
     client.perform(&call.request)
 }
--- a/src/service/tests.rs
+++ b/src/service/tests.rs
@@ -1,5 +1,6 @@
 use super::admission_gate::{Admission, AdmissionGate};
 use super::command_queue::{CommandQueue, Lane};
+use super::threads::ThreadPool;
 use super::*;
 use crate::core::{Ask, Command, Ticket, UserRequest};
 use crate::http::Response;
@@ -8,6 +9,7 @@
 use std::collections::VecDeque;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
+use std::sync::Mutex;
 use std::time::Duration;
 
 const REPORT: &str = r#"{"drone":"i-1","endpoint":"127.0.0.1:1","breed":"b","parcel":"a",
@@ -237,3 +239,23 @@
     let few = max_connections(&settings);
     assert_eq!(few, ((64.0 - 32.0) / CONNECTION_MB) as usize);
 }
+
+#[test]
+fn a_pool_that_is_dropped_works_through_its_queue() {
+    let done = Arc::new(Mutex::new(Vec::new()));
+    let pool = ThreadPool::start("test", 3, || {
+        let done = done.clone();
+        move |number: u32| {
+            std::thread::sleep(Duration::from_millis(5));
+            done.lock().unwrap().push(number);
+        }
+    });
+    let pool = pool.unwrap();
+    for number in 0..20 {
+        pool.send(number);
+    }
+    drop(pool);
+    let mut done = done.lock().unwrap().clone();
+    done.sort_unstable();
+    assert_eq!(done, Vec::from_iter(0..20));
+}
--- a/src/store_client.rs
+++ b/src/store_client.rs
@@ -33,12 +33,12 @@
     CompareAndSwap(CompareAndSwap),
     /// Reads some items under a prefix.
     Page {
-        /// The prefix.
-        under: String,
+        /// The prefix of their keys.
+        prefix: String,
         /// Only keys after this one; empty for all.
         after: String,
         /// How many items at the most.
-        most: usize,
+        limit: usize,
     },
     /// Whether a lease, somebody else's, has not expired: asked by renewing it, as there is no other
     /// way.
@@ -60,7 +60,7 @@
         revision: u64,
     },
     /// Whether a lease runs; one that does not is not known any more.
-    Runs(bool),
+    LeaseAlive(bool),
     /// The key does not exist.
     Missing {
         /// As of this revision.
@@ -158,8 +158,12 @@
         let result = match request {
             StoreRequest::Get(key) => self.get(key),
             StoreRequest::CompareAndSwap(transaction) => self.compare_and_swap(transaction),
-            StoreRequest::Page { under, after, most } => self.outcome_page(under, after, *most),
-            StoreRequest::CheckLease(lease) => self.renew(*lease).map(StoreOutcome::Runs),
+            StoreRequest::Page {
+                prefix,
+                after,
+                limit,
+            } => self.outcome_page(prefix, after, *limit),
+            StoreRequest::CheckLease(lease) => self.renew(*lease).map(StoreOutcome::LeaseAlive),
         };
         result.unwrap_or_else(StoreOutcome::from)
     }
@@ -199,11 +203,11 @@
 
     fn outcome_page(
         &mut self,
-        under: &str,
+        prefix: &str,
         after: &str,
-        most: usize,
+        limit: usize,
     ) -> Result<StoreOutcome, StoreError> {
-        let page = self.page(under, after, most, TIMEOUT)?;
+        let page = self.page(prefix, after, limit, TIMEOUT)?;
         Ok(StoreOutcome::Page {
             items: page.items,
             more: page.more,
@@ -213,9 +217,9 @@
 
     fn page(
         &mut self,
-        under: &str,
+        prefix: &str,
         after: &str,
-        most: usize,
+        limit: usize,
         timeout: Duration,
     ) -> Result<KeyValuePage, StoreError> {
         let since = if after.is_empty() {
@@ -223,7 +227,7 @@
         } else {
             format!("&since={after}")
         };
-        let path = format!("/kv?under={under}{since}&page={most}");
+        let path = format!("/kv?under={prefix}{since}&page={limit}");
         let response = self.read(&path, timeout)?;
         match response.status {
             200 => parse(&response.body),
