--- a/src/settings.rs
+++ b/src/settings.rs
@@ -91,11 +91,12 @@
     pub teams: Vec<Team>,
     /// The users' service-level objectives.
     pub objectives: Vec<Objective>,
-    /// How often a worker sends a heartbeat that has nothing new.
+    /// How often a worker sends a heartbeat that has nothing new, give or take a quarter.
     pub heartbeat_interval: Duration,
-    /// A worker without an answer for this long stops its tasks.
+    /// A worker whose last answered heartbeat was sent longer ago stops all its tasks and begins its
+    /// next incarnation.
     pub worker_lease: Duration,
-    /// A cancelled job's tasks should have ended after this.
+    /// All tasks of a cancelled job must have ended after this.
     pub cancellation_deadline: Duration,
     /// Requests a second that the state service takes from all controllers together.
     ///
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -24,13 +24,13 @@
     /// How fast a machine fetches images, in GB a second.
     #[serde(default)]
     pub fetch_gb_per_s: f64,
-    /// Price of an on-demand machine.
+    /// Price of an on-demand machine, per hour.
     #[serde(rename = "rate")]
     pub price: f64,
-    /// Price of a spot machine; `None` where there are none.
+    /// Present price of a spot machine, per hour; `None` where there are none.
     #[serde(rename = "low_price", default)]
     pub spot_price: Option<f64>,
-    /// Seconds until a new machine works.
+    /// Nominal seconds until the worker of a new machine sends heartbeats.
     #[serde(rename = "startup_s", default)]
     pub boot_s: f64,
     /// Zones in which it is offered.
@@ -52,7 +52,7 @@
 /// The machine types on offer.
 #[derive(Deserialize, Serialize)]
 pub struct MachineTypeList {
-    /// In no particular order.
+    /// All types.
     #[serde(rename = "breeds")]
     pub types: Vec<MachineType>,
 }
@@ -60,7 +60,8 @@
 /// A request for more machines.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct ScaleOutRequest {
-    /// Repeated with this id, the request has no further effect.
+    /// Makes the request idempotent: repeated with this id, it gets the same answer and provisions
+    /// nothing. Ids are never used again.
     #[serde(rename = "hire")]
     pub request_id: String,
     /// The type's name.
@@ -93,7 +94,7 @@
     /// It works.
     #[serde(rename = "running")]
     Running,
-    /// It has failed and costs nothing.
+    /// It has failed; it costs nothing and stays in the list until it is deleted.
     #[serde(rename = "failed")]
     Failed,
 }
--- a/src/wire/store.rs
+++ b/src/wire/store.rs
@@ -12,7 +12,7 @@
     /// The value.
     #[serde(rename = "data")]
     pub value: Value,
-    /// Rises with each change of the key.
+    /// The revision of its last change.
     #[serde(rename = "stamp")]
     pub version: u64,
     /// The lease with which the key is deleted.
@@ -134,7 +134,7 @@
     /// Its value, if it was set.
     #[serde(rename = "data", default)]
     pub value: Value,
-    /// Its version.
+    /// The revision of the change.
     #[serde(rename = "stamp", default)]
     pub version: u64,
     /// The lease with which it is deleted.
--- a/src/wire/worker.rs
+++ b/src/wire/worker.rs
@@ -10,13 +10,13 @@
     /// Its image is fetched.
     #[serde(rename = "fetching")]
     Fetching,
-    /// It waits for its start.
+    /// It has its image and does not run yet: a task of a gang waits for the others.
     #[serde(rename = "waiting")]
     Waiting,
     /// It runs.
     #[serde(rename = "running")]
     Running,
-    /// It writes its last checkpoint and stops.
+    /// It was told to stop and writes a checkpoint.
     #[serde(rename = "flushing")]
     Saving,
     /// It has ended.
@@ -36,13 +36,13 @@
     /// It failed.
     #[serde(rename = "error")]
     Error,
-    /// The machine had no room for it.
+    /// Refused: the machine has not enough free resources.
     #[serde(rename = "full")]
     NoRoom,
-    /// The machine was busy with another attempt of it.
+    /// Refused: the machine has another attempt of the task.
     #[serde(rename = "busy")]
     Busy,
-    /// The machine knows no such task.
+    /// Refused: there is no such job or task.
     #[serde(rename = "no_such")]
     Unknown,
     /// A cause this version does not know counts as a task that ended without a result.
@@ -88,10 +88,11 @@
     /// Whether the cloud may preempt the machine.
     #[serde(rename = "gleanable", default)]
     pub spot: bool,
-    /// Rises each time the worker process starts.
+    /// Starts at 1 and rises each time the worker's lease expires.
     #[serde(rename = "tenure")]
     pub incarnation: u64,
-    /// Rises with each heartbeat of an incarnation.
+    /// Rises with each heartbeat and each answer to direct commands: of two messages of one
+    /// incarnation, the one with the higher number is the newer one.
     #[serde(rename = "tally")]
     pub sequence: u64,
     /// The highest fencing token that the worker has seen.
@@ -100,7 +101,7 @@
     /// Seconds until the cloud preempts the machine, once it is announced.
     #[serde(rename = "reclaim_s", default, skip_serializing_if = "Option::is_none")]
     pub reclaim_in_s: Option<f64>,
-    /// The tasks that the worker knows.
+    /// All tasks on the machine, and those that have ended until they are forgotten.
     #[serde(rename = "rows", default)]
     pub tasks: Vec<TaskStatus>,
 }
@@ -119,7 +120,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb")]
 pub enum TaskCommand {
-    /// Starts it.
+    /// Starts it; has no effect if the worker knows the attempt.
     #[serde(rename = "run")]
     Start {
         /// The task's id.
@@ -138,7 +139,7 @@
         /// The attempt.
         #[serde(rename = "sowing")]
         attempt: u64,
-        /// Seconds for a last checkpoint.
+        /// Seconds for a checkpoint. With less than the checkpoint takes, the task ends at once.
         #[serde(rename = "leeway_s")]
         grace: f64,
     },
