--- a/src/core/monitoring/metrics.rs
+++ b/src/core/monitoring/metrics.rs
@@ -80,12 +80,12 @@
         page.gauge(
             "state_changes_left",
             "Changes that the state service's limit leaves the leader now",
-            self.write_budget.left(now),
+            self.write_budget.available(now),
         );
         page.gauge(
             "cloud_calls_left",
             "Calls that the cloud's limit leaves the leader now",
-            self.cloud_budget.left(now),
+            self.cloud_budget.available(now),
         );
         let standing = |name: &str| match self.members.standing(name, now) {
             Standing::Alive => 2.0,
--- a/src/core/store/writes.rs
+++ b/src/core/store/writes.rs
@@ -112,7 +112,7 @@
             return;
         }
         if self.store_cache.revision < leader.writes.minimum_revision
-            || self.write_budget.left(now) < 1.0
+            || self.write_budget.available(now) < 1.0
         {
             return;
         }
@@ -152,7 +152,7 @@
             .max_transaction_changes
             .saturating_sub(1)
             .max(1);
-        let most = most.min(self.write_budget.left(now) as usize);
+        let most = most.min(self.write_budget.available(now) as usize);
         // Told of a cancellation, a user counts on its tasks being gone in `cancel_s`. Where that is less than
         // what a lease takes to run out, they have to be gone before.
         let in_time =
--- a/src/rate_limiter.rs
+++ b/src/rate_limiter.rs
@@ -25,7 +25,7 @@
     }
 
     /// How many calls may be made at once.
-    pub fn left(&mut self, now: Instant) -> f64 {
+    pub fn available(&mut self, now: Instant) -> f64 {
         let gained = now.saturating_duration_since(self.updated).as_secs_f64() * self.per_second;
         self.updated = self.updated.max(now);
         self.available = (self.available + gained).min(self.burst);
@@ -39,7 +39,7 @@
 
     /// Takes one call from the budget if it can be made at once; returns whether it can.
     pub fn try_take(&mut self, now: Instant) -> bool {
-        let allowed = self.left(now) >= 1.0;
+        let allowed = self.available(now) >= 1.0;
         if allowed {
             self.spend(1);
         }
@@ -48,7 +48,7 @@
 
     /// Takes one call from the budget and returns how long to wait before making it.
     pub fn take(&mut self, now: Instant) -> Duration {
-        self.available = self.left(now) - 1.0;
+        self.available = self.available(now) - 1.0;
         if self.available >= 0.0 {
             Duration::ZERO
         } else {
