--- a/src/logging.rs
+++ b/src/logging.rs
@@ -120,10 +120,20 @@
         if field.name() == "message" {
             self.message = format!("{value:?}");
         } else {
-            self.fields += &format!(" {}={value:?}", field.name());
+            self.fields += &format!(" {}={}", field.name(), quoted(format!("{value:?}")));
         }
     }
 }
 
+/// A value in quotes, where its end could not be seen otherwise.
+fn quoted(value: String) -> String {
+    let is_plain = !value.is_empty() && !value.contains(char::is_whitespace);
+    if is_plain || value.starts_with('"') {
+        value
+    } else {
+        format!("{value:?}")
+    }
+}
+
 #[cfg(test)]
 mod tests;
--- a/src/logging/tests.rs
+++ b/src/logging/tests.rs
@@ -49,3 +49,11 @@
     );
     assert_eq!(parse(None), Ok(LevelFilter::INFO));
 }
+
+#[test]
+fn a_value_of_several_words_is_quoted() {
+    assert_eq!(quoted("i-000231".into()), "i-000231");
+    assert_eq!(quoted("no answer".into()), "\"no answer\"");
+    assert_eq!(quoted(String::new()), "\"\"");
+    assert_eq!(quoted("\"a b\"".into()), "\"a b\"");
+}
