--- a/crates/scale/src/hollow/tests.rs
+++ b/crates/scale/src/hollow/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use burlusher::http::{self, Answer, Client, Request};
+use burlusher::http::{self, Client, Request, Response};
 use burlusher::job::{JobSpec, Resources};
 use burlusher::wire::{DirectCommands, Heartbeat, TaskCommand, to_json};
 use burlusher_standin::cloud::Threads;
@@ -56,7 +56,7 @@
         let mut reports = kept.0.lock().unwrap();
         reports.push(serde_json::from_slice(&r.body).unwrap());
         kept.1.lock().unwrap().push(Instant::now());
-        Some(Answer::new(status, body.into()))
+        Some(Response::new(status, body.into()))
     };
     std::thread::spawn(move || http::serve(listener, 100, Arc::new(handle)));
     Controller {
@@ -169,8 +169,8 @@
     };
     let mut client = Client::new(worker.addr, Duration::from_millis(500));
     let mut tell = |token| {
-        let answer = client.call("POST", "/do", &body(token), Duration::from_secs(2), false);
-        answer.unwrap().0
+        let answer = client.call("POST", "/do", &body(token), Duration::from_secs(2));
+        answer.unwrap().status
     };
     wait("it has the token", || {
         ok.reports.lock().unwrap().last().unwrap().fencing_token == 7
@@ -186,7 +186,7 @@
     wait("it is gone", || {
         let mut client = Client::new(worker.addr, Duration::from_millis(200));
         client
-            .call("GET", "/status", b"", Duration::from_secs(1), false)
+            .call("GET", "/status", b"", Duration::from_secs(1))
             .is_err()
     });
 }
--- a/crates/standin/src/cluster.rs
+++ b/crates/standin/src/cluster.rs
@@ -6,7 +6,7 @@
 use crate::state::StateService;
 use crate::users::{Users, load};
 use crate::worker::World;
-use burlusher::http::{self, Answer, Request};
+use burlusher::http::{self, Request, Response};
 use burlusher::wire::PATH_STATUS;
 use burlusher_market::Spread;
 use serde::Serialize;
@@ -158,7 +158,7 @@
     }
 }
 
-fn serve(handle: impl Fn(&Request) -> Answer + Send + Sync + 'static) -> Result<String, String> {
+fn serve(handle: impl Fn(&Request) -> Response + Send + Sync + 'static) -> Result<String, String> {
     let (listener, addr) = listen()?;
     std::thread::spawn(move || http::serve(listener, 200, Arc::new(move |r| Some(handle(&r)))));
     Ok(addr.to_string())
@@ -374,8 +374,8 @@
     for (name, addr) in &world.nodes {
         loop {
             let mut client = http::Client::new(*addr, Duration::from_millis(300));
-            let answer = client.call("GET", "/ready", b"", Duration::from_secs(1), false);
-            if answer.is_ok_and(|(status, _)| status == 200) {
+            let answer = client.call("GET", "/ready", b"", Duration::from_secs(1));
+            if answer.is_ok_and(|response| response.status == 200) {
                 break;
             }
             if Instant::now() > until || !controllers.ended().is_empty() {
@@ -392,8 +392,8 @@
 fn leader(world: &World) -> Option<usize> {
     world.nodes.iter().position(|(_, addr)| {
         let mut client = http::Client::new(*addr, Duration::from_millis(300));
-        let answer = client.call("GET", PATH_STATUS, b"", Duration::from_secs(1), false);
-        let status = answer.ok().map(|(_, body)| body);
+        let answer = client.call("GET", PATH_STATUS, b"", Duration::from_secs(1));
+        let status = answer.ok().map(|response| response.body);
         let view = status.and_then(|b| serde_json::from_slice::<serde_json::Value>(&b).ok());
         view.is_some_and(|v| v["leads"] == true)
     })
--- a/src/core/command.rs
+++ b/src/core/command.rs
@@ -6,7 +6,7 @@
 use crate::core::jobs::queries::UserRequest;
 use crate::core::store::large_jobs::PartWrite;
 use crate::core::store::read_barrier::Question;
-use crate::http::Answer;
+use crate::http::Response;
 use crate::job::{JobSpec, MachineId};
 use crate::peer::heartbeat_batch::{HeartbeatBatch, HeartbeatBatchResponse};
 use crate::peer::memory_exchange::{MemoryPage, MemoryRequest};
@@ -146,12 +146,12 @@
 /// One output of a step, to be carried out by the caller.
 #[derive(Debug)]
 pub enum Effect {
-    /// Answer a request.
-    Answer {
+    /// Response a request.
+    Response {
         /// Of the request.
         ticket: Ticket,
         /// What to answer.
-        answer: Answer,
+        answer: Response,
     },
     /// Pass a request on to a peer; its answer comes back as [`Command::Forwarded`].
     Forward {
@@ -324,5 +324,5 @@
     /// The job is to be cancelled.
     Cancel(Ticket),
     /// The request is invalid, with this answer; which may be said only if the job does not exist.
-    Reject(Ticket, Answer),
+    Reject(Ticket, Response),
 }
--- a/src/core/leadership/campaign.rs
+++ b/src/core/leadership/campaign.rs
@@ -125,7 +125,7 @@
             StoreOutcome::Found(_)
             | StoreOutcome::Missing { .. }
             | StoreOutcome::Page { .. }
-            | StoreOutcome::Runs(_) => Duration::ZERO,
+            | StoreOutcome::LeaseAlive(_) => Duration::ZERO,
         };
         self.candidacy.wait_until(self.now.mono + pause);
     }
--- a/src/core/leadership/stale_key.rs
+++ b/src/core/leadership/stale_key.rs
@@ -109,7 +109,7 @@
     pub(in crate::core) fn leader_lease_checked(&mut self, version: u64, outcome: StoreOutcome) {
         let now = self.now.mono;
         if let Some(stale) = &mut self.stale_leader_key
-            && matches!(outcome, StoreOutcome::Runs(false))
+            && matches!(outcome, StoreOutcome::LeaseAlive(false))
             && stale.version == version
         {
             stale.lease_unknown_since.get_or_insert(now);
--- a/src/core/leadership/step_down.rs
+++ b/src/core/leadership/step_down.rs
@@ -2,7 +2,7 @@
 
 use crate::core::leadership::state::LeaderState;
 use crate::core::{Core, Effect, Ticket};
-use crate::http::Answer;
+use crate::http::Response;
 
 impl Core {
     /// Ends this process's leadership, if it has one: requests that wait for its decisions are answered, and the
@@ -33,7 +33,7 @@
             .flat_map(|run| std::mem::take(&mut run.cancel_waiters))
             .collect();
         for ticket in cancellations {
-            self.answer(ticket, Answer::busy("the leader changed", 1));
+            self.answer(ticket, Response::busy("the leader changed", 1));
         }
     }
 
--- a/src/core/machines/cloud_calls.rs
+++ b/src/core/machines/cloud_calls.rs
@@ -1,6 +1,6 @@
 //! Calls to the cloud within its rate limit: lists of machines, deletions and scale-outs; and their outcomes.
 
-use crate::cloud_client::{CloudOutcome, CloudRequest, MAX_DELETED_PER_CALL, PAGE};
+use crate::cloud_client::{CloudOutcome, CloudRequest, MACHINES_PER_PAGE, MAX_DELETED_PER_CALL};
 
 use crate::core::command::Pending;
 use crate::core::leadership::state::LeaderState;
@@ -39,7 +39,7 @@
             let silence = now.saturating_duration_since(m.last_heartbeat);
             m.incarnation == 0 || silence > heartbeat_interval * 2
         };
-        let pages = 1.0 + self.cloud.listed_machines as f64 / PAGE as f64;
+        let pages = 1.0 + self.cloud.listed_machines as f64 / MACHINES_PER_PAGE as f64;
         let within_share = Duration::from_secs_f64(LIST_SHARE_DIVISOR * pages / calls_per_s);
         within_share.max(if self.machines.values().any(is_awaited) {
             SHORT_LIST_INTERVAL
@@ -151,8 +151,10 @@
             let Some(body) = operation.map(|operation| operation.body.clone()) else {
                 return;
             };
-            let call =
-                self.send_cloud_call(Pending::ScaleOut(name.clone()), CloudRequest::Rent(body));
+            let call = self.send_cloud_call(
+                Pending::ScaleOut(name.clone()),
+                CloudRequest::ScaleOut(body),
+            );
             let leader = self.leader.as_mut();
             if let Some(operation) = leader.and_then(|l| l.cloud.scale_outs.get_mut(&name)) {
                 operation.call = Some(call);
@@ -212,7 +214,7 @@
         {
             return self.set_machine_types(types.clone());
         }
-        if let CloudOutcome::Trouble(error) | CloudOutcome::Invalid(error) = &outcome {
+        if let CloudOutcome::Failed(error) | CloudOutcome::Invalid(error) = &outcome {
             tracing::info!(error, "cloud call failed");
         }
         match pending {
@@ -234,7 +236,7 @@
         };
         leader.cloud.listed_machines = list.len();
         // Its further pages took a call each.
-        for _ in 0..list.len() / PAGE {
+        for _ in 0..list.len() / MACHINES_PER_PAGE {
             self.cloud_budget.take(now);
         }
         self.observe_listed_machines(sent, &list);
@@ -274,7 +276,7 @@
         };
         operation.call = None;
         let provisioned = match outcome {
-            CloudOutcome::Rented(ids) => ids,
+            CloudOutcome::Provisioned(ids) => ids,
             CloudOutcome::NoCapacity | CloudOutcome::Invalid(_) => Vec::new(),
             // It may have been carried out: only the same name asked again tells.
             _ => {
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -51,12 +51,13 @@
 use crate::core::workers::delegates::DELEGATE_TIMEOUTS;
 use crate::core::workers::pending_responses::DeferredResponses;
 use crate::core::workers::relay::Relay;
-use crate::http::Answer;
+use crate::http::Response;
 use crate::job::JobId;
 use crate::planning::backfill::Scratch;
 use crate::policy::{Entry, FleetFacts, Policy};
+use crate::rate_limiter::RateLimiter;
 use crate::settings::Settings;
-use crate::store_client::{RateLimiter, StoreOutcome, StoreRequest};
+use crate::store_client::{StoreOutcome, StoreRequest};
 use crate::wire::{Item, MachineType};
 use burlusher_membership::view::MembershipView;
 use std::collections::{BTreeMap, VecDeque};
@@ -348,8 +349,8 @@
         call
     }
 
-    fn answer(&mut self, ticket: Ticket, answer: Answer) {
-        self.effects.push(Effect::Answer { ticket, answer });
+    fn answer(&mut self, ticket: Ticket, answer: Response) {
+        self.effects.push(Effect::Response { ticket, answer });
     }
 
     /// Hands the outcome of a call to the store to the concern that made it.
--- a/src/core/monitoring/metrics.rs
+++ b/src/core/monitoring/metrics.rs
@@ -1,7 +1,7 @@
 //! What monitoring is told; see `metrics`.
 
 use crate::core::{Core, Ticket, WORK};
-use crate::http::Answer;
+use crate::http::Response;
 use crate::metrics::Page;
 use burlusher_membership::view::{Capabilities, MemberState};
 use std::collections::BTreeMap;
@@ -80,12 +80,12 @@
         page.gauge(
             "state_changes_left",
             "Changes that the state service's limit leaves the leader now",
-            self.write_budget.left(now),
+            self.write_budget.available(now),
         );
         page.gauge(
             "cloud_calls_left",
             "Calls that the cloud's limit leaves the leader now",
-            self.cloud_budget.left(now),
+            self.cloud_budget.available(now),
         );
         let standing = |name: &str| match self.members.state(name, now) {
             MemberState::Alive => 2.0,
@@ -124,7 +124,7 @@
         if self.acting() {
             self.leader_figures(&mut page);
         }
-        self.answer(ticket, Answer::new(200, page.text().into_bytes()));
+        self.answer(ticket, Response::new(200, page.text().into_bytes()));
     }
 
     fn leader_figures(&self, page: &mut Page) {
--- a/src/core/simulation/mixed_versions.rs
+++ b/src/core/simulation/mixed_versions.rs
@@ -21,7 +21,7 @@
 "save":{"secs":4,"nanos":0},"deadline":{"secs":900,"nanos":0}},"submitted_ms":1700000000123}"#;
 const TERM: &str = r#"{"era":7}"#;
 const LEADER: &str = r#"{"name":"n0","nonce":5,"lease":3}"#;
-const PAGE: &str =
+const MACHINES_PER_PAGE: &str =
     r#"{"machines":{"i-000231":{"addr":"10.1.0.1:9000","kind":"small","zone":"a","spot":true}}}"#;
 const DONE: &str = r#"{"rows":"0-4,7"}"#;
 const SUBMIT_FRAME: &str = "6c727562010100008100000010000000000105000000000000002040000000000000f0\
@@ -131,8 +131,11 @@
     assert_eq!(serde_json::from_str::<TermValue>(TERM).unwrap().term, 7);
     let leader: LeaderValue = serde_json::from_str(LEADER).unwrap();
     assert_eq!(serde_json::to_value(leader).unwrap(), value(LEADER));
-    let page: PageValue = serde_json::from_str(PAGE).unwrap();
-    assert_eq!(serde_json::to_value(page).unwrap(), value(PAGE));
+    let page: PageValue = serde_json::from_str(MACHINES_PER_PAGE).unwrap();
+    assert_eq!(
+        serde_json::to_value(page).unwrap(),
+        value(MACHINES_PER_PAGE)
+    );
     let done: DoneValue = serde_json::from_str(DONE).unwrap();
     assert_eq!(serde_json::to_value(done).unwrap(), value(DONE));
 }
--- a/src/core/simulation/recorded_decisions.rs
+++ b/src/core/simulation/recorded_decisions.rs
@@ -22,7 +22,7 @@
 use crate::core::simulation::scenarios::mixed_faults::inject_mixed_faults;
 use crate::core::simulation::{Link, NEXT_LIMITS, Simulation};
 use crate::core::{Effect, LeadershipProof};
-use crate::http::Answer;
+use crate::http::Response;
 use crate::job::{JobKind, JobSpec, Priority, sample};
 use crate::peer;
 use crate::peer::memory_exchange;
@@ -111,7 +111,7 @@
     /// An effect in a form that depends on what it does, not on how the program names it.
     fn content(&self, effect: &Effect) -> Value {
         match effect {
-            Effect::Answer { ticket, answer } => {
+            Effect::Response { ticket, answer } => {
                 let not_after = answer.not_after.map(|t| self.millis(t));
                 answer_content(json!(ticket), answer, not_after)
             }
@@ -179,8 +179,8 @@
     }
 }
 
-fn answer_content(ticket: Value, answer: &Answer, not_after: Option<u64>) -> Value {
-    let Answer {
+fn answer_content(ticket: Value, answer: &Response, not_after: Option<u64>) -> Value {
+    let Response {
         status,
         body,
         retry_after,
@@ -216,7 +216,11 @@
         StoreRequest::CompareAndSwap(txn) => {
             json!([STORE_COMPARE_AND_SWAP, call, text(&to_json(txn))])
         }
-        StoreRequest::Page { under, after, most } => json!([STORE_PAGE, call, under, after, most]),
+        StoreRequest::Page {
+            prefix,
+            after,
+            limit,
+        } => json!([STORE_PAGE, call, prefix, after, limit]),
         StoreRequest::CheckLease(lease) => json!([STORE_CHECK_LEASE, call, lease]),
     }
 }
@@ -225,7 +229,9 @@
     match request {
         CloudRequest::Types => json!([CLOUD_TYPES, call, not_after]),
         CloudRequest::List => json!([CLOUD_LIST, call, not_after]),
-        CloudRequest::Rent(body) => json!([CLOUD_SCALE_OUT, call, not_after, text(&to_json(body))]),
+        CloudRequest::ScaleOut(body) => {
+            json!([CLOUD_SCALE_OUT, call, not_after, text(&to_json(body))])
+        }
         CloudRequest::Delete(names) => {
             let body = MachineIds {
                 machines: names.clone(),
--- a/src/core/store/integrity/checks.rs
+++ b/src/core/store/integrity/checks.rs
@@ -86,9 +86,9 @@
     /// any time.
     fn audit(&mut self, after: String, suspicion: Option<String>) {
         let request = StoreRequest::Page {
-            under: key("j/"),
+            prefix: key("j/"),
             after: after.clone(),
-            most: AUDIT_BATCH,
+            limit: AUDIT_BATCH,
         };
         self.call_store(Pending::AuditJobs { after, suspicion }, request);
     }
--- a/src/core/store/integrity/memory_exchange.rs
+++ b/src/core/store/integrity/memory_exchange.rs
@@ -3,7 +3,7 @@
 
 use super::is_due;
 use crate::core::{Core, Effect, Ticket};
-use crate::http::Answer;
+use crate::http::Response;
 use crate::peer::memory_exchange::{MemoryPage, MemoryRequest, PAGE_BYTES, encode_memory_page};
 use std::time::Duration;
 
@@ -53,7 +53,7 @@
             items: items.collect(),
         };
         let body = encode_memory_page(&page);
-        self.answer(ticket, Answer::new(200, body));
+        self.answer(ticket, Response::new(200, body));
     }
 
     /// Another controller's answer to a request for its memory, or that there was none.
--- a/src/core/store/read_barrier.rs
+++ b/src/core/store/read_barrier.rs
@@ -8,7 +8,7 @@
 use crate::core::command::Pending;
 use crate::core::store::keys::{NOTHING, key};
 use crate::core::{Core, Ticket};
-use crate::http::Answer;
+use crate::http::Response;
 use crate::job::JobSpec;
 use crate::store_client::{StoreOutcome, StoreRequest};
 use std::time::{Duration, Instant};
@@ -77,7 +77,7 @@
     fn defer(&mut self, questions: Vec<Question>) {
         for question in questions {
             let (Question::Show(ticket, _) | Question::Submit(ticket, ..)) = question;
-            self.answer(ticket, Answer::busy("the state cannot be read now", 1));
+            self.answer(ticket, Response::busy("the state cannot be read now", 1));
         }
     }
 
--- a/src/core/store/rebuild/operator.rs
+++ b/src/core/store/rebuild/operator.rs
@@ -4,7 +4,7 @@
 use crate::core::leadership::state::LeaderState;
 use crate::core::machines::placement::StopReason;
 use crate::core::{Core, Ticket};
-use crate::http::Answer;
+use crate::http::Response;
 use crate::job::{JobId, TaskId};
 use crate::wire::to_json;
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,9 +12,9 @@
 
 impl Core {
     /// For operators' commands, which only the leader can follow.
-    fn not_the_leader(&self) -> Answer {
+    fn not_the_leader(&self) -> Response {
         let leader = self.leader_name().unwrap_or("nobody");
-        Answer::error(409, &format!("not the leader; that is {leader}"))
+        Response::error(409, &format!("not the leader; that is {leader}"))
     }
 
     /// An operator takes the store as it is: what nobody remembers is stopped, and unknown from now
@@ -28,7 +28,7 @@
             return;
         };
         let Some(rebuild) = &mut leader.rebuild else {
-            return self.answer(ticket, Answer::error(409, "nothing is being rebuilt"));
+            return self.answer(ticket, Response::error(409, "nothing is being rebuilt"));
         };
         rebuild.settled = true;
         rebuild.held_results.clear();
@@ -41,7 +41,7 @@
         );
         leader.stop_held_tasks(held, now);
         let body = serde_json::json!({"settled": true, "tasks_stopped": stopped});
-        self.answer(ticket, Answer::new(200, to_json(&body)));
+        self.answer(ticket, Response::new(200, to_json(&body)));
     }
 
     /// A snapshot, or a page of one, offered as one more memory; `store` is the one that it is of, and
@@ -59,11 +59,11 @@
         let rebuild = self.leader.as_ref().and_then(|l| l.rebuild.as_ref());
         let Some(rebuild) = rebuild else {
             let text = "nothing is being rebuilt: the state service has lost nothing that is known";
-            return self.answer(ticket, Answer::error(409, text));
+            return self.answer(ticket, Response::error(409, text));
         };
         if let Some(lost) = rebuild.lost_store.as_deref().filter(|lost| *lost != store) {
             let text = format!("a snapshot of {store}, and what lost data is {lost}");
-            return self.answer(ticket, Answer::error(409, &text));
+            return self.answer(ticket, Response::error(409, &text));
         }
         let new = self.join_memory(items);
         if let Some(rebuild) = self.leader.as_mut().and_then(|l| l.rebuild.as_mut()) {
@@ -71,7 +71,7 @@
             rebuild.copy_available |= last;
         }
         let body = serde_json::json!({"new_jobs": new});
-        self.answer(ticket, Answer::new(200, to_json(&body)));
+        self.answer(ticket, Response::new(200, to_json(&body)));
     }
 }
 
--- a/src/core/store/transaction.rs
+++ b/src/core/store/transaction.rs
@@ -374,7 +374,7 @@
     pub(super) fn build_transaction(&mut self) -> Option<Transaction> {
         self.collect_garbage_keys();
         let allowed = self.settings.max_transaction_changes.saturating_sub(1);
-        let budget = self.write_budget.left(self.now.mono) as usize;
+        let budget = self.write_budget.available(self.now.mono) as usize;
         let max_changes = allowed.max(1).min(budget);
         let leader = self.leader.as_mut()?;
         let accepted = leader.writes.max_changes.unwrap_or(max_changes);
--- a/src/core/store/writes.rs
+++ b/src/core/store/writes.rs
@@ -40,7 +40,7 @@
         if leader.writes.in_flight.is_some() {
             return self.advance_in_flight_write();
         }
-        if self.write_budget.left(now) < 1.0 {
+        if self.write_budget.available(now) < 1.0 {
             return;
         }
         let Some(Transaction { request, ops }) = self.build_transaction() else {
@@ -104,7 +104,7 @@
             StoreOutcome::Found(_)
             | StoreOutcome::Missing { .. }
             | StoreOutcome::Page { .. }
-            | StoreOutcome::Runs(_) => self.retry_write(REFUSED_RETRY_DELAY),
+            | StoreOutcome::LeaseAlive(_) => self.retry_write(REFUSED_RETRY_DELAY),
         }
     }
 
--- a/src/core/workers/commands.rs
+++ b/src/core/workers/commands.rs
@@ -14,7 +14,7 @@
 use crate::core::machines::placement::{ExitedTask, Phase, Placement};
 use crate::core::{Core, Ticket, Work};
 use crate::fault_injection::{Safeguard, is_enabled};
-use crate::http::Answer;
+use crate::http::Response;
 use crate::job::{MachineId, TaskId};
 use crate::wire::{HeartbeatResponse, TaskCommand, to_json};
 use std::time::Duration;
@@ -143,8 +143,8 @@
     pub(in crate::core) fn respond_to_heartbeat(&mut self, ticket: Ticket, id: &MachineId) {
         let until = self.leader_until();
         let answer = match self.heartbeat_response(id) {
-            Some(body) => Answer::new(200, to_json(&body)).until(until),
-            None => Answer::busy("this machine is gone", 30),
+            Some(body) => Response::new(200, to_json(&body)).until(until),
+            None => Response::busy("this machine is gone", 30),
         };
         self.answer(ticket, answer);
     }
--- a/src/core/workers/delegation.rs
+++ b/src/core/workers/delegation.rs
@@ -27,7 +27,7 @@
 use crate::core::workers::delegates::Delegate;
 use crate::core::workers::pending_responses::PendingBatch;
 use crate::core::{Core, Ticket};
-use crate::http::Answer;
+use crate::http::Response;
 use crate::job::MachineId;
 use crate::peer::heartbeat_batch::{
     self, HeartbeatBatch, HeartbeatBatchResponse, RelayedHeartbeat, RelayedOutcome, RelayedResponse,
@@ -90,7 +90,7 @@
         &mut self,
         heartbeats: Vec<RelayedHeartbeat>,
         from: &Arc<str>,
-    ) -> Vec<(u64, Result<MachineId, Answer>)> {
+    ) -> Vec<(u64, Result<MachineId, Response>)> {
         let mut accepted = Vec::new();
         for RelayedHeartbeat { id, heartbeat } in heartbeats {
             if id == 0 {
@@ -111,7 +111,7 @@
             ..HeartbeatBatchResponse::default()
         };
         let frame = heartbeat_batch::encode_batch_response(&refusal);
-        self.answer(ticket, Answer::new(200, frame));
+        self.answer(ticket, Response::new(200, frame));
     }
 
     /// Answers a batch that was taken in, under a grant for as long as this controller is proven to
@@ -143,21 +143,21 @@
             members,
         };
         let frame = heartbeat_batch::encode_batch_response(&response);
-        let answer = Answer::new(200, frame).until(Some(leader_until));
+        let answer = Response::new(200, frame).until(Some(leader_until));
         self.answer(batch.ticket, answer);
     }
 
     /// The responses to the heartbeats of a batch, as many with commands as fit into a frame.
     fn batch_responses(
         &mut self,
-        heartbeats: Vec<(u64, Result<MachineId, Answer>)>,
+        heartbeats: Vec<(u64, Result<MachineId, Response>)>,
         from: &Arc<str>,
     ) -> Vec<RelayedResponse> {
         let mut responses = Vec::new();
         let mut size = 0;
         for (id, accepted) in heartbeats {
             let outcome = accepted.and_then(|machine| self.outcome(&machine, from, &mut size));
-            let refused = |answer: Answer| RelayedOutcome::Refused {
+            let refused = |answer: Response| RelayedOutcome::Refused {
                 status: answer.status,
                 retry_after: answer.retry_after,
             };
@@ -176,13 +176,13 @@
         machine: &MachineId,
         from: &Arc<str>,
         frame_bytes: &mut usize,
-    ) -> Result<RelayedOutcome, Answer> {
+    ) -> Result<RelayedOutcome, Response> {
         if *frame_bytes > MAX_RESPONSE_BYTES {
-            return Err(Answer::busy("overloaded", 1));
+            return Err(Response::busy("overloaded", 1));
         }
         let response = self
             .heartbeat_response(machine)
-            .ok_or_else(|| Answer::busy("this machine is gone", 30))?;
+            .ok_or_else(|| Response::busy("this machine is gone", 30))?;
         *frame_bytes += heartbeat_batch::response_size(&response.commands);
         let steady = response.commands.is_empty()
             && (self.leader.as_mut()).is_some_and(|l| l.delegate_machine(machine, from));
--- a/src/core/workers/heartbeats.rs
+++ b/src/core/workers/heartbeats.rs
@@ -13,7 +13,7 @@
 use crate::core::machines::machine::{Machine, TOKEN_EPOCH_BITS};
 use crate::core::store::cache::MachineValue;
 use crate::core::{Core, Ticket};
-use crate::http::Answer;
+use crate::http::Response;
 use crate::job::MachineId;
 use crate::wire::{Heartbeat, Redirect, to_json};
 use std::net::SocketAddrV4;
@@ -24,13 +24,13 @@
 const MAX_MACHINE_ID_LENGTH: usize = 100;
 
 /// The answer that sends a worker to another controller.
-pub(in crate::core) fn redirect_to(controller: &str) -> Answer {
+pub(in crate::core) fn redirect_to(controller: &str) -> Response {
     let leader = Some(controller);
-    Answer::new(421, to_json(&Redirect { leader }))
+    Response::new(421, to_json(&Redirect { leader }))
 }
 
-fn no_leader() -> Answer {
-    Answer::busy("no leader here", 1)
+fn no_leader() -> Response {
+    Response::busy("no leader here", 1)
 }
 
 impl LeaderState {
@@ -41,7 +41,7 @@
         heartbeat: &Heartbeat,
         via: Option<&Arc<str>>,
         now: Instant,
-    ) -> Option<Result<MachineId, Answer>> {
+    ) -> Option<Result<MachineId, Response>> {
         let id = &heartbeat.machine;
         let term = self.term;
         let machine = self.machines.get_mut_quiet(id)?;
@@ -100,7 +100,7 @@
             if self.is_well_formed(&heartbeat) {
                 self.relay_heartbeat(ticket, heartbeat);
             } else {
-                self.answer(ticket, Answer::error(400, "malformed report"));
+                self.answer(ticket, Response::error(400, "malformed report"));
             }
             return None;
         }
@@ -133,17 +133,17 @@
         &mut self,
         heartbeat: Heartbeat,
         via: Option<&Arc<str>>,
-    ) -> Result<MachineId, Answer> {
+    ) -> Result<MachineId, Response> {
         let now = self.now.mono;
         if !self.is_well_formed(&heartbeat) {
-            return Err(Answer::error(400, "malformed report"));
+            return Err(Response::error(400, "malformed report"));
         }
         self.observe_fencing_token(heartbeat.fencing_token);
         let leader = self.leader.as_mut().ok_or_else(no_leader)?;
         let id = heartbeat.machine.clone();
         if leader.deleted_machines.contains(&id) {
             // Sent before the machine was deleted, and delayed on the way.
-            return Err(Answer::busy("this machine is gone", 30));
+            return Err(Response::busy("this machine is gone", 30));
         }
         if let Some(accepted) = leader.accept_unchanged(&heartbeat, via, now) {
             return accepted;
@@ -167,7 +167,7 @@
 
     /// A heartbeat is older than what is known of its machine, or of an earlier life of it: a call to the
     /// machine finds out which.
-    fn reject_stale_heartbeat(&mut self, id: &MachineId, token: u64) -> Answer {
+    fn reject_stale_heartbeat(&mut self, id: &MachineId, token: u64) -> Response {
         let now = self.now.mono;
         if let Some(machine) = self.machine_mut(id)
             && token < machine.highest_token
@@ -177,7 +177,7 @@
             machine.lease_renewed = machine.lease_renewed.max(now);
         }
         self.probe_for_restart(id);
-        Answer::busy("an older report", 1)
+        Response::busy("an older report", 1)
     }
 
     /// The heartbeat will be answered, which renews the worker's lease.
@@ -186,7 +186,7 @@
         id: &MachineId,
         proves_term: bool,
         via: Option<&Arc<str>>,
-    ) -> Result<(), Answer> {
+    ) -> Result<(), Response> {
         let now = self.now.mono;
         let lease = self.settings.worker_lease;
         let leader = self.leader.as_mut().ok_or_else(no_leader)?;
@@ -197,7 +197,7 @@
             // counted from the last answer: so there has to be a last one.
             let since = *machine.unproven_since.get_or_insert(now);
             if now > since + lease / 2 {
-                return Err(Answer::busy("this machine does not take its answers", 1));
+                return Err(Response::busy("this machine does not take its answers", 1));
             }
         }
         machine.lease_renewed = now;
--- a/src/core/workers/pending_responses.rs
+++ b/src/core/workers/pending_responses.rs
@@ -2,7 +2,7 @@
 //! planning round. Data.
 
 use crate::core::ids::Ticket;
-use crate::http::Answer;
+use crate::http::Response;
 use crate::job::MachineId;
 use std::sync::Arc;
 
@@ -18,7 +18,7 @@
     pub probes_pending: usize,
     /// The batch's numbers of its heartbeats, each with the machine that sent it, or with the answer where the
     /// heartbeat was refused.
-    pub heartbeats: Vec<(u64, Result<MachineId, Answer>)>,
+    pub heartbeats: Vec<(u64, Result<MachineId, Response>)>,
 }
 
 impl PendingBatch {
--- a/src/core/workers/relay.rs
+++ b/src/core/workers/relay.rs
@@ -22,7 +22,7 @@
 use crate::core::workers::heartbeats::redirect_to;
 use crate::core::{Core, Effect, Ticket};
 use crate::fault_injection::{Safeguard, is_enabled};
-use crate::http::Answer;
+use crate::http::Response;
 use crate::job::MachineId;
 use crate::peer::heartbeat_batch::{
     self, HeartbeatBatchResponse, MemberStatus, RelayedOutcome, RelayedResponse,
@@ -39,12 +39,12 @@
 const RESPONSE_DEADLINE: Duration = Duration::from_millis(3400);
 
 /// The answer to a heartbeat that the leader took in.
-fn heartbeat_answer(fencing_token: u64, commands: Vec<TaskCommand>) -> Answer {
+fn heartbeat_answer(fencing_token: u64, commands: Vec<TaskCommand>) -> Response {
     let response = HeartbeatResponse {
         fencing_token,
         commands,
     };
-    Answer::new(200, to_json(&response))
+    Response::new(200, to_json(&response))
 }
 
 impl Core {
@@ -61,7 +61,7 @@
             return self.redirect(ticket);
         }
         if !self.relay.waiting.has_room(&self.settings) {
-            return self.answer(ticket, Answer::busy("overloaded", 1));
+            return self.answer(ticket, Response::busy("overloaded", 1));
         }
         self.relay.waiting.push(QueuedHeartbeat {
             ticket: Some(ticket),
@@ -72,7 +72,7 @@
 
     /// The answer to a heartbeat that the leader has delegated to this controller and that says
     /// nothing new. It is void when the grant expires.
-    fn delegated_answer(&mut self, heartbeat: &Heartbeat) -> Option<Answer> {
+    fn delegated_answer(&mut self, heartbeat: &Heartbeat) -> Option<Response> {
         let now = self.now.mono;
         let grant = self.relay.grant()?;
         if !grant.is_valid(self.store_cache.term, now) && is_enabled(Safeguard::GrantExpiry) {
@@ -135,7 +135,7 @@
         let now = self.now.mono;
         while let Some(overdue) = self.relay.waiting.pop_overdue(now, MAX_WAIT) {
             if let Some(ticket) = overdue.ticket {
-                self.answer(ticket, Answer::busy("no leader yet", 1));
+                self.answer(ticket, Response::busy("no leader yet", 1));
             }
         }
     }
@@ -263,7 +263,7 @@
             };
             match outcomes.remove(&(index as u64 + 1)) {
                 Some(outcome) => self.deliver_response(ticket, &waiting, outcome, grant),
-                None => self.answer(ticket, Answer::busy("no answer", 1)),
+                None => self.answer(ticket, Response::busy("no answer", 1)),
             }
         }
     }
@@ -281,7 +281,7 @@
                 retry_after,
             } => {
                 self.relay.workers.remove(&waiting.heartbeat.machine);
-                let mut answer = Answer::error(status, "see the status");
+                let mut answer = Response::error(status, "see the status");
                 answer.retry_after = retry_after;
                 answer
             }
