--- a/src/core/jobs/queries.rs
+++ b/src/core/jobs/queries.rs
@@ -1,6 +1,7 @@
 //! What users ask for: requests are answered from what is final, by an acting leader from memory, or by a read that is
 //! begun after the question came; otherwise they are passed on to the leader.
 
+use crate::core::jobs::creation::Submission;
 use crate::core::jobs::job_run::JobRun;
 use crate::core::store::cache::JobValue;
 use crate::core::store::keys::job_key;
@@ -234,7 +235,14 @@
             }
             Ask::Submit(spec) => match self.live_answer(id) {
                 Some(answer) => self.answer(ticket, answer),
-                None => self.accept(ticket, spec, request.received, false),
+                None => self.accept(
+                    Submission {
+                        ticket,
+                        spec,
+                        received: request.received,
+                    },
+                    false,
+                ),
             },
             Ask::Malformed(id, answer) => match self.live_answer(&id) {
                 Some(known) => self.answer(ticket, known),
@@ -265,7 +273,14 @@
             return self.answer(ticket, answer);
         }
         match request.action {
-            Ask::Submit(spec) => self.accept(ticket, spec, request.received, false),
+            Ask::Submit(spec) => self.accept(
+                Submission {
+                    ticket,
+                    spec,
+                    received: request.received,
+                },
+                false,
+            ),
             Ask::Show(id) => self.read_for_query(id, ticket),
             Ask::Malformed(id, answer) => {
                 self.read_job_key(id, ReadPurpose::Reject(ticket, answer))
--- a/src/core/jobs/submissions.rs
+++ b/src/core/jobs/submissions.rs
@@ -1,410 +1,322 @@
-//! Submissions: whether a job can run, and how it comes to be in the state service. Any controller accepts one by a
-//! create-only key; its user is told when that is durable.
+//! Acceptance of submitted jobs: any controller accepts one by a create-only key in the state
+//! service, and answers its user when that is durable.
 
+use crate::core::jobs::creation::{
+    Creation, PartsCreation, Submission, create_transaction, initial_value,
+};
 use crate::core::jobs::queries::{final_state, rebuilding_answer, state_body};
 use crate::core::leadership::json;
 use crate::core::store::cache::JobValue;
-use crate::core::store::keys::{PartGeneration, job_key, part_key};
+use crate::core::store::keys::{PartGeneration, part_key};
 use crate::core::store::large_jobs::{self, PartValue, PartWrite};
 use crate::core::store::read_barrier::Question;
 use crate::core::store::writes::MAX_TRANSACTION_BYTES;
-use crate::core::{Core, Pending, ReadPurpose, Ticket, note};
+use crate::core::{Core, Pending, ReadPurpose, note};
 use crate::fault_injection::{Safeguard, is_enabled};
 use crate::http::Answer;
-use crate::job::{JobId, JobKind, JobSpec};
+use crate::job::{JobId, JobSpec};
 use crate::settings::Settings;
 use crate::store_client::{StoreOutcome, StoreRequest};
-use crate::wire::{Change, CompareAndSwap, Condition, JobState, to_json};
-use std::time::{Duration, Instant, SystemTime};
+use crate::wire::{Change, CompareAndSwap, JobState, to_json};
+use std::time::{Duration, SystemTime};
 
-/// The state service answers within some ten milliseconds. A creation without an answer for so long is settled
-/// as soon as this process's copy of the store shows the job, and looked at so often until then.
+/// The state service answers within some ten milliseconds. A creation without an answer for so
+/// long is settled as soon as this process's store cache shows the job, and checked this often
+/// until then.
 const CREATION_CHECK_INTERVAL: Duration = Duration::from_millis(60);
-/// A submission takes 5 s at the most: its parts are written once more where no answer came within this.
+/// A submission takes 5 s at the most: its parts are written once more where no answer came within
+/// this.
 const PARTS_RETRY_WINDOW: Duration = Duration::from_millis(2500);
-/// The part of the memory that unfinished jobs may take, and what a task of theirs takes: a row
-/// in the sets of its job, a little more while it is placed.
-const JOBS_SHARE: f64 = 0.25;
+/// A creation without an answer is written again at most so often, and only this long after the
+/// submission came.
+const MAX_RETRIES_UNKNOWN: u32 = 2;
+const CREATION_RETRY_WINDOW: Duration = Duration::from_secs(3);
+/// A creation that the state service did not take on is written again at most so often.
+const MAX_RETRIES_REFUSED: u32 = 1;
+/// What a user is told of a job beyond the limits of the state service.
+const TOO_LARGE: &str = "too large to be kept";
+/// The part of the memory that unfinished jobs may take.
+const JOBS_MEMORY_SHARE: f64 = 0.25;
+/// The memory of a task of theirs: an entry in the sets of its job, a little more while it is placed.
 const BYTES_PER_TASK: f64 = 32.0;
 
 /// How many tasks unfinished jobs may have.
 pub fn max_unfinished_tasks(settings: &Settings) -> u64 {
-    (settings.memory_mb * 1e6 * JOBS_SHARE / BYTES_PER_TASK) as u64
-}
-
-/// The stored form of a newly accepted job; of a large one what its key holds, given its parts.
-pub(in crate::core) fn creation(
-    spec: &JobSpec,
-    submitted_ms: u64,
-    parts: Option<&PartWrite>,
-) -> CompareAndSwap {
-    let value = match parts {
-        None => JobValue::live(Box::new(spec.clone()), submitted_ms),
-        Some(w) => JobValue::Parted {
-            parts: w.parts.len() as u32,
-            stem: w.generation,
-            submitted_ms,
-        },
-    };
-    let key = job_key(&spec.id);
-    // Create-only: an acceptance that is applied late, or twice, or by two nodes, is still the one
-    // job that its user asked for. A large job's parts must be there: a leader clears those that
-    // no job has referred to for long.
-    let mut conditions = vec![Condition {
-        key: key.clone(),
-        version: 0,
-    }];
-    if let Some(w) = parts {
-        let parts = w.versions.iter().enumerate();
-        conditions.extend(parts.map(|(n, version)| Condition {
-            key: part_key(&spec.id, w.generation, n as u32),
-            version: *version,
-        }));
-    }
-    CompareAndSwap {
-        conditions,
-        changes: vec![Change::Put {
-            key,
-            value: json(&value),
-            lease: None,
-        }],
-    }
+    (settings.memory_mb * 1e6 * JOBS_MEMORY_SHARE / BYTES_PER_TASK) as u64
 }
 
 impl Core {
-    /// 422 for what can never run, 503 while that cannot be told.
-    fn validate_placement(&self, spec: &JobSpec) -> Result<(), Answer> {
-        let never = |text: &str| Err(Answer::error(422, text));
-        let Some(team) = self.settings.team(&spec.team) else {
-            return never("unknown team");
-        };
-        if self.machine_types.is_empty() {
-            return Err(Answer::busy("machine types are not known yet", 2));
-        }
-        // A type that names no zones is to be had in those of the settings.
-        let fits = self.machine_types.iter().any(|t| {
-            let zones = if t.zones.is_empty() {
-                &self.settings.zones
-            } else {
-                &t.zones
-            };
-            spec.allows_type(&t.name)
-                && spec.resources.fits(&t.room())
-                && (zones.is_empty() || spec.zone.as_ref().is_none_or(|z| zones.contains(z)))
-        });
-        if !fits {
-            return never("a task fits no allowed machine type");
-        }
-        let n = match spec.job_kind {
-            JobKind::Array => 1.0,
-            JobKind::Service | JobKind::Gang => f64::from(spec.tasks),
-        };
-        let over = |need: f64, max: Option<f64>| max.is_some_and(|m| need * n > m + 1e-6);
-        if over(spec.resources.cpus, team.cpus_max) || over(spec.resources.gpus, team.gpus_max) {
-            return never("needs more than the team's limit");
-        }
-        Ok(())
-    }
-
-    /// 422 for what it awaits wrongly.
-    fn validate_dependencies(&self, spec: &JobSpec) -> Result<(), Answer> {
-        let service = |a: &JobId| {
-            let job = self.store_cache.jobs.get(a);
-            job.is_some_and(|j| j.spec.job_kind == JobKind::Service)
-        };
-        let never = |text: String| Err(Answer::error(422, &text));
-        if spec.dependencies.contains(&spec.id) {
-            return never("it awaits itself".into());
-        }
-        if let Some(a) = spec.dependencies.iter().find(|a| service(a)) {
-            return never(format!("it awaits {a}, a service, which is never done"));
-        }
-        Ok(())
-    }
-
-    /// A job that is awaited and, as far as this node knows, was never accepted.
-    fn unknown_dependency<'a>(&self, spec: &'a JobSpec) -> Option<&'a JobId> {
-        spec.dependencies
-            .iter()
-            .find(|a| !self.store_cache.knows(a))
-    }
-
-    /// Why a submission was refused for good.
-    pub(in crate::core) fn rejection_reason(&self, spec: &JobSpec) -> Answer {
-        let judged = self
-            .validate_placement(spec)
-            .and_then(|()| self.validate_dependencies(spec));
-        judged.err().unwrap_or_else(|| {
-            let text = match self.unknown_dependency(spec) {
-                Some(a) => format!("it awaits {a}, which was never accepted"),
-                None => "it can never run, the leader's log says why".into(),
-            };
-            Answer::error(422, &text)
-        })
-    }
-
-    /// Accepts a submission; `informed` if this node's copy holds all that was accepted before it
-    /// came.
-    pub(in crate::core) fn accept(
-        &mut self,
-        ticket: Ticket,
-        mut spec: Box<JobSpec>,
-        received: Instant,
-        informed: bool,
-    ) {
-        // It may be over, and somebody remember that: accepted anew, it would be said to wait.
+    /// Accepts a submission; `informed` if this node's store cache holds all that was accepted
+    /// before it came.
+    pub(in crate::core) fn accept(&mut self, mut submission: Submission, informed: bool) {
+        let ticket = submission.ticket;
+        // It may be over, and another controller remember that: accepted anew, it would be said to wait.
         if self.must_withhold_state() {
             return self.answer(ticket, rebuilding_answer());
         }
-        let judged = self
-            .validate_placement(&spec)
-            .and_then(|()| self.validate_dependencies(&spec));
-        if let Err(answer) = judged {
+        if let Err(answer) = self.validate(&submission.spec) {
             if answer.status == 503 {
                 return self.answer(ticket, answer);
             }
-            let id = spec.id.to_string();
-            return self.read_job_key(id, ReadPurpose::Reject(ticket, answer));
+            return self.reject(&submission, answer);
         }
-        if self.unknown_dependency(&spec).is_some() {
+        if self.unknown_dependency(&submission.spec).is_some() {
             // This node's copy lags a little behind what other nodes accept, and users submit a
             // job as soon as those that it needs are accepted.
             if !informed {
-                return self.queue_barrier_query(Question::Submit(ticket, spec, received));
+                return self.queue_barrier_query(Question::Submit(submission));
             }
-            let answer = self.rejection_reason(&spec);
-            tracing::info!(
-                job = %spec.id, "job {} refused: {}",
-                spec.id,
-                String::from_utf8_lossy(&answer.body)
-            );
-            return self.read_job_key(spec.id.to_string(), ReadPurpose::Reject(ticket, answer));
+            let answer = self.rejection_reason(&submission.spec);
+            let reason = String::from_utf8_lossy(&answer.body);
+            tracing::info!(job = %submission.spec.id, %reason, "job rejected");
+            return self.reject(&submission, answer);
         }
-        // A job more than the memory is for would end the process, and every other job with it.
-        let live: u64 = self
-            .store_cache
-            .jobs
-            .values()
-            .map(|j| u64::from(j.spec.tasks))
-            .sum();
-        let most = max_unfinished_tasks(&self.settings);
-        if !self.store_cache.jobs.is_empty() && live + u64::from(spec.tasks) > most {
+        if self.exceeds_task_limit(&submission.spec) {
             return self.answer(ticket, Answer::busy("too many unfinished tasks", 30));
         }
-        // Names of types that the cloud does not have allow nothing; they are not kept.
-        if let Some(names) = &mut spec.machine_types {
-            names.retain(|n| self.machine_types.iter().any(|t| t.name == *n));
+        self.retain_known_machine_types(&mut submission.spec);
+        if self.fits_one_value(&submission.spec) {
+            self.create(Creation {
+                submission,
+                retries: 0,
+                parts: None,
+            });
+        } else {
+            self.accept_large(submission);
         }
-        // Somewhat less than a value may have: the service may write numbers at greater length.
-        let most = self.settings.max_value_bytes / 16 * 15;
-        let whole = JobValue::live(spec.clone(), u64::MAX);
-        if to_json(&whole).len() <= most {
-            return self.create(ticket, spec, received, 0, None);
+    }
+
+    /// Refuses a submission for good, unless its job is found to be known.
+    fn reject(&mut self, submission: &Submission, answer: Answer) {
+        let id = submission.spec.id.to_string();
+        self.read_job_key(id, ReadPurpose::Reject(submission.ticket, answer));
+    }
+
+    /// Whether the unfinished jobs would have more tasks with this one than the memory is for: it
+    /// would end the process, and every other job with it. A job alone is always taken.
+    fn exceeds_task_limit(&self, spec: &JobSpec) -> bool {
+        let jobs = &self.store_cache.jobs;
+        let unfinished: u64 = jobs.values().map(|job| u64::from(job.spec.tasks)).sum();
+        let limit = max_unfinished_tasks(&self.settings);
+        !jobs.is_empty() && unfinished + u64::from(spec.tasks) > limit
+    }
+
+    /// Names of machine types that the cloud does not have allow nothing; they are not kept.
+    fn retain_known_machine_types(&self, spec: &mut JobSpec) {
+        if let Some(names) = &mut spec.machine_types {
+            names.retain(|name| self.machine_types.iter().any(|t| t.name == *name));
         }
-        let id = spec.id.to_string();
+    }
+
+    /// The bytes that a job or a part of one may have: somewhat less than a value, as the service
+    /// may write numbers at greater length.
+    fn usable_value_bytes(&self) -> usize {
+        self.settings.max_value_bytes / 16 * 15
+    }
+
+    /// Whether the job can be stored under its own key alone.
+    fn fits_one_value(&self, spec: &JobSpec) -> bool {
+        let value = JobValue::live(Box::new(spec.clone()), u64::MAX);
+        to_json(&value).len() <= self.usable_value_bytes()
+    }
+
+    /// Accepts a job that is to be stored in parts.
+    fn accept_large(&mut self, submission: Submission) {
+        let id = submission.spec.id.to_string();
         if self.store_cache.knows(&id) {
-            return self.read_job_key(id, ReadPurpose::Show(ticket));
+            return self.read_job_key(id, ReadPurpose::Show(submission.ticket));
         }
-        let text = String::from_utf8(to_json(&spec)).unwrap_or_default();
-        let parts = large_jobs::cut(&text, most);
+        let text = String::from_utf8(to_json(&submission.spec)).unwrap_or_default();
+        let parts = large_jobs::cut(&text, self.usable_value_bytes());
         // The job's key is written on a condition for each part.
         if parts.len() > self.settings.max_transaction_changes * 4 - 1 {
-            let answer = Answer::error(422, "too large to be kept");
-            return self.read_job_key(id, ReadPurpose::Reject(ticket, answer));
+            return self.reject(&submission, Answer::error(422, TOO_LARGE));
         }
         let parts = Box::new(PartWrite {
             generation: self.next_part_generation(),
             parts,
             versions: Vec::new(),
         });
-        self.write_parts(ticket, spec, received, parts);
+        self.write_parts(submission, parts);
     }
 
-    /// Another process, or this one later, writes under another stem.
+    /// Another process, or this one later, writes under another generation.
     fn next_part_generation(&self) -> PartGeneration {
         self.nonce.wrapping_add(self.next_call) >> 1
     }
 
     /// Writes the next parts of a large job.
-    fn write_parts(
-        &mut self,
-        ticket: Ticket,
-        spec: Box<JobSpec>,
-        since: Instant,
-        parts: Box<PartWrite>,
-    ) {
-        let from = parts.versions.len();
+    fn write_parts(&mut self, submission: Submission, parts: Box<PartWrite>) {
+        let stored = parts.versions.len();
         let by_bytes = MAX_TRANSACTION_BYTES / self.settings.max_value_bytes.max(1);
         let most = self.settings.max_transaction_changes.min(by_bytes).max(1);
-        let next = parts.parts.iter().enumerate().skip(from).take(most);
-        let put = |(n, text): (usize, &String)| Change::Put {
-            key: part_key(&spec.id, parts.generation, n as u32),
+        let next = parts.parts.iter().enumerate().skip(stored).take(most);
+        let put = |(number, text): (usize, &String)| Change::Put {
+            key: part_key(&submission.spec.id, parts.generation, number as u32),
             value: json(&PartValue { text: text.clone() }),
             lease: None,
         };
         let changes: Vec<Change> = next.map(put).collect();
-        let sent = changes.len();
-        let txn = CompareAndSwap {
+        let in_flight = changes.len();
+        let transaction = CompareAndSwap {
             conditions: Vec::new(),
             changes,
         };
-        let pending = Pending::Parts {
-            ticket,
-            spec,
-            since,
+        let pending = Pending::Parts(PartsCreation {
+            submission,
             parts,
-            sent,
-        };
-        self.ask_state(pending, StoreRequest::CompareAndSwap(txn));
+            in_flight,
+        });
+        self.ask_state(pending, StoreRequest::CompareAndSwap(transaction));
     }
 
+    /// Continues a large job's creation when the outcome of writing some of its parts is known.
     pub(in crate::core) fn parts_outcome(
         &mut self,
-        ticket: Ticket,
-        spec: Box<JobSpec>,
-        since: Instant,
-        mut parts: Box<PartWrite>,
-        sent: usize,
+        creation: PartsCreation,
         outcome: StoreOutcome,
     ) {
+        let PartsCreation {
+            submission,
+            mut parts,
+            in_flight,
+        } = creation;
+        let id = &submission.spec.id;
         match outcome {
             StoreOutcome::Committed { revision } => {
-                parts.versions.extend(std::iter::repeat_n(revision, sent));
+                let versions = std::iter::repeat_n(revision, in_flight);
+                parts.versions.extend(versions);
                 if parts.versions.len() < parts.parts.len() {
-                    self.write_parts(ticket, spec, since, parts);
+                    self.write_parts(submission, parts);
                 } else {
-                    self.create(ticket, spec, since, 0, Some(parts));
+                    self.create(Creation {
+                        submission,
+                        retries: 0,
+                        parts: Some(parts),
+                    });
                 }
             }
             // Some may be written late: they are written anew under other names.
-            StoreOutcome::Unknown(e)
-                if self.now.mono.saturating_duration_since(since) < PARTS_RETRY_WINDOW =>
-            {
-                tracing::info!(job = %spec.id, "job {}: no answer to its parts: {e}", spec.id);
+            StoreOutcome::Unknown(error) if self.waited(&submission) < PARTS_RETRY_WINDOW => {
+                tracing::info!(job = %id, %error, "job parts write unanswered");
                 parts.generation = self.next_part_generation();
                 parts.versions.clear();
-                self.write_parts(ticket, spec, since, parts);
+                self.write_parts(submission, parts);
             }
             // What was written is cleared when nobody has referred to it for long.
             other => {
-                tracing::info!(job = %spec.id, "job {}: its parts are not kept: {other:?}", spec.id);
-                self.answer(ticket, Answer::busy("the job cannot be kept now", 1));
+                tracing::info!(job = %id, outcome = ?other, "job parts not stored");
+                let answer = Answer::busy("the job cannot be kept now", 1);
+                self.answer(submission.ticket, answer);
             }
         }
     }
 
-    /// When a submission was made that was received at this moment, in milliseconds since 1970.
-    fn submitted_ms(&self, received: Instant) -> u64 {
-        let waited = self.now.mono.saturating_duration_since(received);
+    /// How long a submission has waited here.
+    fn waited(&self, submission: &Submission) -> Duration {
+        self.now.mono.saturating_duration_since(submission.received)
+    }
+
+    /// When a submission was made, in milliseconds since 1970.
+    fn submitted_ms(&self, submission: &Submission) -> u64 {
         let now = self.now.wall.duration_since(SystemTime::UNIX_EPOCH);
-        now.unwrap_or_default().saturating_sub(waited).as_millis() as u64
+        let submitted = now
+            .unwrap_or_default()
+            .saturating_sub(self.waited(submission));
+        submitted.as_millis() as u64
     }
 
-    fn create(
-        &mut self,
-        ticket: Ticket,
-        spec: Box<JobSpec>,
-        since: Instant,
-        tries: u32,
-        parts: Option<Box<PartWrite>>,
-    ) {
-        let ms = self.submitted_ms(since);
-        let txn = creation(&spec, ms, parts.as_deref());
-        let pending = Pending::Create {
-            ticket,
-            spec,
-            since,
-            tries,
-            parts,
-        };
-        let call = self.ask_state(pending, StoreRequest::CompareAndSwap(txn));
-        let look_at = self.now.mono + CREATION_CHECK_INTERVAL;
-        self.unanswered_creations.push_back((look_at, call));
+    /// Writes the key that accepts a job.
+    fn create(&mut self, creation: Creation) {
+        let submission = &creation.submission;
+        let submitted_ms = self.submitted_ms(submission);
+        let transaction =
+            create_transaction(&submission.spec, submitted_ms, creation.parts.as_deref());
+        let pending = Pending::Create(creation);
+        let call = self.ask_state(pending, StoreRequest::CompareAndSwap(transaction));
+        let check_at = self.now.mono + CREATION_CHECK_INTERVAL;
+        self.unanswered_creations.push_back((check_at, call));
     }
 
-    /// Settles creations without an answer whose job is in the store: it is accepted, whoever wrote it, and a
-    /// fresh read tells how it stands.
+    /// Settles creations without an answer whose job is in the store: it is accepted, whoever
+    /// wrote it, and a fresh read tells how it stands.
     pub(in crate::core) fn resolve_creations(&mut self) {
         let now = self.now.mono;
         while let Some((_, call)) = self.unanswered_creations.pop_front_if(|(at, _)| *at <= now) {
-            let Some(Pending::Create { ticket, spec, .. }) = self.pending.get(&call) else {
+            let Some(Pending::Create(creation)) = self.pending.get(&call) else {
                 continue;
             };
-            if !self.store_cache.knows(&spec.id) {
-                let look_at = now + CREATION_CHECK_INTERVAL;
-                self.unanswered_creations.push_back((look_at, call));
+            let submission = &creation.submission;
+            if !self.store_cache.knows(&submission.spec.id) {
+                let check_at = now + CREATION_CHECK_INTERVAL;
+                self.unanswered_creations.push_back((check_at, call));
                 continue;
             }
-            let (ticket, id) = (*ticket, spec.id.to_string());
-            tracing::info!(job = %id, "job {id}: no answer to its creation, and it is in the store");
+            let (ticket, id) = (submission.ticket, submission.spec.id.to_string());
+            tracing::info!(job = %id, "unanswered creation found in the store");
             self.pending.remove(&call);
             self.read_job_key(id, ReadPurpose::Accepted(ticket));
         }
     }
 
-    pub(in crate::core) fn creation_outcome(
-        &mut self,
-        ticket: Ticket,
-        spec: Box<JobSpec>,
-        since: Instant,
-        tries: u32,
-        parts: Option<Box<PartWrite>>,
-        outcome: StoreOutcome,
-    ) {
-        let waited = self.now.mono.saturating_duration_since(since);
+    /// Answers or repeats a submission when the outcome of writing its job key is known.
+    pub(in crate::core) fn creation_outcome(&mut self, creation: Creation, outcome: StoreOutcome) {
+        let submission = &creation.submission;
+        let id = &submission.spec.id;
+        let ticket = submission.ticket;
+        let may_retry_unknown = creation.retries < MAX_RETRIES_UNKNOWN
+            && self.waited(submission) < CREATION_RETRY_WINDOW;
         match outcome {
-            StoreOutcome::Committed { revision } => {
-                let id = spec.id.clone();
-                let ms = self.submitted_ms(since);
-                tracing::info!(
-                    job = %id, "job {id} accepted: class {} team {} tasks {}",
-                    spec.class,
-                    spec.team,
-                    spec.tasks
-                );
-                note(&mut self.stats.accept, waited.as_millis());
-                let value = match parts {
-                    None => JobValue::live(spec, ms),
-                    // The copy reads it from its parts, which were written before.
-                    Some(w) => JobValue::Parted {
-                        parts: w.parts.len() as u32,
-                        stem: w.generation,
-                        submitted_ms: ms,
-                    },
-                };
-                self.store_cache.put_job(&id, value, revision);
-                self.sync_job_runs();
-                // What names a cancelled job is accepted all the same.
-                let state = self
-                    .store_cache
-                    .outcome_of(&id)
-                    .map_or(JobState::Queued, final_state);
-                self.answer(ticket, Answer::new(201, state_body(&id, state, None, None)));
-            }
+            StoreOutcome::Committed { revision } => self.job_accepted(creation, revision),
             StoreOutcome::Conflict { .. } if is_enabled(Safeguard::Conflict) => {
-                self.read_job_key(spec.id.to_string(), ReadPurpose::Show(ticket));
-            }
-            StoreOutcome::Conflict { .. } => {
-                let body = state_body(&spec.id, JobState::Queued, None, None);
-                self.answer(ticket, Answer::new(201, body));
+                self.read_job_key(id.to_string(), ReadPurpose::Show(ticket));
             }
+            StoreOutcome::Conflict { .. } => self.answer(ticket, created(id, JobState::Queued)),
             StoreOutcome::Unknown(_) if !is_enabled(Safeguard::Accepted) => {
-                let body = state_body(&spec.id, JobState::Queued, None, None);
-                self.answer(ticket, Answer::new(201, body));
+                self.answer(ticket, created(id, JobState::Queued));
             }
-            StoreOutcome::Unknown(e) if tries < 2 && waited < Duration::from_secs(3) => {
-                tracing::info!(job = %spec.id, "job {}: no answer to its creation: {e}", spec.id);
-                self.create(ticket, spec, since, tries + 1, parts);
+            StoreOutcome::Unknown(error) if may_retry_unknown => {
+                tracing::info!(job = %id, %error, "job creation unanswered");
+                self.create(creation.retried());
             }
-            StoreOutcome::Refused(e) if tries < 1 => {
-                tracing::debug!(job = %spec.id, "job {}: creation refused: {e}", spec.id);
-                self.create(ticket, spec, since, tries + 1, parts);
+            StoreOutcome::Refused(error) if creation.retries < MAX_RETRIES_REFUSED => {
+                tracing::debug!(job = %id, %error, "job creation refused");
+                self.create(creation.retried());
             }
-            StoreOutcome::Invalid(e) => {
-                tracing::error!(job = %spec.id, "job {}: the state service refuses it: {e}", spec.id);
-                self.answer(ticket, Answer::error(422, "too large to be kept"));
+            StoreOutcome::Invalid(error) => {
+                tracing::error!(job = %id, %error, "job creation invalid for the state service");
+                self.answer(ticket, Answer::error(422, TOO_LARGE));
             }
             _ => self.answer(ticket, Answer::busy("the job cannot be kept now", 1)),
         }
     }
+
+    /// A job's key was written: takes the job into the store cache and answers its user.
+    fn job_accepted(&mut self, creation: Creation, revision: u64) {
+        let Creation {
+            submission, parts, ..
+        } = creation;
+        let waited = self.waited(&submission);
+        let submitted_ms = self.submitted_ms(&submission);
+        let Submission { ticket, spec, .. } = submission;
+        let id = spec.id.clone();
+        tracing::info!(
+            job = %id, class = %spec.class, team = %spec.team, tasks = spec.tasks,
+            "job accepted"
+        );
+        note(&mut self.stats.accept, waited.as_millis());
+        // The store cache reads a large job from its parts, which were written before.
+        let value = initial_value(spec, submitted_ms, parts.as_deref());
+        self.store_cache.put_job(&id, value, revision);
+        self.sync_job_runs();
+        // A job that names a cancelled one is accepted all the same.
+        let outcome = self.store_cache.outcome_of(&id);
+        let state = outcome.map_or(JobState::Queued, final_state);
+        self.answer(ticket, created(&id, state));
+    }
+}
+
+/// The answer to a submission that is accepted.
+fn created(id: &JobId, state: JobState) -> Answer {
+    Answer::new(201, state_body(id, state, None, None))
 }
--- a/src/core/leadership/mod.rs
+++ b/src/core/leadership/mod.rs
@@ -429,8 +429,8 @@
         self.pending.retain(|_, p| {
             matches!(
                 p,
-                Pending::Create { .. }
-                    | Pending::Parts { .. }
+                Pending::Create(_)
+                    | Pending::Parts(_)
                     | Pending::Read { .. }
                     | Pending::Barrier(_)
                     | Pending::TakeOver
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -41,8 +41,9 @@
 pub use store::cache::StoreCache;
 
 use crate::cloud_client::{CloudOutcome, CloudRequest};
+use crate::core::jobs::creation::{Creation, PartsCreation};
 use crate::http::Answer;
-use crate::job::{JobId, JobSpec, MachineId};
+use crate::job::{JobId, MachineId};
 use crate::peer::heartbeat_batch::{HeartbeatBatch, HeartbeatBatchResponse};
 use crate::peer::memory_exchange::{MemoryPage, MemoryRequest};
 use crate::peer::{PeerAnswer, PeerRequest};
@@ -217,23 +218,10 @@
 /// What a call in flight is for.
 #[derive(Debug)]
 enum Pending {
-    Create {
-        ticket: Ticket,
-        spec: Box<JobSpec>,
-        since: Instant,
-        tries: u32,
-        /// Where it does not fit into one value.
-        parts: Option<Box<store::large_jobs::PartWrite>>,
-    },
-    /// The parts of a job that is to be accepted.
-    Parts {
-        ticket: Ticket,
-        spec: Box<JobSpec>,
-        since: Instant,
-        parts: Box<store::large_jobs::PartWrite>,
-        /// How many of them are in this transaction.
-        sent: usize,
-    },
+    /// The key that accepts a job.
+    Create(Creation),
+    /// The parts of a large job that is to be accepted.
+    Parts(PartsCreation),
     Read {
         id: String,
         purpose: ReadPurpose,
@@ -647,20 +635,8 @@
         }
         self.heed_revision(call, &outcome);
         match self.pending.remove(&call) {
-            Some(Pending::Create {
-                ticket,
-                spec,
-                since,
-                tries,
-                parts,
-            }) => self.creation_outcome(ticket, spec, since, tries, parts, outcome),
-            Some(Pending::Parts {
-                ticket,
-                spec,
-                since,
-                parts,
-                sent,
-            }) => self.parts_outcome(ticket, spec, since, parts, sent, outcome),
+            Some(Pending::Create(creation)) => self.creation_outcome(creation, outcome),
+            Some(Pending::Parts(creation)) => self.parts_outcome(creation, outcome),
             Some(Pending::Read { id, purpose }) => self.read(id, purpose, outcome),
             Some(Pending::Barrier(questions)) => self.barrier_read(questions, outcome),
             Some(Pending::TakeOver) => self.campaign_outcome(outcome),
--- a/src/core/store/read_barrier.rs
+++ b/src/core/store/read_barrier.rs
@@ -5,9 +5,9 @@
 //! has come as far, nothing can have been told to anybody before the question that the copy does
 //! not hold. Questions of one step share the read.
 
+use crate::core::jobs::creation::Submission;
 use crate::core::{Core, Pending, Ticket};
 use crate::http::Answer;
-use crate::job::JobSpec;
 use crate::store_client::{StoreOutcome, StoreRequest};
 use std::time::{Duration, Instant};
 
@@ -17,7 +17,7 @@
 #[derive(Debug)]
 pub enum Question {
     Show(Ticket, String),
-    Submit(Ticket, Box<JobSpec>, Instant),
+    Submit(Submission),
 }
 
 #[derive(Default)]
@@ -58,7 +58,10 @@
 
     fn defer(&mut self, questions: Vec<Question>) {
         for q in questions {
-            let (Question::Show(ticket, _) | Question::Submit(ticket, ..)) = q;
+            let ticket = match q {
+                Question::Show(ticket, _) => ticket,
+                Question::Submit(submission) => submission.ticket,
+            };
             self.answer(ticket, Answer::busy("the state cannot be read now", 1));
         }
     }
@@ -71,9 +74,7 @@
                 for q in questions {
                     match q {
                         Question::Show(ticket, id) => self.show_fresh(ticket, &id),
-                        Question::Submit(ticket, spec, received) => {
-                            self.accept(ticket, spec, received, true);
-                        }
+                        Question::Submit(submission) => self.accept(submission, true),
                     }
                 }
             } else if now >= until {
