--- /dev/null
+++ b/src/core/jobs/answers.rs
@@ -0,0 +1,118 @@
+//! The state of a job as users see it, from what this controller knows.
+
+use crate::core::jobs::job_run::JobRun;
+use crate::core::{Core, Ticket};
+use crate::http::Answer;
+use crate::job::{JobOutcome, MachineId, TaskId};
+use crate::wire::{JobState, JobStatus, to_json};
+
+/// The body of an answer that tells a job's state.
+pub(in crate::core) fn state_body(
+    id: &str,
+    state: JobState,
+    done: Option<u32>,
+    running: Option<u32>,
+) -> Vec<u8> {
+    to_json(&JobStatus {
+        id: id.to_string(),
+        state,
+        done,
+        running,
+    })
+}
+
+/// The state of a job that ended so.
+pub(in crate::core) fn final_state(outcome: JobOutcome) -> JobState {
+    match outcome {
+        JobOutcome::Done => JobState::Done,
+        JobOutcome::Cancelled => JobState::Cancelled,
+    }
+}
+
+/// The answer while the state of jobs is withheld, see [`Core::must_withhold_state`].
+pub(in crate::core) fn rebuilding_answer() -> Answer {
+    Answer::busy("the state service has lost data and is being rebuilt", 1)
+}
+
+impl Core {
+    /// The state of a job that has ended.
+    pub(in crate::core) fn final_answer(&self, id: &str) -> Option<Answer> {
+        let outcome = self.store_cache.outcome_of(id)?;
+        let body = state_body(id, final_state(outcome), None, None);
+        Some(Answer::new(200, body))
+    }
+
+    /// The store has lost data, and somebody may remember more than is known here: what is not
+    /// final cannot be told.
+    pub(in crate::core) fn must_withhold_state(&self) -> bool {
+        self.store_is_incomplete() && !self.may_report_state()
+    }
+
+    /// The state of a live job, which only an acting leader may tell from memory, and only while
+    /// no end of it, or cancellation of one that it needs, is being written: that write may be
+    /// committed already, and another node may have told the user.
+    pub(in crate::core) fn live_answer(&self, id: &str) -> Option<Answer> {
+        if !self.acting() || self.must_withhold_state() {
+            return None;
+        }
+        let job = self.store_cache.jobs.get(id)?;
+        let leader = self.leader.as_ref()?;
+        let run = leader.job_runs.get(id)?;
+        if run.ending.is_some() || leader.cancellation_pending.contains(id) {
+            return None;
+        }
+        let running = self.running_tasks(id, run);
+        let state = if running > 0 {
+            JobState::Running
+        } else {
+            JobState::Queued
+        };
+        let body = state_body(id, state, Some(job.done.len()), Some(running));
+        Some(Answer::new(200, body).until(self.leader_until()))
+    }
+
+    /// How many of a job's tasks run, by the last heartbeats of their machines.
+    pub(in crate::core) fn running_tasks(&self, id: &str, run: &JobRun) -> u32 {
+        let Some(leader) = &self.leader else { return 0 };
+        let runs = |(row, machine): &(&u32, &MachineId)| {
+            let task = TaskId {
+                job: Self::job_id(id),
+                index: **row,
+            };
+            let machine = leader.machines.get(*machine);
+            let task = machine.and_then(|m| m.tasks.get(&task));
+            task.is_some_and(|t| t.runs())
+        };
+        run.tasks.assigned().iter().filter(runs).count() as u32
+    }
+
+    /// Answers with what was read after the request came: nobody can have been told anything
+    /// newer before.
+    pub(in crate::core) fn show_fresh(&mut self, ticket: Ticket, id: &str) {
+        let answer = self.fresh_answer(id);
+        self.answer(ticket, answer);
+    }
+
+    /// The state of a job by the store cache, which was brought up to date for it.
+    pub(in crate::core) fn fresh_answer(&self, id: &str) -> Answer {
+        let known = self.final_answer(id).or_else(|| self.live_answer(id));
+        known.unwrap_or_else(|| self.stored_answer(id))
+    }
+
+    /// The state of a live job by what is durable of it.
+    fn stored_answer(&self, id: &str) -> Answer {
+        let Some(job) = self.store_cache.jobs.get(id) else {
+            return Answer::busy("the state cannot be read now", 1);
+        };
+        if self.must_withhold_state() {
+            return rebuilding_answer();
+        }
+        let done = job.done.len();
+        let state = if done > 0 {
+            JobState::Running
+        } else {
+            JobState::Queued
+        };
+        Answer::new(200, state_body(id, state, Some(done), None))
+    }
+}
--- a/src/core/jobs/dependencies.rs
+++ b/src/core/jobs/dependencies.rs
@@ -1,5 +1,5 @@
-//! Who awaits whom. A job that names others starts nothing before all of them are done, and is
-//! cancelled with any of them.
+//! The dependency graph of live jobs. A job that names others starts nothing before all of them
+//! are done, and is cancelled with any of them.
 //!
 //! All of it follows from two durable facts: what a job was submitted with, and how the jobs that
 //! it names have ended. So every node knows it, after any takeover and for what is submitted
@@ -9,75 +9,68 @@
 use crate::job::{JobId, JobOutcome};
 use std::collections::{BTreeMap, BTreeSet};
 
+/// Which live jobs wait for which others, and which are cancelled with one.
 #[derive(Default)]
 pub struct DependencyGraph {
-    /// Live jobs, by each job that they await and that is not over.
+    /// Live jobs, by each job that they depend on and that is not over.
     dependents: BTreeMap<JobId, BTreeSet<JobId>>,
-    /// How many of the jobs that a live job awaits are not done. Not listed: none.
+    /// How many dependencies of a live job are not done. Not listed: none.
     unfinished: BTreeMap<JobId, usize>,
-    /// Live jobs that need a cancelled one, directly or through others, and which.
+    /// Live jobs that depend on a cancelled one, directly or through others, and on which.
     cancelled: BTreeMap<JobId, JobId>,
 }
 
 impl DependencyGraph {
-    /// A job is live; returns the jobs that need it and are cancelled with it, itself included.
+    /// A job is live; returns the jobs that depend on it and are cancelled with it, itself included.
     pub fn begin(
         &mut self,
         id: &JobId,
         dependencies: &[JobId],
         finished: &BTreeMap<JobId, JobOutcome>,
     ) -> Vec<JobId> {
-        let mut root = None;
-        for a in dependencies {
-            match finished.get(a) {
+        let mut cancelled_with = None;
+        for dependency in dependencies {
+            match finished.get(dependency) {
                 Some(JobOutcome::Done) => {}
-                Some(JobOutcome::Cancelled) => root = Some(a.clone()),
+                Some(JobOutcome::Cancelled) => cancelled_with = Some(dependency.clone()),
                 None => {
-                    if let Some(r) = self.cancelled.get(a) {
-                        root = Some(r.clone());
-                    }
-                    if self
-                        .dependents
-                        .entry(a.clone())
-                        .or_default()
-                        .insert(id.clone())
-                    {
-                        *self.unfinished.entry(id.clone()).or_default() += 1;
+                    if let Some(cancelled) = self.cancelled.get(dependency) {
+                        cancelled_with = Some(cancelled.clone());
                     }
+                    self.add_unfinished(id, dependency);
                 }
             }
         }
-        match root {
-            Some(root) => self.cancel_downstream(id, &root),
+        match cancelled_with {
+            Some(cancelled) => self.cancel_downstream(id, &cancelled),
             None => Vec::new(),
         }
     }
 
+    /// A live job waits for another; counted once, however often it is named.
+    fn add_unfinished(&mut self, id: &JobId, dependency: &JobId) {
+        let dependents = self.dependents.entry(dependency.clone()).or_default();
+        if dependents.insert(id.clone()) {
+            *self.unfinished.entry(id.clone()).or_default() += 1;
+        }
+    }
+
     /// A job is over; returns the jobs that may start now, or are cancelled with it.
-    pub fn end(&mut self, id: &JobId, dependencies: &[JobId], end: JobOutcome) -> Vec<JobId> {
+    pub fn end(&mut self, id: &JobId, dependencies: &[JobId], outcome: JobOutcome) -> Vec<JobId> {
         self.unfinished.remove(id);
         self.cancelled.remove(id);
-        for a in dependencies {
-            if let Some(jobs) = self.dependents.get_mut(a) {
-                jobs.remove(id);
-                if jobs.is_empty() {
-                    self.dependents.remove(a);
-                }
-            }
+        for dependency in dependencies {
+            self.remove_dependent(dependency, id);
         }
-        // Taken out: being told of the end once more counts nothing twice.
-        let jobs = self.dependents.remove(id).unwrap_or_default();
+        // Taken out: the same end reported once more counts nothing twice.
+        let dependents = self.dependents.remove(id).unwrap_or_default();
         let mut changed = Vec::new();
-        for job in jobs {
-            match end {
-                JobOutcome::Cancelled => changed.extend(self.cancel_downstream(&job, id)),
+        for dependent in dependents {
+            match outcome {
+                JobOutcome::Cancelled => changed.extend(self.cancel_downstream(&dependent, id)),
                 JobOutcome::Done => {
-                    if let Some(n) = self.unfinished.get_mut(&job) {
-                        *n -= 1;
-                        if *n == 0 {
-                            self.unfinished.remove(&job);
-                            changed.push(job);
-                        }
+                    if self.dependency_done(&dependent) {
+                        changed.push(dependent);
                     }
                 }
             }
@@ -85,22 +78,45 @@
         changed
     }
 
-    /// A job and all that needs it are cancelled with `root`. Chains may be long: no recursion.
-    fn cancel_downstream(&mut self, id: &JobId, root: &JobId) -> Vec<JobId> {
+    fn remove_dependent(&mut self, dependency: &JobId, id: &JobId) {
+        if let Some(dependents) = self.dependents.get_mut(dependency) {
+            dependents.remove(id);
+            if dependents.is_empty() {
+                self.dependents.remove(dependency);
+            }
+        }
+    }
+
+    /// One dependency of a live job is done; says whether it was the last one.
+    fn dependency_done(&mut self, id: &JobId) -> bool {
+        let Some(unfinished) = self.unfinished.get_mut(id) else {
+            return false;
+        };
+        *unfinished -= 1;
+        if *unfinished > 0 {
+            return false;
+        }
+        self.unfinished.remove(id);
+        true
+    }
+
+    /// A job and all that depends on it are cancelled with another one; returns those that were not
+    /// before. Chains may be long: no recursion.
+    fn cancel_downstream(&mut self, id: &JobId, cancelled_with: &JobId) -> Vec<JobId> {
         let mut changed = Vec::new();
         let mut next = vec![id.clone()];
         while let Some(job) = next.pop() {
             if self.cancelled.contains_key(&job) {
                 continue;
             }
-            self.cancelled.insert(job.clone(), root.clone());
+            self.cancelled.insert(job.clone(), cancelled_with.clone());
             next.extend(self.dependents(&job).cloned());
             changed.push(job);
         }
         changed
     }
 
-    /// All that needs a job, directly or through others.
+    /// All that depends on a job, directly or through others.
     pub fn all_dependents(&self, id: &JobId) -> BTreeSet<JobId> {
         let mut found = BTreeSet::new();
         let mut next: Vec<&JobId> = self.dependents(id).collect();
@@ -117,7 +133,7 @@
         self.dependents.get(id).into_iter().flatten()
     }
 
-    /// How many of the jobs that a live job awaits are not done.
+    /// How many dependencies of a live job are not done.
     pub fn unfinished_dependencies(&self, id: &JobId) -> usize {
         self.unfinished.get(id).copied().unwrap_or(0)
     }
--- /dev/null
+++ b/src/core/jobs/job_reads.rs
@@ -0,0 +1,139 @@
+//! Reads of a job's key from the state service for users' requests, and what follows from them.
+
+use crate::core::jobs::answers::state_body;
+use crate::core::store::cache::JobValue;
+use crate::core::store::keys::job_key;
+use crate::core::store::read_barrier::Question;
+use crate::core::{Core, Pending, ReadPurpose, Ticket};
+use crate::fault_injection::{Safeguard, is_enabled};
+use crate::http::Answer;
+use crate::store_client::{StoreOutcome, StoreRequest};
+use crate::wire::{Item, JobState};
+
+impl ReadPurpose {
+    /// Whom to answer.
+    fn ticket(&self) -> Ticket {
+        match self {
+            ReadPurpose::Show(ticket)
+            | ReadPurpose::Accepted(ticket)
+            | ReadPurpose::Cancel(ticket)
+            | ReadPurpose::Reject(ticket, _) => *ticket,
+        }
+    }
+}
+
+impl Core {
+    /// Reads a job's key for a user's query, within the budget for these. Without a leader every
+    /// query takes a read. Queued for the state service's limit they kept it busy for many
+    /// seconds after their users had gone, and submissions waited behind them.
+    pub(in crate::core) fn read_for_query(&mut self, id: String, ticket: Ticket) {
+        if self.read_budget.try_take(self.now.mono) {
+            self.read_job_key(id, ReadPurpose::Show(ticket));
+        } else {
+            self.answer(ticket, Answer::busy("too many questions now", 1));
+        }
+    }
+
+    /// Reads a job's key.
+    pub(in crate::core) fn read_job_key(&mut self, id: String, purpose: ReadPurpose) {
+        let key = job_key(&id);
+        self.ask_state(Pending::Read { id, purpose }, StoreRequest::Get(key));
+    }
+
+    /// Serves the request for which a job's key was read.
+    pub(in crate::core) fn read(
+        &mut self,
+        id: String,
+        purpose: ReadPurpose,
+        outcome: StoreOutcome,
+    ) {
+        match outcome {
+            StoreOutcome::Missing { .. } => self.job_key_missing(id, purpose),
+            StoreOutcome::Found(item) => self.job_key_found(id, purpose, item),
+            other => {
+                tracing::debug!(job = %id, outcome = ?other, "job key not read");
+                let answer = Answer::busy("the state cannot be read now", 1);
+                self.answer(purpose.ticket(), answer);
+            }
+        }
+    }
+
+    fn job_key_missing(&mut self, id: String, purpose: ReadPurpose) {
+        let ticket = purpose.ticket();
+        if self.store_cache.jobs.contains_key(id.as_str()) {
+            return self.known_job_key_missing(id, purpose);
+        }
+        if self.existence_is_uncertain() {
+            // It may have been accepted all the same.
+            let answer = Answer::busy("whether it was accepted cannot be told yet", 3);
+            return self.answer(ticket, answer);
+        }
+        let answer = match purpose {
+            ReadPurpose::Reject(_, answer) => answer,
+            _ if is_enabled(Safeguard::Unknown) => Answer::error(404, "no such job"),
+            _ => Answer::new(200, state_body(&id, JobState::Queued, None, None)),
+        };
+        self.answer(ticket, answer);
+    }
+
+    /// The store has lost a job that this controller knows.
+    fn known_job_key_missing(&mut self, id: String, purpose: ReadPurpose) {
+        let ticket = purpose.ticket();
+        if !self.store_is_incomplete() {
+            self.suspect_data_loss("it has forgotten a job");
+            let answer = Answer::busy("the state service may have lost data", 1);
+            return self.answer(ticket, answer);
+        }
+        // Remembered, and not written back yet.
+        match purpose {
+            ReadPurpose::Cancel(_) => self.cancel_as_leader(ticket, &id),
+            _ => self.show_fresh(ticket, &id),
+        }
+    }
+
+    fn job_key_found(&mut self, id: String, purpose: ReadPurpose, item: Item) {
+        let ticket = purpose.ticket();
+        let value: JobValue = match serde_json::from_value(item.value) {
+            Ok(value) => value,
+            Err(error) => {
+                tracing::error!(job = %id, %error, "job value unreadable");
+                return self.answer(ticket, Answer::busy("unreadable", 5));
+            }
+        };
+        self.store_cache.put_job(&id, value, item.version);
+        self.sync_job_runs();
+        let final_answer = self.final_answer(&id);
+        let accepted = matches!(purpose, ReadPurpose::Accepted(_));
+        if accepted && (final_answer.is_some() || self.own_key_tells_state(&id)) {
+            let mut answer = self.fresh_answer(&id);
+            if answer.status == 200 {
+                answer.status = 201;
+            }
+            self.answer(ticket, answer);
+        } else if let Some(answer) = final_answer {
+            self.answer(ticket, answer);
+        } else if matches!(purpose, ReadPurpose::Cancel(_)) {
+            self.cancel_as_leader(ticket, &id);
+        } else if self.own_key_tells_state(&id) {
+            self.show_fresh(ticket, &id);
+        } else {
+            self.queue_barrier_query(Question::Show(ticket, id));
+        }
+    }
+
+    /// Cancels a job whose key was read, if this controller still leads.
+    fn cancel_as_leader(&mut self, ticket: Ticket, id: &str) {
+        if self.acting() {
+            self.cancel(ticket, id);
+        } else {
+            self.answer(ticket, Answer::busy("the leader changed", 1));
+        }
+    }
+
+    /// Whether a live job's own key is enough to tell its state: that of one with dependencies does
+    /// not tell how these have ended.
+    fn own_key_tells_state(&self, id: &str) -> bool {
+        let job = self.store_cache.jobs.get(id);
+        job.is_some_and(|job| job.spec.dependencies.is_empty())
+    }
+}
--- a/src/core/jobs/job_run.rs
+++ b/src/core/jobs/job_run.rs
@@ -1,6 +1,7 @@
-//! A job as its leader knows it: what runs of it, how its class runs, and how urgent it is. Data that
-//! planning, reports and users' requests act on.
+//! A job as its leader knows it: what runs of it, and how it has failed. Data that planning,
+//! heartbeats and users' requests act on.
 
+use crate::core::jobs::task_assignment::TaskAssignment;
 use crate::core::machines::machine::{Machines, StopReason};
 use crate::core::store::cache::JobRecord;
 use crate::core::{Now, Ticket};
@@ -11,92 +12,59 @@
 /// A live job as its leader knows it.
 #[derive(Default)]
 pub struct JobRun {
-    /// Its team, by its place in the settings, and whether it lies within that team's guarantee.
+    /// Its team, by its place in the settings.
     pub team: Option<usize>,
+    /// Whether it lies within that team's guarantee.
     pub guaranteed: bool,
-    pub queued: BTreeSet<u32>,
-    pub placed: BTreeMap<u32, MachineId>,
-    /// Further machines on which a placed row is or may be: a report of unknown age proves that it may be
-    /// there, and that it is elsewhere proves nothing. A row waits again when none of them has it.
-    pub(in crate::core) other_machines: BTreeMap<u32, Vec<MachineId>>,
-    /// Rows that are not to be started again before some moment.
+    /// Where its tasks are.
+    pub tasks: TaskAssignment,
+    /// Tasks that are not to be started again before some moment.
     pub backoff_until: BTreeMap<u32, Instant>,
-    /// Done rows that are not in the state service yet.
+    /// Done tasks that are not in the state service yet.
     pub unpersisted_done: BTreeSet<u32>,
     /// The end that is being written. Nothing is started any more.
     pub ending: Option<JobOutcome>,
+    /// Users who are answered when its cancellation is durable.
     pub cancel_waiters: Vec<Ticket>,
     /// Machines on which its tasks failed, and how often.
     pub failures: BTreeMap<MachineId, u32>,
+    /// Whether a task of it has ever completed.
     pub succeeded: bool,
-    /// While the job is suspect: when it is tried again, and how often that was in vain.
-    pub retry_at: Option<Instant>,
-    pub retries: u32,
+    /// While the job is suspect: when it is tried again.
+    retry_at: Option<Instant>,
+    /// How often a suspect job was tried again in vain.
+    retries: u32,
+    /// When its first task started, as this leader knows.
     pub started: Option<Instant>,
-    /// Since when, as this leader knows, all is done that the job awaits.
+    /// Since when, as this leader knows, all is done that the job depends on.
     pub ready: Option<Now>,
-    /// Sum of the logarithms of its tasks' run times, and their number.
-    pub log_run_times: (f64, u32),
+    /// How long its tasks ran.
+    pub run_times: LogRunTimes,
 }
 
-/// A job that has failed on this many machines and succeeded on none speaks against itself.
-const SUSPECT: usize = 3;
+/// A job that has failed on this many machines and succeeded on none is suspect: the fault is
+/// taken to be its own.
+const SUSPECT_MACHINES: usize = 3;
 /// A suspect job is tried again after this, then after twice as long, and so on to a minute:
 /// mostly its owner has made a mistake, and only a cancellation helps.
-const PROBE_PAUSE: Duration = Duration::from_secs(2);
+const INITIAL_RETRY_DELAY: Duration = Duration::from_secs(2);
+/// The delay is doubled this often at the most.
+const MAX_RETRY_DOUBLINGS: u32 = 5;
 
 impl JobRun {
-    /// The row is, or may be, on this machine.
-    pub fn hold(&mut self, row: u32, machine: &MachineId) {
-        self.queued.remove(&row);
-        match self.placed.get(&row) {
-            None => {
-                self.placed.insert(row, machine.clone());
-            }
-            Some(first) if first == machine => {}
-            Some(_) => {
-                let also = self.other_machines.entry(row).or_default();
-                if !also.contains(machine) {
-                    also.push(machine.clone());
-                }
-            }
-        }
-    }
-
-    /// The row is not on this machine any more. Says whether it was, and is on no other one.
-    pub fn unassign(&mut self, row: u32, machine: &MachineId) -> bool {
-        let mut also = self.other_machines.remove(&row).unwrap_or_default();
-        let first = self.placed.get(&row) == Some(machine);
-        also.retain(|m| m != machine);
-        let next = if first { also.pop() } else { None };
-        if !also.is_empty() {
-            self.other_machines.insert(row, also);
+    /// A job of which nothing is known to run; `team` by its place in the settings.
+    pub fn new(job: &JobRecord, team: Option<usize>) -> JobRun {
+        let unfinished = (0..job.spec.tasks).filter(|task| !job.done.contains(*task));
+        JobRun {
+            team,
+            tasks: TaskAssignment::new(unfinished),
+            succeeded: job.done.len() > 0,
+            ..JobRun::default()
         }
-        match next {
-            Some(next) => {
-                self.placed.insert(row, next);
-                false
-            }
-            None => first && self.placed.remove(&row).is_some(),
-        }
-    }
-
-    /// The row needs to be nowhere any more; where it is or may be.
-    pub fn release(&mut self, row: u32) -> Vec<MachineId> {
-        let also = self.other_machines.remove(&row).unwrap_or_default();
-        self.placed.remove(&row).into_iter().chain(also).collect()
-    }
-
-    /// Where a row is or may be, if that is more than one machine.
-    pub fn assigned_machines(&self, row: u32) -> Vec<&MachineId> {
-        let Some(also) = self.other_machines.get(&row) else {
-            return Vec::new();
-        };
-        self.placed.get(&row).into_iter().chain(also).collect()
     }
 
-    /// Stops what is placed of the job. An end is told to machines even where they were told to
-    /// stop before; other reasons only once.
+    /// Stops what is assigned of the job. [`StopReason::Over`] is sent to machines even where they
+    /// were told to stop before; other reasons only once.
     pub fn stop_assigned(
         &self,
         id: &JobId,
@@ -104,121 +72,84 @@
         reason: StopReason,
         now: Instant,
     ) {
-        let also = self.other_machines.iter();
-        let also = also.flat_map(|(row, all)| all.iter().map(move |m| (row, m)));
-        for (row, machine) in self.placed.iter().chain(also) {
+        let first = self.tasks.assigned().iter().map(|(task, m)| (*task, m));
+        for (index, machine) in first.chain(self.tasks.other_machines()) {
             let key = TaskId {
                 job: id.clone(),
-                index: *row,
+                index,
             };
-            if let Some(m) = machines.get_mut(machine)
-                && let Some(t) = m.tasks.get_mut(&key)
-                && (reason == StopReason::Over || t.stopping.is_none())
+            if let Some(machine) = machines.get_mut(machine)
+                && let Some(task) = machine.tasks.get_mut(&key)
+                && (reason == StopReason::Over || task.stopping.is_none())
             {
-                t.stop(reason, now);
-                m.needs_push = true;
+                task.stop(reason, now);
+                machine.needs_push = true;
             }
         }
     }
 
+    /// Whether its failures are taken to be its own fault, and not that of the machines.
     pub fn is_suspect(&self) -> bool {
-        !self.succeeded && self.failures.len() >= SUSPECT
+        !self.succeeded && self.failures.len() >= SUSPECT_MACHINES
     }
 
     /// A suspect job has failed once more: it waits twice as long. What was started together
     /// with the last try and fails after it counts with it.
     pub fn record_retry_failure(&mut self, now: Instant) {
-        if self.is_suspect() && self.retry_at.is_none_or(|t| now >= t) {
-            self.retry_at = Some(now + PROBE_PAUSE * (1 << self.retries.min(5)));
+        if self.is_suspect() && self.retry_at.is_none_or(|at| now >= at) {
+            let doublings = self.retries.min(MAX_RETRY_DOUBLINGS);
+            self.retry_at = Some(now + INITIAL_RETRY_DELAY * (1 << doublings));
             self.retries += 1;
         }
     }
 
     /// Whether nothing of a suspect job is to be started now: it is tried with one task at a time.
     pub fn is_backing_off(&self, now: Instant) -> bool {
-        let early = self.retry_at.is_some_and(|t| now < t);
-        self.is_suspect() && (early || !self.placed.is_empty())
+        let too_early = self.retry_at.is_some_and(|at| now < at);
+        self.is_suspect() && (too_early || !self.tasks.assigned().is_empty())
     }
 }
 
-/// How a class's run times compare with its estimates.
+/// The run times of a job's tasks, in logarithms: one long run counts little.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct RuntimeRatio {
-    pub actual: f64,
-    pub estimated: f64,
+pub struct LogRunTimes {
+    sum: f64,
+    count: u32,
 }
 
-impl RuntimeRatio {
-    /// Older experience fades, and little experience counts little.
-    pub fn factor(&self) -> f64 {
-        const PRIOR_S: f64 = 60.0;
-        ((self.actual + PRIOR_S) / (self.estimated + PRIOR_S)).clamp(0.2, 5.0)
-    }
-
-    pub fn note(&mut self, actual: f64, estimated: f64) {
-        const FADE: f64 = 0.98;
-        self.actual = self.actual * FADE + actual;
-        self.estimated = self.estimated * FADE + estimated;
-    }
-}
-
-/// Jobs submitted this short a while ago tell a new leader how often they come.
-const RECENT: Duration = Duration::from_secs(30);
-
-/// How often jobs arrive; older experience fades.
-#[derive(Clone, Copy, Debug)]
-pub struct ArrivalRate {
-    at: Instant,
-    seconds: f64,
-    jobs: f64,
-}
-
-impl ArrivalRate {
-    /// What a new leader expects: as many as came in the last half minute and are not over yet,
-    /// and one in two minutes beside them. Without those, each takeover would keep idle machines
-    /// as if hardly any job came.
-    pub fn new<'a>(now: Now, jobs: impl Iterator<Item = &'a JobRecord>) -> ArrivalRate {
-        let young = |j: &&JobRecord| {
-            let age = now.wall.duration_since(j.submitted).unwrap_or_default();
-            age < RECENT
-        };
-        ArrivalRate {
-            at: now.mono,
-            seconds: RECENT.as_secs_f64() * 2.0,
-            jobs: jobs.filter(young).count() as f64 * 2.0 + 0.5,
-        }
-    }
+/// So many run times tell what is usual for a job.
+const MIN_RUN_TIMES: u32 = 3;
 
-    pub fn note(&mut self, now: Instant, jobs: u32) {
-        const FADE_S: f64 = 180.0;
-        let passed = now.saturating_duration_since(self.at).as_secs_f64();
-        let kept = (-passed / FADE_S).exp();
-        self.at = now;
-        self.seconds = self.seconds * kept + passed;
-        self.jobs = self.jobs * kept + f64::from(jobs);
+impl LogRunTimes {
+    /// Adds the logarithm of a run time.
+    pub fn add(&mut self, log_run_time: f64) {
+        self.sum += log_run_time;
+        self.count += 1;
     }
 
-    /// Mean time between two jobs, in seconds.
-    pub fn pause(&self) -> f64 {
-        self.seconds / self.jobs.max(1e-3)
+    /// The mean of the logarithms, once there are enough of them.
+    pub fn mean(&self) -> Option<f64> {
+        (self.count >= MIN_RUN_TIMES).then(|| self.sum / f64::from(self.count))
     }
 }
 
-/// How urgent a job is, in itself or for the sake of those that need it.
+/// How urgent a job is, in itself or for the sake of those that depend on it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Urgency {
+    /// The more urgent of its own priority and those of its dependents.
     pub priority: Priority,
     /// When it should be done, so that all after it can be done by their deadlines.
     pub due: Option<SystemTime>,
-    /// Others need it.
+    /// Others depend on it.
     pub needed: bool,
 }
 
 impl Urgency {
+    /// How urgent a job is in itself.
     pub fn own(job: &JobRecord) -> Urgency {
         Urgency {
             priority: job.spec.priority,
-            due: job.spec.deadline.map(|d| job.submitted + d),
+            due: job.spec.deadline.map(|deadline| job.submitted + deadline),
             needed: false,
         }
     }
--- a/src/core/jobs/lifecycle.rs
+++ b/src/core/jobs/lifecycle.rs
@@ -1,8 +1,12 @@
-//! How jobs progress and end: cancellations, and the leader's runs in line with what is durable.
+//! How jobs begin, progress and end: cancellations, and the leader's runs kept in line with what
+//! is durable.
 
-use crate::core::jobs::job_run::{JobRun, RuntimeRatio};
-use crate::core::jobs::queries::{rebuilding_answer, state_body};
+use crate::core::jobs::answers::{rebuilding_answer, state_body};
+use crate::core::jobs::job_run::JobRun;
+use crate::core::jobs::statistics::RuntimeRatio;
+use crate::core::leadership::state::LeaderState;
 use crate::core::machines::machine::StopReason;
+use crate::core::store::cache::JobRecord;
 use crate::core::{Core, Effect, Ticket};
 use crate::fault_injection::{Safeguard, is_enabled};
 use crate::http::Answer;
@@ -31,24 +35,32 @@
             });
         }
         if run.ending.is_none() {
-            tracing::info!(job = %id, "job {id}: cancelled by its user");
-            run.ending = Some(JobOutcome::Cancelled);
-            // What they do from now on is of no use to anybody, and what was still to start would start after
-            // its user was told. Should the end never be written, a later leader starts them again.
-            if is_enabled(Safeguard::Early) && is_enabled(Safeguard::Stopped) {
-                let id = Self::job_id(id);
-                run.stop_assigned(&id, &mut leader.machines, StopReason::Over, self.now.mono);
-            }
-            leader.writes.ends.insert(id.into(), JobOutcome::Cancelled);
-            let with_it = self
-                .store_cache
-                .dependencies
-                .all_dependents(&Self::job_id(id));
-            leader.cancellation_pending.extend(with_it);
+            tracing::info!(job = %id, "job cancelled by user");
+            self.begin_cancellation(&Self::job_id(id));
+        }
+    }
+
+    /// Stops a job's tasks and has its cancellation written.
+    fn begin_cancellation(&mut self, id: &JobId) {
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        let Some(run) = leader.job_runs.get_mut(id) else {
+            return;
+        };
+        run.ending = Some(JobOutcome::Cancelled);
+        // What they do from now on is of no use to anybody, and what was still to start would start
+        // after its user was told. Should the end never be written, a later leader starts them again.
+        if is_enabled(Safeguard::Early) && is_enabled(Safeguard::Stopped) {
+            run.stop_assigned(id, &mut leader.machines, StopReason::Over, self.now.mono);
         }
+        let ends = &mut leader.writes.ends;
+        ends.insert(id.clone(), JobOutcome::Cancelled);
+        let dependents = self.store_cache.dependencies.all_dependents(id);
+        leader.cancellation_pending.extend(dependents);
     }
 
-    /// Brings the leader's runs in line with the mirror: new jobs begin, finished ones end.
+    /// Brings the leader's runs in line with the store cache: new jobs begin, finished ones end.
     pub(in crate::core) fn sync_job_runs(&mut self) {
         let changed = std::mem::take(&mut self.store_cache.changed);
         for id in changed {
@@ -57,73 +69,84 @@
     }
 
     fn sync_job_run(&mut self, id: &JobId) {
+        if self.leader.is_none() {
+            return;
+        }
+        if !self.store_cache.jobs.contains_key(id) {
+            return self.finish_job(id);
+        }
+        self.cancel_with_dependency(id);
+        self.begin_run(id);
+        self.check_readiness(id);
+        self.adopt_job(id);
+        self.propagate_job_urgency(id);
+        self.end_if_complete(id);
+    }
+
+    /// Has a job cancelled that depends on a cancelled one. Nothing of it can have started, as not
+    /// all that it needs is done.
+    fn cancel_with_dependency(&mut self, id: &JobId) {
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        let Some(cancelled) = self.store_cache.dependencies.cancelled_dependency(id) else {
+            return;
+        };
+        if leader.writes.followers.insert(id.clone()) {
+            tracing::info!(job = %id, dependency = %cancelled, "job cancelled with its dependency");
+        }
+    }
+
+    /// Creates the run of a job that the leader does not know yet.
+    fn begin_run(&mut self, id: &JobId) {
         let Some(leader) = &mut self.leader else {
             return;
         };
         let Some(job) = self.store_cache.jobs.get(id) else {
-            return self.finish_job(id);
+            return;
         };
-        if let Some(root) = self.store_cache.dependencies.cancelled_dependency(id) {
-            // Nothing of it can have started, as not all that it needs is done.
-            if leader.writes.followers.insert(id.clone()) {
-                tracing::info!(job = %id, "job {id}: cancelled with {root}, which it needs");
-            }
+        if leader.job_runs.contains_key(id) {
+            return;
         }
-        if !leader.job_runs.contains_key(id) {
-            let queued = (0..job.spec.tasks).filter(|r| !job.done.contains(*r));
-            let run = JobRun {
-                team: self.settings.team_index(&job.spec.team),
-                queued: queued.collect(),
-                succeeded: job.done.len() > 0,
-                ..JobRun::default()
-            };
-            leader.job_runs.insert(id.clone(), run);
-            leader.scheduler.guarantees_changed = true;
-            if job.version > leader.key_version {
-                leader.scheduler.arrivals.note(self.now.mono, 1);
-                let pace = leader
-                    .scheduler
-                    .runtime_ratios
-                    .get(&job.spec.class)
-                    .map_or(1.0, RuntimeRatio::factor);
-                let (rank, run) = (job.spec.priority, job.spec.estimate.mul_f64(pace));
-                leader
-                    .scheduler
-                    .bidding
-                    .arrived(self.now.mono, &job.spec, rank, run);
-            }
-            // Accepted while a cancellation of what it needs is being written.
-            let doubtful = |a: &JobId| {
-                let ending = leader.job_runs.get(a).and_then(|r| r.ending);
-                leader.cancellation_pending.contains(a) || ending == Some(JobOutcome::Cancelled)
-            };
-            if job.spec.dependencies.iter().any(doubtful) {
-                leader.cancellation_pending.insert(id.clone());
-                let with_it = self.store_cache.dependencies.all_dependents(id);
-                leader.cancellation_pending.extend(with_it);
-            }
-            leader.scheduler.plan_again = true;
+        let team = self.settings.team_index(&job.spec.team);
+        leader.job_runs.insert(id.clone(), JobRun::new(job, team));
+        leader.scheduler.guarantees_changed = true;
+        let is_new = job.version > leader.key_version;
+        if is_new {
+            leader.scheduler.arrivals.note(self.now.mono, 1);
+            let pace = leader.runtime_factor(&job.spec.class);
+            let expected = job.spec.estimate.mul_f64(pace);
+            let bidding = &mut leader.scheduler.bidding;
+            bidding.arrived(self.now.mono, &job.spec, job.spec.priority, expected);
         }
-        if !job.spec.dependencies.is_empty() && self.store_cache.ready(id) {
-            let Some(run) = leader.job_runs.get_mut(id) else {
-                return;
-            };
-            if run.ready.is_none() {
-                run.ready = Some(self.now);
-                leader.scheduler.guarantees_changed = true;
-                leader.scheduler.plan_again = true;
-                tracing::info!(job = %id, "job {id}: all that it awaits is done");
-            }
+        if leader.may_be_cancelled_with_dependency(job) {
+            leader.cancellation_pending.insert(id.clone());
+            let dependents = self.store_cache.dependencies.all_dependents(id);
+            leader.cancellation_pending.extend(dependents);
         }
-        self.adopt_job(id);
+        leader.scheduler.plan_again = true;
+    }
+
+    /// Notes when all that a job depends on is done.
+    fn check_readiness(&mut self, id: &JobId) {
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
         let Some(job) = self.store_cache.jobs.get(id) else {
             return;
         };
-        let before = job.spec.dependencies.clone();
-        for a in before.iter().chain([id]) {
-            self.propagate_urgency(a);
+        if job.spec.dependencies.is_empty() || !self.store_cache.ready(id) {
+            return;
+        }
+        let Some(run) = leader.job_runs.get_mut(id) else {
+            return;
+        };
+        if run.ready.is_none() {
+            run.ready = Some(self.now);
+            leader.scheduler.guarantees_changed = true;
+            leader.scheduler.plan_again = true;
+            tracing::info!(job = %id, "job dependencies done");
         }
-        self.end_if_complete(id);
     }
 
     /// A job's end is durable: its user may know, and whatever is left of it is stopped.
@@ -136,15 +159,9 @@
         let Some(run) = leader.job_runs.remove(id) else {
             return;
         };
-        leader.writes.ends.remove(id);
-        leader.writes.followers.remove(id);
-        leader.writes.progress.remove(id);
-        leader.cancellation_pending.remove(id);
-        leader.inherited_urgency.remove(id);
-        leader.scheduler.guarantees_changed = true;
-        leader.scheduler.plan_again = true;
-        if let Some(end) = self.store_cache.finished.get(id) {
-            tracing::info!(job = %id, "job {id} is over: {end:?}");
+        leader.forget_job(id);
+        if let Some(outcome) = self.store_cache.finished.get(id) {
+            tracing::info!(job = %id, ?outcome, "job finished");
         }
         if is_enabled(Safeguard::Stopped) {
             run.stop_assigned(id, &mut leader.machines, StopReason::Over, now);
@@ -165,12 +182,44 @@
         else {
             return;
         };
-        let missing = job.spec.tasks.saturating_sub(job.done.len());
-        let all = missing == 0 || missing == 1 && !is_enabled(Safeguard::AllDone);
-        let all = job.spec.job_kind != JobKind::Service && all;
-        if all && run.ending.is_none() {
+        if is_complete(job) && run.ending.is_none() {
             run.ending = Some(JobOutcome::Done);
             leader.writes.ends.insert(id.into(), JobOutcome::Done);
         }
     }
 }
+
+/// Whether every task of a job is done; a service is never complete.
+fn is_complete(job: &JobRecord) -> bool {
+    let missing = job.spec.tasks.saturating_sub(job.done.len());
+    let tolerated = u32::from(!is_enabled(Safeguard::AllDone));
+    job.spec.job_kind != JobKind::Service && missing <= tolerated
+}
+
+impl LeaderState {
+    /// How the run times of a class compare with its estimates.
+    pub(in crate::core) fn runtime_factor(&self, class: &str) -> f64 {
+        let ratio = self.scheduler.runtime_ratios.get(class);
+        ratio.map_or(1.0, RuntimeRatio::factor)
+    }
+
+    /// Whether a job was accepted while a cancellation of what it needs is being written.
+    fn may_be_cancelled_with_dependency(&self, job: &JobRecord) -> bool {
+        let may_be_cancelled = |id: &JobId| {
+            let ending = self.job_runs.get(id).and_then(|run| run.ending);
+            self.cancellation_pending.contains(id) || ending == Some(JobOutcome::Cancelled)
+        };
+        job.spec.dependencies.iter().any(may_be_cancelled)
+    }
+
+    /// Drops what is kept of a job beside its run, and has the next plan made without it.
+    fn forget_job(&mut self, id: &JobId) {
+        self.writes.ends.remove(id);
+        self.writes.followers.remove(id);
+        self.writes.progress.remove(id);
+        self.cancellation_pending.remove(id);
+        self.inherited_urgency.remove(id);
+        self.scheduler.guarantees_changed = true;
+        self.scheduler.plan_again = true;
+    }
+}
--- a/src/core/jobs/submissions.rs
+++ b/src/core/jobs/submissions.rs
@@ -1,10 +1,10 @@
 //! Acceptance of submitted jobs: any controller accepts one by a create-only key in the state
 //! service, and answers its user when that is durable.
 
+use crate::core::jobs::answers::{final_state, rebuilding_answer, state_body};
 use crate::core::jobs::creation::{
     Creation, PartsCreation, Submission, create_transaction, initial_value,
 };
-use crate::core::jobs::queries::{final_state, rebuilding_answer, state_body};
 use crate::core::leadership::json;
 use crate::core::store::cache::JobValue;
 use crate::core::store::keys::{PartGeneration, part_key};
--- a/src/core/jobs/urgency.rs
+++ b/src/core/jobs/urgency.rs
@@ -1,42 +1,55 @@
-//! What a job owes to those that need it. Users set the priority and the deadline that they care
-//! about on the last job of a pipeline; both flow back from there through all that it needs.
+//! How urgent a job is for the sake of those that depend on it. Users set the priority and the
+//! deadline that they care about on the last job of a pipeline; both flow back from there through
+//! all that it needs.
 
 use crate::core::Core;
-use crate::core::jobs::job_run::{RuntimeRatio, Urgency};
+use crate::core::jobs::job_run::Urgency;
 use crate::core::leadership::state::LeaderState;
 use crate::core::store::cache::JobRecord;
 use crate::job::JobId;
 use std::time::Duration;
 
 /// What passes between the end of one job and the start of the next beside the image's fetch: the
-/// last report, the commit, a plan, a command.
+/// last heartbeat, the commit, a plan, a command.
 const HANDOVER: Duration = Duration::from_millis(1500);
-/// A job takes as long as the slowest of its tasks.
-const SLOWEST: f64 = 1.3;
+/// A job takes as long as the slowest of its tasks: this many times the usual run time.
+const SLOWEST_TASK_FACTOR: f64 = 1.3;
+/// No machine type is taken to fetch images more slowly, in GB a second.
+const MIN_FETCH_GB_PER_S: f64 = 0.01;
+/// No image is taken to need longer than this, in seconds.
+const MAX_FETCH_S: f64 = 600.0;
 
 impl LeaderState {
-    /// What a job owes to those that need it, or to itself.
+    /// How urgent a job is for those that depend on it, or in itself.
     pub fn urgency_of(&self, id: &JobId, job: &JobRecord) -> Urgency {
-        let flowed = self.inherited_urgency.get(id).copied();
-        flowed.unwrap_or_else(|| Urgency::own(job))
+        let inherited = self.inherited_urgency.get(id).copied();
+        inherited.unwrap_or_else(|| Urgency::own(job))
     }
 }
 
 impl Core {
     /// How long a job takes from the end of the last one before it, when room is there at once.
-    fn stage(&self, leader: &LeaderState, job: &JobRecord) -> Duration {
+    fn stage_duration(&self, leader: &LeaderState, job: &JobRecord) -> Duration {
         let rates = self.machine_types.iter().map(|t| t.fetch_gb_per_s);
-        let slowest = rates.fold(f64::INFINITY, f64::min).max(0.01);
-        let pace = leader
-            .scheduler
-            .runtime_ratios
-            .get(&job.spec.class)
-            .map_or(1.0, RuntimeRatio::factor);
-        let fetch = Duration::from_secs_f64((job.spec.image_gb / slowest).min(600.0));
-        job.spec.estimate.mul_f64(pace * SLOWEST) + fetch + HANDOVER
+        let slowest = rates.fold(f64::INFINITY, f64::min).max(MIN_FETCH_GB_PER_S);
+        let fetch = Duration::from_secs_f64((job.spec.image_gb / slowest).min(MAX_FETCH_S));
+        let pace = leader.runtime_factor(&job.spec.class);
+        job.spec.estimate.mul_f64(pace * SLOWEST_TASK_FACTOR) + fetch + HANDOVER
     }
 
-    /// Works out anew what a job owes to those that need it, and then those before it.
+    /// Works out anew the urgency of a job that changed, and of those that it depends on.
+    pub(in crate::core) fn propagate_job_urgency(&mut self, id: &JobId) {
+        let Some(job) = self.store_cache.jobs.get(id) else {
+            return;
+        };
+        let dependencies = job.spec.dependencies.clone();
+        for dependency in &dependencies {
+            self.propagate_urgency(dependency);
+        }
+        self.propagate_urgency(id);
+    }
+
+    /// Works out anew the urgency of a job, and where it changes, of those that it depends on.
     pub(in crate::core) fn propagate_urgency(&mut self, from: &JobId) {
         let mut next = vec![from.clone()];
         while let Some(id) = next.pop() {
@@ -44,42 +57,40 @@
                 continue;
             };
             let own = Urgency::own(job);
-            let mut u = own;
-            for after in self.store_cache.dependencies.dependents(&id) {
-                let Some(job) = self.store_cache.jobs.get(after) else {
-                    continue;
-                };
-                if self
-                    .store_cache
-                    .dependencies
-                    .cancelled_dependency(after)
-                    .is_some()
-                {
-                    continue;
-                }
-                let theirs = leader.urgency_of(after, job);
-                u.needed = true;
-                u.priority = u.priority.min(theirs.priority);
-                let before = theirs
-                    .due
-                    .and_then(|d| d.checked_sub(self.stage(leader, job)));
-                u.due = match (u.due, before) {
-                    (Some(a), Some(b)) => Some(a.min(b)),
-                    (a, b) => a.or(b),
-                };
-            }
-            if u == leader.urgency_of(&id, job) {
+            let urgency = self.inherit_urgency(leader, &id, own);
+            if urgency == leader.urgency_of(&id, job) {
                 continue;
             }
             next.extend(job.spec.dependencies.iter().cloned());
             if let Some(leader) = &mut self.leader {
-                if u == own {
+                if urgency == own {
                     leader.inherited_urgency.remove(&id);
                 } else {
-                    leader.inherited_urgency.insert(id, u);
+                    leader.inherited_urgency.insert(id, urgency);
                 }
                 leader.scheduler.plan_again = true;
             }
         }
     }
+
+    /// A job's urgency from its own and from those that depend on it.
+    fn inherit_urgency(&self, leader: &LeaderState, id: &JobId, own: Urgency) -> Urgency {
+        let graph = &self.store_cache.dependencies;
+        let mut urgency = own;
+        for dependent in graph.dependents(id) {
+            let Some(job) = self.store_cache.jobs.get(dependent) else {
+                continue;
+            };
+            if graph.cancelled_dependency(dependent).is_some() {
+                continue;
+            }
+            let theirs = leader.urgency_of(dependent, job);
+            let stage = self.stage_duration(leader, job);
+            let due = theirs.due.and_then(|due| due.checked_sub(stage));
+            urgency.needed = true;
+            urgency.priority = urgency.priority.min(theirs.priority);
+            urgency.due = [urgency.due, due].into_iter().flatten().min();
+        }
+        urgency
+    }
 }
--- a/src/core/leadership/mod.rs
+++ b/src/core/leadership/mod.rs
@@ -7,7 +7,7 @@
 pub mod stale_key;
 pub mod state;
 
-use crate::core::jobs::job_run::ArrivalRate;
+use crate::core::jobs::statistics::ArrivalRate;
 use crate::core::leadership::state::{LeaderState, Lease};
 use crate::core::store::cache::{LeaderValue, TermValue};
 use crate::core::store::commit::{committed_in_events, committed_in_list};
--- a/src/core/leadership/recovery.rs
+++ b/src/core/leadership/recovery.rs
@@ -199,7 +199,7 @@
         };
         let double = |key: &&TaskId| {
             let run = leader.job_runs.get(&key.job);
-            run.is_some_and(|r| !r.assigned_machines(key.index).is_empty())
+            run.is_some_and(|r| !r.tasks.duplicates(key.index).is_empty())
         };
         let doubles: Vec<TaskId> = m.tasks.keys().filter(double).cloned().collect();
         for key in doubles {
--- a/src/core/leadership/state.rs
+++ b/src/core/leadership/state.rs
@@ -1,7 +1,8 @@
 //! What only a leader has: its lease and term, the machines and runs that it knows, what it writes, what
 //! is under way at the cloud, and what it has lent. Data; what is done with it is in the modules above.
 
-use crate::core::jobs::job_run::{ArrivalRate, JobRun, RuntimeRatio, Urgency};
+use crate::core::jobs::job_run::{JobRun, Urgency};
+use crate::core::jobs::statistics::{ArrivalRate, RuntimeRatio};
 use crate::core::machines::machine::{Machine, Machines};
 use crate::core::scheduling::demand::Bidding;
 use crate::core::store::cache::ResidualTasks;
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -34,7 +34,7 @@
 mod store;
 mod workers;
 
-pub use jobs::queries::{Ask, UserRequest};
+pub use jobs::requests::{UserAction, UserRequest};
 pub use jobs::submissions::max_unfinished_tasks;
 pub use leadership::LEASE_TTL;
 pub use machines::failure_detection::cancellation_warning;
--- a/src/core/monitoring/metrics.rs
+++ b/src/core/monitoring/metrics.rs
@@ -1,35 +1,63 @@
-//! What monitoring is told; see `metrics`.
+//! The metrics page of this controller, in groups: the process, the store, the other controllers,
+//! and what only the leader knows. See `crate::metrics` for the format.
 
+use crate::core::jobs::job_run::JobRun;
+use crate::core::leadership::state::LeaderState;
 use crate::core::{Core, Ticket, WORK};
 use crate::http::Answer;
 use crate::metrics::Page;
 use burlusher_membership::view::{Capabilities, Standing};
 use std::collections::BTreeMap;
+use std::time::Instant;
 
 const QUANTILES: [(&str, f64); 3] = [("0.5", 0.5), ("0.95", 0.95), ("0.99", 0.99)];
+/// The lanes of the owner's queue, the most urgent first.
+const LANES: [&str; 3] = ["urgent", "questions", "reports"];
+
+/// Values of the gauge `members`.
+const MEMBER_ALIVE: f64 = 2.0;
+const MEMBER_SUSPECT: f64 = 1.0;
+const MEMBER_LOST: f64 = 0.0;
+
+fn flag(value: bool) -> f64 {
+    f64::from(u8::from(value))
+}
 
 impl Core {
-    /// `lanes`: commands that wait in the owner's queue, what is urgent first.
-    pub(in crate::core) fn answer_metrics(&mut self, ticket: Ticket, lanes: [usize; 3]) {
-        let now = self.now.mono;
+    /// Answers with the metrics page; `queue_lengths`: commands that wait in each lane of the
+    /// owner's queue, the most urgent first.
+    pub(in crate::core) fn answer_metrics(&mut self, ticket: Ticket, queue_lengths: [usize; 3]) {
         let mut page = Page::default();
+        self.process_metrics(&mut page, queue_lengths);
+        self.store_metrics(&mut page);
+        self.member_metrics(&mut page);
+        self.relay_metrics(&mut page);
+        if let (true, Some(leader)) = (self.acting(), &self.leader) {
+            self.machine_metrics(&mut page, leader);
+            job_metrics(&mut page, leader);
+            leadership_metrics(&mut page, leader, self.now.mono);
+        }
+        self.answer(ticket, Answer::new(200, page.text().into_bytes()));
+    }
+
+    fn process_metrics(&self, page: &mut Page, queue_lengths: [usize; 3]) {
         page.gauge(
             "leads",
             "1 on the controller that leads",
-            f64::from(u8::from(self.acting())),
+            flag(self.acting()),
         );
         page.gauge("term", "The newest term", self.store_cache.term as f64);
         page.gauge(
             "up_seconds",
             "Since this process began",
-            now.saturating_duration_since(self.started).as_secs_f64(),
+            seconds_between(self.started, self.now.mono),
         );
-        let lanes = ["urgent", "questions", "reports"].into_iter().zip(lanes);
+        let queues = LANES.into_iter().zip(queue_lengths);
         page.gauges(
             "queue",
             "Commands that wait for the owner",
             "lane",
-            lanes.map(|(name, n)| (name, n as f64)),
+            queues.map(|(lane, length)| (lane, length as f64)),
         );
         for (name, help, histogram) in [
             (
@@ -44,19 +72,19 @@
             ),
             ("step_us", "Steps of the owner", &self.stats.step),
         ] {
-            let value = |q| histogram.value_at_quantile(q) as f64;
-            page.gauges(
-                name,
-                help,
-                "quantile",
-                QUANTILES.map(|(l, q)| (l, value(q))),
-            );
+            let value = |quantile| histogram.value_at_quantile(quantile) as f64;
+            let quantiles = QUANTILES.map(|(label, quantile)| (label, value(quantile)));
+            page.gauges(name, help, "quantile", quantiles);
         }
         for (work, name) in WORK {
             let help = "What the owner has done since this process began";
             page.counter(name, help, self.stats.work[work as usize]);
         }
-        let [losses, incomplete, owed, held] = self.rebuild_metrics();
+    }
+
+    fn store_metrics(&mut self, page: &mut Page) {
+        let now = self.now.mono;
+        let [losses, incomplete, owed_jobs, held_tasks] = self.rebuild_metrics();
         page.gauge(
             "state_losses",
             "Losses of data of the state service that this process has noticed",
@@ -70,12 +98,12 @@
         page.gauge(
             "state_jobs_owed",
             "Jobs remembered here that the state service has lost",
-            owed,
+            owed_jobs,
         );
         page.gauge(
             "tasks_held",
             "Tasks on machines whose jobs nobody remembers",
-            held,
+            held_tasks,
         );
         page.gauge(
             "state_changes_left",
@@ -87,115 +115,124 @@
             "Calls that the cloud's limit leaves the leader now",
             self.cloud_budget.left(now),
         );
+    }
+
+    fn member_metrics(&self, page: &mut Page) {
+        let now = self.now.mono;
         let standing = |name: &str| match self.members.standing(name, now) {
-            Standing::Alive => 2.0,
-            Standing::Suspect => 1.0,
-            Standing::Unknown | Standing::Lost => 0.0,
+            Standing::Alive => MEMBER_ALIVE,
+            Standing::Suspect => MEMBER_SUSPECT,
+            Standing::Unknown | Standing::Lost => MEMBER_LOST,
         };
+        let members = self.members.members();
         page.gauges(
             "members",
             "The other controllers: 2 alive, 1 suspect, 0 lost or never heard of",
             "node",
-            self.members
-                .members()
-                .map(|(name, _)| (name, standing(name))),
+            members.map(|(name, _)| (name, standing(name))),
         );
-        let able = |capabilities: Capabilities| {
-            f64::from(u8::from(capabilities.has(Capabilities::REPORTS)))
-        };
+        let members = self.members.members();
         page.gauges(
             "takes_reports",
             "1 for a controller that serves workers for the leader",
             "node",
-            (self.members.members()).map(|(name, m)| (name, able(m.capabilities))),
+            members.map(|(name, m)| (name, flag(m.capabilities.has(Capabilities::REPORTS)))),
         );
+    }
+
+    fn relay_metrics(&self, page: &mut Page) {
+        let now = self.now.mono;
+        let grant = self.relay.grant.as_ref();
         page.gauge(
             "grant_seconds",
             "How long this controller may still answer for the leader",
-            self.relay.grant.map_or(0.0, |g| {
-                g.until.saturating_duration_since(now).as_secs_f64()
-            }),
+            grant.map_or(0.0, |grant| seconds_between(now, grant.until)),
         );
         page.gauge(
             "reports_waiting",
             "Reports that wait here for the leader's answer",
             self.relay.waiting() as f64,
         );
-        if self.acting() {
-            self.leader_figures(&mut page);
-        }
-        self.answer(ticket, Answer::new(200, page.text().into_bytes()));
     }
 
-    fn leader_figures(&self, page: &mut Page) {
-        let now = self.now.mono;
-        let Some(leader) = &self.leader else { return };
-        let mut reporting: BTreeMap<&str, u32> = BTreeMap::new();
-        let (mut up, mut booting, mut lent) = (0, 0, 0);
-        for m in leader.machines.values() {
-            if m.incarnation == 0 {
+    fn machine_metrics(&self, page: &mut Page, leader: &LeaderState) {
+        let (mut up, mut booting, mut delegated) = (0, 0, 0);
+        let mut by_controller: BTreeMap<&str, u32> = BTreeMap::new();
+        for machine in leader.machines.values() {
+            if machine.incarnation == 0 {
                 booting += 1;
                 continue;
             }
             up += 1;
-            lent += u32::from(m.delegated_to.is_some());
-            *reporting
-                .entry(m.via.as_deref().unwrap_or(&self.settings.name))
-                .or_default() += 1;
+            delegated += u32::from(machine.delegated_to.is_some());
+            let controller = machine.via.as_deref().unwrap_or(&self.settings.name);
+            *by_controller.entry(controller).or_default() += 1;
         }
+        let states = [("up", up), ("booting", booting), ("lent", delegated)];
         page.gauges(
             "machines",
             "Machines by what they do",
             "state",
-            [("up", up), ("booting", booting), ("lent", lent)].map(|(s, n)| (s, f64::from(n))),
+            states.map(|(state, count)| (state, f64::from(count))),
         );
+        let workers = by_controller.into_iter();
         page.gauges(
             "workers",
             "Machines by the controller that they report to",
             "node",
-            reporting.into_iter().map(|(n, c)| (n, f64::from(c))),
+            workers.map(|(controller, count)| (controller, f64::from(count))),
         );
         page.gauge(
             "machines_to_hear",
             "Machines that may hold tasks of an earlier term and have not shown the new token",
             leader.recovery.unresolved as f64,
         );
-        page.gauge(
-            "jobs",
-            "Jobs that are not over",
-            leader.job_runs.len() as f64,
-        );
-        let tasks = |f: fn(&crate::core::jobs::job_run::JobRun) -> usize| -> f64 {
-            leader.job_runs.values().map(f).sum::<usize>() as f64
-        };
-        page.gauges(
-            "tasks",
-            "Tasks of these",
-            "state",
-            [
-                ("queued", tasks(|r| r.queued.len())),
-                ("placed", tasks(|r| r.placed.len())),
-            ],
-        );
-        page.gauge(
-            "leads_seconds",
-            "Since this controller began to lead",
-            now.saturating_duration_since(leader.since).as_secs_f64(),
-        );
-        page.gauge(
-            "direct_calls",
-            "Calls to workers on their way",
-            leader.direct_calls_in_flight as f64,
-        );
-        page.counter(
-            "reports_passed_on",
-            "Reports in this term that came by way of other controllers",
-            leader.delegates.relayed_heartbeats,
-        );
-        page.counter(
-            "reports_answered_by_others",
-            "Reports in this term that other controllers answered alone",
-            leader.delegates.delegated_answers,
-        );
     }
 }
+
+fn job_metrics(page: &mut Page, leader: &LeaderState) {
+    page.gauge(
+        "jobs",
+        "Jobs that are not over",
+        leader.job_runs.len() as f64,
+    );
+    let tasks =
+        |count: fn(&JobRun) -> usize| leader.job_runs.values().map(count).sum::<usize>() as f64;
+    page.gauges(
+        "tasks",
+        "Tasks of these",
+        "state",
+        [
+            ("queued", tasks(|run| run.tasks.queued().len())),
+            ("placed", tasks(|run| run.tasks.assigned().len())),
+        ],
+    );
+}
+
+fn leadership_metrics(page: &mut Page, leader: &LeaderState, now: Instant) {
+    page.gauge(
+        "leads_seconds",
+        "Since this controller began to lead",
+        seconds_between(leader.since, now),
+    );
+    page.gauge(
+        "direct_calls",
+        "Calls to workers on their way",
+        leader.direct_calls_in_flight as f64,
+    );
+    page.counter(
+        "reports_passed_on",
+        "Reports in this term that came by way of other controllers",
+        leader.delegates.relayed_heartbeats,
+    );
+    page.counter(
+        "reports_answered_by_others",
+        "Reports in this term that other controllers answered alone",
+        leader.delegates.delegated_answers,
+    );
+}
+
+/// Zero if `from` is after `to`.
+fn seconds_between(from: Instant, to: Instant) -> f64 {
+    to.saturating_duration_since(from).as_secs_f64()
+}
--- a/src/core/monitoring/status.rs
+++ b/src/core/monitoring/status.rs
@@ -124,7 +124,7 @@
         let Some(run) = leader.job_runs.get(id) else {
             return json!({});
         };
-        let running = self.running_of(id, run) as usize;
+        let running = self.running_tasks(id, run) as usize;
         let due = leader.urgency_of(id, job).due;
         let left = |d: SystemTime| match d.duration_since(self.now.wall) {
             Ok(left) => left.as_secs_f64(),
@@ -136,7 +136,7 @@
             "awaits": self.awaited(&job.spec), "slack_s": slack,
             "job": id, "class": job.spec.class, "team": job.spec.team,
             "tasks": job.spec.tasks, "done": job.done.len(), "running": running,
-            "starting": run.placed.len() - running, "waiting": run.queued.len(),
+            "starting": run.tasks.assigned().len() - running, "waiting": run.tasks.queued().len(),
             "why": self.why_waiting(id),
         })
     }
@@ -167,7 +167,7 @@
                 n => format!("it awaits {first} and {n} more"),
             };
         }
-        if run.queued.is_empty() {
+        if run.tasks.queued().is_empty() {
             return "nothing waits".into();
         }
         if Self::blocked_by_recovery(leader, job) {
@@ -182,7 +182,13 @@
                 "its tasks failed {failures} times and never succeeded; it is tried now and then"
             );
         }
-        if failures > 0 && run.queued.iter().all(|r| run.backoff_until.contains_key(r)) {
+        if failures > 0
+            && run
+                .tasks
+                .queued()
+                .iter()
+                .all(|r| run.backoff_until.contains_key(r))
+        {
             return format!("its tasks failed {failures} times; they are tried again later");
         }
         match &leader.scheduler.queue_head {
--- a/src/core/scheduling/mod.rs
+++ b/src/core/scheduling/mod.rs
@@ -3,7 +3,8 @@
 pub mod bidding;
 pub mod demand;
 
-use crate::core::jobs::job_run::{JobRun, RuntimeRatio, Urgency};
+use crate::core::jobs::job_run::{JobRun, Urgency};
+use crate::core::jobs::statistics::RuntimeRatio;
 use crate::core::leadership::state::{DeferredResponses as Waiters, LeaderState};
 use crate::core::machines::machine::{Machine, Phase, Placement, StopReason};
 use crate::core::store::cache::JobRecord;
@@ -122,10 +123,8 @@
         // Tasks of one job differ among themselves, so a machine is compared with its peers only
         // by the average of many.
         let log = ran.as_secs_f64().max(0.1).ln();
-        let usual = (run.log_run_times.1 >= 3)
-            .then(|| run.log_run_times.0 / f64::from(run.log_run_times.1));
-        run.log_run_times.0 += log;
-        run.log_run_times.1 += 1;
+        let usual = run.run_times.mean();
+        run.run_times.add(log);
         if let (Some(m), Some(usual)) = (leader.machines.get_mut(id), usual) {
             m.fault_history.slowness.note(log - usual);
         }
@@ -230,13 +229,17 @@
         // more than those machines hold, and no more than there are.
         let hidden = self.unobserved_resources(leader);
         let mut unseen = vec![Resources::default(); teams.len()];
-        for (id, run) in leader.job_runs.iter().filter(|(_, r)| !r.queued.is_empty()) {
+        for (id, run) in leader
+            .job_runs
+            .iter()
+            .filter(|(_, r)| !r.tasks.queued().is_empty())
+        {
             if let Some(job) = self.store_cache.jobs.get(id)
                 && job.version < leader.key_version
                 && let Some(team) = run.team
                 && self.store_cache.ready(id)
             {
-                unseen[team].add(&job.spec.resources.times(run.queued.len() as f64));
+                unseen[team].add(&job.spec.resources.times(run.tasks.queued().len() as f64));
             }
         }
         // So may tasks of jobs that were cancelled shortly before.
@@ -346,7 +349,7 @@
             wait: wait.as_secs_f64(),
             estimate: estimate.as_secs_f64(),
             tasks: f64::from(spec.tasks),
-            waiting: run.queued.len() as f64,
+            waiting: run.tasks.queued().len() as f64,
             submitted: wall(since),
             cpus: spec.resources.cpus,
             gpus: spec.resources.gpus,
@@ -366,7 +369,7 @@
             spot: spec.spot,
             slack: deadline_left.map_or(NO_DEADLINE_S, |d| d - estimate.as_secs_f64()),
             pipeline: urgency.needed || !spec.dependencies.is_empty(),
-            begun: job.done.len() > 0 || !run.placed.is_empty(),
+            begun: job.done.len() > 0 || !run.tasks.assigned().is_empty(),
         }
     }
 
@@ -387,7 +390,10 @@
                 continue;
             };
             let held = Self::blocked_by_recovery(leader, job) && !with_held;
-            if run.ending.is_some() || run.queued.is_empty() || held || !self.store_cache.ready(id)
+            if run.ending.is_some()
+                || run.tasks.queued().is_empty()
+                || held
+                || !self.store_cache.ready(id)
             {
                 continue;
             }
@@ -539,7 +545,7 @@
             let whole = job.spec.job_kind == JobKind::Gang;
             let held = |t: &Instant| now < *t;
             // A gang starts whole: not while some of it is still elsewhere or held back.
-            if whole && (!run.placed.is_empty() || run.backoff_until.values().any(held)) {
+            if whole && (!run.tasks.assigned().is_empty() || run.backoff_until.values().any(held)) {
                 continue;
             }
             // All rows of a job with a mistake, tried again and again, filled machines and queues.
@@ -549,9 +555,9 @@
             let mut zones = BTreeMap::new();
             if job.spec.one_zone || job.spec.spread {
                 // Also where a row only may be.
-                let also = run.other_machines.values().flatten();
+                let also = run.tasks.other_machines().map(|(_, machine)| machine);
                 let also = also.filter(|_| is_enabled(Safeguard::Zones));
-                for machine in run.placed.values().chain(also) {
+                for machine in run.tasks.assigned().values().chain(also) {
                     if let Some(m) = leader.machines.get(machine) {
                         *zones.entry(m.zone.clone()).or_insert(0) += 1;
                     }
@@ -568,7 +574,7 @@
                 image: image_tag(&job.spec.image),
                 team: entry.team,
                 rank: entry.rank,
-                queued: &run.queued,
+                queued: run.tasks.queued(),
                 held: &run.backoff_until,
                 whole,
                 probe: run.is_suspect() || (entry.overdue && job.spec.job_kind == JobKind::Array),
@@ -609,7 +615,7 @@
             let Some(run) = leader.job_runs.get(id) else {
                 continue;
             };
-            if run.queued.is_empty() || run.ending.is_some() {
+            if run.tasks.queued().is_empty() || run.ending.is_some() {
                 continue;
             }
             run.stop_assigned(id, &mut leader.machines, StopReason::Regrouped, now);
@@ -657,11 +663,10 @@
                 job: spec.id.clone(),
                 index: s.row,
             };
-            if m.tasks.contains_key(&key) || !run.queued.remove(&s.row) {
+            if m.tasks.contains_key(&key) || !run.tasks.start(s.row, &m.id) {
                 continue;
             }
             run.backoff_until.remove(&s.row);
-            run.placed.insert(s.row, m.id.clone());
             // The tasks of a gang find one another by their attempt.
             if spec.job_kind != JobKind::Gang || gang_attempt != Some(s.job) {
                 leader.scheduler.attempts += 1;
@@ -819,7 +824,11 @@
                 whole.add(&t.room());
             }
         }
-        let waiting: usize = leader.job_runs.values().map(|r| r.queued.len()).sum();
+        let waiting: usize = leader
+            .job_runs
+            .values()
+            .map(|r| r.tasks.queued().len())
+            .sum();
         tracing::info!(
             "standing: machines {} up ({} spot, {} idle) {} booting; cpus {:.0} of {:.0}; tasks {} running {} starting {waiting} waiting; jobs {}",
             count(&|m| m.incarnation > 0),
@@ -911,7 +920,7 @@
                 continue;
             }
             let spec = &entry.job.spec;
-            let mut tasks = entry.run.queued.len() as u32;
+            let mut tasks = entry.run.tasks.queued().len() as u32;
             if Self::blocked_by_recovery(leader, entry.job) {
                 let there = spec.resources.count_in(&hidden).min(tasks);
                 hidden.sub(&spec.resources.times(f64::from(there)));
--- a/src/core/simulation/mixed_versions.rs
+++ b/src/core/simulation/mixed_versions.rs
@@ -363,7 +363,10 @@
     let other = (leader + 1) % 3;
     simulation.set_peers_reachable(false);
     simulation.register_job(&large);
-    simulation.ask(other, crate::core::Ask::Submit(Box::new(large.clone())));
+    simulation.ask(
+        other,
+        crate::core::UserAction::Submit(Box::new(large.clone())),
+    );
     simulation.tick();
     simulation.tick();
     assert!(!simulation.stored("burlusher/s/wk-2/").is_empty());
@@ -405,7 +408,10 @@
     let other = (leader + 1) % 3;
     simulation.set_peers_reachable(false);
     simulation.register_job(&large);
-    simulation.ask(other, crate::core::Ask::Submit(Box::new(large.clone())));
+    simulation.ask(
+        other,
+        crate::core::UserAction::Submit(Box::new(large.clone())),
+    );
     simulation.until(2.0, "all parts written", |simulation| {
         simulation.stored("burlusher/s/wk-2/").len() == parts
     });
@@ -438,7 +444,7 @@
     for n in 1..9 {
         let spec = sample(&format!("wk-{n}"), 2, 1.0, 3);
         simulation.register_job(&spec);
-        simulation.ask(leader, crate::core::Ask::Submit(Box::new(spec)));
+        simulation.ask(leader, crate::core::UserAction::Submit(Box::new(spec)));
     }
     for n in 1..9 {
         simulation.until_done(&format!("wk-{n}"), 30.0);
--- a/src/core/simulation/network.rs
+++ b/src/core/simulation/network.rs
@@ -3,7 +3,7 @@
 use super::cluster::Simulation;
 use super::store::STORE_TIMEOUT;
 use crate::cloud_client::{CloudOutcome, CloudRequest};
-use crate::core::{Ask, CallId, Command, Effect, Pending, Ticket, UserRequest};
+use crate::core::{CallId, Command, Effect, Pending, Ticket, UserAction, UserRequest};
 use crate::http::Answer;
 use crate::job::MachineId;
 use crate::peer::heartbeat_batch;
@@ -194,9 +194,9 @@
             tried: Vec::new(),
             received,
             action: match request {
-                PeerRequest::Submit(spec) => Ask::Submit(spec),
-                PeerRequest::Show(id) => Ask::Show(id),
-                PeerRequest::Cancel(id) => Ask::Cancel(id),
+                PeerRequest::Submit(spec) => UserAction::Submit(spec),
+                PeerRequest::Show(id) => UserAction::Show(id),
+                PeerRequest::Cancel(id) => UserAction::Cancel(id),
             },
         }));
     }
--- a/src/core/simulation/scale.rs
+++ b/src/core/simulation/scale.rs
@@ -70,7 +70,7 @@
     simulation.nodes[next].busy = Duration::ZERO;
     let fresh = job("wk-999999", 4);
     simulation.register_job(&fresh);
-    simulation.ask(next, crate::core::Ask::Submit(Box::new(fresh)));
+    simulation.ask(next, crate::core::UserAction::Submit(Box::new(fresh)));
     let mut row = Row {
         known_ms: 0,
         start_ms: 0,
@@ -132,7 +132,7 @@
     for n in 0..jobs {
         let spec = job(&format!("wk-{n:06}"), 2);
         simulation.register_job(&spec);
-        simulation.ask(leader, crate::core::Ask::Submit(Box::new(spec)));
+        simulation.ask(leader, crate::core::UserAction::Submit(Box::new(spec)));
         if n % 50 == 49 {
             simulation.tick();
         }
@@ -173,7 +173,10 @@
     while complete * first * written == 0 {
         assert!(simulation.now < end, "{machines} machines take too long");
         if first == 0 && simulation.places("wk-900000").is_empty() {
-            simulation.ask(next, crate::core::Ask::Submit(Box::new(spec.clone())));
+            simulation.ask(
+                next,
+                crate::core::UserAction::Submit(Box::new(spec.clone())),
+            );
         }
         simulation.run(0.2);
         let lead = simulation.nodes[next].core.leader.as_ref();
--- a/src/core/simulation/scenarios/dependencies.rs
+++ b/src/core/simulation/scenarios/dependencies.rs
@@ -1,7 +1,7 @@
 //! Jobs that depend on others.
 
 use super::{follower, four_machines};
-use crate::core::Ask;
+use crate::core::UserAction;
 use crate::core::simulation::{Link, Simulation};
 use crate::job::{JobKind, JobSpec, Priority, sample};
 use crate::wire::JobState;
@@ -236,7 +236,7 @@
         for (id, dependencies) in [("wk-3", ["wk-1"]), ("wk-4", ["wk-2"])] {
             let spec = after(id, &dependencies, 1, 2);
             simulation.register_job(&spec);
-            simulation.ask(other, Ask::Submit(Box::new(spec)));
+            simulation.ask(other, UserAction::Submit(Box::new(spec)));
         }
         for _ in 0..delay {
             simulation.tick();
--- a/src/core/simulation/scenarios/scheduling.rs
+++ b/src/core/simulation/scenarios/scheduling.rs
@@ -273,9 +273,10 @@
     // An old copy was heard first: the row is on record there, and where it really is as well.
     let lead = simulation.nodes[leader].core.leader.as_mut().unwrap();
     let run = lead.job_runs.get_mut("wk-000001").unwrap();
-    let row = *run.placed.keys().next().unwrap();
-    run.placed.insert(row, other);
-    run.other_machines.insert(row, vec![first]);
+    let row = *run.tasks.assigned().keys().next().unwrap();
+    run.tasks.release(row);
+    run.tasks.assign(row, &other);
+    run.tasks.assign(row, &first);
     (lead.scheduler.plan_again, lead.scheduler.last_plan) = (true, None);
     simulation.run(0.3);
     simulation.until_done("wk-000001", 60.0);
--- a/src/core/simulation/scenarios/submissions.rs
+++ b/src/core/simulation/scenarios/submissions.rs
@@ -1,7 +1,7 @@
 //! Submissions and questions: what is accepted, refused or deferred, and by which controller.
 
 use super::{eight_machines, follower, four_machines, unlimited_job};
-use crate::core::Ask;
+use crate::core::UserAction;
 use crate::core::simulation::{Link, Simulation};
 use crate::job::{JobKind, JobSpec, sample};
 use crate::wire::JobState;
@@ -107,7 +107,7 @@
     let other = follower(leader);
     // A repeated submission is no question, even where it takes a read beside many of them.
     for _ in 0..200 {
-        simulation.ask(other, Ask::Show("wk-9".into()));
+        simulation.ask(other, UserAction::Show("wk-9".into()));
     }
     assert_eq!(simulation.submit(other, &sample("wk-1", 2, 2.0, 30)), 200);
     let asked = simulation.query_burst(other, "wk-1", 200);
--- a/src/core/simulation/users.rs
+++ b/src/core/simulation/users.rs
@@ -2,7 +2,7 @@
 
 use super::cluster::Simulation;
 use super::store::Backup;
-use crate::core::{Ask, Command, Ticket, UserRequest};
+use crate::core::{Command, Ticket, UserAction, UserRequest};
 use crate::http::Answer;
 use crate::job::{JobSpec, TaskId};
 use crate::wire::JobState;
@@ -10,7 +10,7 @@
 
 impl Simulation {
     /// Asks a controller; the answer is fetched by this ticket.
-    pub fn ask(&mut self, node: usize, what: Ask) -> Ticket {
+    pub fn ask(&mut self, node: usize, what: UserAction) -> Ticket {
         let ticket = self.new_ticket();
         let received = self.now;
         if self.nodes[node].up {
@@ -26,7 +26,7 @@
     }
 
     /// Asks one node and waits up to 3 s for its answer.
-    pub(super) fn request(&mut self, node: usize, what: Ask) -> Option<Answer> {
+    pub(super) fn request(&mut self, node: usize, what: UserAction) -> Option<Answer> {
         let ticket = self.ask(node, what);
         for _ in 0..60 {
             self.tick();
@@ -45,7 +45,7 @@
             self.checker.specs.insert(spec.id.to_string(), spec.clone());
         }
         let asked = self.now;
-        let answer = self.request(node, Ask::Submit(Box::new(spec.clone())));
+        let answer = self.request(node, UserAction::Submit(Box::new(spec.clone())));
         let status = answer.as_ref().map_or(0, |a| a.status);
         if !known && status == 422 {
             self.checker.specs.remove(&*spec.id);
@@ -63,7 +63,7 @@
 
     /// So many questions in one step; the answers' statuses.
     pub fn query_burst(&mut self, node: usize, id: &str, n: u32) -> Vec<u16> {
-        let ask = |_| self.ask(node, Ask::Show(id.into()));
+        let ask = |_| self.ask(node, UserAction::Show(id.into()));
         let tickets: Vec<Ticket> = (0..n).map(ask).collect();
         self.run(2.0);
         let answers = tickets
@@ -74,13 +74,13 @@
 
     /// A submission is repeated, and its answer not waited for.
     pub fn submit_without_waiting(&mut self, node: usize, spec: &JobSpec) {
-        self.ask(node, Ask::Submit(Box::new(spec.clone())));
+        self.ask(node, UserAction::Submit(Box::new(spec.clone())));
     }
 
     /// Asks for a job's state and waits up to 3 s; the answer's status, 0 if there is none, and the state.
     pub fn show(&mut self, node: usize, id: &str) -> (u16, Option<JobState>) {
         let asked = self.now;
-        let answer = self.request(node, Ask::Show(id.into()));
+        let answer = self.request(node, UserAction::Show(id.into()));
         let state = self.check_answer(id, asked, answer.as_ref());
         (answer.map_or(0, |a| a.status), state)
     }
@@ -89,7 +89,7 @@
     pub fn cancel(&mut self, node: usize, id: &str) -> (u16, Option<JobState>) {
         self.checker.cancellation_requests.insert(id.into());
         let asked = self.now;
-        let answer = self.request(node, Ask::Cancel(id.into()));
+        let answer = self.request(node, UserAction::Cancel(id.into()));
         let state = self.check_answer(id, asked, answer.as_ref());
         (answer.map_or(0, |a| a.status), state)
     }
@@ -97,7 +97,7 @@
     /// Asks to cancel a job, and does not wait for the answer.
     pub fn cancel_without_waiting(&mut self, node: usize, id: &str) {
         self.checker.cancellation_requests.insert(id.into());
-        let ticket = self.ask(node, Ask::Cancel(id.into()));
+        let ticket = self.ask(node, UserAction::Cancel(id.into()));
         self.network
             .unawaited_cancellations
             .insert(ticket, (id.into(), self.now));
@@ -178,12 +178,12 @@
     /// Asks every controller about a job at once, and repeats its submission.
     pub(super) fn query_everywhere(&mut self, id: &str) {
         for node in 0..self.nodes.len() {
-            let mut questions = vec![Ask::Show(id.into())];
+            let mut questions = vec![UserAction::Show(id.into())];
             questions.extend(
                 self.checker
                     .specs
                     .get(id)
-                    .map(|s| Ask::Submit(Box::new(s.clone()))),
+                    .map(|s| UserAction::Submit(Box::new(s.clone()))),
             );
             for what in questions {
                 let ticket = self.ask(node, what);
--- a/src/core/store/rebuild.rs
+++ b/src/core/store/rebuild.rs
@@ -434,7 +434,7 @@
                 {
                     t.resources = job.spec.resources;
                     t.team = self.settings.team_index(&job.spec.team);
-                    run.hold(row, &machine);
+                    run.tasks.assign(row, &machine);
                     adopted.push((key, machine));
                 }
                 _ => {
--- a/src/core/store/writes.rs
+++ b/src/core/store/writes.rs
@@ -171,7 +171,7 @@
                 let placed = leader
                     .job_runs
                     .get(*id)
-                    .is_some_and(|r| !r.placed.is_empty());
+                    .is_some_and(|r| !r.tasks.assigned().is_empty());
                 placed
                     || jobs
                         .get(*id)
--- a/src/core/workers/heartbeats.rs
+++ b/src/core/workers/heartbeats.rs
@@ -382,12 +382,12 @@
                 self.store_cache.jobs.get(&key.job),
                 leader.job_runs.get_mut(&key.job),
             ) {
-                if let Some(other) = run.placed.get(&key.index).filter(|m| *m != id) {
+                if let Some(other) = run.tasks.assigned().get(&key.index).filter(|m| *m != id) {
                     tracing::warn!(task = %key, machine = %id, "task {key} is or was on {id}, and on {other}");
                 }
                 if run.ending.is_none() && !job.done.contains(key.index) {
                     wanted = true;
-                    run.hold(key.index, id);
+                    run.tasks.assign(key.index, id);
                     tracing::debug!(task = %key, machine = %id, "task {key} attempt {} found on {id}", row.attempt);
                 }
             }
@@ -495,9 +495,7 @@
             if let Some(d) = hold {
                 run.backoff_until.insert(key.index, now + d);
             }
-            if run.unassign(key.index, id) {
-                run.queued.insert(key.index);
-            }
+            run.tasks.unassign(key.index, id);
         }
     }
 
@@ -511,7 +509,7 @@
         let Some(run) = leader.job_runs.get(&key.job) else {
             return;
         };
-        let holders = run.assigned_machines(key.index);
+        let holders = run.tasks.duplicates(key.index);
         let machines = &mut leader.machines;
         let unsure = |id: &&MachineId| machines.get(id).is_some_and(|m| m.unresolved);
         if holders.len() < 2 || holders.iter().any(unsure) {
@@ -623,8 +621,8 @@
         run.succeeded = true;
         if job.spec.job_kind == JobKind::Service {
             // A replica that ends is started again.
-            if on.is_some_and(|id| run.unassign(key.index, id)) {
-                run.queued.insert(key.index);
+            if let Some(id) = on {
+                run.tasks.unassign(key.index, id);
             }
             return;
         }
@@ -632,9 +630,8 @@
             run.unpersisted_done.insert(key.index);
             leader.writes.progress.entry(key.job.clone()).or_insert(now);
         }
-        run.queued.remove(&key.index);
         run.backoff_until.remove(&key.index);
-        for machine in run.release(key.index) {
+        for machine in run.tasks.release(key.index) {
             if let Some(m) = leader.machines.get_mut(&machine)
                 && let Some(t) = m.tasks.get_mut(key)
             {
@@ -666,9 +663,8 @@
                 r.remove_held(&key, id);
             }
             if let Some(run) = leader.job_runs.get_mut(&key.job)
-                && run.unassign(key.index, id)
+                && run.tasks.unassign(key.index, id)
             {
-                run.queued.insert(key.index);
                 tracing::debug!(task = %key, machine = %id, "task {key} attempt {} lost on {id}: {why}", t.attempt);
             }
         }
--- a/src/service/lanes.rs
+++ b/src/service/lanes.rs
@@ -1,6 +1,6 @@
 //! The owner's queue.
 
-use crate::core::{Ask, Command};
+use crate::core::{Command, UserAction};
 use std::collections::VecDeque;
 
 /// The owner's queue, in lanes: what decides whether users and the state service are answered in
@@ -23,7 +23,7 @@
         match command {
             Command::Heartbeat { .. } | Command::Direct { .. } => 2,
             Command::Status(_) | Command::Figures { .. } | Command::MemoryRequest { .. } => 1,
-            Command::User(r) if matches!(r.action, Ask::Show(_)) => 1,
+            Command::User(r) if matches!(r.action, UserAction::Show(_)) => 1,
             _ => 0,
         }
     }
--- a/src/service/peers.rs
+++ b/src/service/peers.rs
@@ -2,7 +2,7 @@
 
 use super::inbox::Inbox;
 use super::spawn;
-use crate::core::{Ask, Command, UserRequest};
+use crate::core::{Command, UserAction, UserRequest};
 use crate::peer::heartbeat_batch;
 use crate::peer::memory_exchange;
 use crate::peer::{self, PeerAnswer, PeerRequest};
@@ -88,9 +88,9 @@
                 tried: Vec::new(),
                 received,
                 action: match request {
-                    PeerRequest::Submit(spec) => Ask::Submit(spec),
-                    PeerRequest::Show(id) => Ask::Show(id),
-                    PeerRequest::Cancel(id) => Ask::Cancel(id),
+                    PeerRequest::Submit(spec) => UserAction::Submit(spec),
+                    PeerRequest::Show(id) => UserAction::Show(id),
+                    PeerRequest::Cancel(id) => UserAction::Cancel(id),
                 },
             })
         });
--- a/src/service/routes.rs
+++ b/src/service/routes.rs
@@ -1,7 +1,7 @@
 //! The public interface: which command a request becomes, and what is answered at once.
 
 use super::inbox::{Inbox, Reply};
-use crate::core::{Ask, Command, UserRequest};
+use crate::core::{Command, UserAction, UserRequest};
 use crate::http::{Answer, Class, Handler, Request, Responder};
 use crate::wire::{
     self, PATH_CANCEL, PATH_HEARTBEAT, PATH_JOBS, PATH_METRICS, PATH_READY, PATH_SETTLE,
@@ -40,7 +40,7 @@
         }
     }
 
-    fn ask_for_user(&self, what: Ask, responder: Responder) {
+    fn ask_for_user(&self, what: UserAction, responder: Responder) {
         let received = Instant::now();
         let command = |ticket| {
             Command::User(UserRequest {
@@ -56,12 +56,12 @@
 
     fn submit(&self, body: &[u8], responder: Responder) {
         match wire::parse_submission(body) {
-            Ok(spec) => self.ask_for_user(Ask::Submit(Box::new(spec)), responder),
+            Ok(spec) => self.ask_for_user(UserAction::Submit(Box::new(spec)), responder),
             Err(e) => {
                 let refusal = Answer::error(400, &e);
                 // An accepted job's id gets 200 whatever else the body holds.
                 match wire::submitted_id(body) {
-                    Some(id) => self.ask_for_user(Ask::Malformed(id, refusal), responder),
+                    Some(id) => self.ask_for_user(UserAction::Malformed(id, refusal), responder),
                     None => responder.answer(&refusal),
                 }
             }
@@ -101,8 +101,10 @@
             return;
         }
         match (method, action) {
-            ("GET", "") => self.ask_for_user(Ask::Show(id.to_string()), responder),
-            ("POST", PATH_CANCEL) => self.ask_for_user(Ask::Cancel(id.to_string()), responder),
+            ("GET", "") => self.ask_for_user(UserAction::Show(id.to_string()), responder),
+            ("POST", PATH_CANCEL) => {
+                self.ask_for_user(UserAction::Cancel(id.to_string()), responder)
+            }
             ("GET" | "POST", _) => responder.answer(&Answer::error(404, "no such path")),
             _ => responder.answer(&Answer::error(405, "wrong method")),
         }
--- a/src/service/tests.rs
+++ b/src/service/tests.rs
@@ -1,7 +1,7 @@
 use super::gate::{AdmissionGate, Entry};
 use super::lanes::{Lanes, SHARES};
 use super::*;
-use crate::core::{Ask, UserRequest};
+use crate::core::{UserAction, UserRequest};
 use crate::http::tests::many_connections;
 use crate::wire;
 use std::collections::VecDeque;
@@ -10,7 +10,7 @@
 const REPORT: &str = r#"{"drone":"i-1","endpoint":"127.0.0.1:1","breed":"b","parcel":"a",
             "tenure":1,"tally":1}"#;
 
-fn user(ticket: Ticket, what: Ask) -> Command {
+fn user(ticket: Ticket, what: UserAction) -> Command {
     let request = UserRequest {
         ticket,
         action: what,
@@ -34,9 +34,9 @@
     let mut lanes = Lanes::default();
     for _ in 0..1000 {
         lanes.put(heartbeat());
-        lanes.put(user(1, Ask::Show("wk-1".into())));
+        lanes.put(user(1, UserAction::Show("wk-1".into())));
     }
-    lanes.put(user(2, Ask::Cancel("wk-1".into())));
+    lanes.put(user(2, UserAction::Cancel("wk-1".into())));
     let step = lanes.take();
     assert!(step.len() <= 1 + SHARES[1] + SHARES[2]);
     let urgent = matches!(&step[0], Command::User(r) if r.ticket == 2);
