--- a/src/core/jobs/answers.rs
+++ b/src/core/jobs/answers.rs
@@ -79,7 +79,7 @@
                 job: Self::job_id(id),
                 index: **row,
             };
-            let machine = leader.machines.get(*machine);
+            let machine = leader.machines.get(machine);
             let task = machine.and_then(|m| m.tasks.get(&task));
             task.is_some_and(|t| t.runs())
         };
--- a/src/core/jobs/job_run.rs
+++ b/src/core/jobs/job_run.rs
@@ -108,6 +108,12 @@
         let too_early = self.retry_at.is_some_and(|at| now < at);
         self.is_suspect() && (too_early || !self.tasks.assigned().is_empty())
     }
+
+    /// Whether every queued task waits for a moment before which it is not started again.
+    pub fn all_queued_deferred(&self) -> bool {
+        let mut queued = self.tasks.queued().iter();
+        queued.all(|task| self.backoff_until.contains_key(task))
+    }
 }
 
 /// The run times of a job's tasks, in logarithms: one long run counts little.
--- a/src/core/monitoring/status.rs
+++ b/src/core/monitoring/status.rs
@@ -1,29 +1,26 @@
-//! A readable view of what runs where and why a job waits, for operators.
+//! The status document of this controller: what runs where and why a job waits, for operators.
 
+use crate::core::jobs::job_run::JobRun;
+use crate::core::leadership::state::LeaderState;
 use crate::core::machines::machine::{Machine, Phase};
+use crate::core::store::cache::JobRecord;
 use crate::core::{Core, Ticket};
 use crate::http::Answer;
 use crate::job::{JobId, JobOutcome, JobSpec};
 use serde_json::{Value, json};
-use std::time::SystemTime;
+use std::time::{Instant, SystemTime};
 
 /// Jobs shown in one view; the rest is counted.
 const MAX_LISTED_JOBS: usize = 200;
 
 impl Core {
+    /// Answers with the status document.
     pub(in crate::core) fn answer_status(&mut self, ticket: Ticket) {
-        let view = if self.acting() {
-            self.leader_view()
-        } else {
-            json!({
-                "node": self.settings.name,
-                "leads": false,
-                "leader": self.leader_name(),
-                "state_service_heard_s": self.since(self.store_reachable_at),
-                "members": self.members_status(),
-            })
+        let mut body = match (self.acting(), &self.leader) {
+            (true, Some(leader)) => self.leader_view(leader),
+            (true, None) => json!({}),
+            (false, _) => self.follower_view(),
         };
-        let mut body = view;
         body["accept_ms"] = quantiles(&self.stats.accept);
         body["start_ms"] = quantiles(&self.stats.start);
         body["step_us"] = quantiles(&self.stats.step);
@@ -32,30 +29,33 @@
         self.answer(ticket, Answer::new(200, body.to_string().into_bytes()));
     }
 
-    fn since(&self, t: std::time::Instant) -> u64 {
+    /// Whole seconds since a moment.
+    fn since(&self, t: Instant) -> u64 {
         self.now.mono.saturating_duration_since(t).as_secs()
     }
 
-    fn leader_view(&self) -> Value {
-        let Some(leader) = &self.leader else {
-            return json!({});
-        };
-        let machines: Vec<Value> = leader
-            .machines
-            .values()
-            .map(|m| self.machine_view(m))
-            .collect();
-        let jobs: Vec<Value> = leader
-            .job_runs
-            .keys()
-            .take(MAX_LISTED_JOBS)
-            .map(|id| self.job_view(id))
+    fn follower_view(&self) -> Value {
+        json!({
+            "node": self.settings.name,
+            "leads": false,
+            "leader": self.leader_name(),
+            "state_service_heard_s": self.since(self.store_reachable_at),
+            "members": self.members_status(),
+        })
+    }
+
+    fn leader_view(&self, leader: &LeaderState) -> Value {
+        let machines = leader.machines.values();
+        let machines: Vec<Value> = machines.map(|m| self.machine_view(m)).collect();
+        let jobs = leader.job_runs.iter().take(MAX_LISTED_JOBS);
+        let jobs: Vec<Value> = jobs
+            .map(|(id, run)| self.job_view(leader, id, run))
             .collect();
-        let refused: Vec<String> = self
-            .refused_offers()
-            .into_iter()
-            .map(|(kind, zone, spot)| {
-                format!("{kind} {zone} {}", if spot { "spot" } else { "ordinary" })
+        let refused = self.refused_offers().into_iter();
+        let refused: Vec<String> = refused
+            .map(|(machine_type, zone, spot)| {
+                let market = if spot { "spot" } else { "ordinary" };
+                format!("{machine_type} {zone} {market}")
             })
             .collect();
         json!({
@@ -76,92 +76,101 @@
         })
     }
 
-    fn machine_view(&self, m: &Machine) -> Value {
-        let state = if let Some(why) = m.deleting {
-            format!("being returned: {why}")
-        } else if m.unresolved {
-            "not heard of yet".into()
-        } else if m.incarnation == 0 {
-            "booting".into()
-        } else if m.lease_expired {
-            "lost".into()
-        } else if m.reclaim_at.is_some() {
-            "will be taken".into()
-        } else if m.doubtful_until_token.is_some() {
-            "commands in doubt".into()
-        } else if m
-            .fault_history
-            .avoid_until
-            .is_some_and(|t| t > self.now.mono)
-        {
-            "avoided after failures".into()
-        } else {
-            "up".into()
-        };
-        let tasks: Vec<String> = m
+    fn machine_view(&self, machine: &Machine) -> Value {
+        let tasks: Vec<String> = machine
             .tasks
             .iter()
-            .map(|(k, t)| {
-                let phase = match t.phase {
-                    Phase::Unseen => "starting",
-                    Phase::Fetching => "fetching",
-                    Phase::Running => "running",
-                    Phase::Saving => "saving",
-                };
-                format!("{k} attempt {} {phase}", t.attempt)
+            .map(|(task, placement)| {
+                let phase = phase_name(&placement.phase);
+                format!("{task} attempt {} {phase}", placement.attempt)
             })
             .collect();
         json!({
-            "machine": m.id, "type": m.machine_type, "zone": m.zone, "spot": m.spot,
-            "state": state, "heard_s": self.since(m.last_heartbeat), "reports_to": m.via, "tasks": tasks,
+            "machine": machine.id,
+            "type": machine.machine_type,
+            "zone": machine.zone,
+            "spot": machine.spot,
+            "state": self.machine_state(machine),
+            "heard_s": self.since(machine.last_heartbeat),
+            "reports_to": machine.via,
+            "tasks": tasks,
         })
     }
 
-    fn job_view(&self, id: &JobId) -> Value {
-        let (Some(leader), Some(job)) = (&self.leader, self.store_cache.jobs.get(id)) else {
-            return json!({});
+    /// What holds a machine back most, if anything does.
+    fn machine_state(&self, machine: &Machine) -> String {
+        if let Some(why) = machine.deleting {
+            return format!("being returned: {why}");
+        }
+        let avoid_until = machine.fault_history.avoid_until;
+        let state = if machine.unresolved {
+            "not heard of yet"
+        } else if machine.incarnation == 0 {
+            "booting"
+        } else if machine.lease_expired {
+            "lost"
+        } else if machine.reclaim_at.is_some() {
+            "will be taken"
+        } else if machine.doubtful_until_token.is_some() {
+            "commands in doubt"
+        } else if avoid_until.is_some_and(|until| until > self.now.mono) {
+            "avoided after failures"
+        } else {
+            "up"
         };
-        let Some(run) = leader.job_runs.get(id) else {
+        state.into()
+    }
+
+    fn job_view(&self, leader: &LeaderState, id: &JobId, run: &JobRun) -> Value {
+        let Some(job) = self.store_cache.jobs.get(id) else {
             return json!({});
         };
         let running = self.running_tasks(id, run) as usize;
-        let due = leader.urgency_of(id, job).due;
-        let left = |d: SystemTime| match d.duration_since(self.now.wall) {
-            Ok(left) => left.as_secs_f64(),
-            Err(over) => -over.duration().as_secs_f64(),
-        };
-        // What is left until its pipeline's deadline when it has run.
-        let slack = due.map(|d| (left(d) - job.spec.estimate.as_secs_f64()).round() as i64);
         json!({
-            "awaits": self.awaited(&job.spec), "slack_s": slack,
-            "job": id, "class": job.spec.class, "team": job.spec.team,
-            "tasks": job.spec.tasks, "done": job.done.len(), "running": running,
-            "starting": run.tasks.assigned().len() - running, "waiting": run.tasks.queued().len(),
-            "why": self.why_waiting(id),
+            "awaits": self.unfinished_dependencies(&job.spec),
+            "slack_s": self.slack_s(leader, id, job),
+            "job": id,
+            "class": job.spec.class,
+            "team": job.spec.team,
+            "tasks": job.spec.tasks,
+            "done": job.done.len(),
+            "running": running,
+            "starting": run.tasks.assigned().len() - running,
+            "waiting": run.tasks.queued().len(),
+            "why": self.why_waiting(leader, id, job, run),
         })
     }
 
-    /// The jobs that one awaits and that are not done.
-    fn awaited<'a>(&self, spec: &'a JobSpec) -> Vec<&'a JobId> {
-        let done = |a: &&JobId| self.store_cache.finished.get(*a) != Some(&JobOutcome::Done);
-        spec.dependencies.iter().filter(done).collect()
+    /// What is left until its pipeline's deadline when the job has run, in seconds; below zero if
+    /// it will be late.
+    fn slack_s(&self, leader: &LeaderState, id: &JobId, job: &JobRecord) -> Option<i64> {
+        let due = leader.urgency_of(id, job).due?;
+        let slack = seconds_until(due, self.now.wall) - job.spec.estimate.as_secs_f64();
+        Some(slack.round() as i64)
+    }
+
+    /// The jobs that one depends on and that are not done.
+    fn unfinished_dependencies<'a>(&self, spec: &'a JobSpec) -> Vec<&'a JobId> {
+        let finished = &self.store_cache.finished;
+        let is_unfinished = |id: &&JobId| finished.get(*id) != Some(&JobOutcome::Done);
+        spec.dependencies.iter().filter(is_unfinished).collect()
     }
 
     /// One sentence on why a job's waiting tasks wait.
-    fn why_waiting(&self, id: &JobId) -> String {
-        let (Some(leader), Some(job)) = (&self.leader, self.store_cache.jobs.get(id)) else {
-            return String::new();
-        };
-        let Some(run) = leader.job_runs.get(id) else {
-            return String::new();
-        };
+    fn why_waiting(
+        &self,
+        leader: &LeaderState,
+        id: &JobId,
+        job: &JobRecord,
+        run: &JobRun,
+    ) -> String {
         if run.ending.is_some() {
             return "its end is being written".into();
         }
-        if let Some(root) = self.store_cache.dependencies.cancelled_dependency(id) {
-            return format!("it is cancelled with {root}, which it needs");
+        if let Some(cancelled) = self.store_cache.dependencies.cancelled_dependency(id) {
+            return format!("it is cancelled with {cancelled}, which it needs");
         }
-        if let Some((first, others)) = self.awaited(&job.spec).split_first() {
+        if let Some((first, others)) = self.unfinished_dependencies(&job.spec).split_first() {
             return match others.len() {
                 0 => format!("it awaits {first}"),
                 n => format!("it awaits {first} and {n} more"),
@@ -182,26 +191,40 @@
                 "its tasks failed {failures} times and never succeeded; it is tried now and then"
             );
         }
-        if failures > 0
-            && run
-                .tasks
-                .queued()
-                .iter()
-                .all(|r| run.backoff_until.contains_key(r))
-        {
+        if failures > 0 && run.all_queued_deferred() {
             return format!("its tasks failed {failures} times; they are tried again later");
         }
-        match &leader.scheduler.queue_head {
-            Some((head, Some(after))) if head == id => {
-                format!(
-                    "next in the queue; room is expected in {} s",
-                    after.as_secs()
-                )
-            }
-            Some((head, None)) if head == id => "next in the queue; no room is in sight".into(),
-            Some((head, _)) => format!("room is kept for {head}, which is before it"),
-            None => "its team is at its limit, or it is about to start".into(),
+        why_no_room(leader, id)
+    }
+}
+
+/// Why a job waits that may start.
+fn why_no_room(leader: &LeaderState, id: &JobId) -> String {
+    match &leader.scheduler.queue_head {
+        Some((head, Some(after))) if head == id => {
+            let seconds = after.as_secs();
+            format!("next in the queue; room is expected in {seconds} s")
         }
+        Some((head, None)) if head == id => "next in the queue; no room is in sight".into(),
+        Some((head, _)) => format!("room is kept for {head}, which is before it"),
+        None => "its team is at its limit, or it is about to start".into(),
+    }
+}
+
+fn phase_name(phase: &Phase) -> &'static str {
+    match phase {
+        Phase::Unseen => "starting",
+        Phase::Fetching => "fetching",
+        Phase::Running => "running",
+        Phase::Saving => "saving",
+    }
+}
+
+/// Below zero for a moment that has passed.
+fn seconds_until(moment: SystemTime, now: SystemTime) -> f64 {
+    match moment.duration_since(now) {
+        Ok(left) => left.as_secs_f64(),
+        Err(passed) => -passed.duration().as_secs_f64(),
     }
 }
 
