--- a/crates/snapshot/src/archive.rs
+++ b/crates/snapshot/src/archive.rs
@@ -1,27 +1,43 @@
-//! The folder that an archivist writes: its key, and a line for each store that was followed. When a
-//! store loses data it is another one from then on, and gets a line of its own: what was kept of the
-//! one before is never written over.
+//! The folder that a snapshotter writes: its key, and a timeline for each store that was followed.
+//! When a store loses data it is another one from then on, and gets a timeline of its own: what was
+//! kept of the one before is never written over.
 
 use crate::image::Image;
-use crate::line::{self, Found, Line, Writer};
 use crate::record::Key;
+use crate::timeline::{self, RecordFault, Timeline, TimelineError, Writer};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// Lines that are kept; the oldest goes first.
-const KEPT: usize = 8;
+/// Timelines that are kept; the oldest goes first.
+const KEPT_TIMELINES: usize = 8;
 const KEY_FILE: &str = "key";
 
+/// A folder of timelines.
 pub struct Archive {
     dir: PathBuf,
     key: Key,
 }
 
-/// A line's folder, and what can be read of it.
-pub struct Listed {
+/// A timeline's folder, and what can be read of it.
+pub struct ArchivedTimeline {
     /// The folder's name: a number, and the store's identity.
     pub name: String,
-    pub line: Result<Line, Vec<Found>>,
+    /// What can be read of it; where nothing can be, the faults that say why.
+    pub timeline: Result<Timeline, Vec<RecordFault>>,
+}
+
+/// The name of a timeline's folder, with the number at its start.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct FolderName {
+    number: u64,
+    name: String,
+}
+
+impl FolderName {
+    /// The store's identity in the name.
+    fn store(&self) -> &str {
+        self.name.split_once('-').map_or("", |(_, store)| store)
+    }
 }
 
 impl Archive {
@@ -56,79 +72,83 @@
         })
     }
 
-    /// Lines by number, the newest last.
-    fn names(&self) -> io::Result<Vec<(u64, String)>> {
-        let mut out = Vec::new();
+    /// The timelines' folders by number, the newest last.
+    fn folders(&self) -> io::Result<Vec<FolderName>> {
+        let mut folders = Vec::new();
         for entry in std::fs::read_dir(&self.dir)? {
             let entry = entry?;
             let name = entry.file_name().to_string_lossy().into_owned();
             let number = name.split('-').next().and_then(|n| n.parse::<u64>().ok());
             if let Some(number) = number.filter(|_| entry.path().is_dir()) {
-                out.push((number, name));
+                folders.push(FolderName { number, name });
             }
         }
-        out.sort();
-        Ok(out)
+        folders.sort();
+        Ok(folders)
     }
 
-    /// Begins a line of its own for a store.
+    /// Begins a new timeline for a store.
     pub fn begin(&self, store: &str, image: &Image) -> io::Result<Writer> {
-        let names = self.names()?;
-        let number = names.last().map_or(1, |(n, _)| n + 1);
+        let folders = self.folders()?;
+        let number = folders.last().map_or(1, |newest| newest.number + 1);
         // Identities are letters and digits; whatever else one has is not for a file's name.
         let plain: String = store.chars().filter(char::is_ascii_alphanumeric).collect();
         let plain = if plain.is_empty() { "unnamed" } else { &plain };
         let dir = self.dir.join(format!("{number:04}-{plain}"));
         let writer = Writer::begin(&dir, self.key, store, image)?;
         std::fs::File::open(&self.dir)?.sync_all()?;
-        let old = (names.len() + 1).saturating_sub(KEPT);
-        for (_, name) in &names[..old] {
-            std::fs::remove_dir_all(self.dir.join(name))?;
+        let excess = (folders.len() + 1).saturating_sub(KEPT_TIMELINES);
+        for folder in &folders[..excess] {
+            std::fs::remove_dir_all(self.dir.join(&folder.name))?;
         }
         Ok(writer)
     }
 
-    /// Goes on with the newest line, with a base of what the store holds now.
-    pub fn go_on(&self, image: &Image, store: &str) -> io::Result<Writer> {
-        match self.names()?.last() {
-            Some((_, name)) => Writer::begin(&self.dir.join(name), self.key, store, image),
+    /// Goes on with the newest timeline, with a base of what the store holds now.
+    pub fn resume(&self, image: &Image, store: &str) -> io::Result<Writer> {
+        match self.folders()?.last() {
+            Some(newest) => Writer::begin(&self.dir.join(&newest.name), self.key, store, image),
             None => self.begin(store, image),
         }
     }
 
-    pub fn list(&self) -> io::Result<Vec<Listed>> {
-        let names = self.names()?.into_iter();
-        names.map(|(_, name)| self.read(&name)).collect()
+    /// Reads every timeline, the newest last.
+    pub fn list(&self) -> io::Result<Vec<ArchivedTimeline>> {
+        let folders = self.folders()?;
+        folders.iter().map(|folder| self.read(folder)).collect()
     }
 
-    /// The newest line that has a base; `None` if there is none.
-    pub fn newest(&self) -> io::Result<Option<Listed>> {
-        for (_, name) in self.names()?.into_iter().rev() {
-            let listed = self.read(&name)?;
-            if listed.line.is_ok() {
-                return Ok(Some(listed));
+    /// The newest timeline that has a base; `None` if there is none.
+    pub fn newest(&self) -> io::Result<Option<ArchivedTimeline>> {
+        for folder in self.folders()?.iter().rev() {
+            let archived = self.read(folder)?;
+            if archived.timeline.is_ok() {
+                return Ok(Some(archived));
             }
         }
         Ok(None)
     }
 
-    /// One line, by its folder's name, by its number, or by the store's identity (the newest of it).
-    pub fn find(&self, which: &str) -> io::Result<Option<Listed>> {
-        let names = self.names()?;
-        let named = |(number, name): &&(u64, String)| {
-            let store = name.split_once('-').map_or("", |(_, s)| s);
-            name == which || number.to_string() == which || store == which
+    /// One timeline, by its folder's name, by its number, or by the store's identity (the newest of
+    /// it).
+    pub fn find(&self, which: &str) -> io::Result<Option<ArchivedTimeline>> {
+        let folders = self.folders()?;
+        let matches = |folder: &&FolderName| {
+            folder.name == which || folder.number.to_string() == which || folder.store() == which
         };
-        match names.iter().rev().find(named) {
-            Some((_, name)) => self.read(name).map(Some),
-            None => Ok(None),
-        }
+        let found = folders.iter().rev().find(matches);
+        found.map(|folder| self.read(folder)).transpose()
     }
 
-    fn read(&self, name: &str) -> io::Result<Listed> {
-        Ok(Listed {
-            name: name.into(),
-            line: line::read(&self.dir.join(name), &self.key)?,
+    fn read(&self, folder: &FolderName) -> io::Result<ArchivedTimeline> {
+        let timeline = match timeline::read(&self.dir.join(&folder.name), &self.key) {
+            Ok(timeline) => Ok(timeline),
+            Err(TimelineError::NoBase(faults)) => Err(faults),
+            Err(TimelineError::Io(error)) => return Err(error),
+        };
+        Ok(ArchivedTimeline {
+            name: folder.name.clone(),
+            timeline,
         })
     }
 }
--- a/crates/snapshot/src/archive/tests.rs
+++ b/crates/snapshot/src/archive/tests.rs
@@ -2,7 +2,7 @@
 use crate::image::{Change, Entry};
 
 #[test]
-fn each_store_has_a_line_of_its_own_and_the_oldest_go() {
+fn each_store_has_a_timeline_of_its_own_and_the_oldest_go() {
     let dir = tempfile::tempdir().unwrap();
     let archive = Archive::open(dir.path()).unwrap();
     assert!(archive.newest().unwrap().is_none());
@@ -24,12 +24,15 @@
     // Opened again, with the same key.
     let archive = Archive::existing(dir.path()).unwrap();
     let all = archive.list().unwrap();
-    assert_eq!((all.len(), &*all[0].name), (KEPT, "0003-s2"));
-    let line = archive.newest().unwrap().unwrap().line.unwrap();
-    assert_eq!((&*line.head.store, line.image.revision), ("s9", 10));
+    assert_eq!((all.len(), &*all[0].name), (KEPT_TIMELINES, "0003-s2"));
+    let timeline = archive.newest().unwrap().unwrap().timeline.unwrap();
+    assert_eq!(
+        (&*timeline.header.store, timeline.image.revision),
+        ("s9", 10)
+    );
     for which in ["s4", "5", "0005-s4"] {
-        let line = archive.find(which).unwrap().unwrap().line.unwrap();
-        assert_eq!(line.head.store, "s4");
+        let timeline = archive.find(which).unwrap().unwrap().timeline.unwrap();
+        assert_eq!(timeline.header.store, "s4");
     }
     assert!(archive.find("s0").unwrap().is_none());
     assert!(Archive::existing(&dir.path().join("none")).is_err());
--- /dev/null
+++ b/crates/snapshot/src/codec.rs
@@ -0,0 +1,80 @@
+//! The encoding of numbers, texts and changes inside records: little-endian, texts with their
+//! length before them.
+
+use crate::image::{Change, Entry};
+
+/// A deletion has this in place of a version: no key is ever put at revision 0.
+const DELETED: u64 = 0;
+
+/// Builds the bytes of a record.
+#[derive(Default)]
+pub(crate) struct Encoder(Vec<u8>);
+
+impl Encoder {
+    pub(crate) fn number(&mut self, number: u64) {
+        self.0.extend_from_slice(&number.to_le_bytes());
+    }
+
+    pub(crate) fn text(&mut self, text: &str) {
+        let length = text.len() as u32;
+        self.0.extend_from_slice(&length.to_le_bytes());
+        self.0.extend_from_slice(text.as_bytes());
+    }
+
+    /// A key with its entry; without one, its deletion.
+    pub(crate) fn change(&mut self, key: &str, entry: Option<&Entry>) {
+        self.number(entry.map_or(DELETED, |entry| entry.version));
+        self.text(key);
+        self.text(entry.map_or("", |entry| &entry.value));
+    }
+
+    pub(crate) fn bytes(&self) -> &[u8] {
+        &self.0
+    }
+
+    pub(crate) fn len(&self) -> usize {
+        self.0.len()
+    }
+
+    pub(crate) fn is_empty(&self) -> bool {
+        self.0.is_empty()
+    }
+
+    pub(crate) fn truncate(&mut self, length: usize) {
+        self.0.truncate(length);
+    }
+}
+
+/// Reads the bytes of a record; `None` where they are not as an [`Encoder`] made them.
+pub(crate) struct Decoder<'a>(&'a [u8]);
+
+impl<'a> Decoder<'a> {
+    pub(crate) fn new(bytes: &'a [u8]) -> Decoder<'a> {
+        Decoder(bytes)
+    }
+
+    pub(crate) fn is_at_end(&self) -> bool {
+        self.0.is_empty()
+    }
+
+    pub(crate) fn number(&mut self) -> Option<u64> {
+        let (number, rest) = self.0.split_first_chunk::<8>()?;
+        self.0 = rest;
+        Some(u64::from_le_bytes(*number))
+    }
+
+    pub(crate) fn text(&mut self) -> Option<String> {
+        let (length, rest) = self.0.split_first_chunk::<4>()?;
+        let (text, rest) = rest.split_at_checked(u32::from_le_bytes(*length) as usize)?;
+        self.0 = rest;
+        String::from_utf8(text.to_vec()).ok()
+    }
+
+    pub(crate) fn change(&mut self) -> Option<Change> {
+        let version = self.number()?;
+        let key = self.text()?;
+        let value = self.text()?;
+        let entry = (version != DELETED).then_some(Entry { version, value });
+        Some(Change { key, entry })
+    }
+}
--- a/crates/snapshot/src/image.rs
+++ b/crates/snapshot/src/image.rs
@@ -2,40 +2,47 @@
 
 use std::collections::BTreeMap;
 
+/// What the store holds under one key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
+    /// The revision at which it was put.
     pub version: u64,
+    /// JSON text.
     pub value: String,
 }
 
-/// One change, as a watch tells it. A deletion has no entry.
+/// One change, as a watch reports it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
+    /// The key that changed.
     pub key: String,
+    /// What is under it now; nothing after a deletion.
     pub entry: Option<Entry>,
 }
 
 /// What the store held at a revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Image {
+    /// The revision of the store.
     pub revision: u64,
+    /// Every key and what is under it.
     pub items: BTreeMap<String, Entry>,
 }
 
 impl Image {
-    /// Changes are applied in the order in which the service tells them. One that comes again (a watch
-    /// repeats what a list told already) does not bring back an older version.
+    /// Applies changes in the order in which the service reports them. One that comes again (a watch
+    /// repeats what a list held already) does not bring back an older version.
     pub fn apply(&mut self, changes: Vec<Change>, revision: u64) {
-        for c in changes {
-            match c.entry {
+        for Change { key, entry } in changes {
+            match entry {
                 Some(entry) => {
-                    let known = self.items.get(&c.key);
-                    if known.is_none_or(|e| e.version <= entry.version) {
-                        self.items.insert(c.key, entry);
+                    let known = self.items.get(&key);
+                    if known.is_none_or(|known| known.version <= entry.version) {
+                        self.items.insert(key, entry);
                     }
                 }
                 None => {
-                    self.items.remove(&c.key);
+                    self.items.remove(&key);
                 }
             }
         }
@@ -44,7 +51,10 @@
 
     /// Bytes of keys and values.
     pub fn bytes(&self) -> usize {
-        let sizes = self.items.iter().map(|(k, e)| k.len() + e.value.len());
+        let sizes = self
+            .items
+            .iter()
+            .map(|(key, entry)| key.len() + entry.value.len());
         sizes.sum()
     }
 }
--- a/crates/snapshot/src/record.rs
+++ b/crates/snapshot/src/record.rs
@@ -6,14 +6,18 @@
 use zerocopy::byteorder::little_endian::U32;
 use zerocopy::{FromBytes, Immutable, IntoBytes, KnownLayout, Unaligned};
 
+/// The first bytes of every record.
 const MAGIC: u32 = 0x6275_7273;
-/// No record unpacks to more, whatever its header says.
-pub const MOST_BYTES: usize = 1 << 20;
+/// No record unpacks to more bytes, whatever its header says.
+pub const MAX_RECORD_BYTES: usize = 1 << 20;
+/// Nor is one longer when packed: what cannot be compressed grows a little.
+const MAX_PACKED_BYTES: usize = MAX_RECORD_BYTES + MAX_RECORD_BYTES / 16;
 
+/// What a record holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    /// What a line is of.
-    Head = 1,
+pub enum RecordKind {
+    /// What a base is of.
+    Header = 1,
     /// Some of the items of a base.
     Items = 2,
     /// A base is whole.
@@ -22,11 +26,15 @@
     Changes = 4,
 }
 
-impl Kind {
-    fn of(byte: u8) -> Option<Kind> {
-        [Kind::Head, Kind::Items, Kind::End, Kind::Changes]
-            .into_iter()
-            .find(|k| *k as u8 == byte)
+impl RecordKind {
+    fn from_byte(byte: u8) -> Option<RecordKind> {
+        let kinds = [
+            RecordKind::Header,
+            RecordKind::Items,
+            RecordKind::End,
+            RecordKind::Changes,
+        ];
+        kinds.into_iter().find(|kind| *kind as u8 == byte)
     }
 }
 
@@ -36,7 +44,9 @@
     magic: U32,
     kind: u8,
     reserved: [u8; 3],
+    /// Length of the bytes before compression.
     raw: U32,
+    /// Length of the compressed bytes, which follow.
     packed: U32,
     /// Over the packed bytes.
     crc: U32,
@@ -47,38 +57,41 @@
 /// The archive's key.
 pub type Key = [u8; 32];
 /// Where in its file's chain a record stands: the hash of the one before it.
-pub type Link = [u8; 16];
+pub type ChainHash = [u8; 16];
 
-/// The first link of a file, by its name: records of one file do not pass for another's.
-pub fn first_link(key: &Key, file: &str) -> Link {
-    short(blake3::keyed_hash(key, file.as_bytes()))
+/// The start of a file's chain, by its name: records of one file do not pass for another's.
+pub fn first_link(key: &Key, file: &str) -> ChainHash {
+    truncated(blake3::keyed_hash(key, file.as_bytes()))
 }
 
-fn short(hash: blake3::Hash) -> Link {
-    let mut link = [0; 16];
-    link.copy_from_slice(&hash.as_bytes()[..16]);
-    link
+fn truncated(hash: blake3::Hash) -> ChainHash {
+    let mut chain = ChainHash::default();
+    let length = chain.len();
+    chain.copy_from_slice(&hash.as_bytes()[..length]);
+    chain
 }
 
-fn link(key: &Key, before: &Link, kind: u8, raw: u32, packed: &[u8]) -> Link {
-    let mut h = blake3::Hasher::new_keyed(key);
-    h.update(before)
+/// The hash of a record, given that of the one before it.
+fn next_link(key: &Key, before: &ChainHash, kind: u8, raw: u32, packed: &[u8]) -> ChainHash {
+    let mut hasher = blake3::Hasher::new_keyed(key);
+    hasher
+        .update(before)
         .update(&[kind])
         .update(&raw.to_le_bytes())
         .update(packed);
-    short(h.finalize())
+    truncated(hasher.finalize())
 }
 
 /// Writes a record; gives its length in the file.
 pub fn write(
     out: &mut impl Write,
     key: &Key,
-    before: &mut Link,
-    kind: Kind,
+    chain: &mut ChainHash,
+    kind: RecordKind,
     raw: &[u8],
 ) -> io::Result<usize> {
     let packed = lz4_flex::block::compress(raw);
-    *before = link(key, before, kind as u8, raw.len() as u32, &packed);
+    *chain = next_link(key, chain, kind as u8, raw.len() as u32, &packed);
     let header = Header {
         magic: U32::new(MAGIC),
         kind: kind as u8,
@@ -86,7 +99,7 @@
         raw: U32::new(raw.len() as u32),
         packed: U32::new(packed.len() as u32),
         crc: U32::new(crc32fast::hash(&packed)),
-        chain: *before,
+        chain: *chain,
     };
     let mut bytes = header.as_bytes().to_vec();
     bytes.extend_from_slice(&packed);
@@ -96,66 +109,72 @@
 }
 
 /// Why a file cannot be read on.
-#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Fault {
     /// It ends within a record: the writer was ended there.
+    #[error("it ends within a record")]
     Torn,
-    /// Bytes are not as they were written.
+    /// Bytes are not as they were written; with what shows it.
+    #[error("its bytes are not as they were written ({0})")]
     Damaged(&'static str),
     /// Whole, but not written here, or not in this place.
+    #[error("a record was not written in this place with this key")]
     Foreign,
 }
 
-impl std::fmt::Display for Fault {
-    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        match self {
-            Fault::Torn => f.write_str("it ends within a record"),
-            Fault::Damaged(what) => write!(f, "its bytes are not as they were written ({what})"),
-            Fault::Foreign => f.write_str("a record was not written in this place with this key"),
-        }
-    }
+/// Why a record cannot be read.
+#[derive(Debug, thiserror::Error)]
+pub enum ReadError {
+    /// The file could not be read.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// The file was read, and what it holds is not a record of this chain.
+    #[error(transparent)]
+    Fault(#[from] Fault),
 }
 
-/// The next record, `None` at the end, or what is at fault.
-pub type Next<F> = Result<Option<(Kind, Vec<u8>)>, F>;
-
-/// Reads the next record; `Ok(None)` at the end of the file.
-pub fn read(input: &mut impl Read, key: &Key, before: &mut Link) -> io::Result<Next<Fault>> {
-    let mut head = [0; size_of::<Header>()];
-    match fill(input, &mut head)? {
-        0 => return Ok(Ok(None)),
-        n if n < head.len() => return Ok(Err(Fault::Torn)),
+/// Reads the next record, and moves the chain on; `None` at the end of the file.
+pub fn read(
+    input: &mut impl Read,
+    key: &Key,
+    chain: &mut ChainHash,
+) -> Result<Option<(RecordKind, Vec<u8>)>, ReadError> {
+    let mut header = [0; size_of::<Header>()];
+    match fill(input, &mut header)? {
+        0 => return Ok(None),
+        n if n < header.len() => return Err(Fault::Torn.into()),
         _ => {}
     }
-    let Ok(h) = Header::ref_from_bytes(&head) else {
-        return Ok(Err(Fault::Damaged("header")));
-    };
-    if h.magic.get() != MAGIC {
-        return Ok(Err(Fault::Damaged("mark")));
+    let header = Header::ref_from_bytes(&header).map_err(|_| Fault::Damaged("header"))?;
+    let kind = check_header(header)?;
+    let mut packed = vec![0; header.packed.get() as usize];
+    if fill(input, &mut packed)? < packed.len() {
+        return Err(Fault::Torn.into());
     }
-    let (raw, packed) = (h.raw.get() as usize, h.packed.get() as usize);
-    let Some(kind) = Kind::of(h.kind) else {
-        return Ok(Err(Fault::Damaged("kind")));
-    };
-    if raw > MOST_BYTES || packed > MOST_BYTES + MOST_BYTES / 16 {
-        return Ok(Err(Fault::Damaged("length")));
+    if crc32fast::hash(&packed) != header.crc.get() {
+        return Err(Fault::Damaged("checksum").into());
     }
-    let mut bytes = vec![0; packed];
-    if fill(input, &mut bytes)? < packed {
-        return Ok(Err(Fault::Torn));
+    let next = next_link(key, chain, header.kind, header.raw.get(), &packed);
+    if next != header.chain || header.reserved != [0; 3] {
+        return Err(Fault::Foreign.into());
     }
-    if crc32fast::hash(&bytes) != h.crc.get() {
-        return Ok(Err(Fault::Damaged("checksum")));
+    let raw = lz4_flex::block::decompress(&packed, header.raw.get() as usize)
+        .map_err(|_| Fault::Damaged("compression"))?;
+    *chain = next;
+    Ok(Some((kind, raw)))
+}
+
+/// Whether a header can be one of a record, before anything is read on its word.
+fn check_header(header: &Header) -> Result<RecordKind, Fault> {
+    if header.magic.get() != MAGIC {
+        return Err(Fault::Damaged("mark"));
     }
-    let next = link(key, before, h.kind, h.raw.get(), &bytes);
-    if next != h.chain || h.reserved != [0; 3] {
-        return Ok(Err(Fault::Foreign));
+    let kind = RecordKind::from_byte(header.kind).ok_or(Fault::Damaged("kind"))?;
+    let (raw, packed) = (header.raw.get() as usize, header.packed.get() as usize);
+    if raw > MAX_RECORD_BYTES || packed > MAX_PACKED_BYTES {
+        return Err(Fault::Damaged("length"));
     }
-    let Ok(unpacked) = lz4_flex::block::decompress(&bytes, raw) else {
-        return Ok(Err(Fault::Damaged("compression")));
-    };
-    *before = next;
-    Ok(Ok(Some((kind, unpacked))))
+    Ok(kind)
 }
 
 /// Reads until the buffer is full or the file ends; gives how much.
--- a/crates/snapshot/src/timeline/tests.rs
+++ b/crates/snapshot/src/timeline/tests.rs
@@ -1,5 +1,8 @@
 use super::*;
+use crate::image::{Change, Entry};
+use crate::record::Key;
 use proptest::prelude::*;
+use std::fs::File;
 
 const KEY: Key = [7; 32];
 
@@ -18,7 +21,7 @@
     }
 }
 
-/// A small line: two items, then four changes in three records.
+/// A small timeline: two items, then four changes in three records.
 fn small(dir: &Path) -> Vec<Image> {
     let mut image = Image::default();
     image.apply(vec![put("a", 1, "{}"), put("b", 2, "[1,2]")], 2);
@@ -51,8 +54,8 @@
     writer.append(&pages, 301).unwrap();
     image.apply(pages, 301);
     writer.sync().unwrap();
-    let line = read(dir.path(), &KEY).unwrap().unwrap();
-    assert_eq!((&line.image, line.faults.len()), (&image, 0));
+    let timeline = read(dir.path(), &KEY).unwrap();
+    assert_eq!((&timeline.image, timeline.faults.len()), (&image, 0));
 }
 
 /// The writer may be ended at any byte: what was written before is read, and it is said that more
@@ -66,11 +69,11 @@
     let mut told = std::collections::BTreeSet::new();
     for n in 0..=whole.len() {
         std::fs::write(&log, &whole[..n]).unwrap();
-        let line = read(dir.path(), &KEY).unwrap().unwrap();
-        assert!(seen.contains(&line.image), "cut at {n}");
-        let between = line.faults.first().map(|f| f.fault.clone());
+        let timeline = read(dir.path(), &KEY).unwrap();
+        assert!(seen.contains(&timeline.image), "cut at {n}");
+        let between = timeline.faults.first().map(|f| f.fault.clone());
         assert!(matches!(between, None | Some(Fault::Torn)), "{between:?}");
-        told.insert(line.image.revision);
+        told.insert(timeline.image.revision);
     }
     assert_eq!(told, [2, 3, 4, 5].into());
 }
@@ -86,20 +89,23 @@
             let mut bytes = whole.clone();
             bytes[n] ^= 1 << (n % 8);
             std::fs::write(&file, &bytes).unwrap();
-            match read(dir.path(), &KEY).unwrap() {
-                Ok(line) => {
-                    assert_eq!(line.faults.len(), 1, "{name} byte {n}");
-                    assert!(seen.contains(&line.image), "{name} byte {n}");
+            match read(dir.path(), &KEY) {
+                Ok(timeline) => {
+                    assert_eq!(timeline.faults.len(), 1, "{name} byte {n}");
+                    assert!(seen.contains(&timeline.image), "{name} byte {n}");
                 }
-                Err(faults) => assert_eq!((name, faults.len()), ("000001.base", 1)),
+                Err(TimelineError::NoBase(faults)) => {
+                    assert_eq!((name, faults.len()), ("000001.base", 1));
+                }
+                Err(TimelineError::Io(error)) => panic!("{name} byte {n}: {error}"),
             }
         }
         std::fs::write(&file, &whole).unwrap();
     }
-    assert!(read(dir.path(), &KEY).unwrap().unwrap().faults.is_empty());
+    assert!(read(dir.path(), &KEY).unwrap().faults.is_empty());
 }
 
-/// Records moved, taken out or written with another key are whole, and yet not the line's.
+/// Records moved, taken out or written with another key are whole, and yet not the timeline's.
 #[test]
 fn a_log_put_together_by_another_hand_is_not_believed() {
     let dir = tempfile::tempdir().unwrap();
@@ -109,9 +115,9 @@
     w.append(&[put("a", 9, "9")], 9).unwrap();
     let forged = std::fs::read(other.path().join("000001.log")).unwrap();
     std::fs::write(dir.path().join("000001.log"), forged).unwrap();
-    let line = read(dir.path(), &KEY).unwrap().unwrap();
-    assert_eq!(line.image.revision, 2);
-    assert_eq!(line.faults[0].fault, Fault::Foreign);
+    let timeline = read(dir.path(), &KEY).unwrap();
+    assert_eq!(timeline.image.revision, 2);
+    assert_eq!(timeline.faults[0].fault, Fault::Foreign);
 }
 
 #[test]
@@ -125,13 +131,13 @@
     let middle = bytes.len() / 2;
     bytes[middle] ^= 4;
     std::fs::write(&base, bytes).unwrap();
-    let line = read(dir.path(), &KEY).unwrap().unwrap();
-    assert_eq!((&line.image, line.faults.len()), (last, 1));
+    let timeline = read(dir.path(), &KEY).unwrap();
+    assert_eq!((&timeline.image, timeline.faults.len()), (last, 1));
     // The third pair removes the first, and a log without a base is passed over.
     Writer::begin(dir.path(), KEY, "s", last).unwrap();
     assert!(!dir.path().join("000001.base").exists());
     File::create(dir.path().join("000009.log")).unwrap();
-    assert_eq!(&read(dir.path(), &KEY).unwrap().unwrap().image, last);
+    assert_eq!(&read(dir.path(), &KEY).unwrap().image, last);
 }
 
 proptest! {
@@ -157,8 +163,8 @@
                 w.compact(&image).unwrap();
             }
         }
-        let line = read(dir.path(), &KEY).unwrap().unwrap();
-        prop_assert_eq!(line.image, image);
-        prop_assert!(line.faults.is_empty());
+        let timeline = read(dir.path(), &KEY).unwrap();
+        prop_assert_eq!(timeline.image, image);
+        prop_assert!(timeline.faults.is_empty());
     }
 }
--- /dev/null
+++ b/crates/snapshot/src/timeline/writer.rs
@@ -0,0 +1,167 @@
+//! Writing of a timeline.
+
+use super::{base_name, log_name, pair_numbers};
+use crate::codec::Encoder;
+use crate::image::{Change, Image};
+use crate::record::{self, ChainHash, Key, RecordKind, first_link};
+use std::fs::File;
+use std::io::{self, BufWriter, Write};
+use std::path::{Path, PathBuf};
+use std::time::{Duration, SystemTime};
+
+/// Raw bytes of a record of a base.
+const BASE_RECORD_BYTES: usize = 128 * 1024;
+/// Changes in a record of a log, where they are short.
+const CHANGES_IN_RECORD: usize = 256;
+/// A log shorter than this is not worth a new base, in bytes.
+const MIN_COMPACTED_LOG: usize = 256 * 1024;
+/// Pairs of base and log that are kept.
+const KEPT_PAIRS: u64 = 2;
+
+/// A timeline that is being written.
+pub struct Writer {
+    dir: PathBuf,
+    key: Key,
+    store: String,
+    log: File,
+    chain: ChainHash,
+    base_bytes: usize,
+    log_bytes: usize,
+    unsynced: bool,
+}
+
+impl Writer {
+    /// Begins a pair with what the store holds; the ones before the last are removed.
+    pub fn begin(dir: &Path, key: Key, store: &str, image: &Image) -> io::Result<Writer> {
+        std::fs::create_dir_all(dir)?;
+        let number = pair_numbers(dir)?.last().map_or(1, |newest| newest + 1);
+        let (base, log) = (base_name(number), log_name(number));
+        // A log is there before its base is: one without a base says nothing.
+        let log_file = File::create_new(dir.join(&log))?;
+        let mut part = tempfile::Builder::new().prefix("part-").tempfile_in(dir)?;
+        let base_bytes = write_base(&mut part, &key, &base, store, image)?;
+        part.as_file().sync_all()?;
+        part.persist(dir.join(&base)).map_err(|e| e.error)?;
+        File::open(dir)?.sync_all()?;
+        remove_old_pairs(dir, number)?;
+        Ok(Writer {
+            dir: dir.into(),
+            key,
+            store: store.into(),
+            log: log_file,
+            chain: first_link(&key, &log),
+            base_bytes,
+            log_bytes: 0,
+            unsynced: false,
+        })
+    }
+
+    /// Adds changes to the log. They are safe only after `sync`.
+    pub fn append(&mut self, changes: &[Change], revision: u64) -> io::Result<()> {
+        let mut rest = changes;
+        while !rest.is_empty() {
+            let (encoded, count) = next_record(rest, revision);
+            rest = &rest[count..];
+            self.log_bytes += record::write(
+                &mut self.log,
+                &self.key,
+                &mut self.chain,
+                RecordKind::Changes,
+                encoded.bytes(),
+            )?;
+            self.unsynced = true;
+        }
+        Ok(())
+    }
+
+    /// Waits until everything appended is on disk.
+    pub fn sync(&mut self) -> io::Result<()> {
+        if std::mem::take(&mut self.unsynced) {
+            self.log.sync_data()?;
+        }
+        Ok(())
+    }
+
+    /// Whether a new base would make the timeline shorter.
+    pub fn is_long(&self) -> bool {
+        self.log_bytes > MIN_COMPACTED_LOG.max(self.base_bytes)
+    }
+
+    /// Puts a new base in the place of this one and its log.
+    pub fn compact(&mut self, image: &Image) -> io::Result<()> {
+        self.sync()?;
+        *self = Writer::begin(&self.dir, self.key, &self.store, image)?;
+        Ok(())
+    }
+}
+
+fn remove_old_pairs(dir: &Path, newest: u64) -> io::Result<()> {
+    let numbers = pair_numbers(dir)?.into_iter();
+    for old in numbers.filter(|number| number + KEPT_PAIRS <= newest) {
+        for name in [base_name(old), log_name(old)] {
+            // One of the two may be missing; what stays is tried again with the next pair.
+            let _ = std::fs::remove_file(dir.join(name));
+        }
+    }
+    Ok(())
+}
+
+/// A record of the first of these changes, and how many it holds: as many as can be read back.
+fn next_record(changes: &[Change], revision: u64) -> (Encoder, usize) {
+    let mut encoded = Encoder::default();
+    encoded.number(revision);
+    encoded.number(now_ms());
+    let mut count = 0;
+    for change in changes.iter().take(CHANGES_IN_RECORD) {
+        let length = encoded.len();
+        encoded.change(&change.key, change.entry.as_ref());
+        if encoded.len() > record::MAX_RECORD_BYTES && count > 0 {
+            encoded.truncate(length);
+            break;
+        }
+        count += 1;
+    }
+    (encoded, count)
+}
+
+/// Writes a base; gives its length in the file.
+fn write_base(
+    out: impl Write,
+    key: &Key,
+    name: &str,
+    store: &str,
+    image: &Image,
+) -> io::Result<usize> {
+    let mut file = BufWriter::new(out);
+    let mut chain = first_link(key, name);
+    let mut bytes = 0;
+    let mut put = |kind, encoded: &Encoder| -> io::Result<()> {
+        bytes += record::write(&mut file, key, &mut chain, kind, encoded.bytes())?;
+        Ok(())
+    };
+    let mut header = Encoder::default();
+    header.number(image.revision);
+    header.number(now_ms());
+    header.text(store);
+    put(RecordKind::Header, &header)?;
+    let mut items = Encoder::default();
+    for (item_key, entry) in &image.items {
+        items.change(item_key, Some(entry));
+        if items.len() >= BASE_RECORD_BYTES {
+            put(RecordKind::Items, &std::mem::take(&mut items))?;
+        }
+    }
+    if !items.is_empty() {
+        put(RecordKind::Items, &items)?;
+    }
+    let mut end = Encoder::default();
+    end.number(image.items.len() as u64);
+    put(RecordKind::End, &end)?;
+    file.flush()?;
+    Ok(bytes)
+}
+
+fn now_ms() -> u64 {
+    let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
+    since.unwrap_or(Duration::ZERO).as_millis() as u64
+}
--- a/src/main.rs
+++ b/src/main.rs
@@ -3,8 +3,8 @@
 use burlusher::logging::LogFormat;
 use burlusher::snapshotter::{self, Snapshotter};
 use burlusher::{http, policy::Policy, service, settings::Settings, wire};
-use burlusher_snapshot::archive::{Archive, Listed};
-use burlusher_snapshot::line::Found;
+use burlusher_snapshot::archive::{Archive, ArchivedTimeline};
+use burlusher_snapshot::timeline::RecordFault;
 use clap::{Args, Parser, Subcommand};
 use std::net::SocketAddrV4;
 use std::path::PathBuf;
@@ -199,7 +199,7 @@
 }
 
 /// The line that is asked for.
-fn chosen(folder: &Folder, line: &Line) -> Result<Listed, String> {
+fn chosen(folder: &Folder, line: &Line) -> Result<ArchivedTimeline, String> {
     let archive = opened(folder)?;
     let found = match &line.line {
         Some(which) => archive.find(which),
@@ -210,14 +210,14 @@
 }
 
 /// One line of an archive, as a value.
-fn told(listed: &Listed, jobs: bool) -> serde_json::Value {
-    let faults = |f: &[Found]| f.iter().map(Found::to_string).collect::<Vec<_>>();
-    match &listed.line {
+fn told(listed: &ArchivedTimeline, jobs: bool) -> serde_json::Value {
+    let faults = |f: &[RecordFault]| f.iter().map(RecordFault::to_string).collect::<Vec<_>>();
+    match &listed.timeline {
         Ok(l) => {
             let s = snapshotter::summary(&l.image);
             let mut out = serde_json::json!({
-                "line": listed.name, "store": l.head.store, "revision": l.image.revision,
-                "base_ms": l.head.at_ms, "newest_ms": l.newest_ms, "bytes": l.bytes,
+                "line": listed.name, "store": l.header.store, "revision": l.image.revision,
+                "base_ms": l.header.at_ms, "newest_ms": l.newest_ms, "bytes": l.bytes,
                 "changes": l.changes, "jobs_live": s.live.len(), "jobs_ended": s.ended,
                 "machines": s.machines, "term": s.term, "faults": faults(&l.faults),
             });
--- a/src/snapshotter.rs
+++ b/src/snapshotter.rs
@@ -8,9 +8,9 @@
 use crate::core::StoreCache;
 use crate::store_client::{PREFIX, StoreClient, StoreOutcome, StoreRequest};
 use crate::wire::{Item, SnapshotPage, WatchEvent};
-use burlusher_snapshot::archive::{Archive, Listed};
+use burlusher_snapshot::archive::{Archive, ArchivedTimeline};
 use burlusher_snapshot::image::{Change, Entry, Image};
-use burlusher_snapshot::line::Writer;
+use burlusher_snapshot::timeline::Writer;
 use std::io;
 use std::net::SocketAddrV4;
 use std::path::Path;
@@ -102,12 +102,12 @@
         }
         let image = image_of(&items, revision);
         let store = identity(&image);
-        let newest = self.archive.newest()?.and_then(|l| l.line.ok());
+        let newest = self.archive.newest()?.and_then(|l| l.timeline.ok());
         let same = newest
             .as_ref()
-            .is_some_and(|l| l.head.store == store && goes_on(&l.image, &image));
+            .is_some_and(|l| l.header.store == store && goes_on(&l.image, &image));
         let writer = if same {
-            self.archive.go_on(&image, &store)?
+            self.archive.resume(&image, &store)?
         } else {
             tracing::info!("archive: a line for the store {store:?} from revision {revision} on");
             self.archive.begin(&store, &image)?
@@ -184,7 +184,7 @@
     let Some(listed) = best(Archive::open(dir)?.list()?) else {
         return Ok(None);
     };
-    let Ok(line) = listed.line else {
+    let Ok(line) = listed.timeline else {
         return Ok(None);
     };
     for fault in &line.faults {
@@ -200,9 +200,9 @@
 }
 
 /// Whether it is of a store that was empty and taken for new.
-fn began(l: &Listed) -> bool {
+fn began(l: &ArchivedTimeline) -> bool {
     let prefix = format!("{PREFIX}i/");
-    let items = l.line.as_ref().map(|l| &l.image.items);
+    let items = l.timeline.as_ref().map(|l| &l.image.items);
     items.is_ok_and(|items| {
         let mut names = items.iter().filter(|(k, _)| k.starts_with(&prefix));
         names.any(|(_, e)| {
@@ -213,17 +213,17 @@
 }
 
 /// The newest line that tells of a whole store; where there is none, the newest that can be read.
-pub fn best(mut lines: Vec<Listed>) -> Option<Listed> {
+pub fn best(mut lines: Vec<ArchivedTimeline>) -> Option<ArchivedTimeline> {
     // One that is being rebuilt, or has not got a name yet, has less than the one before it.
-    let has = |l: &Listed, what: &str| {
+    let has = |l: &ArchivedTimeline, what: &str| {
         let under = format!("{PREFIX}{what}");
-        let held = l.line.as_ref().map(|l| l.image.items.keys());
+        let held = l.timeline.as_ref().map(|l| l.image.items.keys());
         held.is_ok_and(|mut keys| keys.any(|k| k.starts_with(&under)))
     };
     // Nor has one that began as new after there had been another.
     let whole = (lines.iter()).rposition(|l| has(l, "i/") && !has(l, "rebuilding") && !began(l));
     let whole = whole.or_else(|| lines.iter().position(|l| has(l, "i/")));
-    let chosen = whole.or_else(|| lines.iter().rposition(|l| l.line.is_ok()));
+    let chosen = whole.or_else(|| lines.iter().rposition(|l| l.timeline.is_ok()));
     chosen.map(|n| lines.swap_remove(n))
 }
 
@@ -258,8 +258,8 @@
 }
 
 /// A snapshot as requests that offer it to the leader, one after the other.
-pub fn offers(listed: &Listed) -> Result<Vec<SnapshotPage>, String> {
-    let line = (listed.line.as_ref())
+pub fn offers(listed: &ArchivedTimeline) -> Result<Vec<SnapshotPage>, String> {
+    let line = (listed.timeline.as_ref())
         .map_err(|faults| format!("{}: nothing to be read: {faults:?}", listed.name))?;
     let mut store_cache = StoreCache::default();
     store_cache.reset(items(&line.image), line.image.revision);
@@ -272,7 +272,7 @@
             after = key.clone();
         }
         out.push(SnapshotPage {
-            store: line.head.store.clone(),
+            store: line.header.store.clone(),
             last: !more,
             items,
         });
