--- a/crates/scale/src/connection.rs
+++ b/crates/scale/src/connection.rs
@@ -5,24 +5,30 @@
 use std::io::{self, Read, Write};
 
 /// Headers that a message may have.
-const MOST_HEADERS: usize = 32;
+const MAX_HEADERS: usize = 32;
 /// A message longer than this is none of the protocol's.
-const MOST_BYTES: usize = 1 << 20;
+const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
+/// A non-blocking connection and what is on its way over it.
 pub struct Connection {
+    /// The socket.
     pub stream: TcpStream,
     to_write: Vec<u8>,
     read: Vec<u8>,
 }
 
-/// A response: its status and body, and whether the connection ends with it.
+/// A response that came whole.
 pub struct Response {
+    /// The HTTP status.
     pub status: u16,
+    /// The body.
     pub body: Vec<u8>,
+    /// Whether the connection ends with it.
     pub close: bool,
 }
 
 impl Connection {
+    /// A connection on which nothing is on its way.
     pub fn new(stream: TcpStream) -> Connection {
         Connection {
             stream,
@@ -82,7 +88,7 @@
                 Ok(n) => {
                     total += n;
                     self.read.extend_from_slice(&chunk[..n]);
-                    if self.read.len() > MOST_BYTES {
+                    if self.read.len() > MAX_MESSAGE_BYTES {
                         return Err(io::ErrorKind::InvalidData.into());
                     }
                 }
@@ -96,7 +102,7 @@
 
     /// The response that has come whole, if one has.
     pub fn take_response(&mut self) -> io::Result<Option<Response>> {
-        let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut head = httparse::Response::new(&mut headers);
         let Some(at) = complete(head.parse(&self.read))? else {
             return Ok(None);
@@ -114,7 +120,7 @@
 
     /// The request that has come whole, if one has.
     pub fn take_request(&mut self) -> io::Result<Option<Request>> {
-        let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut head = httparse::Request::new(&mut headers);
         let Some(at) = complete(head.parse(&self.read))? else {
             return Ok(None);
@@ -153,7 +159,7 @@
     let Some(text) = header(headers, "content-length") else {
         return Ok(0);
     };
-    let length = text.trim().parse().ok().filter(|n| *n <= MOST_BYTES);
+    let length = text.trim().parse().ok().filter(|n| *n <= MAX_MESSAGE_BYTES);
     length.ok_or_else(|| io::ErrorKind::InvalidData.into())
 }
 
--- a/crates/scale/src/fit.rs
+++ b/crates/scale/src/fit.rs
@@ -2,21 +2,25 @@
 
 use serde::Serialize;
 
+/// A straight line, and how well it fits.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Line {
+    /// Its value at zero.
     pub intercept: f64,
+    /// By how much it rises with each unit.
     pub slope: f64,
     /// How far the point that is farthest off lies from the line.
     pub residual: f64,
 }
 
 impl Line {
+    /// Its value at `x`.
     pub fn at(&self, x: f64) -> f64 {
         self.intercept + self.slope * x
     }
 }
 
-/// `None` where the points do not lie at two places at least.
+/// The line that fits best; `None` where the points do not lie at two places at least.
 pub fn line(points: &[(f64, f64)]) -> Option<Line> {
     let count = points.len() as f64;
     let mean = |of: &dyn Fn(&(f64, f64)) -> f64| points.iter().map(of).sum::<f64>() / count;
--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -1,6 +1,7 @@
 //! Hollow machines: the stand-ins' workers, whose connections a few threads multiplex.
 
 use crate::connection::Connection;
+use crate::error::ScaleError;
 use burlusher::wire::{HeartbeatResponse, PATH_HEARTBEAT, Redirect};
 use burlusher_standin::cloud::Hosting;
 use burlusher_standin::worker::Worker;
@@ -29,14 +30,19 @@
 /// What went over the workers' connections.
 #[derive(Default)]
 pub struct Traffic {
+    /// Heartbeats that were sent.
     pub reports: AtomicU64,
+    /// Answers to heartbeats.
     pub answers: AtomicU64,
+    /// Commands that came.
     pub commands: AtomicU64,
-    /// Bytes that workers sent and received, for reports and for direct commands.
+    /// Bytes that workers sent, for heartbeats and for direct commands.
     pub sent: AtomicU64,
+    /// Bytes that workers received, for heartbeats and for direct commands.
     pub received: AtomicU64,
-    /// Reports without an answer, and those referred to another controller.
+    /// Heartbeats without an answer.
     pub unanswered: AtomicU64,
+    /// Heartbeats that were referred to another controller.
     pub referred: AtomicU64,
 }
 
@@ -57,21 +63,23 @@
 pub struct Fleet {
     threads: Vec<Sender<Rented>>,
     next: AtomicUsize,
+    /// What went over all connections.
     pub traffic: Arc<Traffic>,
 }
 
 impl Fleet {
-    pub fn new(threads: usize) -> Result<Fleet, String> {
+    /// Starts so many threads.
+    pub fn new(threads: usize) -> Result<Fleet, ScaleError> {
         let traffic = Arc::new(Traffic::default());
         let mut senders = Vec::new();
         for n in 0..threads {
             let (sender, receiver) = channel();
-            let poll = Poll::new().map_err(|e| format!("no poll: {e}"))?;
+            let poll = Poll::new().map_err(ScaleError::Poll)?;
             let traffic = traffic.clone();
             let begun = std::thread::Builder::new()
                 .name(format!("hollow-{n}"))
                 .spawn(move || Host::new(poll, receiver, traffic).run());
-            begun.map_err(|e| format!("no thread for hollow workers: {e}"))?;
+            begun.map_err(ScaleError::Thread)?;
             senders.push(sender);
         }
         Ok(Fleet {
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -3,6 +3,7 @@
 //! sampled while they serve, and several sizes in turn give slopes.
 
 pub mod connection;
+pub mod error;
 pub mod fit;
 pub mod hollow;
 pub mod plot;
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -1,14 +1,21 @@
 //! Measures real controllers in front of hollow workers: one size, or several in turn.
 
+use burlusher_scale::error::ScaleError;
 use burlusher_scale::run::{self, Figures};
 use burlusher_scale::{fit::Line, plot};
+use burlusher_standin::command_line::{
+    BuiltInScenario, controller_program, load_scenario, work_dir, write_file,
+};
 use burlusher_standin::scenario::Scenario;
 use clap::{Parser, Subcommand};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 /// The scenario that is played when none is named.
-const SAMPLE: &str = include_str!("../../../scenarios/hollow.toml");
+const SAMPLE: BuiltInScenario = BuiltInScenario {
+    name: "hollow.toml",
+    text: include_str!("../../../scenarios/hollow.toml"),
+};
 
 /// Real controllers on loopback in front of thousands of hollow workers.
 #[derive(Parser)]
@@ -49,38 +56,26 @@
     },
 }
 
-fn write(path: &Path, text: &[u8]) -> Result<(), String> {
-    std::fs::write(path, text).map_err(|e| format!("{}: {e}", path.display()))
+/// What is played, with what, and where.
+struct Inputs {
+    scenario: Scenario,
+    program: PathBuf,
+    dir: PathBuf,
 }
 
-fn scenario(cli: &Cli) -> Result<Scenario, String> {
-    let (name, text) = match &cli.scenario {
-        Some(path) => {
-            let name = path.display().to_string();
-            let text = std::fs::read_to_string(path).map_err(|e| format!("{name}: {e}"))?;
-            (name, text)
-        }
-        None => ("hollow.toml".into(), SAMPLE.into()),
-    };
-    let mut scenario = Scenario::parse(&name, &text)?;
-    scenario.seed = cli.seed.unwrap_or(scenario.seed);
-    Ok(scenario)
-}
-
-fn program(cli: &Cli) -> Result<PathBuf, String> {
-    let beside = || std::env::current_exe().map(|p| p.with_file_name("burlusher"));
-    let program = match &cli.program {
-        Some(path) => path.clone(),
-        None => beside().map_err(|e| e.to_string())?,
-    };
-    if program.exists() {
-        return Ok(program);
+impl Inputs {
+    fn new(cli: &Cli) -> Result<Inputs, ScaleError> {
+        let loaded = load_scenario(cli.scenario.as_deref(), &SAMPLE, cli.seed)?;
+        Ok(Inputs {
+            scenario: loaded.scenario,
+            program: controller_program(cli.program.as_deref())?,
+            dir: work_dir(cli.dir.as_deref(), "burlusher-scale"),
+        })
     }
-    let build = "build it with `cargo build --release`, or name it with --program";
-    Err(format!("{}: not there; {build}", program.display()))
 }
 
-fn told(figures: &Figures) -> String {
+/// One line for each figure.
+fn figures_text(figures: &Figures) -> String {
     let values = figures.values();
     let lines = values
         .iter()
@@ -88,68 +83,84 @@
     lines.collect()
 }
 
-fn told_line(name: &str, line: &Line) -> String {
+fn line_text(name: &str, line: &Line) -> String {
     format!(
         "{name:24} {:.5} + {:.7} a machine, off by {:.5} at most\n",
         line.intercept, line.slope, line.residual
     )
 }
 
+/// Pictures that a sweep draws: the figure, and what is written at its axis.
+const PICTURES: [(&str, &str); 2] = [
+    ("leader_cores", "leader, parts of a core"),
+    ("memory_mb", "largest controller, MB"),
+];
+
 /// Plays the scenario at these sizes; says whether the rules held at all of them.
-fn sweep(cli: &Cli, sizes: &[f64], csv: Option<&Path>, svg: Option<&Path>) -> Result<bool, String> {
-    let (scenario, program) = (scenario(cli)?, program(cli)?);
-    let dir = dir(cli);
+fn sweep(
+    cli: &Cli,
+    sizes: &[f64],
+    csv: Option<&Path>,
+    svg: Option<&Path>,
+) -> Result<bool, ScaleError> {
+    let inputs = Inputs::new(cli)?;
     let mut all = Vec::new();
-    let mut held = true;
+    let mut rules_held = true;
     for (n, size) in sizes.iter().enumerate() {
         println!("size {size}");
-        let scaled = run::scaled(&scenario, *size);
-        let measured = run::measure(&scaled, &program, &dir.join(format!("size-{n}")))?;
-        held &= measured.outcome.broken.is_empty();
-        print!("{}{}", measured.outcome.text(), told(&measured.figures));
+        let scaled = run::scaled(&inputs.scenario, *size);
+        let dir = inputs.dir.join(format!("size-{n}"));
+        let measured = run::measure(&scaled, &inputs.program, &dir)?;
+        rules_held &= measured.outcome.broken.is_empty();
+        print!(
+            "{}{}",
+            measured.outcome.text(),
+            figures_text(&measured.figures)
+        );
         all.push(measured.figures);
     }
     let lines = run::lines(&all);
-    lines
-        .iter()
-        .for_each(|(name, line)| print!("{}", told_line(name, line)));
+    for (name, line) in &lines {
+        print!("{}", line_text(name, line));
+    }
     if let Some(path) = csv {
-        write(path, run::table(&all).as_bytes())?;
+        write_file(path, run::table(&all).as_bytes())?;
     }
     if let Some(dir) = svg {
-        for (name, label) in [
-            ("leader_cores", "leader, parts of a core"),
-            ("memory_mb", "largest controller, MB"),
-        ] {
-            let points: Vec<(f64, f64)> =
-                all.iter().map(|f| (f.machines, f.values()[name])).collect();
-            plot::draw(&dir.join(format!("{name}.svg")), label, &points)?;
-        }
+        draw_pictures(dir, &all)?;
     }
     if let Some(path) = &cli.json {
-        let both = serde_json::json!({"figures": all, "lines": lines});
-        write(path, both.to_string().as_bytes())?;
+        let report = serde_json::json!({"figures": all, "lines": lines});
+        write_file(path, report.to_string().as_bytes())?;
     }
-    Ok(held)
+    Ok(rules_held)
 }
 
-fn dir(cli: &Cli) -> PathBuf {
-    let new = || std::env::temp_dir().join(format!("burlusher-scale-{}", std::process::id()));
-    cli.dir.clone().unwrap_or_else(new)
+fn draw_pictures(dir: &Path, all: &[Figures]) -> Result<(), ScaleError> {
+    for (name, label) in PICTURES {
+        let point = |figures: &Figures| (figures.machines, figures.values()[name]);
+        let points: Vec<(f64, f64)> = all.iter().map(point).collect();
+        plot::draw(&dir.join(format!("{name}.svg")), label, &points)?;
+    }
+    Ok(())
 }
 
-fn play(cli: &Cli) -> Result<bool, String> {
-    let (scenario, program, dir) = (scenario(cli)?, program(cli)?, dir(cli));
+/// Plays the scenario once; says whether the rules held.
+fn play(cli: &Cli) -> Result<bool, ScaleError> {
+    let inputs = Inputs::new(cli)?;
     println!(
         "about {:.0} s; logs in {}",
-        scenario.load_s * 2.0,
-        dir.display()
+        inputs.scenario.load_s * 2.0,
+        inputs.dir.display()
+    );
+    let measured = run::measure(&inputs.scenario, &inputs.program, &inputs.dir)?;
+    print!(
+        "{}{}",
+        measured.outcome.text(),
+        figures_text(&measured.figures)
     );
-    let measured = run::measure(&scenario, &program, &dir)?;
-    print!("{}{}", measured.outcome.text(), told(&measured.figures));
     if let Some(path) = &cli.json {
-        let json = serde_json::to_vec_pretty(&measured).map_err(|e| e.to_string())?;
-        write(path, &json)?;
+        write_file(path, &serde_json::to_vec_pretty(&measured)?)?;
     }
     Ok(measured.outcome.broken.is_empty())
 }
--- a/crates/scale/src/plot.rs
+++ b/crates/scale/src/plot.rs
@@ -1,15 +1,19 @@
 //! Draws measured figures against the number of machines, with the lines through them.
 
+use crate::error::ScaleError;
 use crate::fit::line;
 use plotters::prelude::*;
 use std::path::Path;
 
+/// Width and height of a picture, in pixels.
 const SIZE: (u32, u32) = (760, 420);
 
 /// One figure against the number of machines.
-pub fn draw(path: &Path, label: &str, points: &[(f64, f64)]) -> Result<(), String> {
-    let place = path.display().to_string();
-    try_to_draw(path, label, points).map_err(|e| format!("{place}: {e}"))
+pub fn draw(path: &Path, label: &str, points: &[(f64, f64)]) -> Result<(), ScaleError> {
+    try_to_draw(path, label, points).map_err(|source| ScaleError::Plot {
+        path: path.to_path_buf(),
+        source,
+    })
 }
 
 fn try_to_draw(
--- a/crates/scale/src/run.rs
+++ b/crates/scale/src/run.rs
@@ -1,9 +1,11 @@
 //! One run of a scenario with hollow workers, and what it took; several sizes in turn.
 
+use crate::error::ScaleError;
 use crate::fit::{Line, line};
 use crate::hollow::{Fleet, Traffic};
 use crate::usage::{self, Usage};
-use burlusher_standin::cluster::{self, Outcome, Sample};
+use burlusher_standin::cluster;
+use burlusher_standin::report::{Outcome, Sample};
 use burlusher_standin::scenario::Scenario;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -12,40 +14,57 @@
 use std::sync::atomic::Ordering;
 
 /// Threads that all hollow workers share.
-const HOSTS: usize = 4;
+const HOST_THREADS: usize = 4;
 /// What is measured begins when this part of the scenario's load is over: machines are up by then.
 const WARM: f64 = 0.4;
-/// Threads and sockets that are left free on the machine.
-const SPARE_SOCKETS: u64 = 500;
+/// Open files that are left for everything else.
+const SPARE_FILES: u64 = 500;
 
 /// Figures of a run, means over its measured part unless said otherwise.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Figures {
+    /// Machines that are up or booting.
     pub machines: f64,
+    /// Tasks on machines.
     pub tasks_running: f64,
+    /// Tasks that start in a second.
     pub starts_per_s: f64,
-    /// Of the controller that took most, and of the others on average: parts of a core.
+    /// Processor time of the controller that took most, in parts of a core.
     pub leader_cores: f64,
+    /// Processor time of the others on average, in parts of a core.
     pub other_cores: f64,
-    /// The most that any controller had.
+    /// The most memory that any controller had.
     pub memory_mb: f64,
+    /// The most threads that any controller had.
     pub threads: f64,
+    /// The most sockets that any controller had.
     pub sockets: f64,
+    /// Requests to the state service in a second.
     pub state_requests_per_s: f64,
+    /// Puts and deletions in them.
     pub state_changes_per_s: f64,
-    /// Of a worker.
+    /// Heartbeats of a worker in a second.
     pub reports_per_s: f64,
+    /// Commands to a worker in a second.
     pub commands_per_s: f64,
+    /// Bytes that a worker sends in a second.
     pub bytes_sent_per_s: f64,
+    /// Bytes that a worker receives in a second.
     pub bytes_received_per_s: f64,
+    /// Heartbeats without an answer, in all.
     pub unanswered: f64,
+    /// From a submission to its acceptance.
     pub accept_p95_ms: f64,
+    /// From a submission to the start of a task, of the class that waits longest.
     pub wait_p95_ms: f64,
 }
 
+/// What a run gave.
 #[derive(Serialize)]
 pub struct Measured {
+    /// What it took.
     pub figures: Figures,
+    /// What came of the scenario.
     pub outcome: Outcome,
 }
 
@@ -73,29 +92,32 @@
     of_types.sum::<u64>() * scenario.zones.len() as u64
 }
 
-/// Refuses what this machine has no room for: each machine takes a listener, a connection to a controller and, for
-/// moments, one from it, and the first two are held on the controllers' side as well.
-fn check_room(scenario: &Scenario) -> Result<(), String> {
+/// Refuses what this machine has no room for: each machine takes a listener, a connection to a
+/// controller and, for moments, one from it, and the first two are held on the controllers' side as
+/// well.
+fn check_room(scenario: &Scenario) -> Result<(), ScaleError> {
     let machines = most_machines(scenario);
-    let needed = machines * 3 + SPARE_SOCKETS;
+    let needed = machines * 3 + SPARE_FILES;
     let limits = std::fs::read_to_string("/proc/self/limits").unwrap_or_default();
     let files = limits.lines().find(|l| l.starts_with("Max open files"));
     let allowed = files.and_then(|l| l.split_whitespace().nth(3)?.parse::<u64>().ok());
     match allowed {
-        Some(allowed) if allowed < needed => Err(format!(
-            "{machines} machines take up to {needed} open files, and {allowed} are allowed"
-        )),
+        Some(allowed) if allowed < needed => Err(ScaleError::TooFewFiles {
+            machines,
+            needed,
+            allowed,
+        }),
         _ => Ok(()),
     }
 }
 
 /// Plays a scenario with controllers of `program`, whose files go into `dir`.
-pub fn measure(scenario: &Scenario, program: &Path, dir: &Path) -> Result<Measured, String> {
+pub fn measure(scenario: &Scenario, program: &Path, dir: &Path) -> Result<Measured, ScaleError> {
     check_room(scenario)?;
-    let fleet = Arc::new(Fleet::new(HOSTS)?);
+    let fleet = Arc::new(Fleet::new(HOST_THREADS)?);
     let mut seen = Vec::new();
     let traffic = fleet.traffic.clone();
-    let mut look = |s: &Sample| {
+    let mut observe = |s: &Sample| {
         if s.at_s >= scenario.load_s * WARM && s.at_s <= scenario.load_s {
             let usage = s.controllers.iter();
             seen.push(Seen {
@@ -110,18 +132,18 @@
             });
         }
     };
-    let outcome = cluster::play_with(scenario, program, dir, fleet, &mut look)?;
+    let outcome = cluster::play_with(scenario, program, dir, fleet, &mut observe)?;
     let figures = figures(&seen, &outcome)?;
     Ok(Measured { figures, outcome })
 }
 
-fn figures(seen: &[Seen], outcome: &Outcome) -> Result<Figures, String> {
+fn figures(seen: &[Seen], outcome: &Outcome) -> Result<Figures, ScaleError> {
     let (Some(first), Some(last)) = (seen.first(), seen.last()) else {
-        return Err("the run was too short to measure anything".into());
+        return Err(ScaleError::TooShort);
     };
     let time = last.at_s - first.at_s;
     if time < 1.0 {
-        return Err("the run was too short to measure anything".into());
+        return Err(ScaleError::TooShort);
     }
     let mean = |of: &dyn Fn(&Seen) -> f64| seen.iter().map(of).sum::<f64>() / seen.len() as f64;
     let machines = mean(&|s| s.machines as f64);
--- a/crates/scale/src/run/tests.rs
+++ b/crates/scale/src/run/tests.rs
@@ -27,7 +27,7 @@
 #[test]
 fn what_has_no_room_is_refused_before_anything_is_begun() {
     let huge = scaled(&sample(), 1e6);
-    let refused = check_room(&huge).unwrap_err();
+    let refused = check_room(&huge).unwrap_err().to_string();
     assert!(refused.contains("open files"), "{refused}");
     assert!(check_room(&sample()).is_ok());
 }
--- a/crates/scale/src/usage.rs
+++ b/crates/scale/src/usage.rs
@@ -5,12 +5,16 @@
 /// The kernel counts processor time in hundredths of a second there, on every architecture.
 const TICKS_PER_SECOND: f64 = 100.0;
 
+/// What a process has taken up to now.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Usage {
     /// Processor time since the process began, in seconds.
     pub cpu_s: f64,
+    /// Resident memory.
     pub memory_mb: f64,
+    /// Threads that it has now.
     pub threads: u32,
+    /// Sockets that it has open now.
     pub sockets: u32,
 }
 
@@ -40,6 +44,7 @@
     Some((user + system) / TICKS_PER_SECOND)
 }
 
+/// The number in a line of `/proc/<pid>/status`.
 fn field(status: &str, name: &str) -> Option<f64> {
     let line = status.lines().find(|l| l.starts_with(name))?;
     line.split_whitespace().nth(1)?.parse().ok()
--- a/crates/standin/src/cloud.rs
+++ b/crates/standin/src/cloud.rs
@@ -53,6 +53,7 @@
     }
 }
 
+/// The stand-in cloud.
 pub struct Cloud {
     hosting: Arc<dyn Hosting>,
     types: Vec<MachineType>,
@@ -63,13 +64,18 @@
 
 /// What the cloud can tell at the end.
 pub struct Bill {
+    /// Money spent on machines.
     pub spent: f64,
+    /// Ordinary machines that were rented.
     pub ordinary: u64,
+    /// Spot machines that were rented.
     pub spot: u64,
+    /// Requests for machines that were refused.
     pub refused: u64,
 }
 
 impl Cloud {
+    /// A cloud with the scenario's machines, none of which is rented yet.
     pub fn new(scenario: &Scenario, world: Arc<World>, hosting: Arc<dyn Hosting>) -> Cloud {
         let mut most = BTreeMap::new();
         let mut types = Vec::new();
@@ -100,6 +106,7 @@
         }
     }
 
+    /// Answers 503 for this long.
     pub fn break_for(&self, time: Duration) {
         self.inner.lock().expect("no panic holds it").down_until = Some(Instant::now() + time);
     }
@@ -112,6 +119,7 @@
         there.for_each(|(w, _)| w.notice(notice));
     }
 
+    /// Ends the draining of a zone.
     pub fn open(&self, zone: &str) {
         self.inner.lock().expect("no panic").drained.remove(zone);
     }
@@ -126,6 +134,7 @@
         held
     }
 
+    /// What was spent and rented up to now.
     pub fn bill(&self) -> Bill {
         let c = self.inner.lock().expect("no panic holds it");
         let running = c.machines.values().map(|(w, since)| self.price(w, *since));
@@ -146,6 +155,7 @@
         hourly * since.elapsed().as_secs_f64().max(60.0) / 3600.0
     }
 
+    /// Answers one request of a controller.
     pub fn answer(&self, r: &Request) -> Answer {
         let mut c = self.inner.lock().expect("no panic holds it");
         if c.down_until.is_some_and(|t| Instant::now() < t) {
--- /dev/null
+++ b/crates/standin/src/controller_settings.rs
@@ -0,0 +1,78 @@
+//! The settings of the controllers, as the real program reads them.
+
+use crate::controllers::controller_name;
+use crate::scenario::Scenario;
+use serde_json::{Value, json};
+use std::net::SocketAddrV4;
+
+/// How much longer than its lease a worker's tasks may go on, in seconds.
+const CANCEL_AFTER_LEASE_S: f64 = 22.0;
+
+/// Where everything that the controllers talk to is.
+pub(crate) struct Addresses {
+    /// Where each controller serves users and workers.
+    pub public: Vec<SocketAddrV4>,
+    /// Where each controller serves the other ones.
+    pub peer: Vec<SocketAddrV4>,
+    /// The stand-in cloud.
+    pub cloud: String,
+    /// The stand-in state service.
+    pub state: String,
+}
+
+/// The settings of one controller.
+pub(crate) fn controller_settings(
+    scenario: &Scenario,
+    addresses: &Addresses,
+    number: usize,
+) -> Value {
+    json!({
+        "host_name": controller_name(number), "zone": zone(scenario, number),
+        "public_addr": addresses.public[number].to_string(),
+        "back": addresses.peer[number].to_string(),
+        "peers": peers(scenario, addresses, number),
+        "services": {"cloud": addresses.cloud, "state": addresses.state},
+        "params": {
+            "zones": scenario.zones, "objectives": objectives(scenario),
+            "teams": [{"name": "all"}],
+            "workers": {"report_s": scenario.report_s, "lease_s": scenario.lease_s,
+                        "cancel_s": scenario.lease_s + CANCEL_AFTER_LEASE_S},
+            "state": {"rps": 300.0, "write_rps": 120.0, "value_kb": 8.0, "txn_ops": 32},
+            "cloud": {"rps": 10.0, "list_lag_s": 0.1},
+            "quota": {"mem_mb": scenario.memory_mb, "fd_limit": scenario.sockets}
+        }
+    })
+}
+
+/// Controllers are spread over the zones.
+fn zone(scenario: &Scenario, number: usize) -> &str {
+    &scenario.zones[number % scenario.zones.len()]
+}
+
+fn peers(scenario: &Scenario, addresses: &Addresses, number: usize) -> Vec<Value> {
+    let others = (0..addresses.peer.len()).filter(|other| *other != number);
+    let peer = |other: usize| {
+        json!({
+            "host_name": controller_name(other),
+            "zone": zone(scenario, other),
+            "address": addresses.peer[other].to_string(),
+        })
+    };
+    others.map(peer).collect()
+}
+
+/// What users want of each class of jobs.
+fn objectives(scenario: &Scenario) -> Vec<Value> {
+    let mut objectives = Vec::new();
+    for job in &scenario.jobs {
+        if let Some(within_s) = job.start_within_s {
+            objectives.push(json!({
+                "kind": "wait", "class": job.class, "within_s": within_s, "share": job.share}));
+        }
+        if job.deadline_s.is_some() {
+            objectives.push(json!({
+                "kind": "deadline", "class": job.class, "share": job.share}));
+        }
+    }
+    objectives
+}
--- /dev/null
+++ b/crates/standin/src/events.rs
@@ -0,0 +1,107 @@
+//! The events of a scenario, carried out on a running cluster.
+
+use crate::cloud::Cloud;
+use crate::controllers::Controllers;
+use crate::scenario::EventAction;
+use crate::state::StateService;
+use crate::worker::World;
+use burlusher::http;
+use burlusher::wire::PATH_STATUS;
+use std::net::SocketAddrV4;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+/// A controller's answer to a question of the stand-ins takes this long at the most.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// The state service answers 503 for this long before its data is lost.
+const OUTAGE_BEFORE_LOSS: Duration = Duration::from_secs(1);
+/// A snapshot is offered again and again for this long.
+const RESTORE_TIMEOUT: Duration = Duration::from_secs(20);
+const RESTORE_INTERVAL: Duration = Duration::from_millis(500);
+
+/// What events act on.
+pub(crate) struct EventTargets {
+    pub world: Arc<World>,
+    pub cloud: Arc<Cloud>,
+    pub state: Arc<StateService>,
+    pub controllers: Arc<Controllers>,
+}
+
+impl EventTargets {
+    /// Carries out one event.
+    pub(crate) fn perform(&self, action: &EventAction) {
+        let seconds = Duration::from_secs_f64;
+        match action {
+            EventAction::DrainZone { zone, notice_s } => self.cloud.drain(zone, seconds(*notice_s)),
+            EventAction::OpenZone { zone } => self.cloud.open(zone),
+            EventAction::CloudOutage { for_s } => self.cloud.break_for(seconds(*for_s)),
+            EventAction::StateOutage { for_s } => self.state.break_for(seconds(*for_s)),
+            EventAction::LoseState {} => {
+                self.state.break_for(OUTAGE_BEFORE_LOSS);
+                self.state.lose();
+            }
+            EventAction::RollBackState { back_s } => self.state.roll_back(seconds(*back_s)),
+            EventAction::KillController { number, back_s } => {
+                self.restart(*number, seconds(*back_s));
+            }
+            EventAction::KillLeader { back_s } => match self.leader() {
+                Some(number) => self.restart(number, seconds(*back_s)),
+                None => println!("no controller leads now"),
+            },
+            EventAction::KillAll { back_s } => {
+                let numbers = 0..self.world.nodes.len();
+                numbers.for_each(|number| self.restart(number, seconds(*back_s)));
+            }
+            EventAction::Restore {} => self.restore(),
+        }
+    }
+
+    /// The controller that says that it leads.
+    fn leader(&self) -> Option<usize> {
+        let mut nodes = self.world.nodes.iter();
+        nodes.position(|(_, addr)| {
+            let status = get(*addr, PATH_STATUS);
+            let body = status.map(|(_, body)| body).unwrap_or_default();
+            let view = serde_json::from_slice::<serde_json::Value>(&body);
+            view.is_ok_and(|view| view["leads"] == true)
+        })
+    }
+
+    /// Offers the newest snapshot to whoever leads, as soon as it rebuilds.
+    fn restore(&self) {
+        let deadline = Instant::now() + RESTORE_TIMEOUT;
+        while Instant::now() < deadline {
+            if let Some(leader) = self.leader() {
+                match self.controllers.restore(self.world.nodes[leader].1) {
+                    Ok(true) => return println!("the snapshot was taken in"),
+                    Ok(false) => {}
+                    Err(e) => println!("restoring: {e}"),
+                }
+            }
+            std::thread::sleep(RESTORE_INTERVAL);
+        }
+        println!("no controller took the snapshot in");
+    }
+
+    /// Ends a controller without warning, and starts it again after some time.
+    fn restart(&self, number: usize, after: Duration) {
+        self.controllers.kill(number);
+        // The run may be over by then; nobody would end what is started after it.
+        let controllers = Arc::downgrade(&self.controllers);
+        std::thread::spawn(move || {
+            std::thread::sleep(after);
+            if let Some(controllers) = controllers.upgrade()
+                && let Err(e) = controllers.start(number)
+            {
+                eprintln!("starting controller {number} again: {e}");
+            }
+        });
+    }
+}
+
+/// One GET at a controller: the status and the body, if it answers.
+pub(crate) fn get(addr: SocketAddrV4, path: &str) -> Option<(u16, Vec<u8>)> {
+    let mut client = http::Client::new(addr, CONNECT_TIMEOUT);
+    client.call("GET", path, b"", ANSWER_TIMEOUT, false).ok()
+}
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -5,7 +5,13 @@
 
 pub mod cloud;
 pub mod cluster;
+pub mod command_line;
+mod controller_settings;
+mod controllers;
+pub mod error;
+mod events;
 pub mod records;
+pub mod report;
 pub mod scenario;
 pub mod state;
 pub mod users;
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -1,13 +1,19 @@
 //! One command that plays a scenario on this machine with controllers of the real program.
 
 use burlusher_standin::cluster;
-use burlusher_standin::scenario::Scenario;
+use burlusher_standin::command_line::{
+    BuiltInScenario, controller_program, load_scenario, work_dir, write_file,
+};
+use burlusher_standin::error::StandinError;
 use clap::Parser;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
 /// The scenario that is played when none is named.
-const SAMPLE: &str = include_str!("../../../scenarios/three-zones.toml");
+const SAMPLE: BuiltInScenario = BuiltInScenario {
+    name: "three-zones.toml",
+    text: include_str!("../../../scenarios/three-zones.toml"),
+};
 
 /// A small cluster on loopback: state service, cloud, machines and users, and real controllers.
 #[derive(Parser)]
@@ -29,40 +35,21 @@
     seed: Option<u64>,
 }
 
-fn run(cli: Cli) -> Result<bool, String> {
-    let (name, text) = match &cli.scenario {
-        Some(path) => {
-            let name = path.display().to_string();
-            let text = std::fs::read_to_string(path).map_err(|e| format!("{name}: {e}"))?;
-            (name, text)
-        }
-        None => ("three-zones.toml".into(), SAMPLE.into()),
-    };
-    let mut scenario = Scenario::parse(&name, &text)?;
-    scenario.seed = cli.seed.unwrap_or(scenario.seed);
-    let program = match cli.program {
-        Some(p) => p,
-        None => std::env::current_exe()
-            .map_err(|e| e.to_string())?
-            .with_file_name("burlusher"),
-    };
-    if !program.exists() {
-        let build = "build it with `cargo build --release`, or name it with --program";
-        return Err(format!("{}: not there; {build}", program.display()));
-    }
-    let dir = cli.dir.unwrap_or_else(|| {
-        std::env::temp_dir().join(format!("burlusher-standin-{}", std::process::id()))
-    });
+/// Plays the scenario; says whether every rule held.
+fn run(cli: Cli) -> Result<bool, StandinError> {
+    let loaded = load_scenario(cli.scenario.as_deref(), &SAMPLE, cli.seed)?;
+    let program = controller_program(cli.program.as_deref())?;
+    let dir = work_dir(cli.dir.as_deref(), "burlusher-standin");
     println!(
-        "playing {name}, about {:.0} s; logs in {}",
-        scenario.load_s * 2.0,
+        "playing {}, about {:.0} s; logs in {}",
+        loaded.name,
+        loaded.scenario.load_s * 2.0,
         dir.display()
     );
-    let outcome = cluster::play(&scenario, &program, &dir)?;
+    let outcome = cluster::play(&loaded.scenario, &program, &dir)?;
     print!("{}", outcome.text());
     if let Some(path) = &cli.report {
-        let json = serde_json::to_vec_pretty(&outcome).map_err(|e| e.to_string())?;
-        std::fs::write(path, json).map_err(|e| format!("{}: {e}", path.display()))?;
+        write_file(path, &serde_json::to_vec_pretty(&outcome)?)?;
     }
     Ok(outcome.broken.is_empty())
 }
--- a/crates/standin/src/records.rs
+++ b/crates/standin/src/records.rs
@@ -6,43 +6,56 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// What is known of one job from the workers alone.
+/// The tasks of one job, by index, from the workers alone.
 #[derive(Default)]
-struct Rows {
-    /// Rows that are on a machine now, that ever started, and that completed.
+struct TaskSets {
+    /// On a machine now.
     present: RoaringBitmap,
+    /// Ever started.
     started: RoaringBitmap,
+    /// Completed.
     done: RoaringBitmap,
 }
 
+/// What workers record of the tasks that they run.
 #[derive(Default)]
 pub struct Records {
-    jobs: BTreeMap<String, Rows>,
+    jobs: BTreeMap<String, TaskSets>,
     /// Rules broken, in words.
     pub broken: Vec<String>,
+    /// Starts of tasks.
     pub starts: u64,
-    /// Starts of rows that had started before, as their machine was lost or they were stopped.
+    /// Starts of tasks that had started before, as their machine was lost or they were stopped.
     pub again: u64,
+    /// Runs that ended without a result.
     pub lost: u64,
     /// CPU seconds of completed runs, by zone.
     pub work: BTreeMap<String, f64>,
     /// From submission to start, by class, in milliseconds.
     pub waits: BTreeMap<String, Histogram<u64>>,
+    /// The class of each job, and when it was submitted.
     submitted: BTreeMap<String, (String, Instant)>,
 }
 
+/// Times up to an hour, in milliseconds, to three digits.
 pub fn histogram() -> Histogram<u64> {
     Histogram::new_with_max(3_600_000, 3).expect("fixed bounds")
 }
 
+/// A distribution of times, in short.
 #[derive(Serialize)]
 pub struct Quantiles {
+    /// How many times there are.
     pub count: u64,
+    /// The median.
     pub p50_ms: u64,
+    /// The 95th percentile.
     pub p95_ms: u64,
+    /// The longest.
     pub max_ms: u64,
 }
 
+/// The quantiles of a histogram of milliseconds.
 pub fn quantiles(h: &Histogram<u64>) -> Quantiles {
     Quantiles {
         count: h.len(),
@@ -53,28 +66,29 @@
 }
 
 impl Records {
+    /// A user submits a job of this class.
     pub fn submitted(&mut self, job: &str, class: &str) {
         self.submitted
             .insert(job.into(), (class.into(), Instant::now()));
     }
 
     /// A task holds its image and runs on this machine from now on.
-    pub fn start(&mut self, job: &str, row: u32, machine: &str) {
+    pub fn start(&mut self, job: &str, task: u32, machine: &str) {
         let Some((class, at)) = self.submitted.get(job) else {
             self.broken
-                .push(format!("{job}/{row} started on {machine}: no such job"));
+                .push(format!("{job}/{task} started on {machine}: no such job"));
             return;
         };
-        let rows = self.jobs.entry(job.into()).or_default();
-        if !rows.present.insert(row) {
+        let tasks = self.jobs.entry(job.into()).or_default();
+        if !tasks.present.insert(task) {
             self.broken.push(format!(
-                "{job}/{row} started on {machine} while on another machine"
+                "{job}/{task} started on {machine} while on another machine"
             ));
         }
-        if rows.done.contains(row) {
+        if tasks.done.contains(task) {
             // Allowed: its end was not told before its machine was lost. It is counted.
             self.again += 1;
-        } else if !rows.started.insert(row) {
+        } else if !tasks.started.insert(task) {
             self.again += 1;
         } else {
             let waited = at.elapsed().as_millis() as u64;
@@ -85,12 +99,12 @@
     }
 
     /// It is not on the machine any more.
-    pub fn leave(&mut self, job: &str, row: u32, zone: &str, done: Option<(Duration, f64)>) {
-        let rows = self.jobs.entry(job.into()).or_default();
-        rows.present.remove(row);
+    pub fn leave(&mut self, job: &str, task: u32, zone: &str, done: Option<(Duration, f64)>) {
+        let tasks = self.jobs.entry(job.into()).or_default();
+        tasks.present.remove(task);
         match done {
             Some((ran, cpus)) => {
-                rows.done.insert(row);
+                tasks.done.insert(task);
                 *self.work.entry(zone.into()).or_default() += ran.as_secs_f64() * cpus;
             }
             None => self.lost += 1,
@@ -99,12 +113,12 @@
 
     /// Tasks that are on machines now.
     pub fn present(&self) -> u64 {
-        self.jobs.values().map(|rows| rows.present.len()).sum()
+        self.jobs.values().map(|tasks| tasks.present.len()).sum()
     }
 
-    /// Rows of a job that completed.
+    /// How many tasks of a job completed.
     pub fn done(&self, job: &str) -> u64 {
-        self.jobs.get(job).map_or(0, |r| r.done.len())
+        self.jobs.get(job).map_or(0, |tasks| tasks.done.len())
     }
 }
 
--- a/crates/standin/src/scenario/tests.rs
+++ b/crates/standin/src/scenario/tests.rs
@@ -11,7 +11,7 @@
         let text = SAMPLE.replacen(from, to, 1);
         let at = text.find(to).unwrap();
         let line = text[..at].matches('\n').count() + 1;
-        let e = Scenario::parse("s.toml", &text).unwrap_err();
+        let e = Scenario::parse("s.toml", &text).unwrap_err().to_string();
         assert!(e.starts_with(&format!("s.toml:{line}: ")), "{e}");
         e
     };
@@ -24,5 +24,10 @@
     assert!(told("load_s = 45", &with("lease_s = 2.5")).contains("lease_s"));
     assert!(told("load_s = 45", &with("memory_mb = 1")).contains("memory_mb"));
     assert!(told("load_s = 45", &with("sockets = 10")).contains("sockets"));
-    assert!(Scenario::parse("s", "").unwrap_err().starts_with("s:1: "));
+    assert!(
+        Scenario::parse("s", "")
+            .unwrap_err()
+            .to_string()
+            .starts_with("s:1: ")
+    );
 }
--- a/crates/standin/src/state.rs
+++ b/crates/standin/src/state.rs
@@ -26,6 +26,7 @@
     down_until: Option<Instant>,
 }
 
+/// The stand-in state service.
 #[derive(Default)]
 pub struct StateService {
     store: Mutex<Store>,
@@ -132,6 +133,7 @@
 }
 
 impl StateService {
+    /// Answers 503 for this long.
     pub fn break_for(&self, time: Duration) {
         let mut s = self.store.lock().expect("no panic holds it");
         let until = Instant::now() + time;
@@ -180,6 +182,7 @@
         (of(&self.requests), of(&self.changes))
     }
 
+    /// Answers one request of a controller.
     pub fn answer(&self, r: &Request) -> Answer {
         self.requests.fetch_add(1, Ordering::Relaxed);
         let now = Instant::now();
--- a/crates/standin/src/users.rs
+++ b/crates/standin/src/users.rs
@@ -14,22 +14,27 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-const ASK_EVERY: Duration = Duration::from_secs(1);
-const ANSWER: Duration = Duration::from_secs(5);
+/// How often a user asks about a job.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
+/// How long a user waits for an answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A job in the load: when it comes, and how long each of its tasks runs.
-pub struct Coming {
+/// A job in the load.
+pub struct Arrival {
+    /// When it is submitted, after the load began.
     pub at: Duration,
+    /// The job.
     pub spec: JobSpec,
+    /// How long each of its tasks runs.
     pub run: Duration,
 }
 
 /// The load of a scenario: the same for the same seed.
-pub fn load(scenario: &Scenario) -> Vec<Coming> {
+pub fn load(scenario: &Scenario) -> Vec<Arrival> {
     let mut rng = SmallRng::seed_from_u64(scenario.seed);
     let mut all = Vec::new();
     for class in &scenario.jobs {
-        let rate = *class.a_minute.get_ref() / 60.0;
+        let rate = *class.jobs_per_minute.get_ref() / 60.0;
         if rate == 0.0 {
             continue;
         }
@@ -45,12 +50,12 @@
     }
     all.sort_by(|a, b| a.0.total_cmp(&b.0));
     let numbered = all.into_iter().enumerate();
-    numbered.map(|(n, x)| coming(n, x.0, x.1, x.2)).collect()
+    numbered.map(|(n, x)| arrival(n, x.0, x.1, x.2)).collect()
 }
 
-fn coming(number: usize, at: f64, class: &Job, stretch: f64) -> Coming {
+fn arrival(number: usize, at: f64, class: &Job, stretch: f64) -> Arrival {
     let run = Duration::from_secs_f64(class.run_s * stretch);
-    Coming {
+    Arrival {
         at: Duration::from_secs_f64(at),
         run,
         spec: JobSpec {
@@ -89,20 +94,25 @@
 /// What users saw.
 #[derive(Default)]
 pub struct Seen {
+    /// Jobs that were accepted.
     pub accepted: u64,
+    /// Jobs that were refused, and why.
     pub refused: Vec<String>,
+    /// Jobs that are done.
     pub done: u64,
-    /// Told done before all rows had completed, or told done and then something else.
+    /// Reported as done before all tasks had completed, or done and then something else.
     pub wrong: Vec<String>,
     accept_ms: Option<Histogram<u64>>,
     finish_ms: BTreeMap<String, Histogram<u64>>,
 }
 
 impl Seen {
+    /// From a submission to its acceptance.
     pub fn accept(&self) -> Quantiles {
         quantiles(self.accept_ms.as_ref().unwrap_or(&histogram()))
     }
 
+    /// From a submission to its end, by class.
     pub fn finish(&self) -> BTreeMap<String, Quantiles> {
         let all = self.finish_ms.iter();
         all.map(|(class, h)| (class.clone(), quantiles(h)))
@@ -110,12 +120,15 @@
     }
 }
 
+/// The users of a cluster, and what they saw.
 pub struct Users {
     world: Arc<World>,
+    /// What they saw up to now.
     pub seen: Mutex<Seen>,
 }
 
 impl Users {
+    /// Users of a cluster, who have seen nothing yet.
     pub fn new(world: Arc<World>) -> Users {
         Users {
             world,
@@ -127,11 +140,11 @@
     fn call(&self, n: usize, method: &str, path: &str, body: &[u8]) -> Option<(u16, Vec<u8>)> {
         let nodes = &self.world.nodes;
         let mut client = Client::new(nodes[n % nodes.len()].1, Duration::from_millis(300));
-        client.call(method, path, body, ANSWER, false).ok()
+        client.call(method, path, body, ANSWER_TIMEOUT, false).ok()
     }
 
     /// Submits a job and follows it until it is done or the time is over.
-    pub fn follow(&self, n: usize, job: Coming, until: Instant) {
+    pub fn follow(&self, n: usize, job: Arrival, until: Instant) {
         let (id, class) = (job.spec.id.to_string(), job.spec.class.clone());
         let tasks = u64::from(job.spec.tasks);
         let body = submission(&job.spec);
@@ -153,7 +166,7 @@
                     return seen.refused.push(format!("{id}: {status} {why}"));
                 }
                 _ if Instant::now() > until => return,
-                _ => std::thread::sleep(ASK_EVERY / 2),
+                _ => std::thread::sleep(POLL_INTERVAL / 2),
             }
             tries += 1;
         }
@@ -166,7 +179,7 @@
         let mut done = false;
         let mut more = 2;
         while Instant::now() < until && more > 0 {
-            std::thread::sleep(ASK_EVERY);
+            std::thread::sleep(POLL_INTERVAL);
             tries += 1;
             let answer = self.call(tries, "GET", &path, b"");
             let mut seen = self.seen.lock().expect("no panic holds it");
--- a/crates/standin/src/worker.rs
+++ b/crates/standin/src/worker.rs
@@ -12,19 +12,24 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
+/// How long an image takes to fetch.
 const FETCH: Duration = Duration::from_millis(300);
+/// How often a worker looks what is due.
 const TICK: Duration = Duration::from_millis(30);
 /// A change is reported this long after the last report at the earliest.
 const AFTER_A_CHANGE: Duration = Duration::from_millis(500);
 
 /// What all machines share: the jobs that users uploaded, the records, the controllers.
 pub struct World {
+    /// Each job, and how long its tasks run.
     pub jobs: Mutex<BTreeMap<String, Arc<(JobSpec, Duration)>>>,
+    /// What the workers record.
     pub records: Mutex<Records>,
     /// Name and public address of each controller.
     pub nodes: Vec<(String, SocketAddrV4)>,
-    /// How often workers report, and how long they go on without an answer.
+    /// How often workers send a heartbeat.
     pub report: Duration,
+    /// How long workers go on without an answer.
     pub lease: Duration,
 }
 
@@ -61,18 +66,26 @@
     news: bool,
 }
 
+/// A machine and its worker.
 pub struct Worker {
+    /// The machine's name.
     pub id: String,
+    /// Where it takes direct commands.
     pub addr: SocketAddrV4,
+    /// Its machine type.
     pub kind: String,
+    /// Its zone.
     pub zone: String,
+    /// Whether it is a spot machine.
     pub spot: bool,
+    /// What tasks may use of it.
     pub room: Resources,
     world: Arc<World>,
     inner: Mutex<Inner>,
 }
 
 impl Worker {
+    /// A machine that boots; `offer` is its type, its zone and whether it is a spot machine.
     pub fn new(
         id: String,
         addr: SocketAddrV4,
@@ -102,6 +115,7 @@
         }
     }
 
+    /// What it shares with the other machines.
     pub fn world(&self) -> &Arc<World> {
         &self.world
     }
@@ -120,6 +134,7 @@
         w.gone = true;
     }
 
+    /// Whether it was deleted or taken.
     pub fn is_gone(&self) -> bool {
         self.inner.lock().expect("no panic holds it").gone
     }
