--- a/crates/standin/src/state.rs
+++ b/crates/standin/src/state.rs
@@ -12,9 +12,15 @@
 use std::time::{Duration, Instant};
 
 /// Backups, one a second, to which it can be rolled back.
-const BACKUPS: usize = 120;
+const MAX_BACKUPS: usize = 120;
 /// Changes that a watch may still ask for.
-const KEPT: usize = 10_000;
+const KEPT_EVENTS: usize = 10_000;
+/// Items on a page of keys.
+const MAX_PAGE: u64 = 1000;
+/// A watch waits this long at the most, in milliseconds.
+const MAX_WATCH_MS: u64 = 60_000;
+const KEY_PATH: &str = "/kv/";
+const LEASE_PATH: &str = "/leases/";
 
 #[derive(Clone, Default)]
 struct Store {
@@ -45,8 +51,8 @@
             version: self.revision,
             lease: put.and_then(|i| i.lease),
         });
-        if self.events.len() > 2 * KEPT {
-            self.events.drain(..KEPT);
+        if self.events.len() > 2 * KEPT_EVENTS {
+            self.events.drain(..KEPT_EVENTS);
         }
     }
 
@@ -75,6 +81,68 @@
         }
     }
 
+    /// A page of the keys with a prefix.
+    fn page(&self, r: &Request) -> Answer {
+        let under = query(&r.path, "under").unwrap_or("");
+        let since = query(&r.path, "since").unwrap_or("");
+        let size = query_number(&r.path, "page").unwrap_or(MAX_PAGE);
+        let size = size.min(MAX_PAGE) as usize;
+        let is_wanted =
+            |i: &&Item| i.key.starts_with(under) && (since.is_empty() || *i.key > *since);
+        let mut wanted = self.keys.values().filter(is_wanted);
+        let items: Vec<Item> = wanted.by_ref().take(size).cloned().collect();
+        let page = KeyValuePage {
+            items,
+            more: wanted.next().is_some(),
+            revision: self.revision,
+        };
+        Answer::new(200, to_json(&page))
+    }
+
+    fn get(&self, key: &str) -> Answer {
+        match self.keys.get(key) {
+            Some(item) => Answer::new(200, to_json(item)),
+            None => {
+                let body = CompareAndSwapResponse {
+                    revision: self.revision,
+                    failed: Vec::new(),
+                };
+                Answer::new(404, to_json(&body))
+            }
+        }
+    }
+
+    fn grant_lease(&mut self, body: &[u8], now: Instant) -> Answer {
+        match serde_json::from_slice::<LeaseRequest>(body) {
+            Ok(request) => {
+                self.next_lease += 1;
+                let (id, ttl) = (self.next_lease, Duration::from_millis(request.ttl_ms));
+                self.leases.insert(id, (now + ttl, ttl));
+                Answer::new(200, to_json(&LeaseResponse { lease: id }))
+            }
+            Err(e) => Answer::error(400, &e.to_string()),
+        }
+    }
+
+    /// Renews or ends the lease that a path names.
+    fn change_lease(&mut self, method: &str, path: &str, now: Instant) -> Answer {
+        let id = path.split('/').next().and_then(|id| id.parse().ok());
+        match (method, id) {
+            ("DELETE", Some(id)) => {
+                self.end_lease(id);
+                Answer::new(200, b"{}".to_vec())
+            }
+            ("POST", Some(id)) => match self.leases.get_mut(&id) {
+                Some((end, ttl)) => {
+                    *end = now + *ttl;
+                    Answer::new(200, to_json(&LeaseResponse { lease: id }))
+                }
+                None => Answer::error(404, "no such lease"),
+            },
+            _ => Answer::error(400, "malformed"),
+        }
+    }
+
     fn commit(&mut self, txn: CompareAndSwap) -> Answer {
         let version = |key: &str| self.keys.get(key).map_or(0, |i| i.version);
         let failed: Vec<String> = txn
@@ -132,6 +200,10 @@
     pairs.find(|(n, _)| *n == name).map(|(_, v)| v)
 }
 
+fn query_number(path: &str, name: &str) -> Option<u64> {
+    query(path, name)?.parse().ok()
+}
+
 impl StateService {
     /// Answers 503 for this long.
     pub fn break_for(&self, time: Duration) {
@@ -154,7 +226,7 @@
         let store = self.store.lock().expect("no panic holds it").clone();
         let mut backups = self.backups.lock().expect("no panic holds it");
         backups.push_back((Instant::now(), store));
-        while backups.len() > BACKUPS {
+        while backups.len() > MAX_BACKUPS {
             backups.pop_front();
         }
     }
@@ -192,72 +264,14 @@
         }
         s.end_leases(now);
         let path = r.path.split('?').next().unwrap_or("");
-        let number = |name| query(&r.path, name).and_then(|v| v.parse::<u64>().ok());
         let answer = match (r.method.as_str(), path) {
-            ("GET", "/kv") => {
-                let under = query(&r.path, "under").unwrap_or("");
-                let since = query(&r.path, "since").unwrap_or("");
-                let page = number("page").unwrap_or(1000).min(1000) as usize;
-                let mut found = s
-                    .keys
-                    .values()
-                    .filter(|i| i.key.starts_with(under) && (since.is_empty() || *i.key > *since));
-                let items: Vec<Item> = found.by_ref().take(page).cloned().collect();
-                let more = found.next().is_some();
-                let revision = s.revision;
-                Answer::new(
-                    200,
-                    to_json(&KeyValuePage {
-                        items,
-                        more,
-                        revision,
-                    }),
-                )
-            }
+            ("GET", "/kv") => s.page(r),
             ("GET", "/changes") => return self.watch(s, r),
-            ("GET", key) if key.starts_with("/kv/") => match s.keys.get(&key[4..]) {
-                Some(item) => Answer::new(200, to_json(item)),
-                None => {
-                    let body = CompareAndSwapResponse {
-                        revision: s.revision,
-                        failed: Vec::new(),
-                    };
-                    Answer::new(404, to_json(&body))
-                }
-            },
-            ("POST", "/txn") => match serde_json::from_slice::<CompareAndSwap>(&r.body) {
-                Ok(txn) => {
-                    let changes = txn.changes.len() as u64;
-                    self.changes.fetch_add(changes, Ordering::Relaxed);
-                    s.commit(txn)
-                }
-                Err(e) => Answer::error(400, &e.to_string()),
-            },
-            ("POST", "/leases") => match serde_json::from_slice::<LeaseRequest>(&r.body) {
-                Ok(l) => {
-                    s.next_lease += 1;
-                    let (id, ttl) = (s.next_lease, Duration::from_millis(l.ttl_ms));
-                    s.leases.insert(id, (now + ttl, ttl));
-                    Answer::new(200, to_json(&LeaseResponse { lease: id }))
-                }
-                Err(e) => Answer::error(400, &e.to_string()),
-            },
-            (method, lease) if lease.starts_with("/leases/") => {
-                let id = lease[8..].split('/').next().and_then(|i| i.parse().ok());
-                match (method, id) {
-                    ("DELETE", Some(id)) => {
-                        s.end_lease(id);
-                        Answer::new(200, b"{}".to_vec())
-                    }
-                    ("POST", Some(id)) => match s.leases.get_mut(&id) {
-                        Some((end, ttl)) => {
-                            *end = now + *ttl;
-                            Answer::new(200, to_json(&LeaseResponse { lease: id }))
-                        }
-                        None => Answer::error(404, "no such lease"),
-                    },
-                    _ => Answer::error(400, "malformed"),
-                }
+            ("GET", key) if key.starts_with(KEY_PATH) => s.get(&key[KEY_PATH.len()..]),
+            ("POST", "/txn") => self.transaction(&mut s, &r.body),
+            ("POST", "/leases") => s.grant_lease(&r.body, now),
+            (method, lease) if lease.starts_with(LEASE_PATH) => {
+                s.change_lease(method, &lease[LEASE_PATH.len()..], now)
             }
             _ => Answer::error(400, "malformed"),
         };
@@ -265,16 +279,29 @@
         answer
     }
 
+    fn transaction(&self, store: &mut Store, body: &[u8]) -> Answer {
+        match serde_json::from_slice::<CompareAndSwap>(body) {
+            Ok(transaction) => {
+                let changes = transaction.changes.len() as u64;
+                self.changes.fetch_add(changes, Ordering::Relaxed);
+                store.commit(transaction)
+            }
+            Err(e) => Answer::error(400, &e.to_string()),
+        }
+    }
+
     /// Waits until something with the prefix changed after the revision, or the time is over.
     fn watch<'a>(&'a self, mut s: std::sync::MutexGuard<'a, Store>, r: &Request) -> Answer {
         let under = query(&r.path, "under").unwrap_or("").to_string();
-        let number = |name| query(&r.path, name).and_then(|v| v.parse::<u64>().ok());
-        let since = number("since").unwrap_or(0);
-        let wait = Duration::from_millis(number("wait_ms").unwrap_or(0).min(60_000));
+        let since = query_number(&r.path, "since").unwrap_or(0);
+        let wait_ms = query_number(&r.path, "wait_ms").unwrap_or(0);
+        let wait = Duration::from_millis(wait_ms.min(MAX_WATCH_MS));
         let until = Instant::now() + wait;
         loop {
             s.end_leases(Instant::now());
-            if s.events.len() >= KEPT && s.events.first().is_some_and(|e| e.version > since + 1) {
+            if s.events.len() >= KEPT_EVENTS
+                && s.events.first().is_some_and(|e| e.version > since + 1)
+            {
                 return Answer::error(410, "too old");
             }
             let named = |e: &&WatchEvent| {
--- a/crates/standin/src/users.rs
+++ b/crates/standin/src/users.rs
@@ -16,6 +16,11 @@
 
 /// How often a user asks about a job.
 const POLL_INTERVAL: Duration = Duration::from_secs(1);
+/// How long a user waits before submitting a job once more.
+const RETRY_PAUSE: Duration = Duration::from_millis(500);
+/// How often a user asks about a job that is done.
+const POLLS_AFTER_END: u32 = 2;
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// How long a user waits for an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
@@ -139,82 +144,128 @@
     /// One call through some controller, moved on by the caller when it fails.
     fn call(&self, n: usize, method: &str, path: &str, body: &[u8]) -> Option<(u16, Vec<u8>)> {
         let nodes = &self.world.nodes;
-        let mut client = Client::new(nodes[n % nodes.len()].1, Duration::from_millis(300));
+        let mut client = Client::new(nodes[n % nodes.len()].1, CONNECT_TIMEOUT);
         client.call(method, path, body, ANSWER_TIMEOUT, false).ok()
     }
 
-    /// Submits a job and follows it until it is done or the time is over.
+    /// Submits a job and follows it until it is done or the time is over; `n` is the controller that
+    /// is asked first.
     pub fn follow(&self, n: usize, job: Arrival, until: Instant) {
-        let (id, class) = (job.spec.id.to_string(), job.spec.class.clone());
-        let tasks = u64::from(job.spec.tasks);
+        let submitted = Submitted {
+            id: job.spec.id.to_string(),
+            class: job.spec.class.clone(),
+            tasks: u64::from(job.spec.tasks),
+            at: Instant::now(),
+        };
         let body = submission(&job.spec);
+        self.publish(&submitted, job);
+        if let Some(next) = self.submit(n, &submitted, &body, until) {
+            self.poll(next, &submitted, until);
+        }
+    }
+
+    /// Tells the workers of a job before any of its tasks can start.
+    fn publish(&self, submitted: &Submitted, job: Arrival) {
         let shared = Arc::new((job.spec, job.run));
         let mut jobs = self.world.jobs.lock().expect("no panic holds it");
-        jobs.insert(id.clone(), shared);
+        jobs.insert(submitted.id.clone(), shared);
         drop(jobs);
         let mut records = self.world.records.lock().expect("no panic holds it");
-        records.submitted(&id, &class);
-        drop(records);
-        let begin = Instant::now();
-        let mut tries = n;
-        loop {
-            match self.call(tries, "POST", PATH_JOBS, &body) {
-                Some((200 | 201, _)) => break,
+        records.submitted(&submitted.id, &submitted.class);
+    }
+
+    /// Submits a job until it is accepted; gives the controller that accepted it, or `None` if it
+    /// was refused or the time is over.
+    fn submit(&self, n: usize, job: &Submitted, body: &[u8], until: Instant) -> Option<usize> {
+        for node in n.. {
+            match self.call(node, "POST", PATH_JOBS, body) {
+                Some((200 | 201, _)) => {
+                    let mut seen = self.seen.lock().expect("no panic holds it");
+                    seen.accepted += 1;
+                    let accepted = seen.accept_ms.get_or_insert_with(histogram);
+                    accepted.saturating_record(job.elapsed_ms());
+                    return Some(node);
+                }
                 Some((status @ (400 | 422), why)) => {
-                    let why = String::from_utf8_lossy(&why).into_owned();
+                    let why = String::from_utf8_lossy(&why);
                     let mut seen = self.seen.lock().expect("no panic holds it");
-                    return seen.refused.push(format!("{id}: {status} {why}"));
+                    seen.refused.push(format!("{}: {status} {why}", job.id));
+                    return None;
                 }
-                _ if Instant::now() > until => return,
-                _ => std::thread::sleep(POLL_INTERVAL / 2),
+                _ if Instant::now() > until => return None,
+                _ => std::thread::sleep(RETRY_PAUSE),
             }
-            tries += 1;
         }
-        let mut seen = self.seen.lock().expect("no panic holds it");
-        seen.accepted += 1;
-        let accepted = seen.accept_ms.get_or_insert_with(histogram);
-        accepted.saturating_record(begin.elapsed().as_millis() as u64);
-        drop(seen);
-        let path = format!("{PATH_JOBS}/{id}");
+        None
+    }
+
+    /// Asks about an accepted job until it is done, and a little longer: what was said must not be
+    /// unsaid.
+    fn poll(&self, n: usize, job: &Submitted, until: Instant) {
+        let path = format!("{PATH_JOBS}/{}", job.id);
         let mut done = false;
-        let mut more = 2;
-        while Instant::now() < until && more > 0 {
+        let mut polls_left = POLLS_AFTER_END;
+        for node in n + 1.. {
+            if Instant::now() >= until || polls_left == 0 {
+                return;
+            }
             std::thread::sleep(POLL_INTERVAL);
-            tries += 1;
-            let answer = self.call(tries, "GET", &path, b"");
-            let mut seen = self.seen.lock().expect("no panic holds it");
-            let state = match answer {
+            let state = match self.call(node, "GET", &path, b"") {
                 Some((200, body)) => serde_json::from_slice::<JobStatus>(&body).ok(),
                 Some((404, _)) => {
-                    seen.wrong.push(format!("{id}: accepted, and then unknown"));
-                    return;
+                    let mut seen = self.seen.lock().expect("no panic holds it");
+                    let wrong = format!("{}: accepted, and then unknown", job.id);
+                    return seen.wrong.push(wrong);
                 }
                 _ => None,
             };
-            let Some(state) = state.map(|a| a.state) else {
+            let Some(state) = state.map(|status| status.state) else {
                 continue;
             };
             match (done, state == JobState::Done) {
                 (false, true) => {
                     done = true;
-                    seen.done += 1;
-                    let h = seen.finish_ms.entry(class.clone());
-                    let took = begin.elapsed().as_millis() as u64;
-                    h.or_insert_with(histogram).saturating_record(took);
-                    let records = self.world.records.lock().expect("no panic holds it");
-                    if records.done(&id) < tasks {
-                        seen.wrong
-                            .push(format!("{id}: told done before all its tasks were"));
-                    }
+                    self.note_done(job);
+                }
+                (true, false) => {
+                    let mut seen = self.seen.lock().expect("no panic holds it");
+                    let wrong = format!("{}: done, and then {state:?}", job.id);
+                    seen.wrong.push(wrong);
                 }
-                (true, false) => seen.wrong.push(format!("{id}: done, and then {state:?}")),
                 _ => {}
             }
-            // Asked a little longer: what was said must not be unsaid.
-            more -= u32::from(done);
+            polls_left -= u32::from(done);
+        }
+    }
+
+    /// A user was told that a job is done: all its tasks must be.
+    fn note_done(&self, job: &Submitted) {
+        let mut seen = self.seen.lock().expect("no panic holds it");
+        seen.done += 1;
+        let finished = seen.finish_ms.entry(job.class.clone());
+        let finished = finished.or_insert_with(histogram);
+        finished.saturating_record(job.elapsed_ms());
+        let records = self.world.records.lock().expect("no panic holds it");
+        if records.done(&job.id) < job.tasks {
+            let wrong = format!("{}: told done before all its tasks were", job.id);
+            seen.wrong.push(wrong);
         }
     }
 }
 
+/// A job that a user has begun to submit.
+struct Submitted {
+    id: String,
+    class: String,
+    tasks: u64,
+    at: Instant,
+}
+
+impl Submitted {
+    fn elapsed_ms(&self) -> u64 {
+        self.at.elapsed().as_millis() as u64
+    }
+}
+
 #[cfg(test)]
 mod tests;
