--- a/crates/standin/src/worker.rs
+++ b/crates/standin/src/worker.rs
@@ -16,8 +16,8 @@
 const FETCH: Duration = Duration::from_millis(300);
 /// How often a worker looks what is due.
 const TICK: Duration = Duration::from_millis(30);
-/// A change is reported this long after the last report at the earliest.
-const AFTER_A_CHANGE: Duration = Duration::from_millis(500);
+/// A change is reported this long after the last heartbeat at the earliest.
+const CHANGE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// What all machines share: the jobs that users uploaded, the records, the controllers.
 pub struct World {
@@ -53,17 +53,21 @@
     why: Option<ExitCause>,
 }
 
-struct Inner {
-    session: u64,
-    seq: u64,
-    token: u64,
+struct WorkerState {
+    /// Rises when the worker ends its tasks and begins anew.
+    incarnation: u64,
+    /// Number of the last heartbeat.
+    sequence: u64,
+    /// The newest fencing token that a controller has shown.
+    fencing_token: u64,
     /// When the last answered report was sent.
     answered: Instant,
     tasks: BTreeMap<String, Task>,
     images: Vec<String>,
     gone: bool,
     taken_at: Option<Instant>,
-    news: bool,
+    /// Something has changed since the last heartbeat.
+    changed: bool,
 }
 
 /// A machine and its worker.
@@ -81,7 +85,7 @@
     /// What tasks may use of it.
     pub room: Resources,
     world: Arc<World>,
-    inner: Mutex<Inner>,
+    inner: Mutex<WorkerState>,
 }
 
 impl Worker {
@@ -101,16 +105,16 @@
             spot: offer.2,
             room,
             world,
-            inner: Mutex::new(Inner {
-                session: 1,
-                seq: 0,
-                token: 0,
+            inner: Mutex::new(WorkerState {
+                incarnation: 1,
+                sequence: 0,
+                fencing_token: 0,
                 answered: Instant::now(),
                 tasks: BTreeMap::new(),
                 images: Vec::new(),
                 gone: false,
                 taken_at: None,
-                news: false,
+                changed: false,
             }),
         }
     }
@@ -122,16 +126,16 @@
 
     /// The machine will be taken after this time.
     pub fn notice(&self, after: Duration) {
-        let mut w = self.inner.lock().expect("no panic holds it");
-        w.taken_at = Some(Instant::now() + after);
-        w.news = true;
+        let mut state = self.inner.lock().expect("no panic holds it");
+        state.taken_at = Some(Instant::now() + after);
+        state.changed = true;
     }
 
     /// The machine and everything on it is gone.
     pub fn remove(&self) {
-        let mut w = self.inner.lock().expect("no panic holds it");
-        self.forget_all(&mut w);
-        w.gone = true;
+        let mut state = self.inner.lock().expect("no panic holds it");
+        self.forget_all(&mut state);
+        state.gone = true;
     }
 
     /// Whether it was deleted or taken.
@@ -139,9 +143,9 @@
         self.inner.lock().expect("no panic holds it").gone
     }
 
-    fn forget_all(&self, w: &mut Inner) {
+    fn forget_all(&self, state: &mut WorkerState) {
         let mut records = self.world.records.lock().expect("no panic holds it");
-        for (task, t) in std::mem::take(&mut w.tasks) {
+        for (task, t) in std::mem::take(&mut state.tasks) {
             if t.state == TaskState::Running
                 && let Some(key) = parse_task_id(&task)
             {
@@ -151,19 +155,19 @@
     }
 
     /// What the passing of time brings about.
-    fn advance(&self, w: &mut Inner) {
+    fn advance(&self, state: &mut WorkerState) {
         let now = Instant::now();
-        if w.taken_at.is_some_and(|t| now >= t) && !w.gone {
-            self.forget_all(w);
-            w.gone = true;
+        if state.taken_at.is_some_and(|t| now >= t) && !state.gone {
+            self.forget_all(state);
+            state.gone = true;
         }
-        if now > w.answered + self.world.lease {
-            self.forget_all(w);
-            w.session += 1;
-            w.answered = now;
-            w.news = true;
+        if now > state.answered + self.world.lease {
+            self.forget_all(state);
+            state.incarnation += 1;
+            state.answered = now;
+            state.changed = true;
         }
-        for (task, t) in &mut w.tasks {
+        for (task, t) in &mut state.tasks {
             let Some(key) = parse_task_id(task).filter(|_| now >= t.until) else {
                 continue;
             };
@@ -182,82 +186,87 @@
                 }
                 _ => continue,
             }
-            w.news = true;
+            state.changed = true;
         }
     }
 
-    fn execute(&self, w: &mut Inner, orders: Vec<TaskCommand>) {
-        let now = Instant::now();
-        for order in orders {
-            w.news = true;
-            match order {
-                TaskCommand::Start { task, attempt } => {
-                    let held = w.tasks.get(&task);
-                    if held.is_some_and(|t| t.attempt == attempt) {
-                        continue;
-                    }
-                    let busy = held.is_some_and(|t| t.state != TaskState::Exited);
-                    let jobs = self.world.jobs.lock().expect("no panic holds it");
-                    let Some(job) = parse_task_id(&task).and_then(|k| jobs.get(&*k.job).cloned())
-                    else {
-                        continue;
-                    };
-                    let mut free = self.room;
-                    for t in w.tasks.values().filter(|t| t.state != TaskState::Exited) {
-                        free.sub(&t.job.0.resources);
-                    }
-                    let image = job.0.image.clone();
-                    let why = if busy {
-                        // Another attempt of it is here: this one is refused, and not kept.
-                        continue;
-                    } else if job.0.resources.fits(&free) {
-                        None
-                    } else {
-                        Some(ExitCause::NoRoom)
-                    };
-                    let cached = w.images.contains(&image);
-                    if !cached {
-                        w.images.push(image);
-                    }
-                    let task_now = Task {
-                        job,
-                        attempt,
-                        state: match why {
-                            Some(_) => TaskState::Exited,
-                            None => TaskState::Fetching,
-                        },
-                        until: if cached { now } else { now + FETCH },
-                        why,
-                    };
-                    w.tasks.insert(task, task_now);
-                }
-                TaskCommand::Stop { task, attempt, .. } => {
-                    if let Some(t) = w.tasks.get_mut(&task).filter(|t| t.attempt == attempt)
-                        && t.state != TaskState::Exited
-                    {
-                        if t.state == TaskState::Running
-                            && let Some(key) = parse_task_id(&task)
-                        {
-                            let mut records = self.world.records.lock().expect("no panic");
-                            records.leave(&key.job, key.index, &self.zone, None);
-                        }
-                        t.state = TaskState::Exited;
-                        t.why = Some(ExitCause::Stopped);
-                    }
-                }
+    fn execute(&self, state: &mut WorkerState, commands: Vec<TaskCommand>) {
+        for command in commands {
+            state.changed = true;
+            match command {
+                TaskCommand::Start { task, attempt } => self.start(state, task, attempt),
+                TaskCommand::Stop { task, attempt, .. } => self.stop(state, &task, attempt),
                 TaskCommand::Forget { task, attempt } => {
                     let exited = |t: &Task| t.attempt == attempt && t.state == TaskState::Exited;
-                    if w.tasks.get(&task).is_some_and(exited) {
-                        w.tasks.remove(&task);
+                    if state.tasks.get(&task).is_some_and(exited) {
+                        state.tasks.remove(&task);
                     }
                 }
             }
         }
     }
 
-    fn report(&self, w: &mut Inner) -> Heartbeat {
-        self.advance(w);
-        w.seq += 1;
+    /// Starts a task, unless an attempt of it is here: another one is refused, and not kept.
+    fn start(&self, state: &mut WorkerState, task: String, attempt: u64) {
+        let held = state.tasks.get(&task);
+        if held.is_some_and(|t| t.attempt == attempt || t.state != TaskState::Exited) {
+            return;
+        }
+        let jobs = self.world.jobs.lock().expect("no panic holds it");
+        let Some(job) = parse_task_id(&task).and_then(|key| jobs.get(&*key.job).cloned()) else {
+            return;
+        };
+        drop(jobs);
+        let fits = job.0.resources.fits(&self.free_room(state));
+        let image = job.0.image.clone();
+        let cached = state.images.contains(&image);
+        if !cached {
+            state.images.push(image);
+        }
+        let now = Instant::now();
+        let started = Task {
+            job,
+            attempt,
+            state: if fits {
+                TaskState::Fetching
+            } else {
+                TaskState::Exited
+            },
+            until: if cached { now } else { now + FETCH },
+            why: (!fits).then_some(ExitCause::NoRoom),
+        };
+        state.tasks.insert(task, started);
+    }
+
+    /// What tasks leave of the machine.
+    fn free_room(&self, state: &WorkerState) -> Resources {
+        let mut free = self.room;
+        let tasks = state.tasks.values();
+        for task in tasks.filter(|t| t.state != TaskState::Exited) {
+            free.sub(&task.job.0.resources);
+        }
+        free
+    }
+
+    fn stop(&self, state: &mut WorkerState, task: &str, attempt: u64) {
+        let held = state.tasks.get_mut(task);
+        let Some(held) = held.filter(|t| t.attempt == attempt && t.state != TaskState::Exited)
+        else {
+            return;
+        };
+        if held.state == TaskState::Running
+            && let Some(key) = parse_task_id(task)
+        {
+            let mut records = self.world.records.lock().expect("no panic holds it");
+            records.leave(&key.job, key.index, &self.zone, None);
+        }
+        held.state = TaskState::Exited;
+        held.why = Some(ExitCause::Stopped);
+    }
+
+    fn report(&self, state: &mut WorkerState) -> Heartbeat {
+        self.advance(state);
+        state.sequence += 1;
         let left = |t: Instant| t.saturating_duration_since(Instant::now()).as_secs_f64();
         Heartbeat {
             machine: self.id.as_str().into(),
@@ -265,11 +274,11 @@
             machine_type: self.kind.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
-            incarnation: w.session,
-            sequence: w.seq,
-            fencing_token: w.token,
-            reclaim_in_s: w.taken_at.map(left),
-            tasks: w
+            incarnation: state.incarnation,
+            sequence: state.sequence,
+            fencing_token: state.fencing_token,
+            reclaim_in_s: state.taken_at.map(left),
+            tasks: state
                 .tasks
                 .iter()
                 .map(|(task, t)| TaskStatus {
@@ -285,8 +294,8 @@
 
     /// Direct commands and questions.
     pub fn answer(&self, r: &Request) -> Option<Answer> {
-        let mut w = self.inner.lock().expect("no panic holds it");
-        if w.gone {
+        let mut state = self.inner.lock().expect("no panic holds it");
+        if state.gone {
             return None;
         }
         let mut status = 200;
@@ -294,32 +303,32 @@
             let Ok(body) = serde_json::from_slice::<DirectCommands>(&r.body) else {
                 return Some(Answer::error(400, "malformed"));
             };
-            self.advance(&mut w);
-            if body.fencing_token < w.token || body.incarnation != w.session {
+            self.advance(&mut state);
+            if body.fencing_token < state.fencing_token || body.incarnation != state.incarnation {
                 status = 409;
             } else {
-                w.token = body.fencing_token;
-                self.execute(&mut w, body.commands);
+                state.fencing_token = body.fencing_token;
+                self.execute(&mut state, body.commands);
             }
         }
-        let report = self.report(&mut w);
+        let report = self.report(&mut state);
         Some(Answer::new(status, to_json(&report)))
     }
 
     /// The report to send now, if one is due: an interval after the last one was sent, or sooner where something
     /// has changed.
     pub fn report_due(&self, last: Instant) -> Option<Vec<u8>> {
-        let mut w = self.inner.lock().expect("no panic holds it");
-        self.advance(&mut w);
+        let mut state = self.inner.lock().expect("no panic holds it");
+        self.advance(&mut state);
         let interval = self.world.report;
-        let sooner = (interval / 2).min(AFTER_A_CHANGE);
+        let sooner = (interval / 2).min(CHANGE_INTERVAL);
         let waited = last.elapsed();
-        let due = waited >= interval || (w.news && waited >= sooner);
-        if w.gone || !due {
+        let due = waited >= interval || (state.changed && waited >= sooner);
+        if state.gone || !due {
             return None;
         }
-        w.news = false;
-        Some(to_json(&self.report(&mut w)))
+        state.changed = false;
+        Some(to_json(&self.report(&mut state)))
     }
 
     /// Reports until the machine is gone.
@@ -364,15 +373,15 @@
 
     /// The answer to a report that was sent at this moment.
     pub fn take_in(&self, answer: HeartbeatResponse, sent: Instant) {
-        let mut w = self.inner.lock().expect("no panic holds it");
-        if answer.fencing_token < w.token
-            || w.gone
-            || Instant::now() > w.answered + self.world.lease
+        let mut state = self.inner.lock().expect("no panic holds it");
+        if answer.fencing_token < state.fencing_token
+            || state.gone
+            || Instant::now() > state.answered + self.world.lease
         {
             return;
         }
-        w.token = answer.fencing_token;
-        w.answered = sent;
-        self.execute(&mut w, answer.commands);
+        state.fencing_token = answer.fencing_token;
+        state.answered = sent;
+        self.execute(&mut state, answer.commands);
     }
 }
