--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -16,7 +16,7 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::{Duration, Instant};
 
-/// Each machine is looked at this often.
+/// Each machine is last_check at this often.
 const TICK: Duration = Duration::from_millis(30);
 /// A worker waits so long for an answer, and so long before it turns to another controller.
 const NO_ANSWER: Duration = Duration::from_secs(4);
@@ -53,7 +53,7 @@
 }
 
 /// A machine that has been rented.
-struct Rented {
+struct RentedMachine {
     worker: Arc<Worker>,
     listener: std::net::TcpListener,
     up_at: Instant,
@@ -61,7 +61,7 @@
 
 /// Hosts machines on a few threads.
 pub struct Fleet {
-    threads: Vec<Sender<Rented>>,
+    threads: Vec<Sender<RentedMachine>>,
     next: AtomicUsize,
     /// What went over all connections.
     pub traffic: Arc<Traffic>,
@@ -94,7 +94,7 @@
     fn host(&self, worker: Arc<Worker>, listener: std::net::TcpListener, boot: Duration) {
         let n = self.next.fetch_add(1, Ordering::Relaxed);
         let up_at = Instant::now() + boot;
-        let rented = Rented {
+        let rented = RentedMachine {
             worker,
             listener,
             up_at,
@@ -113,9 +113,9 @@
     up_at: Instant,
     /// The controller that it reports to.
     node: usize,
-    link: Option<Connection>,
+    connection: Option<Connection>,
     /// When the report was sent that has no answer yet.
-    awaiting: Option<Instant>,
+    unanswered_since: Option<Instant>,
     last: Instant,
     resume_at: Instant,
 }
@@ -123,7 +123,7 @@
 /// One thread's machines.
 struct Host {
     poll: Poll,
-    rented: Receiver<Rented>,
+    rented: Receiver<RentedMachine>,
     traffic: Arc<Traffic>,
     machines: BTreeMap<usize, Machine>,
     next: usize,
@@ -137,7 +137,7 @@
 }
 
 impl Host {
-    fn new(poll: Poll, rented: Receiver<Rented>, traffic: Arc<Traffic>) -> Host {
+    fn new(poll: Poll, rented: Receiver<RentedMachine>, traffic: Arc<Traffic>) -> Host {
         Host {
             poll,
             rented,
@@ -151,7 +151,7 @@
 
     fn run(mut self) {
         let mut events = Events::with_capacity(1024);
-        let mut looked = Instant::now();
+        let mut last_check = Instant::now();
         loop {
             if let Err(e) = self.poll.poll(&mut events, Some(TICK))
                 && e.kind() != io::ErrorKind::Interrupted
@@ -163,35 +163,38 @@
                 let number = event.token().0 / KINDS;
                 match event.token().0 % KINDS {
                     LISTENER => self.accept(number),
-                    REPORTS => self.answered(number),
-                    _ => self.commanded(number),
+                    REPORTS => self.receive_answer(number),
+                    _ => self.receive_commands(number),
                 }
             }
-            if looked.elapsed() >= TICK {
-                looked = Instant::now();
-                self.take_in();
-                self.tend();
+            if last_check.elapsed() >= TICK {
+                last_check = Instant::now();
+                self.receive_machines();
+                self.check_machines();
             }
         }
     }
 
-    fn take_in(&mut self) {
+    /// Takes on the machines that have been rented.
+    fn receive_machines(&mut self) {
         while let Ok(rented) = self.rented.try_recv() {
             if rented.listener.set_nonblocking(true).is_err() {
                 continue;
             }
-            let world = rented.worker.world();
+            let cluster_state = rented.worker.cluster_state();
             // Reports are spread over the interval.
-            let early = world.report.mul_f64(rand::rng().random_range(0.0..1.0));
-            let node = rand::rng().random_range(0..world.nodes.len());
+            let early = cluster_state
+                .report
+                .mul_f64(rand::rng().random_range(0.0..1.0));
+            let node = rand::rng().random_range(0..cluster_state.nodes.len());
             let machine = Machine {
                 worker: rented.worker,
                 listener: TcpListener::from_std(rented.listener),
                 listens: false,
                 up_at: rented.up_at,
                 node,
-                link: None,
-                awaiting: None,
+                connection: None,
+                unanswered_since: None,
                 last: rented.up_at - early,
                 resume_at: rented.up_at,
             };
@@ -201,7 +204,7 @@
     }
 
     /// Looks at all machines: what is due, what has waited for too long, what is gone.
-    fn tend(&mut self) {
+    fn check_machines(&mut self) {
         let now = Instant::now();
         let registry = self.poll.registry();
         let mut gone = Vec::new();
@@ -209,8 +212,8 @@
             if m.worker.is_gone() {
                 gone.push(*number);
             } else if now >= m.up_at {
-                m.come_up(*number, registry);
-                m.tend(*number, now, registry, &self.traffic);
+                m.listen(*number, registry);
+                m.advance(*number, now, registry, &self.traffic);
             }
         }
         for number in gone {
@@ -238,14 +241,14 @@
     }
 
     /// Something came on the connection to a controller.
-    fn answered(&mut self, number: usize) {
+    fn receive_answer(&mut self, number: usize) {
         if let Some(m) = self.machines.get_mut(&number) {
             m.take_answer(Instant::now(), &self.traffic);
         }
     }
 
     /// Something came on a connection from a controller.
-    fn commanded(&mut self, number: usize) {
+    fn receive_commands(&mut self, number: usize) {
         let Some((of, connection)) = self.commands.get_mut(&number) else {
             return;
         };
@@ -275,7 +278,8 @@
 }
 
 impl Machine {
-    fn come_up(&mut self, number: usize, registry: &Registry) {
+    /// Takes direct commands from now on.
+    fn listen(&mut self, number: usize, registry: &Registry) {
         if self.listens {
             return;
         }
@@ -284,87 +288,90 @@
         self.listens = registered.is_ok();
     }
 
-    fn tend(&mut self, number: usize, now: Instant, registry: &Registry, traffic: &Traffic) {
-        if let Some(sent) = self.awaiting {
+    /// Sends what is due, and gives up an answer that does not come.
+    fn advance(&mut self, number: usize, now: Instant, registry: &Registry, traffic: &Traffic) {
+        if let Some(sent) = self.unanswered_since {
             if now > sent + NO_ANSWER {
                 Traffic::add(&traffic.unanswered, 1);
-                self.turn(None, now);
+                self.switch_controller(None, now);
             }
             return;
         }
         if now < self.resume_at {
             return;
         }
-        let Some(report) = self.worker.report_due(self.last) else {
+        let Some(report) = self.worker.heartbeat_due(self.last) else {
             return;
         };
         self.last = now;
-        if self.link.is_none() {
-            let addr = self.worker.world().nodes[self.node].1;
-            self.link = connect(addr.into(), number, registry).ok();
+        if self.connection.is_none() {
+            let addr = self.worker.cluster_state().nodes[self.node].1;
+            self.connection = connect(addr.into(), number, registry).ok();
         }
-        let Some(link) = &mut self.link else {
-            return self.turn(None, now);
+        let Some(connection) = &mut self.connection else {
+            return self.switch_controller(None, now);
         };
-        let bytes = link.ask("POST", PATH_HEARTBEAT, &report);
+        let bytes = connection.ask("POST", PATH_HEARTBEAT, &report);
         Traffic::add(&traffic.reports, 1);
         Traffic::add(&traffic.sent, bytes);
-        self.awaiting = Some(now);
-        if link.flush().is_err() {
+        self.unanswered_since = Some(now);
+        if connection.flush().is_err() {
             Traffic::add(&traffic.unanswered, 1);
-            self.turn(None, now);
+            self.switch_controller(None, now);
         }
     }
 
     fn take_answer(&mut self, now: Instant, traffic: &Traffic) {
-        let Some(link) = &mut self.link else { return };
-        let filled = link.flush().and_then(|()| link.fill());
+        let Some(connection) = &mut self.connection else {
+            return;
+        };
+        let filled = connection.flush().and_then(|()| connection.fill());
         Traffic::add(&traffic.received, *filled.as_ref().unwrap_or(&0));
-        let response = match link.take_response() {
+        let response = match connection.take_response() {
             Ok(response) => response,
-            Err(_) => return self.turn(None, now),
+            Err(_) => return self.switch_controller(None, now),
         };
         let Some(response) = response else {
             // A connection that ends between two reports is made anew for the next one.
             if filled.is_err() {
-                self.link = None;
-                if self.awaiting.is_some() {
+                self.connection = None;
+                if self.unanswered_since.is_some() {
                     Traffic::add(&traffic.unanswered, 1);
-                    self.turn(None, now);
+                    self.switch_controller(None, now);
                 }
             }
             return;
         };
-        let Some(sent) = self.awaiting.take() else {
-            self.link = None;
+        let Some(sent) = self.unanswered_since.take() else {
+            self.connection = None;
             return;
         };
         Traffic::add(&traffic.answers, 1);
         if response.close || filled.is_err() {
-            self.link = None;
+            self.connection = None;
         }
         match response.status {
             200 => {
                 if let Ok(answer) = serde_json::from_slice::<HeartbeatResponse>(&response.body) {
-                    self.worker.take_in(answer, sent);
+                    self.worker.observe_answer(answer, sent);
                 }
             }
             421 => {
                 Traffic::add(&traffic.referred, 1);
                 let to = serde_json::from_slice::<Redirect>(&response.body).ok();
-                self.turn(to.and_then(|r| r.leader), now);
+                self.switch_controller(to.and_then(|r| r.leader), now);
             }
-            _ => self.turn(None, now),
+            _ => self.switch_controller(None, now),
         }
     }
 
     /// Turns to another controller.
-    fn turn(&mut self, referred: Option<&str>, now: Instant) {
-        let world = self.worker.world();
-        let (node, wait) = world.next_node(self.node, referred);
-        self.last = now - world.report;
-        self.link = None;
-        self.awaiting = None;
+    fn switch_controller(&mut self, referred: Option<&str>, now: Instant) {
+        let cluster_state = self.worker.cluster_state();
+        let (node, wait) = cluster_state.next_node(self.node, referred);
+        self.last = now - cluster_state.report;
+        self.connection = None;
+        self.unanswered_since = None;
         self.node = node;
         self.resume_at = if wait { now + RETRY } else { now };
     }
--- a/crates/scale/src/hollow/tests.rs
+++ b/crates/scale/src/hollow/tests.rs
@@ -5,7 +5,7 @@
 use burlusher_standin::cloud::Threads;
 use burlusher_standin::scenario::Scenario;
 use burlusher_standin::users::load;
-use burlusher_standin::worker::World;
+use burlusher_standin::worker::ClusterState;
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::sync::Mutex;
@@ -66,9 +66,9 @@
     }
 }
 
-fn world(nodes: &[&Controller]) -> Arc<World> {
+fn cluster_state(nodes: &[&Controller]) -> Arc<ClusterState> {
     let nodes = nodes.iter().enumerate();
-    Arc::new(World {
+    Arc::new(ClusterState {
         jobs: Mutex::default(),
         records: Mutex::default(),
         nodes: nodes.map(|(n, c)| (format!("n{n}"), c.addr)).collect(),
@@ -77,7 +77,7 @@
     })
 }
 
-fn machine(n: usize, world: &Arc<World>) -> (Arc<Worker>, std::net::TcpListener) {
+fn machine(n: usize, cluster_state: &Arc<ClusterState>) -> (Arc<Worker>, std::net::TcpListener) {
     let (listener, addr) = listen();
     let offer = ("worker".to_string(), "east".to_string(), false);
     let room = Resources {
@@ -85,7 +85,13 @@
         gpus: 0.0,
         ram: 16.0,
     };
-    let worker = Worker::new(format!("i-{n:06}"), addr, offer, room, world.clone());
+    let worker = Worker::new(
+        format!("i-{n:06}"),
+        addr,
+        offer,
+        room,
+        cluster_state.clone(),
+    );
     (Arc::new(worker), listener)
 }
 
@@ -102,7 +108,7 @@
     const MACHINES: usize = 12;
     let ok = r#"{"deed":7,"orders":[]}"#;
     let (hollow, threads) = (controller(200, ok), controller(200, ok));
-    let (one, other) = (world(&[&hollow]), world(&[&threads]));
+    let (one, other) = (cluster_state(&[&hollow]), cluster_state(&[&threads]));
     let fleet = Fleet::new(2).unwrap();
     for n in 0..MACHINES {
         let (worker, listener) = machine(n, &one);
@@ -128,10 +134,10 @@
 fn a_hollow_worker_goes_where_it_is_referred_to() {
     let to = controller(200, r#"{"deed":9,"orders":[]}"#);
     let from = controller(421, r#"{"foreman":"n1"}"#);
-    let world = world(&[&from, &to]);
+    let cluster_state = cluster_state(&[&from, &to]);
     let fleet = Fleet::new(1).unwrap();
     for n in 0..4 {
-        let (worker, listener) = machine(n, &world);
+        let (worker, listener) = machine(n, &cluster_state);
         fleet.host(worker, listener, Duration::ZERO);
     }
     let told = |c: &Controller| c.reports.lock().unwrap().len();
@@ -142,7 +148,7 @@
 #[test]
 fn a_hollow_worker_runs_what_it_is_told_directly() {
     let ok = controller(200, r#"{"deed":7,"orders":[]}"#);
-    let world = world(&[&ok]);
+    let cluster_state = cluster_state(&[&ok]);
     let text = include_str!("../../../../scenarios/hollow.toml");
     let job = load(&Scenario::parse("hollow.toml", text).unwrap()).remove(0);
     let id = job.spec.id.to_string();
@@ -150,10 +156,18 @@
         tasks: 1,
         ..job.spec
     };
-    world.records.lock().unwrap().submitted(&id, "class");
+    cluster_state
+        .records
+        .lock()
+        .unwrap()
+        .submitted(&id, "class");
     let shared = Arc::new((spec, Duration::from_millis(200)));
-    world.jobs.lock().unwrap().insert(id.clone(), shared);
-    let (worker, listener) = machine(1, &world);
+    cluster_state
+        .jobs
+        .lock()
+        .unwrap()
+        .insert(id.clone(), shared);
+    let (worker, listener) = machine(1, &cluster_state);
     let fleet = Fleet::new(1).unwrap();
     fleet.host(worker.clone(), listener, Duration::ZERO);
     wait("it reports", || !ok.reports.lock().unwrap().is_empty());
@@ -178,9 +192,9 @@
     assert_eq!(tell(6), 409, "an older token is refused");
     assert_eq!(tell(8), 200);
     wait("it is done", || {
-        world.records.lock().unwrap().done(&id) == 1
+        cluster_state.records.lock().unwrap().done(&id) == 1
     });
-    assert!(world.records.lock().unwrap().broken.is_empty());
+    assert!(cluster_state.records.lock().unwrap().broken.is_empty());
     // A machine that is gone answers nothing.
     worker.remove();
     wait("it is gone", || {
--- a/crates/standin/src/cloud.rs
+++ b/crates/standin/src/cloud.rs
@@ -2,7 +2,7 @@
 
 use crate::scenario::Scenario;
 use crate::state::query;
-use crate::worker::{Worker, World};
+use crate::worker::{ClusterState, Worker};
 use burlusher::http::{self, Answer, Request};
 use burlusher::job::Resources;
 use burlusher::wire::{
@@ -58,7 +58,7 @@
     hosting: Arc<dyn Hosting>,
     types: Vec<MachineType>,
     most: BTreeMap<Offer, u32>,
-    world: Arc<World>,
+    cluster_state: Arc<ClusterState>,
     inner: Mutex<Inner>,
 }
 
@@ -76,7 +76,11 @@
 
 impl Cloud {
     /// A cloud with the scenario's machines, none of which is rented yet.
-    pub fn new(scenario: &Scenario, world: Arc<World>, hosting: Arc<dyn Hosting>) -> Cloud {
+    pub fn new(
+        scenario: &Scenario,
+        cluster_state: Arc<ClusterState>,
+        hosting: Arc<dyn Hosting>,
+    ) -> Cloud {
         let mut most = BTreeMap::new();
         let mut types = Vec::new();
         for m in &scenario.machines {
@@ -101,7 +105,7 @@
             hosting,
             types,
             most,
-            world,
+            cluster_state,
             inner: Mutex::new(Inner::default()),
         }
     }
@@ -279,7 +283,7 @@
             gpus: t.gpus,
             ram: t.ram,
         };
-        let worker = Worker::new(id, addr, offer.clone(), room, self.world.clone());
+        let worker = Worker::new(id, addr, offer.clone(), room, self.cluster_state.clone());
         let worker = Arc::new(worker);
         let boot = Duration::from_secs_f64(t.boot_s);
         self.hosting.host(worker.clone(), listener, boot);
--- a/crates/standin/src/cluster.rs
+++ b/crates/standin/src/cluster.rs
@@ -11,7 +11,7 @@
 use crate::scenario::{Event, EventAction, Scenario};
 use crate::state::StateService;
 use crate::users::{Users, load};
-use crate::worker::World;
+use crate::worker::ClusterState;
 use burlusher::http::{self, Answer, Request};
 use burlusher_market::Spread;
 use std::iter::Peekable;
@@ -50,7 +50,7 @@
     let cluster = Cluster::start(scenario, program, dir, hosting)?;
     cluster.wait_ready(dir)?;
     let begin = Instant::now();
-    let users = Arc::new(Users::new(cluster.targets.world.clone()));
+    let users = Arc::new(Users::new(cluster.targets.cluster_state.clone()));
     let jobs = cluster.submit_load(&users, begin);
     cluster.follow(&users, &jobs, begin, observe);
     Ok(cluster.finish(&users, jobs.len()))
@@ -75,7 +75,7 @@
         let mut public = free_addresses(2 * count)?;
         let peer = public.split_off(count);
         let names = (0..count).map(controller_name);
-        let world = Arc::new(World {
+        let cluster_state = Arc::new(ClusterState {
             jobs: Mutex::default(),
             records: Mutex::default(),
             nodes: names.zip(public.iter().copied()).collect(),
@@ -83,7 +83,7 @@
             lease: Duration::from_secs_f64(scenario.lease_s),
         });
         let state = Arc::new(StateService::default());
-        let cloud = Arc::new(Cloud::new(scenario, world.clone(), hosting));
+        let cloud = Arc::new(Cloud::new(scenario, cluster_state.clone(), hosting));
         let (state_handler, cloud_handler) = (state.clone(), cloud.clone());
         let addresses = Addresses {
             public,
@@ -93,8 +93,8 @@
         };
         write_settings(scenario, &addresses, dir)?;
         let controllers = Arc::new(Controllers::new(program, dir, count));
-        if scenario.archivist {
-            controllers.start_archivist()?;
+        if scenario.snapshotter {
+            controllers.start_snapshotter()?;
         }
         for number in 0..count {
             controllers.start(number)?;
@@ -102,7 +102,7 @@
         Ok(Cluster {
             scenario,
             targets: EventTargets {
-                world,
+                cluster_state,
                 cloud,
                 state,
                 controllers,
@@ -113,7 +113,7 @@
     /// Waits until every controller serves; `dir` has their logs.
     fn wait_ready(&self, dir: &Path) -> Result<(), StandinError> {
         let deadline = Instant::now() + READY_TIMEOUT;
-        for (name, addr) in &self.targets.world.nodes {
+        for (name, addr) in &self.targets.cluster_state.nodes {
             while get(*addr, "/ready").is_none_or(|(status, _)| status != 200) {
                 if Instant::now() > deadline || !self.targets.controllers.ended().is_empty() {
                     return Err(StandinError::NotReady {
@@ -188,7 +188,7 @@
 
     fn sample(&self, at_s: f64) -> Sample {
         let (state_requests, state_changes) = self.targets.state.counts();
-        let records = self.targets.world.records.lock();
+        let records = self.targets.cluster_state.records.lock();
         let records = records.expect("no panic holds it");
         let (tasks_running, tasks_started) = (records.present(), records.starts);
         drop(records);
@@ -216,14 +216,14 @@
     /// Ends the controllers, and says what came of it all.
     fn finish(self, users: &Users, submitted: usize) -> Outcome {
         let EventTargets {
-            world,
+            cluster_state,
             cloud,
             state,
             controllers,
         } = self.targets;
         let ended = controllers.ended();
         drop(controllers);
-        let records = world.records.lock().expect("no panic holds it");
+        let records = cluster_state.records.lock().expect("no panic holds it");
         let seen = users.seen.lock().expect("no panic holds it");
         let spread = spread(self.scenario, &records.work);
         let tolerance = self.scenario.tolerance;
--- a/crates/standin/src/controllers.rs
+++ b/crates/standin/src/controllers.rs
@@ -20,7 +20,7 @@
     program: PathBuf,
     dir: PathBuf,
     children: Mutex<Vec<Option<Child>>>,
-    archivist: Mutex<Option<Child>>,
+    snapshotter: Mutex<Option<Child>>,
 }
 
 impl Controllers {
@@ -30,7 +30,7 @@
             program: program.to_path_buf(),
             dir: dir.to_path_buf(),
             children: Mutex::new((0..count).map(|_| None).collect()),
-            archivist: Mutex::default(),
+            snapshotter: Mutex::default(),
         }
     }
 
@@ -63,11 +63,11 @@
     }
 
     /// Starts a process that keeps snapshots of the state service.
-    pub(crate) fn start_archivist(&self) -> Result<(), StandinError> {
+    pub(crate) fn start_snapshotter(&self) -> Result<(), StandinError> {
         let (config, dir) = (self.file("controller-0.json"), self.file("archive"));
         let args = ["archive", "--config", &config, "--dir", &dir];
         let child = self.spawn("archivist.log", &args)?;
-        *self.archivist.lock().expect("no panic holds it") = Some(child);
+        *self.snapshotter.lock().expect("no panic holds it") = Some(child);
         Ok(())
     }
 
@@ -110,8 +110,8 @@
     fn drop(&mut self) {
         let count = self.children.lock().map_or(0, |c| c.len());
         (0..count).for_each(|n| self.kill(n));
-        let archivist = self.archivist.lock().ok().and_then(|mut a| a.take());
-        if let Some(mut child) = archivist {
+        let snapshotter = self.snapshotter.lock().ok().and_then(|mut a| a.take());
+        if let Some(mut child) = snapshotter {
             let _ = child.kill();
             let _ = child.wait();
         }
--- a/crates/standin/src/events.rs
+++ b/crates/standin/src/events.rs
@@ -4,7 +4,7 @@
 use crate::controllers::Controllers;
 use crate::scenario::EventAction;
 use crate::state::StateService;
-use crate::worker::World;
+use crate::worker::ClusterState;
 use burlusher::http;
 use burlusher::wire::PATH_STATUS;
 use std::net::SocketAddrV4;
@@ -22,7 +22,7 @@
 
 /// What events act on.
 pub(crate) struct EventTargets {
-    pub world: Arc<World>,
+    pub cluster_state: Arc<ClusterState>,
     pub cloud: Arc<Cloud>,
     pub state: Arc<StateService>,
     pub controllers: Arc<Controllers>,
@@ -50,7 +50,7 @@
                 None => println!("no controller leads now"),
             },
             EventAction::KillAll { back_s } => {
-                let numbers = 0..self.world.nodes.len();
+                let numbers = 0..self.cluster_state.nodes.len();
                 numbers.for_each(|number| self.restart(number, seconds(*back_s)));
             }
             EventAction::Restore {} => self.restore(),
@@ -59,7 +59,7 @@
 
     /// The controller that says that it leads.
     fn leader(&self) -> Option<usize> {
-        let mut nodes = self.world.nodes.iter();
+        let mut nodes = self.cluster_state.nodes.iter();
         nodes.position(|(_, addr)| {
             let status = get(*addr, PATH_STATUS);
             let body = status.map(|(_, body)| body).unwrap_or_default();
@@ -73,7 +73,7 @@
         let deadline = Instant::now() + RESTORE_TIMEOUT;
         while Instant::now() < deadline {
             if let Some(leader) = self.leader() {
-                match self.controllers.restore(self.world.nodes[leader].1) {
+                match self.controllers.restore(self.cluster_state.nodes[leader].1) {
                     Ok(true) => return println!("the snapshot was taken in"),
                     Ok(false) => {}
                     Err(e) => println!("restoring: {e}"),
--- a/crates/standin/src/scenario.rs
+++ b/crates/standin/src/scenario.rs
@@ -33,8 +33,8 @@
     #[serde(default)]
     pub policy: String,
     /// Whether a process keeps snapshots of the state service.
-    #[serde(default)]
-    pub archivist: bool,
+    #[serde(default, rename = "archivist")]
+    pub snapshotter: bool,
     /// How often workers send a heartbeat, in seconds.
     #[serde(default = "default_report_s")]
     pub report_s: f64,
@@ -200,7 +200,7 @@
         /// After how long it is started again, in seconds.
         back_s: f64,
     },
-    /// The newest snapshot is offered to whoever leads; there must be an archivist.
+    /// The newest snapshot is offered to whoever leads; there must be a snapshotter.
     Restore {},
 }
 
@@ -284,7 +284,7 @@
             EventAction::KillController { number, .. } if number >= self.controllers.get_ref() => {
                 format!("no controller {number}: they count from 0")
             }
-            EventAction::Restore {} if !self.archivist => {
+            EventAction::Restore {} if !self.snapshotter => {
                 "a restore needs `archivist = true`".into()
             }
             _ if !(0.0..=7200.0).contains(&event.at_s) => "at_s: out of range".into(),
--- a/crates/standin/src/users.rs
+++ b/crates/standin/src/users.rs
@@ -3,7 +3,7 @@
 
 use crate::records::{Quantiles, histogram, quantiles};
 use crate::scenario::{Job, Scenario};
-use crate::worker::World;
+use crate::worker::ClusterState;
 use burlusher::http::Client;
 use burlusher::job::{JobKind, JobSpec, Priority, Resources};
 use burlusher::wire::{JOB_PREFIX, JobState, JobStatus, PATH_JOBS, submission};
@@ -127,23 +127,23 @@
 
 /// The users of a cluster, and what they saw.
 pub struct Users {
-    world: Arc<World>,
+    cluster_state: Arc<ClusterState>,
     /// What they saw up to now.
     pub seen: Mutex<Seen>,
 }
 
 impl Users {
     /// Users of a cluster, who have seen nothing yet.
-    pub fn new(world: Arc<World>) -> Users {
+    pub fn new(cluster_state: Arc<ClusterState>) -> Users {
         Users {
-            world,
+            cluster_state,
             seen: Mutex::new(Seen::default()),
         }
     }
 
     /// One call through some controller, moved on by the caller when it fails.
     fn call(&self, n: usize, method: &str, path: &str, body: &[u8]) -> Option<(u16, Vec<u8>)> {
-        let nodes = &self.world.nodes;
+        let nodes = &self.cluster_state.nodes;
         let mut client = Client::new(nodes[n % nodes.len()].1, CONNECT_TIMEOUT);
         client.call(method, path, body, ANSWER_TIMEOUT, false).ok()
     }
@@ -167,10 +167,14 @@
     /// Tells the workers of a job before any of its tasks can start.
     fn publish(&self, submitted: &Submitted, job: Arrival) {
         let shared = Arc::new((job.spec, job.run));
-        let mut jobs = self.world.jobs.lock().expect("no panic holds it");
+        let mut jobs = self.cluster_state.jobs.lock().expect("no panic holds it");
         jobs.insert(submitted.id.clone(), shared);
         drop(jobs);
-        let mut records = self.world.records.lock().expect("no panic holds it");
+        let mut records = self
+            .cluster_state
+            .records
+            .lock()
+            .expect("no panic holds it");
         records.submitted(&submitted.id, &submitted.class);
     }
 
@@ -245,7 +249,11 @@
         let finished = seen.finish_ms.entry(job.class.clone());
         let finished = finished.or_insert_with(histogram);
         finished.saturating_record(job.elapsed_ms());
-        let records = self.world.records.lock().expect("no panic holds it");
+        let records = self
+            .cluster_state
+            .records
+            .lock()
+            .expect("no panic holds it");
         if records.done(&job.id) < job.tasks {
             let wrong = format!("{}: told done before all its tasks were", job.id);
             seen.wrong.push(wrong);
--- a/crates/standin/src/worker.rs
+++ b/crates/standin/src/worker.rs
@@ -20,7 +20,7 @@
 const CHANGE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// What all machines share: the jobs that users uploaded, the records, the controllers.
-pub struct World {
+pub struct ClusterState {
     /// Each job, and how long its tasks run.
     pub jobs: Mutex<BTreeMap<String, Arc<(JobSpec, Duration)>>>,
     /// What the workers record.
@@ -33,7 +33,7 @@
     pub lease: Duration,
 }
 
-impl World {
+impl ClusterState {
     /// Where a worker turns next: to the controller that it is referred to, or the one after its own. Says as
     /// well whether it is to wait a second first.
     pub fn next_node(&self, node: usize, referred: Option<&str>) -> (usize, bool) {
@@ -84,7 +84,7 @@
     pub spot: bool,
     /// What tasks may use of it.
     pub room: Resources,
-    world: Arc<World>,
+    cluster_state: Arc<ClusterState>,
     inner: Mutex<WorkerState>,
 }
 
@@ -95,7 +95,7 @@
         addr: SocketAddrV4,
         offer: (String, String, bool),
         room: Resources,
-        world: Arc<World>,
+        cluster_state: Arc<ClusterState>,
     ) -> Worker {
         Worker {
             id,
@@ -104,7 +104,7 @@
             zone: offer.1,
             spot: offer.2,
             room,
-            world,
+            cluster_state,
             inner: Mutex::new(WorkerState {
                 incarnation: 1,
                 sequence: 0,
@@ -120,8 +120,8 @@
     }
 
     /// What it shares with the other machines.
-    pub fn world(&self) -> &Arc<World> {
-        &self.world
+    pub fn cluster_state(&self) -> &Arc<ClusterState> {
+        &self.cluster_state
     }
 
     /// The machine will be taken after this time.
@@ -144,7 +144,11 @@
     }
 
     fn forget_all(&self, state: &mut WorkerState) {
-        let mut records = self.world.records.lock().expect("no panic holds it");
+        let mut records = self
+            .cluster_state
+            .records
+            .lock()
+            .expect("no panic holds it");
         for (task, t) in std::mem::take(&mut state.tasks) {
             if t.state == TaskState::Running
                 && let Some(key) = parse_task_id(&task)
@@ -161,7 +165,7 @@
             self.forget_all(state);
             state.gone = true;
         }
-        if now > state.answered + self.world.lease {
+        if now > state.answered + self.cluster_state.lease {
             self.forget_all(state);
             state.incarnation += 1;
             state.answered = now;
@@ -171,7 +175,11 @@
             let Some(key) = parse_task_id(task).filter(|_| now >= t.until) else {
                 continue;
             };
-            let mut records = self.world.records.lock().expect("no panic holds it");
+            let mut records = self
+                .cluster_state
+                .records
+                .lock()
+                .expect("no panic holds it");
             match t.state {
                 TaskState::Fetching => {
                     t.state = TaskState::Running;
@@ -212,7 +220,7 @@
         if held.is_some_and(|t| t.attempt == attempt || t.state != TaskState::Exited) {
             return;
         }
-        let jobs = self.world.jobs.lock().expect("no panic holds it");
+        let jobs = self.cluster_state.jobs.lock().expect("no panic holds it");
         let Some(job) = parse_task_id(&task).and_then(|key| jobs.get(&*key.job).cloned()) else {
             return;
         };
@@ -257,14 +265,18 @@
         if held.state == TaskState::Running
             && let Some(key) = parse_task_id(task)
         {
-            let mut records = self.world.records.lock().expect("no panic holds it");
+            let mut records = self
+                .cluster_state
+                .records
+                .lock()
+                .expect("no panic holds it");
             records.leave(&key.job, key.index, &self.zone, None);
         }
         held.state = TaskState::Exited;
         held.why = Some(ExitCause::Stopped);
     }
 
-    fn report(&self, state: &mut WorkerState) -> Heartbeat {
+    fn heartbeat(&self, state: &mut WorkerState) -> Heartbeat {
         self.advance(state);
         state.sequence += 1;
         let left = |t: Instant| t.saturating_duration_since(Instant::now()).as_secs_f64();
@@ -311,16 +323,16 @@
                 self.execute(&mut state, body.commands);
             }
         }
-        let report = self.report(&mut state);
+        let report = self.heartbeat(&mut state);
         Some(Answer::new(status, to_json(&report)))
     }
 
     /// The report to send now, if one is due: an interval after the last one was sent, or sooner where something
     /// has changed.
-    pub fn report_due(&self, last: Instant) -> Option<Vec<u8>> {
+    pub fn heartbeat_due(&self, last: Instant) -> Option<Vec<u8>> {
         let mut state = self.inner.lock().expect("no panic holds it");
         self.advance(&mut state);
-        let interval = self.world.report;
+        let interval = self.cluster_state.report;
         let sooner = (interval / 2).min(CHANGE_INTERVAL);
         let waited = last.elapsed();
         let due = waited >= interval || (state.changed && waited >= sooner);
@@ -328,17 +340,17 @@
             return None;
         }
         state.changed = false;
-        Some(to_json(&self.report(&mut state)))
+        Some(to_json(&self.heartbeat(&mut state)))
     }
 
     /// Reports until the machine is gone.
     pub fn live(&self) {
         let mut node = 0;
-        let mut client = Client::new(self.world.nodes[node].1, Duration::from_millis(500));
-        let mut last = Instant::now() - self.world.report;
+        let mut client = Client::new(self.cluster_state.nodes[node].1, Duration::from_millis(500));
+        let mut last = Instant::now() - self.cluster_state.report;
         while !self.is_gone() {
             std::thread::sleep(TICK);
-            let Some(report) = self.report_due(last) else {
+            let Some(report) = self.heartbeat_due(last) else {
                 continue;
             };
             last = Instant::now();
@@ -352,31 +364,32 @@
             let next = match answer {
                 Ok((200, body)) => {
                     if let Ok(a) = serde_json::from_slice::<HeartbeatResponse>(&body) {
-                        self.take_in(a, last);
+                        self.observe_answer(a, last);
                     }
                     continue;
                 }
                 Ok((421, body)) => {
                     let to = serde_json::from_slice::<Redirect>(&body).ok();
-                    self.world.next_node(node, to.and_then(|r| r.leader))
+                    self.cluster_state
+                        .next_node(node, to.and_then(|r| r.leader))
                 }
-                _ => self.world.next_node(node, None),
+                _ => self.cluster_state.next_node(node, None),
             };
             if next.1 {
                 std::thread::sleep(Duration::from_secs(1));
             }
             node = next.0;
-            client = Client::new(self.world.nodes[node].1, Duration::from_millis(500));
-            last = Instant::now() - self.world.report;
+            client = Client::new(self.cluster_state.nodes[node].1, Duration::from_millis(500));
+            last = Instant::now() - self.cluster_state.report;
         }
     }
 
     /// The answer to a report that was sent at this moment.
-    pub fn take_in(&self, answer: HeartbeatResponse, sent: Instant) {
+    pub fn observe_answer(&self, answer: HeartbeatResponse, sent: Instant) {
         let mut state = self.inner.lock().expect("no panic holds it");
         if answer.fencing_token < state.fencing_token
             || state.gone
-            || Instant::now() > state.answered + self.world.lease
+            || Instant::now() > state.answered + self.cluster_state.lease
         {
             return;
         }
