--- a/crates/standin/src/cloud.rs
+++ b/crates/standin/src/cloud.rs
@@ -2,8 +2,8 @@
 
 use crate::scenario::Scenario;
 use crate::state::query;
-use crate::worker::{Worker, World};
-use burlusher::http::{self, Request, Response};
+use crate::worker::{ClusterState, Worker};
+use burlusher::http::{self, Answer, Request};
 use burlusher::job::Resources;
 use burlusher::wire::{
     ListedMachine, ListedState, MachineIds, MachineListPage, MachineType, MachineTypeList,
@@ -53,24 +53,34 @@
     }
 }
 
+/// The stand-in cloud.
 pub struct Cloud {
     hosting: Arc<dyn Hosting>,
     types: Vec<MachineType>,
     most: BTreeMap<Offer, u32>,
-    world: Arc<World>,
+    cluster_state: Arc<ClusterState>,
     inner: Mutex<Inner>,
 }
 
 /// What the cloud can tell at the end.
 pub struct Bill {
+    /// Money spent on machines.
     pub spent: f64,
+    /// Ordinary machines that were rented.
     pub ordinary: u64,
+    /// Spot machines that were rented.
     pub spot: u64,
+    /// Requests for machines that were refused.
     pub refused: u64,
 }
 
 impl Cloud {
-    pub fn new(scenario: &Scenario, world: Arc<World>, hosting: Arc<dyn Hosting>) -> Cloud {
+    /// A cloud with the scenario's machines, none of which is rented yet.
+    pub fn new(
+        scenario: &Scenario,
+        cluster_state: Arc<ClusterState>,
+        hosting: Arc<dyn Hosting>,
+    ) -> Cloud {
         let mut most = BTreeMap::new();
         let mut types = Vec::new();
         for m in &scenario.machines {
@@ -95,11 +105,12 @@
             hosting,
             types,
             most,
-            world,
+            cluster_state,
             inner: Mutex::new(Inner::default()),
         }
     }
 
+    /// Answers 503 for this long.
     pub fn break_for(&self, time: Duration) {
         self.inner.lock().expect("no panic holds it").down_until = Some(Instant::now() + time);
     }
@@ -112,6 +123,7 @@
         there.for_each(|(w, _)| w.notice(notice));
     }
 
+    /// Ends the draining of a zone.
     pub fn open(&self, zone: &str) {
         self.inner.lock().expect("no panic").drained.remove(zone);
     }
@@ -126,6 +138,7 @@
         held
     }
 
+    /// What was spent and rented up to now.
     pub fn bill(&self) -> Bill {
         let c = self.inner.lock().expect("no panic holds it");
         let running = c.machines.values().map(|(w, since)| self.price(w, *since));
@@ -146,16 +159,17 @@
         hourly * since.elapsed().as_secs_f64().max(60.0) / 3600.0
     }
 
-    pub fn answer(&self, r: &Request) -> Response {
+    /// Answers one request of a controller.
+    pub fn answer(&self, r: &Request) -> Answer {
         let mut c = self.inner.lock().expect("no panic holds it");
         if c.down_until.is_some_and(|t| Instant::now() < t) {
-            return Response::error(503, "trouble");
+            return Answer::error(503, "trouble");
         }
         let path = r.path.split('?').next().unwrap_or("");
         match (r.method.as_str(), path) {
             ("GET", PATH_TYPES) => {
                 let types = self.types.clone();
-                Response::new(200, to_json(&MachineTypeList { types }))
+                Answer::new(200, to_json(&MachineTypeList { types }))
             }
             ("GET", PATH_MACHINES) => {
                 let since = query(&r.path, "since").unwrap_or("").to_string();
@@ -178,7 +192,7 @@
                     }
                 });
                 let machines = listed.collect();
-                Response::new(
+                Answer::new(
                     200,
                     to_json(&MachineListPage {
                         machines,
@@ -191,16 +205,16 @@
                     for id in &names.machines {
                         self.take_away(&mut c, id);
                     }
-                    Response::new(200, b"{}".to_vec())
+                    Answer::new(200, b"{}".to_vec())
                 }
-                Err(e) => Response::error(400, &e.to_string()),
+                Err(e) => Answer::error(400, &e.to_string()),
             },
             ("POST", PATH_MACHINES) => match serde_json::from_slice::<ScaleOutRequest>(&r.body) {
                 Ok(body) if body.count <= 50 => self.rent(&mut c, body),
-                Ok(_) => Response::error(400, "count: at most 50"),
-                Err(e) => Response::error(400, &e.to_string()),
+                Ok(_) => Answer::error(400, "count: at most 50"),
+                Err(e) => Answer::error(400, &e.to_string()),
             },
-            _ => Response::error(400, "malformed"),
+            _ => Answer::error(400, "malformed"),
         }
     }
 
@@ -215,8 +229,8 @@
         }
     }
 
-    fn rent(&self, c: &mut Inner, body: ScaleOutRequest) -> Response {
-        let names = |machines| Response::new(200, to_json(&MachineIds { machines }));
+    fn rent(&self, c: &mut Inner, body: ScaleOutRequest) -> Answer {
+        let names = |machines| Answer::new(200, to_json(&MachineIds { machines }));
         if let Some(machines) = c.requests.get(&body.request_id) {
             return names(machines.clone());
         }
@@ -236,7 +250,7 @@
         let t = self.types.iter().find(|t| t.name == offer.0);
         let (Some(t), true) = (t, count > 0 && !c.drained.contains(&offer.1)) else {
             c.refused += 1;
-            return Response::error(503, "no capacity");
+            return Answer::error(503, "no capacity");
         };
         let mut machines = Vec::new();
         for _ in 0..count {
@@ -269,7 +283,7 @@
             gpus: t.gpus,
             ram: t.ram,
         };
-        let worker = Worker::new(id, addr, offer.clone(), room, self.world.clone());
+        let worker = Worker::new(id, addr, offer.clone(), room, self.cluster_state.clone());
         let worker = Arc::new(worker);
         let boot = Duration::from_secs_f64(t.boot_s);
         self.hosting.host(worker.clone(), listener, boot);
--- a/crates/standin/src/state.rs
+++ b/crates/standin/src/state.rs
@@ -1,6 +1,6 @@
 //! The stand-in state service: one lock, one map, watches that wait on a condition.
 
-use burlusher::http::{Request, Response};
+use burlusher::http::{Answer, Request};
 use burlusher::wire::{
     Change, CompareAndSwap, CompareAndSwapResponse, Item, KeyValuePage, LeaseRequest,
     LeaseResponse, WatchEvent, WatchResponse, to_json,
@@ -12,9 +12,15 @@
 use std::time::{Duration, Instant};
 
 /// Backups, one a second, to which it can be rolled back.
-const BACKUPS: usize = 120;
+const MAX_BACKUPS: usize = 120;
 /// Changes that a watch may still ask for.
-const KEPT: usize = 10_000;
+const KEPT_EVENTS: usize = 10_000;
+/// Items on a page of keys.
+const MAX_PAGE: u64 = 1000;
+/// A watch waits this long at the most, in milliseconds.
+const MAX_WATCH_MS: u64 = 60_000;
+const KEY_PATH: &str = "/kv/";
+const LEASE_PATH: &str = "/leases/";
 
 #[derive(Clone, Default)]
 struct Store {
@@ -26,6 +32,7 @@
     down_until: Option<Instant>,
 }
 
+/// The stand-in state service.
 #[derive(Default)]
 pub struct StateService {
     store: Mutex<Store>,
@@ -44,8 +51,8 @@
             version: self.revision,
             lease: put.and_then(|i| i.lease),
         });
-        if self.events.len() > 2 * KEPT {
-            self.events.drain(..KEPT);
+        if self.events.len() > 2 * KEPT_EVENTS {
+            self.events.drain(..KEPT_EVENTS);
         }
     }
 
@@ -74,7 +81,69 @@
         }
     }
 
-    fn commit(&mut self, txn: CompareAndSwap) -> Response {
+    /// A page of the keys with a prefix.
+    fn page(&self, r: &Request) -> Answer {
+        let under = query(&r.path, "under").unwrap_or("");
+        let since = query(&r.path, "since").unwrap_or("");
+        let size = query_number(&r.path, "page").unwrap_or(MAX_PAGE);
+        let size = size.min(MAX_PAGE) as usize;
+        let is_wanted =
+            |i: &&Item| i.key.starts_with(under) && (since.is_empty() || *i.key > *since);
+        let mut wanted = self.keys.values().filter(is_wanted);
+        let items: Vec<Item> = wanted.by_ref().take(size).cloned().collect();
+        let page = KeyValuePage {
+            items,
+            more: wanted.next().is_some(),
+            revision: self.revision,
+        };
+        Answer::new(200, to_json(&page))
+    }
+
+    fn get(&self, key: &str) -> Answer {
+        match self.keys.get(key) {
+            Some(item) => Answer::new(200, to_json(item)),
+            None => {
+                let body = CompareAndSwapResponse {
+                    revision: self.revision,
+                    failed: Vec::new(),
+                };
+                Answer::new(404, to_json(&body))
+            }
+        }
+    }
+
+    fn grant_lease(&mut self, body: &[u8], now: Instant) -> Answer {
+        match serde_json::from_slice::<LeaseRequest>(body) {
+            Ok(request) => {
+                self.next_lease += 1;
+                let (id, ttl) = (self.next_lease, Duration::from_millis(request.ttl_ms));
+                self.leases.insert(id, (now + ttl, ttl));
+                Answer::new(200, to_json(&LeaseResponse { lease: id }))
+            }
+            Err(e) => Answer::error(400, &e.to_string()),
+        }
+    }
+
+    /// Renews or ends the lease that a path names.
+    fn change_lease(&mut self, method: &str, path: &str, now: Instant) -> Answer {
+        let id = path.split('/').next().and_then(|id| id.parse().ok());
+        match (method, id) {
+            ("DELETE", Some(id)) => {
+                self.end_lease(id);
+                Answer::new(200, b"{}".to_vec())
+            }
+            ("POST", Some(id)) => match self.leases.get_mut(&id) {
+                Some((end, ttl)) => {
+                    *end = now + *ttl;
+                    Answer::new(200, to_json(&LeaseResponse { lease: id }))
+                }
+                None => Answer::error(404, "no such lease"),
+            },
+            _ => Answer::error(400, "malformed"),
+        }
+    }
+
+    fn commit(&mut self, txn: CompareAndSwap) -> Answer {
         let version = |key: &str| self.keys.get(key).map_or(0, |i| i.version);
         let failed: Vec<String> = txn
             .conditions
@@ -84,7 +153,7 @@
             .collect();
         let answer = |status, revision, failed| {
             let body = CompareAndSwapResponse { revision, failed };
-            Response::new(status, to_json(&body))
+            Answer::new(status, to_json(&body))
         };
         if !failed.is_empty() {
             return answer(409, self.revision, failed);
@@ -94,7 +163,7 @@
             if let Change::Put { lease: Some(l), .. } = change
                 && gone(l)
             {
-                return Response::error(400, "no such lease");
+                return Answer::error(400, "no such lease");
             }
         }
         if !txn.changes.is_empty() {
@@ -131,7 +200,12 @@
     pairs.find(|(n, _)| *n == name).map(|(_, v)| v)
 }
 
+fn query_number(path: &str, name: &str) -> Option<u64> {
+    query(path, name)?.parse().ok()
+}
+
 impl StateService {
+    /// Answers 503 for this long.
     pub fn break_for(&self, time: Duration) {
         let mut s = self.store.lock().expect("no panic holds it");
         let until = Instant::now() + time;
@@ -152,7 +226,7 @@
         let store = self.store.lock().expect("no panic holds it").clone();
         let mut backups = self.backups.lock().expect("no panic holds it");
         backups.push_back((Instant::now(), store));
-        while backups.len() > BACKUPS {
+        while backups.len() > MAX_BACKUPS {
             backups.pop_front();
         }
     }
@@ -180,99 +254,55 @@
         (of(&self.requests), of(&self.changes))
     }
 
-    pub fn answer(&self, r: &Request) -> Response {
+    /// Answers one request of a controller.
+    pub fn answer(&self, r: &Request) -> Answer {
         self.requests.fetch_add(1, Ordering::Relaxed);
         let now = Instant::now();
         let mut s = self.store.lock().expect("no panic holds it");
         if s.down_until.is_some_and(|t| now < t) {
-            return Response::error(503, "trouble");
+            return Answer::error(503, "trouble");
         }
         s.end_leases(now);
         let path = r.path.split('?').next().unwrap_or("");
-        let number = |name| query(&r.path, name).and_then(|v| v.parse::<u64>().ok());
         let answer = match (r.method.as_str(), path) {
-            ("GET", "/kv") => {
-                let under = query(&r.path, "under").unwrap_or("");
-                let since = query(&r.path, "since").unwrap_or("");
-                let page = number("page").unwrap_or(1000).min(1000) as usize;
-                let mut found = s
-                    .keys
-                    .values()
-                    .filter(|i| i.key.starts_with(under) && (since.is_empty() || *i.key > *since));
-                let items: Vec<Item> = found.by_ref().take(page).cloned().collect();
-                let more = found.next().is_some();
-                let revision = s.revision;
-                Response::new(
-                    200,
-                    to_json(&KeyValuePage {
-                        items,
-                        more,
-                        revision,
-                    }),
-                )
-            }
+            ("GET", "/kv") => s.page(r),
             ("GET", "/changes") => return self.watch(s, r),
-            ("GET", key) if key.starts_with("/kv/") => match s.keys.get(&key[4..]) {
-                Some(item) => Response::new(200, to_json(item)),
-                None => {
-                    let body = CompareAndSwapResponse {
-                        revision: s.revision,
-                        failed: Vec::new(),
-                    };
-                    Response::new(404, to_json(&body))
-                }
-            },
-            ("POST", "/txn") => match serde_json::from_slice::<CompareAndSwap>(&r.body) {
-                Ok(txn) => {
-                    let changes = txn.changes.len() as u64;
-                    self.changes.fetch_add(changes, Ordering::Relaxed);
-                    s.commit(txn)
-                }
-                Err(e) => Response::error(400, &e.to_string()),
-            },
-            ("POST", "/leases") => match serde_json::from_slice::<LeaseRequest>(&r.body) {
-                Ok(l) => {
-                    s.next_lease += 1;
-                    let (id, ttl) = (s.next_lease, Duration::from_millis(l.ttl_ms));
-                    s.leases.insert(id, (now + ttl, ttl));
-                    Response::new(200, to_json(&LeaseResponse { lease: id }))
-                }
-                Err(e) => Response::error(400, &e.to_string()),
-            },
-            (method, lease) if lease.starts_with("/leases/") => {
-                let id = lease[8..].split('/').next().and_then(|i| i.parse().ok());
-                match (method, id) {
-                    ("DELETE", Some(id)) => {
-                        s.end_lease(id);
-                        Response::new(200, b"{}".to_vec())
-                    }
-                    ("POST", Some(id)) => match s.leases.get_mut(&id) {
-                        Some((end, ttl)) => {
-                            *end = now + *ttl;
-                            Response::new(200, to_json(&LeaseResponse { lease: id }))
-                        }
-                        None => Response::error(404, "no such lease"),
-                    },
-                    _ => Response::error(400, "malformed"),
-                }
+            ("GET", key) if key.starts_with(KEY_PATH) => s.get(&key[KEY_PATH.len()..]),
+            ("POST", "/txn") => self.transaction(&mut s, &r.body),
+            ("POST", "/leases") => s.grant_lease(&r.body, now),
+            (method, lease) if lease.starts_with(LEASE_PATH) => {
+                s.change_lease(method, &lease[LEASE_PATH.len()..], now)
             }
-            _ => Response::error(400, "malformed"),
+            _ => Answer::error(400, "malformed"),
         };
         self.changed.notify_all();
         answer
     }
 
+    fn transaction(&self, store: &mut Store, body: &[u8]) -> Answer {
+        match serde_json::from_slice::<CompareAndSwap>(body) {
+            Ok(transaction) => {
+                let changes = transaction.changes.len() as u64;
+                self.changes.fetch_add(changes, Ordering::Relaxed);
+                store.commit(transaction)
+            }
+            Err(e) => Answer::error(400, &e.to_string()),
+        }
+    }
+
     /// Waits until something with the prefix changed after the revision, or the time is over.
-    fn watch<'a>(&'a self, mut s: std::sync::MutexGuard<'a, Store>, r: &Request) -> Response {
+    fn watch<'a>(&'a self, mut s: std::sync::MutexGuard<'a, Store>, r: &Request) -> Answer {
         let under = query(&r.path, "under").unwrap_or("").to_string();
-        let number = |name| query(&r.path, name).and_then(|v| v.parse::<u64>().ok());
-        let since = number("since").unwrap_or(0);
-        let wait = Duration::from_millis(number("wait_ms").unwrap_or(0).min(60_000));
+        let since = query_number(&r.path, "since").unwrap_or(0);
+        let wait_ms = query_number(&r.path, "wait_ms").unwrap_or(0);
+        let wait = Duration::from_millis(wait_ms.min(MAX_WATCH_MS));
         let until = Instant::now() + wait;
         loop {
             s.end_leases(Instant::now());
-            if s.events.len() >= KEPT && s.events.first().is_some_and(|e| e.version > since + 1) {
-                return Response::error(410, "too old");
+            if s.events.len() >= KEPT_EVENTS
+                && s.events.first().is_some_and(|e| e.version > since + 1)
+            {
+                return Answer::error(410, "too old");
             }
             let named = |e: &&WatchEvent| {
                 let key = e.put.as_ref().or(e.delete.as_ref());
@@ -282,7 +312,7 @@
             let left = until.saturating_duration_since(Instant::now());
             if !events.is_empty() || left.is_zero() {
                 let revision = s.revision;
-                return Response::new(200, to_json(&WatchResponse { revision, events }));
+                return Answer::new(200, to_json(&WatchResponse { revision, events }));
             }
             // Leases end without anybody's doing.
             let nap = left.min(Duration::from_millis(100));
--- a/src/cli/snapshot.rs
+++ b/src/cli/snapshot.rs
@@ -6,8 +6,8 @@
 use burlusher::settings::Settings;
 use burlusher::snapshotter::{self, Snapshotter};
 use burlusher::{http, wire};
-use burlusher_snapshot::archive::{Archive, Listed};
-use burlusher_snapshot::line::Found;
+use burlusher_snapshot::archive::{Archive, ArchivedTimeline};
+use burlusher_snapshot::timeline::RecordFault;
 use serde_json::{Value, json};
 use std::path::Path;
 use std::time::SystemTime;
@@ -84,7 +84,7 @@
 }
 
 /// The line that the arguments name, or the newest whole one.
-fn find_line(archive: &ArchiveArgs, line: &LineArgs) -> Result<Listed, CommandError> {
+fn find_line(archive: &ArchiveArgs, line: &LineArgs) -> Result<ArchivedTimeline, CommandError> {
     let opened = open(archive)?;
     let found = match &line.line {
         Some(name) => opened.find(name),
@@ -96,14 +96,15 @@
 }
 
 /// One line of an archive, as it is shown.
-fn line_view(listed: &Listed, with_jobs: bool) -> Value {
-    let faults = |found: &[Found]| found.iter().map(Found::to_string).collect::<Vec<_>>();
-    match &listed.line {
+fn line_view(listed: &ArchivedTimeline, with_jobs: bool) -> Value {
+    let faults =
+        |found: &[RecordFault]| found.iter().map(RecordFault::to_string).collect::<Vec<_>>();
+    match &listed.timeline {
         Ok(line) => {
             let summary = snapshotter::summary(&line.image);
             let mut view = json!({
-                "line": listed.name, "store": line.head.store, "revision": line.image.revision,
-                "base_ms": line.head.at_ms, "newest_ms": line.newest_ms, "bytes": line.bytes,
+                "line": listed.name, "store": line.header.store, "revision": line.image.revision,
+                "base_ms": line.header.at_ms, "newest_ms": line.newest_ms, "bytes": line.bytes,
                 "changes": line.changes, "jobs_live": summary.live.len(),
                 "jobs_ended": summary.ended, "machines": summary.machines, "term": summary.term,
                 "faults": faults(&line.faults),
--- a/src/core/command.rs
+++ b/src/core/command.rs
@@ -3,11 +3,11 @@
 
 use crate::cloud_client::{CloudOutcome, CloudRequest};
 use crate::core::ids::{CallId, Ticket};
-use crate::core::jobs::queries::UserRequest;
-use crate::core::store::large_jobs::PartWrite;
+use crate::core::jobs::creation::{Creation, PartsCreation};
+use crate::core::jobs::requests::UserRequest;
 use crate::core::store::read_barrier::Question;
 use crate::http::Response;
-use crate::job::{JobSpec, MachineId};
+use crate::job::MachineId;
 use crate::peer::heartbeat_batch::{HeartbeatBatch, HeartbeatBatchResponse};
 use crate::peer::memory_exchange::{MemoryPage, MemoryRequest};
 use crate::peer::{PeerAnswer, PeerRequest};
@@ -198,7 +198,7 @@
         /// Not to be sent after this moment.
         not_after: Instant,
     },
-    /// Ask a peer what it remembers of the store; its answer comes back as [`Command::MemoryPage`].
+    /// UserAction a peer what it remembers of the store; its answer comes back as [`Command::MemoryPage`].
     MemoryRequest {
         /// The peer's name.
         peer: String,
@@ -230,24 +230,10 @@
 /// What a call in flight is for.
 #[derive(Debug)]
 pub(in crate::core) enum Pending {
-    /// The transaction that accepts a job.
-    CreateJob {
-        ticket: Ticket,
-        spec: Box<JobSpec>,
-        since: Instant,
-        tries: u32,
-        /// Of a job that does not fit into one value.
-        parts: Option<Box<PartWrite>>,
-    },
-    /// Parts of a large job, written before it is accepted.
-    CreateJobParts {
-        ticket: Ticket,
-        spec: Box<JobSpec>,
-        since: Instant,
-        parts: Box<PartWrite>,
-        /// How many parts this transaction has.
-        sent: usize,
-    },
+    /// The key that accepts a job.
+    CreateJob(Creation),
+    /// The parts of a large job that is to be accepted.
+    CreateJobParts(PartsCreation),
     /// A job's key, read for one request.
     ReadJob { id: String, purpose: ReadPurpose },
     /// A read after which the cache is as new as these requests need.
@@ -292,8 +278,8 @@
     /// with its leadership.
     pub(in crate::core) fn survives_step_down(&self) -> bool {
         match self {
-            Pending::CreateJob { .. }
-            | Pending::CreateJobParts { .. }
+            Pending::CreateJob(_)
+            | Pending::CreateJobParts(_)
             | Pending::ReadJob { .. }
             | Pending::ReadBarrier(_)
             | Pending::Campaign
--- a/src/core/leadership/campaign.rs
+++ b/src/core/leadership/campaign.rs
@@ -2,7 +2,7 @@
 //! starts with.
 
 use crate::core::command::Pending;
-use crate::core::jobs::job_run::ArrivalRate;
+use crate::core::jobs::statistics::ArrivalRate;
 use crate::core::leadership::lease::Lease;
 use crate::core::leadership::state::LeaderState;
 use crate::core::store::cache::{LeaderValue, TermValue};
--- a/src/core/leadership/recovery.rs
+++ b/src/core/leadership/recovery.rs
@@ -114,7 +114,7 @@
         };
         let is_elsewhere = |task: &&TaskId| {
             let run = leader.job_runs.get(&task.job);
-            run.is_some_and(|r| !r.assigned_machines(task.index).is_empty())
+            run.is_some_and(|r| !r.tasks.duplicates(task.index).is_empty())
         };
         let duplicates: Vec<TaskId> = machine.tasks.keys().filter(is_elsewhere).cloned().collect();
         for task in duplicates {
--- a/src/core/leadership/state.rs
+++ b/src/core/leadership/state.rs
@@ -1,7 +1,8 @@
 //! What only a leader has. Data, put together from the data of each concern; it is created when a leadership begins
 //! and dropped when it ends.
 
-use crate::core::jobs::job_run::{ArrivalRate, JobRun, Urgency};
+use crate::core::jobs::job_run::{JobRun, Urgency};
+use crate::core::jobs::statistics::ArrivalRate;
 use crate::core::leadership::liveness::Liveness;
 use crate::core::leadership::recovery_state::Recovery;
 use crate::core::machines::cloud_operations::CloudOperations;
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -34,7 +34,7 @@
 pub use clock::Now;
 pub use command::{Command, Effect, LeadershipProof};
 pub use ids::{CallId, Ticket};
-pub use jobs::queries::{Ask, UserRequest};
+pub use jobs::requests::{UserAction, UserRequest};
 pub use jobs::submissions::max_unfinished_tasks;
 pub use leadership::lease::LEASE_TTL;
 pub use machines::cancellation_bound::cancellation_warning;
@@ -360,20 +360,8 @@
         }
         self.observe_revision(call, &outcome);
         match self.pending.remove(&call) {
-            Some(Pending::CreateJob {
-                ticket,
-                spec,
-                since,
-                tries,
-                parts,
-            }) => self.creation_outcome(ticket, spec, since, tries, parts, outcome),
-            Some(Pending::CreateJobParts {
-                ticket,
-                spec,
-                since,
-                parts,
-                sent,
-            }) => self.parts_outcome(ticket, spec, since, parts, sent, outcome),
+            Some(Pending::CreateJob(creation)) => self.creation_outcome(creation, outcome),
+            Some(Pending::CreateJobParts(creation)) => self.parts_outcome(creation, outcome),
             Some(Pending::ReadJob { id, purpose }) => self.read(id, purpose, outcome),
             Some(Pending::ReadBarrier(questions)) => self.barrier_read(questions, outcome),
             Some(Pending::Campaign) => self.campaign_outcome(outcome),
--- a/src/core/scheduling/state.rs
+++ b/src/core/scheduling/state.rs
@@ -1,6 +1,6 @@
 //! What planning and scaling carry over from one step to the next. Data.
 
-use crate::core::jobs::job_run::{ArrivalRate, RuntimeRatio};
+use crate::core::jobs::statistics::{ArrivalRate, RuntimeRatio};
 use crate::core::scheduling::demand::Bidding;
 use crate::core::workers::pending_responses::DeferredResponses;
 use crate::job::JobId;
--- a/src/core/simulation/network.rs
+++ b/src/core/simulation/network.rs
@@ -4,7 +4,7 @@
 use super::store::STORE_TIMEOUT;
 use crate::cloud_client::{CloudOutcome, CloudRequest};
 use crate::core::command::Pending;
-use crate::core::{Ask, CallId, Command, Effect, Ticket, UserRequest};
+use crate::core::{CallId, Command, Effect, Ticket, UserAction, UserRequest};
 use crate::http::Response;
 use crate::job::MachineId;
 use crate::peer::heartbeat_batch;
@@ -198,9 +198,9 @@
             tried: Vec::new(),
             received,
             action: match request {
-                PeerRequest::Submit(spec) => Ask::Submit(spec),
-                PeerRequest::Show(id) => Ask::Show(id),
-                PeerRequest::Cancel(id) => Ask::Cancel(id),
+                PeerRequest::Submit(spec) => UserAction::Submit(spec),
+                PeerRequest::Show(id) => UserAction::Show(id),
+                PeerRequest::Cancel(id) => UserAction::Cancel(id),
             },
         }));
     }
--- a/src/core/store/read_barrier.rs
+++ b/src/core/store/read_barrier.rs
@@ -6,10 +6,10 @@
 //! not hold. Requests of one step share the read.
 
 use crate::core::command::Pending;
+use crate::core::jobs::creation::Submission;
 use crate::core::store::keys::{NOTHING, key};
 use crate::core::{Core, Ticket};
 use crate::http::Response;
-use crate::job::JobSpec;
 use crate::store_client::{StoreOutcome, StoreRequest};
 use std::time::{Duration, Instant};
 
@@ -21,8 +21,8 @@
 pub enum Question {
     /// How the job with this id stands.
     Show(Ticket, String),
-    /// A job to accept, and when it was received.
-    Submit(Ticket, Box<JobSpec>, Instant),
+    /// A job to accept.
+    Submit(Submission),
 }
 
 /// Requests for which the store's revision is being read, or which wait until the copy has come as far.
@@ -76,7 +76,10 @@
     /// The users are asked to try again.
     fn defer(&mut self, questions: Vec<Question>) {
         for question in questions {
-            let (Question::Show(ticket, _) | Question::Submit(ticket, ..)) = question;
+            let ticket = match question {
+                Question::Show(ticket, _) => ticket,
+                Question::Submit(submission) => submission.ticket,
+            };
             self.answer(ticket, Response::busy("the state cannot be read now", 1));
         }
     }
@@ -99,9 +102,7 @@
         for question in questions {
             match question {
                 Question::Show(ticket, id) => self.show_fresh(ticket, &id),
-                Question::Submit(ticket, spec, received) => {
-                    self.accept(ticket, spec, received, true);
-                }
+                Question::Submit(submission) => self.accept(submission, true),
             }
         }
     }
--- a/src/core/store/rebuild/held_tasks.rs
+++ b/src/core/store/rebuild/held_tasks.rs
@@ -66,7 +66,7 @@
                 {
                     task.resources = job.spec.resources;
                     task.team = self.settings.team_index(&job.spec.team);
-                    run.hold(index, &machine);
+                    run.tasks.assign(index, &machine);
                     adopted.push((key, machine));
                 }
                 _ => {
--- a/src/core/store/transaction.rs
+++ b/src/core/store/transaction.rs
@@ -148,7 +148,7 @@
         }
         let run = self.leader.job_runs.get(id);
         let job = self.store_cache.jobs.get(id);
-        run.is_some_and(|run| !run.placed.is_empty())
+        run.is_some_and(|run| !run.tasks.assigned().is_empty())
             || job.is_some_and(|job| Core::blocked_by_recovery(self.leader, job))
     }
 
--- a/src/core/workers/heartbeats/task_transitions.rs
+++ b/src/core/workers/heartbeats/task_transitions.rs
@@ -1,7 +1,6 @@
 //! What follows for a task that a machine shows as live or exited, that is completed, that is lost with its
 //! machine, or that is on several machines.
 
-use crate::core::jobs::job_run::JobRun;
 use crate::core::machines::machine::Machine;
 use crate::core::machines::placement::{Phase, Placement, StopReason};
 use crate::core::{Core, record};
@@ -39,16 +38,6 @@
     }
 }
 
-/// The task is not on this machine any more; if it is on no other either, it waits to be started.
-/// Says whether it does.
-fn requeue(run: &mut JobRun, key: &TaskId, id: &MachineId) -> bool {
-    let is_nowhere = run.unassign(key.index, id);
-    if is_nowhere {
-        run.queued.insert(key.index);
-    }
-    is_nowhere
-}
-
 impl Core {
     /// A heartbeat shows the task on the machine.
     pub(super) fn task_live(&mut self, id: &MachineId, key: &TaskId, status: &TaskStatus) {
@@ -158,12 +147,12 @@
         let (Some(job), Some(run)) = (job, leader.job_runs.get_mut(&key.job)) else {
             return false;
         };
-        if let Some(other) = run.placed.get(&key.index).filter(|m| *m != id) {
+        if let Some(other) = run.tasks.assigned().get(&key.index).filter(|m| *m != id) {
             tracing::warn!(task = %key, machine = %id, other = %other, "task is or was on another machine");
         }
         let is_wanted = run.ending.is_none() && !job.done.contains(key.index);
         if is_wanted {
-            run.hold(key.index, id);
+            run.tasks.assign(key.index, id);
             tracing::debug!(task = %key, machine = %id, attempt, "task found");
         }
         is_wanted
@@ -224,7 +213,7 @@
             if let Some(backoff) = backoff {
                 run.backoff_until.insert(key.index, now + backoff);
             }
-            requeue(run, key, id);
+            run.tasks.unassign(key.index, id);
         }
     }
 
@@ -282,7 +271,7 @@
         let Some(run) = leader.job_runs.get(&key.job) else {
             return;
         };
-        let holders = run.assigned_machines(key.index);
+        let holders = run.tasks.duplicates(key.index);
         let machines = &mut leader.machines;
         let is_unresolved = |id: &&MachineId| machines.get(id).is_some_and(|m| m.unresolved);
         if holders.len() < 2 || holders.iter().any(is_unresolved) {
@@ -321,7 +310,7 @@
         run.succeeded = true;
         if job.spec.job_kind == JobKind::Service {
             if let Some(id) = machine {
-                requeue(run, key, id);
+                run.tasks.unassign(key.index, id);
             }
             return;
         }
@@ -329,9 +318,8 @@
             run.unpersisted_done.insert(key.index);
             leader.writes.progress.entry(key.job.clone()).or_insert(now);
         }
-        run.queued.remove(&key.index);
         run.backoff_until.remove(&key.index);
-        for id in run.release(key.index) {
+        for id in run.tasks.release(key.index) {
             if let Some(machine) = leader.machines.get_mut(&id) {
                 machine.stop_obsolete(key, now);
             }
@@ -357,7 +345,7 @@
                 rebuild.remove_held(&key, id);
             }
             if let Some(run) = leader.job_runs.get_mut(&key.job)
-                && requeue(run, &key, id)
+                && run.tasks.unassign(key.index, id)
             {
                 tracing::debug!(task = %key, machine = %id, attempt = task.attempt, reason, "task lost");
             }
--- a/src/service/command_queue.rs
+++ b/src/service/command_queue.rs
@@ -4,7 +4,7 @@
 //! heartbeats of workers, which may wait for seconds, come last. In one queue, a failover with a
 //! thousand machines or an array of ten thousand tasks kept submissions waiting for a minute.
 
-use crate::core::{Ask, Command};
+use crate::core::{Command, UserAction};
 use std::collections::VecDeque;
 use std::ops::Index;
 
@@ -30,7 +30,7 @@
             Command::Status(_) | Command::Metrics { .. } | Command::MemoryRequest { .. } => {
                 Lane::Query
             }
-            Command::User(request) if matches!(request.action, Ask::Show(_)) => Lane::Query,
+            Command::User(request) if matches!(request.action, UserAction::Show(_)) => Lane::Query,
             _ => Lane::Urgent,
         }
     }
--- a/src/service/peer_server.rs
+++ b/src/service/peer_server.rs
@@ -2,7 +2,7 @@
 
 use super::inbox::Inbox;
 use super::threads::spawn;
-use crate::core::{Ask, Command, UserRequest};
+use crate::core::{Command, UserAction, UserRequest};
 use crate::http::Response;
 use crate::peer::heartbeat_batch;
 use crate::peer::memory_exchange;
@@ -127,9 +127,9 @@
 fn handle_user_request(kind: u8, body: &[u8], inbox: &Inbox) -> io::Result<Option<Vec<u8>>> {
     let request = peer::decode_request(kind, body).ok_or(io::ErrorKind::InvalidData)?;
     let action = match request {
-        PeerRequest::Submit(spec) => Ask::Submit(spec),
-        PeerRequest::Show(id) => Ask::Show(id),
-        PeerRequest::Cancel(id) => Ask::Cancel(id),
+        PeerRequest::Submit(spec) => UserAction::Submit(spec),
+        PeerRequest::Show(id) => UserAction::Show(id),
+        PeerRequest::Cancel(id) => UserAction::Cancel(id),
     };
     let received = Instant::now();
     let response = inbox.request_and_wait(|ticket| {
--- a/src/service/routes.rs
+++ b/src/service/routes.rs
@@ -1,7 +1,7 @@
 //! The public HTTP interface: which command a request becomes, and what is answered at once.
 
 use super::inbox::{Inbox, ReplyTo};
-use crate::core::{Ask, Command, UserRequest};
+use crate::core::{Command, UserAction, UserRequest};
 use crate::http::{ConnectionClass, Handler, Request, Responder, Response};
 use crate::wire::{
     self, PATH_CANCEL, PATH_HEARTBEAT, PATH_JOBS, PATH_METRICS, PATH_READY, PATH_SETTLE,
@@ -43,7 +43,7 @@
         }
     }
 
-    fn user_request(&self, action: Ask, responder: Responder) {
+    fn user_request(&self, action: UserAction, responder: Responder) {
         let received = Instant::now();
         let command = |ticket| {
             Command::User(UserRequest {
@@ -59,12 +59,12 @@
 
     fn submit(&self, body: &[u8], responder: Responder) {
         match wire::parse_submission(body) {
-            Ok(spec) => self.user_request(Ask::Submit(Box::new(spec)), responder),
+            Ok(spec) => self.user_request(UserAction::Submit(Box::new(spec)), responder),
             Err(error) => {
                 let rejection = Response::error(400, &error.to_string());
                 // An accepted job's id gets 200 whatever else the body holds.
                 match wire::submitted_id(body) {
-                    Some(id) => self.user_request(Ask::Malformed(id, rejection), responder),
+                    Some(id) => self.user_request(UserAction::Malformed(id, rejection), responder),
                     None => responder.send(&rejection),
                 }
             }
@@ -104,8 +104,10 @@
             return;
         }
         match (method, action) {
-            ("GET", "") => self.user_request(Ask::Show(id.to_string()), responder),
-            ("POST", PATH_CANCEL) => self.user_request(Ask::Cancel(id.to_string()), responder),
+            ("GET", "") => self.user_request(UserAction::Show(id.to_string()), responder),
+            ("POST", PATH_CANCEL) => {
+                self.user_request(UserAction::Cancel(id.to_string()), responder)
+            }
             ("GET" | "POST", _) => responder.send(&Response::error(404, "no such path")),
             _ => responder.send(&Response::error(405, "wrong method")),
         }
--- a/src/service/tests.rs
+++ b/src/service/tests.rs
@@ -2,7 +2,7 @@
 use super::command_queue::{CommandQueue, Lane};
 use super::threads::ThreadPool;
 use super::*;
-use crate::core::{Ask, Command, Ticket, UserRequest};
+use crate::core::{Command, Ticket, UserAction, UserRequest};
 use crate::http::Response;
 use crate::http::tests::many_connections;
 use crate::wire;
@@ -15,7 +15,7 @@
 const REPORT: &str = r#"{"drone":"i-1","endpoint":"127.0.0.1:1","breed":"b","parcel":"a",
             "tenure":1,"tally":1}"#;
 
-fn user(ticket: Ticket, what: Ask) -> Command {
+fn user(ticket: Ticket, what: UserAction) -> Command {
     let request = UserRequest {
         ticket,
         action: what,
@@ -39,9 +39,9 @@
     let mut queue = CommandQueue::default();
     for _ in 0..1000 {
         queue.push(heartbeat());
-        queue.push(user(1, Ask::Show("wk-1".into())));
+        queue.push(user(1, UserAction::Show("wk-1".into())));
     }
-    queue.push(user(2, Ask::Cancel("wk-1".into())));
+    queue.push(user(2, UserAction::Cancel("wk-1".into())));
     let step = queue.take_step();
     assert!(
         step.len() <= 1 + Lane::Query.commands_per_step() + Lane::Heartbeat.commands_per_step()
--- a/src/snapshotter.rs
+++ b/src/snapshotter.rs
@@ -9,9 +9,9 @@
     Listing, PREFIX, StoreClient, StoreError, StoreOutcome, StoreRequest, WatchResult,
 };
 use crate::wire::{Item, SnapshotPage, WatchEvent};
-use burlusher_snapshot::archive::{Archive, Listed};
+use burlusher_snapshot::archive::{Archive, ArchivedTimeline};
 use burlusher_snapshot::image::{Change, Entry, Image};
-use burlusher_snapshot::line::{Found, Writer};
+use burlusher_snapshot::timeline::{RecordFault, Writer};
 use std::io;
 use std::net::SocketAddrV4;
 use std::path::Path;
@@ -141,11 +141,14 @@
         }
         let image = image_of(&items, revision);
         let store = identity(&image);
-        let newest = self.archive.newest()?.and_then(|listed| listed.line.ok());
+        let newest = self
+            .archive
+            .newest()?
+            .and_then(|listed| listed.timeline.ok());
         let is_same_store =
-            newest.is_some_and(|line| line.head.store == store && continues(&line.image, &image));
+            newest.is_some_and(|line| line.header.store == store && continues(&line.image, &image));
         let writer = if is_same_store {
-            self.archive.go_on(&image, &store)?
+            self.archive.resume(&image, &store)?
         } else {
             tracing::info!(store, revision, "snapshot of another store started");
             self.archive.begin(&store, &image)?
@@ -237,7 +240,7 @@
     let Some(listed) = best(Archive::open(dir)?.list()?) else {
         return Ok(None);
     };
-    let Ok(line) = listed.line else {
+    let Ok(line) = listed.timeline else {
         return Ok(None);
     };
     for fault in &line.faults {
@@ -251,33 +254,33 @@
 }
 
 /// Whether a line can be read and has keys under a prefix of ours.
-fn has_keys(listed: &Listed, keys: &str) -> bool {
-    let line = listed.line.as_ref();
+fn has_keys(listed: &ArchivedTimeline, keys: &str) -> bool {
+    let line = listed.timeline.as_ref();
     line.is_ok_and(|line| keys_under(&line.image, keys).next().is_some())
 }
 
 /// Whether it is of a store that was empty and taken for new.
-fn is_of_new_store(listed: &Listed) -> bool {
+fn is_of_new_store(listed: &ArchivedTimeline) -> bool {
     let was_first = |(_, entry): (&str, &Entry)| {
         let value = serde_json::from_str::<serde_json::Value>(&entry.value);
         value.is_ok_and(|value| !value["first"].is_null())
     };
-    let line = listed.line.as_ref();
+    let line = listed.timeline.as_ref();
     line.is_ok_and(|line| keys_under(&line.image, IDENTITY_KEYS).any(was_first))
 }
 
 /// The newest line that has a whole store; where there is none, the newest that can be read.
-pub fn best(mut lines: Vec<Listed>) -> Option<Listed> {
+pub fn best(mut lines: Vec<ArchivedTimeline>) -> Option<ArchivedTimeline> {
     // A store that is being rebuilt, or has no identity yet, has less than the one before it; nor
     // has one everything that began as new after there had been another.
-    let is_whole = |listed: &Listed| {
+    let is_whole = |listed: &ArchivedTimeline| {
         has_keys(listed, IDENTITY_KEYS)
             && !has_keys(listed, REBUILD_MARK)
             && !is_of_new_store(listed)
     };
     let chosen = (lines.iter().rposition(is_whole))
         .or_else(|| lines.iter().position(|l| has_keys(l, IDENTITY_KEYS)))
-        .or_else(|| lines.iter().rposition(|l| l.line.is_ok()));
+        .or_else(|| lines.iter().rposition(|l| l.timeline.is_ok()));
     chosen.map(|index| lines.swap_remove(index))
 }
 
@@ -326,15 +329,15 @@
 #[error("{name}: nothing to be read: {faults:?}")]
 pub struct UnreadableLine {
     name: String,
-    faults: Vec<Found>,
+    faults: Vec<RecordFault>,
 }
 
 /// A snapshot as requests that offer it to the leader, one after the other.
 ///
 /// # Errors
 /// Nothing can be read of the line.
-pub fn pages(listed: &Listed) -> Result<Vec<SnapshotPage>, UnreadableLine> {
-    let line = listed.line.as_ref().map_err(|faults| UnreadableLine {
+pub fn pages(listed: &ArchivedTimeline) -> Result<Vec<SnapshotPage>, UnreadableLine> {
+    let line = listed.timeline.as_ref().map_err(|faults| UnreadableLine {
         name: listed.name.clone(),
         faults: faults.clone(),
     })?;
@@ -348,7 +351,7 @@
             after = key.clone();
         }
         pages.push(SnapshotPage {
-            store: line.head.store.clone(),
+            store: line.header.store.clone(),
             last: !more,
             items,
         });
--- a/src/status_view.rs
+++ b/src/status_view.rs
@@ -13,7 +13,7 @@
         render_leader(&mut page, view);
     } else {
         page.line(format!(
-            "{} does not lead; the leader is {}. Ask there for jobs and machines.",
+            "{} does not lead; the leader is {}. UserAction there for jobs and machines.",
             text(&view["node"]),
             text(&view["leader"])
         ));
