--- a/crates/standin/src/cloud.rs
+++ b/crates/standin/src/cloud.rs
@@ -3,7 +3,7 @@
 use crate::scenario::Scenario;
 use crate::state::query;
 use crate::worker::{ClusterState, Worker};
-use burlusher::http::{self, Answer, Request};
+use burlusher::http::{self, Request, Response};
 use burlusher::job::Resources;
 use burlusher::wire::{
     ListedMachine, ListedState, MachineIds, MachineListPage, MachineType, MachineTypeList,
@@ -160,16 +160,16 @@
     }
 
     /// Answers one request of a controller.
-    pub fn answer(&self, r: &Request) -> Answer {
+    pub fn answer(&self, r: &Request) -> Response {
         let mut c = self.inner.lock().expect("no panic holds it");
         if c.down_until.is_some_and(|t| Instant::now() < t) {
-            return Answer::error(503, "trouble");
+            return Response::error(503, "trouble");
         }
         let path = r.path.split('?').next().unwrap_or("");
         match (r.method.as_str(), path) {
             ("GET", PATH_TYPES) => {
                 let types = self.types.clone();
-                Answer::new(200, to_json(&MachineTypeList { types }))
+                Response::new(200, to_json(&MachineTypeList { types }))
             }
             ("GET", PATH_MACHINES) => {
                 let since = query(&r.path, "since").unwrap_or("").to_string();
@@ -192,7 +192,7 @@
                     }
                 });
                 let machines = listed.collect();
-                Answer::new(
+                Response::new(
                     200,
                     to_json(&MachineListPage {
                         machines,
@@ -205,16 +205,16 @@
                     for id in &names.machines {
                         self.take_away(&mut c, id);
                     }
-                    Answer::new(200, b"{}".to_vec())
+                    Response::new(200, b"{}".to_vec())
                 }
-                Err(e) => Answer::error(400, &e.to_string()),
+                Err(e) => Response::error(400, &e.to_string()),
             },
             ("POST", PATH_MACHINES) => match serde_json::from_slice::<ScaleOutRequest>(&r.body) {
                 Ok(body) if body.count <= 50 => self.rent(&mut c, body),
-                Ok(_) => Answer::error(400, "count: at most 50"),
-                Err(e) => Answer::error(400, &e.to_string()),
+                Ok(_) => Response::error(400, "count: at most 50"),
+                Err(e) => Response::error(400, &e.to_string()),
             },
-            _ => Answer::error(400, "malformed"),
+            _ => Response::error(400, "malformed"),
         }
     }
 
@@ -229,8 +229,8 @@
         }
     }
 
-    fn rent(&self, c: &mut Inner, body: ScaleOutRequest) -> Answer {
-        let names = |machines| Answer::new(200, to_json(&MachineIds { machines }));
+    fn rent(&self, c: &mut Inner, body: ScaleOutRequest) -> Response {
+        let names = |machines| Response::new(200, to_json(&MachineIds { machines }));
         if let Some(machines) = c.requests.get(&body.request_id) {
             return names(machines.clone());
         }
@@ -250,7 +250,7 @@
         let t = self.types.iter().find(|t| t.name == offer.0);
         let (Some(t), true) = (t, count > 0 && !c.drained.contains(&offer.1)) else {
             c.refused += 1;
-            return Answer::error(503, "no capacity");
+            return Response::error(503, "no capacity");
         };
         let mut machines = Vec::new();
         for _ in 0..count {
--- a/crates/standin/src/cluster.rs
+++ b/crates/standin/src/cluster.rs
@@ -12,7 +12,7 @@
 use crate::state::StateService;
 use crate::users::{Users, load};
 use crate::worker::ClusterState;
-use burlusher::http::{self, Answer, Request};
+use burlusher::http::{self, Request, Response};
 use burlusher_market::Spread;
 use std::iter::Peekable;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4, TcpListener};
@@ -335,7 +335,7 @@
 
 /// Serves requests in threads of their own; gives the address.
 fn serve(
-    handle: impl Fn(&Request) -> Answer + Send + Sync + 'static,
+    handle: impl Fn(&Request) -> Response + Send + Sync + 'static,
 ) -> Result<String, StandinError> {
     let (listener, addr) = listen()?;
     let answer = move |request: Request| Some(handle(&request));
--- a/crates/standin/src/events.rs
+++ b/crates/standin/src/events.rs
@@ -103,5 +103,6 @@
 /// One GET at a controller: the status and the body, if it answers.
 pub(crate) fn get(addr: SocketAddrV4, path: &str) -> Option<(u16, Vec<u8>)> {
     let mut client = http::Client::new(addr, CONNECT_TIMEOUT);
-    client.call("GET", path, b"", ANSWER_TIMEOUT, false).ok()
+    let response = client.call("GET", path, b"", ANSWER_TIMEOUT).ok()?;
+    Some((response.status, response.body))
 }
--- a/crates/standin/src/state.rs
+++ b/crates/standin/src/state.rs
@@ -1,6 +1,6 @@
 //! The stand-in state service: one lock, one map, watches that wait on a condition.
 
-use burlusher::http::{Answer, Request};
+use burlusher::http::{Request, Response};
 use burlusher::wire::{
     Change, CompareAndSwap, CompareAndSwapResponse, Item, KeyValuePage, LeaseRequest,
     LeaseResponse, WatchEvent, WatchResponse, to_json,
@@ -82,7 +82,7 @@
     }
 
     /// A page of the keys with a prefix.
-    fn page(&self, r: &Request) -> Answer {
+    fn page(&self, r: &Request) -> Response {
         let under = query(&r.path, "under").unwrap_or("");
         let since = query(&r.path, "since").unwrap_or("");
         let size = query_number(&r.path, "page").unwrap_or(MAX_PAGE);
@@ -96,54 +96,54 @@
             more: wanted.next().is_some(),
             revision: self.revision,
         };
-        Answer::new(200, to_json(&page))
+        Response::new(200, to_json(&page))
     }
 
-    fn get(&self, key: &str) -> Answer {
+    fn get(&self, key: &str) -> Response {
         match self.keys.get(key) {
-            Some(item) => Answer::new(200, to_json(item)),
+            Some(item) => Response::new(200, to_json(item)),
             None => {
                 let body = CompareAndSwapResponse {
                     revision: self.revision,
                     failed: Vec::new(),
                 };
-                Answer::new(404, to_json(&body))
+                Response::new(404, to_json(&body))
             }
         }
     }
 
-    fn grant_lease(&mut self, body: &[u8], now: Instant) -> Answer {
+    fn grant_lease(&mut self, body: &[u8], now: Instant) -> Response {
         match serde_json::from_slice::<LeaseRequest>(body) {
             Ok(request) => {
                 self.next_lease += 1;
                 let (id, ttl) = (self.next_lease, Duration::from_millis(request.ttl_ms));
                 self.leases.insert(id, (now + ttl, ttl));
-                Answer::new(200, to_json(&LeaseResponse { lease: id }))
+                Response::new(200, to_json(&LeaseResponse { lease: id }))
             }
-            Err(e) => Answer::error(400, &e.to_string()),
+            Err(e) => Response::error(400, &e.to_string()),
         }
     }
 
     /// Renews or ends the lease that a path names.
-    fn change_lease(&mut self, method: &str, path: &str, now: Instant) -> Answer {
+    fn change_lease(&mut self, method: &str, path: &str, now: Instant) -> Response {
         let id = path.split('/').next().and_then(|id| id.parse().ok());
         match (method, id) {
             ("DELETE", Some(id)) => {
                 self.end_lease(id);
-                Answer::new(200, b"{}".to_vec())
+                Response::new(200, b"{}".to_vec())
             }
             ("POST", Some(id)) => match self.leases.get_mut(&id) {
                 Some((end, ttl)) => {
                     *end = now + *ttl;
-                    Answer::new(200, to_json(&LeaseResponse { lease: id }))
+                    Response::new(200, to_json(&LeaseResponse { lease: id }))
                 }
-                None => Answer::error(404, "no such lease"),
+                None => Response::error(404, "no such lease"),
             },
-            _ => Answer::error(400, "malformed"),
+            _ => Response::error(400, "malformed"),
         }
     }
 
-    fn commit(&mut self, txn: CompareAndSwap) -> Answer {
+    fn commit(&mut self, txn: CompareAndSwap) -> Response {
         let version = |key: &str| self.keys.get(key).map_or(0, |i| i.version);
         let failed: Vec<String> = txn
             .conditions
@@ -153,7 +153,7 @@
             .collect();
         let answer = |status, revision, failed| {
             let body = CompareAndSwapResponse { revision, failed };
-            Answer::new(status, to_json(&body))
+            Response::new(status, to_json(&body))
         };
         if !failed.is_empty() {
             return answer(409, self.revision, failed);
@@ -163,7 +163,7 @@
             if let Change::Put { lease: Some(l), .. } = change
                 && gone(l)
             {
-                return Answer::error(400, "no such lease");
+                return Response::error(400, "no such lease");
             }
         }
         if !txn.changes.is_empty() {
@@ -255,12 +255,12 @@
     }
 
     /// Answers one request of a controller.
-    pub fn answer(&self, r: &Request) -> Answer {
+    pub fn answer(&self, r: &Request) -> Response {
         self.requests.fetch_add(1, Ordering::Relaxed);
         let now = Instant::now();
         let mut s = self.store.lock().expect("no panic holds it");
         if s.down_until.is_some_and(|t| now < t) {
-            return Answer::error(503, "trouble");
+            return Response::error(503, "trouble");
         }
         s.end_leases(now);
         let path = r.path.split('?').next().unwrap_or("");
@@ -273,25 +273,25 @@
             (method, lease) if lease.starts_with(LEASE_PATH) => {
                 s.change_lease(method, &lease[LEASE_PATH.len()..], now)
             }
-            _ => Answer::error(400, "malformed"),
+            _ => Response::error(400, "malformed"),
         };
         self.changed.notify_all();
         answer
     }
 
-    fn transaction(&self, store: &mut Store, body: &[u8]) -> Answer {
+    fn transaction(&self, store: &mut Store, body: &[u8]) -> Response {
         match serde_json::from_slice::<CompareAndSwap>(body) {
             Ok(transaction) => {
                 let changes = transaction.changes.len() as u64;
                 self.changes.fetch_add(changes, Ordering::Relaxed);
                 store.commit(transaction)
             }
-            Err(e) => Answer::error(400, &e.to_string()),
+            Err(e) => Response::error(400, &e.to_string()),
         }
     }
 
     /// Waits until something with the prefix changed after the revision, or the time is over.
-    fn watch<'a>(&'a self, mut s: std::sync::MutexGuard<'a, Store>, r: &Request) -> Answer {
+    fn watch<'a>(&'a self, mut s: std::sync::MutexGuard<'a, Store>, r: &Request) -> Response {
         let under = query(&r.path, "under").unwrap_or("").to_string();
         let since = query_number(&r.path, "since").unwrap_or(0);
         let wait_ms = query_number(&r.path, "wait_ms").unwrap_or(0);
@@ -302,7 +302,7 @@
             if s.events.len() >= KEPT_EVENTS
                 && s.events.first().is_some_and(|e| e.version > since + 1)
             {
-                return Answer::error(410, "too old");
+                return Response::error(410, "too old");
             }
             let named = |e: &&WatchEvent| {
                 let key = e.put.as_ref().or(e.delete.as_ref());
@@ -312,7 +312,7 @@
             let left = until.saturating_duration_since(Instant::now());
             if !events.is_empty() || left.is_zero() {
                 let revision = s.revision;
-                return Answer::new(200, to_json(&WatchResponse { revision, events }));
+                return Response::new(200, to_json(&WatchResponse { revision, events }));
             }
             // Leases end without anybody's doing.
             let nap = left.min(Duration::from_millis(100));
--- a/crates/standin/src/users.rs
+++ b/crates/standin/src/users.rs
@@ -145,7 +145,8 @@
     fn call(&self, n: usize, method: &str, path: &str, body: &[u8]) -> Option<(u16, Vec<u8>)> {
         let nodes = &self.cluster_state.nodes;
         let mut client = Client::new(nodes[n % nodes.len()].1, CONNECT_TIMEOUT);
-        client.call(method, path, body, ANSWER_TIMEOUT, false).ok()
+        let response = client.call(method, path, body, ANSWER_TIMEOUT).ok()?;
+        Some((response.status, response.body))
     }
 
     /// Submits a job and follows it until it is done or the time is over; `n` is the controller that
--- a/crates/standin/src/worker.rs
+++ b/crates/standin/src/worker.rs
@@ -1,7 +1,7 @@
 //! A stand-in machine with its worker: it boots, reports, runs tasks by the clock, and is lost.
 
 use crate::records::Records;
-use burlusher::http::{Answer, Client, Request};
+use burlusher::http::{Client, Request, Response};
 use burlusher::job::{JobSpec, Resources};
 use burlusher::wire::{
     DirectCommands, ExitCause, Heartbeat, HeartbeatResponse, PATH_HEARTBEAT, Redirect, TaskCommand,
@@ -305,7 +305,7 @@
     }
 
     /// Direct commands and questions.
-    pub fn answer(&self, r: &Request) -> Option<Answer> {
+    pub fn answer(&self, r: &Request) -> Option<Response> {
         let mut state = self.inner.lock().expect("no panic holds it");
         if state.gone {
             return None;
@@ -313,7 +313,7 @@
         let mut status = 200;
         if r.method == "POST" {
             let Ok(body) = serde_json::from_slice::<DirectCommands>(&r.body) else {
-                return Some(Answer::error(400, "malformed"));
+                return Some(Response::error(400, "malformed"));
             };
             self.advance(&mut state);
             if body.fencing_token < state.fencing_token || body.incarnation != state.incarnation {
@@ -324,7 +324,7 @@
             }
         }
         let report = self.heartbeat(&mut state);
-        Some(Answer::new(status, to_json(&report)))
+        Some(Response::new(status, to_json(&report)))
     }
 
     /// The report to send now, if one is due: an interval after the last one was sent, or sooner where something
@@ -354,14 +354,8 @@
                 continue;
             };
             last = Instant::now();
-            let answer = client.call(
-                "POST",
-                PATH_HEARTBEAT,
-                &report,
-                Duration::from_secs(4),
-                false,
-            );
-            let next = match answer {
+            let answer = client.call("POST", PATH_HEARTBEAT, &report, Duration::from_secs(4));
+            let next = match answer.map(|response| (response.status, response.body)) {
                 Ok((200, body)) => {
                     if let Ok(a) = serde_json::from_slice::<HeartbeatResponse>(&body) {
                         self.observe_answer(a, last);
