--- a/crates/market/examples/ways.rs
+++ b/crates/market/examples/ways.rs
@@ -3,8 +3,10 @@
 //!
 //!     cargo run --release -p burlusher-market --example ways
 
-use burlusher_market::clear::{Program, clear, clear_greedily, pose};
-use burlusher_market::{Aim, Bid, Carry, Lot, Spread, Worth};
+use burlusher_market::clearing::{LinearProgram, build_program, clear, clear_greedy};
+use burlusher_market::{
+    Bid, DelayCost, MachineFit, OfferBatch, ServiceLevelObjective, ZoneBalance,
+};
 use clarabel::algebra::CscMatrix;
 use clarabel::solver::{DefaultSettings, DefaultSolver, IPSolver, NonnegativeConeT};
 use rand::rngs::SmallRng;
@@ -16,26 +18,26 @@
 }
 
 /// Six machine types in three zones, spot and ordinary; `bids` groups of `tasks` tasks in all.
-fn market(seed: u64, bids: usize, tasks: f64) -> (Vec<Bid>, Vec<Lot>) {
+fn market(seed: u64, bids: usize, tasks: f64) -> (Vec<Bid>, Vec<OfferBatch>) {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut lots = Vec::new();
+    let mut batches = Vec::new();
     for kind in 0..3u32 {
         let cpus = f64::from(4u32 << (2 * kind));
         let boot = rng.random_range(12.0..40.0);
         for zone in ["a", "b", "c"] {
             for spot in [true, false] {
                 let price = cpus * if spot { 0.033 } else { 0.085 };
-                lots.push(Lot {
+                batches.push(OfferBatch {
                     offer: (format!("k{kind}"), zone.into(), spot),
                     price: price * rng.random_range(0.8..1.2),
                     ready: s(boot),
-                    least_paid: s(60.0),
-                    likely: if spot {
+                    minimum_billed: s(60.0),
+                    available: if spot {
                         rng.random_range(0..20)
                     } else {
                         u32::MAX
                     },
-                    hazard: if spot { 3e-4 } else { 3e-5 },
+                    loss_rate: if spot { 3e-4 } else { 3e-5 },
                     size: cpus,
                 });
             }
@@ -43,17 +45,17 @@
     }
     let make = |_| {
         let run: f64 = rng.random_range(5.0..120.0);
-        let nominal = run * 0.033 * 4.0;
+        let nominal_cost = run * 0.033 * 4.0;
         let aims = vec![
-            Aim {
+            ServiceLevelObjective {
                 by: s(rng.random_range(5.0..60.0)),
                 unsure: Duration::ZERO,
-                loss: nominal * rng.random_range(1.0..12.0),
+                loss: nominal_cost * rng.random_range(1.0..12.0),
             },
-            Aim {
+            ServiceLevelObjective {
                 by: s(rng.random_range(60.0..180.0)),
                 unsure: Duration::ZERO,
-                loss: nominal * rng.random_range(1.0..12.0),
+                loss: nominal_cost * rng.random_range(1.0..12.0),
             },
         ];
         Bid {
@@ -61,24 +63,24 @@
             run: s(run),
             arrives: Duration::ZERO,
             after: s(rng.random_range(5.0..240.0)),
-            worth: Worth::new(aims, nominal / 100.0),
-            nominal,
-            carries: lots
+            delay_cost: DelayCost::new(aims, nominal_cost / 100.0),
+            nominal_cost,
+            machine_fits: batches
                 .iter()
                 .map(|l| {
-                    Some(Carry {
-                        slots: (l.size / 4.0) as u32,
+                    Some(MachineFit {
+                        tasks_per_machine: (l.size / 4.0) as u32,
                         fetch: s(1.6 / (0.2 + 0.1 * l.size / 4.0)),
                     })
                 })
                 .collect(),
         }
     };
-    ((0..bids).map(make).collect(), lots)
+    ((0..bids).map(make).collect(), batches)
 }
 
 /// The same program by an interior-point method: its value, or none.
-fn interior(p: &Program) -> Option<f64> {
+fn interior(p: &LinearProgram) -> Option<f64> {
     let n = p.gains.len();
     // Rows, then upper bounds, then lower ones: A x + s = b with s at least 0.
     let m = p.rows.len() + 2 * n;
@@ -143,22 +145,24 @@
         let mut sums = [0.0; 8];
         let mut variables = 0;
         for seed in 0..SEEDS {
-            let (bids, lots) = market(seed, bids, tasks);
-            let spread = Spread::new(["a", "b", "c"], 0.2);
+            let (bids, batches) = market(seed, bids, tasks);
+            let spread = ZoneBalance::new(["a", "b", "c"], 0.2);
             let timed = |i: usize, sums: &mut [f64; 8], f: &dyn Fn() -> f64| {
                 let begin = Instant::now();
                 sums[i] += f();
                 sums[i + 1] += begin.elapsed().as_secs_f64() * 1e6;
             };
-            let program = pose(&bids, &lots, &spread);
+            let program = build_program(&bids, &batches, &spread);
             variables = program.gains.len();
             timed(0, &mut sums, &|| {
                 let x = program.solve().unwrap_or_default();
                 program.gains.iter().zip(x).map(|(g, x)| g * x).sum()
             });
-            let net = |c: burlusher_market::clear::Cleared| c.saved - c.cost;
-            timed(2, &mut sums, &|| net(clear(&bids, &lots, &spread)));
-            timed(4, &mut sums, &|| net(clear_greedily(&bids, &lots, &spread)));
+            let net = |c: burlusher_market::clearing::ClearingResult| c.saved - c.cost;
+            timed(2, &mut sums, &|| net(clear(&bids, &batches, &spread)));
+            timed(4, &mut sums, &|| {
+                net(clear_greedy(&bids, &batches, &spread))
+            });
             timed(6, &mut sums, &|| interior(&program).unwrap_or(f64::NAN));
         }
         let mean = sums.map(|x| x / SEEDS as f64);
--- a/crates/market/src/demand/tests.rs
+++ b/crates/market/src/arrivals/tests.rs
@@ -4,7 +4,7 @@
 fn a_burst_is_seen_within_seconds_and_forgotten_soon_after() {
     let t0 = Instant::now();
     let at = |s: f64| t0 + Duration::from_secs_f64(s);
-    let mut d = Demand::new(t0);
+    let mut d = ArrivalEstimate::new(t0);
     assert_eq!(d.surge(at(0.0)), 0.0);
     for i in 0..120 {
         d.note(at(f64::from(i) * 2.0), 100, Duration::from_secs(10));
--- a/crates/market/src/clear.rs
+++ b/crates/market/src/clearing.rs
@@ -7,9 +7,9 @@
 //! best machine after the other. Where there is more than the program may take in, the greedy
 //! way clears all of it: its answer is as sound, and a little dearer.
 
-use crate::spread::Spread;
-use crate::worth::Worth;
-use crate::{Offer, worth};
+use crate::delay_cost::DelayCost;
+use crate::zone_balance::ZoneBalance;
+use crate::{Offer, delay_cost};
 use microlp::{ComparisonOp, OptimizationDirection, Problem, SolveOptions, Variable};
 use siphasher::sip::SipHasher13;
 use std::borrow::Cow;
@@ -20,9 +20,9 @@
 
 /// How a lot's machines would carry a bid's tasks.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Carry {
+pub struct MachineFit {
     /// Tasks at a time on one machine; at least 1.
-    pub slots: u32,
+    pub tasks_per_machine: u32,
     /// Time until the image is there, on a machine that has none.
     pub fetch: Duration,
 }
@@ -37,27 +37,27 @@
     /// When they would start without another machine, from now on.
     pub after: Duration,
     /// What a start costs that much after they came.
-    pub worth: Worth,
+    pub delay_cost: DelayCost,
     /// What a task costs where it is cheapest.
-    pub nominal: f64,
+    pub nominal_cost: f64,
     /// For each lot: how it carries these; `None` where they may or can not go.
-    pub carries: Vec<Option<Carry>>,
+    pub machine_fits: Vec<Option<MachineFit>>,
 }
 
 /// A market as it is offered now.
 #[derive(Clone, Debug)]
-pub struct Lot {
+pub struct OfferBatch {
     pub offer: Offer,
     /// Per hour.
     pub price: f64,
     /// When a machine rented now takes work, from now on.
     pub ready: Duration,
     /// A machine is paid for at least this long.
-    pub least_paid: Duration,
+    pub minimum_billed: Duration,
     /// How many it is likely to give.
-    pub likely: u32,
+    pub available: u32,
     /// Chance of losing a machine, for each second.
-    pub hazard: f64,
+    pub loss_rate: f64,
     /// What one of its machines adds to its zone, in the measure of the spread.
     pub size: f64,
 }
@@ -66,7 +66,7 @@
 pub enum Method {
     /// Nothing was worth its money.
     Nothing,
-    Program,
+    LinearProgram,
     /// More than the program may take in, or it found no answer.
     Greedy,
 }
@@ -74,12 +74,12 @@
 /// Machines worth renting.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Award {
-    pub lot: usize,
+    pub batch: usize,
     pub count: u32,
 }
 
 #[derive(Clone, Debug)]
-pub struct Cleared {
+pub struct ClearingResult {
     /// In the order of the lots.
     pub awards: Vec<Award>,
     pub method: Method,
@@ -93,27 +93,27 @@
 }
 
 /// Bids beyond this are joined with their likes.
-const MOST_BIDS: usize = 24;
+const MAX_BIDS: usize = 24;
 /// The program takes in this many variables at most; beyond that the greedy way clears.
-const MOST_VARIABLES: usize = 400;
+const MAX_VARIABLES: usize = 400;
 /// As many as this are as good as any number.
-const MOST_MACHINES: u32 = 1_000_000;
+const MAX_MACHINES: u32 = 1_000_000;
 /// A rented machine stays at least this long after it is up, whatever it is paid for.
-const SHORTEST_STAY: f64 = 20.0;
+const MIN_STAY_S: f64 = 20.0;
 /// Stays: the paid minute, and this much longer.
-const LONGER_STAYS: [f64; 3] = [0.0, 60.0, 180.0];
+const STAY_EXTENSIONS_S: [f64; 3] = [0.0, 60.0, 180.0];
 /// Parts of a stay, and where each ends: the first is short, as what comes first starts at once.
-const PARTS: usize = 3;
-const ENDS: [f64; PARTS] = [1.0 / 6.0, 0.5, 1.0];
+const STAY_PARTS: usize = 3;
+const PART_ENDS: [f64; STAY_PARTS] = [1.0 / 6.0, 0.5, 1.0];
 /// Work that is served on a new machine need not be paid for elsewhere: this part of its
 /// cheapest cost is set against the machine's.
-const CREDIT: f64 = 1.0;
+const NOMINAL_CREDIT: f64 = 1.0;
 /// No fewer gains than this are worth a variable.
-const CRUMB: f64 = 1e-9;
+const EPSILON: f64 = 1e-9;
 
 /// One stay of one lot.
 struct Column {
-    lot: usize,
+    batch: usize,
     stay: f64,
     cost: f64,
 }
@@ -121,21 +121,21 @@
 /// What one task of a bid saves in each part of a column, and what it takes.
 #[derive(Clone, Copy)]
 struct Cell {
-    value: [f64; PARTS],
+    value: [f64; STAY_PARTS],
     /// Begun in the first index's part: seconds of a whole machine until the second one's end.
-    takes: [[f64; PARTS]; PARTS],
+    takes: [[f64; STAY_PARTS]; STAY_PARTS],
 }
 
 /// When a part of a stay begins, in seconds.
 fn begin(stay: f64, part: usize) -> f64 {
     match part {
         0 => 0.0,
-        _ => stay * ENDS[part - 1],
+        _ => stay * PART_ENDS[part - 1],
     }
 }
 
 /// What one machine of a column would serve at best: tasks of each bid.
-struct Fill {
+struct MachineFill {
     /// What that saves for each unit of its cost.
     rate: f64,
     saved: f64,
@@ -143,7 +143,7 @@
 }
 
 /// A column as the program knows it, by the numbers of its variables.
-struct Posed {
+struct ColumnVariables {
     column: usize,
     machines: usize,
     /// Bids, what a task of theirs saves, and how many of them are served.
@@ -153,13 +153,13 @@
 /// A linear program: the greatest sum of `gains` times variables, each between 0 and its `most`,
 /// so that each row's sum is no more than its bound.
 #[derive(Clone, Debug, Default)]
-pub struct Program {
+pub struct LinearProgram {
     pub gains: Vec<f64>,
     pub most: Vec<f64>,
     pub rows: Vec<(Vec<(usize, f64)>, f64)>,
 }
 
-impl Program {
+impl LinearProgram {
     fn variable(&mut self, gain: f64, most: f64) -> usize {
         self.gains.push(gain);
         self.most.push(most);
@@ -183,7 +183,7 @@
 
 /// A place between 0 and 1 that is the same in every process: what settles exact ties, so that
 /// a new leader clears as the old one would have.
-pub fn lot_of(text: &str) -> f64 {
+pub fn stable_fraction(text: &str) -> f64 {
     let mut h = SipHasher13::new_with_keys(0x6275_726c, 0x7573_6865);
     h.write(text.as_bytes());
     (h.finish() >> 11) as f64 / (1u64 << 53) as f64
@@ -191,27 +191,27 @@
 
 /// The place of a market among others that are its equals.
 fn place(offer: &Offer) -> f64 {
-    lot_of(&format!("{}/{}/{}", offer.0, offer.1, offer.2))
+    stable_fraction(&format!("{}/{}/{}", offer.0, offer.1, offer.2))
 }
 
-fn effective_price(lot: &Lot, spread: &Spread) -> f64 {
+fn effective_price(batch: &OfferBatch, spread: &ZoneBalance) -> f64 {
     // A millionth: enough to make each answer the only best one.
-    lot.price * spread.factor(&lot.offer.1) * (1.0 + 1e-6 * place(&lot.offer))
+    batch.price * spread.price_factor(&batch.offer.1) * (1.0 + 1e-6 * place(&batch.offer))
 }
 
-fn columns(lots: &[Lot], spread: &Spread) -> Vec<Column> {
+fn columns(batches: &[OfferBatch], spread: &ZoneBalance) -> Vec<Column> {
     let mut out = Vec::new();
-    for (i, lot) in lots.iter().enumerate() {
-        if lot.likely == 0 || lot.price < 0.0 || !lot.price.is_finite() {
+    for (i, batch) in batches.iter().enumerate() {
+        if batch.available == 0 || batch.price < 0.0 || !batch.price.is_finite() {
             continue;
         }
-        let price = effective_price(lot, spread);
-        let ready = lot.ready.as_secs_f64();
-        let paid = lot.least_paid.as_secs_f64();
-        for more in LONGER_STAYS {
-            let stay = (paid - ready).max(SHORTEST_STAY) + more;
+        let price = effective_price(batch, spread);
+        let ready = batch.ready.as_secs_f64();
+        let paid = batch.minimum_billed.as_secs_f64();
+        for more in STAY_EXTENSIONS_S {
+            let stay = (paid - ready).max(MIN_STAY_S) + more;
             out.push(Column {
-                lot: i,
+                batch: i,
                 stay,
                 cost: price * (ready + stay).max(paid),
             });
@@ -220,46 +220,46 @@
     out
 }
 
-fn cell(bid: &Bid, lot: &Lot, column: &Column) -> Option<Cell> {
-    let carry = bid.carries.get(column.lot).copied().flatten()?;
-    let (run, fetch) = (bid.run.as_secs_f64(), carry.fetch.as_secs_f64());
+fn cell(bid: &Bid, batch: &OfferBatch, column: &Column) -> Option<Cell> {
+    let machine_fit = bid.machine_fits.get(column.batch).copied().flatten()?;
+    let (run, fetch) = (bid.run.as_secs_f64(), machine_fit.fetch.as_secs_f64());
     // The first tasks of a machine fetch, those that follow mostly need not.
     let time = (run + fetch * 0.5).max(0.1);
-    let slots = f64::from(carry.slots.max(1));
-    let ready = lot.ready.as_secs_f64();
+    let tasks_per_machine = f64::from(machine_fit.tasks_per_machine.max(1));
+    let ready = batch.ready.as_secs_f64();
     let arrives = bid.arrives.as_secs_f64();
     let later = bid.after.saturating_sub(bid.arrives);
-    let survives = (1.0 - lot.hazard * time).max(0.0);
-    let mut value = [0.0; PARTS];
-    let mut takes = [[0.0; PARTS]; PARTS];
-    for part in 0..PARTS {
+    let survives = (1.0 - batch.loss_rate * time).max(0.0);
+    let mut value = [0.0; STAY_PARTS];
+    let mut takes = [[0.0; STAY_PARTS]; STAY_PARTS];
+    for part in 0..STAY_PARTS {
         let from = begin(column.stay, part);
         for (end, takes) in takes[part].iter_mut().enumerate().skip(part) {
-            *takes = time.min(column.stay * ENDS[end] - from) / slots;
+            *takes = time.min(column.stay * PART_ENDS[end] - from) / tasks_per_machine;
         }
         // What is longer than the stay can only begin at once.
         if part > 0 && time > column.stay - from {
             continue;
         }
-        let length = column.stay * ENDS[part] - from;
+        let length = column.stay * PART_ENDS[part] - from;
         let within = (length - time).max(0.0) / 2.0;
         let begins = (ready + from + within).max(arrives);
         let sooner = begins + fetch - arrives;
         if sooner >= later.as_secs_f64() {
             continue;
         }
-        let gain = bid.worth.gain(later, Duration::from_secs_f64(sooner));
+        let gain = bid.delay_cost.gain(later, Duration::from_secs_f64(sooner));
         // Work done twice is not saved: what a lost machine had begun is repeated. What runs
         // longer than the stay keeps its place, and pays for that.
-        let longer = (time - column.stay).max(0.0) / slots * lot.price;
+        let longer = (time - column.stay).max(0.0) / tasks_per_machine * batch.price;
         let credit = if gain > 0.0 {
-            CREDIT * bid.nominal
+            NOMINAL_CREDIT * bid.nominal_cost
         } else {
             0.0
         };
         value[part] = (gain * survives + credit - longer).max(0.0);
     }
-    let any = value.iter().any(|v| *v > CRUMB);
+    let any = value.iter().any(|v| *v > EPSILON);
     any.then_some(Cell { value, takes })
 }
 
@@ -268,11 +268,14 @@
     let bucket = |x: f64, per: f64| ((x + 1.0).ln() * per).round() as i64;
     let mut joined: BTreeMap<(Vec<u32>, [i64; 4]), (Bid, f64)> = BTreeMap::new();
     for bid in bids.iter().filter(|b| b.tasks > 0.0) {
-        let slots = bid.carries.iter().map(|c| c.map_or(0, |c| c.slots));
+        let tasks_per_machine = bid
+            .machine_fits
+            .iter()
+            .map(|c| c.map_or(0, |c| c.tasks_per_machine));
         let waits = bid.after.saturating_sub(bid.arrives);
-        let ratio = bid.worth.loss(waits) / bid.nominal.max(CRUMB);
+        let ratio = bid.delay_cost.loss(waits) / bid.nominal_cost.max(EPSILON);
         let key = (
-            slots.collect(),
+            tasks_per_machine.collect(),
             [
                 bucket(bid.run.as_secs_f64(), 2.0),
                 bucket(waits.as_secs_f64(), 2.0),
@@ -298,56 +301,63 @@
 }
 
 /// Clears all bids against all lots. `spread` tells what each zone holds already.
-pub fn clear(bids: &[Bid], lots: &[Lot], spread: &Spread) -> Cleared {
-    clear_by(bids, lots, spread, true)
+pub fn clear(bids: &[Bid], batches: &[OfferBatch], spread: &ZoneBalance) -> ClearingResult {
+    clear_by(bids, batches, spread, true)
 }
 
 /// The same without the linear program, for comparison.
-pub fn clear_greedily(bids: &[Bid], lots: &[Lot], spread: &Spread) -> Cleared {
-    clear_by(bids, lots, spread, false)
+pub fn clear_greedy(bids: &[Bid], batches: &[OfferBatch], spread: &ZoneBalance) -> ClearingResult {
+    clear_by(bids, batches, spread, false)
 }
 
 /// The program that clearing would solve, for measuring other ways to solve it.
-pub fn pose(bids: &[Bid], lots: &[Lot], spread: &Spread) -> Program {
+pub fn build_program(bids: &[Bid], batches: &[OfferBatch], spread: &ZoneBalance) -> LinearProgram {
     let bids = few(bids);
-    let columns = columns(lots, spread);
-    let cells = cells(&bids, lots, &columns);
-    Clearing::new(&bids, lots, &columns, &cells).pose().0
+    let columns = columns(batches, spread);
+    let cells = cells(&bids, batches, &columns);
+    Clearing::new(&bids, batches, &columns, &cells)
+        .build_program()
+        .0
 }
 
 fn few(bids: &[Bid]) -> Cow<'_, [Bid]> {
-    if bids.len() > MOST_BIDS {
+    if bids.len() > MAX_BIDS {
         Cow::Owned(join(bids))
     } else {
         Cow::Borrowed(bids)
     }
 }
 
-fn cells(bids: &[Bid], lots: &[Lot], columns: &[Column]) -> Vec<Vec<Option<Cell>>> {
-    let row = |c: &Column| bids.iter().map(|b| cell(b, &lots[c.lot], c)).collect();
+fn cells(bids: &[Bid], batches: &[OfferBatch], columns: &[Column]) -> Vec<Vec<Option<Cell>>> {
+    let row = |c: &Column| bids.iter().map(|b| cell(b, &batches[c.batch], c)).collect();
     columns.iter().map(row).collect()
 }
 
-fn clear_by(bids: &[Bid], lots: &[Lot], spread: &Spread, program: bool) -> Cleared {
+fn clear_by(
+    bids: &[Bid],
+    batches: &[OfferBatch],
+    spread: &ZoneBalance,
+    program: bool,
+) -> ClearingResult {
     let bids = few(bids);
-    let columns = columns(lots, spread);
-    let cells = cells(&bids, lots, &columns);
-    let mut market = Clearing::new(&bids, lots, &columns, &cells);
+    let columns = columns(batches, spread);
+    let cells = cells(&bids, batches, &columns);
+    let mut market = Clearing::new(&bids, batches, &columns, &cells);
     let mut method = Method::Greedy;
-    let variables: usize = cells.iter().flatten().flatten().count() * PARTS + columns.len();
-    if program && variables <= MOST_VARIABLES && market.solve() {
-        method = Method::Program;
+    let variables: usize = cells.iter().flatten().flatten().count() * STAY_PARTS + columns.len();
+    if program && variables <= MAX_VARIABLES && market.solve() {
+        method = Method::LinearProgram;
     }
     market.greedy();
     if market.counts.iter().all(|n| *n == 0) {
         method = Method::Nothing;
     }
-    even(&mut market.counts, lots, spread);
+    even(&mut market.counts, batches, spread);
     let awards = market.counts.iter().enumerate();
-    Cleared {
+    ClearingResult {
         awards: awards
             .filter(|(_, n)| **n > 0)
-            .map(|(lot, n)| Award { lot, count: *n })
+            .map(|(batch, n)| Award { batch, count: *n })
             .collect(),
         method,
         saved: market.saved,
@@ -361,7 +371,7 @@
     /// Tasks of each bid that are not served yet.
     left: Vec<f64>,
     /// Machines that each lot may still give.
-    likely: Vec<u32>,
+    available: Vec<u32>,
     counts: Vec<u32>,
     saved: f64,
     cost: f64,
@@ -372,14 +382,14 @@
 impl<'a> Clearing<'a> {
     fn new(
         bids: &[Bid],
-        lots: &[Lot],
+        batches: &[OfferBatch],
         columns: &'a [Column],
         cells: &'a [Vec<Option<Cell>>],
     ) -> Clearing<'a> {
         Clearing {
             left: bids.iter().map(|b| b.tasks.max(0.0)).collect(),
-            likely: lots.iter().map(|l| l.likely).collect(),
-            counts: vec![0; lots.len()],
+            available: batches.iter().map(|l| l.available).collect(),
+            counts: vec![0; batches.len()],
             saved: 0.0,
             cost: 0.0,
             columns,
@@ -388,23 +398,23 @@
     }
 
     /// The linear program of what is left.
-    fn pose(&self) -> (Program, Vec<Posed>) {
-        let mut p = Program::default();
+    fn build_program(&self) -> (LinearProgram, Vec<ColumnVariables>) {
+        let mut p = LinearProgram::default();
         let mut per_bid: Vec<Vec<(usize, f64)>> = vec![Vec::new(); self.left.len()];
         let mut per_lot: BTreeMap<usize, Vec<(usize, f64)>> = BTreeMap::new();
-        let mut posed: Vec<Posed> = Vec::new();
+        let mut posed: Vec<ColumnVariables> = Vec::new();
         for (c, column) in self.columns.iter().enumerate() {
             if self.cells[c].iter().all(Option::is_none) {
                 continue;
             }
-            let most = f64::from(self.likely[column.lot].min(MOST_MACHINES));
+            let most = f64::from(self.available[column.batch].min(MAX_MACHINES));
             let machines = p.variable(-column.cost, most);
-            let mut room: [Vec<(usize, f64)>; PARTS] = Default::default();
+            let mut room: [Vec<(usize, f64)>; STAY_PARTS] = Default::default();
             let mut served = Vec::new();
             for (b, cell) in self.cells[c].iter().enumerate() {
                 let Some(cell) = cell else { continue };
                 for (part, value) in cell.value.iter().enumerate() {
-                    if *value <= CRUMB {
+                    if *value <= EPSILON {
                         continue;
                     }
                     let x = p.variable(*value, self.left[b]);
@@ -416,12 +426,15 @@
                 }
             }
             // Room in seconds of a machine, until the end of each part.
-            for (mut row, end) in room.into_iter().zip(ENDS) {
+            for (mut row, end) in room.into_iter().zip(PART_ENDS) {
                 row.push((machines, -column.stay * end));
                 p.rows.push((row, 0.0));
             }
-            per_lot.entry(column.lot).or_default().push((machines, 1.0));
-            posed.push(Posed {
+            per_lot
+                .entry(column.batch)
+                .or_default()
+                .push((machines, 1.0));
+            posed.push(ColumnVariables {
                 column: c,
                 machines,
                 served,
@@ -432,8 +445,8 @@
                 p.rows.push((row, self.left[b]));
             }
         }
-        for (lot, row) in per_lot {
-            let most = f64::from(self.likely[lot].min(MOST_MACHINES));
+        for (batch, row) in per_lot {
+            let most = f64::from(self.available[batch].min(MAX_MACHINES));
             p.rows.push((row, most));
         }
         (p, posed)
@@ -441,14 +454,14 @@
 
     /// The program's answer rounded down to whole machines; false if there is none.
     fn solve(&mut self) -> bool {
-        let (program, posed) = self.pose();
+        let (program, posed) = self.build_program();
         if posed.is_empty() {
             return true;
         }
         let Some(values) = program.solve() else {
             return false;
         };
-        for Posed {
+        for ColumnVariables {
             column: c,
             machines,
             served,
@@ -461,10 +474,10 @@
                 continue;
             }
             let kept = (whole / wanted).min(1.0);
-            let lot = self.columns[c].lot;
-            let count = (whole as u32).min(self.likely[lot]);
-            self.likely[lot] -= count;
-            self.counts[lot] += count;
+            let batch = self.columns[c].batch;
+            let count = (whole as u32).min(self.available[batch]);
+            self.available[batch] -= count;
+            self.counts[batch] += count;
             self.cost += self.columns[c].cost * f64::from(count);
             for (b, value, x) in served {
                 let tasks = (values[x] * kept).clamp(0.0, self.left[b]);
@@ -476,31 +489,31 @@
     }
 
     /// What one machine of a column would serve at best.
-    fn fill(&self, c: usize) -> Fill {
+    fn fill(&self, c: usize) -> MachineFill {
         let column = &self.columns[c];
         let cells = &self.cells[c];
         let mut order: Vec<(f64, usize, usize)> = Vec::new();
         for (b, cell) in cells.iter().enumerate() {
-            let Some(cell) = cell.filter(|_| self.left[b] > CRUMB) else {
+            let Some(cell) = cell.filter(|_| self.left[b] > EPSILON) else {
                 continue;
             };
             for (part, value) in cell.value.iter().enumerate() {
-                if *value > CRUMB {
-                    order.push((value / cell.takes[part][PARTS - 1], b, part));
+                if *value > EPSILON {
+                    order.push((value / cell.takes[part][STAY_PARTS - 1], b, part));
                 }
             }
         }
         order.sort_by(|a, b| b.0.total_cmp(&a.0).then((a.1, a.2).cmp(&(b.1, b.2))));
-        let mut room = ENDS.map(|end| column.stay * end);
+        let mut room = PART_ENDS.map(|end| column.stay * end);
         let mut saved = 0.0;
         let mut served: BTreeMap<usize, f64> = BTreeMap::new();
         for (_, b, part) in order {
             let Some(cell) = cells[b] else { continue };
             let had = served.get(&b).copied().unwrap_or(0.0);
             let fits = room.iter().zip(cell.takes[part]).skip(part);
-            let fits = fits.map(|(room, takes)| room / takes.max(CRUMB));
+            let fits = fits.map(|(room, takes)| room / takes.max(EPSILON));
             let n = fits.fold(self.left[b] - had, f64::min);
-            if n <= CRUMB {
+            if n <= EPSILON {
                 continue;
             }
             for (room, takes) in room.iter_mut().zip(cell.takes[part]).skip(part) {
@@ -509,8 +522,8 @@
             saved += n * cell.value[part];
             *served.entry(b).or_default() += n;
         }
-        Fill {
-            rate: saved / column.cost.max(CRUMB),
+        MachineFill {
+            rate: saved / column.cost.max(EPSILON),
             saved,
             served: served.into_iter().collect(),
         }
@@ -520,22 +533,22 @@
     /// to do, until none is worth its money. What a column saves only falls as tasks are served,
     /// so a column is looked at again only when its last answer is the best of all.
     fn greedy(&mut self) {
-        let mut order: BinaryHeap<Rated> = BinaryHeap::new();
+        let mut order: BinaryHeap<RankedColumn> = BinaryHeap::new();
         for column in 0..self.columns.len() {
             let rate = f64::INFINITY;
-            order.push(Rated { rate, column });
+            order.push(RankedColumn { rate, column });
         }
-        while let Some(Rated { column: c, .. }) = order.pop() {
+        while let Some(RankedColumn { column: c, .. }) = order.pop() {
             let column = &self.columns[c];
-            let lot = column.lot;
-            if self.likely[lot] == 0 {
+            let batch = column.batch;
+            if self.available[batch] == 0 {
                 continue;
             }
             let fill = self.fill(c);
             if fill.saved <= column.cost {
                 continue;
             }
-            let rated = Rated {
+            let rated = RankedColumn {
                 rate: fill.rate,
                 column: c,
             };
@@ -546,9 +559,9 @@
             let served = fill.served.iter();
             let alike = served.map(|(b, n)| (self.left[*b] / n).floor());
             let alike = alike.fold(f64::INFINITY, f64::min).clamp(1.0, 1e6);
-            let count = (alike as u32).min(self.likely[lot]);
-            self.likely[lot] -= count;
-            self.counts[lot] += count;
+            let count = (alike as u32).min(self.available[batch]);
+            self.available[batch] -= count;
+            self.counts[batch] += count;
             self.cost += column.cost * f64::from(count);
             self.saved += fill.saved * f64::from(count);
             for (b, n) in fill.served {
@@ -561,42 +574,42 @@
 
 /// A column and what it saves for each unit of its cost, at most.
 #[derive(PartialEq)]
-struct Rated {
+struct RankedColumn {
     rate: f64,
     column: usize,
 }
 
-impl Eq for Rated {}
+impl Eq for RankedColumn {}
 
-impl Ord for Rated {
-    fn cmp(&self, other: &Rated) -> Ordering {
+impl Ord for RankedColumn {
+    fn cmp(&self, other: &RankedColumn) -> Ordering {
         // Among equals the first column.
         (self.rate.total_cmp(&other.rate)).then(other.column.cmp(&self.column))
     }
 }
 
-impl PartialOrd for Rated {
-    fn partial_cmp(&self, other: &Rated) -> Option<Ordering> {
+impl PartialOrd for RankedColumn {
+    fn partial_cmp(&self, other: &RankedColumn) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
 /// Machines of one kind at the same price are the same to the bids: they go where the zone holds
 /// least, one by one, as far as each market is likely to give them.
-fn even(counts: &mut [u32], lots: &[Lot], spread: &Spread) {
+fn even(counts: &mut [u32], batches: &[OfferBatch], spread: &ZoneBalance) {
     const SAME: f64 = 0.01;
-    let mut done = vec![false; lots.len()];
+    let mut done = vec![false; batches.len()];
     let mut spread = spread.clone();
-    for i in 0..lots.len() {
+    for i in 0..batches.len() {
         if done[i] {
             continue;
         }
-        let alike: Vec<usize> = (i..lots.len())
+        let alike: Vec<usize> = (i..batches.len())
             .filter(|&j| {
-                let (a, b) = (&lots[i], &lots[j]);
+                let (a, b) = (&batches[i], &batches[j]);
                 a.offer.0 == b.offer.0
                     && a.offer.2 == b.offer.2
-                    && b.likely > 0
+                    && b.available > 0
                     && (a.price - b.price).abs() <= SAME * a.price.max(b.price)
             })
             .collect();
@@ -604,38 +617,41 @@
         alike.iter().for_each(|&j| done[j] = true);
         if alike.len() < 2 || all == 0 {
             for &j in &alike {
-                spread.add(&lots[j].offer.1, lots[j].size * f64::from(counts[j]));
+                spread.add(&batches[j].offer.1, batches[j].size * f64::from(counts[j]));
             }
             continue;
         }
         alike.iter().for_each(|&j| counts[j] = 0);
         while all > 0 {
-            let open = alike.iter().filter(|&&j| counts[j] < lots[j].likely);
+            let open = alike.iter().filter(|&&j| counts[j] < batches[j].available);
             let next = open.min_by(|&&a, &&b| {
-                let part = |j: usize| spread.part(&lots[j].offer.1);
-                let tie = |j: usize| place(&lots[j].offer);
+                let part = |j: usize| spread.share(&batches[j].offer.1);
+                let tie = |j: usize| place(&batches[j].offer);
                 // By their place, not by the order in which they were listed.
                 (part(a).total_cmp(&part(b))).then(tie(a).total_cmp(&tie(b)))
             });
             let Some(&j) = next else { break };
             // A few at a time, as there may be hundreds.
-            let some = (all / 16).clamp(1, lots[j].likely - counts[j]);
+            let some = (all / 16).clamp(1, batches[j].available - counts[j]);
             counts[j] += some;
             all -= some;
-            spread.add(&lots[j].offer.1, lots[j].size.max(CRUMB) * f64::from(some));
+            spread.add(
+                &batches[j].offer.1,
+                batches[j].size.max(EPSILON) * f64::from(some),
+            );
         }
     }
 }
 
-/// What missing an aim of this share costs a task, of which each costs `nominal` at least, where
+/// What missing an aim of this share costs a task, of which each costs `nominal_cost` at least, where
 /// an aim's weight counts `times`.
-pub fn stake(nominal: f64, share: f64, times: f64) -> f64 {
+pub fn missed_objective_cost(nominal_cost: f64, share: f64, times: f64) -> f64 {
     let times = if times.is_finite() {
         times.max(0.0)
     } else {
         0.0
     };
-    nominal * worth::weight(share) * times
+    nominal_cost * delay_cost::weight(share) * times
 }
 
 #[cfg(test)]
--- a/crates/market/src/clear/tests.rs
+++ b/crates/market/src/clearing/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::worth::Aim;
+use crate::delay_cost::ServiceLevelObjective;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
@@ -7,22 +7,22 @@
     Duration::from_secs_f64(seconds)
 }
 
-fn lot(kind: &str, zone: &str, spot: bool, price: f64) -> Lot {
-    Lot {
+fn batch(kind: &str, zone: &str, spot: bool, price: f64) -> OfferBatch {
+    OfferBatch {
         offer: (kind.into(), zone.into(), spot),
         price,
         ready: s(15.0),
-        least_paid: s(60.0),
-        likely: 100,
-        hazard: 0.0,
+        minimum_billed: s(60.0),
+        available: 100,
+        loss_rate: 0.0,
         size: 4.0,
     }
 }
 
 /// Tasks that would start after `after`, and lose `loss` if that is later than `by`.
-fn bid(tasks: f64, after: f64, by: f64, loss: f64, lots: usize) -> Bid {
+fn bid(tasks: f64, after: f64, by: f64, loss: f64, batches: usize) -> Bid {
     let unsure = Duration::ZERO;
-    let aims = vec![Aim {
+    let aims = vec![ServiceLevelObjective {
         by: s(by),
         unsure,
         loss,
@@ -32,47 +32,47 @@
         run: s(10.0),
         arrives: Duration::ZERO,
         after: s(after),
-        worth: Worth::new(aims, 0.0),
-        nominal: 1.0,
-        carries: vec![
-            Some(Carry {
-                slots: 1,
+        delay_cost: DelayCost::new(aims, 0.0),
+        nominal_cost: 1.0,
+        machine_fits: vec![
+            Some(MachineFit {
+                tasks_per_machine: 1,
                 fetch: s(1.0)
             });
-            lots
+            batches
         ],
     }
 }
 
-fn counts(c: &Cleared, lots: &[Lot]) -> BTreeMap<Offer, u32> {
+fn counts(c: &ClearingResult, batches: &[OfferBatch]) -> BTreeMap<Offer, u32> {
     let awards = c.awards.iter();
     awards
-        .map(|a| (lots[a.lot].offer.clone(), a.count))
+        .map(|a| (batches[a.batch].offer.clone(), a.count))
         .collect()
 }
 
-fn anywhere() -> Spread {
-    Spread::new(["a", "b"], 1.0)
+fn anywhere() -> ZoneBalance {
+    ZoneBalance::new(["a", "b"], 1.0)
 }
 
 #[test]
 fn a_dear_market_is_paid_for_only_by_what_loses_more_by_waiting() {
-    let lots = [lot("k", "a", false, 1.0), lot("k", "a", true, 0.3)];
+    let batches = [batch("k", "a", false, 1.0), batch("k", "a", true, 0.3)];
     let late = [bid(30.0, 120.0, 50.0, 50.0, 2)];
-    let c = clear(&late, &lots, &anywhere());
-    assert!(c.saved > c.cost && c.method == Method::Program);
-    let got = counts(&c, &lots);
-    assert!(got[&lots[1].offer] >= 5 && !got.contains_key(&lots[0].offer));
+    let c = clear(&late, &batches, &anywhere());
+    assert!(c.saved > c.cost && c.method == Method::LinearProgram);
+    let got = counts(&c, &batches);
+    assert!(got[&batches[1].offer] >= 5 && !got.contains_key(&batches[0].offer));
     // The cheap one refuses: the dear one is worth it as well, and for little it is not.
-    let mut refused = lots.clone();
-    refused[1].likely = 0;
+    let mut refused = batches.clone();
+    refused[1].available = 0;
     let c = clear(&late, &refused, &anywhere());
-    assert!(counts(&c, &lots)[&lots[0].offer] >= 5);
+    assert!(counts(&c, &batches)[&batches[0].offer] >= 5);
     let little = [bid(30.0, 120.0, 50.0, 2.0, 2)];
     let c = clear(&little, &refused, &anywhere());
     assert_eq!((c.method, c.unserved), (Method::Nothing, 30.0));
     // A price that moves by a third between two steps moves the choice.
-    let both = [lot("k", "a", false, 1.0), lot("l", "a", false, 1.1)];
+    let both = [batch("k", "a", false, 1.0), batch("l", "a", false, 1.1)];
     let first = clear(&late, &both, &anywhere());
     let mut moved = both.clone();
     moved[0].price = 1.33;
@@ -83,46 +83,46 @@
 
 #[test]
 fn work_without_worth_or_in_time_anyway_gets_nothing() {
-    let lots = [lot("k", "a", false, 0.01)];
+    let batches = [batch("k", "a", false, 0.01)];
     let mut nil = bid(50.0, 500.0, 50.0, 0.0, 1);
-    nil.worth = Worth::default();
+    nil.delay_cost = DelayCost::default();
     let in_time = bid(50.0, 20.0, 90.0, 1e6, 1);
     // No machine can be there before it is too late.
     let lost = bid(50.0, 100.0, 3.0, 1e6, 1);
-    let c = clear(&[nil, in_time, lost], &lots, &anywhere());
+    let c = clear(&[nil, in_time, lost], &batches, &anywhere());
     assert_eq!((c.method, c.awards.len()), (Method::Nothing, 0));
-    let nothing = clear(&[], &lots, &anywhere());
+    let nothing = clear(&[], &batches, &anywhere());
     assert!(nothing.awards.is_empty() && clear(&[], &[], &anywhere()).awards.is_empty());
 }
 
 #[test]
 fn where_there_is_too_little_for_all_the_dearest_losses_are_spared_first() {
-    let mut lots = [lot("k", "a", false, 0.5)];
-    lots[0].likely = 4;
+    let mut batches = [batch("k", "a", false, 0.5)];
+    batches[0].available = 4;
     let urgent = bid(8.0, 200.0, 60.0, 500.0, 1);
     let slow = bid(400.0, 200.0, 60.0, 40.0, 1);
-    let c = clear(&[slow.clone(), urgent], &lots, &anywhere());
-    assert_eq!(c.awards, [Award { lot: 0, count: 4 }]);
+    let c = clear(&[slow.clone(), urgent], &batches, &anywhere());
+    assert_eq!(c.awards, [Award { batch: 0, count: 4 }]);
     assert!(c.saved > 8.0 * 400.0, "{}", c.saved);
     // Left alone, the slow ones get the machines: nobody starves for ever.
-    let c = clear(&[slow], &lots, &anywhere());
-    assert_eq!(c.awards, [Award { lot: 0, count: 4 }]);
+    let c = clear(&[slow], &batches, &anywhere());
+    assert_eq!(c.awards, [Award { batch: 0, count: 4 }]);
 }
 
 #[test]
 fn an_exact_tie_is_settled_alike_by_every_process_whatever_the_order() {
-    let lots = vec![
-        lot("k", "a", false, 1.0),
-        lot("k", "b", false, 1.0),
-        lot("l", "a", false, 1.0),
-        lot("l", "b", false, 1.0),
+    let batches = vec![
+        batch("k", "a", false, 1.0),
+        batch("k", "b", false, 1.0),
+        batch("l", "a", false, 1.0),
+        batch("l", "b", false, 1.0),
     ];
     let bids = vec![
         bid(7.0, 120.0, 50.0, 50.0, 4),
         bid(7.0, 120.0, 50.0, 50.0, 4),
     ];
-    let here = counts(&clear(&bids, &lots, &anywhere()), &lots);
-    let turned: Vec<Lot> = lots.iter().rev().cloned().collect();
+    let here = counts(&clear(&bids, &batches, &anywhere()), &batches);
+    let turned: Vec<OfferBatch> = batches.iter().rev().cloned().collect();
     let there = counts(&clear(&bids, &turned, &anywhere()), &turned);
     assert_eq!(here, there);
     let kinds: Vec<&String> = here.keys().map(|o| &o.0).collect();
@@ -134,31 +134,31 @@
 
 #[test]
 fn a_zone_beyond_its_share_is_paid_less_for_and_one_without_another_still_served() {
-    let mut lots = vec![lot("k", "a", false, 1.0), lot("k", "b", false, 1.05)];
+    let mut batches = vec![batch("k", "a", false, 1.0), batch("k", "b", false, 1.05)];
     let late = [bid(30.0, 120.0, 50.0, 500.0, 2)];
-    let mut spread = Spread::new(["a", "b"], 0.1);
+    let mut spread = ZoneBalance::new(["a", "b"], 0.1);
     spread.add("a", 90.0);
     spread.add("b", 10.0);
-    let got = counts(&clear(&late, &lots, &spread), &lots);
-    assert!(!got.contains_key(&lots[0].offer) && got[&lots[1].offer] > 0);
+    let got = counts(&clear(&late, &batches, &spread), &batches);
+    assert!(!got.contains_key(&batches[0].offer) && got[&batches[1].offer] > 0);
     // The other zone drains: better there than not at all.
-    lots[1].likely = 0;
-    let got = counts(&clear(&late, &lots, &spread), &lots);
-    assert!(got[&lots[0].offer] > 0);
+    batches[1].available = 0;
+    let got = counts(&clear(&late, &batches, &spread), &batches);
+    assert!(got[&batches[0].offer] > 0);
 }
 
 #[test]
 fn whatever_is_asked_awards_stay_within_what_is_likely_and_save_more_than_they_cost() {
     for seed in 0..60 {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let lots: Vec<Lot> = (0..rng.random_range(1..12))
+        let batches: Vec<OfferBatch> = (0..rng.random_range(1..12))
             .map(|i| {
                 let zone = if i % 2 == 0 { "a" } else { "b" };
-                let mut l = lot(&format!("k{}", i / 4), zone, i % 3 == 0, 1.0);
+                let mut l = batch(&format!("k{}", i / 4), zone, i % 3 == 0, 1.0);
                 l.price = rng.random_range(0.1..6.0);
-                l.likely = rng.random_range(0..40);
+                l.available = rng.random_range(0..40);
                 l.ready = s(rng.random_range(0.0..60.0));
-                l.hazard = rng.random_range(0.0..0.01);
+                l.loss_rate = rng.random_range(0.0..0.01);
                 l
             })
             .collect();
@@ -168,12 +168,12 @@
                 let by = rng.random_range(1.0..200.0);
                 let loss = rng.random_range(0.0..80.0);
                 let tasks = f64::from(rng.random_range(0..300u32));
-                let mut b = bid(tasks, after, by, loss, lots.len());
+                let mut b = bid(tasks, after, by, loss, batches.len());
                 b.run = s(rng.random_range(0.1..400.0));
-                for c in &mut b.carries {
-                    let slots = rng.random_range(0..17u32);
-                    *c = (slots > 0).then_some(Carry {
-                        slots,
+                for c in &mut b.machine_fits {
+                    let tasks_per_machine = rng.random_range(0..17u32);
+                    *c = (tasks_per_machine > 0).then_some(MachineFit {
+                        tasks_per_machine,
                         fetch: s(rng.random_range(0.0..20.0)),
                     });
                 }
@@ -181,11 +181,11 @@
             })
             .collect();
         for c in [
-            clear(&bids, &lots, &anywhere()),
-            clear_greedily(&bids, &lots, &anywhere()),
+            clear(&bids, &batches, &anywhere()),
+            clear_greedy(&bids, &batches, &anywhere()),
         ] {
             for a in &c.awards {
-                assert!(a.count <= lots[a.lot].likely, "seed {seed}");
+                assert!(a.count <= batches[a.batch].available, "seed {seed}");
             }
             assert!(c.saved >= c.cost * 0.98, "seed {seed}: {c:?}");
             assert!(c.unserved >= -1e-6);
@@ -200,14 +200,14 @@
     for seed in 0..12 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let kinds = [(4.0, 15.0), (16.0, 35.0), (64.0, 15.0)];
-        let lots: Vec<Lot> = (0..12)
+        let batches: Vec<OfferBatch> = (0..12)
             .map(|i| {
                 let (size, ready) = kinds[i / 4];
                 let price = size * if i % 2 == 0 { 0.033 } else { 0.085 };
                 let zone = if i % 4 < 2 { "a" } else { "b" };
-                let mut l = lot(&format!("k{}", i / 4), zone, i % 2 == 0, price);
+                let mut l = batch(&format!("k{}", i / 4), zone, i % 2 == 0, price);
                 (l.size, l.ready) = (size, s(ready));
-                l.likely = if i % 2 == 0 { 5 } else { 200 };
+                l.available = if i % 2 == 0 { 5 } else { 200 };
                 l
             })
             .collect();
@@ -218,20 +218,20 @@
                 let after = rng.random_range(30.0..240.0);
                 let mut b = bid(60.0, after, rng.random_range(20.0..120.0), loss, 12);
                 b.run = s(run);
-                for (c, l) in b.carries.iter_mut().zip(&lots) {
-                    let slots = (l.size / 4.0) as u32;
-                    *c = Some(Carry {
-                        slots,
+                for (c, l) in b.machine_fits.iter_mut().zip(&batches) {
+                    let tasks_per_machine = (l.size / 4.0) as u32;
+                    *c = Some(MachineFit {
+                        tasks_per_machine,
                         fetch: s(3.0),
                     });
                 }
                 b
             })
             .collect();
-        let program = pose(&bids, &lots, &anywhere());
+        let program = build_program(&bids, &batches, &anywhere());
         let x = program.solve().unwrap();
         bound += program.gains.iter().zip(x).map(|(g, x)| g * x).sum::<f64>();
-        let c = clear_greedily(&bids, &lots, &anywhere());
+        let c = clear_greedy(&bids, &batches, &anywhere());
         saved += c.saved - c.cost;
     }
     assert!(
--- a/crates/market/src/worth/tests.rs
+++ b/crates/market/src/delay_cost/tests.rs
@@ -7,42 +7,42 @@
 #[test]
 fn a_later_start_never_costs_less_and_a_missed_aim_costs_no_more() {
     let aims = vec![
-        Aim {
+        ServiceLevelObjective {
             by: s(60.0),
             unsure: Duration::ZERO,
             loss: 5.0,
         },
-        Aim {
+        ServiceLevelObjective {
             by: s(20.0),
             unsure: Duration::ZERO,
             loss: 10.0,
         },
-        Aim {
+        ServiceLevelObjective {
             by: s(5.0),
             unsure: Duration::ZERO,
             loss: -1.0,
         },
     ];
-    let w = Worth::new(aims, 0.01);
+    let w = DelayCost::new(aims, 0.01);
     let losses: Vec<f64> = (0..200).map(|i| w.loss(s(f64::from(i)))).collect();
     assert!(losses.windows(2).all(|p| p[0] <= p[1]));
     assert_eq!(w.loss(Duration::ZERO), 0.0);
     assert!((w.loss(s(20.0)) - 5.2).abs() < 1e-9, "half of it is lost");
     assert!((w.gain(s(300.0), s(100.0)) - 2.0).abs() < 1e-9);
-    assert!(Worth::new(Vec::new(), f64::NAN).is_nil());
+    assert!(DelayCost::new(Vec::new(), f64::NAN).is_zero());
 }
 
 /// Where run times are unsure, starting late may still do, and a little late is a little lost.
 #[test]
 fn an_unsure_aim_is_lost_bit_by_bit() {
-    let aim = |unsure: f64| Aim {
+    let aim = |unsure: f64| ServiceLevelObjective {
         by: s(20.0),
         unsure: s(unsure),
         loss: 10.0,
     };
     let (sure, unsure) = (
-        Worth::new(vec![aim(0.0)], 0.0),
-        Worth::new(vec![aim(30.0)], 0.0),
+        DelayCost::new(vec![aim(0.0)], 0.0),
+        DelayCost::new(vec![aim(30.0)], 0.0),
     );
     assert_eq!(sure.gain(s(60.0), s(30.0)), 0.0);
     assert!(unsure.gain(s(60.0), s(30.0)) > 1.0);
--- a/crates/market/src/spread.rs
+++ b/crates/market/src/zone_balance.rs
@@ -8,19 +8,19 @@
 
 /// How capacity is spread over zones, in any measure that adds up (CPUs, say).
 #[derive(Clone, Debug, Default)]
-pub struct Spread {
+pub struct ZoneBalance {
     held: BTreeMap<String, f64>,
     /// How far beyond an equal share a zone may go, as a part of all: 1 and more is no bound.
     tolerance: f64,
 }
 
 /// A machine in a zone that holds all there is counts this many times as dear.
-const STEEPEST: f64 = 3.0;
+const MAX_PRICE_FACTOR: f64 = 3.0;
 
-impl Spread {
-    pub fn new<'a>(zones: impl IntoIterator<Item = &'a str>, tolerance: f64) -> Spread {
+impl ZoneBalance {
+    pub fn new<'a>(zones: impl IntoIterator<Item = &'a str>, tolerance: f64) -> ZoneBalance {
         let held = zones.into_iter().map(|z| (z.to_string(), 0.0)).collect();
-        Spread { held, tolerance }
+        ZoneBalance { held, tolerance }
     }
 
     pub fn add(&mut self, zone: &str, amount: f64) {
@@ -30,7 +30,7 @@
     }
 
     /// The part of all that a zone holds; an equal one while nothing is held.
-    pub fn part(&self, zone: &str) -> f64 {
+    pub fn share(&self, zone: &str) -> f64 {
         let all: f64 = self.held.values().sum();
         let equal = 1.0 / self.held.len().max(1) as f64;
         match self.held.get(zone) {
@@ -40,21 +40,21 @@
     }
 
     /// By how much the zone that is furthest beyond its share is beyond it.
-    pub fn beyond(&self) -> f64 {
+    pub fn max_excess(&self) -> f64 {
         let equal = 1.0 / self.held.len().max(1) as f64;
-        let parts = self.held.keys().map(|z| self.part(z) - equal);
+        let parts = self.held.keys().map(|z| self.share(z) - equal);
         parts.fold(0.0, f64::max)
     }
 
     /// How many times its price a machine in this zone counts for.
-    pub fn factor(&self, zone: &str) -> f64 {
+    pub fn price_factor(&self, zone: &str) -> f64 {
         let equal = 1.0 / self.held.len().max(1) as f64;
         let room = 1.0 - equal - self.tolerance;
         if room <= 0.0 {
             return 1.0;
         }
-        let over = (self.part(zone) - equal - self.tolerance).max(0.0);
-        1.0 + (STEEPEST - 1.0) * (over / room).min(1.0)
+        let over = (self.share(zone) - equal - self.tolerance).max(0.0);
+        1.0 + (MAX_PRICE_FACTOR - 1.0) * (over / room).min(1.0)
     }
 }
 
--- a/crates/standin/src/cluster.rs
+++ b/crates/standin/src/cluster.rs
@@ -8,7 +8,7 @@
 use crate::worker::World;
 use burlusher::http::{self, Answer, Request};
 use burlusher::wire::PATH_STATUS;
-use burlusher_market::Spread;
+use burlusher_market::ZoneBalance;
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -333,11 +333,11 @@
         broken.push(format!("{missing} jobs are not done"));
     }
     let zones = scenario.zones.iter().map(String::as_str);
-    let mut served = Spread::new(zones, scenario.tolerance);
+    let mut served = ZoneBalance::new(zones, scenario.tolerance);
     for (zone, work) in &records.work {
         served.add(zone, *work);
     }
-    let spread = served.beyond();
+    let spread = served.max_excess();
     if spread > scenario.tolerance {
         let most = scenario.tolerance;
         broken.push(format!(
--- a/src/core/leadership/state.rs
+++ b/src/core/leadership/state.rs
@@ -3,7 +3,7 @@
 
 use crate::core::jobs::job_run::{ArrivalRate, JobRun, RuntimeRatio, Urgency};
 use crate::core::machines::machine::{Machine, Machines};
-use crate::core::scheduling::demand::Bidding;
+use crate::core::scheduling::bidding_state::BiddingState;
 use crate::core::store::cache::ResidualTasks;
 use crate::core::store::keys::{PartGeneration, named};
 use crate::core::store::machine_records::MachineRecords;
@@ -11,7 +11,7 @@
 use crate::core::workers::delegation::PendingBatch;
 use crate::core::{CallId, Ticket};
 use crate::job::{JobId, JobOutcome, MachineId};
-use crate::planning::cluster_snapshot::Board;
+use crate::planning::cluster_snapshot::ClusterSnapshot;
 use crate::wire::{CompareAndSwap, Condition, ScaleOutRequest};
 use burlusher_membership::grant::IssuedGrant;
 use burlusher_membership::view::FailureDetectorTimeouts;
@@ -44,7 +44,7 @@
     pub leader_key_confirmed: Instant,
     pub machines: Machines,
     /// What placing and renting see of the machines.
-    pub board: Board,
+    pub cluster_snapshot: ClusterSnapshot,
     /// Machines that are gone; what still arrives from them is old.
     pub deleted_machines: BTreeSet<MachineId>,
     pub recovery: Recovery,
@@ -139,7 +139,7 @@
     /// How actual run times compare with estimates, by class.
     pub runtime_ratios: BTreeMap<String, RuntimeRatio>,
     pub arrivals: ArrivalRate,
-    pub bidding: Bidding,
+    pub bidding: BiddingState,
 }
 
 impl SchedulerState {
@@ -156,7 +156,7 @@
             queue_head: None,
             runtime_ratios: BTreeMap::new(),
             arrivals,
-            bidding: Bidding::default(),
+            bidding: BiddingState::default(),
         }
     }
 }
@@ -175,7 +175,7 @@
             since: now,
             leader_key_confirmed: now,
             machines: Machines::default(),
-            board: Board::default(),
+            cluster_snapshot: ClusterSnapshot::default(),
             deleted_machines: BTreeSet::new(),
             recovery: Recovery::default(),
             direct_calls_in_flight: 0,
--- a/src/core/machines/cloud_calls.rs
+++ b/src/core/machines/cloud_calls.rs
@@ -222,8 +222,8 @@
             }
         }
         if let Some(got) = got {
-            let beliefs = &mut leader.scheduler.bidding.beliefs;
-            beliefs.answered(&offer, asked as u32, got as u32, now);
+            let estimates = &mut leader.scheduler.bidding.estimates;
+            estimates.record_allocation(&offer, asked as u32, got as u32, now);
             if got < asked {
                 leader.scheduler.last_scaling = None;
             }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -321,7 +321,7 @@
     last_peer_probe: Option<Instant>,
     peer_probes: u64,
     ready: Option<bool>,
-    plan_scratch: crate::planning::backfill::Scratch,
+    knapsack_tables: crate::planning::backfill::KnapsackTables,
     /// What the cloud's limit allows the leader now.
     cloud_budget: RateLimiter,
     /// Reads for users who ask about jobs that the state service's limit allows.
@@ -445,7 +445,7 @@
         let write_budget = RateLimiter::new(writes, now.mono);
         let share = settings.store_rps / (settings.peers.len() as f64 + 1.0);
         let read_budget = RateLimiter::new(share * QUESTIONS_SHARE, now.mono);
-        let delegating = policy.fleet_truth(Entry::Delegate, &FleetFacts::default());
+        let delegating = policy.fleet_truth(Entry::DelegateWorkers, &FleetFacts::default());
         let others = (settings.peers.iter()).map(|p| (p.name.clone(), p.zone.clone()));
         let view = MembershipView::new(others, leadership::state::PATIENCE);
         Core {
@@ -485,7 +485,7 @@
             last_peer_probe: None,
             peer_probes: 0,
             ready: None,
-            plan_scratch: Default::default(),
+            knapsack_tables: Default::default(),
             stats: Stats::default(),
         }
     }
--- a/src/core/scheduling/bidding.rs
+++ b/src/core/scheduling/bidding.rs
@@ -5,13 +5,13 @@
 use crate::core::leadership::state::LeaderState;
 use crate::core::scheduling::QueueEntry;
 use crate::job::{JobSpec, MachineId};
-use crate::planning::autoscaler::{self, Rent};
-use crate::planning::bids::{self, Asked};
-use crate::planning::capacity_forecast::{Coming, Unmet};
+use crate::planning::autoscaler::{self, ScaleOut};
+use crate::planning::bids::{self, DemandBid};
+use crate::planning::capacity_forecast::{BootingNodes, PendingDemand};
 use crate::planning::cluster_snapshot::Offer;
 use crate::policy::{Entry, FleetFacts, JobFacts};
-use burlusher_market::clear::stake;
-use burlusher_market::{Aim, Spread, Worth};
+use burlusher_market::clearing::missed_objective_cost;
+use burlusher_market::{DelayCost, ServiceLevelObjective, ZoneBalance};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -33,9 +33,9 @@
     }
 
     /// What a later start costs a task of a job: the aims that it can still meet, by the settings.
-    fn worth(&self, spec: &JobSpec, facts: &JobFacts, run: Duration) -> Worth {
-        let nominal = bids::nominal(&self.machine_types, spec, run);
-        let times = self.policy.number(Entry::Worth, facts);
+    fn delay_cost(&self, spec: &JobSpec, facts: &JobFacts, run: Duration) -> DelayCost {
+        let nominal_cost = bids::nominal_cost(&self.machine_types, spec, run);
+        let times = self.policy.number(Entry::ObjectiveWeight, facts);
         let slowest = run.as_secs_f64() * SLOWEST;
         // Estimates are often wrong by half.
         let wrong = run.min(Duration::from_secs(3600)) / 2;
@@ -48,36 +48,43 @@
                 "wait" => (within - facts.wait, Duration::ZERO),
                 "finished" => (within - facts.wait - slowest, wrong),
                 "deadline" if facts.has_deadline => {
-                    let whole = facts.deadline_left + facts.wait;
-                    let left = facts.deadline_left + (o.times - 1.0) * whole;
+                    let total = facts.deadline_left + facts.wait;
+                    let left = facts.deadline_left + (o.times - 1.0) * total;
                     (left - slowest, wrong)
                 }
                 _ => continue,
             };
             // A missed aim is worth nothing any more.
             if by + unsure.as_secs_f64() > 0.0 {
-                let loss = stake(nominal, o.share.unwrap_or(0.0), times);
+                let loss = missed_objective_cost(nominal_cost, o.share.unwrap_or(0.0), times);
                 let by = Duration::from_secs_f64(by.clamp(0.0, 1e7));
-                aims.push(Aim { by, unsure, loss });
+                aims.push(ServiceLevelObjective { by, unsure, loss });
             }
         }
-        Worth::new(aims, nominal * self.policy.number(Entry::Haste, facts))
+        DelayCost::new(
+            aims,
+            nominal_cost * self.policy.number(Entry::TimeValue, facts),
+        )
     }
 
     /// What one entry of the queue asks of the markets.
-    pub(in crate::core) fn asked(&self, entry: &QueueEntry, unmet: Unmet) -> Asked {
+    pub(in crate::core) fn demand_bid(
+        &self,
+        entry: &QueueEntry,
+        unmet: PendingDemand,
+    ) -> DemandBid {
         let run = unmet
             .estimate
             .min(entry.estimate.max(Duration::from_secs(1)));
-        Asked {
-            worth: self.worth(&unmet.spec, &entry.facts, run),
+        DemandBid {
+            delay_cost: self.delay_cost(&unmet.spec, &entry.facts, run),
             arrives: Duration::ZERO,
             unmet,
         }
     }
 
     /// What is expected to come within `ahead` beyond what is usual, in waves.
-    fn expected(&self, leader: &mut LeaderState, ahead: Duration) -> Vec<Asked> {
+    fn expected(&self, leader: &mut LeaderState, ahead: Duration) -> Vec<DemandBid> {
         let now = self.now.mono;
         let mut out = Vec::new();
         let wave = ahead / WAVES;
@@ -110,20 +117,20 @@
                 spot: e.spec.spot,
                 ..JobFacts::default()
             };
-            let worth = self.worth(&e.spec, &facts, run);
+            let delay_cost = self.delay_cost(&e.spec, &facts, run);
             for i in 0..WAVES {
-                out.push(Asked {
-                    unmet: Unmet {
+                out.push(DemandBid {
+                    unmet: PendingDemand {
                         spec: e.spec.clone(),
                         rank: e.rank,
                         tasks: tasks.round().min(1e6) as u32,
                         estimate: run,
                         patience: Duration::ZERO,
                         spot_patience: Duration::ZERO,
-                        shunned: Vec::new(),
+                        quarantined: Vec::new(),
                     },
                     arrives: wave * i + wave / 2,
-                    worth: worth.clone(),
+                    delay_cost: delay_cost.clone(),
                 });
             }
         }
@@ -133,47 +140,65 @@
     /// Clears what waits and what is expected against the markets.
     pub(in crate::core) fn bid(
         &mut self,
-        mut asked: Vec<Asked>,
-        coming: &[Coming],
-        mut market: autoscaler::Market,
-    ) -> Vec<Rent> {
+        mut demand_bids: Vec<DemandBid>,
+        booting_nodes: &[BootingNodes],
+        mut market: autoscaler::OfferMarket,
+    ) -> Vec<ScaleOut> {
         let now = self.now.mono;
         let Some(mut leader) = self.leader.take() else {
             return Vec::new();
         };
         let facts = self.fleet_facts(&leader);
         let mut machines: BTreeMap<Offer, u32> = BTreeMap::new();
-        let tolerance = self.policy.fleet_number(Entry::Tolerance, &facts);
+        let tolerance = self.policy.fleet_number(Entry::ZoneTolerance, &facts);
         let zones = self.settings.zones.iter().map(String::as_str);
-        let mut spread = Spread::new(zones, tolerance.clamp(0.0, 1.0));
-        for class in &leader.board.classes {
+        let mut spread = ZoneBalance::new(zones, tolerance.clamp(0.0, 1.0));
+        for class in &leader.cluster_snapshot.classes {
             let count = class.machines as u32;
             *machines.entry(class.offer.clone()).or_default() += count;
             spread.add(&class.offer.1, class.room.cpus * f64::from(count));
         }
-        for c in coming {
+        for c in booting_nodes {
             spread.add(&c.offer.1, c.room.cpus * f64::from(c.count));
         }
         market.spread = spread;
         // What spot machines carry bids no more: they are had as soon as waiting is worth one, for
         // all who may use them, however little patience they have for others.
-        let unmet: Vec<Unmet> = asked.iter().map(|a| a.unmet.clone()).collect();
-        let mut rents =
-            autoscaler::spot_first(&leader.board, coming, &unmet, &market, now, |u| u.spec.spot);
-        let coming = &autoscaler::with(coming, &rents, &self.machine_types)[..];
-        let ahead = self.policy.fleet_number(Entry::Foresight, &facts);
+        let unmet: Vec<PendingDemand> = demand_bids.iter().map(|a| a.unmet.clone()).collect();
+        let mut rents = autoscaler::scale_out_spot(
+            &leader.cluster_snapshot,
+            booting_nodes,
+            &unmet,
+            &market,
+            now,
+            |u| u.spec.spot,
+        );
+        let booting_nodes =
+            &autoscaler::with_scale_outs(booting_nodes, &rents, &self.machine_types)[..];
+        let ahead = self.policy.fleet_number(Entry::ForecastHorizon, &facts);
         if ahead > 0.0 {
             let ahead = Duration::from_secs_f64(ahead.min(600.0));
             for expected in self.expected(&mut leader, ahead) {
                 // Behind what waits at its rank, before lower ones; the guarantee's order stays.
-                let before = |a: &Asked| a.unmet.rank <= expected.unmet.rank;
-                let at = asked.iter().rposition(before).map_or(0, |i| i + 1);
-                asked.insert(at, expected);
+                let before = |a: &DemandBid| a.unmet.rank <= expected.unmet.rank;
+                let at = demand_bids.iter().rposition(before).map_or(0, |i| i + 1);
+                demand_bids.insert(at, expected);
             }
         }
         leader.scheduler.bidding.expose(now, &machines);
-        let lots = bids::lots(&self.machine_types, &leader.scheduler.bidding.beliefs, now);
-        let (more, cleared) = bids::rent(&leader.board, coming, &asked, &market, &lots, now);
+        let batches = bids::batches(
+            &self.machine_types,
+            &leader.scheduler.bidding.estimates,
+            now,
+        );
+        let (more, cleared) = bids::rent(
+            &leader.cluster_snapshot,
+            booting_nodes,
+            &demand_bids,
+            &market,
+            &batches,
+            now,
+        );
         if !cleared.awards.is_empty() {
             tracing::debug!(
                 "cleared {:?}: saves {:.0}, costs {:.0}, {:.0} tasks not worth a machine",
@@ -188,29 +213,33 @@
         for (offer, count) in more {
             *rents.entry(offer).or_default() += count;
         }
-        autoscaler::in_requests(rents)
+        autoscaler::split_into_requests(rents)
     }
 
     /// Each market as it is believed to be, and what the last clearing made of all bids.
     pub(in crate::core) fn markets_view(&self, leader: &LeaderState) -> Value {
         let now = self.now.mono;
-        let beliefs = &leader.scheduler.bidding.beliefs;
+        let estimates = &leader.scheduler.bidding.estimates;
         let mut markets = Vec::new();
-        for (i, lot) in bids::lots(&self.machine_types, beliefs, now)
+        for (i, batch) in bids::batches(&self.machine_types, estimates, now)
             .iter()
             .enumerate()
         {
-            let (kind, zone, spot) = &lot.offer;
-            let held = leader.board.classes.iter().find(|c| c.offer == lot.offer);
+            let (kind, zone, spot) = &batch.offer;
+            let held = leader
+                .cluster_snapshot
+                .classes
+                .iter()
+                .find(|c| c.offer == batch.offer);
             let last = leader.scheduler.bidding.last.as_ref();
-            let award = last.and_then(|c| c.awards.iter().find(|a| a.lot == i));
+            let award = last.and_then(|c| c.awards.iter().find(|a| a.batch == i));
             markets.push(json!({
                 "type": kind, "zone": zone, "spot": spot,
-                "price": lot.price, "ready_s": lot.ready.as_secs_f64().round(),
-                "lost_per_hour": (lot.hazard * 3600.0 * 100.0).round() / 100.0,
+                "price": batch.price, "ready_s": batch.ready.as_secs_f64().round(),
+                "lost_per_hour": (batch.loss_rate * 3600.0 * 100.0).round() / 100.0,
                 "held": held.map_or(0, |c| c.machines),
                 "awarded": award.map_or(0, |a| a.count),
-                "shut": beliefs.outlook(&lot.offer, now).shut,
+                "shut": estimates.market_forecast(&batch.offer, now).closed_reason,
             }));
         }
         let cleared = leader.scheduler.bidding.last.as_ref().map(|c| {
@@ -231,7 +260,7 @@
         };
         if let Some(m) = leader.machines.get(id) {
             let offer = (m.machine_type.clone(), m.zone.clone(), m.spot);
-            leader.scheduler.bidding.beliefs.lost(&offer, 1, now);
+            leader.scheduler.bidding.estimates.lost(&offer, 1, now);
         }
     }
 }
--- a/src/core/scheduling/demand.rs
+++ b/src/core/scheduling/bidding_state.rs
@@ -2,38 +2,38 @@
 
 use crate::job::{JobSpec, Priority};
 use crate::planning::cluster_snapshot::Offer;
-use burlusher_market::clear::Cleared;
-use burlusher_market::{Beliefs, Demand};
+use burlusher_market::clearing::ClearingResult;
+use burlusher_market::{ArrivalEstimate, MarketEstimates};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 /// What comes of one class, by the newest of its jobs.
-pub struct Expected {
-    pub demand: Demand,
+pub struct ClassDemand {
+    pub demand: ArrivalEstimate,
     pub spec: Arc<JobSpec>,
     pub rank: Priority,
 }
 
 #[derive(Default)]
-pub struct Bidding {
-    pub beliefs: Beliefs,
+pub struct BiddingState {
+    pub estimates: MarketEstimates,
     /// By class.
-    pub expected: BTreeMap<String, Expected>,
+    pub expected: BTreeMap<String, ClassDemand>,
     /// The newest clearing, for those who look.
-    pub last: Option<Cleared>,
+    pub last: Option<ClearingResult>,
     /// Exposure to losses was noted until then.
     exposed: Option<Instant>,
 }
 
-impl Bidding {
+impl BiddingState {
     /// A job came that this leader has not seen before.
     pub fn arrived(&mut self, now: Instant, spec: &Arc<JobSpec>, rank: Priority, run: Duration) {
         let e = self
             .expected
             .entry(spec.class.clone())
-            .or_insert_with(|| Expected {
-                demand: Demand::new(now),
+            .or_insert_with(|| ClassDemand {
+                demand: ArrivalEstimate::new(now),
                 spec: spec.clone(),
                 rank,
             });
@@ -47,7 +47,7 @@
         if let Some(before) = self.exposed.replace(now) {
             let span = now.saturating_duration_since(before);
             for (offer, count) in machines {
-                self.beliefs.exposed(offer, *count, span, now);
+                self.estimates.exposed(offer, *count, span, now);
             }
         }
     }
--- a/src/core/scheduling/mod.rs
+++ b/src/core/scheduling/mod.rs
@@ -1,7 +1,7 @@
 //! Snapshots for `plan` and `fleet`, and their decisions carried out.
 
 pub mod bidding;
-pub mod demand;
+pub mod bidding_state;
 
 use crate::core::jobs::job_run::{JobRun, RuntimeRatio, Urgency};
 use crate::core::leadership::state::{DeferredResponses as Waiters, LeaderState};
@@ -12,12 +12,14 @@
 use crate::fault_injection::{Safeguard, is_enabled};
 use crate::job::{JobId, JobKind, MachineId, Priority, Resources, TaskId};
 use crate::planning::autoscaler;
-use crate::planning::backfill::{self, TeamUse, Waiting};
-use crate::planning::capacity_forecast::{Coming, Unmet};
-use crate::planning::cluster_snapshot::{Board, Held, Host, Offer, Use, image_tag};
+use crate::planning::backfill::{self, QueuedJob, TeamUsage};
+use crate::planning::capacity_forecast::{BootingNodes, PendingDemand};
+use crate::planning::cluster_snapshot::{
+    ClusterSnapshot, Node, NodeUsage, Offer, RunningTask, image_tag,
+};
 use crate::policy::{Entry, JobFacts, MachineFacts};
 use crate::settings::Team;
-use burlusher_market::Spread;
+use burlusher_market::ZoneBalance;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant, SystemTime};
 
@@ -77,9 +79,9 @@
         if job.spec.estimate.is_zero() {
             return None;
         }
-        let whole = self.estimate(job);
+        let estimate = self.estimate(job);
         match t.running_since {
-            Some(s) => whole.checked_sub(self.now.saturating_duration_since(s)),
+            Some(s) => estimate.checked_sub(self.now.saturating_duration_since(s)),
             None => {
                 let rate = self
                     .core
@@ -87,7 +89,7 @@
                     .map_or(1.0, |x| x.fetch_gb_per_s);
                 let fetch = Duration::from_secs_f64(job.spec.image_gb / rate.max(0.01));
                 let waited = self.now.saturating_duration_since(t.since);
-                Some(whole + fetch.saturating_sub(waited))
+                Some(estimate + fetch.saturating_sub(waited))
             }
         }
     }
@@ -122,12 +124,12 @@
         // Tasks of one job differ among themselves, so a machine is compared with its peers only
         // by the average of many.
         let log = ran.as_secs_f64().max(0.1).ln();
-        let usual = (run.log_run_times.1 >= 3)
+        let baseline = (run.log_run_times.1 >= 3)
             .then(|| run.log_run_times.0 / f64::from(run.log_run_times.1));
         run.log_run_times.0 += log;
         run.log_run_times.1 += 1;
-        if let (Some(m), Some(usual)) = (leader.machines.get_mut(id), usual) {
-            m.fault_history.slowness.note(log - usual);
+        if let (Some(m), Some(baseline)) = (leader.machines.get_mut(id), baseline) {
+            m.fault_history.slowness.note(log - baseline);
         }
     }
 
@@ -202,11 +204,11 @@
     }
 
     /// What every team uses, tasks in doubt and tasks not seen yet included.
-    fn team_use(&self, leader: &LeaderState, board: &Board) -> Vec<TeamUse> {
+    fn team_usage(&self, leader: &LeaderState, snapshot: &ClusterSnapshot) -> Vec<TeamUsage> {
         let teams = &self.settings.teams;
         let of = |(i, t): (usize, &Team)| {
-            let held = board.used(i);
-            TeamUse {
+            let held = snapshot.used(i);
+            TeamUsage {
                 cpus: held.cpus,
                 gpus: held.gpus,
                 cpus_max: t.cpus_max.filter(|_| is_enabled(Safeguard::Limit)),
@@ -215,7 +217,7 @@
                 gpus_own: t.gpus,
             }
         };
-        let mut used: Vec<TeamUse> = teams.iter().enumerate().map(of).collect();
+        let mut used: Vec<TeamUsage> = teams.iter().enumerate().map(of).collect();
         if leader.rebuild.is_some() {
             let held = self.held_resources(leader);
             for team in &mut used {
@@ -406,7 +408,7 @@
             let order = if longest_first {
                 facts.submitted
             } else {
-                self.policy.number(Entry::Order, &facts)
+                self.policy.number(Entry::QueueOrder, &facts)
             };
             line.push(QueueEntry {
                 overdue,
@@ -437,24 +439,24 @@
     }
 
     /// Puts what changed about machines on the board.
-    pub(in crate::core) fn refresh_board(&mut self) {
+    pub(in crate::core) fn refresh_snapshot(&mut self) {
         let Some(leader) = &mut self.leader else {
             return;
         };
         let changed = leader.machines.take_changed();
         leader.revoke_changed(&changed);
-        let mut board = std::mem::take(&mut leader.board);
+        let mut snapshot = std::mem::take(&mut leader.cluster_snapshot);
         let mut opened = Vec::with_capacity(changed.len());
         if let Some(leader) = &self.leader {
             let view = self.view(leader);
             for id in changed {
                 let m = leader.machines.get(&id);
-                match m.and_then(|m| self.host(&mut board, &view, m)) {
-                    Some(host) => {
-                        opened.push((id, host.usage == Use::Open));
-                        board.put(host);
+                match m.and_then(|m| self.node(&mut snapshot, &view, m)) {
+                    Some(node) => {
+                        opened.push((id, node.usage == NodeUsage::Open));
+                        snapshot.put(node);
                     }
-                    None => board.remove(&id),
+                    None => snapshot.remove(&id),
                 }
             }
         }
@@ -464,11 +466,11 @@
         for (id, open) in opened {
             leader.machines.set_schedulable(&id, open);
         }
-        leader.board = board;
+        leader.cluster_snapshot = snapshot;
     }
 
     /// A machine as the board shows it; `None` while its type is unknown.
-    fn host(&self, board: &mut Board, view: &View, m: &Machine) -> Option<Host> {
+    fn node(&self, snapshot: &mut ClusterSnapshot, view: &View, m: &Machine) -> Option<Node> {
         let now = self.now.mono;
         let t = self.type_of(&m.machine_type)?;
         let offer = (m.machine_type.clone(), m.zone.clone(), m.spot);
@@ -481,29 +483,29 @@
             .leader
             .accepts_tasks(m, now, self.settings.heartbeat_interval)
         {
-            Use::Open
+            NodeUsage::Open
         } else if m.deleting.is_some() || m.reclaim_at.is_some() || m.lease_expired {
-            Use::Closed
+            NodeUsage::Closed
         } else if (m.incarnation == 0 && !unresolved) || !m.recorded {
             let boot = Duration::from_secs_f64((t.boot_s * 1.1).min(1e6));
-            Use::Booting(m.known_since + boot.saturating_sub(m.age))
+            NodeUsage::Booting(m.known_since + boot.saturating_sub(m.age))
         } else {
-            Use::Resting
+            NodeUsage::Resting
         };
         let quiet = m.tasks.is_empty()
             && m.incarnation > 0
             && m.call_in_flight.is_none()
             && m.doubtful_until_token.is_none()
-            && usage != Use::Closed
+            && usage != NodeUsage::Closed
             && !unresolved;
         let tasks = m.tasks.iter().map(|(key, task)| {
             let job = view.jobs.get(&key.job);
-            Held {
+            RunningTask {
                 key: key.clone(),
                 needs: task.resources,
                 ends: view.ends_in(m, key, task).map(|d| now + d),
                 since: task.running_since,
-                saves_in: job
+                checkpoint_in: job
                     .filter(|j| !j.spec.checkpoint_interval.is_zero())
                     .map(|j| j.spec.checkpoint_duration),
                 rank: job.map_or(Priority::Low, |j| {
@@ -513,21 +515,22 @@
                 stopping: task.stopping.is_some(),
             }
         });
-        Some(Host {
+        Some(Node {
             id: m.id.clone(),
-            class: board.class(&offer, t.room(), t.fetch_gb_per_s),
+            class: snapshot.class(&offer, t.room(), t.fetch_gb_per_s),
             free,
             usage,
             images: m.images.iter().map(|(i, _)| *i).collect(),
             fetching: usize::from(m.tasks.values().any(|t| !t.runs())),
-            doubt: m.fault_history.slowness.delay() + f64::from(m.fault_history.failures) * 4.0,
+            distrust_s: m.fault_history.slowness.delay()
+                + f64::from(m.fault_history.failures) * 4.0,
             idle_since: quiet.then_some(m.idle_since),
             tasks: tasks.collect(),
         })
     }
 
     /// The queue as the plan sees it.
-    fn queue<'a>(&'a self, view: &View<'a>, board: &Board) -> Vec<Waiting<'a>> {
+    fn queue<'a>(&'a self, view: &View<'a>, snapshot: &ClusterSnapshot) -> Vec<QueuedJob<'a>> {
         let now = self.now.mono;
         let leader = view.leader;
         let mut queue = Vec::new();
@@ -536,10 +539,10 @@
         }
         for entry in self.job_queue(view, false) {
             let (job, run) = (entry.job, entry.run);
-            let whole = job.spec.job_kind == JobKind::Gang;
+            let all_or_nothing = job.spec.job_kind == JobKind::Gang;
             let held = |t: &Instant| now < *t;
             // A gang starts whole: not while some of it is still elsewhere or held back.
-            if whole && (!run.placed.is_empty() || run.backoff_until.values().any(held)) {
+            if all_or_nothing && (!run.placed.is_empty() || run.backoff_until.values().any(held)) {
                 continue;
             }
             // All rows of a job with a mistake, tried again and again, filled machines and queues.
@@ -560,29 +563,30 @@
             let avoid = if run.is_suspect() {
                 Vec::new()
             } else {
-                let slots = run.failures.keys().filter_map(|m| board.slot(m));
-                slots.collect()
+                let node_indices = run.failures.keys().filter_map(|m| snapshot.node_index(m));
+                node_indices.collect()
             };
-            queue.push(Waiting {
+            queue.push(QueuedJob {
                 spec: job.spec.clone(),
                 image: image_tag(&job.spec.image),
                 team: entry.team,
                 rank: entry.rank,
                 queued: &run.queued,
                 held: &run.backoff_until,
-                whole,
-                probe: run.is_suspect() || (entry.overdue && job.spec.job_kind == JobKind::Array),
+                all_or_nothing,
+                single_trial: run.is_suspect()
+                    || (entry.overdue && job.spec.job_kind == JobKind::Array),
                 estimate: entry.estimate,
                 zones,
                 avoid,
                 guaranteed: entry.facts.guaranteed,
-                may_preempt: self.policy.truth(Entry::Preempt, &entry.facts),
-                merit: self.policy.number(Entry::Merit, &entry.facts) as f32,
+                may_preempt: self.policy.truth(Entry::MayPreempt, &entry.facts),
+                priority_weight: self.policy.number(Entry::PriorityWeight, &entry.facts) as f32,
                 // What was passed for long takes any room that is there; nothing dear is rented for it.
-                shunned: if entry.overdue {
+                quarantined: if entry.overdue {
                     Vec::new()
                 } else {
-                    self.shunned(job, &entry.facts)
+                    self.quarantined(job, &entry.facts)
                 },
             });
         }
@@ -619,25 +623,31 @@
     fn place(&mut self) {
         let now = self.now.mono;
         self.update_guarantees();
-        self.refresh_board();
+        self.refresh_snapshot();
         let Some(leader) = &mut self.leader else {
             return;
         };
-        let mut board = std::mem::take(&mut leader.board);
-        let mut scratch = std::mem::take(&mut self.plan_scratch);
-        let mut decided = backfill::Plan::default();
+        let mut snapshot = std::mem::take(&mut leader.cluster_snapshot);
+        let mut knapsack_tables = std::mem::take(&mut self.knapsack_tables);
+        let mut decided = backfill::SchedulingPlan::default();
         let mut jobs = Vec::new();
         if let Some(leader) = &self.leader {
-            let mut queue = self.queue(&self.view(leader), &board);
-            let mut teams = self.team_use(leader, &board);
-            decided = backfill::plan(&mut board, &mut queue, &mut teams, now, &mut scratch);
+            let mut queue = self.queue(&self.view(leader), &snapshot);
+            let mut teams = self.team_usage(leader, &snapshot);
+            decided = backfill::plan(
+                &mut snapshot,
+                &mut queue,
+                &mut teams,
+                now,
+                &mut knapsack_tables,
+            );
             jobs = queue.into_iter().map(|w| (w.spec, w.team)).collect();
         }
-        self.plan_scratch = scratch;
+        self.knapsack_tables = knapsack_tables;
         let Some(leader) = &mut self.leader else {
             return;
         };
-        leader.board = board;
+        leader.cluster_snapshot = snapshot;
         leader.scheduler.last_plan = Some(now);
         // A step repeats at once while it starts tasks.
         leader.scheduler.plan_again = !decided.starts.is_empty();
@@ -646,7 +656,7 @@
         let mut gang_attempt = None;
         for s in decided.starts {
             let (spec, team) = &jobs[s.job];
-            let id = leader.board.host(s.host).id.clone();
+            let id = leader.cluster_snapshot.node(s.node_index).id.clone();
             let (Some(run), Some(m)) = (
                 leader.job_runs.get_mut(&spec.id),
                 leader.machines.get_mut(&id),
@@ -687,8 +697,8 @@
             );
             m.needs_push = true;
         }
-        for (slot, key) in decided.stops {
-            let id = leader.board.host(slot).id.clone();
+        for (node_index, key) in decided.stops {
+            let id = leader.cluster_snapshot.node(node_index).id.clone();
             if let Some(m) = leader.machines.get_mut(&id)
                 && let Some(t) = m.tasks.get_mut(&key)
             {
@@ -702,13 +712,13 @@
     fn scale_machines(&mut self) {
         let now = self.now.mono;
         self.update_guarantees();
-        self.refresh_board();
+        self.refresh_snapshot();
         let Some(leader) = &mut self.leader else {
             return;
         };
         leader.scheduler.last_scaling = Some(now);
         leader.scheduler.arrivals.note(now, 0);
-        leader.board.sum_again();
+        leader.cluster_snapshot.recompute_team_usage();
         let Some(leader) = &self.leader else { return };
         if self.machine_types.is_empty() {
             return;
@@ -719,13 +729,13 @@
         // A new leader bids when it knows what is there: until then all that runs seems to wait.
         let known = leader.recovery.unresolved == 0
             || now.saturating_duration_since(leader.since) > RECOVERY;
-        let mut asked = Vec::new();
+        let mut demand_bids = Vec::new();
         let unmet = self.pending_demand(&view, |entry, unmet| {
             if bidding {
-                asked.push(self.asked(entry, unmet.clone()));
+                demand_bids.push(self.demand_bid(entry, unmet.clone()));
             }
         });
-        let coming = self.coming(leader);
+        let booting_nodes = self.booting_nodes(leader);
         let mut zones: BTreeMap<&str, (u32, u32)> = BTreeMap::new();
         for m in leader.machines.values().filter(|m| m.incarnation > 0) {
             let z = zones.entry(&m.zone).or_default();
@@ -736,40 +746,48 @@
             z.1 += u32::from(fresh && m.unconfirmed_token.is_none());
         }
         let zones = zones.into_iter();
-        let cut: Vec<String> = zones
+        let unreachable_zones: Vec<String> = zones
             .filter(|(_, (all, up))| up * 2 < *all)
             .map(|(z, _)| z.to_string())
             .collect();
         let Some(leader) = &mut self.leader else {
             return;
         };
-        let beliefs = &mut leader.scheduler.bidding.beliefs;
-        beliefs.shut_only(&cut, "its machines are not heard");
-        let market = autoscaler::Market {
+        let estimates = &mut leader.scheduler.bidding.estimates;
+        estimates.set_closed_zones(&unreachable_zones, "its machines are not heard");
+        let market = autoscaler::OfferMarket {
             types: self.machine_types.clone(),
             refused: leader
                 .scheduler
                 .bidding
-                .beliefs
+                .estimates
                 .refused(now)
                 .cloned()
                 .collect(),
-            cut,
-            spread: Spread::default(),
+            unreachable_zones,
+            spread: ZoneBalance::default(),
         };
         let rents = if bidding && !known {
             Vec::new()
         } else if bidding {
-            self.bid(asked, &coming, market)
+            self.bid(demand_bids, &booting_nodes, market)
         } else {
-            autoscaler::rent(&leader.board, &coming, &unmet, &market, now)
+            autoscaler::rent(
+                &leader.cluster_snapshot,
+                &booting_nodes,
+                &unmet,
+                &market,
+                now,
+            )
         };
         let Some(leader) = &self.leader else { return };
         // A new leader first learns what there is.
         let settled = leader.recovery.unresolved == 0
             && now.saturating_duration_since(leader.since) > self.settings.heartbeat_interval * 2;
         let returns = if settled {
-            autoscaler::give_back(&leader.board, &unmet, now, |id| self.idle_keep(leader, id))
+            autoscaler::scale_in(&leader.cluster_snapshot, &unmet, now, |id| {
+                self.idle_keep(leader, id)
+            })
         } else {
             Vec::new()
         };
@@ -810,13 +828,13 @@
                 .count()
         };
         let mut held = Resources::default();
-        let mut whole = Resources::default();
+        let mut total = Resources::default();
         for m in leader.machines.values().filter(|m| m.incarnation > 0) {
             for t in m.tasks.values() {
                 held.add(&t.resources);
             }
             if let Some(t) = self.machine_types.iter().find(|t| t.name == m.machine_type) {
-                whole.add(&t.room());
+                total.add(&t.room());
             }
         }
         let waiting: usize = leader.job_runs.values().map(|r| r.queued.len()).sum();
@@ -827,7 +845,7 @@
             count(&|m| m.incarnation > 0 && m.tasks.is_empty()),
             count(&|m| m.incarnation == 0),
             held.cpus,
-            whole.cpus,
+            total.cpus,
             tasks(&|t| t.runs()),
             tasks(&|t| !t.runs()),
             leader.job_runs.len(),
@@ -856,16 +874,16 @@
             boot: t.map_or(0.0, |t| t.boot_s),
             pause: leader.scheduler.arrivals.pause(),
         };
-        let s = self.policy.machine_number(Entry::IdleKeep, &facts);
+        let s = self.policy.machine_number(Entry::IdleTimeout, &facts);
         Duration::from_secs_f64(s.clamp(0.0, 1e7))
     }
 
     /// Machines that were asked for and not named yet.
-    fn coming(&self, leader: &LeaderState) -> Vec<Coming> {
+    fn booting_nodes(&self, leader: &LeaderState) -> Vec<BootingNodes> {
         let rents = leader.cloud.scale_outs.values();
-        let coming = rents.filter_map(|op| {
+        let booting_nodes = rents.filter_map(|op| {
             let t = self.type_of(&op.body.machine_type)?;
-            Some(Coming {
+            Some(BootingNodes {
                 offer: (
                     op.body.machine_type.clone(),
                     op.body.zone.clone(),
@@ -876,23 +894,27 @@
                 ready_in: Duration::from_secs_f64(t.boot_s.min(1e6)),
             })
         });
-        coming.collect()
+        booting_nodes.collect()
     }
 
     /// Offers that are too dear for a job. Work on idle time is not worth machines that cost a
     /// multiple of others, neither renting them nor keeping them from being returned.
-    fn shunned(&self, job: &JobRecord, facts: &JobFacts) -> Vec<Offer> {
-        let times = self.policy.number(Entry::Dearest, facts);
+    fn quarantined(&self, job: &JobRecord, facts: &JobFacts) -> Vec<Offer> {
+        let times = self.policy.number(Entry::MaxPriceRatio, facts);
         if times >= ANY_PRICE {
             return Vec::new();
         }
-        autoscaler::too_dear(&self.machine_types, &job.spec, times.max(1.0))
+        autoscaler::overpriced_offers(&self.machine_types, &job.spec, times.max(1.0))
     }
 
     /// What waits for room, in the queue's order, within the teams' limits.
-    fn pending_demand(&self, view: &View, mut told: impl FnMut(&QueueEntry, &Unmet)) -> Vec<Unmet> {
+    fn pending_demand(
+        &self,
+        view: &View,
+        mut on_start: impl FnMut(&QueueEntry, &PendingDemand),
+    ) -> Vec<PendingDemand> {
         let leader = view.leader;
-        let teams = self.team_use(leader, &leader.board);
+        let teams = self.team_usage(leader, &leader.cluster_snapshot);
         let mut spare: Vec<f64> = teams
             .iter()
             .map(|t| t.cpus_max.map_or(f64::INFINITY, |m| m - t.cpus))
@@ -929,7 +951,7 @@
                 Duration::from_secs_f64(s.max(fastest * 0.6).clamp(0.0, 1e6))
             };
             if tasks > 0 {
-                let unmet = Unmet {
+                let unmet = PendingDemand {
                     spec: spec.clone(),
                     rank: entry.rank,
                     tasks,
@@ -938,11 +960,11 @@
                         JobKind::Service | JobKind::Gang => Duration::MAX / 4,
                         JobKind::Array => entry.estimate,
                     },
-                    patience: patience(Entry::Patience),
-                    spot_patience: patience(Entry::SpotPatience),
-                    shunned: self.shunned(entry.job, &entry.facts),
+                    patience: patience(Entry::MaxWait),
+                    spot_patience: patience(Entry::MaxSpotWait),
+                    quarantined: self.quarantined(entry.job, &entry.facts),
                 };
-                told(&entry, &unmet);
+                on_start(&entry, &unmet);
                 out.push(unmet);
             }
         }
@@ -953,7 +975,12 @@
     pub(in crate::core) fn refused_offers(&self) -> Vec<Offer> {
         let now = self.now.mono;
         self.leader.as_ref().map_or(Vec::new(), |l| {
-            l.scheduler.bidding.beliefs.refused(now).cloned().collect()
+            l.scheduler
+                .bidding
+                .estimates
+                .refused(now)
+                .cloned()
+                .collect()
         })
     }
 }
--- a/src/core/workers/commands.rs
+++ b/src/core/workers/commands.rs
@@ -172,7 +172,7 @@
         let Some(until) = self.leader_until() else {
             return;
         };
-        self.refresh_board();
+        self.refresh_snapshot();
         let Some(leader) = &mut self.leader else {
             return;
         };
--- a/src/core/workers/heartbeats.rs
+++ b/src/core/workers/heartbeats.rs
@@ -232,8 +232,8 @@
                 leader
                     .scheduler
                     .bidding
-                    .beliefs
-                    .came_up(&t.name, announced, took);
+                    .estimates
+                    .record_boot(&t.name, announced, took);
             }
         }
         let noticed = m.reclaim_at.is_none() && heartbeat.reclaim_in_s.is_some();
@@ -264,7 +264,7 @@
         let untaken = answered && m.start_unconfirmed && m.failed_calls > 0;
         if noticed {
             let offer = (m.machine_type.clone(), m.zone.clone(), m.spot);
-            leader.scheduler.bidding.beliefs.lost(&offer, 1, now);
+            leader.scheduler.bidding.estimates.lost(&offer, 1, now);
         }
         if answered {
             m.start_unconfirmed = false;
--- a/src/planning/autoscaler.rs
+++ b/src/planning/autoscaler.rs
@@ -1,16 +1,16 @@
 //! Renting and returning: from the board and what waits to calls on the cloud. Pure.
 
 use crate::job::{JobSpec, MachineId};
-use crate::planning::capacity_forecast::{Coming, Unmet, lay_out};
-use crate::planning::cluster_snapshot::{Board, Offer};
+use crate::planning::capacity_forecast::{BootingNodes, PendingDemand, unserved_demand};
+use crate::planning::cluster_snapshot::{ClusterSnapshot, Offer};
 use crate::wire::MachineType;
-use burlusher_market::Spread;
+use burlusher_market::ZoneBalance;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
 /// Offers whose price per task is more than `times` the lowest that the job could have, whether
 /// that one is to be had now or not.
-pub fn too_dear(types: &[MachineType], spec: &JobSpec, times: f64) -> Vec<Offer> {
+pub fn overpriced_offers(types: &[MachineType], spec: &JobSpec, times: f64) -> Vec<Offer> {
     let mut offers: Vec<(f64, Offer)> = Vec::new();
     for t in types.iter().filter(|t| spec.allows_type(&t.name)) {
         let fit = spec.resources.count_in(&t.room());
@@ -31,18 +31,18 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Market {
+pub struct OfferMarket {
     pub types: Vec<MachineType>,
     /// Offers that were refused a short while ago.
     pub refused: Vec<Offer>,
     /// Zones whose machines cannot be reached now.
-    pub cut: Vec<String>,
+    pub unreachable_zones: Vec<String>,
     /// What each zone holds, and how far beyond its part it may go before it counts as dearer.
-    pub spread: Spread,
+    pub spread: ZoneBalance,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Rent {
+pub struct ScaleOut {
     pub offer: Offer,
     pub count: u32,
 }
@@ -53,29 +53,36 @@
 /// Which machines to rent so that no waiting task waits longer than its job's patience: spot ones
 /// first, for those that may use them and would wait longer than is worth one of these.
 pub fn rent(
-    board: &Board,
-    coming: &[Coming],
-    unmet: &[Unmet],
-    market: &Market,
+    snapshot: &ClusterSnapshot,
+    booting_nodes: &[BootingNodes],
+    unmet: &[PendingDemand],
+    market: &OfferMarket,
     now: Instant,
-) -> Vec<Rent> {
-    let sooner = |u: &Unmet| u.spec.spot && u.spot_patience < u.patience;
-    let mut out = spot_first(board, coming, unmet, market, now, sooner);
-    let with_those = with(coming, &out, &market.types);
-    for (u, left) in lay_out(board, &with_those, unmet, now, &market.cut, |u| u.patience) {
-        shop(u, left, market, false, &mut out);
+) -> Vec<ScaleOut> {
+    let sooner = |u: &PendingDemand| u.spec.spot && u.spot_patience < u.patience;
+    let mut out = scale_out_spot(snapshot, booting_nodes, unmet, market, now, sooner);
+    let with_those = with_scale_outs(booting_nodes, &out, &market.types);
+    for (u, left) in unserved_demand(
+        snapshot,
+        &with_those,
+        unmet,
+        now,
+        &market.unreachable_zones,
+        |u| u.patience,
+    ) {
+        choose_cheapest(u, left, market, false, &mut out);
     }
-    in_requests(out)
+    split_into_requests(out)
 }
 
 /// Spot machines for those of the work that would wait longer than is worth one of these.
-pub fn spot_first(
-    board: &Board,
-    coming: &[Coming],
-    unmet: &[Unmet],
-    market: &Market,
+pub fn scale_out_spot(
+    snapshot: &ClusterSnapshot,
+    booting_nodes: &[BootingNodes],
+    unmet: &[PendingDemand],
+    market: &OfferMarket,
     now: Instant,
-    sooner: impl Fn(&Unmet) -> bool,
+    sooner: impl Fn(&PendingDemand) -> bool,
 ) -> BTreeMap<Offer, u32> {
     let mut out: BTreeMap<Offer, u32> = BTreeMap::new();
     // Laying out a long queue is the larger part of the work: not where no spot machine is to be
@@ -86,31 +93,38 @@
         t.zones.iter().any(open)
     });
     if offered && unmet.iter().any(&sooner) {
-        let patience = |u: &Unmet| {
+        let patience = |u: &PendingDemand| {
             if sooner(u) {
                 u.spot_patience
             } else {
                 u.patience
             }
         };
-        let short = lay_out(board, coming, unmet, now, &market.cut, patience);
+        let short = unserved_demand(
+            snapshot,
+            booting_nodes,
+            unmet,
+            now,
+            &market.unreachable_zones,
+            patience,
+        );
         for (u, left) in short.into_iter().filter(|(u, _)| sooner(u)) {
-            shop(u, left, market, true, &mut out);
+            choose_cheapest(u, left, market, true, &mut out);
         }
     }
     out
 }
 
 /// What is on its way when these are asked for as well.
-pub fn with(
-    coming: &[Coming],
+pub fn with_scale_outs(
+    booting_nodes: &[BootingNodes],
     wanted: &BTreeMap<Offer, u32>,
     types: &[MachineType],
-) -> Vec<Coming> {
-    let mut all = coming.to_vec();
+) -> Vec<BootingNodes> {
+    let mut all = booting_nodes.to_vec();
     for (offer, count) in wanted {
         if let Some(t) = types.iter().find(|t| t.name == offer.0) {
-            all.push(Coming {
+            all.push(BootingNodes {
                 offer: offer.clone(),
                 room: t.room(),
                 count: *count,
@@ -122,13 +136,13 @@
 }
 
 /// As many requests as it takes, each of no more machines than one may name.
-pub fn in_requests(wanted: BTreeMap<Offer, u32>) -> Vec<Rent> {
+pub fn split_into_requests(wanted: BTreeMap<Offer, u32>) -> Vec<ScaleOut> {
     let mut rents = Vec::new();
     for (offer, mut count) in wanted {
         while count > 0 {
             let part = count.min(MAX_MACHINES_PER_REQUEST);
             let offer = offer.clone();
-            rents.push(Rent { offer, count: part });
+            rents.push(ScaleOut { offer, count: part });
             count -= part;
         }
     }
@@ -136,10 +150,10 @@
 }
 
 /// Picks the offers that carry `left` tasks of a job for the least money.
-pub fn shop(
-    u: &Unmet,
+pub fn choose_cheapest(
+    u: &PendingDemand,
     mut left: u32,
-    market: &Market,
+    market: &OfferMarket,
     only_spot: bool,
     out: &mut BTreeMap<Offer, u32>,
 ) {
@@ -156,10 +170,10 @@
         // A large machine is paid for until its last task ends.
         let bulk = 1.0 + 0.02 * f64::from(fit.min(16) - 1);
         for zone in &t.zones {
-            if !u.spec.allows_zone(zone) || market.cut.contains(zone) {
+            if !u.spec.allows_zone(zone) || market.unreachable_zones.contains(zone) {
                 continue;
             }
-            let far = market.spread.factor(zone);
+            let far = market.spread.price_factor(zone);
             for spot in [true, false] {
                 let price = if spot { t.spot_price } else { Some(t.price) };
                 let offer = (t.name.clone(), zone.clone(), spot);
@@ -167,7 +181,7 @@
                     && (u.spec.spot || !spot)
                     && (spot || !only_spot)
                     && !market.refused.contains(&offer)
-                    && !u.shunned.contains(&offer)
+                    && !u.quarantined.contains(&offer)
                 {
                     offers.push((price * far / useful * bulk, fit, offer));
                 }
@@ -189,27 +203,27 @@
 }
 
 /// Machines that have idled longer than `keep` and are not wanted.
-pub fn give_back(
-    board: &Board,
-    unmet: &[Unmet],
+pub fn scale_in(
+    snapshot: &ClusterSnapshot,
+    unmet: &[PendingDemand],
     now: Instant,
     keep: impl Fn(&MachineId) -> Duration,
 ) -> Vec<MachineId> {
-    let idle = |slot: &usize| {
-        let h = board.host(*slot);
+    let idle = |node_index: &usize| {
+        let h = snapshot.node(*node_index);
         let idle = h.idle_since.map(|t| now.saturating_duration_since(t));
         idle.is_some_and(|d| d > keep(&h.id))
     };
-    let unwanted = |slot: &usize| {
-        let (h, class) = (board.host(*slot), board.class_of(*slot));
+    let unwanted = |node_index: &usize| {
+        let (h, class) = (snapshot.node(*node_index), snapshot.class_of(*node_index));
         !unmet
             .iter()
             .any(|u| u.takes(&class.offer) && u.spec.resources.fits(&h.free))
     };
-    board
+    snapshot
         .idle()
         .filter(idle)
         .filter(unwanted)
-        .map(|slot| board.host(slot).id.clone())
+        .map(|node_index| snapshot.node(node_index).id.clone())
         .collect()
 }
--- a/src/planning/backfill.rs
+++ b/src/planning/backfill.rs
@@ -5,7 +5,9 @@
 //! later entries that fills the free room best without delaying that reservation.
 
 use crate::job::{JobSpec, Priority, Resources, TaskId};
-use crate::planning::cluster_snapshot::{Board, Class, ImageTag, Offer, Use};
+use crate::planning::cluster_snapshot::{
+    ClusterSnapshot, ImageTag, MachineClass, NodeUsage, Offer,
+};
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::sync::Arc;
@@ -19,7 +21,7 @@
 
 /// A job with queued entries. Jobs come in the order of the queue.
 #[derive(Clone)]
-pub struct Waiting<'a> {
+pub struct QueuedJob<'a> {
     pub spec: Arc<JobSpec>,
     /// What it counts as where work of lower rank may be stopped for it.
     pub rank: Priority,
@@ -29,9 +31,9 @@
     pub queued: &'a BTreeSet<u32>,
     pub held: &'a BTreeMap<u32, Instant>,
     /// It starts with all of its tasks or not at all.
-    pub whole: bool,
+    pub all_or_nothing: bool,
     /// It is only tried: one of its rows is started.
-    pub probe: bool,
+    pub single_trial: bool,
     /// Expected run time of a task.
     pub estimate: Duration,
     /// Tasks of this job that hold room already, by zone; only kept where its zones are bound.
@@ -43,16 +45,16 @@
     /// Whether its head may stop others to get room.
     pub may_preempt: bool,
     /// What settles ties between sets of the same size.
-    pub merit: f32,
+    pub priority_weight: f32,
     /// Machines that cost more than the job is worth.
-    pub shunned: Vec<Offer>,
+    pub quarantined: Vec<Offer>,
 }
 
-impl<'a> Waiting<'a> {
+impl<'a> QueuedJob<'a> {
     /// Rows that may be started now.
     fn rows(&self, now: Instant) -> impl Iterator<Item = u32> + 'a {
         let (queued, held) = (self.queued, self.held);
-        let most = if self.probe && !self.whole {
+        let most = if self.single_trial && !self.all_or_nothing {
             1
         } else {
             usize::MAX
@@ -66,7 +68,7 @@
 
     /// Tasks per entry.
     fn per_entry(&self) -> u32 {
-        if self.whole {
+        if self.all_or_nothing {
             self.queued.len() as u32
         } else {
             1
@@ -74,8 +76,8 @@
     }
 
     /// Whether the job may, and is to, use machines of this class.
-    fn takes(&self, class: &Class) -> bool {
-        class.allowed(&self.spec) && !self.shunned.contains(&class.offer)
+    fn takes(&self, class: &MachineClass) -> bool {
+        class.allowed(&self.spec) && !self.quarantined.contains(&class.offer)
     }
 
     fn bound_to_zones(&self) -> bool {
@@ -95,7 +97,7 @@
 
 /// What a team uses and may use.
 #[derive(Clone, Debug, Default)]
-pub struct TeamUse {
+pub struct TeamUsage {
     pub cpus: f64,
     pub gpus: f64,
     pub cpus_max: Option<f64>,
@@ -105,7 +107,7 @@
     pub gpus_own: f64,
 }
 
-impl TeamUse {
+impl TeamUsage {
     fn takes(&self, needs: &Resources, n: u32) -> bool {
         let within = |used: f64, more: f64, max: Option<f64>| {
             max.is_none_or(|m| used + more * f64::from(n) <= m + 1e-6)
@@ -120,16 +122,16 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Start {
+pub struct Assignment {
     pub job: usize,
     pub row: u32,
     /// The machine's slot on the board.
-    pub host: usize,
+    pub node_index: usize,
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Plan {
-    pub starts: Vec<Start>,
+pub struct SchedulingPlan {
+    pub starts: Vec<Assignment>,
     /// Tasks to stop, with their machines.
     pub stops: Vec<(usize, TaskId)>,
     /// The head's job, and when it may start, if it has to wait.
@@ -138,7 +140,7 @@
 
 /// Memory that is kept from one planning step to the next.
 #[derive(Default)]
-pub struct Scratch {
+pub struct KnapsackTables {
     now: Vec<Cell>,
     before: Vec<Cell>,
     taken: Vec<u64>,
@@ -148,22 +150,27 @@
 struct Cell {
     used: u16,
     shadow: u16,
-    merit: f32,
+    priority_weight: f32,
 }
 
 /// An entry as the dynamic program sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Candidate {
+pub struct KnapsackItem {
     pub size: usize,
     /// Room it still holds at the shadow time.
     pub shadow_size: usize,
-    pub merit: f32,
+    pub priority_weight: f32,
 }
 
 /// Algorithm 7 of the thesis (Max-Slowdown): the set with the greatest total size within `n`
 /// whose shadow sizes stay within `extra`; among equals, the least shadow size, then the greatest
 /// merit; where all are equal, the set closer to the head ("bypassed first").
-pub fn choose(items: &[Candidate], n: usize, extra: usize, scratch: &mut Scratch) -> Vec<usize> {
+pub fn select_items(
+    items: &[KnapsackItem],
+    n: usize,
+    extra: usize,
+    tables: &mut KnapsackTables,
+) -> Vec<usize> {
     let size: usize = items.iter().map(|i| i.size).sum();
     let shadow: usize = items.iter().map(|i| i.shadow_size).sum();
     if size <= n && shadow <= extra {
@@ -173,46 +180,47 @@
     let (n, extra) = (n.min(size), extra.min(shadow).min(n));
     let width = extra + 1;
     let cells = (n + 1) * width;
-    scratch.before.clear();
-    scratch.before.resize(cells, Cell::default());
-    scratch.now.clear();
-    scratch.now.resize(cells, Cell::default());
+    tables.before.clear();
+    tables.before.resize(cells, Cell::default());
+    tables.now.clear();
+    tables.now.resize(cells, Cell::default());
     let words = cells.div_ceil(64);
-    scratch.taken.clear();
-    scratch.taken.resize(words * items.len(), 0);
+    tables.taken.clear();
+    tables.taken.resize(words * items.len(), 0);
     for (i, item) in items.iter().enumerate() {
-        let taken = &mut scratch.taken[i * words..(i + 1) * words];
+        let taken = &mut tables.taken[i * words..(i + 1) * words];
         for j in 0..=n {
             for k in 0..width {
                 let at = j * width + k;
-                let skip = scratch.before[at];
-                scratch.now[at] = skip;
+                let skip = tables.before[at];
+                tables.now[at] = skip;
                 if item.size > j || item.shadow_size > k || item.size == 0 {
                     continue;
                 }
-                let from = scratch.before[(j - item.size) * width + (k - item.shadow_size)];
+                let from = tables.before[(j - item.size) * width + (k - item.shadow_size)];
                 let take = Cell {
                     used: from.used + item.size as u16,
                     shadow: from.shadow + item.shadow_size as u16,
-                    merit: from.merit + item.merit,
+                    priority_weight: from.priority_weight + item.priority_weight,
                 };
                 let better = take.used > skip.used
                     || (take.used == skip.used
                         && (take.shadow < skip.shadow
-                            || (take.shadow == skip.shadow && take.merit > skip.merit)));
+                            || (take.shadow == skip.shadow
+                                && take.priority_weight > skip.priority_weight)));
                 if better {
-                    scratch.now[at] = take;
+                    tables.now[at] = take;
                     taken[at / 64] |= 1 << (at % 64);
                 }
             }
         }
-        std::mem::swap(&mut scratch.now, &mut scratch.before);
+        std::mem::swap(&mut tables.now, &mut tables.before);
     }
     let (mut j, mut k) = (n, extra);
     let mut chosen = Vec::new();
     for i in (0..items.len()).rev() {
         let at = j * width + k;
-        if scratch.taken[i * words + at / 64] >> (at % 64) & 1 == 1 {
+        if tables.taken[i * words + at / 64] >> (at % 64) & 1 == 1 {
             chosen.push(i);
             j -= items[i].size;
             k -= items[i].shadow_size;
@@ -224,129 +232,137 @@
 
 /// What it is worth, in seconds, to leave ordinary machines to work that needs them, and to let
 /// them empty, since they cost a multiple of spot ones.
-const ORDINARY_COST: f64 = 15.0;
+const ON_DEMAND_PENALTY_S: f64 = 15.0;
 /// What it is worth to leave the largest machine empty instead of a tiny one: it is paid for until
 /// its last task ends.
-const SIZE_COST: f64 = 2.0;
+const MACHINE_SIZE_PENALTY_S: f64 = 2.0;
 /// For longer work, the first weighs more and the wait for an image less.
-const USUAL_S: f64 = 15.0;
+const REFERENCE_RUNTIME_S: f64 = 15.0;
 
 /// How a job looks at machines: which classes it may use, and what each of their machines costs
 /// it beside what that machine itself adds.
-struct Taste {
+struct NodeScoring {
     allowed: Vec<Option<f64>>,
     fetch_s: Vec<f64>,
 }
 
-impl Taste {
-    fn new(board: &Board, w: &Waiting) -> Taste {
-        let largest = board.largest();
-        let length = w.estimate.as_secs_f64().max(1.0) / USUAL_S;
-        let cost = |c: &Class| {
+impl NodeScoring {
+    fn new(snapshot: &ClusterSnapshot, w: &QueuedJob) -> NodeScoring {
+        let largest = snapshot.largest();
+        let length = w.estimate.as_secs_f64().max(1.0) / REFERENCE_RUNTIME_S;
+        let cost = |c: &MachineClass| {
             let ordinary = w.spec.spot && !c.offer.2;
-            let cost = if ordinary { ORDINARY_COST } else { 0.0 };
-            let size = SIZE_COST * c.room.share_of(&largest).min(1.0);
+            let cost = if ordinary { ON_DEMAND_PENALTY_S } else { 0.0 };
+            let size = MACHINE_SIZE_PENALTY_S * c.room.share_of(&largest).min(1.0);
             w.takes(c).then(|| cost + size * length.clamp(0.5, 4.0))
         };
-        let fetch =
-            |c: &Class| w.spec.image_gb / c.fetch_gb_per_s.max(0.01) / length.clamp(1.0, 4.0);
-        Taste {
-            allowed: board.classes.iter().map(cost).collect(),
-            fetch_s: board.classes.iter().map(fetch).collect(),
+        let fetch = |c: &MachineClass| {
+            w.spec.image_gb / c.fetch_gb_per_s.max(0.01) / length.clamp(1.0, 4.0)
+        };
+        NodeScoring {
+            allowed: snapshot.classes.iter().map(cost).collect(),
+            fetch_s: snapshot.classes.iter().map(fetch).collect(),
         }
     }
 
     /// The cost of one more task on this machine, in seconds; `None` where it may not or cannot
     /// go. Warm images first, then spot machines for work that may use them, then the fullest
     /// machine, so that others empty and can be returned.
-    fn cost(&self, board: &Board, w: &Waiting, slot: usize) -> Option<f64> {
-        let h = board.host(slot);
+    fn cost(&self, snapshot: &ClusterSnapshot, w: &QueuedJob, node_index: usize) -> Option<f64> {
+        let h = snapshot.node(node_index);
         let mut cost = self.allowed[h.class]?;
-        if h.usage != Use::Open || !w.spec.resources.fits(&h.free) {
+        if h.usage != NodeUsage::Open || !w.spec.resources.fits(&h.free) {
             return None;
         }
-        let class = &board.classes[h.class];
+        let class = &snapshot.classes[h.class];
         if !w.zone_allows(&class.offer.1) {
             return None;
         }
         if !h.images.contains(&w.image) {
             cost += self.fetch_s[h.class] * (1.0 + h.fetching as f64);
         }
-        if w.avoid.contains(&slot) {
+        if w.avoid.contains(&node_index) {
             cost += 1000.0;
         }
-        Some(cost + h.doubt + 0.5 * h.free.share_of(&class.room).min(1.0))
+        Some(cost + h.distrust_s + 0.5 * h.free.share_of(&class.room).min(1.0))
     }
 }
 
 /// Machines by what they cost a job, the cheapest first; among equals the first on the board.
 #[derive(PartialEq)]
-struct Bid {
+struct ScoredNode {
     cost: f64,
-    slot: usize,
+    node_index: usize,
 }
 
-impl Eq for Bid {}
+impl Eq for ScoredNode {}
 
-impl Ord for Bid {
-    fn cmp(&self, other: &Bid) -> Ordering {
+impl Ord for ScoredNode {
+    fn cmp(&self, other: &ScoredNode) -> Ordering {
         // The heap gives the greatest first.
-        (other.cost.total_cmp(&self.cost)).then(other.slot.cmp(&self.slot))
+        (other.cost.total_cmp(&self.cost)).then(other.node_index.cmp(&self.node_index))
     }
 }
 
-impl PartialOrd for Bid {
-    fn partial_cmp(&self, other: &Bid) -> Option<Ordering> {
+impl PartialOrd for ScoredNode {
+    fn partial_cmp(&self, other: &ScoredNode) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
 /// Finds machines for the tasks of one job, one after the other. Each machine is looked at once,
 /// and again after it was given a task.
-struct Finder {
-    taste: Taste,
-    heap: BinaryHeap<Bid>,
+struct NodeFinder {
+    taste: NodeScoring,
+    heap: BinaryHeap<ScoredNode>,
 }
 
-impl Finder {
-    fn new(board: &mut Board, hosts: &[usize], w: &Waiting) -> Finder {
-        let taste = Taste::new(board, w);
-        board.look(hosts.len());
-        let bid = |&slot: &usize| {
-            let cost = taste.cost(board, w, slot)?;
-            Some(Bid { cost, slot })
+impl NodeFinder {
+    fn new(snapshot: &mut ClusterSnapshot, nodes: &[usize], w: &QueuedJob) -> NodeFinder {
+        let taste = NodeScoring::new(snapshot, w);
+        snapshot.count_inspected(nodes.len());
+        let bid = |&node_index: &usize| {
+            let cost = taste.cost(snapshot, w, node_index)?;
+            Some(ScoredNode { cost, node_index })
         };
-        let heap = hosts.iter().filter_map(bid).collect();
-        Finder { taste, heap }
+        let heap = nodes.iter().filter_map(bid).collect();
+        NodeFinder { taste, heap }
     }
 
     /// Places one more task; what was taken is told to the board, the job and its team. The flag
     /// says whether the machine has to fetch the image for it.
     fn place(
         &mut self,
-        board: &mut Board,
-        w: &mut Waiting,
-        teams: &mut [TeamUse],
-        allowed: &dyn Fn(&Board, usize) -> bool,
+        snapshot: &mut ClusterSnapshot,
+        w: &mut QueuedJob,
+        teams: &mut [TeamUsage],
+        allowed: &dyn Fn(&ClusterSnapshot, usize) -> bool,
     ) -> Option<(usize, bool)> {
         while let Some(bid) = self.heap.pop() {
             // Its zone may have become full since the machine was looked at.
-            if !w.zone_allows(board.zone_of(bid.slot)) || !allowed(board, bid.slot) {
+            if !w.zone_allows(snapshot.zone_of(bid.node_index))
+                || !allowed(snapshot, bid.node_index)
+            {
                 continue;
             }
-            let fetches = take(board, w, teams, bid.slot);
-            if let Some(cost) = self.taste.cost(board, w, bid.slot) {
-                self.heap.push(Bid { cost, ..bid });
+            let fetches = take(snapshot, w, teams, bid.node_index);
+            if let Some(cost) = self.taste.cost(snapshot, w, bid.node_index) {
+                self.heap.push(ScoredNode { cost, ..bid });
             }
-            return Some((bid.slot, fetches));
+            return Some((bid.node_index, fetches));
         }
         None
     }
 }
 
-fn take(board: &mut Board, w: &mut Waiting, teams: &mut [TeamUse], slot: usize) -> bool {
-    board.look(1);
-    let h = board.host_mut(slot);
+fn take(
+    snapshot: &mut ClusterSnapshot,
+    w: &mut QueuedJob,
+    teams: &mut [TeamUsage],
+    node_index: usize,
+) -> bool {
+    snapshot.count_inspected(1);
+    let h = snapshot.node_mut(node_index);
     h.free.sub(&w.spec.resources);
     let fetches = !h.images.contains(&w.image);
     if fetches {
@@ -354,7 +370,7 @@
         h.fetching += 1;
     }
     if w.bound_to_zones() {
-        let zone = board.zone_of(slot).to_string();
+        let zone = snapshot.zone_of(node_index).to_string();
         *w.zones.entry(zone).or_default() += 1;
     }
     teams[w.team].add(&w.spec.resources, 1.0);
@@ -363,27 +379,31 @@
 
 /// Places all of a job's rows, or none.
 fn place_whole(
-    board: &mut Board,
-    hosts: &[usize],
+    snapshot: &mut ClusterSnapshot,
+    nodes: &[usize],
     job: usize,
-    w: &mut Waiting,
-    teams: &mut [TeamUse],
+    w: &mut QueuedJob,
+    teams: &mut [TeamUsage],
     now: Instant,
-    allowed: &dyn Fn(&Board, usize) -> bool,
-) -> Option<Vec<Start>> {
+    allowed: &dyn Fn(&ClusterSnapshot, usize) -> bool,
+) -> Option<Vec<Assignment>> {
     let saved = (w.zones.clone(), teams.to_vec());
     let mut undo = Vec::new();
     let mut starts = Vec::new();
-    let mut finder = Finder::new(board, hosts, w);
+    let mut finder = NodeFinder::new(snapshot, nodes, w);
     for row in w.rows(now) {
-        match finder.place(board, w, teams, allowed) {
-            Some((host, fetches)) => {
-                undo.push((host, fetches));
-                starts.push(Start { job, row, host });
+        match finder.place(snapshot, w, teams, allowed) {
+            Some((node_index, fetches)) => {
+                undo.push((node_index, fetches));
+                starts.push(Assignment {
+                    job,
+                    row,
+                    node_index,
+                });
             }
             None => {
-                for (slot, fetches) in undo.into_iter().rev() {
-                    let h = board.host_mut(slot);
+                for (node_index, fetches) in undo.into_iter().rev() {
+                    let h = snapshot.node_mut(node_index);
                     h.free.add(&w.spec.resources);
                     if fetches {
                         h.images.pop();
@@ -401,21 +421,21 @@
 
 /// The head's reservation: when it can start, and on which machines its tasks then go.
 #[derive(Default)]
-struct Shadow {
+struct Reservation {
     after: Duration,
     /// Room that ends by then free up, by machine.
     freed: BTreeMap<usize, Resources>,
     reserved: BTreeMap<usize, Resources>,
 }
 
-impl Shadow {
+impl Reservation {
     /// What a machine will have left at the shadow time beside the head's tasks.
-    fn left(&self, board: &Board, slot: usize) -> Resources {
-        let mut room = board.host(slot).free;
-        if let Some(more) = self.freed.get(&slot) {
+    fn left(&self, snapshot: &ClusterSnapshot, node_index: usize) -> Resources {
+        let mut room = snapshot.node(node_index).free;
+        if let Some(more) = self.freed.get(&node_index) {
             room.add(more);
         }
-        if let Some(kept) = self.reserved.get(&slot) {
+        if let Some(kept) = self.reserved.get(&node_index) {
             room.sub(kept);
         }
         room
@@ -424,35 +444,40 @@
 
 /// Walks the running tasks by remaining estimate, adding their room until first-fit places the
 /// head (section 3.2.1). Fitting is asked of machines, not of sums: a sum hides fragments.
-fn shadow(board: &Board, hosts: &[usize], w: &Waiting, now: Instant) -> Option<Shadow> {
+fn shadow(
+    snapshot: &ClusterSnapshot,
+    nodes: &[usize],
+    w: &QueuedJob,
+    now: Instant,
+) -> Option<Reservation> {
     let n = w.per_entry();
     let needs = &w.spec.resources;
-    let allowed: Vec<bool> = board.classes.iter().map(|c| w.takes(c)).collect();
-    let usable = |slot: usize| {
-        let h = board.host(slot);
-        h.usage == Use::Open && allowed[h.class]
+    let allowed: Vec<bool> = snapshot.classes.iter().map(|c| w.takes(c)).collect();
+    let usable = |node_index: usize| {
+        let h = snapshot.node(node_index);
+        h.usage == NodeUsage::Open && allowed[h.class]
     };
     // How many of its tasks go where; only machines with room for one are of interest.
     let mut places: BTreeMap<usize, u32> = BTreeMap::new();
     if n > 1 {
-        for &slot in hosts.iter().filter(|s| usable(**s)) {
-            places.insert(slot, needs.count_in(&board.host(slot).free));
+        for &node_index in nodes.iter().filter(|s| usable(**s)) {
+            places.insert(node_index, needs.count_in(&snapshot.node(node_index).free));
         }
     }
-    let mut s = Shadow::default();
-    for (at, slot, t) in board.ends(now) {
-        if !usable(slot) {
+    let mut s = Reservation::default();
+    for (at, node_index, t) in snapshot.ends(now) {
+        if !usable(node_index) {
             continue;
         }
-        s.freed.entry(slot).or_default().add(&t.needs);
-        let fit = needs.count_in(&s.left(board, slot));
-        if fit == 0 || fit == places.insert(slot, fit).unwrap_or(0) {
+        s.freed.entry(node_index).or_default().add(&t.needs);
+        let fit = needs.count_in(&s.left(snapshot, node_index));
+        if fit == 0 || fit == places.insert(node_index, fit).unwrap_or(0) {
             continue;
         }
-        if let Some(chosen) = spread(board, w, &places, n) {
+        if let Some(chosen) = spread(snapshot, w, &places, n) {
             s.after = at.saturating_duration_since(now);
-            for (slot, tasks) in chosen {
-                s.reserved.insert(slot, needs.times(f64::from(tasks)));
+            for (node_index, tasks) in chosen {
+                s.reserved.insert(node_index, needs.times(f64::from(tasks)));
             }
             return Some(s);
         }
@@ -462,8 +487,8 @@
 
 /// Which of `places` take `n` tasks of a job together, if they do.
 fn spread(
-    board: &Board,
-    w: &Waiting,
+    snapshot: &ClusterSnapshot,
+    w: &QueuedJob,
     places: &BTreeMap<usize, u32>,
     n: u32,
 ) -> Option<Vec<(usize, u32)>> {
@@ -471,8 +496,8 @@
         let mut left = n;
         let mut by_zone = w.zones.clone();
         let mut chosen = Vec::new();
-        for (&slot, &fit) in places {
-            let here = board.zone_of(slot);
+        for (&node_index, &fit) in places {
+            let here = snapshot.zone_of(node_index);
             if zone.is_some_and(|z| z != here) || (zone.is_none() && !w.zone_allows(here)) {
                 continue;
             }
@@ -483,7 +508,7 @@
                 *have += most;
             }
             if most > 0 {
-                chosen.push((slot, most));
+                chosen.push((node_index, most));
                 left -= most;
             }
             if left == 0 {
@@ -495,14 +520,14 @@
     if !w.spec.one_zone {
         return take(None);
     }
-    let zones: BTreeSet<&str> = places.keys().map(|s| board.zone_of(*s)).collect();
+    let zones: BTreeSet<&str> = places.keys().map(|s| snapshot.zone_of(*s)).collect();
     let mut allowed = zones.into_iter().filter(|z| w.zone_allows(z));
     allowed.find_map(|z| take(Some(z)))
 }
 
-fn units(room: &Resources, unit: f64, whole: &Resources) -> usize {
+fn units(room: &Resources, unit: f64, largest: &Resources) -> usize {
     let smallest = |x: f64, of: f64| if of > 0.0 { x / of } else { f64::INFINITY };
-    let share = smallest(room.cpus, whole.cpus).min(smallest(room.ram, whole.ram));
+    let share = smallest(room.cpus, largest.cpus).min(smallest(room.ram, largest.ram));
     if share.is_finite() {
         ((share + 1e-9) / unit).floor().max(0.0) as usize
     } else {
@@ -510,20 +535,20 @@
     }
 }
 
-fn anywhere(_: &Board, _: usize) -> bool {
+fn anywhere(_: &ClusterSnapshot, _: usize) -> bool {
     true
 }
 
 /// One planning step. The board's free room shows afterwards what the plan has taken; whoever
 /// carries it out puts the machines again.
 pub fn plan(
-    board: &mut Board,
-    queue: &mut [Waiting],
-    teams: &mut [TeamUse],
+    snapshot: &mut ClusterSnapshot,
+    queue: &mut [QueuedJob],
+    teams: &mut [TeamUsage],
     now: Instant,
-    scratch: &mut Scratch,
-) -> Plan {
-    let mut plan = Plan::default();
+    tables: &mut KnapsackTables,
+) -> SchedulingPlan {
+    let mut plan = SchedulingPlan::default();
     // Machines without room for even the smallest task need no further look.
     let Some(smallest) = queue
         .iter()
@@ -536,20 +561,20 @@
     else {
         return plan;
     };
-    let open: Vec<usize> = board.open().collect();
-    let hosts: Vec<usize> = open
+    let open: Vec<usize> = snapshot.open().collect();
+    let nodes: Vec<usize> = open
         .into_iter()
-        .filter(|&s| smallest.fits(&board.host(s).free))
+        .filter(|&s| smallest.fits(&snapshot.node(s).free))
         .collect();
     let mut head: Option<usize> = None;
     // Heads start one after the other as long as first-fit places them.
     'queue: for (job, w) in queue.iter_mut().enumerate() {
-        if w.whole {
+        if w.all_or_nothing {
             // A team at its limit waits for itself, not for room: it is no head.
             if !teams[w.team].takes(&w.spec.resources, w.per_entry()) {
                 continue;
             }
-            match place_whole(board, &hosts, job, w, teams, now, &anywhere) {
+            match place_whole(snapshot, &nodes, job, w, teams, now, &anywhere) {
                 Some(starts) => plan.starts.extend(starts),
                 None => {
                     head = Some(job);
@@ -563,9 +588,13 @@
             if !teams[w.team].takes(&w.spec.resources, 1) {
                 break;
             }
-            let finder = finder.get_or_insert_with(|| Finder::new(board, &hosts, w));
-            match finder.place(board, w, teams, &anywhere) {
-                Some((host, _)) => plan.starts.push(Start { job, row, host }),
+            let finder = finder.get_or_insert_with(|| NodeFinder::new(snapshot, &nodes, w));
+            match finder.place(snapshot, w, teams, &anywhere) {
+                Some((node_index, _)) => plan.starts.push(Assignment {
+                    job,
+                    row,
+                    node_index,
+                }),
                 None => {
                     head = Some(job);
                     break 'queue;
@@ -576,23 +605,23 @@
     let Some(head) = head else {
         return plan;
     };
-    let reservation = shadow(board, &hosts, &queue[head], now);
+    let reservation = shadow(snapshot, &nodes, &queue[head], now);
     plan.head = Some((head, reservation.as_ref().map(|s| s.after)));
     backfill(
-        board,
-        &hosts,
+        snapshot,
+        &nodes,
         queue,
         head,
         teams,
         now,
         reservation.as_ref(),
         &mut plan,
-        scratch,
+        tables,
     );
     let placed = plan.starts.iter().filter(|s| s.job == head).count();
     let waiting = queue[head].rows(now).count().saturating_sub(placed);
     preempt(
-        board,
+        snapshot,
         &mut queue[head],
         waiting,
         teams,
@@ -606,20 +635,20 @@
 /// Steps 2 to 5 for the entries behind the head.
 #[allow(clippy::too_many_arguments)]
 fn backfill(
-    board: &mut Board,
-    hosts: &[usize],
-    queue: &mut [Waiting],
+    snapshot: &mut ClusterSnapshot,
+    nodes: &[usize],
+    queue: &mut [QueuedJob],
     head: usize,
-    teams: &mut [TeamUse],
+    teams: &mut [TeamUsage],
     now: Instant,
-    reservation: Option<&Shadow>,
-    plan: &mut Plan,
-    scratch: &mut Scratch,
+    reservation: Option<&Reservation>,
+    plan: &mut SchedulingPlan,
+    tables: &mut KnapsackTables,
 ) {
-    let hosts: Vec<usize> = hosts
+    let nodes: Vec<usize> = nodes
         .iter()
         .copied()
-        .filter(|&s| board.host(s).free.cpus > 0.0)
+        .filter(|&s| snapshot.node(s).free.cpus > 0.0)
         .collect();
     // The first entries behind the head that fit, within their teams' limits. The head's other
     // tasks are as large as the one that did not fit.
@@ -628,10 +657,10 @@
     'jobs: for (job, w) in queue.iter().enumerate().skip(head + 1) {
         let needs = &w.spec.resources;
         let fits = |&s: &usize| {
-            let h = board.host(s);
-            needs.fits(&h.free) && w.takes(&board.classes[h.class])
+            let h = snapshot.node(s);
+            needs.fits(&h.free) && w.takes(&snapshot.classes[h.class])
         };
-        if !hosts.iter().any(fits) {
+        if !nodes.iter().any(fits) {
             continue;
         }
         let outlasts = match reservation {
@@ -646,8 +675,8 @@
                 break 'jobs;
             }
             use_with[w.team].add(needs, f64::from(w.per_entry()));
-            entries.push((job, (!w.whole).then_some(row), outlasts));
-            if w.whole {
+            entries.push((job, (!w.all_or_nothing).then_some(row), outlasts));
+            if w.all_or_nothing {
                 break;
             }
         }
@@ -655,22 +684,22 @@
     if entries.is_empty() {
         return;
     }
-    let whole = board.largest();
+    let largest = snapshot.largest();
     // An eighth of the largest machine at most; finer where these tasks are small, since with a
     // coarse unit small machines and rounded-up tasks would count as no room at all.
-    let size = |w: &Waiting, unit: f64| {
-        let share = w.spec.resources.share_of(&whole) * f64::from(w.per_entry());
+    let size = |w: &QueuedJob, unit: f64| {
+        let share = w.spec.resources.share_of(&largest) * f64::from(w.per_entry());
         ((share - 1e-9) / unit).ceil().max(1.0) as usize
     };
     let shares = entries
         .iter()
-        .map(|e| queue[e.0].spec.resources.share_of(&whole));
+        .map(|e| queue[e.0].spec.resources.share_of(&largest));
     let mut unit = shares
         .filter(|s| *s > 0.0)
         .fold(0.125, |u: f64, s| u.min(s / 4.0));
     let total = |unit: f64| -> usize {
-        let room = |&s: &usize| units(&board.host(s).free, unit, &whole);
-        hosts.iter().map(room).sum()
+        let room = |&s: &usize| units(&snapshot.node(s).free, unit, &largest);
+        nodes.iter().map(room).sum()
     };
     let wanted = |unit: f64| -> usize { entries.iter().map(|e| size(&queue[e.0], unit)).sum() };
     // No set uses more room than all entries together, so the tables need no more units.
@@ -686,37 +715,37 @@
         let gained: usize = s
             .freed
             .keys()
-            .map(|&slot| {
-                let now = board.host(slot).free;
+            .map(|&node_index| {
+                let now = snapshot.node(node_index).free;
                 let mut then = now;
-                then.add(&s.freed[&slot]);
-                units(&then, unit, &whole).saturating_sub(units(&now, unit, &whole))
+                then.add(&s.freed[&node_index]);
+                units(&then, unit, &largest).saturating_sub(units(&now, unit, &largest))
             })
             .sum();
         (n + gained).saturating_sub(size(&queue[head], unit))
     });
-    let items: Vec<Candidate> = entries
+    let items: Vec<KnapsackItem> = entries
         .iter()
         .map(|(job, _, outlasts)| {
             let size = size(&queue[*job], unit);
-            Candidate {
+            KnapsackItem {
                 size,
                 shadow_size: if *outlasts { size } else { 0 },
-                merit: queue[*job].merit,
+                priority_weight: queue[*job].priority_weight,
             }
         })
         .collect();
     // What is given to work that ends by the shadow time is there again for the head.
     let mut back: BTreeMap<usize, Resources> = BTreeMap::new();
-    for chosen in choose(&items, n, extra, scratch) {
+    for chosen in select_items(&items, n, extra, tables) {
         let (job, row, outlasts) = entries[chosen];
         let w = &mut queue[job];
         let needs = w.spec.resources;
         // The sums do not say which machine the head waits for; its place there is kept.
-        let allowed = |board: &Board, slot: usize| match reservation {
+        let allowed = |snapshot: &ClusterSnapshot, node_index: usize| match reservation {
             Some(s) if outlasts => {
-                let mut left = s.left(board, slot);
-                if let Some(b) = back.get(&slot) {
+                let mut left = s.left(snapshot, node_index);
+                if let Some(b) = back.get(&node_index) {
                     left.add(b);
                 }
                 needs.fits(&left)
@@ -725,14 +754,21 @@
         };
         let starts = match row {
             Some(row) => {
-                let found = Finder::new(board, &hosts, w).place(board, w, teams, &allowed);
-                found.map(|(host, _)| vec![Start { job, row, host }])
+                let found =
+                    NodeFinder::new(snapshot, &nodes, w).place(snapshot, w, teams, &allowed);
+                found.map(|(node_index, _)| {
+                    vec![Assignment {
+                        job,
+                        row,
+                        node_index,
+                    }]
+                })
             }
-            None => place_whole(board, &hosts, job, w, teams, now, &allowed),
+            None => place_whole(snapshot, &nodes, job, w, teams, now, &allowed),
         };
         for s in starts.into_iter().flatten() {
             if !outlasts {
-                back.entry(s.host).or_default().add(&needs);
+                back.entry(s.node_index).or_default().add(&needs);
             }
             plan.starts.push(s);
         }
@@ -745,7 +781,7 @@
 const MAX_PREEMPTED_TASKS: usize = 16;
 
 /// What could be stopped on one machine, the youngest first.
-struct Victims {
+struct PreemptionCandidates {
     free: Resources,
     tasks: Vec<(Duration, usize)>,
 }
@@ -753,37 +789,37 @@
 /// Stops work so that the head's job can start: of lower rank, or borrowed beyond a guarantee
 /// where the head is within its own. Per task the host with the least work at stake is chosen.
 fn preempt(
-    board: &Board,
-    w: &mut Waiting,
+    snapshot: &ClusterSnapshot,
+    w: &mut QueuedJob,
     waiting: usize,
-    teams: &mut [TeamUse],
+    teams: &mut [TeamUsage],
     now: Instant,
-    reservation: Option<&Shadow>,
-    plan: &mut Plan,
+    reservation: Option<&Reservation>,
+    plan: &mut SchedulingPlan,
 ) {
     if !w.may_preempt || reservation.is_some_and(|s| s.after <= SOON) {
         return;
     }
-    let borrows = |t: &TeamUse| t.cpus > t.cpus_own + 1e-6 || t.gpus > t.gpus_own + 1e-6;
+    let borrows = |t: &TeamUsage| t.cpus > t.cpus_own + 1e-6 || t.gpus > t.gpus_own + 1e-6;
     let owed = w.guaranteed && teams.iter().any(borrows);
     // Mostly there is nothing that could be stopped, and no machine need be looked at.
-    if !owed && !board.has_below(w.rank) {
+    if !owed && !snapshot.has_lower_priority(w.rank) {
         return;
     }
     let borrowed = if owed {
-        borrowed(board, teams, now)
+        borrowed(snapshot, teams, now)
     } else {
         BTreeSet::new()
     };
-    let mut at: BTreeMap<usize, Victims> = BTreeMap::new();
-    for (slot, h) in board.hosts() {
-        if h.usage != Use::Open || !w.takes(&board.classes[h.class]) {
+    let mut at: BTreeMap<usize, PreemptionCandidates> = BTreeMap::new();
+    for (node_index, h) in snapshot.nodes() {
+        if h.usage != NodeUsage::Open || !w.takes(&snapshot.classes[h.class]) {
             continue;
         }
-        if w.avoid.contains(&slot) {
+        if w.avoid.contains(&node_index) {
             continue;
         }
-        let mut v = Victims {
+        let mut v = PreemptionCandidates {
             free: h.free,
             tasks: Vec::new(),
         };
@@ -791,18 +827,20 @@
             if t.stopping {
                 // Room that earlier stops are about to free is spoken for by the head first.
                 v.free.add(&t.needs);
-            } else if t.key.job != w.spec.id && (t.rank > w.rank || borrowed.contains(&(slot, n))) {
-                v.tasks.push((t.at_stake(now), n));
+            } else if t.key.job != w.spec.id
+                && (t.rank > w.rank || borrowed.contains(&(node_index, n)))
+            {
+                v.tasks.push((t.lost_work(now), n));
             }
         }
         v.tasks.sort();
         if w.spec.resources.fits(&v.free) || !v.tasks.is_empty() {
-            at.insert(slot, v);
+            at.insert(node_index, v);
         }
     }
     // What must be stopped on a machine to fit one more task, and the work it throws away.
     let needs = w.spec.resources;
-    let price = |v: &Victims, h: &crate::planning::cluster_snapshot::Host| {
+    let price = |v: &PreemptionCandidates, h: &crate::planning::cluster_snapshot::Node| {
         let (mut room, mut loss, mut n) = (v.free, Duration::ZERO, 0);
         for (stake, task) in &v.tasks {
             if needs.fits(&room) {
@@ -816,60 +854,66 @@
     };
     let mut offers: BTreeSet<(Duration, usize, usize)> = at
         .iter()
-        .filter_map(|(&slot, v)| price(v, board.host(slot)).map(|(loss, n)| (loss, slot, n)))
+        .filter_map(|(&node_index, v)| {
+            price(v, snapshot.node(node_index)).map(|(loss, n)| (loss, node_index, n))
+        })
         .collect();
     let per = w.per_entry() as usize;
     let mut wanted = waiting.min(MAX_PREEMPTED_TASKS.max(per));
     while wanted > 0
         && teams[w.team].takes(&needs, 1)
-        && let Some((loss, slot, n)) = offers.pop_first()
+        && let Some((loss, node_index, n)) = offers.pop_first()
     {
-        if !w.zone_allows(board.zone_of(slot)) {
+        if !w.zone_allows(snapshot.zone_of(node_index)) {
             continue;
         }
         // Work is not thrown away to gain less time than was spent on it.
         if reservation.is_some_and(|s| s.after < loss * 3 + SOON) {
             break;
         }
-        let (h, Some(v)) = (board.host(slot), at.get_mut(&slot)) else {
+        let (h, Some(v)) = (snapshot.node(node_index), at.get_mut(&node_index)) else {
             break;
         };
         for (_, task) in v.tasks.drain(..n) {
             v.free.add(&h.tasks[task].needs);
-            plan.stops.push((slot, h.tasks[task].key.clone()));
+            plan.stops.push((node_index, h.tasks[task].key.clone()));
         }
         v.free.sub(&needs);
         teams[w.team].add(&needs, 1.0);
         if w.bound_to_zones() {
-            let zone = board.zone_of(slot).to_string();
+            let zone = snapshot.zone_of(node_index).to_string();
             *w.zones.entry(zone).or_default() += 1;
         }
         if let Some((loss, n)) = price(v, h) {
-            offers.insert((loss, slot, n));
+            offers.insert((loss, node_index, n));
         }
         wanted -= 1;
     }
 }
 
 /// What teams run beyond their guarantees: their youngest tasks.
-fn borrowed(board: &Board, teams: &[TeamUse], now: Instant) -> BTreeSet<(usize, usize)> {
+fn borrowed(
+    snapshot: &ClusterSnapshot,
+    teams: &[TeamUsage],
+    now: Instant,
+) -> BTreeSet<(usize, usize)> {
     let mut tasks: Vec<(Duration, usize, usize, usize)> = Vec::new();
-    for (slot, h) in board.hosts().filter(|(_, h)| h.usage == Use::Open) {
+    for (node_index, h) in snapshot.nodes().filter(|(_, h)| h.usage == NodeUsage::Open) {
         for (n, t) in h.tasks.iter().enumerate() {
             if let Some(team) = t.team {
-                tasks.push((t.at_stake(now), slot, n, team));
+                tasks.push((t.lost_work(now), node_index, n, team));
             }
         }
     }
     tasks.sort_by_key(|t| std::cmp::Reverse(t.0));
     let mut sums = vec![Resources::default(); teams.len()];
     let mut out = BTreeSet::new();
-    for (_, slot, n, team) in tasks {
-        sums[team].add(&board.host(slot).tasks[n].needs);
+    for (_, node_index, n, team) in tasks {
+        sums[team].add(&snapshot.node(node_index).tasks[n].needs);
         let over = sums[team].cpus > teams[team].cpus_own + 1e-6
             || sums[team].gpus > teams[team].gpus_own + 1e-6;
         if over {
-            out.insert((slot, n));
+            out.insert((node_index, n));
         }
     }
     out
--- a/src/planning/backfill/tests.rs
+++ b/src/planning/backfill/tests.rs
@@ -1,14 +1,14 @@
 use super::*;
 use crate::job::Priority;
-use crate::planning::cluster_snapshot::{Held, Host};
+use crate::planning::cluster_snapshot::{Node, RunningTask};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
-fn item(size: usize, shadow_size: usize) -> Candidate {
-    Candidate {
+fn item(size: usize, shadow_size: usize) -> KnapsackItem {
+    KnapsackItem {
         size,
         shadow_size,
-        merit: 1.0,
+        priority_weight: 1.0,
     }
 }
 
@@ -16,47 +16,51 @@
 #[test]
 fn the_thesis_example_fills_the_machine_from_the_head_of_the_queue() {
     let queue = [item(2, 0), item(1, 1), item(2, 2), item(3, 3)];
-    let mut s = Scratch::default();
+    let mut s = KnapsackTables::default();
     let used = |picked: &[usize]| picked.iter().map(|&i| queue[i].size).sum::<usize>();
-    let at_zero = choose(&queue, 5, 0, &mut s);
+    let at_zero = select_items(&queue, 5, 0, &mut s);
     assert_eq!(at_zero, [0]);
-    assert_eq!(used(&choose(&queue, 5, 1, &mut s)), 3);
-    assert_eq!(used(&choose(&queue, 5, 2, &mut s)), 4);
+    assert_eq!(used(&select_items(&queue, 5, 1, &mut s)), 3);
+    assert_eq!(used(&select_items(&queue, 5, 2, &mut s)), 4);
     // Figure 3.5: of the two sets that fill the machine, the one closer to the head.
-    assert_eq!(choose(&queue, 5, 3, &mut s), [0, 1, 2]);
+    assert_eq!(select_items(&queue, 5, 3, &mut s), [0, 1, 2]);
     // Cell (4,2,2): of two jobs that use all room, the one that leaves the shadow room.
-    assert_eq!(choose(&queue[..3], 2, 2, &mut s), [0]);
+    assert_eq!(select_items(&queue[..3], 2, 2, &mut s), [0]);
     // Section 3.5.1: a lookahead of three gives the same set.
-    assert_eq!(choose(&queue[..3], 5, 3, &mut s), [0, 1, 2]);
+    assert_eq!(select_items(&queue[..3], 5, 3, &mut s), [0, 1, 2]);
 }
 
 #[test]
 fn ties_go_to_the_greater_total_slowdown() {
     let mut queue = [item(3, 0), item(3, 0)];
-    queue[1].merit = 2.0;
-    assert_eq!(choose(&queue, 3, 0, &mut Scratch::default()), [1]);
+    queue[1].priority_weight = 2.0;
+    assert_eq!(
+        select_items(&queue, 3, 0, &mut KnapsackTables::default()),
+        [1]
+    );
 }
 
 #[test]
 fn the_program_agrees_with_exhaustive_search() {
     let mut rng = SmallRng::seed_from_u64(7);
-    let mut s = Scratch::default();
+    let mut s = KnapsackTables::default();
     for _ in 0..400 {
-        let items: Vec<Candidate> = (0..rng.random_range(1..9))
+        let items: Vec<KnapsackItem> = (0..rng.random_range(1..9))
             .map(|_| {
                 let size = rng.random_range(1..6);
-                Candidate {
+                KnapsackItem {
                     size,
                     shadow_size: if rng.random_bool(0.5) { size } else { 0 },
-                    merit: rng.random_range(1..5) as f32,
+                    priority_weight: rng.random_range(1..5) as f32,
                 }
             })
             .collect();
         let (n, extra) = (rng.random_range(0..14), rng.random_range(0..14));
         let value = |set: &[usize]| {
-            let sum = |f: fn(&Candidate) -> usize| set.iter().map(|&i| f(&items[i])).sum::<usize>();
-            let merit: f32 = set.iter().map(|&i| items[i].merit).sum();
-            (sum(|i| i.size), sum(|i| i.shadow_size), merit)
+            let sum =
+                |f: fn(&KnapsackItem) -> usize| set.iter().map(|&i| f(&items[i])).sum::<usize>();
+            let priority_weight: f32 = set.iter().map(|&i| items[i].priority_weight).sum();
+            (sum(|i| i.size), sum(|i| i.shadow_size), priority_weight)
         };
         let mut best = (0, 0, 0.0f32);
         for mask in 0u32..1 << items.len() {
@@ -70,7 +74,7 @@
                 best = v;
             }
         }
-        let got = value(&choose(&items, n, extra, &mut s));
+        let got = value(&select_items(&items, n, extra, &mut s));
         assert!(got.0 <= n && got.1 <= extra);
         assert_eq!((got.0, got.1), (best.0, best.1), "{items:?} {n} {extra}");
         let all_fit = items.iter().map(|i| i.size).sum::<usize>() <= n;
@@ -90,7 +94,7 @@
     rows: BTreeSet<u32>,
     held: BTreeMap<u32, Instant>,
     zones: BTreeMap<String, u32>,
-    whole: bool,
+    all_or_nothing: bool,
     guaranteed: bool,
     may_preempt: bool,
 }
@@ -100,7 +104,7 @@
         rows: (0..spec.tasks).collect(),
         held: BTreeMap::new(),
         zones: BTreeMap::new(),
-        whole: false,
+        all_or_nothing: false,
         guaranteed: false,
         may_preempt: false,
         spec,
@@ -108,23 +112,23 @@
 }
 
 impl Line {
-    fn waiting(&self) -> Waiting<'_> {
-        Waiting {
+    fn waiting(&self) -> QueuedJob<'_> {
+        QueuedJob {
             rank: self.spec.priority,
             spec: Arc::new(self.spec.clone()),
             image: 7,
             team: 0,
             queued: &self.rows,
             held: &self.held,
-            whole: self.whole,
-            probe: false,
+            all_or_nothing: self.all_or_nothing,
+            single_trial: false,
             estimate: self.spec.estimate,
             zones: self.zones.clone(),
             avoid: Vec::new(),
             guaranteed: self.guaranteed,
             may_preempt: self.may_preempt,
-            merit: 1.0,
-            shunned: Vec::new(),
+            priority_weight: 1.0,
+            quarantined: Vec::new(),
         }
     }
 }
@@ -137,29 +141,35 @@
     }
 }
 
-fn host(board: &mut Board, id: &str, zone: &str, cpus: f64, tasks: Vec<Held>) -> usize {
+fn node(
+    snapshot: &mut ClusterSnapshot,
+    id: &str,
+    zone: &str,
+    cpus: f64,
+    tasks: Vec<RunningTask>,
+) -> usize {
     let kind = format!("k{cpus}");
-    let class = board.class(&(kind, zone.into(), false), room(cpus), 1.0);
+    let class = snapshot.class(&(kind, zone.into(), false), room(cpus), 1.0);
     let mut free = room(cpus);
     for t in &tasks {
         free.sub(&t.needs);
     }
-    board.put(Host {
+    snapshot.put(Node {
         id: id.into(),
         class,
         free,
-        usage: Use::Open,
+        usage: NodeUsage::Open,
         images: vec![],
         fetching: 0,
-        doubt: 0.0,
+        distrust_s: 0.0,
         idle_since: None,
         tasks,
     });
-    board.slot(&id.into()).unwrap()
+    snapshot.node_index(&id.into()).unwrap()
 }
 
-fn held(cpus: f64, ends: Option<Instant>, since: Instant) -> Held {
-    Held {
+fn held(cpus: f64, ends: Option<Instant>, since: Instant) -> RunningTask {
+    RunningTask {
         key: TaskId {
             job: "wk-0".into(),
             index: cpus as u32,
@@ -167,16 +177,27 @@
         needs: room(cpus),
         ends,
         since: Some(since),
-        saves_in: None,
+        checkpoint_in: None,
         rank: Priority::Low,
         team: None,
         stopping: false,
     }
 }
 
-fn decide(board: &mut Board, lines: &[Line], team: TeamUse, now: Instant) -> Plan {
-    let mut queue: Vec<Waiting> = lines.iter().map(Line::waiting).collect();
-    plan(board, &mut queue, &mut [team], now, &mut Scratch::default())
+fn decide(
+    snapshot: &mut ClusterSnapshot,
+    lines: &[Line],
+    team: TeamUsage,
+    now: Instant,
+) -> SchedulingPlan {
+    let mut queue: Vec<QueuedJob> = lines.iter().map(Line::waiting).collect();
+    plan(
+        snapshot,
+        &mut queue,
+        &mut [team],
+        now,
+        &mut KnapsackTables::default(),
+    )
 }
 
 #[test]
@@ -189,10 +210,10 @@
         line(spec("wk-3", 1, 2.0, 100)),
         line(spec("wk-4", 1, 2.0, 20)),
     ];
-    let mut b = Board::default();
+    let mut b = ClusterSnapshot::default();
     let end = now + Duration::from_secs(30);
-    host(&mut b, "m", "a", 10.0, vec![held(6.0, Some(end), now)]);
-    let p = decide(&mut b, &queue, TeamUse::default(), now);
+    node(&mut b, "m", "a", 10.0, vec![held(6.0, Some(end), now)]);
+    let p = decide(&mut b, &queue, TeamUsage::default(), now);
     assert_eq!(p.head, Some((0, Some(Duration::from_secs(30)))));
     let jobs: Vec<usize> = p.starts.iter().map(|s| s.job).collect();
     assert_eq!(jobs, [2, 3]);
@@ -206,9 +227,9 @@
         line(spec("wk-2", 1, 4.0, 1000)),
     ];
     for ends in [None, Some(now - Duration::from_secs(1))] {
-        let mut b = Board::default();
-        host(&mut b, "m", "a", 10.0, vec![held(6.0, ends, now)]);
-        let p = decide(&mut b, &queue, TeamUse::default(), now);
+        let mut b = ClusterSnapshot::default();
+        node(&mut b, "m", "a", 10.0, vec![held(6.0, ends, now)]);
+        let p = decide(&mut b, &queue, TeamUsage::default(), now);
         assert_eq!(p.head, Some((0, None)));
         assert_eq!(p.starts.len(), 1);
     }
@@ -218,17 +239,17 @@
 fn zones_limits_and_whole_entries_are_kept() {
     let now = Instant::now();
     let fresh = || {
-        let mut b = Board::default();
-        let m = host(&mut b, "m", "a", 8.0, vec![]);
-        let n = host(&mut b, "n", "b", 3.0, vec![]);
+        let mut b = ClusterSnapshot::default();
+        let m = node(&mut b, "m", "a", 8.0, vec![]);
+        let n = node(&mut b, "n", "b", 3.0, vec![]);
         (b, m, n)
     };
-    let free = TeamUse::default;
+    let free = TeamUsage::default;
     let mut w = line(spec("wk-1", 6, 1.0, 10));
     w.spec.spread = true;
     let (mut b, m, _) = fresh();
     let p = decide(&mut b, std::slice::from_ref(&w), free(), now);
-    let in_a = p.starts.iter().filter(|s| s.host == m).count();
+    let in_a = p.starts.iter().filter(|s| s.node_index == m).count();
     assert_eq!((p.starts.len(), in_a), (6, 3));
 
     w.spec.spread = false;
@@ -236,15 +257,15 @@
     w.zones.insert("b".into(), 1);
     let (mut b, _, n) = fresh();
     let p = decide(&mut b, std::slice::from_ref(&w), free(), now);
-    assert!(p.starts.iter().all(|s| s.host == n));
+    assert!(p.starts.iter().all(|s| s.node_index == n));
     assert_eq!(p.starts.len(), 3);
 
     w.zones.clear();
     w.spec.one_zone = false;
-    let limited = TeamUse {
+    let limited = TeamUsage {
         cpus: 2.0,
         cpus_max: Some(4.0),
-        ..TeamUse::default()
+        ..TeamUsage::default()
     };
     let (mut b, _, _) = fresh();
     let p = decide(&mut b, std::slice::from_ref(&w), limited, now);
@@ -252,13 +273,13 @@
 
     // A job that starts whole starts with all of its tasks or not at all.
     let mut gang = line(spec("wk-2", 12, 1.0, 10));
-    gang.whole = true;
+    gang.all_or_nothing = true;
     let (mut b, m, _) = fresh();
     let p = decide(&mut b, std::slice::from_ref(&gang), free(), now);
     assert!(p.starts.is_empty());
     // Nothing is left behind of the attempt.
-    assert_eq!(b.host(m).free, room(8.0));
-    assert!(b.host(m).images.is_empty() && b.host(m).fetching == 0);
+    assert_eq!(b.node(m).free, room(8.0));
+    assert!(b.node(m).images.is_empty() && b.node(m).fetching == 0);
     gang.rows = (0..11).collect();
     let (mut b, _, _) = fresh();
     let p = decide(&mut b, std::slice::from_ref(&gang), free(), now);
@@ -269,16 +290,26 @@
 fn a_gang_waits_for_the_end_that_lets_all_of_it_start() {
     let now = Instant::now();
     let at = |s| Some(now + Duration::from_secs(s));
-    let mut b = Board::default();
-    host(&mut b, "m", "a", 4.0, vec![held(4.0, at(10), now)]);
-    host(&mut b, "n", "b", 4.0, vec![held(4.0, at(20), now)]);
-    host(&mut b, "o", "a", 4.0, vec![held(4.0, at(30), now)]);
+    let mut b = ClusterSnapshot::default();
+    node(&mut b, "m", "a", 4.0, vec![held(4.0, at(10), now)]);
+    node(&mut b, "n", "b", 4.0, vec![held(4.0, at(20), now)]);
+    node(&mut b, "o", "a", 4.0, vec![held(4.0, at(30), now)]);
     let mut gang = line(spec("wk-1", 6, 1.0, 10));
-    gang.whole = true;
-    let p = decide(&mut b, std::slice::from_ref(&gang), TeamUse::default(), now);
+    gang.all_or_nothing = true;
+    let p = decide(
+        &mut b,
+        std::slice::from_ref(&gang),
+        TeamUsage::default(),
+        now,
+    );
     assert_eq!(p.head, Some((0, Some(Duration::from_secs(20)))));
     gang.spec.one_zone = true;
-    let p = decide(&mut b, std::slice::from_ref(&gang), TeamUse::default(), now);
+    let p = decide(
+        &mut b,
+        std::slice::from_ref(&gang),
+        TeamUsage::default(),
+        now,
+    );
     assert_eq!(p.head, Some((0, Some(Duration::from_secs(30)))));
 }
 
@@ -295,17 +326,23 @@
         for t in [&mut old, &mut young] {
             (t.rank, t.team) = (rank, Some(1));
         }
-        let mut b = Board::default();
-        host(&mut b, "m", "a", 8.0, vec![old, young]);
+        let mut b = ClusterSnapshot::default();
+        node(&mut b, "m", "a", 8.0, vec![old, young]);
         let mut queue = [w.waiting()];
         queue[0].guaranteed = guaranteed;
-        let theirs = TeamUse {
+        let theirs = TeamUsage {
             cpus_own: own,
-            ..TeamUse::default()
+            ..TeamUsage::default()
         };
-        let mut teams = [TeamUse::default(), theirs];
+        let mut teams = [TeamUsage::default(), theirs];
         teams[1].cpus = 8.0;
-        let p = plan(&mut b, &mut queue, &mut teams, now, &mut Scratch::default());
+        let p = plan(
+            &mut b,
+            &mut queue,
+            &mut teams,
+            now,
+            &mut KnapsackTables::default(),
+        );
         p.stops.iter().map(|s| s.1.index).collect::<Vec<_>>()
     };
     assert_eq!(stops(Priority::Low, 100.0, false, &w), [1]);
--- a/src/planning/capacity_forecast.rs
+++ b/src/planning/capacity_forecast.rs
@@ -1,14 +1,14 @@
 //! The forecast: what running tasks and booting machines will give, laid out over the queue. Pure.
 
 use crate::job::{JobSpec, Priority, Resources};
-use crate::planning::cluster_snapshot::{Board, Class, Offer, Use, allows};
+use crate::planning::cluster_snapshot::{ClusterSnapshot, MachineClass, NodeUsage, Offer, allows};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 /// Tasks of one job that wait for room.
 #[derive(Clone, Debug)]
-pub struct Unmet {
+pub struct PendingDemand {
     pub spec: Arc<JobSpec>,
     /// What it counts as where work of lower rank yields to it.
     pub rank: Priority,
@@ -20,18 +20,18 @@
     /// The same where a spot machine is to be had.
     pub spot_patience: Duration,
     /// Offers that cost more than the job is worth.
-    pub shunned: Vec<Offer>,
+    pub quarantined: Vec<Offer>,
 }
 
-impl Unmet {
+impl PendingDemand {
     pub fn takes(&self, offer: &Offer) -> bool {
-        allows(&self.spec, offer) && !self.shunned.contains(offer)
+        allows(&self.spec, offer) && !self.quarantined.contains(offer)
     }
 }
 
 /// Machines that were asked for and have no names yet.
 #[derive(Clone, Debug)]
-pub struct Coming {
+pub struct BootingNodes {
     pub offer: Offer,
     pub room: Resources,
     pub count: u32,
@@ -40,11 +40,11 @@
 
 /// Room that comes by itself: what running tasks and booting machines will give.
 pub struct Forecast<'a> {
-    board: &'a Board,
+    snapshot: &'a ClusterSnapshot,
     /// Machines that are on their way come after the board's, numbered on.
-    coming: Vec<&'a Coming>,
+    booting_nodes: Vec<&'a BootingNodes>,
     /// Machines on which work of the lowest rank can be stopped, a number for each task.
-    yielded: Vec<usize>,
+    preemptible: Vec<usize>,
     /// What becomes free and when, the earliest first.
     gains: BTreeMap<(Duration, usize), Resources>,
     /// Room of each machine that was too little for a job, and may add up with more. A machine
@@ -58,75 +58,78 @@
 /// Slots on the board are below this, machines that are on their way above.
 const BOOTING_INDEX_BASE: usize = 1 << 32;
 /// From here on: room that work of the lowest rank yields when others ask for it.
-const YIELDED: usize = 1 << 33;
+const PREEMPTIBLE_INDEX_BASE: usize = 1 << 33;
 /// Stopping a task and starting another takes about this long.
-const YIELDS_AFTER: Duration = Duration::from_secs(4);
+const PREEMPTION_DELAY: Duration = Duration::from_secs(4);
 
 impl<'a> Forecast<'a> {
     pub fn new(
-        board: &'a Board,
-        coming: &'a [Coming],
+        snapshot: &'a ClusterSnapshot,
+        booting_nodes: &'a [BootingNodes],
         now: Instant,
         horizon: Duration,
         preempting: bool,
-        cut: &[String],
+        unreachable_zones: &[String],
     ) -> Self {
         // What ends in a zone that cannot be reached makes no room for anybody.
-        let zone = |c: &Class| cut.contains(&c.offer.1);
-        let cut: Vec<bool> = board.classes.iter().map(zone).collect();
-        let reached = |slot: usize| !cut[board.host(slot).class];
+        let zone = |c: &MachineClass| unreachable_zones.contains(&c.offer.1);
+        let unreachable_zones: Vec<bool> = snapshot.classes.iter().map(zone).collect();
+        let reached = |node_index: usize| !unreachable_zones[snapshot.node(node_index).class];
         let mut gains: Vec<((Duration, usize), Resources)> = Vec::new();
         let mut boots = BTreeMap::new();
-        for (at, slot, t) in board.ends(now) {
+        for (at, node_index, t) in snapshot.ends(now) {
             let after = at.saturating_duration_since(now);
             if after > horizon {
                 break;
             }
-            if board.host(slot).usage == Use::Closed || !reached(slot) {
+            if snapshot.node(node_index).usage == NodeUsage::Closed || !reached(node_index) {
                 continue;
             }
             match gains.last_mut() {
-                Some((key, room)) if *key == (after, slot) => room.add(&t.needs),
-                _ => gains.push(((after, slot), t.needs)),
+                Some((key, room)) if *key == (after, node_index) => room.add(&t.needs),
+                _ => gains.push(((after, node_index), t.needs)),
             }
         }
-        for slot in board.booting().filter(|s| reached(*s)) {
-            let h = board.host(slot);
-            if let Use::Booting(at) = h.usage {
+        for node_index in snapshot.booting().filter(|s| reached(*s)) {
+            let h = snapshot.node(node_index);
+            if let NodeUsage::Booting(at) = h.usage {
                 // Later than expected: at any moment, as far as one knows.
                 let after = at.saturating_duration_since(now);
                 let after = after.max(Duration::from_secs(1));
-                gains.push(((after, slot), h.free));
-                boots.insert(slot, after);
+                gains.push(((after, node_index), h.free));
+                boots.insert(node_index, after);
             }
         }
-        let coming: Vec<&Coming> = coming
+        let booting_nodes: Vec<&BootingNodes> = booting_nodes
             .iter()
             .flat_map(|c| (0..c.count).map(move |_| c))
             .collect();
-        for (i, c) in coming.iter().enumerate() {
+        for (i, c) in booting_nodes.iter().enumerate() {
             gains.push(((c.ready_in, BOOTING_INDEX_BASE + i), c.room));
             boots.insert(BOOTING_INDEX_BASE + i, c.ready_in);
         }
-        let mut yielded = Vec::new();
-        if preempting && board.has_below(Priority::Normal) {
-            for (slot, h) in board.hosts().filter(|(_, h)| h.usage == Use::Open) {
+        let mut preemptible = Vec::new();
+        if preempting && snapshot.has_lower_priority(Priority::Normal) {
+            for (node_index, h) in snapshot.nodes().filter(|(_, h)| h.usage == NodeUsage::Open) {
                 for t in h
                     .tasks
                     .iter()
                     .filter(|t| t.rank == Priority::Low && !t.stopping)
                 {
-                    gains.push(((YIELDS_AFTER, YIELDED + yielded.len()), t.needs));
-                    yielded.push(slot);
+                    gains.push((
+                        (PREEMPTION_DELAY, PREEMPTIBLE_INDEX_BASE + preemptible.len()),
+                        t.needs,
+                    ));
+                    preemptible.push(node_index);
                 }
             }
         }
         let last_boot = boots.values().copied().max().unwrap_or_default();
         Forecast {
             last_boot,
-            board,
-            coming,
-            yielded,
+            snapshot,
+            booting_nodes,
+            preemptible,
             // Nearly in order already, and built at once.
             gains: gains.into_iter().collect(),
             rest: BTreeMap::new(),
@@ -136,27 +139,34 @@
 
     /// Where machines of this unit's class stand in what `allowed` gives.
     fn class(&self, unit: usize) -> usize {
-        if unit >= YIELDED {
-            self.board.host(self.yielded[unit - YIELDED]).class
+        if unit >= PREEMPTIBLE_INDEX_BASE {
+            self.snapshot
+                .node(self.preemptible[unit - PREEMPTIBLE_INDEX_BASE])
+                .class
         } else if unit >= BOOTING_INDEX_BASE {
-            self.board.classes.len() + unit - BOOTING_INDEX_BASE
+            self.snapshot.classes.len() + unit - BOOTING_INDEX_BASE
         } else {
-            self.board.host(unit).class
+            self.snapshot.node(unit).class
         }
     }
 
     /// Which classes a job takes: asked once a job, as there may be thousands of ends to look at.
-    fn allowed(&self, u: &Unmet) -> Vec<bool> {
-        let there = self.board.classes.iter().map(|c| &c.offer);
-        let coming = self.coming.iter().map(|c| &c.offer);
-        there.chain(coming).map(|offer| u.takes(offer)).collect()
+    fn allowed(&self, u: &PendingDemand) -> Vec<bool> {
+        let there = self.snapshot.classes.iter().map(|c| &c.offer);
+        let booting_nodes = self.booting_nodes.iter().map(|c| &c.offer);
+        there
+            .chain(booting_nodes)
+            .map(|offer| u.takes(offer))
+            .collect()
     }
 
     /// Room that is free now counts as well: for what comes while it is there.
     pub fn with_free(&mut self) {
-        for slot in self.board.open() {
+        for node_index in self.snapshot.open() {
             let none = Resources::default();
-            self.gains.entry((Duration::ZERO, slot)).or_insert(none);
+            self.gains
+                .entry((Duration::ZERO, node_index))
+                .or_insert(none);
         }
     }
 
@@ -166,10 +176,10 @@
     /// when, from now on, is told.
     pub fn serve(
         &mut self,
-        u: &Unmet,
+        u: &PendingDemand,
         arrives: Duration,
         patience: Duration,
-        told: &mut dyn FnMut(Duration, u32),
+        on_start: &mut dyn FnMut(Duration, u32),
     ) -> u32 {
         let mut left = u.tasks;
         let needs = u.spec.resources;
@@ -180,22 +190,22 @@
         let usable = |f: &Self, at: Duration, unit: usize| {
             // A machine that boots counts however late it comes, or it is rented again.
             let in_time = at <= patience || f.boots.get(&unit) == Some(&at);
-            let yields = unit < YIELDED || u.rank < Priority::Low;
+            let yields = unit < PREEMPTIBLE_INDEX_BASE || u.rank < Priority::Low;
             in_time && yields && allowed[f.class(unit)]
         };
         while left > 0 && from <= last {
-            let mut coming = self.gains.range(from..=last);
-            let next = coming.find(|((at, unit), _)| usable(self, *at, *unit));
+            let mut booting_nodes = self.gains.range(from..=last);
+            let next = booting_nodes.find(|((at, unit), _)| usable(self, *at, *unit));
             let Some((&(at, unit), &gain)) = next else {
                 break;
             };
             from = (at, unit + 1);
             self.gains.remove(&(at, unit));
             let idle = || {
-                if unit >= YIELDED || self.boots.contains_key(&unit) {
+                if unit >= PREEMPTIBLE_INDEX_BASE || self.boots.contains_key(&unit) {
                     Resources::default()
                 } else {
-                    self.board.host(unit).free
+                    self.snapshot.node(unit).free
                 }
             };
             let mut room = self.rest.remove(&unit).unwrap_or_else(idle);
@@ -212,7 +222,7 @@
             }
             if n > 0 {
                 let starts = at.max(arrives);
-                told(starts, n);
+                on_start(starts, n);
                 let ends = starts.saturating_add(u.estimate);
                 let back = self.gains.entry((ends, unit)).or_default();
                 back.add(&needs.times(f64::from(n)));
@@ -224,20 +234,27 @@
 
 /// Lays the queue out over the room that comes by itself, and tells how many tasks of which jobs
 /// would wait for longer than `patience` allows.
-pub fn lay_out<'a>(
-    board: &Board,
-    coming: &[Coming],
-    unmet: &'a [Unmet],
+pub fn unserved_demand<'a>(
+    snapshot: &ClusterSnapshot,
+    booting_nodes: &[BootingNodes],
+    unmet: &'a [PendingDemand],
     now: Instant,
-    cut: &[String],
-    patience: impl Fn(&Unmet) -> Duration,
-) -> Vec<(&'a Unmet, u32)> {
+    unreachable_zones: &[String],
+    patience: impl Fn(&PendingDemand) -> Duration,
+) -> Vec<(&'a PendingDemand, u32)> {
     let Some(horizon) = unmet.iter().map(&patience).max() else {
         return Vec::new();
     };
     let preempting = unmet.iter().any(|u| u.rank < Priority::Low);
-    let mut forecast = Forecast::new(board, coming, now, horizon, preempting, cut);
-    let left = |u: &'a Unmet| {
+    let mut forecast = Forecast::new(
+        snapshot,
+        booting_nodes,
+        now,
+        horizon,
+        preempting,
+        unreachable_zones,
+    );
+    let left = |u: &'a PendingDemand| {
         (
             u,
             forecast.serve(u, Duration::ZERO, patience(u), &mut |_, _| {}),
--- a/src/planning/cluster_snapshot.rs
+++ b/src/planning/cluster_snapshot.rs
@@ -31,7 +31,7 @@
 
 /// A task that holds room on a machine.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Held {
+pub struct RunningTask {
     pub key: TaskId,
     pub needs: Resources,
     /// Expected end; `None` for services and overruns, which count as endless.
@@ -39,25 +39,25 @@
     /// Since when it runs.
     pub since: Option<Instant>,
     /// Time it takes to save when it is stopped, if it can: then no more than that is lost.
-    pub saves_in: Option<Duration>,
+    pub checkpoint_in: Option<Duration>,
     pub rank: Priority,
     pub team: Option<usize>,
     pub stopping: bool,
 }
 
-impl Held {
+impl RunningTask {
     /// Work that would be lost if it were stopped now.
-    pub fn at_stake(&self, now: Instant) -> Duration {
+    pub fn lost_work(&self, now: Instant) -> Duration {
         let ran = self
             .since
             .map_or(Duration::ZERO, |s| now.saturating_duration_since(s));
-        self.saves_in.map_or(ran, |s| ran.min(s))
+        self.checkpoint_in.map_or(ran, |s| ran.min(s))
     }
 }
 
 /// What a machine is good for at present.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Use {
+pub enum NodeUsage {
     /// It may be given tasks.
     Open,
     /// It boots and is expected to take tasks from this moment on.
@@ -70,33 +70,33 @@
 
 /// A machine as placing and renting see it.
 #[derive(Clone, Debug)]
-pub struct Host {
+pub struct Node {
     pub id: MachineId,
-    /// Its place in `Board::classes`.
+    /// Its place in `ClusterSnapshot::classes`.
     pub class: usize,
     pub free: Resources,
-    pub usage: Use,
+    pub usage: NodeUsage,
     /// Images that are on the machine or being fetched.
     pub images: Vec<ImageTag>,
     /// How many fetches share the machine's rate now.
     pub fetching: usize,
     /// Doubts about the machine, in seconds of delay that it is worth to avoid it.
-    pub doubt: f64,
+    pub distrust_s: f64,
     /// It holds nothing, and nothing is on its way to it, since then.
     pub idle_since: Option<Instant>,
-    pub tasks: Vec<Held>,
+    pub tasks: Vec<RunningTask>,
 }
 
 /// Machines that are alike.
 #[derive(Clone, Debug)]
-pub struct Class {
+pub struct MachineClass {
     pub offer: Offer,
     pub room: Resources,
     pub fetch_gb_per_s: f64,
     pub machines: usize,
 }
 
-impl Class {
+impl MachineClass {
     /// Whether a job may use machines of this class.
     pub fn allowed(&self, spec: &JobSpec) -> bool {
         allows(spec, &self.offer)
@@ -105,10 +105,10 @@
 
 /// All machines, and the indices by which a step finds those that matter to it.
 #[derive(Default)]
-pub struct Board {
-    pub classes: Vec<Class>,
-    slots: BTreeMap<MachineId, usize>,
-    hosts: Vec<Option<Host>>,
+pub struct ClusterSnapshot {
+    pub classes: Vec<MachineClass>,
+    node_indices: BTreeMap<MachineId, usize>,
+    nodes: Vec<Option<Node>>,
     vacant: Vec<usize>,
     /// Machines that take tasks and have room for some.
     open: BTreeSet<usize>,
@@ -121,19 +121,19 @@
     /// How many tasks of each rank are on machines.
     ranks: BTreeMap<Priority, usize>,
     /// Machines and ends looked at so far, by which the stories judge the cost of a step.
-    pub looked: Cell<u64>,
+    pub inspected: Cell<u64>,
 }
 
 /// Less room than this is none.
-const CRUMB: f64 = 1e-3;
+const EPSILON: f64 = 1e-3;
 
-impl Board {
+impl ClusterSnapshot {
     /// The class of machines that an offer brings, with its type's newest figures.
     pub fn class(&mut self, offer: &Offer, room: Resources, fetch_gb_per_s: f64) -> usize {
         let i = match self.classes.iter().position(|c| c.offer == *offer) {
             Some(i) => i,
             None => {
-                self.classes.push(Class {
+                self.classes.push(MachineClass {
                     offer: offer.clone(),
                     room,
                     fetch_gb_per_s,
@@ -147,59 +147,59 @@
     }
 
     /// Counts what a step looks at.
-    pub fn look(&self, n: usize) {
-        self.looked.set(self.looked.get() + n as u64);
+    pub fn count_inspected(&self, n: usize) {
+        self.inspected.set(self.inspected.get() + n as u64);
     }
 
     /// Takes in a machine, or what has become of it.
-    pub fn put(&mut self, host: Host) {
-        self.look(1);
-        let slot = match self.slots.get(&host.id) {
-            Some(&slot) => {
-                self.withdraw(slot);
-                slot
+    pub fn put(&mut self, node: Node) {
+        self.count_inspected(1);
+        let node_index = match self.node_indices.get(&node.id) {
+            Some(&node_index) => {
+                self.withdraw(node_index);
+                node_index
             }
             None => {
-                let slot = self.vacant.pop().unwrap_or(self.hosts.len());
-                if slot == self.hosts.len() {
-                    self.hosts.push(None);
+                let node_index = self.vacant.pop().unwrap_or(self.nodes.len());
+                if node_index == self.nodes.len() {
+                    self.nodes.push(None);
                 }
-                self.slots.insert(host.id.clone(), slot);
-                slot
+                self.node_indices.insert(node.id.clone(), node_index);
+                node_index
             }
         };
-        self.classes[host.class].machines += 1;
-        for (n, t) in host.tasks.iter().enumerate() {
+        self.classes[node.class].machines += 1;
+        for (n, t) in node.tasks.iter().enumerate() {
             if let Some(at) = t.ends {
-                self.ends.insert((at, slot, n));
+                self.ends.insert((at, node_index, n));
             }
             if let Some(team) = t.team {
                 self.used.entry(team).or_default().add(&t.needs);
             }
             *self.ranks.entry(t.rank).or_default() += 1;
         }
-        match host.usage {
-            Use::Open if host.free.cpus > CRUMB && host.free.ram > CRUMB => {
-                self.open.insert(slot);
+        match node.usage {
+            NodeUsage::Open if node.free.cpus > EPSILON && node.free.ram > EPSILON => {
+                self.open.insert(node_index);
             }
-            Use::Booting(_) => {
-                self.booting.insert(slot);
+            NodeUsage::Booting(_) => {
+                self.booting.insert(node_index);
             }
             _ => {}
         }
-        if host.idle_since.is_some() {
-            self.idle.insert(slot);
+        if node.idle_since.is_some() {
+            self.idle.insert(node_index);
         }
-        self.hosts[slot] = Some(host);
+        self.nodes[node_index] = Some(node);
     }
 
     /// Takes a host's entries out of the indices.
-    fn withdraw(&mut self, slot: usize) -> Option<Host> {
-        let host = self.hosts[slot].take()?;
-        self.classes[host.class].machines -= 1;
-        for (n, t) in host.tasks.iter().enumerate() {
+    fn withdraw(&mut self, node_index: usize) -> Option<Node> {
+        let node = self.nodes[node_index].take()?;
+        self.classes[node.class].machines -= 1;
+        for (n, t) in node.tasks.iter().enumerate() {
             if let Some(at) = t.ends {
-                self.ends.remove(&(at, slot, n));
+                self.ends.remove(&(at, node_index, n));
             }
             if let Some(u) = t.team.and_then(|team| self.used.get_mut(&team)) {
                 u.sub(&t.needs);
@@ -208,75 +208,79 @@
                 *n -= 1;
             }
         }
-        self.open.remove(&slot);
-        self.booting.remove(&slot);
-        self.idle.remove(&slot);
-        Some(host)
+        self.open.remove(&node_index);
+        self.booting.remove(&node_index);
+        self.idle.remove(&node_index);
+        Some(node)
     }
 
     /// The machine is gone.
     pub fn remove(&mut self, id: &MachineId) {
-        if let Some(slot) = self.slots.remove(id) {
-            self.withdraw(slot);
-            self.vacant.push(slot);
+        if let Some(node_index) = self.node_indices.remove(id) {
+            self.withdraw(node_index);
+            self.vacant.push(node_index);
         }
     }
 
     /// Where a machine stands on the board; its slot stays while it is there.
-    pub fn slot(&self, id: &MachineId) -> Option<usize> {
-        self.slots.get(id).copied()
+    pub fn node_index(&self, id: &MachineId) -> Option<usize> {
+        self.node_indices.get(id).copied()
     }
 
-    pub fn host(&self, slot: usize) -> &Host {
-        self.hosts[slot].as_ref().expect("a listed slot is taken")
+    pub fn node(&self, node_index: usize) -> &Node {
+        self.nodes[node_index]
+            .as_ref()
+            .expect("a listed slot is taken")
     }
 
-    pub fn host_mut(&mut self, slot: usize) -> &mut Host {
-        self.hosts[slot].as_mut().expect("a listed slot is taken")
+    pub fn node_mut(&mut self, node_index: usize) -> &mut Node {
+        self.nodes[node_index]
+            .as_mut()
+            .expect("a listed slot is taken")
     }
 
-    pub fn class_of(&self, slot: usize) -> &Class {
-        &self.classes[self.host(slot).class]
+    pub fn class_of(&self, node_index: usize) -> &MachineClass {
+        &self.classes[self.node(node_index).class]
     }
 
-    pub fn zone_of(&self, slot: usize) -> &str {
-        &self.class_of(slot).offer.1
+    pub fn zone_of(&self, node_index: usize) -> &str {
+        &self.class_of(node_index).offer.1
     }
 
     /// Machines that take tasks and have some room, in a fixed order.
     pub fn open(&self) -> impl Iterator<Item = usize> + '_ {
-        self.look(self.open.len());
+        self.count_inspected(self.open.len());
         self.open.iter().copied()
     }
 
     pub fn booting(&self) -> impl Iterator<Item = usize> + '_ {
-        self.look(self.booting.len());
+        self.count_inspected(self.booting.len());
         self.booting.iter().copied()
     }
 
     pub fn idle(&self) -> impl Iterator<Item = usize> + '_ {
-        self.look(self.idle.len());
+        self.count_inspected(self.idle.len());
         self.idle.iter().copied()
     }
 
     /// All machines: for what has no index, and is asked rarely.
-    pub fn hosts(&self) -> impl Iterator<Item = (usize, &Host)> {
-        self.look(self.hosts.len());
-        let hosts = self.hosts.iter().enumerate();
-        hosts.filter_map(|(slot, h)| Some((slot, h.as_ref()?)))
+    pub fn nodes(&self) -> impl Iterator<Item = (usize, &Node)> {
+        self.count_inspected(self.nodes.len());
+        let nodes = self.nodes.iter().enumerate();
+        nodes.filter_map(|(node_index, h)| Some((node_index, h.as_ref()?)))
     }
 
     /// Expected ends from `now` on, the earliest first. What should have ended already has
     /// overrun its estimate and counts as endless.
-    pub fn ends(&self, now: Instant) -> impl Iterator<Item = (Instant, usize, &Held)> {
-        self.ends.range((now, 0, 0)..).map(|&(at, slot, n)| {
-            self.look(1);
-            (at, slot, &self.host(slot).tasks[n])
+    pub fn ends(&self, now: Instant) -> impl Iterator<Item = (Instant, usize, &RunningTask)> {
+        self.ends.range((now, 0, 0)..).map(|&(at, node_index, n)| {
+            self.count_inspected(1);
+            (at, node_index, &self.node(node_index).tasks[n])
         })
     }
 
     /// Whether any task of a lower rank than this is on a machine.
-    pub fn has_below(&self, rank: Priority) -> bool {
+    pub fn has_lower_priority(&self, rank: Priority) -> bool {
         self.ranks.iter().any(|(r, n)| *r > rank && *n > 0)
     }
 
@@ -286,10 +290,10 @@
     }
 
     /// Sums the teams' use afresh: adding and taking away for hours leaves rounding errors.
-    pub fn sum_again(&mut self) {
+    pub fn recompute_team_usage(&mut self) {
         let mut used: BTreeMap<usize, Resources> = BTreeMap::new();
-        for host in self.hosts.iter().flatten() {
-            for t in &host.tasks {
+        for node in self.nodes.iter().flatten() {
+            for t in &node.tasks {
                 if let Some(team) = t.team {
                     used.entry(team).or_default().add(&t.needs);
                 }
