--- a/src/policy.rs
+++ b/src/policy.rs
@@ -19,13 +19,13 @@
 const MAX_FILE_BYTES: usize = 64 * 1024;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Type {
+enum ValueType {
     Number,
-    Truth,
+    Boolean,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum About {
+enum Subject {
     Job,
     Machine,
     Fleet,
@@ -34,87 +34,132 @@
 /// The entries of a policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Entry {
-    Merit,
-    Order,
-    Patience,
-    SpotPatience,
-    Dearest,
-    Preempt,
+    PriorityWeight,
+    QueueOrder,
+    MaxWait,
+    MaxSpotWait,
+    MaxPriceRatio,
+    MayPreempt,
     Overdue,
-    Worth,
-    Haste,
-    IdleKeep,
+    ObjectiveWeight,
+    TimeValue,
+    IdleTimeout,
     Bidding,
-    Foresight,
-    Tolerance,
-    Delegate,
+    ForecastHorizon,
+    ZoneTolerance,
+    DelegateWorkers,
 }
 
-const ENTRIES: [(Entry, &str, Type, About); 14] = [
-    (Entry::Merit, "merit", Type::Number, About::Job),
-    (Entry::Order, "order", Type::Number, About::Job),
-    (Entry::Patience, "patience", Type::Number, About::Job),
+const ENTRIES: [(Entry, &str, ValueType, Subject); 14] = [
     (
-        Entry::SpotPatience,
+        Entry::PriorityWeight,
+        "merit",
+        ValueType::Number,
+        Subject::Job,
+    ),
+    (Entry::QueueOrder, "order", ValueType::Number, Subject::Job),
+    (Entry::MaxWait, "patience", ValueType::Number, Subject::Job),
+    (
+        Entry::MaxSpotWait,
         "spot_patience",
-        Type::Number,
-        About::Job,
+        ValueType::Number,
+        Subject::Job,
+    ),
+    (
+        Entry::MaxPriceRatio,
+        "dearest",
+        ValueType::Number,
+        Subject::Job,
+    ),
+    (
+        Entry::MayPreempt,
+        "preempt",
+        ValueType::Boolean,
+        Subject::Job,
+    ),
+    (Entry::Overdue, "overdue", ValueType::Boolean, Subject::Job),
+    (
+        Entry::ObjectiveWeight,
+        "worth",
+        ValueType::Number,
+        Subject::Job,
+    ),
+    (Entry::TimeValue, "haste", ValueType::Number, Subject::Job),
+    (
+        Entry::IdleTimeout,
+        "idle_keep",
+        ValueType::Number,
+        Subject::Machine,
+    ),
+    (
+        Entry::Bidding,
+        "bidding",
+        ValueType::Boolean,
+        Subject::Fleet,
+    ),
+    (
+        Entry::ForecastHorizon,
+        "foresight",
+        ValueType::Number,
+        Subject::Fleet,
+    ),
+    (
+        Entry::ZoneTolerance,
+        "tolerance",
+        ValueType::Number,
+        Subject::Fleet,
+    ),
+    (
+        Entry::DelegateWorkers,
+        "delegate",
+        ValueType::Boolean,
+        Subject::Fleet,
     ),
-    (Entry::Dearest, "dearest", Type::Number, About::Job),
-    (Entry::Preempt, "preempt", Type::Truth, About::Job),
-    (Entry::Overdue, "overdue", Type::Truth, About::Job),
-    (Entry::Worth, "worth", Type::Number, About::Job),
-    (Entry::Haste, "haste", Type::Number, About::Job),
-    (Entry::IdleKeep, "idle_keep", Type::Number, About::Machine),
-    (Entry::Bidding, "bidding", Type::Truth, About::Fleet),
-    (Entry::Foresight, "foresight", Type::Number, About::Fleet),
-    (Entry::Tolerance, "tolerance", Type::Number, About::Fleet),
-    (Entry::Delegate, "delegate", Type::Truth, About::Fleet),
 ];
 
-const JOB_NAMES: [(&str, Type); 19] = [
-    ("wait", Type::Number),
-    ("estimate", Type::Number),
-    ("tasks", Type::Number),
-    ("waiting", Type::Number),
-    ("submitted", Type::Number),
-    ("cpus", Type::Number),
-    ("gpus", Type::Number),
-    ("ram", Type::Number),
-    ("image_gb", Type::Number),
-    ("rank", Type::Number),
-    ("guaranteed", Type::Truth),
-    ("start_goal", Type::Number),
-    ("finish_goal", Type::Number),
-    ("has_deadline", Type::Truth),
-    ("deadline_left", Type::Number),
-    ("spot", Type::Truth),
-    ("slack", Type::Number),
-    ("pipeline", Type::Truth),
-    ("begun", Type::Truth),
+const JOB_NAMES: [(&str, ValueType); 19] = [
+    ("wait", ValueType::Number),
+    ("estimate", ValueType::Number),
+    ("tasks", ValueType::Number),
+    ("waiting", ValueType::Number),
+    ("submitted", ValueType::Number),
+    ("cpus", ValueType::Number),
+    ("gpus", ValueType::Number),
+    ("ram", ValueType::Number),
+    ("image_gb", ValueType::Number),
+    ("rank", ValueType::Number),
+    ("guaranteed", ValueType::Boolean),
+    ("start_goal", ValueType::Number),
+    ("finish_goal", ValueType::Number),
+    ("has_deadline", ValueType::Boolean),
+    ("deadline_left", ValueType::Number),
+    ("spot", ValueType::Boolean),
+    ("slack", ValueType::Number),
+    ("pipeline", ValueType::Boolean),
+    ("begun", ValueType::Boolean),
 ];
 
-const MACHINE_NAMES: [(&str, Type); 7] = [
-    ("spot", Type::Truth),
-    ("price", Type::Number),
-    ("cpus", Type::Number),
-    ("ram", Type::Number),
-    ("age", Type::Number),
-    ("boot", Type::Number),
-    ("pause", Type::Number),
+const MACHINE_NAMES: [(&str, ValueType); 7] = [
+    ("spot", ValueType::Boolean),
+    ("price", ValueType::Number),
+    ("cpus", ValueType::Number),
+    ("ram", ValueType::Number),
+    ("age", ValueType::Number),
+    ("boot", ValueType::Number),
+    ("pause", ValueType::Number),
 ];
 
-const FLEET_NAMES: [(&str, Type); 3] = [
-    ("machines", Type::Number),
-    ("zones", Type::Number),
-    ("pause", Type::Number),
+const FLEET_NAMES: [(&str, ValueType); 3] = [
+    ("machines", ValueType::Number),
+    ("zones", ValueType::Number),
+    ("pause", ValueType::Number),
 ];
 
-fn names(about: About) -> &'static [(&'static str, Type)] {
+fn names(about: Subject) -> &'static [(&'static str, ValueType)] {
     match about {
-        About::Job => &JOB_NAMES,
-        About::Machine => &MACHINE_NAMES,
-        About::Fleet => &FLEET_NAMES,
+        Subject::Job => &JOB_NAMES,
+        Subject::Machine => &MACHINE_NAMES,
+        Subject::Fleet => &FLEET_NAMES,
     }
 }
 
@@ -215,27 +260,31 @@
 }
 
 #[derive(Clone, Debug)]
-struct Node {
+struct ExpressionNode {
     at: usize,
-    what: What,
+    expression: Expression,
 }
 
 #[derive(Clone, Debug)]
-enum What {
+enum Expression {
     Number(f64),
-    Truth(bool),
+    Boolean(bool),
     Name(String),
     /// A name, resolved by the checker to its place among the facts.
     Fact(usize),
-    Not(Box<Node>),
-    Minus(Box<Node>),
-    Binary(Op, Box<Node>, Box<Node>),
-    If(Box<Node>, Box<Node>, Box<Node>),
-    Call(Function, Vec<Node>),
+    Not(Box<ExpressionNode>),
+    Negate(Box<ExpressionNode>),
+    Binary(BinaryOperator, Box<ExpressionNode>, Box<ExpressionNode>),
+    If(
+        Box<ExpressionNode>,
+        Box<ExpressionNode>,
+        Box<ExpressionNode>,
+    ),
+    Call(Function, Vec<ExpressionNode>),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Op {
+enum BinaryOperator {
     Add,
     Sub,
     Mul,
@@ -279,9 +328,9 @@
 impl std::error::Error for PolicyError {}
 
 type Input<'a> = LocatingSlice<&'a str>;
-type Fault = (usize, String);
+type SyntaxFault = (usize, String);
 
-struct Reader<'a> {
+struct PolicyParser<'a> {
     input: Input<'a>,
     nesting: u32,
 }
@@ -307,7 +356,7 @@
         .parse_next(input)
 }
 
-impl<'a> Reader<'a> {
+impl<'a> PolicyParser<'a> {
     fn skip(&mut self) {
         // Blank space may always be empty, so this cannot fail.
         let _ = blank(&mut self.input);
@@ -344,11 +393,11 @@
         false
     }
 
-    fn fail<T>(&mut self, reason: &str) -> Result<T, Fault> {
+    fn fail<T>(&mut self, reason: &str) -> Result<T, SyntaxFault> {
         Err((self.at(), reason.to_string()))
     }
 
-    fn expression(&mut self) -> Result<Node, Fault> {
+    fn expression(&mut self) -> Result<ExpressionNode, SyntaxFault> {
         self.nesting += 1;
         if self.nesting > MAX_NESTING {
             return self.fail("nested too deeply");
@@ -364,9 +413,9 @@
                 return self.fail("expected `else`");
             }
             let no = self.expression()?;
-            Node {
+            ExpressionNode {
                 at,
-                what: What::If(Box::new(cond), Box::new(yes), Box::new(no)),
+                expression: Expression::If(Box::new(cond), Box::new(yes), Box::new(no)),
             }
         } else {
             self.level(0)?
@@ -376,20 +425,20 @@
     }
 
     /// Binary operators, loosest first.
-    fn level(&mut self, level: usize) -> Result<Node, Fault> {
-        const LEVELS: [&[(&str, Op)]; 5] = [
-            &[("or", Op::Or)],
-            &[("and", Op::And)],
+    fn level(&mut self, level: usize) -> Result<ExpressionNode, SyntaxFault> {
+        const LEVELS: [&[(&str, BinaryOperator)]; 5] = [
+            &[("or", BinaryOperator::Or)],
+            &[("and", BinaryOperator::And)],
             &[
-                ("<=", Op::LessEq),
-                (">=", Op::MoreEq),
-                ("==", Op::Equal),
-                ("!=", Op::Unequal),
-                ("<", Op::Less),
-                (">", Op::More),
+                ("<=", BinaryOperator::LessEq),
+                (">=", BinaryOperator::MoreEq),
+                ("==", BinaryOperator::Equal),
+                ("!=", BinaryOperator::Unequal),
+                ("<", BinaryOperator::Less),
+                (">", BinaryOperator::More),
             ],
-            &[("+", Op::Add), ("-", Op::Sub)],
-            &[("*", Op::Mul), ("/", Op::Div)],
+            &[("+", BinaryOperator::Add), ("-", BinaryOperator::Sub)],
+            &[("*", BinaryOperator::Mul), ("/", BinaryOperator::Div)],
         ];
         let Some(ops) = LEVELS.get(level) else {
             return self.unary();
@@ -410,9 +459,9 @@
                         return self.fail("too long");
                     }
                     let right = self.level(level + 1)?;
-                    left = Node {
+                    left = ExpressionNode {
                         at,
-                        what: What::Binary(*op, Box::new(left), Box::new(right)),
+                        expression: Expression::Binary(*op, Box::new(left), Box::new(right)),
                     };
                     continue 'more;
                 }
@@ -421,12 +470,12 @@
         }
     }
 
-    fn unary(&mut self) -> Result<Node, Fault> {
+    fn unary(&mut self) -> Result<ExpressionNode, SyntaxFault> {
         let at = self.at();
-        let wrap: Option<fn(Box<Node>) -> What> = if self.keyword("not") {
-            Some(What::Not)
+        let wrap: Option<fn(Box<ExpressionNode>) -> Expression> = if self.keyword("not") {
+            Some(Expression::Not)
         } else if self.symbol("-") {
-            Some(What::Minus)
+            Some(Expression::Negate)
         } else {
             None
         };
@@ -437,17 +486,17 @@
             }
             let inner = self.unary()?;
             self.nesting -= 1;
-            return Ok(Node {
+            return Ok(ExpressionNode {
                 at,
-                what: wrap(Box::new(inner)),
+                expression: wrap(Box::new(inner)),
             });
         }
         self.atom()
     }
 
-    fn atom(&mut self) -> Result<Node, Fault> {
+    fn atom(&mut self) -> Result<ExpressionNode, SyntaxFault> {
         let at = self.at();
-        let node = |what| Ok(Node { at, what });
+        let node = |expression| Ok(ExpressionNode { at, expression });
         if self.symbol("(") {
             let inner = self.expression()?;
             if !self.symbol(")") {
@@ -456,19 +505,19 @@
             return Ok(inner);
         }
         if let Ok(Some(n)) = opt(number).parse_next(&mut self.input) {
-            return node(What::Number(n));
+            return node(Expression::Number(n));
         }
         let function = match self.word() {
             None => return self.fail("expected a number, a name or `(`"),
-            Some("true") => return node(What::Truth(true)),
-            Some("false") => return node(What::Truth(false)),
+            Some("true") => return node(Expression::Boolean(true)),
+            Some("false") => return node(Expression::Boolean(false)),
             Some("min") => Function::Min,
             Some("max") => Function::Max,
             Some("abs") => Function::Abs,
             Some(k @ ("if" | "then" | "else" | "and" | "or" | "not")) => {
                 return Err((at, format!("`{k}` is out of place")));
             }
-            Some(name) => return node(What::Name(name.to_string())),
+            Some(name) => return node(Expression::Name(name.to_string())),
         };
         if !self.symbol("(") {
             return self.fail("expected `(`");
@@ -480,18 +529,18 @@
         if !self.symbol(")") {
             return self.fail("expected `,` or `)`");
         }
-        node(What::Call(function, args))
+        node(Expression::Call(function, args))
     }
 }
 
 /// Resolves names and finds the type, or says what does not fit.
-fn check(node: &mut Node, about: About) -> Result<Type, Fault> {
+fn check_types(node: &mut ExpressionNode, about: Subject) -> Result<ValueType, SyntaxFault> {
     let at = node.at;
-    let expect = |node: &mut Node, want: Type| -> Result<(), Fault> {
-        let got = check(node, about)?;
+    let expect = |node: &mut ExpressionNode, want: ValueType| -> Result<(), SyntaxFault> {
+        let got = check_types(node, about)?;
         let name = |t| match t {
-            Type::Number => "a number",
-            Type::Truth => "true or false",
+            ValueType::Number => "a number",
+            ValueType::Boolean => "true or false",
         };
         if got == want {
             Ok(())
@@ -502,11 +551,11 @@
             ))
         }
     };
-    match &mut node.what {
-        What::Number(_) => Ok(Type::Number),
-        What::Truth(_) => Ok(Type::Truth),
-        What::Fact(i) => Ok(names(about)[*i].1),
-        What::Name(name) => {
+    match &mut node.expression {
+        Expression::Number(_) => Ok(ValueType::Number),
+        Expression::Boolean(_) => Ok(ValueType::Boolean),
+        Expression::Fact(i) => Ok(names(about)[*i].1),
+        Expression::Name(name) => {
             let known = names(about);
             let Some(i) = known.iter().position(|(n, _)| n == name) else {
                 let list: Vec<&str> = known.iter().map(|(n, _)| *n).collect();
@@ -515,28 +564,33 @@
                     format!("unknown name `{name}`; known here: {}", list.join(", ")),
                 ));
             };
-            node.what = What::Fact(i);
+            node.expression = Expression::Fact(i);
             Ok(known[i].1)
         }
-        What::Not(x) => expect(x, Type::Truth).map(|()| Type::Truth),
-        What::Minus(x) => expect(x, Type::Number).map(|()| Type::Number),
-        What::Binary(op, a, b) => {
+        Expression::Not(x) => expect(x, ValueType::Boolean).map(|()| ValueType::Boolean),
+        Expression::Negate(x) => expect(x, ValueType::Number).map(|()| ValueType::Number),
+        Expression::Binary(op, a, b) => {
             let (from, to) = match op {
-                Op::Add | Op::Sub | Op::Mul | Op::Div => (Type::Number, Type::Number),
-                Op::And | Op::Or => (Type::Truth, Type::Truth),
-                _ => (Type::Number, Type::Truth),
+                BinaryOperator::Add
+                | BinaryOperator::Sub
+                | BinaryOperator::Mul
+                | BinaryOperator::Div => (ValueType::Number, ValueType::Number),
+                BinaryOperator::And | BinaryOperator::Or => {
+                    (ValueType::Boolean, ValueType::Boolean)
+                }
+                _ => (ValueType::Number, ValueType::Boolean),
             };
             expect(a, from)?;
             expect(b, from)?;
             Ok(to)
         }
-        What::If(cond, yes, no) => {
-            expect(cond, Type::Truth)?;
-            let t = check(yes, about)?;
+        Expression::If(cond, yes, no) => {
+            expect(cond, ValueType::Boolean)?;
+            let t = check_types(yes, about)?;
             expect(no, t)?;
             Ok(t)
         }
-        What::Call(function, args) => {
+        Expression::Call(function, args) => {
             let fits = match function {
                 Function::Abs => args.len() == 1,
                 Function::Min | Function::Max => args.len() >= 2,
@@ -545,32 +599,32 @@
                 return Err((at, "wrong number of arguments".into()));
             }
             for a in args {
-                expect(a, Type::Number)?;
+                expect(a, ValueType::Number)?;
             }
-            Ok(Type::Number)
+            Ok(ValueType::Number)
         }
     }
 }
 
-fn eval(node: &Node, facts: &[f64]) -> f64 {
+fn evaluate(node: &ExpressionNode, facts: &[f64]) -> f64 {
     let truth = |b: bool| f64::from(u8::from(b));
-    match &node.what {
-        What::Number(n) => *n,
-        What::Truth(b) => truth(*b),
+    match &node.expression {
+        Expression::Number(n) => *n,
+        Expression::Boolean(b) => truth(*b),
         // The checker leaves no name unresolved.
-        What::Name(_) => f64::NAN,
-        What::Fact(i) => facts.get(*i).copied().unwrap_or(f64::NAN),
-        What::Not(x) => truth(eval(x, facts) == 0.0),
-        What::Minus(x) => -eval(x, facts),
-        What::If(c, y, n) => {
-            if eval(c, facts) != 0.0 {
-                eval(y, facts)
+        Expression::Name(_) => f64::NAN,
+        Expression::Fact(i) => facts.get(*i).copied().unwrap_or(f64::NAN),
+        Expression::Not(x) => truth(evaluate(x, facts) == 0.0),
+        Expression::Negate(x) => -evaluate(x, facts),
+        Expression::If(c, y, n) => {
+            if evaluate(c, facts) != 0.0 {
+                evaluate(y, facts)
             } else {
-                eval(n, facts)
+                evaluate(n, facts)
             }
         }
-        What::Call(f, args) => {
-            let mut values = args.iter().map(|a| eval(a, facts));
+        Expression::Call(f, args) => {
+            let mut values = args.iter().map(|a| evaluate(a, facts));
             let first = values.next().unwrap_or(f64::NAN);
             match f {
                 Function::Abs => first.abs(),
@@ -578,28 +632,28 @@
                 Function::Max => values.fold(first, |a, b| if b > a || b.is_nan() { b } else { a }),
             }
         }
-        What::Binary(op, a, b) => {
-            let (x, y) = (eval(a, facts), eval(b, facts));
+        Expression::Binary(op, a, b) => {
+            let (x, y) = (evaluate(a, facts), evaluate(b, facts));
             match op {
-                Op::Add => x + y,
-                Op::Sub => x - y,
-                Op::Mul => x * y,
-                Op::Div => x / y,
-                Op::Less => truth(x < y),
-                Op::LessEq => truth(x <= y),
-                Op::More => truth(x > y),
-                Op::MoreEq => truth(x >= y),
-                Op::Equal => truth(x == y),
-                Op::Unequal => truth(x != y),
-                Op::And => truth(x != 0.0 && y != 0.0),
-                Op::Or => truth(x != 0.0 || y != 0.0),
+                BinaryOperator::Add => x + y,
+                BinaryOperator::Sub => x - y,
+                BinaryOperator::Mul => x * y,
+                BinaryOperator::Div => x / y,
+                BinaryOperator::Less => truth(x < y),
+                BinaryOperator::LessEq => truth(x <= y),
+                BinaryOperator::More => truth(x > y),
+                BinaryOperator::MoreEq => truth(x >= y),
+                BinaryOperator::Equal => truth(x == y),
+                BinaryOperator::Unequal => truth(x != y),
+                BinaryOperator::And => truth(x != 0.0 && y != 0.0),
+                BinaryOperator::Or => truth(x != 0.0 || y != 0.0),
             }
         }
     }
 }
 
 struct Rule {
-    node: Node,
+    node: ExpressionNode,
     text: String,
     own: bool,
     failed: AtomicBool,
@@ -607,7 +661,7 @@
 
 pub struct Policy {
     rules: BTreeMap<Entry, Rule>,
-    built_in: BTreeMap<Entry, Node>,
+    built_in: BTreeMap<Entry, ExpressionNode>,
 }
 
 impl fmt::Debug for Policy {
@@ -616,7 +670,7 @@
     }
 }
 
-fn locate(file: &str, text: &str, (at, reason): Fault) -> PolicyError {
+fn locate(file: &str, text: &str, (at, reason): SyntaxFault) -> PolicyError {
     let before = &text[..at.min(text.len())];
     let line = before.matches('\n').count() + 1;
     let column = before.rsplit('\n').next().unwrap_or("").chars().count() + 1;
@@ -628,15 +682,15 @@
     }
 }
 
-fn parse(text: &str) -> Result<Vec<(Entry, Node, String)>, Fault> {
+fn parse(text: &str) -> Result<Vec<(Entry, ExpressionNode, String)>, SyntaxFault> {
     if text.len() > MAX_FILE_BYTES {
         return Err((MAX_FILE_BYTES, "the file is too large".into()));
     }
-    let mut p = Reader {
+    let mut p = PolicyParser {
         input: LocatingSlice::new(text),
         nesting: 0,
     };
-    let mut out: Vec<(Entry, Node, String)> = Vec::new();
+    let mut out: Vec<(Entry, ExpressionNode, String)> = Vec::new();
     loop {
         let at = p.at();
         if at >= text.len() {
@@ -658,11 +712,11 @@
         }
         let from = p.at();
         let mut node = p.expression()?;
-        let got = check(&mut node, *about)?;
+        let got = check_types(&mut node, *about)?;
         if got != *wanted {
             let need = match wanted {
-                Type::Number => "a number",
-                Type::Truth => "true or false",
+                ValueType::Number => "a number",
+                ValueType::Boolean => "true or false",
             };
             return Err((from, format!("`{name}` must be {need}")));
         }
@@ -734,7 +788,7 @@
 
     fn value(&self, entry: Entry, facts: &[f64]) -> f64 {
         if let Some(rule) = self.rules.get(&entry) {
-            let x = eval(&rule.node, facts);
+            let x = evaluate(&rule.node, facts);
             if x.is_finite() {
                 return x;
             }
@@ -745,7 +799,7 @@
                 );
             }
         }
-        match self.built_in.get(&entry).map(|n| eval(n, facts)) {
+        match self.built_in.get(&entry).map(|n| evaluate(n, facts)) {
             Some(x) if x.is_finite() => x,
             _ => 0.0,
         }
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -39,7 +39,7 @@
     assert!(deploy.contains("--policy deploy/service.policy "));
     let text = include_str!("../../deploy/service.policy");
     let p = Policy::with("deploy/service.policy", text).unwrap();
-    for entry in [Entry::Bidding, Entry::Delegate] {
+    for entry in [Entry::Bidding, Entry::DelegateWorkers] {
         assert!(p.fleet_truth(entry, &FleetFacts::default()));
         assert!(!Policy::built_in().fleet_truth(entry, &FleetFacts::default()));
     }
@@ -56,16 +56,16 @@
         submitted: 77.0,
         ..JobFacts::default()
     };
-    assert_eq!(p.number(Entry::Merit, &f), 5.0);
+    assert_eq!(p.number(Entry::PriorityWeight, &f), 5.0);
     // Division by zero: the built-in order is the time of submission.
-    assert_eq!(p.number(Entry::Order, &f), 77.0);
+    assert_eq!(p.number(Entry::QueueOrder, &f), 77.0);
     f.wait = 2.0;
-    assert_eq!(p.number(Entry::Order, &f), 5.0);
+    assert_eq!(p.number(Entry::QueueOrder, &f), 5.0);
     f.wait = 4.0;
-    assert_eq!(p.number(Entry::Order, &f), -1.0);
+    assert_eq!(p.number(Entry::QueueOrder, &f), -1.0);
     f.guaranteed = true;
-    assert_eq!(p.number(Entry::Order, &f), 2.5);
-    assert!(p.truth(Entry::Preempt, &f));
+    assert_eq!(p.number(Entry::QueueOrder, &f), 2.5);
+    assert!(p.truth(Entry::MayPreempt, &f));
     assert!(
         p.describe()
             .contains("merit = 1 + 2 * 3 - 4 / 2\n    [file")
@@ -76,5 +76,5 @@
         estimate: 10.0,
         ..JobFacts::default()
     };
-    assert_eq!(b.number(Entry::Merit, &f), 2.0);
+    assert_eq!(b.number(Entry::PriorityWeight, &f), 2.0);
 }
