--- a/crates/market/examples/ways.rs
+++ b/crates/market/examples/ways.rs
@@ -5,7 +5,7 @@
 
 use burlusher_market::clearing::{LinearProgram, build_program, clear, clear_greedy};
 use burlusher_market::{
-    Bid, DelayCost, MachineFit, OfferBatch, ServiceLevelObjective, ZoneBalance,
+    Bid, DelayCost, MachineFit, Offer, OfferBatch, ServiceLevelObjective, ZoneBalance,
 };
 use clarabel::algebra::CscMatrix;
 use clarabel::solver::{DefaultSettings, DefaultSolver, IPSolver, NonnegativeConeT};
@@ -28,9 +28,9 @@
             for spot in [true, false] {
                 let price = cpus * if spot { 0.033 } else { 0.085 };
                 batches.push(OfferBatch {
-                    offer: (format!("k{kind}"), zone.into(), spot),
+                    offer: Offer::new(&format!("k{kind}"), zone, spot),
                     price: price * rng.random_range(0.8..1.2),
-                    ready: s(boot),
+                    ready_in: s(boot),
                     minimum_billed: s(60.0),
                     available: if spot {
                         rng.random_range(0..20)
@@ -38,7 +38,7 @@
                         u32::MAX
                     },
                     loss_rate: if spot { 3e-4 } else { 3e-5 },
-                    size: cpus,
+                    machine_size: cpus,
                 });
             }
         }
@@ -46,31 +46,31 @@
     let make = |_| {
         let run: f64 = rng.random_range(5.0..120.0);
         let nominal_cost = run * 0.033 * 4.0;
-        let aims = vec![
+        let objectives = vec![
             ServiceLevelObjective {
-                by: s(rng.random_range(5.0..60.0)),
-                unsure: Duration::ZERO,
-                loss: nominal_cost * rng.random_range(1.0..12.0),
+                start_within: s(rng.random_range(5.0..60.0)),
+                uncertainty: Duration::ZERO,
+                miss_cost: nominal_cost * rng.random_range(1.0..12.0),
             },
             ServiceLevelObjective {
-                by: s(rng.random_range(60.0..180.0)),
-                unsure: Duration::ZERO,
-                loss: nominal_cost * rng.random_range(1.0..12.0),
+                start_within: s(rng.random_range(60.0..180.0)),
+                uncertainty: Duration::ZERO,
+                miss_cost: nominal_cost * rng.random_range(1.0..12.0),
             },
         ];
         Bid {
             tasks: (tasks / bids as f64).ceil(),
-            run: s(run),
-            arrives: Duration::ZERO,
-            after: s(rng.random_range(5.0..240.0)),
-            delay_cost: DelayCost::new(aims, nominal_cost / 100.0),
+            runtime: s(run),
+            arrives_in: Duration::ZERO,
+            starts_in: s(rng.random_range(5.0..240.0)),
+            delay_cost: DelayCost::new(objectives, nominal_cost / 100.0),
             nominal_cost,
             machine_fits: batches
                 .iter()
                 .map(|l| {
                     Some(MachineFit {
-                        tasks_per_machine: (l.size / 4.0) as u32,
-                        fetch: s(1.6 / (0.2 + 0.1 * l.size / 4.0)),
+                        tasks_per_machine: (l.machine_size / 4.0) as u32,
+                        fetch: s(1.6 / (0.2 + 0.1 * l.machine_size / 4.0)),
                     })
                 })
                 .collect(),
@@ -80,43 +80,66 @@
 }
 
 /// The same program by an interior-point method: its value, or none.
-fn interior(p: &LinearProgram) -> Option<f64> {
-    let n = p.gains.len();
-    // Rows, then upper bounds, then lower ones: A x + s = b with s at least 0.
-    let m = p.rows.len() + 2 * n;
-    let mut columns: Vec<Vec<(usize, f64)>> = vec![Vec::new(); n];
-    let mut b = vec![0.0; m];
-    for (r, (row, bound)) in p.rows.iter().enumerate() {
-        b[r] = *bound;
-        for (x, c) in row {
-            columns[*x].push((r, *c));
+///
+/// The solver minimizes `q x` where `A x + s = b` with slacks `s` of at least 0. The rows of `A`
+/// are the constraints, then the upper bounds of all variables, then their lower ones.
+fn interior(program: &LinearProgram) -> Option<f64> {
+    let variables = program.gains.len();
+    let constraints = program.constraints.len();
+    let rows = constraints + 2 * variables;
+    let mut columns: Vec<Vec<(usize, f64)>> = vec![Vec::new(); variables];
+    let mut bounds = vec![0.0; rows];
+    for (row, (terms, bound)) in program.constraints.iter().enumerate() {
+        bounds[row] = *bound;
+        for (variable, coefficient) in terms {
+            columns[*variable].push((row, *coefficient));
         }
     }
-    for (x, column) in columns.iter_mut().enumerate() {
-        b[p.rows.len() + x] = p.most[x];
-        column.push((p.rows.len() + x, 1.0));
-        column.push((p.rows.len() + n + x, -1.0));
+    for (variable, column) in columns.iter_mut().enumerate() {
+        bounds[constraints + variable] = program.upper_bounds[variable];
+        column.push((constraints + variable, 1.0));
+        column.push((constraints + variables + variable, -1.0));
     }
-    let mut starts = vec![0];
-    let (mut rows, mut values) = (Vec::new(), Vec::new());
-    for mut column in columns {
-        column.sort_by_key(|e| e.0);
-        rows.extend(column.iter().map(|e| e.0));
-        values.extend(column.iter().map(|e| e.1));
-        starts.push(rows.len());
-    }
-    let a = CscMatrix::new(m, n, starts, rows, values);
-    let none = CscMatrix::zeros((n, n));
-    let q: Vec<f64> = p.gains.iter().map(|g| -g).collect();
+    let matrix = sparse_matrix(rows, columns);
+    let no_quadratic_part = CscMatrix::zeros((variables, variables));
+    let costs: Vec<f64> = program.gains.iter().map(|gain| -gain).collect();
     let settings = DefaultSettings {
         verbose: false,
         ..DefaultSettings::default()
     };
-    let cones = [NonnegativeConeT(m)];
-    let mut solver = DefaultSolver::new(&none, &q, &a, &b, &cones, settings).ok()?;
+    let cones = [NonnegativeConeT(rows)];
+    let solver = DefaultSolver::new(
+        &no_quadratic_part,
+        &costs,
+        &matrix,
+        &bounds,
+        &cones,
+        settings,
+    );
+    let mut solver = solver.ok()?;
     solver.solve();
-    let x = &solver.solution.x;
-    Some(p.gains.iter().zip(x).map(|(g, x)| g * x).sum())
+    let solution = &solver.solution.x;
+    Some(value_of(program, solution))
+}
+
+/// A matrix in compressed columns from each column's rows and values.
+fn sparse_matrix(rows: usize, columns: Vec<Vec<(usize, f64)>>) -> CscMatrix<f64> {
+    let count = columns.len();
+    let mut starts = vec![0];
+    let (mut row_indices, mut values) = (Vec::new(), Vec::new());
+    for mut column in columns {
+        column.sort_by_key(|(row, _)| *row);
+        row_indices.extend(column.iter().map(|(row, _)| *row));
+        values.extend(column.iter().map(|(_, value)| *value));
+        starts.push(row_indices.len());
+    }
+    CscMatrix::new(rows, count, starts, row_indices, values)
+}
+
+/// The program's objective for some values of its variables.
+fn value_of(program: &LinearProgram, values: &[f64]) -> f64 {
+    let terms = program.gains.iter().zip(values);
+    terms.map(|(gain, value)| gain * value).sum()
 }
 
 fn main() {
@@ -146,22 +169,21 @@
         let mut variables = 0;
         for seed in 0..SEEDS {
             let (bids, batches) = market(seed, bids, tasks);
-            let spread = ZoneBalance::new(["a", "b", "c"], 0.2);
+            let balance = ZoneBalance::new(["a", "b", "c"], 0.2);
             let timed = |i: usize, sums: &mut [f64; 8], f: &dyn Fn() -> f64| {
                 let begin = Instant::now();
                 sums[i] += f();
                 sums[i + 1] += begin.elapsed().as_secs_f64() * 1e6;
             };
-            let program = build_program(&bids, &batches, &spread);
+            let program = build_program(&bids, &batches, &balance);
             variables = program.gains.len();
             timed(0, &mut sums, &|| {
-                let x = program.solve().unwrap_or_default();
-                program.gains.iter().zip(x).map(|(g, x)| g * x).sum()
+                value_of(&program, &program.solve().unwrap_or_default())
             });
             let net = |c: burlusher_market::clearing::ClearingResult| c.saved - c.cost;
-            timed(2, &mut sums, &|| net(clear(&bids, &batches, &spread)));
+            timed(2, &mut sums, &|| net(clear(&bids, &batches, &balance)));
             timed(4, &mut sums, &|| {
-                net(clear_greedy(&bids, &batches, &spread))
+                net(clear_greedy(&bids, &batches, &balance))
             });
             timed(6, &mut sums, &|| interior(&program).unwrap_or(f64::NAN));
         }
--- a/crates/market/src/arrivals.rs
+++ b/crates/market/src/arrivals.rs
@@ -1,26 +1,30 @@
-//! What will come soon, from what came: jobs of a class a second, and how large they are.
+//! What will arrive soon, from what has arrived: jobs of a class a second, and how large they are.
 
 use std::time::{Duration, Instant};
 
-/// Older arrivals fade: the usual rate is that of some minutes, the present one of seconds.
+/// Older arrivals fade: the baseline rate is that of some minutes, the recent one of seconds.
 const BASELINE_DECAY_S: f64 = 150.0;
 const RECENT_DECAY_S: f64 = 12.0;
-/// So many standard deviations of what is usual count as chance.
+/// So many standard deviations above the baseline count as chance.
 const SURGE_DEVIATIONS: f64 = 1.0;
+/// How much the sizes seen so far count when another job arrives.
+const SIZE_DECAY: f64 = 0.95;
 
 /// Arrivals of one class of jobs.
 #[derive(Clone, Debug)]
 pub struct ArrivalEstimate {
-    at: Instant,
+    updated: Instant,
     baseline: DecayingRate,
     recent: DecayingRate,
-    /// Mean size of a job, in tasks, and of a task, in seconds.
-    tasks: f64,
-    run_s: f64,
-    seen: f64,
+    /// Mean number of a job's tasks.
+    mean_tasks: f64,
+    /// Mean run time of a task, in seconds.
+    mean_runtime_s: f64,
+    /// Decaying number of jobs that the means are of.
+    weight: f64,
 }
 
-/// Jobs against time, both fading.
+/// Jobs against time, both decaying.
 #[derive(Clone, Copy, Debug, Default)]
 struct DecayingRate {
     jobs: f64,
@@ -28,10 +32,10 @@
 }
 
 impl DecayingRate {
-    fn pass(&mut self, seconds: f64, fades: f64) {
-        let kept = (-seconds / fades).exp();
+    fn advance(&mut self, seconds: f64, decay_s: f64) {
+        let kept = (-seconds / decay_s).exp();
         self.jobs *= kept;
-        self.seconds = self.seconds * kept + fades * (1.0 - kept);
+        self.seconds = self.seconds * kept + decay_s * (1.0 - kept);
     }
 
     fn per_second(&self) -> f64 {
@@ -40,40 +44,40 @@
 }
 
 impl ArrivalEstimate {
+    /// An estimate that begins now, with no arrivals.
     pub fn new(now: Instant) -> ArrivalEstimate {
         ArrivalEstimate {
-            at: now,
+            updated: now,
             baseline: DecayingRate::default(),
             recent: DecayingRate::default(),
-            tasks: 0.0,
-            run_s: 0.0,
-            seen: 0.0,
+            mean_tasks: 0.0,
+            mean_runtime_s: 0.0,
+            weight: 0.0,
         }
     }
 
-    fn pass(&mut self, now: Instant) {
-        let passed = now.saturating_duration_since(self.at).as_secs_f64();
-        self.at = now;
-        self.baseline.pass(passed, BASELINE_DECAY_S);
-        self.recent.pass(passed, RECENT_DECAY_S);
+    fn advance(&mut self, now: Instant) {
+        let passed = now.saturating_duration_since(self.updated).as_secs_f64();
+        self.updated = now;
+        self.baseline.advance(passed, BASELINE_DECAY_S);
+        self.recent.advance(passed, RECENT_DECAY_S);
     }
 
-    /// A job came.
-    pub fn note(&mut self, now: Instant, tasks: u32, run: Duration) {
-        const FADE: f64 = 0.95;
-        self.pass(now);
+    /// A job has arrived, with so many tasks of about this run time.
+    pub fn record(&mut self, now: Instant, tasks: u32, runtime: Duration) {
+        self.advance(now);
         self.baseline.jobs += 1.0;
         self.recent.jobs += 1.0;
-        self.seen = self.seen * FADE + 1.0;
-        self.tasks += (f64::from(tasks) - self.tasks) / self.seen;
-        self.run_s += (run.as_secs_f64() - self.run_s) / self.seen;
+        self.weight = self.weight * SIZE_DECAY + 1.0;
+        self.mean_tasks += (f64::from(tasks) - self.mean_tasks) / self.weight;
+        self.mean_runtime_s += (runtime.as_secs_f64() - self.mean_runtime_s) / self.weight;
     }
 
-    /// Jobs a second beyond the usual ones, as far as chance alone would hardly bring them. What is
-    /// usual is served by what there is, or waits and bids for itself.
+    /// Jobs a second beyond the baseline, as far as chance alone would hardly bring them. The
+    /// baseline is served by the machines there are, or waits and bids for itself.
     pub fn surge(&mut self, now: Instant) -> f64 {
-        self.pass(now);
-        // Too short a past says nothing of what is usual.
+        self.advance(now);
+        // Too short a past says nothing of the baseline.
         if self.baseline.seconds < 2.0 * RECENT_DECAY_S {
             return 0.0;
         }
@@ -84,8 +88,9 @@
     }
 
     /// Mean number of a job's tasks, and a task's mean run time.
-    pub fn size(&self) -> (f64, Duration) {
-        (self.tasks, Duration::from_secs_f64(self.run_s.max(0.0)))
+    pub fn mean_size(&self) -> (f64, Duration) {
+        let runtime = Duration::from_secs_f64(self.mean_runtime_s.max(0.0));
+        (self.mean_tasks, runtime)
     }
 }
 
--- /dev/null
+++ b/crates/market/src/clearing/greedy.rs
@@ -0,0 +1,148 @@
+//! Greedy clearing: the best machine first, until none is worth its money.
+
+use super::columns::{PART_ENDS, STAY_PARTS};
+use super::{Clearing, EPSILON};
+use std::cmp::Ordering;
+use std::collections::{BTreeMap, BinaryHeap};
+
+/// No more machines than this are added at once.
+const MAX_ALIKE: f64 = 1e6;
+
+/// What one machine of a column would serve at best.
+struct MachineFill {
+    /// What that saves for each unit of its cost.
+    rate: f64,
+    saved: f64,
+    /// Tasks of each bid.
+    served: Vec<(usize, f64)>,
+}
+
+/// Tasks of a bid that could begin in one part of a column's stay.
+struct FillOption {
+    /// What a task saves for each second of a machine.
+    rate: f64,
+    bid: usize,
+    part: usize,
+}
+
+/// A column and what it saves for each unit of its cost, at most.
+#[derive(PartialEq)]
+struct RankedColumn {
+    rate: f64,
+    column: usize,
+}
+
+impl Eq for RankedColumn {}
+
+impl Ord for RankedColumn {
+    fn cmp(&self, other: &RankedColumn) -> Ordering {
+        // Among equals the first column.
+        let by_rate = self.rate.total_cmp(&other.rate);
+        by_rate.then(other.column.cmp(&self.column))
+    }
+}
+
+impl PartialOrd for RankedColumn {
+    fn partial_cmp(&self, other: &RankedColumn) -> Option<Ordering> {
+        Some(self.cmp(other))
+    }
+}
+
+impl Clearing<'_> {
+    /// Adds the machine that saves most for each unit of its cost, as many of it as find the same
+    /// to do, until none is worth its money. What a column saves only falls as tasks are served,
+    /// so a column is looked at again only when its last answer is the best of all.
+    pub(super) fn clear_greedily(&mut self) {
+        let unranked = |column| RankedColumn {
+            rate: f64::INFINITY,
+            column,
+        };
+        let mut ranking: BinaryHeap<RankedColumn> = (0..self.columns.len()).map(unranked).collect();
+        while let Some(RankedColumn { column: index, .. }) = ranking.pop() {
+            let column = &self.columns[index];
+            if self.available[column.batch] == 0 {
+                continue;
+            }
+            let fill = self.best_fill(index);
+            if fill.saved <= column.cost {
+                continue;
+            }
+            let ranked = RankedColumn {
+                rate: fill.rate,
+                column: index,
+            };
+            if ranking.peek().is_some_and(|next| *next > ranked) {
+                ranking.push(ranked);
+                continue;
+            }
+            let served = fill.served.iter();
+            let alike = served.map(|(bid, tasks)| (self.remaining[*bid] / tasks).floor());
+            let alike = alike.fold(f64::INFINITY, f64::min).clamp(1.0, MAX_ALIKE);
+            let count = (alike as u32).min(self.available[column.batch]);
+            self.add_machines(column, count);
+            self.saved += fill.saved * f64::from(count);
+            for (bid, tasks) in fill.served {
+                let remaining = self.remaining[bid] - tasks * f64::from(count);
+                self.remaining[bid] = remaining.max(0.0);
+            }
+            ranking.push(ranked);
+        }
+    }
+
+    /// What one machine of a column would serve at best.
+    fn best_fill(&self, index: usize) -> MachineFill {
+        let column = &self.columns[index];
+        let fits = &self.fits[index];
+        let mut room = PART_ENDS.map(|end| column.stay_s * end);
+        let mut saved = 0.0;
+        let mut served: BTreeMap<usize, f64> = BTreeMap::new();
+        for FillOption { bid, part, .. } in self.fill_options(index) {
+            let Some(fit) = fits[bid] else { continue };
+            let machine_seconds = fit.machine_seconds[part];
+            let already = served.get(&bid).copied().unwrap_or(0.0);
+            let room_for = room
+                .iter()
+                .zip(machine_seconds)
+                .skip(part)
+                .map(|(room, seconds)| room / seconds.max(EPSILON));
+            let tasks = room_for.fold(self.remaining[bid] - already, f64::min);
+            if tasks <= EPSILON {
+                continue;
+            }
+            for (room, seconds) in room.iter_mut().zip(machine_seconds).skip(part) {
+                *room -= tasks * seconds;
+            }
+            saved += tasks * fit.value[part];
+            *served.entry(bid).or_default() += tasks;
+        }
+        MachineFill {
+            rate: saved / column.cost.max(EPSILON),
+            saved,
+            served: served.into_iter().collect(),
+        }
+    }
+
+    /// All that could be served on a column's machine, the best use of its time first.
+    fn fill_options(&self, index: usize) -> Vec<FillOption> {
+        let mut options: Vec<FillOption> = Vec::new();
+        for (bid, fit) in self.fits[index].iter().enumerate() {
+            let Some(fit) = fit.filter(|_| self.remaining[bid] > EPSILON) else {
+                continue;
+            };
+            for (part, value) in fit.value.iter().enumerate() {
+                if *value > EPSILON {
+                    options.push(FillOption {
+                        rate: value / fit.machine_seconds[part][STAY_PARTS - 1],
+                        bid,
+                        part,
+                    });
+                }
+            }
+        }
+        options.sort_by(|a, b| {
+            let by_rate = b.rate.total_cmp(&a.rate);
+            by_rate.then((a.bid, a.part).cmp(&(b.bid, b.part)))
+        });
+        options
+    }
+}
--- a/crates/market/src/clearing/tests.rs
+++ b/crates/market/src/clearing/tests.rs
@@ -2,6 +2,7 @@
 use crate::delay_cost::ServiceLevelObjective;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
+use std::collections::BTreeMap;
 
 fn s(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds)
@@ -9,30 +10,30 @@
 
 fn batch(kind: &str, zone: &str, spot: bool, price: f64) -> OfferBatch {
     OfferBatch {
-        offer: (kind.into(), zone.into(), spot),
+        offer: Offer::new(kind, zone, spot),
         price,
-        ready: s(15.0),
+        ready_in: s(15.0),
         minimum_billed: s(60.0),
         available: 100,
         loss_rate: 0.0,
-        size: 4.0,
+        machine_size: 4.0,
     }
 }
 
-/// Tasks that would start after `after`, and lose `loss` if that is later than `by`.
-fn bid(tasks: f64, after: f64, by: f64, loss: f64, batches: usize) -> Bid {
-    let unsure = Duration::ZERO;
-    let aims = vec![ServiceLevelObjective {
-        by: s(by),
-        unsure,
-        loss,
+/// Tasks that would start after `after`, and lose `loss` if that is later than `start_within`.
+fn bid(tasks: f64, after: f64, start_within: f64, loss: f64, batches: usize) -> Bid {
+    let uncertainty = Duration::ZERO;
+    let objectives = vec![ServiceLevelObjective {
+        start_within: s(start_within),
+        uncertainty,
+        miss_cost: loss,
     }];
     Bid {
         tasks,
-        run: s(10.0),
-        arrives: Duration::ZERO,
-        after: s(after),
-        delay_cost: DelayCost::new(aims, 0.0),
+        runtime: s(10.0),
+        arrives_in: Duration::ZERO,
+        starts_in: s(after),
+        delay_cost: DelayCost::new(objectives, 0.0),
         nominal_cost: 1.0,
         machine_fits: vec![
             Some(MachineFit {
@@ -125,7 +126,7 @@
     let turned: Vec<OfferBatch> = batches.iter().rev().cloned().collect();
     let there = counts(&clear(&bids, &turned, &anywhere()), &turned);
     assert_eq!(here, there);
-    let kinds: Vec<&String> = here.keys().map(|o| &o.0).collect();
+    let kinds: Vec<&String> = here.keys().map(|o| &o.machine_type).collect();
     assert!(kinds.windows(2).all(|k| k[0] == k[1]), "{here:?}");
     // Of the same kind and price, zones share what is rented.
     let by_zone: Vec<u32> = here.values().copied().collect();
@@ -136,14 +137,14 @@
 fn a_zone_beyond_its_share_is_paid_less_for_and_one_without_another_still_served() {
     let mut batches = vec![batch("k", "a", false, 1.0), batch("k", "b", false, 1.05)];
     let late = [bid(30.0, 120.0, 50.0, 500.0, 2)];
-    let mut spread = ZoneBalance::new(["a", "b"], 0.1);
-    spread.add("a", 90.0);
-    spread.add("b", 10.0);
-    let got = counts(&clear(&late, &batches, &spread), &batches);
+    let mut balance = ZoneBalance::new(["a", "b"], 0.1);
+    balance.add("a", 90.0);
+    balance.add("b", 10.0);
+    let got = counts(&clear(&late, &batches, &balance), &batches);
     assert!(!got.contains_key(&batches[0].offer) && got[&batches[1].offer] > 0);
     // The other zone drains: better there than not at all.
     batches[1].available = 0;
-    let got = counts(&clear(&late, &batches, &spread), &batches);
+    let got = counts(&clear(&late, &batches, &balance), &batches);
     assert!(got[&batches[0].offer] > 0);
 }
 
@@ -157,7 +158,7 @@
                 let mut l = batch(&format!("k{}", i / 4), zone, i % 3 == 0, 1.0);
                 l.price = rng.random_range(0.1..6.0);
                 l.available = rng.random_range(0..40);
-                l.ready = s(rng.random_range(0.0..60.0));
+                l.ready_in = s(rng.random_range(0.0..60.0));
                 l.loss_rate = rng.random_range(0.0..0.01);
                 l
             })
@@ -169,7 +170,7 @@
                 let loss = rng.random_range(0.0..80.0);
                 let tasks = f64::from(rng.random_range(0..300u32));
                 let mut b = bid(tasks, after, by, loss, batches.len());
-                b.run = s(rng.random_range(0.1..400.0));
+                b.runtime = s(rng.random_range(0.1..400.0));
                 for c in &mut b.machine_fits {
                     let tasks_per_machine = rng.random_range(0..17u32);
                     *c = (tasks_per_machine > 0).then_some(MachineFit {
@@ -206,7 +207,7 @@
                 let price = size * if i % 2 == 0 { 0.033 } else { 0.085 };
                 let zone = if i % 4 < 2 { "a" } else { "b" };
                 let mut l = batch(&format!("k{}", i / 4), zone, i % 2 == 0, price);
-                (l.size, l.ready) = (size, s(ready));
+                (l.machine_size, l.ready_in) = (size, s(ready));
                 l.available = if i % 2 == 0 { 5 } else { 200 };
                 l
             })
@@ -217,9 +218,9 @@
                 let loss = run * rng.random_range(0.2..2.0);
                 let after = rng.random_range(30.0..240.0);
                 let mut b = bid(60.0, after, rng.random_range(20.0..120.0), loss, 12);
-                b.run = s(run);
+                b.runtime = s(run);
                 for (c, l) in b.machine_fits.iter_mut().zip(&batches) {
-                    let tasks_per_machine = (l.size / 4.0) as u32;
+                    let tasks_per_machine = (l.machine_size / 4.0) as u32;
                     *c = Some(MachineFit {
                         tasks_per_machine,
                         fetch: s(3.0),
--- a/crates/market/src/delay_cost/tests.rs
+++ b/crates/market/src/delay_cost/tests.rs
@@ -6,24 +6,24 @@
 
 #[test]
 fn a_later_start_never_costs_less_and_a_missed_aim_costs_no_more() {
-    let aims = vec![
+    let objectives = vec![
         ServiceLevelObjective {
-            by: s(60.0),
-            unsure: Duration::ZERO,
-            loss: 5.0,
+            start_within: s(60.0),
+            uncertainty: Duration::ZERO,
+            miss_cost: 5.0,
         },
         ServiceLevelObjective {
-            by: s(20.0),
-            unsure: Duration::ZERO,
-            loss: 10.0,
+            start_within: s(20.0),
+            uncertainty: Duration::ZERO,
+            miss_cost: 10.0,
         },
         ServiceLevelObjective {
-            by: s(5.0),
-            unsure: Duration::ZERO,
-            loss: -1.0,
+            start_within: s(5.0),
+            uncertainty: Duration::ZERO,
+            miss_cost: -1.0,
         },
     ];
-    let w = DelayCost::new(aims, 0.01);
+    let w = DelayCost::new(objectives, 0.01);
     let losses: Vec<f64> = (0..200).map(|i| w.loss(s(f64::from(i)))).collect();
     assert!(losses.windows(2).all(|p| p[0] <= p[1]));
     assert_eq!(w.loss(Duration::ZERO), 0.0);
@@ -35,14 +35,14 @@
 /// Where run times are unsure, starting late may still do, and a little late is a little lost.
 #[test]
 fn an_unsure_aim_is_lost_bit_by_bit() {
-    let aim = |unsure: f64| ServiceLevelObjective {
-        by: s(20.0),
-        unsure: s(unsure),
-        loss: 10.0,
+    let objective = |uncertainty: f64| ServiceLevelObjective {
+        start_within: s(20.0),
+        uncertainty: s(uncertainty),
+        miss_cost: 10.0,
     };
     let (sure, unsure) = (
-        DelayCost::new(vec![aim(0.0)], 0.0),
-        DelayCost::new(vec![aim(30.0)], 0.0),
+        DelayCost::new(vec![objective(0.0)], 0.0),
+        DelayCost::new(vec![objective(30.0)], 0.0),
     );
     assert_eq!(sure.gain(s(60.0), s(30.0)), 0.0);
     assert!(unsure.gain(s(60.0), s(30.0)) > 1.0);
@@ -51,10 +51,10 @@
 
 #[test]
 fn a_tighter_share_makes_a_miss_dearer() {
-    assert!((weight(0.975) - 40.0).abs() < 1e-9);
-    assert!((weight(0.85) - 1.0 / 0.15).abs() < 1e-9);
+    assert!((objective_weight(0.975) - 40.0).abs() < 1e-9);
+    assert!((objective_weight(0.85) - 1.0 / 0.15).abs() < 1e-9);
     // What settings may hold beside shares must not make work priceless.
-    assert_eq!(weight(1.0), 200.0);
-    assert_eq!(weight(f64::NAN), 1.0);
-    assert_eq!(weight(-3.0), 1.0);
+    assert_eq!(objective_weight(1.0), 200.0);
+    assert_eq!(objective_weight(f64::NAN), 1.0);
+    assert_eq!(objective_weight(-3.0), 1.0);
 }
--- a/src/core/jobs/lifecycle.rs
+++ b/src/core/jobs/lifecycle.rs
@@ -90,7 +90,7 @@
                 leader
                     .scheduler
                     .bidding
-                    .arrived(self.now.mono, &job.spec, rank, run);
+                    .record_arrival(self.now.mono, &job.spec, rank, run);
             }
             // Accepted while a cancellation of what it needs is being written.
             let doubtful = |a: &JobId| {
--- a/src/core/machines/cloud_calls.rs
+++ b/src/core/machines/cloud_calls.rs
@@ -114,15 +114,15 @@
         let name = format!("burlusher-{}-{}", leader.term, leader.cloud.next_request);
         tracing::info!(
             "renting {count} of {} in {}, {}: {name}",
-            offer.0,
-            offer.1,
-            if offer.2 { "spot" } else { "ordinary" }
+            offer.machine_type,
+            offer.zone,
+            if offer.spot { "spot" } else { "ordinary" }
         );
         let body = ScaleOutRequest {
             request_id: name.clone(),
-            machine_type: offer.0,
-            zone: offer.1,
-            spot: offer.2,
+            machine_type: offer.machine_type,
+            zone: offer.zone,
+            spot: offer.spot,
             count,
         };
         leader.cloud.scale_outs.insert(
@@ -192,11 +192,7 @@
             return;
         };
         op.call = None;
-        let offer = (
-            op.body.machine_type.clone(),
-            op.body.zone.clone(),
-            op.body.spot,
-        );
+        let offer = Offer::new(&op.body.machine_type, &op.body.zone, op.body.spot);
         let asked = op.body.count as usize;
         let since = op.since;
         let mut got = Some(0);
@@ -205,7 +201,13 @@
                 got = Some(ids.len());
                 leader.cloud.scale_outs.remove(name);
                 for id in ids {
-                    let m = Machine::new(id.clone(), &offer.0, &offer.1, offer.2, now);
+                    let m = Machine::new(
+                        id.clone(),
+                        &offer.machine_type,
+                        &offer.zone,
+                        offer.spot,
+                        now,
+                    );
                     if !leader.deleted_machines.contains(&id) {
                         leader.machines.get_or_add(&id, || m).age =
                             now.saturating_duration_since(since);
--- a/src/core/machines/failure_detection.rs
+++ b/src/core/machines/failure_detection.rs
@@ -229,7 +229,7 @@
             self.machine_lease_expired(&id);
         }
         for (id, why) in silent {
-            self.machine_lost(&id);
+            self.record_machine_loss(&id);
             self.release_machine(&id, why);
         }
         self.move_tasks_off_reclaimed();
--- a/src/core/monitoring/status.rs
+++ b/src/core/monitoring/status.rs
@@ -54,8 +54,9 @@
         let refused: Vec<String> = self
             .refused_offers()
             .into_iter()
-            .map(|(kind, zone, spot)| {
-                format!("{kind} {zone} {}", if spot { "spot" } else { "ordinary" })
+            .map(|offer| {
+                let market = if offer.spot { "spot" } else { "ordinary" };
+                format!("{} {} {market}", offer.machine_type, offer.zone)
             })
             .collect();
         json!({
--- /dev/null
+++ b/src/core/scheduling/deferred_responses.rs
@@ -0,0 +1,52 @@
+//! Responses to heartbeats that wait for the next plan.
+//!
+//! What is placed on a machine that something just ended on then goes into the response to its
+//! heartbeat, and takes no call to the machine. Responses wait no longer than plans are apart at
+//! least.
+
+use crate::core::Core;
+use crate::core::leadership::state::DeferredResponses;
+use crate::core::scheduling::MIN_PLAN_INTERVAL;
+use crate::core::workers::delegation::PendingBatch;
+use crate::job::MachineId;
+use std::time::Duration;
+
+impl Core {
+    /// Takes out of `due` what is to wait for the next plan, and adds what has waited for the
+    /// last one.
+    pub(in crate::core) fn defer_responses(&mut self, due: &mut DeferredResponses) {
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        let waiting = std::mem::take(&mut leader.scheduler.deferred_responses);
+        let scheduler = &leader.scheduler;
+        let planned = scheduler.last_plan == Some(self.now.mono) || !scheduler.plan_again;
+        // At a takeover all machines are new, and their responses show them the token: no time
+        // to lose.
+        let is_recovering = leader.recovery.unresolved > 0;
+        if planned || !scheduler.has_pending_demand || is_recovering {
+            due.heartbeats.extend(waiting.heartbeats);
+            due.batches.extend(waiting.batches);
+            return;
+        }
+        let machines = &leader.machines;
+        let is_freed = |id: &MachineId| machines.get(id).is_some_and(|m| m.freed);
+        let has_freed = |batch: &mut PendingBatch| batch.machines().any(is_freed);
+        let mut deferred = waiting;
+        let heartbeats = due.heartbeats.extract_if(.., |(_, id)| is_freed(id));
+        deferred.heartbeats.extend(heartbeats);
+        deferred
+            .batches
+            .extend(due.batches.extract_if(.., has_freed));
+        leader.scheduler.deferred_responses = deferred;
+    }
+
+    /// Time until the next plan, if responses wait for it.
+    pub(in crate::core) fn until_next_plan(&self) -> Option<Duration> {
+        let scheduler = &self.leader.as_ref()?.scheduler;
+        let deferred = &scheduler.deferred_responses;
+        let none_deferred = deferred.heartbeats.is_empty() && deferred.batches.is_empty();
+        let next_plan = scheduler.last_plan? + MIN_PLAN_INTERVAL;
+        (!none_deferred).then(|| next_plan.saturating_duration_since(self.now.mono))
+    }
+}
--- /dev/null
+++ b/src/core/scheduling/gangs.rs
@@ -0,0 +1,31 @@
+//! Gangs that have lost a task.
+
+use crate::core::Core;
+use crate::core::machines::machine::StopReason;
+use crate::job::JobKind;
+
+impl Core {
+    /// Stops what remains of a gang that has lost a task, so that it starts again as a whole.
+    pub(super) fn restart_broken_gangs(&mut self) {
+        let now = self.now.mono;
+        let leader = self.leader.as_ref();
+        if leader.is_some_and(|leader| !self.may_start_tasks(leader)) {
+            return;
+        }
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        for (id, job) in &self.store_cache.jobs {
+            if job.spec.job_kind != JobKind::Gang || Self::blocked_by_recovery(leader, job) {
+                continue;
+            }
+            let Some(run) = leader.job_runs.get(id) else {
+                continue;
+            };
+            if run.queued.is_empty() || run.ending.is_some() {
+                continue;
+            }
+            run.stop_assigned(id, &mut leader.machines, StopReason::Regrouped, now);
+        }
+    }
+}
--- /dev/null
+++ b/src/core/scheduling/scaling.rs
@@ -0,0 +1,283 @@
+//! Scaling: machines added for pending demand, and idle ones removed.
+
+use crate::core::Core;
+use crate::core::leadership::state::LeaderState;
+use crate::core::scheduling::queue::{BlockedJobs, QueueEntry};
+use crate::job::{JobKind, MachineId};
+use crate::planning::autoscaler::{self, OfferMarket, ScaleOut};
+use crate::planning::capacity_forecast::{BootingNodes, PendingDemand};
+use crate::planning::cluster_snapshot::Offer;
+use crate::policy::{Entry, MachineFacts};
+use burlusher_market::ZoneBalance;
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// Machines that a new leader has not heard from for so long delay bidding no longer.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(8);
+/// A new leader requests no machines before it has a list of those there are, or for this long.
+const LIST_TIMEOUT: Duration = Duration::from_secs(3);
+/// Most requests for machines that are under way at a time.
+const MAX_SCALE_OUTS_IN_FLIGHT: usize = 8;
+/// A wait shorter than this part of a boot cannot be helped by adding machines.
+const MIN_WAIT_PER_BOOT: f64 = 0.6;
+/// Announced times above this are taken for this, in seconds.
+const MAX_TIME_S: f64 = 1e6;
+/// Idle timeouts above this are taken for this, in seconds.
+const MAX_IDLE_TIMEOUT_S: f64 = 1e7;
+/// No more tasks of a job than this are counted at a time.
+const MAX_TASKS: f64 = 1e6;
+/// Sums of decimal amounts may miss a limit by a rounding error of this size.
+const EPSILON: f64 = 1e-6;
+/// The expected run time of work that never gives its room to other tasks of its job.
+const ENDLESS: Duration = match Duration::MAX.checked_div(4) {
+    Some(endless) => endless,
+    None => Duration::MAX,
+};
+
+/// A queue entry with what of it waits for room.
+pub(super) struct EntryDemand<'a> {
+    pub entry: QueueEntry<'a>,
+    pub demand: PendingDemand,
+}
+
+impl Core {
+    /// Adds machines for what waits, and removes idle ones.
+    pub(super) fn scale_machines(&mut self) {
+        let now = self.now.mono;
+        self.update_quotas();
+        self.refresh_snapshot();
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
+        leader.scheduler.last_scaling = Some(now);
+        leader.scheduler.arrivals.note(now, 0);
+        leader.cluster_snapshot.recompute_team_allocations();
+        let Some(leader) = &self.leader else { return };
+        if self.machine_types.is_empty() {
+            return;
+        }
+        let is_bidding = self
+            .policy
+            .fleet_truth(Entry::Bidding, &self.fleet_facts(leader));
+        let pending = self.pending_demand(leader);
+        let mut demand_bids = Vec::new();
+        if is_bidding {
+            demand_bids.extend(pending.iter().map(|pending| self.demand_bid(pending)));
+        }
+        let demands: Vec<PendingDemand> = pending.into_iter().map(|p| p.demand).collect();
+        let booting_nodes = self.booting_nodes(leader);
+        let market = self.offer_market();
+        let Some(leader) = &self.leader else { return };
+        let scale_outs = if is_bidding && !self.may_bid(leader) {
+            Vec::new()
+        } else if is_bidding {
+            self.clear_bids(demand_bids, &booting_nodes, market)
+        } else {
+            let snapshot = &leader.cluster_snapshot;
+            autoscaler::plan_scale_out(snapshot, &booting_nodes, &demands, &market, now)
+        };
+        let idle = self.unneeded_machines(&demands);
+        self.request_machines(scale_outs);
+        for id in idle {
+            self.release_machine(&id, "it is idle");
+        }
+    }
+
+    /// What the cloud offers now. Zones that cannot be reached are closed to bids.
+    fn offer_market(&mut self) -> OfferMarket {
+        let now = self.now.mono;
+        let unreachable_zones = match &self.leader {
+            Some(leader) => self.unreachable_zones(leader),
+            None => Vec::new(),
+        };
+        let mut refused = Vec::new();
+        if let Some(leader) = &mut self.leader {
+            let estimates = &mut leader.scheduler.bidding.estimates;
+            estimates.set_closed_zones(&unreachable_zones, "its machines are not heard");
+            refused.extend(estimates.refused(now).cloned());
+        }
+        OfferMarket {
+            types: self.machine_types.clone(),
+            refused,
+            unreachable_zones,
+            zone_balance: ZoneBalance::default(),
+        }
+    }
+
+    /// Zones in which most machines are silent, or do not receive what they are sent: they are of
+    /// no more use than silent ones.
+    fn unreachable_zones(&self, leader: &LeaderState) -> Vec<String> {
+        #[derive(Default)]
+        struct ZoneMachines {
+            all: u32,
+            reachable: u32,
+        }
+        let now = self.now.mono;
+        let mut zones: BTreeMap<&str, ZoneMachines> = BTreeMap::new();
+        for machine in leader.machines.values().filter(|m| m.incarnation > 0) {
+            let silence = now.saturating_duration_since(machine.last_heartbeat);
+            let is_heard = silence < self.settings.heartbeat_interval * 2;
+            let is_reachable = is_heard && machine.unconfirmed_token.is_none();
+            let zone = zones.entry(&machine.zone).or_default();
+            zone.all += 1;
+            zone.reachable += u32::from(is_reachable);
+        }
+        let zones = zones.into_iter();
+        zones
+            .filter(|(_, machines)| machines.reachable * 2 < machines.all)
+            .map(|(zone, _)| zone.to_string())
+            .collect()
+    }
+
+    /// Whether a new leader knows enough of what runs to bid: until then all of it seems to wait.
+    fn may_bid(&self, leader: &LeaderState) -> bool {
+        let led_for = self.now.mono.saturating_duration_since(leader.since);
+        leader.recovery.unresolved == 0 || led_for > RECOVERY_TIMEOUT
+    }
+
+    /// Idle machines that nothing pending could use. A new leader first learns what there is.
+    fn unneeded_machines(&self, demands: &[PendingDemand]) -> Vec<MachineId> {
+        let Some(leader) = &self.leader else {
+            return Vec::new();
+        };
+        let now = self.now.mono;
+        let led_for = now.saturating_duration_since(leader.since);
+        let is_settled =
+            leader.recovery.unresolved == 0 && led_for > self.settings.heartbeat_interval * 2;
+        if !is_settled {
+            return Vec::new();
+        }
+        let idle_timeout = |id: &MachineId| self.idle_timeout(leader, id);
+        autoscaler::plan_scale_in(&leader.cluster_snapshot, demands, now, idle_timeout)
+    }
+
+    /// Requests machines, unless too many requests are under way or nothing is known of the cloud.
+    fn request_machines(&mut self, scale_outs: Vec<ScaleOut>) {
+        let Some(leader) = &self.leader else { return };
+        let led_for = self.now.mono.saturating_duration_since(leader.since);
+        let cloud = &leader.cloud;
+        let has_list = cloud.list_requested.is_some() && !cloud.list_in_flight;
+        let may_request = has_list || led_for > LIST_TIMEOUT;
+        if may_request && cloud.scale_outs.len() < MAX_SCALE_OUTS_IN_FLIGHT {
+            for scale_out in scale_outs {
+                self.rent(scale_out.offer, scale_out.count);
+            }
+        }
+    }
+
+    /// How long an idle machine is kept, by the policy.
+    fn idle_timeout(&self, leader: &LeaderState, id: &MachineId) -> Duration {
+        let Some(machine) = leader.machines.get(id) else {
+            return Duration::ZERO;
+        };
+        let machine_type = self.type_of(&machine.machine_type);
+        let known_for = self.now.mono.saturating_duration_since(machine.known_since);
+        let age = machine.age + known_for;
+        let price = machine_type.map_or(0.0, |t| {
+            let spot_price = t.spot_price.filter(|_| machine.spot);
+            spot_price.unwrap_or(t.price)
+        });
+        let facts = MachineFacts {
+            spot: machine.spot,
+            price,
+            cpus: machine_type.map_or(0.0, |t| t.cpus),
+            ram: machine_type.map_or(0.0, |t| t.ram),
+            age: age.as_secs_f64(),
+            boot: machine_type.map_or(0.0, |t| t.boot_s),
+            pause: leader.scheduler.arrivals.pause(),
+        };
+        let timeout_s = self.policy.machine_number(Entry::IdleTimeout, &facts);
+        Duration::from_secs_f64(timeout_s.clamp(0.0, MAX_IDLE_TIMEOUT_S))
+    }
+
+    /// Machines that have been requested and have no names yet.
+    fn booting_nodes(&self, leader: &LeaderState) -> Vec<BootingNodes> {
+        let requests = leader
+            .cloud
+            .scale_outs
+            .values()
+            .map(|request| &request.body);
+        requests
+            .filter_map(|request| {
+                let machine_type = self.type_of(&request.machine_type)?;
+                Some(BootingNodes {
+                    offer: Offer::new(&request.machine_type, &request.zone, request.spot),
+                    capacity: machine_type.room(),
+                    count: request.count,
+                    ready_in: Duration::from_secs_f64(machine_type.boot_s.min(MAX_TIME_S)),
+                })
+            })
+            .collect()
+    }
+
+    /// What waits for room, in the queue's order, within the teams' limits.
+    fn pending_demand<'a>(&'a self, leader: &'a LeaderState) -> Vec<EntryDemand<'a>> {
+        let teams = self.team_usage(leader, &leader.cluster_snapshot);
+        let mut spare_cpus: Vec<f64> = teams
+            .iter()
+            .map(|team| {
+                team.cpu_limit
+                    .map_or(f64::INFINITY, |limit| limit - team.cpus)
+            })
+            .collect();
+        let boot_times = self.machine_types.iter().map(|t| t.boot_s);
+        let fastest_boot_s = boot_times.fold(f64::INFINITY, f64::min);
+        let mut demands = Vec::new();
+        // Machines that have not reported to a new leader may be running what it does not see;
+        // what they cannot hold waits for certain, and adding machines for it need not wait.
+        let mut unobserved = self.unobserved_capacity(leader);
+        for entry in self.job_queue(leader, BlockedJobs::Included) {
+            if entry.run.is_suspect() {
+                continue;
+            }
+            let resources = &entry.job.spec.resources;
+            let mut tasks = entry.run.queued.len() as u32;
+            if Self::blocked_by_recovery(leader, entry.job) {
+                let possibly_running = resources.count_in(&unobserved).min(tasks);
+                unobserved.sub(&resources.times(f64::from(possibly_running)));
+                tasks -= possibly_running;
+            }
+            if resources.cpus > 0.0 {
+                let spare = &mut spare_cpus[entry.team];
+                let most = ((*spare + EPSILON) / resources.cpus).floor().max(0.0);
+                tasks = tasks.min(most.min(MAX_TASKS) as u32);
+                *spare -= f64::from(tasks) * resources.cpus;
+            }
+            if tasks > 0 {
+                let demand = self.demand_of(&entry, tasks, fastest_boot_s);
+                demands.push(EntryDemand { entry, demand });
+            }
+        }
+        demands
+    }
+
+    fn demand_of(&self, entry: &QueueEntry, tasks: u32, fastest_boot_s: f64) -> PendingDemand {
+        let spec = &entry.job.spec;
+        let max_wait = |policy_entry| {
+            let wait_s = self.policy.number(policy_entry, &entry.facts);
+            let least_s = fastest_boot_s * MIN_WAIT_PER_BOOT;
+            Duration::from_secs_f64(wait_s.max(least_s).clamp(0.0, MAX_TIME_S))
+        };
+        PendingDemand {
+            spec: spec.clone(),
+            priority: entry.priority,
+            tasks,
+            expected_runtime: match spec.job_kind {
+                JobKind::Service | JobKind::Gang => ENDLESS,
+                JobKind::Array => entry.expected_runtime,
+            },
+            max_wait: max_wait(Entry::MaxWait),
+            max_spot_wait: max_wait(Entry::MaxSpotWait),
+            excluded_offers: self.excluded_offers(entry.job, &entry.facts),
+        }
+    }
+
+    /// Offers refused a short while ago, for the status view.
+    pub(in crate::core) fn refused_offers(&self) -> Vec<Offer> {
+        let Some(leader) = &self.leader else {
+            return Vec::new();
+        };
+        let estimates = &leader.scheduler.bidding.estimates;
+        estimates.refused(self.now.mono).cloned().collect()
+    }
+}
--- a/src/core/simulation/checker.rs
+++ b/src/core/simulation/checker.rs
@@ -101,7 +101,7 @@
     }
     let here = others().filter(|(_, z)| *z == zone).count() as u32;
     assert!(
-        here < spec.zone_cap(),
+        here < spec.max_tasks_per_zone(),
         "{key} starts in {zone}, as too many of its job do"
     );
 }
--- a/src/core/simulation/scenarios/scheduling.rs
+++ b/src/core/simulation/scenarios/scheduling.rs
@@ -98,7 +98,7 @@
     let (mut simulation, leader) = thousand_machines(25, "large");
     let looked = |simulation: &Simulation| {
         let lead = simulation.nodes[leader].core.leader.as_ref().unwrap();
-        lead.cluster_snapshot.inspected.get()
+        lead.cluster_snapshot.inspected()
     };
     let long_job = |id: &str, tasks, seconds| {
         let mut spec = sample(id, tasks, 4.0, seconds);
--- a/src/core/workers/heartbeats.rs
+++ b/src/core/workers/heartbeats.rs
@@ -8,7 +8,7 @@
 use crate::fault_injection::{Safeguard, is_enabled};
 use crate::http::Answer;
 use crate::job::{JobId, JobKind, MachineId, Resources, TaskId};
-use crate::planning::cluster_snapshot::image_tag;
+use crate::planning::cluster_snapshot::{Offer, image_tag};
 use crate::wire::{ExitCause, Heartbeat, Redirect, TaskState, TaskStatus, parse_task_id, to_json};
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
@@ -263,8 +263,12 @@
         // Starts in the answer before this report, which was not taken, as it would show them.
         let untaken = answered && m.start_unconfirmed && m.failed_calls > 0;
         if noticed {
-            let offer = (m.machine_type.clone(), m.zone.clone(), m.spot);
-            leader.scheduler.bidding.estimates.lost(&offer, 1, now);
+            let offer = Offer::new(&m.machine_type, &m.zone, m.spot);
+            leader
+                .scheduler
+                .bidding
+                .estimates
+                .record_losses(&offer, 1, now);
         }
         if answered {
             m.start_unconfirmed = false;
@@ -468,7 +472,7 @@
         if why == ExitCause::Done {
             m.fault_history.failed_jobs.clear();
             m.fault_history.failures = 0;
-            self.note_run_time(id, key, ran);
+            self.record_run_time(id, key, ran);
             self.task_completed(key, Some(id));
             return;
         }
--- a/src/job.rs
+++ b/src/job.rs
@@ -1,17 +1,21 @@
-//! What a job is, apart from the form in which any interface carries it.
+//! Jobs, their tasks and what these need, apart from the form in which any interface carries them.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::sync::Arc;
 use std::time::Duration;
 
+/// A job's id, as its user has chosen it.
 pub type JobId = Arc<str>;
+/// A machine's id, as the cloud has given it.
 pub type MachineId = Arc<str>;
 
-/// One task of a job: the job's id and the task's number.
+/// One task of a job.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TaskId {
+    /// The job.
     pub job: JobId,
+    /// The task's index in the job, from 0.
     pub index: u32,
 }
 
@@ -21,123 +25,162 @@
     }
 }
 
+/// How the tasks of a job belong together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobKind {
     /// Independent tasks, each of which runs to completion.
     Array,
     /// Replicas that run until the job is cancelled.
     Service,
-    /// Tasks that only run together: they start whole, and start again whole.
+    /// Tasks that only run together: all start at once, and start again all at once.
     Gang,
 }
 
-/// Higher ranks are served first; the derived order puts the highest first.
+/// How important a job is; the derived order puts the highest priority first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Priority {
+    /// Above all others.
     Production,
+    /// Above the ordinary one.
     High,
+    /// The ordinary priority.
     Normal,
+    /// Below all others, which may preempt it.
     Low,
 }
 
-/// What one task takes of its machine, or what a machine has.
+impl Priority {
+    /// The priority's place from the highest, which is 0.
+    pub fn level(self) -> u8 {
+        self as u8
+    }
+}
+
+/// What one task needs of its machine, or what a machine has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Resources {
+    /// CPUs, or parts of one.
     pub cpus: f64,
+    /// GPUs.
     pub gpus: f64,
+    /// Memory in GB.
     pub ram: f64,
 }
 
 /// Amounts are decimal numbers; sums of them may miss a whole by a rounding error.
 const EPSILON: f64 = 1e-6;
+/// No more tasks than this are counted on one machine.
+const MAX_TASK_COUNT: f64 = 1e6;
 
 impl Resources {
+    /// Whether this much fits into `room`.
     pub fn fits(&self, room: &Resources) -> bool {
         self.cpus <= room.cpus + EPSILON
             && self.gpus <= room.gpus + EPSILON
             && self.ram <= room.ram + EPSILON
     }
 
+    /// Adds an amount.
     pub fn add(&mut self, other: &Resources) {
         self.cpus += other.cpus;
         self.gpus += other.gpus;
         self.ram += other.ram;
     }
 
+    /// Subtracts an amount; the result may be negative.
     pub fn sub(&mut self, other: &Resources) {
         self.cpus -= other.cpus;
         self.gpus -= other.gpus;
         self.ram -= other.ram;
     }
 
-    pub fn times(&self, n: f64) -> Resources {
+    /// This much, `factor` times.
+    pub fn times(&self, factor: f64) -> Resources {
         Resources {
-            cpus: self.cpus * n,
-            gpus: self.gpus * n,
-            ram: self.ram * n,
+            cpus: self.cpus * factor,
+            gpus: self.gpus * factor,
+            ram: self.ram * factor,
         }
     }
 
-    /// The largest of this task's shares of a machine's CPUs, GPUs and memory.
-    pub fn share_of(&self, whole: &Resources) -> f64 {
-        let part = |x: f64, of: f64| {
-            if x <= 0.0 {
+    /// The largest of this amount's shares of a machine's CPUs, GPUs and memory.
+    pub fn dominant_share(&self, whole: &Resources) -> f64 {
+        let share = |amount: f64, whole: f64| {
+            if amount <= 0.0 {
                 0.0
-            } else if of <= 0.0 {
+            } else if whole <= 0.0 {
                 f64::INFINITY
             } else {
-                x / of
+                amount / whole
             }
         };
-        part(self.cpus, whole.cpus)
-            .max(part(self.gpus, whole.gpus))
-            .max(part(self.ram, whole.ram))
+        share(self.cpus, whole.cpus)
+            .max(share(self.gpus, whole.gpus))
+            .max(share(self.ram, whole.ram))
     }
 
     /// How many tasks of this size go into `room`.
     pub fn count_in(&self, room: &Resources) -> u32 {
-        let part = |x: f64, of: f64| {
-            if x <= 0.0 {
+        let count = |amount: f64, room: f64| {
+            if amount <= 0.0 {
                 f64::INFINITY
             } else {
-                ((of + EPSILON) / x).floor().max(0.0)
+                ((room + EPSILON) / amount).floor().max(0.0)
             }
         };
-        let n = part(self.cpus, room.cpus)
-            .min(part(self.gpus, room.gpus))
-            .min(part(self.ram, room.ram));
-        n.min(1e6) as u32
+        let least = count(self.cpus, room.cpus)
+            .min(count(self.gpus, room.gpus))
+            .min(count(self.ram, room.ram));
+        least.min(MAX_TASK_COUNT) as u32
     }
 }
 
-/// Everything the scheduler knows of a job from its user.
+/// A job as its user describes it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
+    /// Its id.
     pub id: JobId,
+    /// The class of alike jobs that it belongs to, by which run times and objectives are kept.
     pub class: String,
+    /// The team that it counts toward.
     pub team: String,
+    /// How its tasks belong together.
     #[serde(rename = "kind")]
     pub job_kind: JobKind,
+    /// How important it is.
     #[serde(rename = "rank")]
     pub priority: Priority,
+    /// How many tasks it has.
     pub tasks: u32,
+    /// What each task needs.
     #[serde(rename = "needs")]
     pub resources: Resources,
+    /// The name of the image that its tasks run.
     pub image: String,
+    /// The image's size in GB.
     pub image_gb: f64,
+    /// The only machine types it may run on; `None` for any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "types")]
     pub machine_types: Option<Vec<String>>,
+    /// The only zone it may run in; `None` for any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
+    /// All of its tasks run in the same zone.
     pub one_zone: bool,
+    /// No zone runs more than half of its tasks.
     pub spread: bool,
+    /// It may run on spot machines.
     pub spot: bool,
+    /// Its user's estimate of a task's run time; zero for a service.
     pub estimate: Duration,
+    /// How often a task saves its progress; zero if it cannot.
     #[serde(rename = "checkpoint")]
     pub checkpoint_interval: Duration,
+    /// How long a checkpoint takes.
     #[serde(rename = "save")]
     pub checkpoint_duration: Duration,
+    /// When it should be done, from its submission.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub deadline: Option<Duration>,
     /// Jobs that have to be done before any of its tasks starts; sorted, each once.
@@ -148,7 +191,7 @@
 
 impl JobSpec {
     /// How many tasks may be in one zone.
-    pub fn zone_cap(&self) -> u32 {
+    pub fn max_tasks_per_zone(&self) -> u32 {
         if self.spread {
             self.tasks.div_ceil(2)
         } else {
@@ -156,25 +199,28 @@
         }
     }
 
+    /// Whether it may run on machines of this type.
     pub fn allows_type(&self, name: &str) -> bool {
-        self.machine_types
-            .as_ref()
-            .is_none_or(|t| t.iter().any(|x| x == name))
+        let allowed = self.machine_types.as_ref();
+        allowed.is_none_or(|types| types.iter().any(|allowed| allowed == name))
     }
 
+    /// Whether it may run in this zone.
     pub fn allows_zone(&self, zone: &str) -> bool {
-        self.zone.as_deref().is_none_or(|z| z == zone)
+        self.zone.as_deref().is_none_or(|allowed| allowed == zone)
     }
 }
 
 /// How a job ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobOutcome {
+    /// All of its tasks are done.
     Done,
+    /// Its user has cancelled it, or a job that it depends on.
     Cancelled,
 }
 
-/// A plain job for tests.
+/// A plain array job for tests: its id, tasks, CPUs for each, and estimate in seconds.
 #[cfg(test)]
 pub fn sample(id: &str, tasks: u32, cpus: f64, seconds: u64) -> JobSpec {
     JobSpec {
--- a/src/planning/autoscaler.rs
+++ b/src/planning/autoscaler.rs
@@ -1,4 +1,5 @@
-//! Renting and returning: from the board and what waits to calls on the cloud. Pure.
+//! Autoscaling without bidding: from the cluster snapshot and the pending demand to machines to
+//! add (scale-out) and to remove (scale-in).
 
 use crate::job::{JobSpec, MachineId};
 use crate::planning::capacity_forecast::{BootingNodes, PendingDemand, unserved_demand};
@@ -8,127 +9,178 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Offers whose price per task is more than `times` the lowest that the job could have, whether
-/// that one is to be had now or not.
-pub fn overpriced_offers(types: &[MachineType], spec: &JobSpec, times: f64) -> Vec<Offer> {
+/// Most machines that one request may name.
+const MAX_MACHINES_PER_REQUEST: u32 = 50;
+/// Useful time for which a machine is expected to be paid, in seconds.
+const EXPECTED_USE_S: f64 = 120.0;
+/// How much dearer each further task that fits makes a machine count, up to a number of tasks:
+/// a large machine is paid for until its last task ends.
+const SIZE_SURCHARGE: f64 = 0.02;
+const MAX_SURCHARGED_TASKS: u32 = 16;
+/// How much dearer each machine chosen makes its offer count, so that equal ones take turns.
+const REPETITION_SURCHARGE: f64 = 0.001;
+/// Announced fetch rates below this are taken for this.
+const MIN_FETCH_GB_PER_S: f64 = 0.01;
+/// Announced boot times above this are taken for this, in seconds.
+const MAX_BOOT_S: f64 = 1e6;
+
+/// Offers whose price per task is more than `max_ratio` times the lowest that the job could have,
+/// whether that one can be had now or not.
+pub fn overpriced_offers(types: &[MachineType], spec: &JobSpec, max_ratio: f64) -> Vec<Offer> {
     let mut offers: Vec<(f64, Offer)> = Vec::new();
-    for t in types.iter().filter(|t| spec.allows_type(&t.name)) {
-        let fit = spec.resources.count_in(&t.room());
-        for (spot, price) in [(true, t.spot_price), (false, Some(t.price))] {
-            if let Some(price) = price
-                && fit > 0
-                && (spec.spot || !spot)
-            {
-                let cost = price / f64::from(fit);
-                let zones = t.zones.iter().filter(|z| spec.allows_zone(z));
-                offers.extend(zones.map(|z| (cost, (t.name.clone(), z.clone(), spot))));
+    for machine_type in types.iter().filter(|t| spec.allows_type(&t.name)) {
+        let fit = spec.resources.count_in(&machine_type.room());
+        if fit == 0 {
+            continue;
+        }
+        for (spot, price) in prices(machine_type) {
+            if !spec.spot && spot {
+                continue;
             }
+            let price_per_task = price / f64::from(fit);
+            let zones = machine_type.zones.iter().filter(|z| spec.allows_zone(z));
+            offers.extend(zones.map(|zone| {
+                let offer = Offer::new(&machine_type.name, zone, spot);
+                (price_per_task, offer)
+            }));
         }
     }
-    let lowest = offers.iter().map(|o| o.0).fold(f64::INFINITY, f64::min);
-    offers.retain(|(cost, _)| *cost > lowest * times);
+    let prices = offers.iter().map(|(price, _)| *price);
+    let lowest = prices.fold(f64::INFINITY, f64::min);
+    offers.retain(|(price, _)| *price > lowest * max_ratio);
     offers.into_iter().map(|(_, offer)| offer).collect()
 }
 
+/// A type's prices per hour, spot (if there is one) before on-demand, with whether it is spot.
+pub(super) fn prices(machine_type: &MachineType) -> impl Iterator<Item = (bool, f64)> {
+    let spot = machine_type.spot_price.map(|price| (true, price));
+    spot.into_iter().chain([(false, machine_type.price)])
+}
+
+/// Time a machine of a type takes to fetch an image, in seconds.
+pub(super) fn fetch_seconds(machine_type: &MachineType, image_gb: f64) -> f64 {
+    image_gb / machine_type.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S)
+}
+
+/// What can be had from the cloud, as far as is known.
 #[derive(Clone, Debug, Default)]
 pub struct OfferMarket {
+    /// All machine types.
     pub types: Vec<MachineType>,
     /// Offers that were refused a short while ago.
     pub refused: Vec<Offer>,
     /// Zones whose machines cannot be reached now.
     pub unreachable_zones: Vec<String>,
-    /// What each zone holds, and how far beyond its part it may go before it counts as dearer.
-    pub spread: ZoneBalance,
+    /// What each zone holds, and how far beyond its share it may go before it counts as dearer.
+    pub zone_balance: ZoneBalance,
 }
 
+/// Machines of one offer to add.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScaleOut {
+    /// What to request.
     pub offer: Offer,
+    /// How many.
     pub count: u32,
 }
 
-/// Most machines that one request may name.
-const MAX_MACHINES_PER_REQUEST: u32 = 50;
+/// Which offers may be chosen.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum OfferScope {
+    /// All that the job may use.
+    All,
+    /// Spot offers only.
+    SpotOnly,
+}
 
-/// Which machines to rent so that no waiting task waits longer than its job's patience: spot ones
+/// Which machines to add so that no pending task waits longer than its job's limit: spot ones
 /// first, for those that may use them and would wait longer than is worth one of these.
-pub fn rent(
+pub fn plan_scale_out(
     snapshot: &ClusterSnapshot,
     booting_nodes: &[BootingNodes],
-    unmet: &[PendingDemand],
+    demands: &[PendingDemand],
     market: &OfferMarket,
     now: Instant,
 ) -> Vec<ScaleOut> {
-    let sooner = |u: &PendingDemand| u.spec.spot && u.spot_patience < u.patience;
-    let mut out = scale_out_spot(snapshot, booting_nodes, unmet, market, now, sooner);
-    let with_those = with_scale_outs(booting_nodes, &out, &market.types);
-    for (u, left) in unserved_demand(
+    let prefers_spot = |d: &PendingDemand| d.spec.spot && d.max_spot_wait < d.max_wait;
+    let mut counts =
+        plan_spot_scale_out(snapshot, booting_nodes, demands, market, now, prefers_spot);
+    let booting_nodes = with_scale_outs(booting_nodes, &counts, &market.types);
+    let unserved = unserved_demand(
         snapshot,
-        &with_those,
-        unmet,
+        &booting_nodes,
+        demands,
         now,
         &market.unreachable_zones,
-        |u| u.patience,
-    ) {
-        choose_cheapest(u, left, market, false, &mut out);
+        |demand| demand.max_wait,
+    );
+    for (demand, tasks) in unserved {
+        choose_cheapest(demand, tasks, market, OfferScope::All, &mut counts);
     }
-    split_into_requests(out)
+    split_into_requests(counts)
 }
 
-/// Spot machines for those of the work that would wait longer than is worth one of these.
-pub fn scale_out_spot(
+/// Spot machines for those of the demands that would wait longer than is worth one of these.
+pub fn plan_spot_scale_out(
     snapshot: &ClusterSnapshot,
     booting_nodes: &[BootingNodes],
-    unmet: &[PendingDemand],
+    demands: &[PendingDemand],
     market: &OfferMarket,
     now: Instant,
-    sooner: impl Fn(&PendingDemand) -> bool,
+    prefers_spot: impl Fn(&PendingDemand) -> bool,
 ) -> BTreeMap<Offer, u32> {
-    let mut out: BTreeMap<Offer, u32> = BTreeMap::new();
-    // Laying out a long queue is the larger part of the work: not where no spot machine is to be
+    let mut counts: BTreeMap<Offer, u32> = BTreeMap::new();
+    // Laying out a long queue is the larger part of the work: not where no spot machine can be
     // had in any case.
-    let mut spot = market.types.iter().filter(|t| t.spot_price.is_some());
-    let offered = spot.any(|t| {
-        let open = |z: &String| !market.refused.contains(&(t.name.clone(), z.clone(), true));
-        t.zones.iter().any(open)
-    });
-    if offered && unmet.iter().any(&sooner) {
-        let patience = |u: &PendingDemand| {
-            if sooner(u) {
-                u.spot_patience
-            } else {
-                u.patience
-            }
-        };
-        let short = unserved_demand(
-            snapshot,
-            booting_nodes,
-            unmet,
-            now,
-            &market.unreachable_zones,
-            patience,
-        );
-        for (u, left) in short.into_iter().filter(|(u, _)| sooner(u)) {
-            choose_cheapest(u, left, market, true, &mut out);
+    if !is_spot_available(market) || !demands.iter().any(&prefers_spot) {
+        return counts;
+    }
+    let max_wait = |demand: &PendingDemand| {
+        if prefers_spot(demand) {
+            demand.max_spot_wait
+        } else {
+            demand.max_wait
         }
+    };
+    let unserved = unserved_demand(
+        snapshot,
+        booting_nodes,
+        demands,
+        now,
+        &market.unreachable_zones,
+        max_wait,
+    );
+    for (demand, tasks) in unserved.into_iter().filter(|(d, _)| prefers_spot(d)) {
+        choose_cheapest(demand, tasks, market, OfferScope::SpotOnly, &mut counts);
     }
-    out
+    counts
 }
 
-/// What is on its way when these are asked for as well.
+fn is_spot_available(market: &OfferMarket) -> bool {
+    let mut spot_types = market.types.iter().filter(|t| t.spot_price.is_some());
+    spot_types.any(|machine_type| {
+        let is_open = |zone: &String| {
+            let offer = Offer::new(&machine_type.name, zone, true);
+            !market.refused.contains(&offer)
+        };
+        machine_type.zones.iter().any(is_open)
+    })
+}
+
+/// The machines that boot, once those in `counts` have been requested as well.
 pub fn with_scale_outs(
     booting_nodes: &[BootingNodes],
-    wanted: &BTreeMap<Offer, u32>,
+    counts: &BTreeMap<Offer, u32>,
     types: &[MachineType],
 ) -> Vec<BootingNodes> {
     let mut all = booting_nodes.to_vec();
-    for (offer, count) in wanted {
-        if let Some(t) = types.iter().find(|t| t.name == offer.0) {
+    for (offer, count) in counts {
+        if let Some(machine_type) = types.iter().find(|t| t.name == offer.machine_type) {
             all.push(BootingNodes {
                 offer: offer.clone(),
-                room: t.room(),
+                capacity: machine_type.room(),
                 count: *count,
-                ready_in: Duration::from_secs_f64(t.boot_s.min(1e6)),
+                ready_in: Duration::from_secs_f64(machine_type.boot_s.min(MAX_BOOT_S)),
             });
         }
     }
@@ -136,94 +188,124 @@
 }
 
 /// As many requests as it takes, each of no more machines than one may name.
-pub fn split_into_requests(wanted: BTreeMap<Offer, u32>) -> Vec<ScaleOut> {
-    let mut rents = Vec::new();
-    for (offer, mut count) in wanted {
-        while count > 0 {
-            let part = count.min(MAX_MACHINES_PER_REQUEST);
-            let offer = offer.clone();
-            rents.push(ScaleOut { offer, count: part });
-            count -= part;
+pub fn split_into_requests(counts: BTreeMap<Offer, u32>) -> Vec<ScaleOut> {
+    let mut requests = Vec::new();
+    for (offer, mut remaining) in counts {
+        while remaining > 0 {
+            let count = remaining.min(MAX_MACHINES_PER_REQUEST);
+            requests.push(ScaleOut {
+                offer: offer.clone(),
+                count,
+            });
+            remaining -= count;
         }
     }
-    rents
+    requests
 }
 
-/// Picks the offers that carry `left` tasks of a job for the least money.
+/// An offer that could carry a job's tasks.
+struct PricedOffer {
+    offer: Offer,
+    /// Price of a machine, with what makes it count as dearer.
+    effective_price: f64,
+    /// Tasks that fit on one machine.
+    fit: u32,
+}
+
+/// Adds to `counts` the offers that carry `tasks` tasks of a job for the least money.
 pub fn choose_cheapest(
-    u: &PendingDemand,
-    mut left: u32,
+    demand: &PendingDemand,
+    tasks: u32,
     market: &OfferMarket,
-    only_spot: bool,
-    out: &mut BTreeMap<Offer, u32>,
+    scope: OfferScope,
+    counts: &mut BTreeMap<Offer, u32>,
 ) {
-    // Price of each offer before its size against what is left counts.
-    let mut offers: Vec<(f64, u32, Offer)> = Vec::new();
-    for t in market.types.iter().filter(|t| u.spec.allows_type(&t.name)) {
-        let fit = u.spec.resources.count_in(&t.room());
+    let offers = priced_offers(demand, market, scope);
+    let mut remaining = tasks;
+    while remaining > 0 {
+        let price_per_task = |priced: &PricedOffer| {
+            let taken = f64::from(counts.get(&priced.offer).copied().unwrap_or(0));
+            let used = f64::from(priced.fit.min(remaining));
+            priced.effective_price / used * (1.0 + REPETITION_SURCHARGE * taken)
+        };
+        let cheapest = offers
+            .iter()
+            .min_by(|a, b| price_per_task(a).total_cmp(&price_per_task(b)));
+        let Some(cheapest) = cheapest else {
+            return;
+        };
+        *counts.entry(cheapest.offer.clone()).or_default() += 1;
+        remaining = remaining.saturating_sub(cheapest.fit);
+    }
+}
+
+/// All offers that may carry a job's tasks now.
+fn priced_offers(
+    demand: &PendingDemand,
+    market: &OfferMarket,
+    scope: OfferScope,
+) -> Vec<PricedOffer> {
+    let spec = &demand.spec;
+    let mut offers = Vec::new();
+    for machine_type in market.types.iter().filter(|t| spec.allows_type(&t.name)) {
+        let fit = spec.resources.count_in(&machine_type.room());
         if fit == 0 {
             continue;
         }
         // The time before a machine does anything useful is paid for as well.
-        let fetch = u.spec.image_gb / t.fetch_gb_per_s.max(0.01);
-        let useful = 120.0 / (120.0 + t.boot_s + fetch);
-        // A large machine is paid for until its last task ends.
-        let bulk = 1.0 + 0.02 * f64::from(fit.min(16) - 1);
-        for zone in &t.zones {
-            if !u.spec.allows_zone(zone) || market.unreachable_zones.contains(zone) {
+        let fetch = fetch_seconds(machine_type, spec.image_gb);
+        let useful = EXPECTED_USE_S / (EXPECTED_USE_S + machine_type.boot_s + fetch);
+        let surcharged_tasks = f64::from(fit.min(MAX_SURCHARGED_TASKS) - 1);
+        let size_factor = 1.0 + SIZE_SURCHARGE * surcharged_tasks;
+        for zone in &machine_type.zones {
+            if !spec.allows_zone(zone) || market.unreachable_zones.contains(zone) {
                 continue;
             }
-            let far = market.spread.price_factor(zone);
-            for spot in [true, false] {
-                let price = if spot { t.spot_price } else { Some(t.price) };
-                let offer = (t.name.clone(), zone.clone(), spot);
-                if let Some(price) = price
-                    && (u.spec.spot || !spot)
-                    && (spot || !only_spot)
+            let zone_factor = market.zone_balance.price_factor(zone);
+            for (spot, price) in prices(machine_type) {
+                let offer = Offer::new(&machine_type.name, zone, spot);
+                let is_permitted = (spec.spot || !spot)
+                    && (spot || scope == OfferScope::All)
                     && !market.refused.contains(&offer)
-                    && !u.quarantined.contains(&offer)
-                {
-                    offers.push((price * far / useful * bulk, fit, offer));
+                    && !demand.excluded_offers.contains(&offer);
+                if is_permitted {
+                    offers.push(PricedOffer {
+                        offer,
+                        effective_price: price * zone_factor / useful * size_factor,
+                        fit,
+                    });
                 }
             }
         }
     }
-    while left > 0 {
-        let cost = |(cost, fit, offer): &(f64, u32, Offer)| {
-            // Among equals, zones take turns.
-            let taken = f64::from(out.get(offer).copied().unwrap_or(0));
-            cost / f64::from((*fit).min(left)) * (1.0 + 0.001 * taken)
-        };
-        let Some((_, fit, offer)) = offers.iter().min_by(|a, b| cost(a).total_cmp(&cost(b))) else {
-            return;
-        };
-        *out.entry(offer.clone()).or_default() += 1;
-        left = left.saturating_sub(*fit);
-    }
+    offers
 }
 
-/// Machines that have idled longer than `keep` and are not wanted.
-pub fn scale_in(
+/// Machines that have been idle for longer than `idle_timeout` and that no pending task could use.
+pub fn plan_scale_in(
     snapshot: &ClusterSnapshot,
-    unmet: &[PendingDemand],
+    demands: &[PendingDemand],
     now: Instant,
-    keep: impl Fn(&MachineId) -> Duration,
+    idle_timeout: impl Fn(&MachineId) -> Duration,
 ) -> Vec<MachineId> {
-    let idle = |node_index: &usize| {
-        let h = snapshot.node(*node_index);
-        let idle = h.idle_since.map(|t| now.saturating_duration_since(t));
-        idle.is_some_and(|d| d > keep(&h.id))
+    let has_timed_out = |node_index: &usize| {
+        let node = snapshot.node(*node_index);
+        let idle = node
+            .idle_since
+            .map(|since| now.saturating_duration_since(since));
+        idle.is_some_and(|idle| idle > idle_timeout(&node.id))
     };
-    let unwanted = |node_index: &usize| {
-        let (h, class) = (snapshot.node(*node_index), snapshot.class_of(*node_index));
-        !unmet
-            .iter()
-            .any(|u| u.takes(&class.offer) && u.spec.resources.fits(&h.free))
+    let is_unwanted = |node_index: &usize| {
+        let (node, class) = (snapshot.node(*node_index), snapshot.class_of(*node_index));
+        let could_use = |demand: &PendingDemand| {
+            demand.accepts(&class.offer) && demand.spec.resources.fits(&node.free)
+        };
+        !demands.iter().any(could_use)
     };
     snapshot
         .idle()
-        .filter(idle)
-        .filter(unwanted)
+        .filter(has_timed_out)
+        .filter(is_unwanted)
         .map(|node_index| snapshot.node(node_index).id.clone())
         .collect()
 }
--- /dev/null
+++ b/src/planning/backfill/knapsack.rs
@@ -0,0 +1,154 @@
+//! The dynamic program that selects which queue entries fill the free room best.
+//!
+//! This is algorithm 7 of the thesis (Max-Slowdown, section 3.5): a knapsack with two
+//! capacities, the room that is free now and the room that is left beside the head's
+//! reservation at the shadow time.
+
+/// A queue entry as the dynamic program sees it.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct KnapsackItem {
+    /// Units of room that it takes now.
+    pub size: usize,
+    /// Units of room that it still holds at the shadow time.
+    pub shadow_size: usize,
+    /// What settles ties between sets of the same sizes.
+    pub priority_weight: f32,
+}
+
+/// The program's tables, kept from one scheduling step to the next for their memory.
+#[derive(Default)]
+pub struct KnapsackTables {
+    current: Vec<Cell>,
+    previous: Vec<Cell>,
+    /// A bit for each item and cell: the best set of that cell contains the item.
+    selected: Vec<u64>,
+}
+
+/// The best set found for one pair of capacities.
+#[derive(Clone, Copy, Default)]
+struct Cell {
+    used: u16,
+    shadow_used: u16,
+    priority_weight: f32,
+}
+
+impl Cell {
+    fn with(&self, item: &KnapsackItem) -> Cell {
+        Cell {
+            used: self.used + item.size as u16,
+            shadow_used: self.shadow_used + item.shadow_size as u16,
+            priority_weight: self.priority_weight + item.priority_weight,
+        }
+    }
+
+    /// The greatest size wins, then the least shadow size, then the greatest weight.
+    fn is_better_than(&self, other: &Cell) -> bool {
+        if self.used != other.used {
+            return self.used > other.used;
+        }
+        if self.shadow_used != other.shadow_used {
+            return self.shadow_used < other.shadow_used;
+        }
+        self.priority_weight > other.priority_weight
+    }
+}
+
+/// The dimensions of the tables.
+#[derive(Clone, Copy)]
+struct Grid {
+    capacity: usize,
+    shadow_capacity: usize,
+}
+
+impl Grid {
+    fn cells(&self) -> usize {
+        (self.capacity + 1) * (self.shadow_capacity + 1)
+    }
+
+    /// Words of 64 bits that hold a bit for each cell.
+    fn words(&self) -> usize {
+        self.cells().div_ceil(64)
+    }
+
+    fn index(&self, capacity: usize, shadow_capacity: usize) -> usize {
+        capacity * (self.shadow_capacity + 1) + shadow_capacity
+    }
+}
+
+/// Selects the set with the greatest total size within `capacity` whose shadow sizes stay within
+/// `shadow_capacity`; among equals the one with the least shadow size, then the greatest weight;
+/// where all are equal, the one closer to the head ("bypassed first"). Returns the indices of its
+/// items in ascending order.
+pub fn select_items(
+    items: &[KnapsackItem],
+    capacity: usize,
+    shadow_capacity: usize,
+    tables: &mut KnapsackTables,
+) -> Vec<usize> {
+    let total_size: usize = items.iter().map(|i| i.size).sum();
+    let total_shadow_size: usize = items.iter().map(|i| i.shadow_size).sum();
+    if total_size <= capacity && total_shadow_size <= shadow_capacity {
+        return (0..items.len()).collect();
+    }
+    // No set uses more than all items together, so larger tables would hold nothing new.
+    let grid = Grid {
+        capacity: capacity.min(total_size),
+        shadow_capacity: shadow_capacity.min(total_shadow_size).min(capacity),
+    };
+    tables.reset(grid, items.len());
+    for (index, item) in items.iter().enumerate() {
+        tables.add_item(grid, index, item);
+    }
+    tables.trace_back(grid, items)
+}
+
+impl KnapsackTables {
+    fn reset(&mut self, grid: Grid, items: usize) {
+        self.previous.clear();
+        self.previous.resize(grid.cells(), Cell::default());
+        self.current.clear();
+        self.current.resize(grid.cells(), Cell::default());
+        self.selected.clear();
+        self.selected.resize(grid.words() * items, 0);
+    }
+
+    /// Fills the tables with the best sets that may contain one more item.
+    fn add_item(&mut self, grid: Grid, index: usize, item: &KnapsackItem) {
+        let words = grid.words();
+        let selected = &mut self.selected[index * words..(index + 1) * words];
+        for capacity in 0..=grid.capacity {
+            for shadow_capacity in 0..=grid.shadow_capacity {
+                let cell = grid.index(capacity, shadow_capacity);
+                let without = self.previous[cell];
+                self.current[cell] = without;
+                if item.size > capacity || item.shadow_size > shadow_capacity || item.size == 0 {
+                    continue;
+                }
+                let rest = grid.index(capacity - item.size, shadow_capacity - item.shadow_size);
+                let with = self.previous[rest].with(item);
+                if with.is_better_than(&without) {
+                    self.current[cell] = with;
+                    selected[cell / 64] |= 1 << (cell % 64);
+                }
+            }
+        }
+        std::mem::swap(&mut self.current, &mut self.previous);
+    }
+
+    /// Reads the best set out of the tables.
+    fn trace_back(&self, grid: Grid, items: &[KnapsackItem]) -> Vec<usize> {
+        let (mut capacity, mut shadow_capacity) = (grid.capacity, grid.shadow_capacity);
+        let mut chosen = Vec::new();
+        for (index, item) in items.iter().enumerate().rev() {
+            let cell = grid.index(capacity, shadow_capacity);
+            let word = self.selected[index * grid.words() + cell / 64];
+            if word >> (cell % 64) & 1 == 1 {
+                chosen.push(index);
+                capacity -= item.size;
+                shadow_capacity -= item.shadow_size;
+            }
+        }
+        chosen.reverse();
+        chosen
+    }
+}
--- /dev/null
+++ b/src/planning/backfill/lookahead.rs
@@ -0,0 +1,246 @@
+//! Backfilling behind the queue's head: which later entries may use the room that is left
+//! (thesis, section 3.2, steps 2 to 5, with the limited lookahead of section 3.5.1).
+
+use crate::job::Resources;
+use crate::planning::backfill::knapsack::{KnapsackItem, KnapsackTables, select_items};
+use crate::planning::backfill::node_search::{NodeFinder, place_all};
+use crate::planning::backfill::queue::QueuedJob;
+use crate::planning::backfill::reservation::Reservation;
+use crate::planning::backfill::{Assignment, StepContext};
+use crate::planning::cluster_snapshot::ClusterSnapshot;
+use std::collections::BTreeMap;
+
+/// The dynamic program looks at this many fitting entries (limited lookahead, section 3.5.1).
+pub const LOOKAHEAD: usize = 50;
+/// The dynamic program's tables have at most this many units a side, which bounds its memory and
+/// time; where the entries together are larger, its unit is coarser.
+const MAX_KNAPSACK_UNITS: usize = 128;
+/// The coarsest unit, as a share of the largest machine, while the tables are not too large.
+const COARSEST_UNIT: f64 = 0.125;
+/// A unit is at most this part of the smallest task considered.
+const UNITS_PER_SMALLEST_TASK: f64 = 4.0;
+/// Shares may miss a whole number of units by a rounding error of this size.
+const EPSILON: f64 = 1e-9;
+
+/// A queue entry that fits somewhere: one task, or a gang with all of its tasks.
+struct Entry {
+    job_index: usize,
+    /// `None` for a gang.
+    task_index: Option<u32>,
+    /// It still runs at the shadow time.
+    outlasts_reservation: bool,
+}
+
+/// Starts the best set of entries behind the head.
+pub(super) fn backfill(
+    step: &mut StepContext,
+    nodes: &[usize],
+    queue: &mut [QueuedJob],
+    head: usize,
+    reservation: Option<&Reservation>,
+    tables: &mut KnapsackTables,
+) -> Vec<Assignment> {
+    let nodes: Vec<usize> = nodes
+        .iter()
+        .copied()
+        .filter(|n| step.snapshot.node(*n).free.cpus > 0.0)
+        .collect();
+    let entries = fitting_entries(step, &nodes, queue, head, reservation);
+    if entries.is_empty() {
+        return Vec::new();
+    }
+    let scale = KnapsackScale::new(step.snapshot, &nodes, queue, &entries);
+    let capacity = scale.free_units(step.snapshot, &nodes);
+    if capacity == 0 {
+        return Vec::new();
+    }
+    let shadow_capacity = reservation.map_or(0, |reservation| {
+        let gained = scale.freed_units(step.snapshot, reservation);
+        (capacity + gained).saturating_sub(scale.job_size(&queue[head]))
+    });
+    let item = |entry: &Entry| {
+        let job = &queue[entry.job_index];
+        let size = scale.job_size(job);
+        KnapsackItem {
+            size,
+            shadow_size: if entry.outlasts_reservation { size } else { 0 },
+            priority_weight: job.priority_weight,
+        }
+    };
+    let items: Vec<KnapsackItem> = entries.iter().map(item).collect();
+    let selected = select_items(&items, capacity, shadow_capacity, tables);
+    let selected = selected.into_iter().map(|index| &entries[index]);
+    start_selected(step, &nodes, queue, selected, reservation)
+}
+
+/// The first entries behind the head that fit, within their teams' limits. The head's other
+/// tasks are as large as the one that did not fit.
+fn fitting_entries(
+    step: &StepContext,
+    nodes: &[usize],
+    queue: &[QueuedJob],
+    head: usize,
+    reservation: Option<&Reservation>,
+) -> Vec<Entry> {
+    let mut entries: Vec<Entry> = Vec::new();
+    let mut team_usage = step.teams.to_vec();
+    for (job_index, job) in queue.iter().enumerate().skip(head + 1) {
+        let resources = &job.spec.resources;
+        let fits = |&node_index: &usize| {
+            resources.fits(&step.snapshot.node(node_index).free)
+                && job.accepts(step.snapshot.class_of(node_index))
+        };
+        if !nodes.iter().any(fits) {
+            continue;
+        }
+        let outlasts_reservation = reservation.is_some_and(|reservation| {
+            job.spec.estimate.is_zero() || job.expected_runtime > reservation.after
+        });
+        for task_index in job.startable_tasks(step.now) {
+            if !team_usage[job.team].allows(resources, job.tasks_per_entry()) {
+                break;
+            }
+            if entries.len() >= LOOKAHEAD {
+                return entries;
+            }
+            team_usage[job.team].add(resources, f64::from(job.tasks_per_entry()));
+            entries.push(Entry {
+                job_index,
+                task_index: (!job.all_or_nothing).then_some(task_index),
+                outlasts_reservation,
+            });
+            if job.all_or_nothing {
+                break;
+            }
+        }
+    }
+    entries
+}
+
+/// The unit of room in which the dynamic program counts.
+struct KnapsackScale {
+    /// Room of the largest machine.
+    largest: Resources,
+    /// The unit's share of the largest machine.
+    unit: f64,
+}
+
+impl KnapsackScale {
+    /// An eighth of the largest machine at most; finer where the tasks are small, since with a
+    /// coarse unit small machines and rounded-up tasks would count as no room at all.
+    fn new(
+        snapshot: &ClusterSnapshot,
+        nodes: &[usize],
+        queue: &[QueuedJob],
+        entries: &[Entry],
+    ) -> KnapsackScale {
+        let largest = snapshot.largest_capacity();
+        let share = |e: &Entry| queue[e.job_index].spec.resources.dominant_share(&largest);
+        let shares = entries.iter().map(share).filter(|share| *share > 0.0);
+        let unit = shares.fold(COARSEST_UNIT, |unit: f64, share| {
+            unit.min(share / UNITS_PER_SMALLEST_TASK)
+        });
+        let mut scale = KnapsackScale { largest, unit };
+        let requested: usize = entries
+            .iter()
+            .map(|e| scale.job_size(&queue[e.job_index]))
+            .sum();
+        // No set uses more room than all entries together, so the tables need no more units.
+        let side = scale.free_units(snapshot, nodes).min(requested);
+        if side > MAX_KNAPSACK_UNITS {
+            scale.unit *= side as f64 / MAX_KNAPSACK_UNITS as f64;
+        }
+        scale
+    }
+
+    /// Units that an entry of a job takes, rounded up.
+    fn job_size(&self, job: &QueuedJob) -> usize {
+        let share = job.spec.resources.dominant_share(&self.largest);
+        let share = share * f64::from(job.tasks_per_entry());
+        ((share - EPSILON) / self.unit).ceil().max(1.0) as usize
+    }
+
+    /// Units of some room, rounded down, by its scarcer resource.
+    fn units(&self, room: &Resources) -> usize {
+        let part = |amount: f64, whole: f64| {
+            if whole > 0.0 {
+                amount / whole
+            } else {
+                f64::INFINITY
+            }
+        };
+        let share = part(room.cpus, self.largest.cpus).min(part(room.ram, self.largest.ram));
+        if share.is_finite() {
+            ((share + EPSILON) / self.unit).floor().max(0.0) as usize
+        } else {
+            0
+        }
+    }
+
+    /// Units that are free on some nodes.
+    fn free_units(&self, snapshot: &ClusterSnapshot, nodes: &[usize]) -> usize {
+        let free = nodes.iter().map(|n| self.units(&snapshot.node(*n).free));
+        free.sum()
+    }
+
+    /// Units that become free by the shadow time.
+    fn freed_units(&self, snapshot: &ClusterSnapshot, reservation: &Reservation) -> usize {
+        let gained = |(node_index, freed): (usize, &Resources)| {
+            let now = snapshot.node(node_index).free;
+            let mut then = now;
+            then.add(freed);
+            self.units(&then).saturating_sub(self.units(&now))
+        };
+        reservation.freed().map(gained).sum()
+    }
+}
+
+/// Places the selected entries. The sums do not say which node the head waits for, so its place
+/// there is kept.
+fn start_selected<'a>(
+    step: &mut StepContext,
+    nodes: &[usize],
+    queue: &mut [QueuedJob],
+    selected: impl Iterator<Item = &'a Entry>,
+    reservation: Option<&Reservation>,
+) -> Vec<Assignment> {
+    let mut starts = Vec::new();
+    // What is allocated to work that ends by the shadow time is there again for the head.
+    let mut returned: BTreeMap<usize, Resources> = BTreeMap::new();
+    for entry in selected {
+        let job = &mut queue[entry.job_index];
+        let resources = job.spec.resources;
+        let allowed = |snapshot: &ClusterSnapshot, node_index: usize| match reservation {
+            Some(reservation) if entry.outlasts_reservation => {
+                let mut remaining = reservation.remaining(snapshot, node_index);
+                if let Some(room) = returned.get(&node_index) {
+                    remaining.add(room);
+                }
+                resources.fits(&remaining)
+            }
+            _ => true,
+        };
+        let assignments = match entry.task_index {
+            Some(task_index) => {
+                let mut finder = NodeFinder::new(step.snapshot, nodes, job);
+                let allocation = finder.place(step, job, &allowed);
+                allocation.map(|allocation| {
+                    vec![Assignment {
+                        job_index: entry.job_index,
+                        task_index,
+                        node_index: allocation.node_index,
+                    }]
+                })
+            }
+            None => place_all(step, nodes, entry.job_index, job, &allowed),
+        };
+        for assignment in assignments.into_iter().flatten() {
+            if !entry.outlasts_reservation {
+                let room = returned.entry(assignment.node_index).or_default();
+                room.add(&resources);
+            }
+            starts.push(assignment);
+        }
+    }
+    starts
+}
--- /dev/null
+++ b/src/planning/backfill/preemption.rs
@@ -0,0 +1,194 @@
+//! Preemption: stopping work so that the head of the queue can start.
+
+use crate::job::Resources;
+use crate::planning::backfill::queue::{QueuedJob, TeamUsage};
+use crate::planning::backfill::reservation::Reservation;
+use crate::planning::backfill::{Preemption, StepContext};
+use crate::planning::cluster_snapshot::{ClusterSnapshot, Node, NodeUsage};
+use std::cmp::Reverse;
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::{Duration, Instant};
+
+/// Room that becomes free by itself this soon is waited for.
+const SOON: Duration = Duration::from_secs(4);
+/// Tasks of the head's job for which room may be made in one step.
+const MAX_TASKS_HELPED: usize = 16;
+/// Preempting has to bring the start forward by at least this many times the work it loses.
+const MIN_GAIN_FACTOR: u32 = 3;
+
+/// What could be stopped on one node.
+struct PreemptionCandidates {
+    /// Room that is free, or that tasks already stopping are about to free.
+    free: Resources,
+    /// Work lost by stopping a task, and the task's index on the node; the least loss first.
+    tasks: Vec<(Duration, usize)>,
+}
+
+/// What has to be stopped on a node to fit one more task; ordered by the work it loses.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct PreemptionOption {
+    lost_work: Duration,
+    node_index: usize,
+    /// How many of the node's first candidates.
+    stops: usize,
+}
+
+impl PreemptionCandidates {
+    fn cheapest_option(
+        &self,
+        node_index: usize,
+        node: &Node,
+        resources: &Resources,
+    ) -> Option<PreemptionOption> {
+        let mut free = self.free;
+        let mut lost_work = Duration::ZERO;
+        let mut stops = 0;
+        for (lost, task_index) in &self.tasks {
+            if resources.fits(&free) {
+                break;
+            }
+            free.add(&node.tasks[*task_index].resources);
+            lost_work += *lost;
+            stops += 1;
+        }
+        resources.fits(&free).then_some(PreemptionOption {
+            lost_work,
+            node_index,
+            stops,
+        })
+    }
+}
+
+/// Chooses tasks to stop so that up to `waiting` tasks of the head's job can start: tasks of
+/// lower priority, or such that run on borrowed resources where the head is within its team's
+/// quota. For each task the node with the least lost work is chosen.
+pub(super) fn preempt(
+    step: &mut StepContext,
+    job: &mut QueuedJob,
+    waiting: usize,
+    reservation: Option<&Reservation>,
+) -> Vec<Preemption> {
+    if !job.may_preempt || reservation.is_some_and(|r| r.after <= SOON) {
+        return Vec::new();
+    }
+    let may_reclaim = job.within_quota && step.teams.iter().any(TeamUsage::is_borrowing);
+    // Mostly there is nothing that could be stopped, and no node need be inspected.
+    if !may_reclaim && !step.snapshot.has_lower_priority(job.priority) {
+        return Vec::new();
+    }
+    let borrowing = if may_reclaim {
+        borrowing_tasks(step.snapshot, step.teams, step.now)
+    } else {
+        BTreeSet::new()
+    };
+    let mut candidates = candidates_by_node(step, job, &borrowing);
+    let resources = job.spec.resources;
+    let mut options: BTreeSet<PreemptionOption> = candidates
+        .iter()
+        .filter_map(|(&n, c)| c.cheapest_option(n, step.snapshot.node(n), &resources))
+        .collect();
+    let mut preemptions = Vec::new();
+    let mut wanted = waiting.min(MAX_TASKS_HELPED.max(job.tasks_per_entry() as usize));
+    while wanted > 0
+        && step.teams[job.team].allows(&resources, 1)
+        && let Some(option) = options.pop_first()
+    {
+        let node_index = option.node_index;
+        if !job.zone_allows(step.snapshot.zone_of(node_index)) {
+            continue;
+        }
+        // Work is not thrown away to gain less time than was spent on it.
+        let least_gain = option.lost_work * MIN_GAIN_FACTOR + SOON;
+        if reservation.is_some_and(|r| r.after < least_gain) {
+            break;
+        }
+        let node = step.snapshot.node(node_index);
+        let Some(candidates) = candidates.get_mut(&node_index) else {
+            break;
+        };
+        for (_, task_index) in candidates.tasks.drain(..option.stops) {
+            let task = &node.tasks[task_index];
+            candidates.free.add(&task.resources);
+            preemptions.push(Preemption {
+                node_index,
+                task: task.id.clone(),
+            });
+        }
+        candidates.free.sub(&resources);
+        step.teams[job.team].add(&resources, 1.0);
+        job.record_zone(step.snapshot.zone_of(node_index));
+        options.extend(candidates.cheapest_option(node_index, node, &resources));
+        wanted -= 1;
+    }
+    preemptions
+}
+
+/// A task on a node: the node's index, and the task's index on it.
+type TaskPosition = (usize, usize);
+
+/// What could be stopped on each node that the head may use.
+fn candidates_by_node(
+    step: &StepContext,
+    job: &QueuedJob,
+    borrowing: &BTreeSet<TaskPosition>,
+) -> BTreeMap<usize, PreemptionCandidates> {
+    let mut by_node = BTreeMap::new();
+    for (node_index, node) in step.snapshot.nodes() {
+        let is_usable = node.usage == NodeUsage::Open
+            && job.accepts(&step.snapshot.classes()[node.class])
+            && !job.avoided_nodes.contains(&node_index);
+        if !is_usable {
+            continue;
+        }
+        let mut candidates = PreemptionCandidates {
+            free: node.free,
+            tasks: Vec::new(),
+        };
+        for (task_index, task) in node.tasks.iter().enumerate() {
+            let is_preemptible =
+                task.priority > job.priority || borrowing.contains(&(node_index, task_index));
+            if task.stopping {
+                // Room that earlier stops are about to free is for the head first.
+                candidates.free.add(&task.resources);
+            } else if task.id.job != job.spec.id && is_preemptible {
+                candidates
+                    .tasks
+                    .push((task.lost_work(step.now), task_index));
+            }
+        }
+        candidates.tasks.sort();
+        if job.spec.resources.fits(&candidates.free) || !candidates.tasks.is_empty() {
+            by_node.insert(node_index, candidates);
+        }
+    }
+    by_node
+}
+
+/// What teams run beyond their quotas: their youngest tasks.
+fn borrowing_tasks(
+    snapshot: &ClusterSnapshot,
+    teams: &[TeamUsage],
+    now: Instant,
+) -> BTreeSet<TaskPosition> {
+    let mut tasks: Vec<(Duration, TaskPosition, usize)> = Vec::new();
+    let open = snapshot
+        .nodes()
+        .filter(|(_, node)| node.usage == NodeUsage::Open);
+    for (node_index, node) in open {
+        for (task_index, task) in node.tasks.iter().enumerate() {
+            if let Some(team) = task.team {
+                tasks.push((task.lost_work(now), (node_index, task_index), team));
+            }
+        }
+    }
+    tasks.sort_by_key(|(lost_work, _, _)| Reverse(*lost_work));
+    let mut sums = vec![Resources::default(); teams.len()];
+    let mut borrowing = BTreeSet::new();
+    for (_, (node_index, task_index), team) in tasks {
+        sums[team].add(&snapshot.node(node_index).tasks[task_index].resources);
+        if teams[team].exceeds_quota(sums[team].cpus, sums[team].gpus) {
+            borrowing.insert((node_index, task_index));
+        }
+    }
+    borrowing
+}
--- a/src/planning/backfill/tests.rs
+++ b/src/planning/backfill/tests.rs
@@ -1,8 +1,10 @@
 use super::*;
-use crate::job::Priority;
-use crate::planning::cluster_snapshot::{Node, RunningTask};
+use crate::job::{JobSpec, Priority};
+use crate::planning::cluster_snapshot::{Node, NodeUsage, Offer, RunningTask};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
 
 fn item(size: usize, shadow_size: usize) -> KnapsackItem {
     KnapsackItem {
@@ -88,47 +90,47 @@
     s
 }
 
-/// A job in the queue, with the rows that it lends to the plan.
-struct Line {
+/// A job in the queue, with the queued that it lends to the plan.
+struct TestJob {
     spec: JobSpec,
-    rows: BTreeSet<u32>,
-    held: BTreeMap<u32, Instant>,
-    zones: BTreeMap<String, u32>,
+    queued: BTreeSet<u32>,
+    backoff_until: BTreeMap<u32, Instant>,
+    tasks_per_zone: BTreeMap<String, u32>,
     all_or_nothing: bool,
-    guaranteed: bool,
+    within_quota: bool,
     may_preempt: bool,
 }
 
-fn line(spec: JobSpec) -> Line {
-    Line {
-        rows: (0..spec.tasks).collect(),
-        held: BTreeMap::new(),
-        zones: BTreeMap::new(),
+fn test_job(spec: JobSpec) -> TestJob {
+    TestJob {
+        queued: (0..spec.tasks).collect(),
+        backoff_until: BTreeMap::new(),
+        tasks_per_zone: BTreeMap::new(),
         all_or_nothing: false,
-        guaranteed: false,
+        within_quota: false,
         may_preempt: false,
         spec,
     }
 }
 
-impl Line {
-    fn waiting(&self) -> QueuedJob<'_> {
+impl TestJob {
+    fn as_queued(&self) -> QueuedJob<'_> {
         QueuedJob {
-            rank: self.spec.priority,
+            priority: self.spec.priority,
             spec: Arc::new(self.spec.clone()),
             image: 7,
             team: 0,
-            queued: &self.rows,
-            held: &self.held,
+            queued: &self.queued,
+            backoff_until: &self.backoff_until,
             all_or_nothing: self.all_or_nothing,
             single_trial: false,
-            estimate: self.spec.estimate,
-            zones: self.zones.clone(),
-            avoid: Vec::new(),
-            guaranteed: self.guaranteed,
+            expected_runtime: self.spec.estimate,
+            tasks_per_zone: self.tasks_per_zone.clone(),
+            avoided_nodes: Vec::new(),
+            within_quota: self.within_quota,
             may_preempt: self.may_preempt,
             priority_weight: 1.0,
-            quarantined: Vec::new(),
+            excluded_offers: Vec::new(),
         }
     }
 }
@@ -149,10 +151,10 @@
     tasks: Vec<RunningTask>,
 ) -> usize {
     let kind = format!("k{cpus}");
-    let class = snapshot.class(&(kind, zone.into(), false), room(cpus), 1.0);
+    let class = snapshot.class_index(&Offer::new(&kind, zone, false), room(cpus), 1.0);
     let mut free = room(cpus);
     for t in &tasks {
-        free.sub(&t.needs);
+        free.sub(&t.resources);
     }
     snapshot.put(Node {
         id: id.into(),
@@ -160,8 +162,8 @@
         free,
         usage: NodeUsage::Open,
         images: vec![],
-        fetching: 0,
-        distrust_s: 0.0,
+        active_fetches: 0,
+        fault_penalty_s: 0.0,
         idle_since: None,
         tasks,
     });
@@ -170,27 +172,34 @@
 
 fn held(cpus: f64, ends: Option<Instant>, since: Instant) -> RunningTask {
     RunningTask {
-        key: TaskId {
+        id: TaskId {
             job: "wk-0".into(),
             index: cpus as u32,
         },
-        needs: room(cpus),
-        ends,
-        since: Some(since),
-        checkpoint_in: None,
-        rank: Priority::Low,
+        resources: room(cpus),
+        expected_end: ends,
+        running_since: Some(since),
+        checkpoint_duration: None,
+        priority: Priority::Low,
         team: None,
         stopping: false,
     }
 }
 
+fn head(job_index: usize, starts_in: Option<Duration>) -> QueueHead {
+    QueueHead {
+        job_index,
+        starts_in,
+    }
+}
+
 fn decide(
     snapshot: &mut ClusterSnapshot,
-    lines: &[Line],
+    jobs: &[TestJob],
     team: TeamUsage,
     now: Instant,
 ) -> SchedulingPlan {
-    let mut queue: Vec<QueuedJob> = lines.iter().map(Line::waiting).collect();
+    let mut queue: Vec<QueuedJob> = jobs.iter().map(TestJob::as_queued).collect();
     plan(
         snapshot,
         &mut queue,
@@ -205,17 +214,17 @@
     // The head needs 8 of 10; 4 are free now and 10 in 30 s: 2 remain beside it then.
     let now = Instant::now();
     let queue = [
-        line(spec("wk-1", 1, 8.0, 100)),
-        line(spec("wk-2", 1, 4.0, 100)),
-        line(spec("wk-3", 1, 2.0, 100)),
-        line(spec("wk-4", 1, 2.0, 20)),
+        test_job(spec("wk-1", 1, 8.0, 100)),
+        test_job(spec("wk-2", 1, 4.0, 100)),
+        test_job(spec("wk-3", 1, 2.0, 100)),
+        test_job(spec("wk-4", 1, 2.0, 20)),
     ];
     let mut b = ClusterSnapshot::default();
     let end = now + Duration::from_secs(30);
     node(&mut b, "m", "a", 10.0, vec![held(6.0, Some(end), now)]);
     let p = decide(&mut b, &queue, TeamUsage::default(), now);
-    assert_eq!(p.head, Some((0, Some(Duration::from_secs(30)))));
-    let jobs: Vec<usize> = p.starts.iter().map(|s| s.job).collect();
+    assert_eq!(p.head, Some(head(0, Some(Duration::from_secs(30)))));
+    let jobs: Vec<usize> = p.starts.iter().map(|s| s.job_index).collect();
     assert_eq!(jobs, [2, 3]);
 }
 
@@ -223,14 +232,14 @@
 fn a_head_behind_endless_work_has_no_shadow_and_blocks_nobody() {
     let now = Instant::now();
     let queue = [
-        line(spec("wk-1", 1, 8.0, 100)),
-        line(spec("wk-2", 1, 4.0, 1000)),
+        test_job(spec("wk-1", 1, 8.0, 100)),
+        test_job(spec("wk-2", 1, 4.0, 1000)),
     ];
     for ends in [None, Some(now - Duration::from_secs(1))] {
         let mut b = ClusterSnapshot::default();
         node(&mut b, "m", "a", 10.0, vec![held(6.0, ends, now)]);
         let p = decide(&mut b, &queue, TeamUsage::default(), now);
-        assert_eq!(p.head, Some((0, None)));
+        assert_eq!(p.head, Some(head(0, None)));
         assert_eq!(p.starts.len(), 1);
     }
 }
@@ -245,7 +254,7 @@
         (b, m, n)
     };
     let free = TeamUsage::default;
-    let mut w = line(spec("wk-1", 6, 1.0, 10));
+    let mut w = test_job(spec("wk-1", 6, 1.0, 10));
     w.spec.spread = true;
     let (mut b, m, _) = fresh();
     let p = decide(&mut b, std::slice::from_ref(&w), free(), now);
@@ -254,17 +263,17 @@
 
     w.spec.spread = false;
     w.spec.one_zone = true;
-    w.zones.insert("b".into(), 1);
+    w.tasks_per_zone.insert("b".into(), 1);
     let (mut b, _, n) = fresh();
     let p = decide(&mut b, std::slice::from_ref(&w), free(), now);
     assert!(p.starts.iter().all(|s| s.node_index == n));
     assert_eq!(p.starts.len(), 3);
 
-    w.zones.clear();
+    w.tasks_per_zone.clear();
     w.spec.one_zone = false;
     let limited = TeamUsage {
         cpus: 2.0,
-        cpus_max: Some(4.0),
+        cpu_limit: Some(4.0),
         ..TeamUsage::default()
     };
     let (mut b, _, _) = fresh();
@@ -272,15 +281,15 @@
     assert_eq!(p.starts.len(), 2);
 
     // A job that starts whole starts with all of its tasks or not at all.
-    let mut gang = line(spec("wk-2", 12, 1.0, 10));
+    let mut gang = test_job(spec("wk-2", 12, 1.0, 10));
     gang.all_or_nothing = true;
     let (mut b, m, _) = fresh();
     let p = decide(&mut b, std::slice::from_ref(&gang), free(), now);
     assert!(p.starts.is_empty());
     // Nothing is left behind of the attempt.
     assert_eq!(b.node(m).free, room(8.0));
-    assert!(b.node(m).images.is_empty() && b.node(m).fetching == 0);
-    gang.rows = (0..11).collect();
+    assert!(b.node(m).images.is_empty() && b.node(m).active_fetches == 0);
+    gang.queued = (0..11).collect();
     let (mut b, _, _) = fresh();
     let p = decide(&mut b, std::slice::from_ref(&gang), free(), now);
     assert_eq!(p.starts.len(), 11);
@@ -294,7 +303,7 @@
     node(&mut b, "m", "a", 4.0, vec![held(4.0, at(10), now)]);
     node(&mut b, "n", "b", 4.0, vec![held(4.0, at(20), now)]);
     node(&mut b, "o", "a", 4.0, vec![held(4.0, at(30), now)]);
-    let mut gang = line(spec("wk-1", 6, 1.0, 10));
+    let mut gang = test_job(spec("wk-1", 6, 1.0, 10));
     gang.all_or_nothing = true;
     let p = decide(
         &mut b,
@@ -302,7 +311,7 @@
         TeamUsage::default(),
         now,
     );
-    assert_eq!(p.head, Some((0, Some(Duration::from_secs(20)))));
+    assert_eq!(p.head, Some(head(0, Some(Duration::from_secs(20)))));
     gang.spec.one_zone = true;
     let p = decide(
         &mut b,
@@ -310,28 +319,28 @@
         TeamUsage::default(),
         now,
     );
-    assert_eq!(p.head, Some((0, Some(Duration::from_secs(30)))));
+    assert_eq!(p.head, Some(head(0, Some(Duration::from_secs(30)))));
 }
 
 #[test]
 fn only_lower_ranks_or_borrowed_work_is_stopped_and_the_youngest_first() {
     let now = Instant::now() + Duration::from_secs(1000);
-    let mut w = line(spec("wk-1", 1, 4.0, 10));
+    let mut w = test_job(spec("wk-1", 1, 4.0, 10));
     w.may_preempt = true;
-    let stops = |rank, own: f64, guaranteed, w: &Line| {
+    let stops = |rank, own: f64, guaranteed, w: &TestJob| {
         let end = Some(now + Duration::from_secs(500));
         let mut old = held(4.0, end, now - Duration::from_secs(40));
         let mut young = held(4.0, end, now - Duration::from_secs(5));
-        (old.key.index, young.key.index) = (0, 1);
+        (old.id.index, young.id.index) = (0, 1);
         for t in [&mut old, &mut young] {
-            (t.rank, t.team) = (rank, Some(1));
+            (t.priority, t.team) = (rank, Some(1));
         }
         let mut b = ClusterSnapshot::default();
         node(&mut b, "m", "a", 8.0, vec![old, young]);
-        let mut queue = [w.waiting()];
-        queue[0].guaranteed = guaranteed;
+        let mut queue = [w.as_queued()];
+        queue[0].within_quota = guaranteed;
         let theirs = TeamUsage {
-            cpus_own: own,
+            cpu_quota: own,
             ..TeamUsage::default()
         };
         let mut teams = [TeamUsage::default(), theirs];
@@ -343,7 +352,10 @@
             now,
             &mut KnapsackTables::default(),
         );
-        p.stops.iter().map(|s| s.1.index).collect::<Vec<_>>()
+        p.preemptions
+            .iter()
+            .map(|s| s.task.index)
+            .collect::<Vec<_>>()
     };
     assert_eq!(stops(Priority::Low, 100.0, false, &w), [1]);
     assert_eq!(stops(Priority::Normal, 100.0, true, &w), [0u32; 0]);
--- a/src/planning/capacity_forecast.rs
+++ b/src/planning/capacity_forecast.rs
@@ -1,68 +1,90 @@
-//! The forecast: what running tasks and booting machines will give, laid out over the queue. Pure.
+//! A forecast of the room that running tasks and booting machines will free, laid out over the
+//! queue.
 
 use crate::job::{JobSpec, Priority, Resources};
 use crate::planning::cluster_snapshot::{ClusterSnapshot, MachineClass, NodeUsage, Offer, allows};
 use std::collections::BTreeMap;
+use std::ops::Bound;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+/// Stopping a task and starting another takes about this long.
+const PREEMPTION_DELAY: Duration = Duration::from_secs(4);
+/// A machine that boots for longer than expected is expected after this.
+const LATE_BOOT_DELAY: Duration = Duration::from_secs(1);
+
 /// Tasks of one job that wait for room.
 #[derive(Clone, Debug)]
 pub struct PendingDemand {
+    /// The job as its user described it.
     pub spec: Arc<JobSpec>,
-    /// What it counts as where work of lower rank yields to it.
-    pub rank: Priority,
+    /// Its effective priority, which decides what may be preempted for it.
+    pub priority: Priority,
+    /// How many tasks wait.
     pub tasks: u32,
     /// Expected run time of a task.
-    pub estimate: Duration,
-    /// Longest time the job's tasks should wait from now on before a machine is worth renting.
-    pub patience: Duration,
-    /// The same where a spot machine is to be had.
-    pub spot_patience: Duration,
+    pub expected_runtime: Duration,
+    /// Longest time the job's tasks should wait from now on before a machine is worth adding.
+    pub max_wait: Duration,
+    /// The same where a spot machine can be had.
+    pub max_spot_wait: Duration,
     /// Offers that cost more than the job is worth.
-    pub quarantined: Vec<Offer>,
+    pub excluded_offers: Vec<Offer>,
 }
 
 impl PendingDemand {
-    pub fn takes(&self, offer: &Offer) -> bool {
-        allows(&self.spec, offer) && !self.quarantined.contains(offer)
+    /// Whether the job may, and is to, use machines of this offer.
+    pub fn accepts(&self, offer: &Offer) -> bool {
+        allows(&self.spec, offer) && !self.excluded_offers.contains(offer)
     }
 }
 
-/// Machines that were asked for and have no names yet.
+/// Machines that have been requested and have no names yet.
 #[derive(Clone, Debug)]
 pub struct BootingNodes {
+    /// What was requested.
     pub offer: Offer,
-    pub room: Resources,
+    /// Room of one of them.
+    pub capacity: Resources,
+    /// How many were requested.
     pub count: u32,
+    /// When they are expected to accept tasks, from now on.
     pub ready_in: Duration,
 }
 
-/// Room that comes by itself: what running tasks and booting machines will give.
+/// Where room becomes free.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+enum CapacitySource {
+    /// A node of the snapshot, by its index.
+    Node(usize),
+    /// A requested machine, by its index among them.
+    Requested(usize),
+    /// A task of the lowest priority that can be preempted, by its index among them.
+    Preemptible(usize),
+}
+
+/// When room becomes free, from now on, and where.
+type GainKey = (Duration, CapacitySource);
+
+/// Room that becomes available without adding machines.
 pub struct Forecast<'a> {
     snapshot: &'a ClusterSnapshot,
-    /// Machines that are on their way come after the board's, numbered on.
-    booting_nodes: Vec<&'a BootingNodes>,
-    /// Machines on which work of the lowest rank can be stopped, a number for each task.
+    requested: Vec<&'a BootingNodes>,
+    /// The node of each task that can be preempted.
     preemptible: Vec<usize>,
     /// What becomes free and when, the earliest first.
-    gains: BTreeMap<(Duration, usize), Resources>,
-    /// Room of each machine that was too little for a job, and may add up with more. A machine
-    /// that is missing here has been looked at by nobody yet.
-    rest: BTreeMap<usize, Resources>,
+    gains: BTreeMap<GainKey, Resources>,
+    /// Room of each source that was too little for a job and may add up with more. A source that
+    /// is missing here has not been used yet.
+    leftover: BTreeMap<CapacitySource, Resources>,
     /// When each machine that boots is expected.
-    boots: BTreeMap<usize, Duration>,
+    boots: BTreeMap<CapacitySource, Duration>,
     last_boot: Duration,
 }
 
-/// Slots on the board are below this, machines that are on their way above.
-const BOOTING_INDEX_BASE: usize = 1 << 32;
-/// From here on: room that work of the lowest rank yields when others ask for it.
-const PREEMPTIBLE_INDEX_BASE: usize = 1 << 33;
-/// Stopping a task and starting another takes about this long.
-const PREEMPTION_DELAY: Duration = Duration::from_secs(4);
-
 impl<'a> Forecast<'a> {
+    /// A forecast up to `horizon` from now on. Nothing in `unreachable_zones` counts; tasks of the
+    /// lowest priority count as room where `preempting` is set.
     pub fn new(
         snapshot: &'a ClusterSnapshot,
         booting_nodes: &'a [BootingNodes],
@@ -71,181 +93,231 @@
         preempting: bool,
         unreachable_zones: &[String],
     ) -> Self {
-        // What ends in a zone that cannot be reached makes no room for anybody.
-        let zone = |c: &MachineClass| unreachable_zones.contains(&c.offer.1);
-        let unreachable_zones: Vec<bool> = snapshot.classes.iter().map(zone).collect();
-        let reached = |node_index: usize| !unreachable_zones[snapshot.node(node_index).class];
-        let mut gains: Vec<((Duration, usize), Resources)> = Vec::new();
-        let mut boots = BTreeMap::new();
-        for (at, node_index, t) in snapshot.ends(now) {
-            let after = at.saturating_duration_since(now);
-            if after > horizon {
-                break;
-            }
-            if snapshot.node(node_index).usage == NodeUsage::Closed || !reached(node_index) {
-                continue;
-            }
-            match gains.last_mut() {
-                Some((key, room)) if *key == (after, node_index) => room.add(&t.needs),
-                _ => gains.push(((after, node_index), t.needs)),
-            }
-        }
-        for node_index in snapshot.booting().filter(|s| reached(*s)) {
-            let h = snapshot.node(node_index);
-            if let NodeUsage::Booting(at) = h.usage {
-                // Later than expected: at any moment, as far as one knows.
-                let after = at.saturating_duration_since(now);
-                let after = after.max(Duration::from_secs(1));
-                gains.push(((after, node_index), h.free));
-                boots.insert(node_index, after);
-            }
-        }
-        let booting_nodes: Vec<&BootingNodes> = booting_nodes
+        let mut builder = ForecastBuilder::new(snapshot, unreachable_zones, now);
+        builder.add_ends(horizon);
+        builder.add_booting();
+        let requested: Vec<&BootingNodes> = booting_nodes
             .iter()
-            .flat_map(|c| (0..c.count).map(move |_| c))
+            .flat_map(|nodes| (0..nodes.count).map(move |_| nodes))
             .collect();
-        for (i, c) in booting_nodes.iter().enumerate() {
-            gains.push(((c.ready_in, BOOTING_INDEX_BASE + i), c.room));
-            boots.insert(BOOTING_INDEX_BASE + i, c.ready_in);
-        }
-        let mut preemptible = Vec::new();
-        if preempting && snapshot.has_lower_priority(Priority::Normal) {
-            for (node_index, h) in snapshot.nodes().filter(|(_, h)| h.usage == NodeUsage::Open) {
-                for t in h
-                    .tasks
-                    .iter()
-                    .filter(|t| t.rank == Priority::Low && !t.stopping)
-                {
-                    gains.push((
-                        (PREEMPTION_DELAY, PREEMPTIBLE_INDEX_BASE + preemptible.len()),
-                        t.needs,
-                    ));
-                    preemptible.push(node_index);
-                }
-            }
-        }
-        let last_boot = boots.values().copied().max().unwrap_or_default();
+        builder.add_requested(&requested);
+        let preemptible = if preempting && snapshot.has_lower_priority(Priority::Normal) {
+            builder.add_preemptible()
+        } else {
+            Vec::new()
+        };
         Forecast {
-            last_boot,
             snapshot,
-            booting_nodes,
+            requested,
             preemptible,
+            last_boot: builder.boots.values().copied().max().unwrap_or_default(),
             // Nearly in order already, and built at once.
-            gains: gains.into_iter().collect(),
-            rest: BTreeMap::new(),
-            boots,
+            gains: builder.gains.into_iter().collect(),
+            leftover: BTreeMap::new(),
+            boots: builder.boots,
         }
     }
 
-    /// Where machines of this unit's class stand in what `allowed` gives.
-    fn class(&self, unit: usize) -> usize {
-        if unit >= PREEMPTIBLE_INDEX_BASE {
-            self.snapshot
-                .node(self.preemptible[unit - PREEMPTIBLE_INDEX_BASE])
-                .class
-        } else if unit >= BOOTING_INDEX_BASE {
-            self.snapshot.classes.len() + unit - BOOTING_INDEX_BASE
-        } else {
-            self.snapshot.node(unit).class
+    /// The index of a source's class in what `accepted_classes` returns.
+    fn class_index(&self, source: CapacitySource) -> usize {
+        match source {
+            CapacitySource::Node(node_index) => self.snapshot.node(node_index).class,
+            CapacitySource::Requested(index) => self.snapshot.classes().len() + index,
+            CapacitySource::Preemptible(index) => self.snapshot.node(self.preemptible[index]).class,
         }
     }
 
-    /// Which classes a job takes: asked once a job, as there may be thousands of ends to look at.
-    fn allowed(&self, u: &PendingDemand) -> Vec<bool> {
-        let there = self.snapshot.classes.iter().map(|c| &c.offer);
-        let booting_nodes = self.booting_nodes.iter().map(|c| &c.offer);
-        there
-            .chain(booting_nodes)
-            .map(|offer| u.takes(offer))
-            .collect()
+    /// Which classes a job accepts: asked once a job, as there may be thousands of ends.
+    fn accepted_classes(&self, demand: &PendingDemand) -> Vec<bool> {
+        let present = self.snapshot.classes().iter().map(|class| &class.offer);
+        let requested = self.requested.iter().map(|nodes| &nodes.offer);
+        let offers = present.chain(requested);
+        offers.map(|offer| demand.accepts(offer)).collect()
     }
 
-    /// Room that is free now counts as well: for what comes while it is there.
-    pub fn with_free(&mut self) {
+    /// Counts room that is free now as well: for tasks that arrive while it is there.
+    pub fn include_free_room(&mut self) {
         for node_index in self.snapshot.open() {
-            let none = Resources::default();
-            self.gains
-                .entry((Duration::ZERO, node_index))
-                .or_insert(none);
+            let key = (Duration::ZERO, CapacitySource::Node(node_index));
+            self.gains.entry(key).or_default();
         }
     }
 
-    /// Gives what it can of the coming room to a job's tasks, in time or where a machine is
-    /// booting anyway, and says how many are left. Each task gives its room back after its run.
-    /// Tasks that are yet to come start when they have `arrives` at the earliest. What starts
-    /// when, from now on, is told.
+    /// Room that a source had before it was used.
+    fn initial_room(&self, source: CapacitySource) -> Resources {
+        match source {
+            CapacitySource::Node(node_index) if !self.boots.contains_key(&source) => {
+                self.snapshot.node(node_index).free
+            }
+            _ => Resources::default(),
+        }
+    }
+
+    /// Allocates what it can of the coming room to a job's tasks, in time or where a machine is
+    /// booting anyway, and returns how many tasks are left. Each task gives its room back after
+    /// its run. Tasks that are yet to come start when they have arrived, at the earliest.
+    /// `on_start` is called with when, from now on, and how many tasks start.
     pub fn serve(
         &mut self,
-        u: &PendingDemand,
-        arrives: Duration,
-        patience: Duration,
+        demand: &PendingDemand,
+        arrives_in: Duration,
+        max_wait: Duration,
         on_start: &mut dyn FnMut(Duration, u32),
     ) -> u32 {
-        let mut left = u.tasks;
-        let needs = u.spec.resources;
-        let allowed = self.allowed(u);
-        let patience = patience.max(arrives);
-        let last = (patience.max(self.last_boot), usize::MAX);
-        let mut from = (Duration::ZERO, 0);
-        let usable = |f: &Self, at: Duration, unit: usize| {
-            // A machine that boots counts however late it comes, or it is rented again.
-            let in_time = at <= patience || f.boots.get(&unit) == Some(&at);
-            let yields = unit < PREEMPTIBLE_INDEX_BASE || u.rank < Priority::Low;
-            in_time && yields && allowed[f.class(unit)]
+        let mut remaining = demand.tasks;
+        let resources = demand.spec.resources;
+        let accepted = self.accepted_classes(demand);
+        let max_wait = max_wait.max(arrives_in);
+        let last = (
+            max_wait.max(self.last_boot),
+            CapacitySource::Preemptible(usize::MAX),
+        );
+        let mut from = Bound::Unbounded;
+        let is_usable = |forecast: &Self, at: Duration, source: CapacitySource| {
+            // A machine that boots counts however late it comes, or it would be requested again.
+            let in_time = at <= max_wait || forecast.boots.get(&source) == Some(&at);
+            let may_preempt = demand.priority < Priority::Low;
+            let permitted = may_preempt || !matches!(source, CapacitySource::Preemptible(_));
+            in_time && permitted && accepted[forecast.class_index(source)]
         };
-        while left > 0 && from <= last {
-            let mut booting_nodes = self.gains.range(from..=last);
-            let next = booting_nodes.find(|((at, unit), _)| usable(self, *at, *unit));
-            let Some((&(at, unit), &gain)) = next else {
+        while remaining > 0 {
+            let mut gains = self.gains.range((from, Bound::Included(last)));
+            let next = gains.find(|((at, source), _)| is_usable(self, *at, *source));
+            let Some((&(at, source), &gain)) = next else {
                 break;
             };
-            from = (at, unit + 1);
-            self.gains.remove(&(at, unit));
-            let idle = || {
-                if unit >= PREEMPTIBLE_INDEX_BASE || self.boots.contains_key(&unit) {
-                    Resources::default()
-                } else {
-                    self.snapshot.node(unit).free
-                }
-            };
-            let mut room = self.rest.remove(&unit).unwrap_or_else(idle);
+            from = Bound::Excluded((at, source));
+            self.gains.remove(&(at, source));
+            let leftover = self.leftover.remove(&source);
+            let mut room = leftover.unwrap_or_else(|| self.initial_room(source));
             room.add(&gain);
-            let n = needs.count_in(&room).min(left);
-            room.sub(&needs.times(f64::from(n)));
-            left -= n;
-            if left == 0 {
+            let count = resources.count_in(&room).min(remaining);
+            room.sub(&resources.times(f64::from(count)));
+            remaining -= count;
+            if remaining == 0 {
                 // What this job does not need is there for the next one, at the same time.
-                self.gains.insert((at, unit), room);
-                self.rest.insert(unit, Resources::default());
+                self.gains.insert((at, source), room);
+                self.leftover.insert(source, Resources::default());
             } else {
-                self.rest.insert(unit, room);
+                self.leftover.insert(source, room);
+            }
+            if count > 0 {
+                let starts = at.max(arrives_in);
+                on_start(starts, count);
+                let ends = starts.saturating_add(demand.expected_runtime);
+                let returned = self.gains.entry((ends, source)).or_default();
+                returned.add(&resources.times(f64::from(count)));
+            }
+        }
+        remaining
+    }
+}
+
+/// Collects the gains of a new forecast.
+struct ForecastBuilder<'a> {
+    snapshot: &'a ClusterSnapshot,
+    now: Instant,
+    /// By class: its zone can be reached. What ends elsewhere makes no room for anybody.
+    is_reachable: Vec<bool>,
+    gains: Vec<(GainKey, Resources)>,
+    boots: BTreeMap<CapacitySource, Duration>,
+}
+
+impl<'a> ForecastBuilder<'a> {
+    fn new(snapshot: &'a ClusterSnapshot, unreachable_zones: &[String], now: Instant) -> Self {
+        let reachable = |class: &MachineClass| !unreachable_zones.contains(&class.offer.zone);
+        ForecastBuilder {
+            snapshot,
+            now,
+            is_reachable: snapshot.classes().iter().map(reachable).collect(),
+            gains: Vec::new(),
+            boots: BTreeMap::new(),
+        }
+    }
+
+    fn is_reachable(&self, node_index: usize) -> bool {
+        self.is_reachable[self.snapshot.node(node_index).class]
+    }
+
+    /// Room of tasks that end within the horizon.
+    fn add_ends(&mut self, horizon: Duration) {
+        for (end, node_index, task) in self.snapshot.expected_ends(self.now) {
+            let after = end.saturating_duration_since(self.now);
+            if after > horizon {
+                break;
             }
-            if n > 0 {
-                let starts = at.max(arrives);
-                on_start(starts, n);
-                let ends = starts.saturating_add(u.estimate);
-                let back = self.gains.entry((ends, unit)).or_default();
-                back.add(&needs.times(f64::from(n)));
+            let is_closed = self.snapshot.node(node_index).usage == NodeUsage::Closed;
+            if is_closed || !self.is_reachable(node_index) {
+                continue;
+            }
+            let key = (after, CapacitySource::Node(node_index));
+            match self.gains.last_mut() {
+                Some((last, room)) if *last == key => room.add(&task.resources),
+                _ => self.gains.push((key, task.resources)),
+            }
+        }
+    }
+
+    /// Machines that boot and have names.
+    fn add_booting(&mut self) {
+        for node_index in self.snapshot.booting() {
+            let node = self.snapshot.node(node_index);
+            let NodeUsage::Booting(expected) = node.usage else {
+                continue;
+            };
+            if !self.is_reachable(node_index) {
+                continue;
+            }
+            let after = expected.saturating_duration_since(self.now);
+            let after = after.max(LATE_BOOT_DELAY);
+            let source = CapacitySource::Node(node_index);
+            self.gains.push(((after, source), node.free));
+            self.boots.insert(source, after);
+        }
+    }
+
+    /// Machines that have been requested.
+    fn add_requested(&mut self, requested: &[&BootingNodes]) {
+        for (index, nodes) in requested.iter().enumerate() {
+            let source = CapacitySource::Requested(index);
+            self.gains.push(((nodes.ready_in, source), nodes.capacity));
+            self.boots.insert(source, nodes.ready_in);
+        }
+    }
+
+    /// Tasks of the lowest priority, which can be preempted. Returns the node of each.
+    fn add_preemptible(&mut self) -> Vec<usize> {
+        let mut nodes = Vec::new();
+        let open = self.snapshot.nodes();
+        for (node_index, node) in open.filter(|(_, node)| node.usage == NodeUsage::Open) {
+            let is_preemptible = |priority: Priority| priority == Priority::Low;
+            for task in &node.tasks {
+                if is_preemptible(task.priority) && !task.stopping {
+                    let source = CapacitySource::Preemptible(nodes.len());
+                    self.gains
+                        .push(((PREEMPTION_DELAY, source), task.resources));
+                    nodes.push(node_index);
+                }
             }
         }
-        left
+        nodes
     }
 }
 
-/// Lays the queue out over the room that comes by itself, and tells how many tasks of which jobs
-/// would wait for longer than `patience` allows.
+/// Lays the queue out over the room that becomes available by itself, and returns how many tasks
+/// of which jobs would wait for longer than `max_wait` allows.
 pub fn unserved_demand<'a>(
     snapshot: &ClusterSnapshot,
     booting_nodes: &[BootingNodes],
-    unmet: &'a [PendingDemand],
+    demands: &'a [PendingDemand],
     now: Instant,
     unreachable_zones: &[String],
-    patience: impl Fn(&PendingDemand) -> Duration,
+    max_wait: impl Fn(&PendingDemand) -> Duration,
 ) -> Vec<(&'a PendingDemand, u32)> {
-    let Some(horizon) = unmet.iter().map(&patience).max() else {
+    let Some(horizon) = demands.iter().map(&max_wait).max() else {
         return Vec::new();
     };
-    let preempting = unmet.iter().any(|u| u.rank < Priority::Low);
+    let preempting = demands.iter().any(|d| d.priority < Priority::Low);
     let mut forecast = Forecast::new(
         snapshot,
         booting_nodes,
@@ -254,12 +326,11 @@
         preempting,
         unreachable_zones,
     );
-    let left = |u: &'a PendingDemand| {
-        (
-            u,
-            forecast.serve(u, Duration::ZERO, patience(u), &mut |_, _| {}),
-        )
+    let unserved = |demand: &'a PendingDemand| {
+        let wait = max_wait(demand);
+        let unserved = forecast.serve(demand, Duration::ZERO, wait, &mut |_, _| {});
+        (demand, unserved)
     };
-    let short = unmet.iter().map(left);
-    short.filter(|(_, left)| *left > 0).collect()
+    let demands = demands.iter().map(unserved);
+    demands.filter(|(_, unserved)| *unserved > 0).collect()
 }
--- a/src/planning/cluster_snapshot.rs
+++ b/src/planning/cluster_snapshot.rs
@@ -1,6 +1,8 @@
-//! The board: what placing and renting need to know of every machine, kept current machine by
-//! machine. The owner puts a machine again whenever something about it changed, so a step costs
-//! what changed and what is looked for, not all there is.
+//! The cluster as placement and autoscaling see it: every machine with its free room and tasks.
+//!
+//! The owner of the state replaces a node whenever something about its machine has changed, and
+//! the snapshot keeps indices up to date. A scheduling step therefore costs what has changed and
+//! what it searches, not the size of the cluster.
 
 use crate::fault_injection::{Safeguard, is_enabled};
 use crate::job::{JobSpec, MachineId, Priority, Resources, TaskId};
@@ -9,149 +11,188 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::{Duration, Instant};
 
-/// A kind of machine in a zone, ordinary or spot.
 pub use burlusher_market::Offer;
 
-/// Whether a job may use machines of this kind, in this zone, ordinary or spot.
-pub fn allows(spec: &JobSpec, (kind, zone, spot): &Offer) -> bool {
-    (spec.spot || !spot || !is_enabled(Safeguard::Spot))
-        && spec.allows_type(kind)
-        && spec.allows_zone(zone)
+/// Whether a job may use machines of this offer.
+pub fn allows(spec: &JobSpec, offer: &Offer) -> bool {
+    (spec.spot || !offer.spot || !is_enabled(Safeguard::Spot))
+        && spec.allows_type(&offer.machine_type)
+        && spec.allows_zone(&offer.zone)
 }
 
-/// An image's name in short. Two names of one tag could only make a fetch look cheaper than it is.
+/// A hash of an image's name. A collision could only make a fetch look cheaper than it is.
 pub type ImageTag = u64;
 
-/// The tag that stands for an image's name.
+/// The tag of an image's name.
 pub fn image_tag(name: &str) -> ImageTag {
-    let mut h = DefaultHasher::new();
-    name.hash(&mut h);
-    h.finish()
+    let mut hasher = DefaultHasher::new();
+    name.hash(&mut hasher);
+    hasher.finish()
 }
 
 /// A task that holds room on a machine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunningTask {
-    pub key: TaskId,
-    pub needs: Resources,
+    /// The task.
+    pub id: TaskId,
+    /// The room it holds.
+    pub resources: Resources,
     /// Expected end; `None` for services and overruns, which count as endless.
-    pub ends: Option<Instant>,
-    /// Since when it runs.
-    pub since: Option<Instant>,
-    /// Time it takes to save when it is stopped, if it can: then no more than that is lost.
-    pub checkpoint_in: Option<Duration>,
-    pub rank: Priority,
+    pub expected_end: Option<Instant>,
+    /// Since when it runs, if it does already.
+    pub running_since: Option<Instant>,
+    /// Time a checkpoint takes when the task is stopped, if it can checkpoint: then no more work
+    /// than that is lost.
+    pub checkpoint_duration: Option<Duration>,
+    /// The priority of its job, or of a more urgent one that depends on it.
+    pub priority: Priority,
+    /// Its team, by its index in the settings.
     pub team: Option<usize>,
+    /// It has been asked to stop.
     pub stopping: bool,
 }
 
 impl RunningTask {
-    /// Work that would be lost if it were stopped now.
+    /// Work that would be lost if it were stopped now, in run time.
     pub fn lost_work(&self, now: Instant) -> Duration {
         let ran = self
-            .since
-            .map_or(Duration::ZERO, |s| now.saturating_duration_since(s));
-        self.checkpoint_in.map_or(ran, |s| ran.min(s))
+            .running_since
+            .map_or(Duration::ZERO, |since| now.saturating_duration_since(since));
+        self.checkpoint_duration
+            .map_or(ran, |checkpoint| ran.min(checkpoint))
     }
 }
 
-/// What a machine is good for at present.
+/// What a machine can be used for at present.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NodeUsage {
-    /// It may be given tasks.
+    /// It accepts tasks.
     Open,
-    /// It boots and is expected to take tasks from this moment on.
+    /// It boots and is expected to accept tasks from this moment on.
     Booting(Instant),
-    /// It takes nothing now, but the room of what ends on it will be of use.
+    /// It accepts no tasks now, but room that becomes free on it will be usable.
     Resting,
-    /// It is on its way out; only what it holds still counts.
+    /// It is being removed; only what it still holds counts.
     Closed,
 }
 
-/// A machine as placing and renting see it.
+/// A machine as placement and autoscaling see it.
 #[derive(Clone, Debug)]
 pub struct Node {
+    /// The machine.
     pub id: MachineId,
-    /// Its place in `ClusterSnapshot::classes`.
+    /// Index of its class, see [`ClusterSnapshot::class_index`].
     pub class: usize,
+    /// Room that no task holds.
     pub free: Resources,
+    /// What it can be used for.
     pub usage: NodeUsage,
     /// Images that are on the machine or being fetched.
     pub images: Vec<ImageTag>,
-    /// How many fetches share the machine's rate now.
-    pub fetching: usize,
-    /// Doubts about the machine, in seconds of delay that it is worth to avoid it.
-    pub distrust_s: f64,
-    /// It holds nothing, and nothing is on its way to it, since then.
+    /// How many fetches share the machine's download rate now.
+    pub active_fetches: usize,
+    /// How much delay, in seconds, it is worth to avoid the machine for its past faults.
+    pub fault_penalty_s: f64,
+    /// Since when it holds nothing and nothing is on its way to it.
     pub idle_since: Option<Instant>,
+    /// The tasks on it.
     pub tasks: Vec<RunningTask>,
 }
 
-/// Machines that are alike.
+/// Machines of one offer, which are interchangeable when empty.
 #[derive(Clone, Debug)]
 pub struct MachineClass {
+    /// Machine type, zone and whether it is spot.
     pub offer: Offer,
-    pub room: Resources,
+    /// Room of one empty machine.
+    pub capacity: Resources,
+    /// Rate at which one machine fetches images.
     pub fetch_gb_per_s: f64,
+    /// How many machines of the class there are.
     pub machines: usize,
 }
 
 impl MachineClass {
     /// Whether a job may use machines of this class.
-    pub fn allowed(&self, spec: &JobSpec) -> bool {
+    pub fn allows(&self, spec: &JobSpec) -> bool {
         allows(spec, &self.offer)
     }
+
+    /// Time one machine takes to fetch an image when nothing else is being fetched, in seconds.
+    pub fn fetch_seconds(&self, image_gb: f64) -> f64 {
+        image_gb / self.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S)
+    }
 }
 
-/// All machines, and the indices by which a step finds those that matter to it.
+/// All machines, and the indices by which a scheduling step finds those that matter to it.
+///
+/// Invariant: the indices list exactly the nodes in `nodes` by the state in which they were last
+/// put there. Room that a step allocates changes a node's free room only.
 #[derive(Default)]
 pub struct ClusterSnapshot {
-    pub classes: Vec<MachineClass>,
+    classes: Vec<MachineClass>,
     node_indices: BTreeMap<MachineId, usize>,
     nodes: Vec<Option<Node>>,
     vacant: Vec<usize>,
-    /// Machines that take tasks and have room for some.
+    /// Nodes that accept tasks and have room for some.
     open: BTreeSet<usize>,
     booting: BTreeSet<usize>,
     idle: BTreeSet<usize>,
-    /// Expected ends, with the machine and the task's place on it.
-    ends: BTreeSet<(Instant, usize, usize)>,
+    /// Expected ends, with the node and the task's index on it.
+    expected_ends: BTreeSet<(Instant, usize, usize)>,
     /// What the tasks of each team hold.
-    used: BTreeMap<usize, Resources>,
-    /// How many tasks of each rank are on machines.
-    ranks: BTreeMap<Priority, usize>,
-    /// Machines and ends looked at so far, by which the stories judge the cost of a step.
-    pub inspected: Cell<u64>,
+    team_allocations: BTreeMap<usize, Resources>,
+    /// How many tasks of each priority are on machines.
+    tasks_by_priority: BTreeMap<Priority, usize>,
+    /// Nodes and expected ends inspected so far; tests judge the cost of a step by it.
+    inspected: Cell<u64>,
 }
 
-/// Less room than this is none.
+/// Less room than this counts as none.
 const EPSILON: f64 = 1e-3;
+/// Announced fetch rates below this are taken for this.
+const MIN_FETCH_GB_PER_S: f64 = 0.01;
 
 impl ClusterSnapshot {
-    /// The class of machines that an offer brings, with its type's newest figures.
-    pub fn class(&mut self, offer: &Offer, room: Resources, fetch_gb_per_s: f64) -> usize {
-        let i = match self.classes.iter().position(|c| c.offer == *offer) {
-            Some(i) => i,
-            None => {
-                self.classes.push(MachineClass {
-                    offer: offer.clone(),
-                    room,
-                    fetch_gb_per_s,
-                    machines: 0,
-                });
-                self.classes.len() - 1
-            }
-        };
-        (self.classes[i].room, self.classes[i].fetch_gb_per_s) = (room, fetch_gb_per_s);
-        i
+    /// The index of an offer's class, which is created or updated with its type's newest figures.
+    pub fn class_index(
+        &mut self,
+        offer: &Offer,
+        capacity: Resources,
+        fetch_gb_per_s: f64,
+    ) -> usize {
+        let known = self.classes.iter().position(|c| c.offer == *offer);
+        let index = known.unwrap_or_else(|| {
+            self.classes.push(MachineClass {
+                offer: offer.clone(),
+                capacity,
+                fetch_gb_per_s,
+                machines: 0,
+            });
+            self.classes.len() - 1
+        });
+        let class = &mut self.classes[index];
+        class.capacity = capacity;
+        class.fetch_gb_per_s = fetch_gb_per_s;
+        index
+    }
+
+    /// All classes; a class keeps its index, also while it has no machines.
+    pub fn classes(&self) -> &[MachineClass] {
+        &self.classes
     }
 
-    /// Counts what a step looks at.
-    pub fn count_inspected(&self, n: usize) {
-        self.inspected.set(self.inspected.get() + n as u64);
+    /// How many nodes and expected ends have been inspected so far.
+    pub fn inspected(&self) -> u64 {
+        self.inspected.get()
     }
 
-    /// Takes in a machine, or what has become of it.
+    /// Counts what a step inspects.
+    pub fn count_inspected(&self, count: usize) {
+        self.inspected.set(self.inspected.get() + count as u64);
+    }
+
+    /// Adds a node, or replaces it by its present state.
     pub fn put(&mut self, node: Node) {
         self.count_inspected(1);
         let node_index = match self.node_indices.get(&node.id) {
@@ -159,24 +200,18 @@
                 self.withdraw(node_index);
                 node_index
             }
-            None => {
-                let node_index = self.vacant.pop().unwrap_or(self.nodes.len());
-                if node_index == self.nodes.len() {
-                    self.nodes.push(None);
-                }
-                self.node_indices.insert(node.id.clone(), node_index);
-                node_index
-            }
+            None => self.assign_index(&node.id),
         };
         self.classes[node.class].machines += 1;
-        for (n, t) in node.tasks.iter().enumerate() {
-            if let Some(at) = t.ends {
-                self.ends.insert((at, node_index, n));
+        for (task_index, task) in node.tasks.iter().enumerate() {
+            if let Some(end) = task.expected_end {
+                self.expected_ends.insert((end, node_index, task_index));
             }
-            if let Some(team) = t.team {
-                self.used.entry(team).or_default().add(&t.needs);
+            if let Some(team) = task.team {
+                let allocation = self.team_allocations.entry(team).or_default();
+                allocation.add(&task.resources);
             }
-            *self.ranks.entry(t.rank).or_default() += 1;
+            *self.tasks_by_priority.entry(task.priority).or_default() += 1;
         }
         match node.usage {
             NodeUsage::Open if node.free.cpus > EPSILON && node.free.ram > EPSILON => {
@@ -193,28 +228,40 @@
         self.nodes[node_index] = Some(node);
     }
 
-    /// Takes a host's entries out of the indices.
-    fn withdraw(&mut self, node_index: usize) -> Option<Node> {
-        let node = self.nodes[node_index].take()?;
+    /// An index for a new node: a vacant one if there is any.
+    fn assign_index(&mut self, id: &MachineId) -> usize {
+        let node_index = self.vacant.pop().unwrap_or(self.nodes.len());
+        if node_index == self.nodes.len() {
+            self.nodes.push(None);
+        }
+        self.node_indices.insert(id.clone(), node_index);
+        node_index
+    }
+
+    /// Removes a node's entries from the indices.
+    fn withdraw(&mut self, node_index: usize) {
+        let Some(node) = self.nodes[node_index].take() else {
+            return;
+        };
         self.classes[node.class].machines -= 1;
-        for (n, t) in node.tasks.iter().enumerate() {
-            if let Some(at) = t.ends {
-                self.ends.remove(&(at, node_index, n));
+        for (task_index, task) in node.tasks.iter().enumerate() {
+            if let Some(end) = task.expected_end {
+                self.expected_ends.remove(&(end, node_index, task_index));
             }
-            if let Some(u) = t.team.and_then(|team| self.used.get_mut(&team)) {
-                u.sub(&t.needs);
+            let team = task.team;
+            if let Some(allocation) = team.and_then(|t| self.team_allocations.get_mut(&t)) {
+                allocation.sub(&task.resources);
             }
-            if let Some(n) = self.ranks.get_mut(&t.rank) {
-                *n -= 1;
+            if let Some(count) = self.tasks_by_priority.get_mut(&task.priority) {
+                *count -= 1;
             }
         }
         self.open.remove(&node_index);
         self.booting.remove(&node_index);
         self.idle.remove(&node_index);
-        Some(node)
     }
 
-    /// The machine is gone.
+    /// Removes a machine that is gone.
     pub fn remove(&mut self, id: &MachineId) {
         if let Some(node_index) = self.node_indices.remove(id) {
             self.withdraw(node_index);
@@ -222,93 +269,130 @@
         }
     }
 
-    /// Where a machine stands on the board; its slot stays while it is there.
+    /// The index of a machine's node; it stays the same until the machine is removed.
     pub fn node_index(&self, id: &MachineId) -> Option<usize> {
         self.node_indices.get(id).copied()
     }
 
+    /// The node at an index that this snapshot gave out and that is not vacant.
     pub fn node(&self, node_index: usize) -> &Node {
         self.nodes[node_index]
             .as_ref()
-            .expect("a listed slot is taken")
+            .expect("a listed node index is in use")
     }
 
-    pub fn node_mut(&mut self, node_index: usize) -> &mut Node {
+    fn node_mut(&mut self, node_index: usize) -> &mut Node {
         self.nodes[node_index]
             .as_mut()
-            .expect("a listed slot is taken")
+            .expect("a listed node index is in use")
+    }
+
+    /// Allocates room for one more task, until the node is replaced. Returns whether the node
+    /// has to fetch the image for it.
+    pub fn allocate(&mut self, node_index: usize, resources: &Resources, image: ImageTag) -> bool {
+        self.count_inspected(1);
+        let node = self.node_mut(node_index);
+        node.free.sub(resources);
+        let fetches = !node.images.contains(&image);
+        if fetches {
+            node.images.push(image);
+            node.active_fetches += 1;
+        }
+        fetches
+    }
+
+    /// Takes back the newest allocation on a node; `fetches` is what `allocate` returned.
+    pub fn undo_allocation(&mut self, node_index: usize, resources: &Resources, fetches: bool) {
+        let node = self.node_mut(node_index);
+        node.free.add(resources);
+        if fetches {
+            node.images.pop();
+            node.active_fetches -= 1;
+        }
     }
 
+    /// The class of a node.
     pub fn class_of(&self, node_index: usize) -> &MachineClass {
         &self.classes[self.node(node_index).class]
     }
 
+    /// The zone of a node.
     pub fn zone_of(&self, node_index: usize) -> &str {
-        &self.class_of(node_index).offer.1
+        &self.class_of(node_index).offer.zone
     }
 
-    /// Machines that take tasks and have some room, in a fixed order.
+    /// Nodes that accept tasks and have some room, in a fixed order.
     pub fn open(&self) -> impl Iterator<Item = usize> + '_ {
         self.count_inspected(self.open.len());
         self.open.iter().copied()
     }
 
+    /// Nodes that boot, in a fixed order.
     pub fn booting(&self) -> impl Iterator<Item = usize> + '_ {
         self.count_inspected(self.booting.len());
         self.booting.iter().copied()
     }
 
+    /// Nodes that hold nothing, in a fixed order.
     pub fn idle(&self) -> impl Iterator<Item = usize> + '_ {
         self.count_inspected(self.idle.len());
         self.idle.iter().copied()
     }
 
-    /// All machines: for what has no index, and is asked rarely.
+    /// All nodes: for questions that have no index and are asked rarely.
     pub fn nodes(&self) -> impl Iterator<Item = (usize, &Node)> {
         self.count_inspected(self.nodes.len());
         let nodes = self.nodes.iter().enumerate();
-        nodes.filter_map(|(node_index, h)| Some((node_index, h.as_ref()?)))
+        nodes.filter_map(|(node_index, node)| Some((node_index, node.as_ref()?)))
     }
 
-    /// Expected ends from `now` on, the earliest first. What should have ended already has
-    /// overrun its estimate and counts as endless.
-    pub fn ends(&self, now: Instant) -> impl Iterator<Item = (Instant, usize, &RunningTask)> {
-        self.ends.range((now, 0, 0)..).map(|&(at, node_index, n)| {
+    /// Expected ends from `now` on with node and task, the earliest first. A task that should
+    /// have ended already has overrun its estimate and counts as endless.
+    pub fn expected_ends(
+        &self,
+        now: Instant,
+    ) -> impl Iterator<Item = (Instant, usize, &RunningTask)> {
+        let ends = self.expected_ends.range((now, 0, 0)..);
+        ends.map(|&(end, node_index, task_index)| {
             self.count_inspected(1);
-            (at, node_index, &self.node(node_index).tasks[n])
+            (end, node_index, &self.node(node_index).tasks[task_index])
         })
     }
 
-    /// Whether any task of a lower rank than this is on a machine.
-    pub fn has_lower_priority(&self, rank: Priority) -> bool {
-        self.ranks.iter().any(|(r, n)| *r > rank && *n > 0)
+    /// Whether any task of a lower priority than this is on a machine.
+    pub fn has_lower_priority(&self, priority: Priority) -> bool {
+        let mut counts = self.tasks_by_priority.iter();
+        counts.any(|(other, count)| *other > priority && *count > 0)
     }
 
-    /// What a team's tasks hold.
-    pub fn used(&self, team: usize) -> Resources {
-        self.used.get(&team).copied().unwrap_or_default()
+    /// What a team's tasks hold together.
+    pub fn team_allocation(&self, team: usize) -> Resources {
+        self.team_allocations
+            .get(&team)
+            .copied()
+            .unwrap_or_default()
     }
 
-    /// Sums the teams' use afresh: adding and taking away for hours leaves rounding errors.
-    pub fn recompute_team_usage(&mut self) {
-        let mut used: BTreeMap<usize, Resources> = BTreeMap::new();
+    /// Sums the teams' allocations afresh: adding and subtracting for hours leaves rounding errors.
+    pub fn recompute_team_allocations(&mut self) {
+        let mut allocations: BTreeMap<usize, Resources> = BTreeMap::new();
         for node in self.nodes.iter().flatten() {
-            for t in &node.tasks {
-                if let Some(team) = t.team {
-                    used.entry(team).or_default().add(&t.needs);
+            for task in &node.tasks {
+                if let Some(team) = task.team {
+                    allocations.entry(team).or_default().add(&task.resources);
                 }
             }
         }
-        self.used = used;
+        self.team_allocations = allocations;
     }
 
     /// The most that a machine has of each resource.
-    pub fn largest(&self) -> Resources {
+    pub fn largest_capacity(&self) -> Resources {
         let mut most = Resources::default();
-        for c in self.classes.iter().filter(|c| c.machines > 0) {
-            most.cpus = most.cpus.max(c.room.cpus);
-            most.gpus = most.gpus.max(c.room.gpus);
-            most.ram = most.ram.max(c.room.ram);
+        for class in self.classes.iter().filter(|c| c.machines > 0) {
+            most.cpus = most.cpus.max(class.capacity.cpus);
+            most.gpus = most.gpus.max(class.capacity.gpus);
+            most.ram = most.ram.max(class.capacity.ram);
         }
         most
     }
--- a/src/planning/mod.rs
+++ b/src/planning/mod.rs
@@ -1,4 +1,5 @@
-//! Pure planning: where tasks go, which are preempted, and how many machines are added or removed. No clock, no I/O.
+//! Pure planning: where tasks are placed, which are preempted, and how many machines are added
+//! or removed. There is no clock and no I/O here, and no dependency on the core's state.
 
 pub mod autoscaler;
 pub mod backfill;
