--- a/crates/market/src/clearing.rs
+++ b/crates/market/src/clearing.rs
@@ -5,7 +5,7 @@
 //! first of which starts work soonest. The program weighs all bids against all batches at once;
 //! its answer is rounded down to whole machines, and what is left over is cleared greedily, one
 //! best machine after the other. Where there is more than the program may take in, the greedy
-//! way clears all of it: its answer is as sound, and a little dearer.
+//! way clears all of it: its answer is as sound, and a little more expensive.
 
 mod columns;
 mod greedy;
--- a/crates/market/src/zone_balance.rs
+++ b/crates/market/src/zone_balance.rs
@@ -1,12 +1,12 @@
 //! Balance of zones: none should hold more than its share of the capacity, within a tolerance.
 //!
 //! A zone's share is an equal part of all zones that are open. In a zone that holds more than it
-//! and the tolerance, a machine counts as dearer, the more so the greater the excess: balance
+//! and the tolerance, a machine counts as more expensive, the more so the greater the excess: balance
 //! costs money, and where a zone has no alternative, it gives way.
 
 use std::collections::BTreeMap;
 
-/// A machine in a zone that holds all there is counts this many times as dear.
+/// A machine in a zone that holds all there is counts this many times its price.
 const MAX_PRICE_FACTOR: f64 = 3.0;
 
 /// How capacity is spread over zones, in any measure that adds up (CPUs, say).
--- a/src/core/scheduling/queue.rs
+++ b/src/core/scheduling/queue.rs
@@ -82,7 +82,7 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum BlockedJobs {
     Included,
-    Left,
+    Excluded,
 }
 
 impl Core {
@@ -158,8 +158,8 @@
             let Some(job) = self.store_cache.jobs.get(id) else {
                 continue;
             };
-            let is_left = blocked_jobs == BlockedJobs::Left;
-            let is_blocked = is_left && Self::blocked_by_recovery(leader, job);
+            let excludes_blocked = blocked_jobs == BlockedJobs::Excluded;
+            let is_blocked = excludes_blocked && Self::blocked_by_recovery(leader, job);
             let has_work = run.ending.is_none() && !run.queued.is_empty();
             if !has_work || is_blocked || !self.store_cache.ready(id) {
                 continue;
@@ -217,7 +217,7 @@
             return Vec::new();
         }
         let now = self.now.mono;
-        let queue = self.job_queue(leader, BlockedJobs::Left);
+        let queue = self.job_queue(leader, BlockedJobs::Excluded);
         queue
             .into_iter()
             .filter(|entry| is_startable(entry, now))
--- a/src/main.rs
+++ b/src/main.rs
@@ -174,7 +174,7 @@
     fn load(&self) -> Result<(Settings, Policy), String> {
         let settings = Settings::load(&self.config)?;
         let policy = match &self.policy {
-            Some(path) => Policy::load(path)?,
+            Some(path) => Policy::load(path).map_err(|e| e.to_string())?,
             None => Policy::built_in(),
         };
         Ok((settings, policy))
--- a/src/planning/backfill/tests.rs
+++ b/src/planning/backfill/tests.rs
@@ -248,51 +248,55 @@
 fn zones_limits_and_whole_entries_are_kept() {
     let now = Instant::now();
     let fresh = || {
-        let mut b = ClusterSnapshot::default();
-        let m = node(&mut b, "m", "a", 8.0, vec![]);
-        let n = node(&mut b, "n", "b", 3.0, vec![]);
-        (b, m, n)
+        let mut snapshot = ClusterSnapshot::default();
+        let large = node(&mut snapshot, "m", "a", 8.0, vec![]);
+        let small = node(&mut snapshot, "n", "b", 3.0, vec![]);
+        (snapshot, large, small)
     };
     let free = TeamUsage::default;
-    let mut w = test_job(spec("wk-1", 6, 1.0, 10));
-    w.spec.spread = true;
-    let (mut b, m, _) = fresh();
-    let p = decide(&mut b, std::slice::from_ref(&w), free(), now);
-    let in_a = p.starts.iter().filter(|s| s.node_index == m).count();
-    assert_eq!((p.starts.len(), in_a), (6, 3));
+    let mut job = test_job(spec("wk-1", 6, 1.0, 10));
+    job.spec.spread = true;
+    let (mut snapshot, large, _) = fresh();
+    let decided = decide(&mut snapshot, std::slice::from_ref(&job), free(), now);
+    let in_a = decided
+        .starts
+        .iter()
+        .filter(|s| s.node_index == large)
+        .count();
+    assert_eq!((decided.starts.len(), in_a), (6, 3));
 
-    w.spec.spread = false;
-    w.spec.one_zone = true;
-    w.tasks_per_zone.insert("b".into(), 1);
-    let (mut b, _, n) = fresh();
-    let p = decide(&mut b, std::slice::from_ref(&w), free(), now);
-    assert!(p.starts.iter().all(|s| s.node_index == n));
-    assert_eq!(p.starts.len(), 3);
+    job.spec.spread = false;
+    job.spec.one_zone = true;
+    job.tasks_per_zone.insert("b".into(), 1);
+    let (mut snapshot, _, small) = fresh();
+    let decided = decide(&mut snapshot, std::slice::from_ref(&job), free(), now);
+    assert!(decided.starts.iter().all(|s| s.node_index == small));
+    assert_eq!(decided.starts.len(), 3);
 
-    w.tasks_per_zone.clear();
-    w.spec.one_zone = false;
+    job.tasks_per_zone.clear();
+    job.spec.one_zone = false;
     let limited = TeamUsage {
         cpus: 2.0,
         cpu_limit: Some(4.0),
         ..TeamUsage::default()
     };
-    let (mut b, _, _) = fresh();
-    let p = decide(&mut b, std::slice::from_ref(&w), limited, now);
-    assert_eq!(p.starts.len(), 2);
+    let (mut snapshot, _, _) = fresh();
+    let decided = decide(&mut snapshot, std::slice::from_ref(&job), limited, now);
+    assert_eq!(decided.starts.len(), 2);
 
     // A job that starts whole starts with all of its tasks or not at all.
     let mut gang = test_job(spec("wk-2", 12, 1.0, 10));
     gang.all_or_nothing = true;
-    let (mut b, m, _) = fresh();
-    let p = decide(&mut b, std::slice::from_ref(&gang), free(), now);
-    assert!(p.starts.is_empty());
+    let (mut snapshot, large, _) = fresh();
+    let decided = decide(&mut snapshot, std::slice::from_ref(&gang), free(), now);
+    assert!(decided.starts.is_empty());
     // Nothing is left behind of the attempt.
-    assert_eq!(b.node(m).free, room(8.0));
-    assert!(b.node(m).images.is_empty() && b.node(m).active_fetches == 0);
+    assert_eq!(snapshot.node(large).free, room(8.0));
+    assert!(snapshot.node(large).images.is_empty() && snapshot.node(large).active_fetches == 0);
     gang.queued = (0..11).collect();
-    let (mut b, _, _) = fresh();
-    let p = decide(&mut b, std::slice::from_ref(&gang), free(), now);
-    assert_eq!(p.starts.len(), 11);
+    let (mut snapshot, _, _) = fresh();
+    let decided = decide(&mut snapshot, std::slice::from_ref(&gang), free(), now);
+    assert_eq!(decided.starts.len(), 11);
 }
 
 #[test]
--- /dev/null
+++ b/src/policy/checker.rs
@@ -0,0 +1,98 @@
+//! The checker: resolves names and finds the type of an expression.
+
+use crate::policy::entries::{Subject, ValueType};
+use crate::policy::expression::{
+    BinaryOperator, Expression, ExpressionNode, Function, SyntaxFault,
+};
+
+/// Resolves the names in an expression and returns its type, or what does not fit.
+pub(super) fn check(node: &mut ExpressionNode, subject: Subject) -> Result<ValueType, SyntaxFault> {
+    match &mut node.expression {
+        Expression::Number(_) => Ok(ValueType::Number),
+        Expression::Boolean(_) => Ok(ValueType::Boolean),
+        Expression::Fact(index) => Ok(subject.facts()[*index].value_type),
+        Expression::Name(name) => {
+            let index = resolve(name, subject, node.offset)?;
+            node.expression = Expression::Fact(index);
+            Ok(subject.facts()[index].value_type)
+        }
+        Expression::Not(operand) => {
+            expect(operand, ValueType::Boolean, subject)?;
+            Ok(ValueType::Boolean)
+        }
+        Expression::Negate(operand) => {
+            expect(operand, ValueType::Number, subject)?;
+            Ok(ValueType::Number)
+        }
+        Expression::Binary(operator, left, right) => {
+            let (operands, result) = signature(*operator);
+            expect(left, operands, subject)?;
+            expect(right, operands, subject)?;
+            Ok(result)
+        }
+        Expression::Conditional(conditional) => {
+            expect(&mut conditional.condition, ValueType::Boolean, subject)?;
+            let value_type = check(&mut conditional.consequence, subject)?;
+            expect(&mut conditional.alternative, value_type, subject)?;
+            Ok(value_type)
+        }
+        Expression::Call(function, arguments) => {
+            if !accepts_arguments(*function, arguments.len()) {
+                return Err(SyntaxFault::new(node.offset, "wrong number of arguments"));
+            }
+            for argument in arguments {
+                expect(argument, ValueType::Number, subject)?;
+            }
+            Ok(ValueType::Number)
+        }
+    }
+}
+
+/// Checks an expression that needs to have some type.
+fn expect(
+    node: &mut ExpressionNode,
+    needed: ValueType,
+    subject: Subject,
+) -> Result<(), SyntaxFault> {
+    let found = check(node, subject)?;
+    if found == needed {
+        return Ok(());
+    }
+    let reason = format!("this is {found}, but {needed} is needed");
+    Err(SyntaxFault::new(node.offset, reason))
+}
+
+/// The index of a fact.
+fn resolve(name: &str, subject: Subject, offset: usize) -> Result<usize, SyntaxFault> {
+    let facts = subject.facts();
+    let index = facts.iter().position(|fact| fact.name == name);
+    index.ok_or_else(|| {
+        let known: Vec<&str> = facts.iter().map(|fact| fact.name).collect();
+        let reason = format!("unknown name `{name}`; known here: {}", known.join(", "));
+        SyntaxFault::new(offset, reason)
+    })
+}
+
+/// The types of an operator's operands and of its result.
+fn signature(operator: BinaryOperator) -> (ValueType, ValueType) {
+    match operator {
+        BinaryOperator::Add
+        | BinaryOperator::Subtract
+        | BinaryOperator::Multiply
+        | BinaryOperator::Divide => (ValueType::Number, ValueType::Number),
+        BinaryOperator::And | BinaryOperator::Or => (ValueType::Boolean, ValueType::Boolean),
+        BinaryOperator::Less
+        | BinaryOperator::LessOrEqual
+        | BinaryOperator::Greater
+        | BinaryOperator::GreaterOrEqual
+        | BinaryOperator::Equal
+        | BinaryOperator::NotEqual => (ValueType::Number, ValueType::Boolean),
+    }
+}
+
+fn accepts_arguments(function: Function, count: usize) -> bool {
+    match function {
+        Function::Abs => count == 1,
+        Function::Min | Function::Max => count >= 2,
+    }
+}
--- /dev/null
+++ b/src/policy/evaluator.rs
@@ -0,0 +1,59 @@
+//! The evaluator of checked expressions.
+
+use crate::policy::expression::{BinaryOperator, Expression, ExpressionNode, Function};
+use crate::policy::facts::truth_value;
+
+/// An expression's value with these facts; truth values are 0 or 1. It is not finite where the
+/// expression has none, as with a division by zero.
+pub(super) fn evaluate(node: &ExpressionNode, facts: &[f64]) -> f64 {
+    match &node.expression {
+        Expression::Number(number) => *number,
+        Expression::Boolean(truth) => truth_value(*truth),
+        // The checker leaves no name unresolved.
+        Expression::Name(_) => f64::NAN,
+        Expression::Fact(index) => facts.get(*index).copied().unwrap_or(f64::NAN),
+        Expression::Not(operand) => truth_value(evaluate(operand, facts) == 0.0),
+        Expression::Negate(operand) => -evaluate(operand, facts),
+        Expression::Conditional(conditional) => {
+            if evaluate(&conditional.condition, facts) != 0.0 {
+                evaluate(&conditional.consequence, facts)
+            } else {
+                evaluate(&conditional.alternative, facts)
+            }
+        }
+        Expression::Call(function, arguments) => call(*function, arguments, facts),
+        Expression::Binary(operator, left, right) => {
+            apply(*operator, evaluate(left, facts), evaluate(right, facts))
+        }
+    }
+}
+
+/// A function's value; that of `min` and `max` is not a number if any argument is none.
+fn call(function: Function, arguments: &[ExpressionNode], facts: &[f64]) -> f64 {
+    let mut values = arguments.iter().map(|argument| evaluate(argument, facts));
+    let first = values.next().unwrap_or(f64::NAN);
+    let lesser = |a: f64, b: f64| if b < a || b.is_nan() { b } else { a };
+    let greater = |a: f64, b: f64| if b > a || b.is_nan() { b } else { a };
+    match function {
+        Function::Abs => first.abs(),
+        Function::Min => values.fold(first, lesser),
+        Function::Max => values.fold(first, greater),
+    }
+}
+
+fn apply(operator: BinaryOperator, left: f64, right: f64) -> f64 {
+    match operator {
+        BinaryOperator::Add => left + right,
+        BinaryOperator::Subtract => left - right,
+        BinaryOperator::Multiply => left * right,
+        BinaryOperator::Divide => left / right,
+        BinaryOperator::Less => truth_value(left < right),
+        BinaryOperator::LessOrEqual => truth_value(left <= right),
+        BinaryOperator::Greater => truth_value(left > right),
+        BinaryOperator::GreaterOrEqual => truth_value(left >= right),
+        BinaryOperator::Equal => truth_value(left == right),
+        BinaryOperator::NotEqual => truth_value(left != right),
+        BinaryOperator::And => truth_value(left != 0.0 && right != 0.0),
+        BinaryOperator::Or => truth_value(left != 0.0 || right != 0.0),
+    }
+}
--- /dev/null
+++ b/src/policy/parser.rs
@@ -0,0 +1,332 @@
+//! The parser: from a policy's text to checked entries.
+
+use crate::policy::checker::check;
+use crate::policy::entries::{ENTRIES, Entry, EntryInfo};
+use crate::policy::expression::{
+    BinaryOperator, Conditional, Expression, ExpressionNode, Function, SyntaxFault,
+};
+use winnow::ascii::{digit1, multispace1};
+use winnow::combinator::{alt, opt, repeat};
+use winnow::prelude::*;
+use winnow::stream::{LocatingSlice, Location};
+use winnow::token::{take_till, take_while};
+
+const MAX_NESTING: u32 = 40;
+const MAX_CHAINED_OPERATORS: u32 = 100;
+const MAX_FILE_BYTES: usize = 64 * 1024;
+
+/// Binary operators by precedence, the loosest first.
+const OPERATORS: [&[(&str, BinaryOperator)]; 5] = [
+    &[("or", BinaryOperator::Or)],
+    &[("and", BinaryOperator::And)],
+    &[
+        ("<=", BinaryOperator::LessOrEqual),
+        (">=", BinaryOperator::GreaterOrEqual),
+        ("==", BinaryOperator::Equal),
+        ("!=", BinaryOperator::NotEqual),
+        ("<", BinaryOperator::Less),
+        (">", BinaryOperator::Greater),
+    ],
+    &[("+", BinaryOperator::Add), ("-", BinaryOperator::Subtract)],
+    &[
+        ("*", BinaryOperator::Multiply),
+        ("/", BinaryOperator::Divide),
+    ],
+];
+
+/// An entry with its expression.
+pub(super) struct ParsedRule {
+    pub entry: Entry,
+    pub expression: ExpressionNode,
+    /// The expression as it was written, on one line and without comments.
+    pub text: String,
+}
+
+/// Parses and checks a policy.
+pub(super) fn parse(text: &str) -> Result<Vec<ParsedRule>, SyntaxFault> {
+    if text.len() > MAX_FILE_BYTES {
+        return Err(SyntaxFault::new(MAX_FILE_BYTES, "the file is too large"));
+    }
+    let mut parser = PolicyParser {
+        input: LocatingSlice::new(text),
+        nesting: 0,
+    };
+    let mut rules: Vec<ParsedRule> = Vec::new();
+    while parser.next_offset() < text.len() {
+        let rule = parser.rule(text, &rules)?;
+        rules.push(rule);
+    }
+    Ok(rules)
+}
+
+type Input<'a> = LocatingSlice<&'a str>;
+
+fn blank(input: &mut Input<'_>) -> winnow::ModalResult<()> {
+    let comment = ('#', take_till(0.., '\n')).void();
+    repeat::<_, _, (), _, _>(0.., alt((multispace1.void(), comment))).parse_next(input)
+}
+
+fn identifier<'a>(input: &mut Input<'a>) -> winnow::ModalResult<&'a str> {
+    (
+        take_while(1, |c: char| c.is_ascii_alphabetic() || c == '_'),
+        take_while(0.., |c: char| c.is_ascii_alphanumeric() || c == '_'),
+    )
+        .take()
+        .parse_next(input)
+}
+
+fn number(input: &mut Input<'_>) -> winnow::ModalResult<f64> {
+    (digit1, opt(('.', digit1)))
+        .take()
+        .parse_to()
+        .parse_next(input)
+}
+
+struct PolicyParser<'a> {
+    input: Input<'a>,
+    /// How deeply the expression at this place is nested.
+    nesting: u32,
+}
+
+impl<'a> PolicyParser<'a> {
+    fn skip_blank(&mut self) {
+        // Blank space may always be empty, so this cannot fail.
+        let _ = blank(&mut self.input);
+    }
+
+    /// Where the next token begins.
+    fn next_offset(&mut self) -> usize {
+        self.skip_blank();
+        self.input.current_token_start()
+    }
+
+    /// Takes a symbol if it comes next.
+    fn symbol(&mut self, mut symbol: &'static str) -> bool {
+        self.skip_blank();
+        let taken: winnow::ModalResult<&str> = symbol.parse_next(&mut self.input);
+        taken.is_ok()
+    }
+
+    /// Takes an identifier if one comes next.
+    fn identifier(&mut self) -> Option<&'a str> {
+        self.skip_blank();
+        let taken = opt(identifier).parse_next(&mut self.input);
+        taken.ok().flatten()
+    }
+
+    /// Takes a keyword if it comes next.
+    fn keyword(&mut self, keyword: &str) -> bool {
+        let before = self.input;
+        if self.identifier() == Some(keyword) {
+            return true;
+        }
+        self.input = before;
+        false
+    }
+
+    fn fail<T>(&mut self, reason: &str) -> Result<T, SyntaxFault> {
+        Err(SyntaxFault::new(self.next_offset(), reason))
+    }
+
+    fn expect_keyword(&mut self, keyword: &str) -> Result<(), SyntaxFault> {
+        if self.keyword(keyword) {
+            return Ok(());
+        }
+        self.fail(&format!("expected `{keyword}`"))
+    }
+
+    fn expect_symbol(&mut self, symbol: &'static str) -> Result<(), SyntaxFault> {
+        if self.symbol(symbol) {
+            return Ok(());
+        }
+        self.fail(&format!("expected `{symbol}`"))
+    }
+
+    /// One level deeper, within bounds.
+    fn nest(&mut self) -> Result<(), SyntaxFault> {
+        self.nesting += 1;
+        if self.nesting > MAX_NESTING {
+            return self.fail("nested too deeply");
+        }
+        Ok(())
+    }
+
+    /// `name = expression`, with a name that is not among `earlier`.
+    fn rule(&mut self, text: &str, earlier: &[ParsedRule]) -> Result<ParsedRule, SyntaxFault> {
+        let NamedEntry { info, offset } = self.entry()?;
+        if earlier.iter().any(|rule| rule.entry == info.entry) {
+            let reason = format!("`{}` is set twice", info.name);
+            return Err(SyntaxFault::new(offset, reason));
+        }
+        self.expect_symbol("=")?;
+        let begin = self.next_offset();
+        let mut expression = self.expression()?;
+        let value_type = check(&mut expression, info.subject)?;
+        if value_type != info.value_type {
+            let reason = format!("`{}` must be {}", info.name, info.value_type);
+            return Err(SyntaxFault::new(begin, reason));
+        }
+        let end = self.input.current_token_start();
+        Ok(ParsedRule {
+            entry: info.entry,
+            expression,
+            text: single_line(&text[begin..end]),
+        })
+    }
+
+    fn entry(&mut self) -> Result<NamedEntry, SyntaxFault> {
+        let offset = self.next_offset();
+        let Some(name) = self.identifier() else {
+            return Err(SyntaxFault::new(offset, "expected the name of an entry"));
+        };
+        let info = ENTRIES.iter().find(|info| info.name == name);
+        let info = info.ok_or_else(|| {
+            let known: Vec<&str> = ENTRIES.iter().map(|info| info.name).collect();
+            let reason = format!("unknown entry `{name}`; known: {}", known.join(", "));
+            SyntaxFault::new(offset, reason)
+        })?;
+        Ok(NamedEntry { info, offset })
+    }
+
+    fn expression(&mut self) -> Result<ExpressionNode, SyntaxFault> {
+        self.nest()?;
+        let offset = self.next_offset();
+        let node = if self.keyword("if") {
+            self.conditional(offset)?
+        } else {
+            self.binary(0)?
+        };
+        self.nesting -= 1;
+        Ok(node)
+    }
+
+    /// What follows `if`.
+    fn conditional(&mut self, offset: usize) -> Result<ExpressionNode, SyntaxFault> {
+        let condition = self.expression()?;
+        self.expect_keyword("then")?;
+        let consequence = self.expression()?;
+        self.expect_keyword("else")?;
+        let alternative = self.expression()?;
+        let conditional = Conditional {
+            condition,
+            consequence,
+            alternative,
+        };
+        Ok(ExpressionNode {
+            offset,
+            expression: Expression::Conditional(Box::new(conditional)),
+        })
+    }
+
+    /// A chain of operators of this precedence, which group from the left.
+    fn binary(&mut self, precedence: usize) -> Result<ExpressionNode, SyntaxFault> {
+        let Some(operators) = OPERATORS.get(precedence) else {
+            return self.unary();
+        };
+        let mut left = self.binary(precedence + 1)?;
+        let mut length = 0;
+        loop {
+            let offset = self.next_offset();
+            let Some(operator) = self.operator(operators) else {
+                return Ok(left);
+            };
+            length += 1;
+            if length > MAX_CHAINED_OPERATORS {
+                return self.fail("too long");
+            }
+            let right = self.binary(precedence + 1)?;
+            left = ExpressionNode {
+                offset,
+                expression: Expression::Binary(operator, Box::new(left), Box::new(right)),
+            };
+        }
+    }
+
+    /// Takes one of some operators if it comes next.
+    fn operator(&mut self, operators: &[(&'static str, BinaryOperator)]) -> Option<BinaryOperator> {
+        let mut operators = operators.iter();
+        let found = operators.find(|(text, _)| {
+            if text.starts_with(|c: char| c.is_ascii_alphabetic()) {
+                self.keyword(text)
+            } else {
+                self.symbol(text)
+            }
+        });
+        found.map(|(_, operator)| *operator)
+    }
+
+    fn unary(&mut self) -> Result<ExpressionNode, SyntaxFault> {
+        let offset = self.next_offset();
+        let operator: fn(Box<ExpressionNode>) -> Expression = if self.keyword("not") {
+            Expression::Not
+        } else if self.symbol("-") {
+            Expression::Negate
+        } else {
+            return self.atom();
+        };
+        self.nest()?;
+        let operand = self.unary()?;
+        self.nesting -= 1;
+        Ok(ExpressionNode {
+            offset,
+            expression: operator(Box::new(operand)),
+        })
+    }
+
+    /// A literal, a name, a call, or an expression in parentheses.
+    fn atom(&mut self) -> Result<ExpressionNode, SyntaxFault> {
+        let offset = self.next_offset();
+        if self.symbol("(") {
+            let inner = self.expression()?;
+            self.expect_symbol(")")?;
+            return Ok(inner);
+        }
+        let expression = if let Ok(Some(number)) = opt(number).parse_next(&mut self.input) {
+            Expression::Number(number)
+        } else {
+            match self.identifier() {
+                None => return self.fail("expected a number, a name or `(`"),
+                Some("true") => Expression::Boolean(true),
+                Some("false") => Expression::Boolean(false),
+                Some("min") => self.call(Function::Min)?,
+                Some("max") => self.call(Function::Max)?,
+                Some("abs") => self.call(Function::Abs)?,
+                Some(keyword @ ("if" | "then" | "else" | "and" | "or" | "not")) => {
+                    let reason = format!("`{keyword}` is out of place");
+                    return Err(SyntaxFault::new(offset, reason));
+                }
+                Some(name) => Expression::Name(name.to_string()),
+            }
+        };
+        Ok(ExpressionNode { offset, expression })
+    }
+
+    /// What follows a function's name.
+    fn call(&mut self, function: Function) -> Result<Expression, SyntaxFault> {
+        self.expect_symbol("(")?;
+        let mut arguments = vec![self.expression()?];
+        while self.symbol(",") {
+            arguments.push(self.expression()?);
+        }
+        if !self.symbol(")") {
+            return self.fail("expected `,` or `)`");
+        }
+        Ok(Expression::Call(function, arguments))
+    }
+}
+
+/// An entry, and where its name begins.
+struct NamedEntry {
+    info: &'static EntryInfo,
+    offset: usize,
+}
+
+/// An expression's text on one line and without comments.
+fn single_line(text: &str) -> String {
+    let lines: Vec<&str> = text
+        .lines()
+        .map(|line| line.split('#').next().unwrap_or("").trim())
+        .filter(|line| !line.is_empty())
+        .collect();
+    lines.join(" ")
+}
