--- a/crates/market/src/zone_balance.rs
+++ b/crates/market/src/zone_balance.rs
@@ -1,8 +1,8 @@
 //! Balance of zones: none should hold more than its share of the capacity, within a tolerance.
 //!
 //! A zone's share is an equal part of all zones that are open. In a zone that holds more than it
-//! and the tolerance, a machine counts as more expensive, the more so the greater the excess: balance
-//! costs money, and where a zone has no alternative, it gives way.
+//! and the tolerance, a machine counts as more expensive, the more so the greater the excess:
+//! balance costs money, and where a zone has no alternative, it gives way.
 
 use std::collections::BTreeMap;
 
--- a/src/core/scheduling/bidding.rs
+++ b/src/core/scheduling/bidding.rs
@@ -15,7 +15,7 @@
 use burlusher_market::{DelayCost, OfferBatch, ServiceLevelObjective, ZoneBalance};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
-use std::time::Duration;
+use std::time::{Duration, Instant};
 
 /// A job takes so many times as long as its average task: as long as the slowest of them.
 const SLOWEST_TASK_FACTOR: f64 = 1.3;
@@ -326,7 +326,7 @@
 }
 
 /// Records for the loss rates how many machines of each market there are.
-fn record_machine_time(leader: &mut LeaderState, now: std::time::Instant) {
+fn record_machine_time(leader: &mut LeaderState, now: Instant) {
     let mut machines: BTreeMap<Offer, u32> = BTreeMap::new();
     for class in leader.cluster_snapshot.classes() {
         *machines.entry(class.offer.clone()).or_default() += class.machines as u32;
--- a/src/planning/autoscaler.rs
+++ b/src/planning/autoscaler.rs
@@ -13,11 +13,12 @@
 const MAX_MACHINES_PER_REQUEST: u32 = 50;
 /// Useful time for which a machine is expected to be paid, in seconds.
 const EXPECTED_USE_S: f64 = 120.0;
-/// how much more expensive each further task that fits makes a machine count, up to a number of tasks:
-/// a large machine is paid for until its last task ends.
+/// How much more expensive each further task that fits makes a machine count, up to a number of
+/// tasks: a large machine is paid for until its last task ends.
 const SIZE_SURCHARGE: f64 = 0.02;
 const MAX_SURCHARGED_TASKS: u32 = 16;
-/// How much more expensive each machine chosen makes its offer count, so that equal ones take turns.
+/// How much more expensive each machine chosen makes its offer count, so that equal ones take
+/// turns.
 const REPETITION_SURCHARGE: f64 = 0.001;
 /// Announced fetch rates below this are taken for this.
 const MIN_FETCH_GB_PER_S: f64 = 0.01;
@@ -71,7 +72,8 @@
     pub refused: Vec<Offer>,
     /// Zones whose machines cannot be reached now.
     pub unreachable_zones: Vec<String>,
-    /// What each zone holds, and how far beyond its share it may go before it counts as more expensive.
+    /// What each zone holds, and how far beyond its share it may go before it counts as more
+    /// expensive.
     pub zone_balance: ZoneBalance,
 }
 
