--- a/src/core/scheduling/quotas.rs
+++ b/src/core/scheduling/quotas.rs
@@ -5,15 +5,12 @@
 use crate::core::leadership::state::LeaderState;
 use crate::core::store::cache::JobRecord;
 use crate::fault_injection::{Safeguard, is_enabled};
-use crate::job::{JobId, Resources};
+use crate::job::{EPSILON, JobId, Resources};
 use crate::planning::backfill::TeamUsage;
 use crate::planning::cluster_snapshot::ClusterSnapshot;
 use crate::settings::Team;
 use std::time::SystemTime;
 
-/// Sums of decimal amounts may miss a quota by a rounding error of this size.
-const EPSILON: f64 = 1e-6;
-
 /// What is left of a team's quota.
 #[derive(Clone, Copy)]
 struct RemainingQuota {
--- a/src/core/scheduling/run_times.rs
+++ b/src/core/scheduling/run_times.rs
@@ -6,6 +6,7 @@
 use crate::core::machines::machine::{Machine, Placement};
 use crate::core::store::cache::JobRecord;
 use crate::job::{MachineId, TaskId};
+use crate::planning::cluster_snapshot::fetch_seconds;
 use std::time::Duration;
 
 /// A task that has been asked to stop is expected to end after this.
@@ -14,8 +15,6 @@
 const MIN_COMPARED_TASKS: u32 = 3;
 /// Shorter run times count as this long in comparisons, in seconds.
 const MIN_COMPARED_RUNTIME_S: f64 = 0.1;
-/// Announced fetch rates below this are taken for this.
-const MIN_FETCH_GB_PER_S: f64 = 0.01;
 
 impl Core {
     /// Expected run time of a job's tasks: its user's estimate, corrected by how the class's
@@ -48,7 +47,7 @@
         }
         let machine_type = self.type_of(&machine.machine_type);
         let fetch_rate = machine_type.map_or(1.0, |t| t.fetch_gb_per_s);
-        let fetch_s = job.spec.image_gb / fetch_rate.max(MIN_FETCH_GB_PER_S);
+        let fetch_s = fetch_seconds(job.spec.image_gb, fetch_rate);
         let waited = now.saturating_duration_since(placement.since);
         Some(runtime + Duration::from_secs_f64(fetch_s).saturating_sub(waited))
     }
--- a/src/core/scheduling/scaling.rs
+++ b/src/core/scheduling/scaling.rs
@@ -3,7 +3,7 @@
 use crate::core::Core;
 use crate::core::leadership::state::LeaderState;
 use crate::core::scheduling::queue::{BlockedJobs, QueueEntry};
-use crate::job::{JobKind, MachineId};
+use crate::job::{EPSILON, JobKind, MachineId};
 use crate::planning::autoscaler::{self, OfferMarket, ScaleOut};
 use crate::planning::capacity_forecast::{BootingNodes, PendingDemand};
 use crate::planning::cluster_snapshot::Offer;
@@ -26,8 +26,6 @@
 const MAX_IDLE_TIMEOUT_S: f64 = 1e7;
 /// No more tasks of a job than this are counted at a time.
 const MAX_TASKS: f64 = 1e6;
-/// Sums of decimal amounts may miss a limit by a rounding error of this size.
-const EPSILON: f64 = 1e-6;
 /// The expected run time of work that never gives its room to other tasks of its job.
 const ENDLESS: Duration = match Duration::MAX.checked_div(4) {
     Some(endless) => endless,
--- a/src/job.rs
+++ b/src/job.rs
@@ -67,8 +67,8 @@
     pub ram: f64,
 }
 
-/// Amounts are decimal numbers; sums of them may miss a whole by a rounding error.
-const EPSILON: f64 = 1e-6;
+/// Amounts are decimal numbers; sums of them may miss a whole by a rounding error of this size.
+pub const EPSILON: f64 = 1e-6;
 /// No more tasks than this are counted on one machine.
 const MAX_TASK_COUNT: f64 = 1e6;
 
--- a/src/planning/autoscaler.rs
+++ b/src/planning/autoscaler.rs
@@ -3,7 +3,7 @@
 
 use crate::job::{JobSpec, MachineId};
 use crate::planning::capacity_forecast::{BootingNodes, PendingDemand, unserved_demand};
-use crate::planning::cluster_snapshot::{ClusterSnapshot, Offer};
+use crate::planning::cluster_snapshot::{ClusterSnapshot, Offer, fetch_seconds};
 use crate::wire::MachineType;
 use burlusher_market::ZoneBalance;
 use std::collections::BTreeMap;
@@ -20,8 +20,6 @@
 /// How much more expensive each machine chosen makes its offer count, so that equal ones take
 /// turns.
 const REPETITION_SURCHARGE: f64 = 0.001;
-/// Announced fetch rates below this are taken for this.
-const MIN_FETCH_GB_PER_S: f64 = 0.01;
 /// Announced boot times above this are taken for this, in seconds.
 const MAX_BOOT_S: f64 = 1e6;
 
@@ -58,11 +56,6 @@
     spot.into_iter().chain([(false, machine_type.price)])
 }
 
-/// Time a machine of a type takes to fetch an image, in seconds.
-pub(super) fn fetch_seconds(machine_type: &MachineType, image_gb: f64) -> f64 {
-    image_gb / machine_type.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S)
-}
-
 /// What can be had from the cloud, as far as is known.
 #[derive(Clone, Debug, Default)]
 pub struct OfferMarket {
@@ -255,7 +248,7 @@
             continue;
         }
         // The time before a machine does anything useful is paid for as well.
-        let fetch = fetch_seconds(machine_type, spec.image_gb);
+        let fetch = fetch_seconds(spec.image_gb, machine_type.fetch_gb_per_s);
         let useful = EXPECTED_USE_S / (EXPECTED_USE_S + machine_type.boot_s + fetch);
         let surcharged_tasks = f64::from(fit.min(MAX_SURCHARGED_TASKS) - 1);
         let size_factor = 1.0 + SIZE_SURCHARGE * surcharged_tasks;
--- a/src/planning/backfill/queue.rs
+++ b/src/planning/backfill/queue.rs
@@ -1,14 +1,11 @@
 //! The queue as a scheduling step sees it: jobs with queued tasks, and what teams may use.
 
-use crate::job::{JobSpec, Priority, Resources};
+use crate::job::{EPSILON, JobSpec, Priority, Resources};
 use crate::planning::cluster_snapshot::{ImageTag, MachineClass, Offer};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Sums of decimal amounts may miss a limit by a rounding error of this size.
-const EPSILON: f64 = 1e-6;
-
 /// A job with queued tasks. Jobs come in the order of the queue.
 #[derive(Clone)]
 pub struct QueuedJob<'a> {
--- a/src/planning/bids.rs
+++ b/src/planning/bids.rs
@@ -4,11 +4,9 @@
 //! says what that costs, and the market package clears the bids.
 
 use crate::job::{JobSpec, Priority};
-use crate::planning::autoscaler::{
-    OfferMarket, OfferScope, choose_cheapest, fetch_seconds, prices,
-};
+use crate::planning::autoscaler::{OfferMarket, OfferScope, choose_cheapest, prices};
 use crate::planning::capacity_forecast::{BootingNodes, Forecast, PendingDemand};
-use crate::planning::cluster_snapshot::{ClusterSnapshot, Offer};
+use crate::planning::cluster_snapshot::{ClusterSnapshot, Offer, fetch_seconds};
 use crate::wire::MachineType;
 use burlusher_market::clearing::{self, ClearingResult};
 use burlusher_market::{Bid, DelayCost, MachineFit, MarketEstimates, OfferBatch};
@@ -68,7 +66,10 @@
 
 /// How long a job's image takes to fetch, on the average of the types.
 fn mean_fetch(types: &[MachineType], spec: &JobSpec) -> Duration {
-    let sum: f64 = types.iter().map(|t| fetch_seconds(t, spec.image_gb)).sum();
+    let sum: f64 = types
+        .iter()
+        .map(|t| fetch_seconds(spec.image_gb, t.fetch_gb_per_s))
+        .sum();
     let mean = sum / types.len().max(1) as f64;
     Duration::from_secs_f64(mean.clamp(0.0, MAX_FETCH_S))
 }
@@ -239,7 +240,7 @@
     if fit == 0 || !demand.accepts(&batch.offer) {
         return None;
     }
-    let fetch_s = fetch_seconds(machine_type, demand.spec.image_gb);
+    let fetch_s = fetch_seconds(demand.spec.image_gb, machine_type.fetch_gb_per_s);
     Some(MachineFit {
         tasks_per_machine: fit,
         fetch: Duration::from_secs_f64(fetch_s.min(MAX_FETCH_S)),
--- a/src/planning/cluster_snapshot.rs
+++ b/src/planning/cluster_snapshot.rs
@@ -120,10 +120,15 @@
 
     /// Time one machine takes to fetch an image when nothing else is being fetched, in seconds.
     pub fn fetch_seconds(&self, image_gb: f64) -> f64 {
-        image_gb / self.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S)
+        fetch_seconds(image_gb, self.fetch_gb_per_s)
     }
 }
 
+/// Time a fetch takes at an announced rate, in seconds.
+pub fn fetch_seconds(image_gb: f64, announced_gb_per_s: f64) -> f64 {
+    image_gb / announced_gb_per_s.max(MIN_FETCH_GB_PER_S)
+}
+
 /// All machines, and the indices by which a scheduling step finds those that matter to it.
 ///
 /// Invariant: the indices list exactly the nodes in `nodes` by the state in which they were last
@@ -149,7 +154,7 @@
 }
 
 /// Less room than this counts as none.
-const EPSILON: f64 = 1e-3;
+const MIN_ROOM: f64 = 1e-3;
 /// Announced fetch rates below this are taken for this.
 const MIN_FETCH_GB_PER_S: f64 = 0.01;
 
@@ -214,7 +219,7 @@
             *self.tasks_by_priority.entry(task.priority).or_default() += 1;
         }
         match node.usage {
-            NodeUsage::Open if node.free.cpus > EPSILON && node.free.ram > EPSILON => {
+            NodeUsage::Open if node.free.cpus > MIN_ROOM && node.free.ram > MIN_ROOM => {
                 self.open.insert(node_index);
             }
             NodeUsage::Booting(_) => {
