--- a/crates/standin/src/cluster.rs
+++ b/crates/standin/src/cluster.rs
@@ -13,7 +13,7 @@
 use crate::users::{Users, load};
 use crate::worker::ClusterState;
 use burlusher::http::{self, Request, Response};
-use burlusher_market::Spread;
+use burlusher_market::ZoneBalance;
 use std::iter::Peekable;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4, TcpListener};
 use std::path::Path;
@@ -273,11 +273,11 @@
 /// How far the zone that served most went beyond an equal part; `work` by zone.
 fn spread(scenario: &Scenario, work: &std::collections::BTreeMap<String, f64>) -> f64 {
     let zones = scenario.zones.iter().map(String::as_str);
-    let mut served = Spread::new(zones, scenario.tolerance);
+    let mut served = ZoneBalance::new(zones, scenario.tolerance);
     for (zone, work) in work {
         served.add(zone, *work);
     }
-    served.beyond()
+    served.max_excess()
 }
 
 /// Something that is due again and again.
--- a/src/core/jobs/lifecycle.rs
+++ b/src/core/jobs/lifecycle.rs
@@ -117,7 +117,7 @@
             let pace = leader.runtime_factor(&job.spec.class);
             let expected = job.spec.estimate.mul_f64(pace);
             let bidding = &mut leader.scheduler.bidding;
-            bidding.arrived(self.now.mono, &job.spec, job.spec.priority, expected);
+            bidding.record_arrival(self.now.mono, &job.spec, job.spec.priority, expected);
         }
         if leader.may_be_cancelled_with_dependency(job) {
             leader.cancellation_pending.insert(id.clone());
--- a/src/core/leadership/state.rs
+++ b/src/core/leadership/state.rs
@@ -14,7 +14,7 @@
 use crate::core::store::rebuild::Rebuild;
 use crate::core::workers::delegates::Delegates;
 use crate::job::{JobId, MachineId};
-use crate::planning::cluster_snapshot::Board;
+use crate::planning::cluster_snapshot::ClusterSnapshot;
 use crate::wire::Condition;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -34,7 +34,7 @@
     /// All machines that this leader knows.
     pub machines: Machines,
     /// What planning and scaling see of the machines.
-    pub board: Board,
+    pub cluster_snapshot: ClusterSnapshot,
     /// Machines that are deleted; what still arrives from them is old.
     pub deleted_machines: BTreeSet<MachineId>,
     /// Which machines may hold tasks of earlier leaders.
@@ -80,7 +80,7 @@
             since: now,
             leader_key_confirmed: now,
             machines: Machines::default(),
-            board: Board::default(),
+            cluster_snapshot: ClusterSnapshot::default(),
             deleted_machines: BTreeSet::new(),
             recovery: Recovery::default(),
             direct_calls_in_flight: 0,
--- a/src/core/machines/cloud_calls.rs
+++ b/src/core/machines/cloud_calls.rs
@@ -78,7 +78,11 @@
         since: Instant,
         now: Instant,
     ) {
-        let (machine_type, zone, spot) = offer;
+        let Offer {
+            machine_type,
+            zone,
+            spot,
+        } = offer;
         for id in ids {
             if !self.deleted_machines.contains(&id) {
                 let machine = (self.machines).get_or_add(&id, || {
@@ -182,7 +186,11 @@
         leader.cloud.next_request += 1;
         // Terms are unique for ever, and so is the number within one.
         let name = format!("burlusher-{}-{}", leader.term, leader.cloud.next_request);
-        let (machine_type, zone, spot) = offer;
+        let Offer {
+            machine_type,
+            zone,
+            spot,
+        } = offer;
         tracing::info!(
             request = name,
             count,
@@ -288,10 +296,14 @@
             return;
         };
         let (body, count) = (operation.body, provisioned.len() as u32);
-        let offer = (body.machine_type, body.zone, body.spot);
+        let offer = Offer {
+            machine_type: body.machine_type,
+            zone: body.zone,
+            spot: body.spot,
+        };
         leader.add_provisioned_machines(&offer, provisioned, operation.since, now);
-        let beliefs = &mut leader.scheduler.bidding.beliefs;
-        beliefs.answered(&offer, body.count, count, now);
+        let estimates = &mut leader.scheduler.bidding.estimates;
+        estimates.record_allocation(&offer, body.count, count, now);
         if count < body.count {
             leader.scheduler.scale_at_once();
         }
--- a/src/core/machines/failure_detection.rs
+++ b/src/core/machines/failure_detection.rs
@@ -307,7 +307,7 @@
             self.machine_lease_expired(&id);
         }
         for (id, reason) in failed {
-            self.machine_lost(&id);
+            self.record_machine_loss(&id);
             self.release_machine(&id, reason);
         }
     }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -53,7 +53,7 @@
 use crate::core::workers::relay::Relay;
 use crate::http::Response;
 use crate::job::JobId;
-use crate::planning::backfill::Scratch;
+use crate::planning::backfill::KnapsackTables;
 use crate::policy::{Entry, FleetFacts, Policy};
 use crate::rate_limiter::RateLimiter;
 use crate::settings::Settings;
@@ -118,7 +118,7 @@
     peer_probes: u64,
     /// What the readiness check answers, once that is known.
     ready: Option<bool>,
-    plan_scratch: Scratch,
+    knapsack_tables: KnapsackTables,
     /// Requests that the cloud's limit allows the leader now.
     cloud_budget: RateLimiter,
     /// Reads for users who ask about jobs that the store's limit allows.
@@ -138,7 +138,7 @@
         let write_budget = RateLimiter::new(writes, now.mono);
         let share = settings.store_rps / (settings.peers.len() as f64 + 1.0);
         let read_budget = RateLimiter::new(share * USER_READS_SHARE, now.mono);
-        let delegating = policy.fleet_truth(Entry::Delegate, &FleetFacts::default());
+        let delegating = policy.fleet_truth(Entry::DelegateWorkers, &FleetFacts::default());
         let peers = settings.peers.iter();
         let members = peers.map(|p| (p.name.clone(), p.zone.clone()));
         let members = MembershipView::new(members, DELEGATE_TIMEOUTS);
@@ -172,7 +172,7 @@
             last_peer_probe: None,
             peer_probes: 0,
             ready: None,
-            plan_scratch: Scratch::default(),
+            knapsack_tables: KnapsackTables::default(),
             cloud_budget,
             read_budget,
             write_budget,
--- a/src/core/monitoring/status.rs
+++ b/src/core/monitoring/status.rs
@@ -54,9 +54,9 @@
             .collect();
         let refused = self.refused_offers().into_iter();
         let refused: Vec<String> = refused
-            .map(|(machine_type, zone, spot)| {
-                let market = if spot { "spot" } else { "ordinary" };
-                format!("{machine_type} {zone} {market}")
+            .map(|offer| {
+                let market = if offer.spot { "spot" } else { "ordinary" };
+                format!("{} {} {market}", offer.machine_type, offer.zone)
             })
             .collect();
         json!({
--- a/src/core/scheduling/state.rs
+++ b/src/core/scheduling/state.rs
@@ -1,7 +1,7 @@
 //! What planning and scaling carry over from one step to the next. Data.
 
 use crate::core::jobs::statistics::{ArrivalRate, RuntimeRatio};
-use crate::core::scheduling::demand::Bidding;
+use crate::core::scheduling::bidding_state::BiddingState;
 use crate::core::workers::pending_responses::DeferredResponses;
 use crate::job::JobId;
 use std::collections::BTreeMap;
@@ -33,7 +33,7 @@
     /// How often jobs arrive.
     pub arrivals: ArrivalRate,
     /// What is believed of the machine market, and bid there.
-    pub bidding: Bidding,
+    pub bidding: BiddingState,
 }
 
 impl SchedulerState {
@@ -51,7 +51,7 @@
             queue_head: None,
             runtime_ratios: BTreeMap::new(),
             arrivals,
-            bidding: Bidding::default(),
+            bidding: BiddingState::default(),
         }
     }
 
--- a/src/core/store/pending_writes.rs
+++ b/src/core/store/pending_writes.rs
@@ -47,8 +47,6 @@
     pub missing_parts_written: BTreeMap<JobId, usize>,
     /// The transaction that is in flight, or whose outcome is unknown.
     pub in_flight: Option<InFlightWrite>,
-    /// Nothing is sent before the cache has this revision: a transaction was refused for what had changed then.
-    pub minimum_revision: u64,
     /// How many transactions in a row were refused for that.
     pub conflicts: u32,
     /// How many changes a transaction may have, if the store refused one of the configured size.
--- a/src/core/workers/commands/direct_calls.rs
+++ b/src/core/workers/commands/direct_calls.rs
@@ -69,7 +69,7 @@
         let Some(not_after) = self.leader_until() else {
             return;
         };
-        self.refresh_board();
+        self.refresh_snapshot();
         for (id, scope) in self.machines_to_call() {
             let Some(leader) = &self.leader else { return };
             if leader.direct_calls_in_flight >= scope.max_calls_in_flight() {
--- a/src/core/workers/heartbeats/observation.rs
+++ b/src/core/workers/heartbeats/observation.rs
@@ -6,6 +6,7 @@
 use crate::core::machines::placement::{ExitedTask, Phase};
 use crate::fault_injection::{Safeguard, is_enabled};
 use crate::job::{MachineId, TaskId};
+use crate::planning::cluster_snapshot::Offer;
 use crate::wire::{Heartbeat, TaskState, TaskStatus, parse_task_id};
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -219,8 +220,8 @@
             && machine.incarnation == 0
         {
             let announced = Duration::from_secs_f64(machine_type.boot_s.clamp(0.0, MAX_BOOT_S));
-            let beliefs = &mut leader.scheduler.bidding.beliefs;
-            beliefs.came_up(&machine_type.name, announced, boot_time);
+            let beliefs = &mut leader.scheduler.bidding.estimates;
+            beliefs.record_boot(&machine_type.name, announced, boot_time);
         }
     }
 
@@ -234,12 +235,12 @@
             return;
         };
         if machine.reclaim_at.is_none() && heartbeat.reclaim_in_s.is_some() {
-            let offer = (
-                machine.machine_type.clone(),
-                machine.zone.clone(),
-                heartbeat.spot,
-            );
-            leader.scheduler.bidding.beliefs.lost(&offer, 1, now);
+            let offer = Offer::new(&machine.machine_type, &machine.zone, heartbeat.spot);
+            leader
+                .scheduler
+                .bidding
+                .estimates
+                .record_losses(&offer, 1, now);
         }
     }
 
--- a/src/core/workers/heartbeats/task_transitions.rs
+++ b/src/core/workers/heartbeats/task_transitions.rs
@@ -203,7 +203,7 @@
         if cause == ExitCause::Done {
             machine.fault_history.record_success();
             let ran = (task.running_since).map(|since| now.saturating_duration_since(since));
-            self.note_run_time(id, key, ran);
+            self.record_run_time(id, key, ran);
             self.task_completed(key, Some(id));
             return;
         }
--- a/src/planning/backfill/tests.rs
+++ b/src/planning/backfill/tests.rs
@@ -1,14 +1,16 @@
 use super::*;
-use crate::job::Priority;
-use crate::planning::cluster_snapshot::{Held, Host};
+use crate::job::{JobSpec, Priority};
+use crate::planning::cluster_snapshot::{Node, NodeUsage, Offer, RunningTask};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
 
-fn item(size: usize, shadow_size: usize) -> Candidate {
-    Candidate {
+fn item(size: usize, shadow_size: usize) -> KnapsackItem {
+    KnapsackItem {
         size,
         shadow_size,
-        merit: 1.0,
+        priority_weight: 1.0,
     }
 }
 
@@ -16,47 +18,51 @@
 #[test]
 fn the_thesis_example_fills_the_machine_from_the_head_of_the_queue() {
     let queue = [item(2, 0), item(1, 1), item(2, 2), item(3, 3)];
-    let mut s = Scratch::default();
+    let mut s = KnapsackTables::default();
     let used = |picked: &[usize]| picked.iter().map(|&i| queue[i].size).sum::<usize>();
-    let at_zero = choose(&queue, 5, 0, &mut s);
+    let at_zero = select_items(&queue, 5, 0, &mut s);
     assert_eq!(at_zero, [0]);
-    assert_eq!(used(&choose(&queue, 5, 1, &mut s)), 3);
-    assert_eq!(used(&choose(&queue, 5, 2, &mut s)), 4);
+    assert_eq!(used(&select_items(&queue, 5, 1, &mut s)), 3);
+    assert_eq!(used(&select_items(&queue, 5, 2, &mut s)), 4);
     // Figure 3.5: of the two sets that fill the machine, the one closer to the head.
-    assert_eq!(choose(&queue, 5, 3, &mut s), [0, 1, 2]);
+    assert_eq!(select_items(&queue, 5, 3, &mut s), [0, 1, 2]);
     // Cell (4,2,2): of two jobs that use all room, the one that leaves the shadow room.
-    assert_eq!(choose(&queue[..3], 2, 2, &mut s), [0]);
+    assert_eq!(select_items(&queue[..3], 2, 2, &mut s), [0]);
     // Section 3.5.1: a lookahead of three gives the same set.
-    assert_eq!(choose(&queue[..3], 5, 3, &mut s), [0, 1, 2]);
+    assert_eq!(select_items(&queue[..3], 5, 3, &mut s), [0, 1, 2]);
 }
 
 #[test]
 fn ties_go_to_the_greater_total_slowdown() {
     let mut queue = [item(3, 0), item(3, 0)];
-    queue[1].merit = 2.0;
-    assert_eq!(choose(&queue, 3, 0, &mut Scratch::default()), [1]);
+    queue[1].priority_weight = 2.0;
+    assert_eq!(
+        select_items(&queue, 3, 0, &mut KnapsackTables::default()),
+        [1]
+    );
 }
 
 #[test]
 fn the_program_agrees_with_exhaustive_search() {
     let mut rng = SmallRng::seed_from_u64(7);
-    let mut s = Scratch::default();
+    let mut s = KnapsackTables::default();
     for _ in 0..400 {
-        let items: Vec<Candidate> = (0..rng.random_range(1..9))
+        let items: Vec<KnapsackItem> = (0..rng.random_range(1..9))
             .map(|_| {
                 let size = rng.random_range(1..6);
-                Candidate {
+                KnapsackItem {
                     size,
                     shadow_size: if rng.random_bool(0.5) { size } else { 0 },
-                    merit: rng.random_range(1..5) as f32,
+                    priority_weight: rng.random_range(1..5) as f32,
                 }
             })
             .collect();
         let (n, extra) = (rng.random_range(0..14), rng.random_range(0..14));
         let value = |set: &[usize]| {
-            let sum = |f: fn(&Candidate) -> usize| set.iter().map(|&i| f(&items[i])).sum::<usize>();
-            let merit: f32 = set.iter().map(|&i| items[i].merit).sum();
-            (sum(|i| i.size), sum(|i| i.shadow_size), merit)
+            let sum =
+                |f: fn(&KnapsackItem) -> usize| set.iter().map(|&i| f(&items[i])).sum::<usize>();
+            let priority_weight: f32 = set.iter().map(|&i| items[i].priority_weight).sum();
+            (sum(|i| i.size), sum(|i| i.shadow_size), priority_weight)
         };
         let mut best = (0, 0, 0.0f32);
         for mask in 0u32..1 << items.len() {
@@ -70,7 +76,7 @@
                 best = v;
             }
         }
-        let got = value(&choose(&items, n, extra, &mut s));
+        let got = value(&select_items(&items, n, extra, &mut s));
         assert!(got.0 <= n && got.1 <= extra);
         assert_eq!((got.0, got.1), (best.0, best.1), "{items:?} {n} {extra}");
         let all_fit = items.iter().map(|i| i.size).sum::<usize>() <= n;
@@ -84,47 +90,47 @@
     s
 }
 
-/// A job in the queue, with the rows that it lends to the plan.
-struct Line {
+/// A job in the queue, with the queued that it lends to the plan.
+struct TestJob {
     spec: JobSpec,
-    rows: BTreeSet<u32>,
-    held: BTreeMap<u32, Instant>,
-    zones: BTreeMap<String, u32>,
-    whole: bool,
-    guaranteed: bool,
+    queued: BTreeSet<u32>,
+    backoff_until: BTreeMap<u32, Instant>,
+    tasks_per_zone: BTreeMap<String, u32>,
+    all_or_nothing: bool,
+    within_quota: bool,
     may_preempt: bool,
 }
 
-fn line(spec: JobSpec) -> Line {
-    Line {
-        rows: (0..spec.tasks).collect(),
-        held: BTreeMap::new(),
-        zones: BTreeMap::new(),
-        whole: false,
-        guaranteed: false,
+fn test_job(spec: JobSpec) -> TestJob {
+    TestJob {
+        queued: (0..spec.tasks).collect(),
+        backoff_until: BTreeMap::new(),
+        tasks_per_zone: BTreeMap::new(),
+        all_or_nothing: false,
+        within_quota: false,
         may_preempt: false,
         spec,
     }
 }
 
-impl Line {
-    fn waiting(&self) -> Waiting<'_> {
-        Waiting {
-            rank: self.spec.priority,
+impl TestJob {
+    fn as_queued(&self) -> QueuedJob<'_> {
+        QueuedJob {
+            priority: self.spec.priority,
             spec: Arc::new(self.spec.clone()),
             image: 7,
             team: 0,
-            queued: &self.rows,
-            held: &self.held,
-            whole: self.whole,
-            probe: false,
-            estimate: self.spec.estimate,
-            zones: self.zones.clone(),
-            avoid: Vec::new(),
-            guaranteed: self.guaranteed,
+            queued: &self.queued,
+            backoff_until: &self.backoff_until,
+            all_or_nothing: self.all_or_nothing,
+            single_trial: false,
+            expected_runtime: self.spec.estimate,
+            tasks_per_zone: self.tasks_per_zone.clone(),
+            avoided_nodes: Vec::new(),
+            within_quota: self.within_quota,
             may_preempt: self.may_preempt,
-            merit: 1.0,
-            shunned: Vec::new(),
+            priority_weight: 1.0,
+            excluded_offers: Vec::new(),
         }
     }
 }
@@ -137,46 +143,70 @@
     }
 }
 
-fn host(board: &mut Board, id: &str, zone: &str, cpus: f64, tasks: Vec<Held>) -> usize {
+fn node(
+    snapshot: &mut ClusterSnapshot,
+    id: &str,
+    zone: &str,
+    cpus: f64,
+    tasks: Vec<RunningTask>,
+) -> usize {
     let kind = format!("k{cpus}");
-    let class = board.class(&(kind, zone.into(), false), room(cpus), 1.0);
+    let class = snapshot.class_index(&Offer::new(&kind, zone, false), room(cpus), 1.0);
     let mut free = room(cpus);
     for t in &tasks {
-        free.sub(&t.needs);
+        free.sub(&t.resources);
     }
-    board.put(Host {
+    snapshot.put(Node {
         id: id.into(),
         class,
         free,
-        usage: Use::Open,
+        usage: NodeUsage::Open,
         images: vec![],
-        fetching: 0,
-        doubt: 0.0,
+        active_fetches: 0,
+        fault_penalty_s: 0.0,
         idle_since: None,
         tasks,
     });
-    board.slot(&id.into()).unwrap()
+    snapshot.node_index(&id.into()).unwrap()
 }
 
-fn held(cpus: f64, ends: Option<Instant>, since: Instant) -> Held {
-    Held {
-        key: TaskId {
+fn held(cpus: f64, ends: Option<Instant>, since: Instant) -> RunningTask {
+    RunningTask {
+        id: TaskId {
             job: "wk-0".into(),
             index: cpus as u32,
         },
-        needs: room(cpus),
-        ends,
-        since: Some(since),
-        saves_in: None,
-        rank: Priority::Low,
+        resources: room(cpus),
+        expected_end: ends,
+        running_since: Some(since),
+        checkpoint_duration: None,
+        priority: Priority::Low,
         team: None,
         stopping: false,
     }
 }
 
-fn decide(board: &mut Board, lines: &[Line], team: TeamUse, now: Instant) -> Plan {
-    let mut queue: Vec<Waiting> = lines.iter().map(Line::waiting).collect();
-    plan(board, &mut queue, &mut [team], now, &mut Scratch::default())
+fn head(job_index: usize, starts_in: Option<Duration>) -> QueueHead {
+    QueueHead {
+        job_index,
+        starts_in,
+    }
+}
+
+fn decide(
+    snapshot: &mut ClusterSnapshot,
+    jobs: &[TestJob],
+    team: TeamUsage,
+    now: Instant,
+) -> SchedulingPlan {
+    let mut queue: Vec<QueuedJob> = jobs.iter().map(TestJob::as_queued).collect();
+    plan(
+        snapshot,
+        &mut queue,
+        &mut [team],
+        now,
+        &mut KnapsackTables::default(),
+    )
 }
 
 #[test]
@@ -184,17 +214,17 @@
     // The head needs 8 of 10; 4 are free now and 10 in 30 s: 2 remain beside it then.
     let now = Instant::now();
     let queue = [
-        line(spec("wk-1", 1, 8.0, 100)),
-        line(spec("wk-2", 1, 4.0, 100)),
-        line(spec("wk-3", 1, 2.0, 100)),
-        line(spec("wk-4", 1, 2.0, 20)),
+        test_job(spec("wk-1", 1, 8.0, 100)),
+        test_job(spec("wk-2", 1, 4.0, 100)),
+        test_job(spec("wk-3", 1, 2.0, 100)),
+        test_job(spec("wk-4", 1, 2.0, 20)),
     ];
-    let mut b = Board::default();
+    let mut b = ClusterSnapshot::default();
     let end = now + Duration::from_secs(30);
-    host(&mut b, "m", "a", 10.0, vec![held(6.0, Some(end), now)]);
-    let p = decide(&mut b, &queue, TeamUse::default(), now);
-    assert_eq!(p.head, Some((0, Some(Duration::from_secs(30)))));
-    let jobs: Vec<usize> = p.starts.iter().map(|s| s.job).collect();
+    node(&mut b, "m", "a", 10.0, vec![held(6.0, Some(end), now)]);
+    let p = decide(&mut b, &queue, TeamUsage::default(), now);
+    assert_eq!(p.head, Some(head(0, Some(Duration::from_secs(30)))));
+    let jobs: Vec<usize> = p.starts.iter().map(|s| s.job_index).collect();
     assert_eq!(jobs, [2, 3]);
 }
 
@@ -202,14 +232,14 @@
 fn a_head_behind_endless_work_has_no_shadow_and_blocks_nobody() {
     let now = Instant::now();
     let queue = [
-        line(spec("wk-1", 1, 8.0, 100)),
-        line(spec("wk-2", 1, 4.0, 1000)),
+        test_job(spec("wk-1", 1, 8.0, 100)),
+        test_job(spec("wk-2", 1, 4.0, 1000)),
     ];
     for ends in [None, Some(now - Duration::from_secs(1))] {
-        let mut b = Board::default();
-        host(&mut b, "m", "a", 10.0, vec![held(6.0, ends, now)]);
-        let p = decide(&mut b, &queue, TeamUse::default(), now);
-        assert_eq!(p.head, Some((0, None)));
+        let mut b = ClusterSnapshot::default();
+        node(&mut b, "m", "a", 10.0, vec![held(6.0, ends, now)]);
+        let p = decide(&mut b, &queue, TeamUsage::default(), now);
+        assert_eq!(p.head, Some(head(0, None)));
         assert_eq!(p.starts.len(), 1);
     }
 }
@@ -218,95 +248,118 @@
 fn zones_limits_and_whole_entries_are_kept() {
     let now = Instant::now();
     let fresh = || {
-        let mut b = Board::default();
-        let m = host(&mut b, "m", "a", 8.0, vec![]);
-        let n = host(&mut b, "n", "b", 3.0, vec![]);
-        (b, m, n)
+        let mut snapshot = ClusterSnapshot::default();
+        let large = node(&mut snapshot, "m", "a", 8.0, vec![]);
+        let small = node(&mut snapshot, "n", "b", 3.0, vec![]);
+        (snapshot, large, small)
     };
-    let free = TeamUse::default;
-    let mut w = line(spec("wk-1", 6, 1.0, 10));
-    w.spec.spread = true;
-    let (mut b, m, _) = fresh();
-    let p = decide(&mut b, std::slice::from_ref(&w), free(), now);
-    let in_a = p.starts.iter().filter(|s| s.host == m).count();
-    assert_eq!((p.starts.len(), in_a), (6, 3));
+    let free = TeamUsage::default;
+    let mut job = test_job(spec("wk-1", 6, 1.0, 10));
+    job.spec.spread = true;
+    let (mut snapshot, large, _) = fresh();
+    let decided = decide(&mut snapshot, std::slice::from_ref(&job), free(), now);
+    let in_a = decided
+        .starts
+        .iter()
+        .filter(|s| s.node_index == large)
+        .count();
+    assert_eq!((decided.starts.len(), in_a), (6, 3));
 
-    w.spec.spread = false;
-    w.spec.one_zone = true;
-    w.zones.insert("b".into(), 1);
-    let (mut b, _, n) = fresh();
-    let p = decide(&mut b, std::slice::from_ref(&w), free(), now);
-    assert!(p.starts.iter().all(|s| s.host == n));
-    assert_eq!(p.starts.len(), 3);
+    job.spec.spread = false;
+    job.spec.one_zone = true;
+    job.tasks_per_zone.insert("b".into(), 1);
+    let (mut snapshot, _, small) = fresh();
+    let decided = decide(&mut snapshot, std::slice::from_ref(&job), free(), now);
+    assert!(decided.starts.iter().all(|s| s.node_index == small));
+    assert_eq!(decided.starts.len(), 3);
 
-    w.zones.clear();
-    w.spec.one_zone = false;
-    let limited = TeamUse {
+    job.tasks_per_zone.clear();
+    job.spec.one_zone = false;
+    let limited = TeamUsage {
         cpus: 2.0,
-        cpus_max: Some(4.0),
-        ..TeamUse::default()
+        cpu_limit: Some(4.0),
+        ..TeamUsage::default()
     };
-    let (mut b, _, _) = fresh();
-    let p = decide(&mut b, std::slice::from_ref(&w), limited, now);
-    assert_eq!(p.starts.len(), 2);
+    let (mut snapshot, _, _) = fresh();
+    let decided = decide(&mut snapshot, std::slice::from_ref(&job), limited, now);
+    assert_eq!(decided.starts.len(), 2);
 
     // A job that starts whole starts with all of its tasks or not at all.
-    let mut gang = line(spec("wk-2", 12, 1.0, 10));
-    gang.whole = true;
-    let (mut b, m, _) = fresh();
-    let p = decide(&mut b, std::slice::from_ref(&gang), free(), now);
-    assert!(p.starts.is_empty());
+    let mut gang = test_job(spec("wk-2", 12, 1.0, 10));
+    gang.all_or_nothing = true;
+    let (mut snapshot, large, _) = fresh();
+    let decided = decide(&mut snapshot, std::slice::from_ref(&gang), free(), now);
+    assert!(decided.starts.is_empty());
     // Nothing is left behind of the attempt.
-    assert_eq!(b.host(m).free, room(8.0));
-    assert!(b.host(m).images.is_empty() && b.host(m).fetching == 0);
-    gang.rows = (0..11).collect();
-    let (mut b, _, _) = fresh();
-    let p = decide(&mut b, std::slice::from_ref(&gang), free(), now);
-    assert_eq!(p.starts.len(), 11);
+    assert_eq!(snapshot.node(large).free, room(8.0));
+    assert!(snapshot.node(large).images.is_empty() && snapshot.node(large).active_fetches == 0);
+    gang.queued = (0..11).collect();
+    let (mut snapshot, _, _) = fresh();
+    let decided = decide(&mut snapshot, std::slice::from_ref(&gang), free(), now);
+    assert_eq!(decided.starts.len(), 11);
 }
 
 #[test]
 fn a_gang_waits_for_the_end_that_lets_all_of_it_start() {
     let now = Instant::now();
     let at = |s| Some(now + Duration::from_secs(s));
-    let mut b = Board::default();
-    host(&mut b, "m", "a", 4.0, vec![held(4.0, at(10), now)]);
-    host(&mut b, "n", "b", 4.0, vec![held(4.0, at(20), now)]);
-    host(&mut b, "o", "a", 4.0, vec![held(4.0, at(30), now)]);
-    let mut gang = line(spec("wk-1", 6, 1.0, 10));
-    gang.whole = true;
-    let p = decide(&mut b, std::slice::from_ref(&gang), TeamUse::default(), now);
-    assert_eq!(p.head, Some((0, Some(Duration::from_secs(20)))));
+    let mut b = ClusterSnapshot::default();
+    node(&mut b, "m", "a", 4.0, vec![held(4.0, at(10), now)]);
+    node(&mut b, "n", "b", 4.0, vec![held(4.0, at(20), now)]);
+    node(&mut b, "o", "a", 4.0, vec![held(4.0, at(30), now)]);
+    let mut gang = test_job(spec("wk-1", 6, 1.0, 10));
+    gang.all_or_nothing = true;
+    let p = decide(
+        &mut b,
+        std::slice::from_ref(&gang),
+        TeamUsage::default(),
+        now,
+    );
+    assert_eq!(p.head, Some(head(0, Some(Duration::from_secs(20)))));
     gang.spec.one_zone = true;
-    let p = decide(&mut b, std::slice::from_ref(&gang), TeamUse::default(), now);
-    assert_eq!(p.head, Some((0, Some(Duration::from_secs(30)))));
+    let p = decide(
+        &mut b,
+        std::slice::from_ref(&gang),
+        TeamUsage::default(),
+        now,
+    );
+    assert_eq!(p.head, Some(head(0, Some(Duration::from_secs(30)))));
 }
 
 #[test]
 fn only_lower_ranks_or_borrowed_work_is_stopped_and_the_youngest_first() {
     let now = Instant::now() + Duration::from_secs(1000);
-    let mut w = line(spec("wk-1", 1, 4.0, 10));
+    let mut w = test_job(spec("wk-1", 1, 4.0, 10));
     w.may_preempt = true;
-    let stops = |rank, own: f64, guaranteed, w: &Line| {
+    let stops = |rank, own: f64, guaranteed, w: &TestJob| {
         let end = Some(now + Duration::from_secs(500));
         let mut old = held(4.0, end, now - Duration::from_secs(40));
         let mut young = held(4.0, end, now - Duration::from_secs(5));
-        (old.key.index, young.key.index) = (0, 1);
+        (old.id.index, young.id.index) = (0, 1);
         for t in [&mut old, &mut young] {
-            (t.rank, t.team) = (rank, Some(1));
+            (t.priority, t.team) = (rank, Some(1));
         }
-        let mut b = Board::default();
-        host(&mut b, "m", "a", 8.0, vec![old, young]);
-        let mut queue = [w.waiting()];
-        queue[0].guaranteed = guaranteed;
-        let theirs = TeamUse {
-            cpus_own: own,
-            ..TeamUse::default()
+        let mut b = ClusterSnapshot::default();
+        node(&mut b, "m", "a", 8.0, vec![old, young]);
+        let mut queue = [w.as_queued()];
+        queue[0].within_quota = guaranteed;
+        let theirs = TeamUsage {
+            cpu_quota: own,
+            ..TeamUsage::default()
         };
-        let mut teams = [TeamUse::default(), theirs];
+        let mut teams = [TeamUsage::default(), theirs];
         teams[1].cpus = 8.0;
-        let p = plan(&mut b, &mut queue, &mut teams, now, &mut Scratch::default());
-        p.stops.iter().map(|s| s.1.index).collect::<Vec<_>>()
+        let p = plan(
+            &mut b,
+            &mut queue,
+            &mut teams,
+            now,
+            &mut KnapsackTables::default(),
+        );
+        p.preemptions
+            .iter()
+            .map(|s| s.task.index)
+            .collect::<Vec<_>>()
     };
     assert_eq!(stops(Priority::Low, 100.0, false, &w), [1]);
     assert_eq!(stops(Priority::Normal, 100.0, true, &w), [0u32; 0]);
