--- a/tests/layers.rs
+++ b/tests/layers.rs
@@ -322,7 +322,7 @@
     let uncommented = |line: &str| {
         let comment = line
             .match_indices("//")
-            .find(|(at, _)| line[..*at].matches('"').count() % 2 == 0);
+            .find(|(at, _)| line[..*at].matches('"').count().is_multiple_of(2));
         let end = comment.map_or(line.len(), |(at, _)| at);
         format!("{}\n", &line[..end])
     };
@@ -334,7 +334,11 @@
 }
 
 fn made_up(files: &[(&str, &str)]) -> Sources {
-    Sources::new(files.iter().map(|(f, t)| (f.to_string(), t.to_string())))
+    Sources::new(
+        files
+            .iter()
+            .map(|(file, text)| ((*file).to_string(), (*text).to_string())),
+    )
 }
 
 #[test]
