--- a/src/core/command.rs
+++ b/src/core/command.rs
@@ -5,7 +5,7 @@
 use crate::core::ids::{CallId, Ticket};
 use crate::core::jobs::creation::{Creation, PartsCreation};
 use crate::core::jobs::requests::UserRequest;
-use crate::core::store::read_barrier::Question;
+use crate::core::store::barrier_request::BarrierRequest;
 use crate::http::Response;
 use crate::job::MachineId;
 use crate::peer::heartbeat_batch::{HeartbeatBatch, HeartbeatBatchResponse};
@@ -237,7 +237,7 @@
     /// A job's key, read for one request.
     ReadJob { id: String, purpose: ReadPurpose },
     /// A read after which the cache is as new as these requests need.
-    ReadBarrier(Vec<Question>),
+    ReadBarrier(Vec<BarrierRequest>),
     /// The transaction that takes the leader key.
     Campaign,
     /// Whether the store's identity still has this version.
--- a/src/core/jobs/job_reads.rs
+++ b/src/core/jobs/job_reads.rs
@@ -2,9 +2,9 @@
 
 use crate::core::command::{Pending, ReadPurpose};
 use crate::core::jobs::answers::state_body;
+use crate::core::store::barrier_request::BarrierRequest;
 use crate::core::store::cache::JobValue;
 use crate::core::store::keys::job_key;
-use crate::core::store::read_barrier::Question;
 use crate::core::{Core, Ticket};
 use crate::fault_injection::{Safeguard, is_enabled};
 use crate::http::Response;
@@ -118,7 +118,7 @@
         } else if self.own_key_tells_state(&id) {
             self.show_fresh(ticket, &id);
         } else {
-            self.queue_barrier_query(Question::Show(ticket, id));
+            self.queue_barrier_request(BarrierRequest::Show(ticket, id));
         }
     }
 
--- a/src/core/jobs/submissions.rs
+++ b/src/core/jobs/submissions.rs
@@ -6,10 +6,10 @@
 use crate::core::jobs::creation::{
     Creation, PartsCreation, Submission, create_transaction, initial_value,
 };
+use crate::core::store::barrier_request::BarrierRequest;
 use crate::core::store::cache::JobValue;
 use crate::core::store::keys::{PartGeneration, part_key};
 use crate::core::store::large_jobs::{self, PartValue, PartWrite};
-use crate::core::store::read_barrier::Question;
 use crate::core::store::transaction::MAX_TRANSACTION_BYTES;
 use crate::core::{Core, record};
 use crate::fault_injection::{Safeguard, is_enabled};
@@ -64,7 +64,7 @@
             // This node's copy lags a little behind what other nodes accept, and users submit a
             // job as soon as those that it needs are accepted.
             if !informed {
-                return self.queue_barrier_query(Question::Submit(submission));
+                return self.queue_barrier_request(BarrierRequest::Submit(submission));
             }
             let answer = self.rejection_reason(&submission.spec);
             let reason = String::from_utf8_lossy(&answer.body);
--- a/src/core/store/mod.rs
+++ b/src/core/store/mod.rs
@@ -11,6 +11,7 @@
 //! - `read_barrier`: linearizable reads of what one key cannot answer.
 //! - `integrity`, `rebuild`: whether the store has kept its data, and how a leader brings back what it lost.
 
+pub mod barrier_request;
 pub mod cache;
 pub mod commit;
 pub mod integrity;
--- a/src/core/store/read_barrier.rs
+++ b/src/core/store/read_barrier.rs
@@ -5,10 +5,10 @@
 //! has come as far, nothing can have been answered to anybody before the request that the copy does
 //! not hold. Requests of one step share the read.
 
+use crate::core::Core;
 use crate::core::command::Pending;
-use crate::core::jobs::creation::Submission;
+use crate::core::store::barrier_request::BarrierRequest;
 use crate::core::store::keys::{NOTHING, key};
-use crate::core::{Core, Ticket};
 use crate::http::Response;
 use crate::store_client::{StoreOutcome, StoreRequest};
 use std::time::{Duration, Instant};
@@ -16,20 +16,11 @@
 /// The watch brings changes within some ten milliseconds; a user waits 2 s for a poll.
 const BARRIER_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// A request that waits for a read barrier.
-#[derive(Debug)]
-pub enum Question {
-    /// How the job with this id stands.
-    Show(Ticket, String),
-    /// A job to accept.
-    Submit(Submission),
-}
-
 /// Requests for which the store's revision is being read, or which wait until the copy has come as far.
 #[derive(Default)]
 pub struct ReadBarriers {
     /// Received in this step.
-    queued: Vec<Question>,
+    queued: Vec<BarrierRequest>,
     waiting: Vec<WaitingGroup>,
 }
 
@@ -38,13 +29,13 @@
     /// The revision that the copy has to reach.
     revision: u64,
     deadline: Instant,
-    questions: Vec<Question>,
+    requests: Vec<BarrierRequest>,
 }
 
 impl Core {
     /// The request is answered after a read that begins at the end of this step.
-    pub(in crate::core) fn queue_barrier_query(&mut self, question: Question) {
-        self.barriers.queued.push(question);
+    pub(in crate::core) fn queue_barrier_request(&mut self, request: BarrierRequest) {
+        self.barriers.queued.push(request);
     }
 
     /// Begins the read for the requests of this step; called at its end.
@@ -58,27 +49,27 @@
     /// The read has shown the store's revision, or has failed.
     pub(in crate::core) fn barrier_read(
         &mut self,
-        questions: Vec<Question>,
+        requests: Vec<BarrierRequest>,
         outcome: StoreOutcome,
     ) {
         let StoreOutcome::Missing { revision } = outcome else {
             tracing::debug!(?outcome, "read barrier failed");
-            return self.defer(questions);
+            return self.defer(requests);
         };
         self.barriers.waiting.push(WaitingGroup {
             revision,
             deadline: self.now.mono + BARRIER_TIMEOUT,
-            questions,
+            requests,
         });
         self.answer_barriers();
     }
 
     /// The users are asked to try again.
-    fn defer(&mut self, questions: Vec<Question>) {
-        for question in questions {
-            let ticket = match question {
-                Question::Show(ticket, _) => ticket,
-                Question::Submit(submission) => submission.ticket,
+    fn defer(&mut self, requests: Vec<BarrierRequest>) {
+        for request in requests {
+            let ticket = match request {
+                BarrierRequest::Show(ticket, _) => ticket,
+                BarrierRequest::Submit(submission) => submission.ticket,
             };
             self.answer(ticket, Response::busy("the state cannot be read now", 1));
         }
@@ -89,20 +80,20 @@
         let (now, revision) = (self.now.mono, self.store_cache.revision);
         for group in std::mem::take(&mut self.barriers.waiting) {
             if self.store_cache.loaded && revision >= group.revision {
-                self.answer_questions(group.questions);
+                self.answer_requests(group.requests);
             } else if now >= group.deadline {
-                self.defer(group.questions);
+                self.defer(group.requests);
             } else {
                 self.barriers.waiting.push(group);
             }
         }
     }
 
-    fn answer_questions(&mut self, questions: Vec<Question>) {
-        for question in questions {
-            match question {
-                Question::Show(ticket, id) => self.show_fresh(ticket, &id),
-                Question::Submit(submission) => self.accept(submission, true),
+    fn answer_requests(&mut self, requests: Vec<BarrierRequest>) {
+        for request in requests {
+            match request {
+                BarrierRequest::Show(ticket, id) => self.show_fresh(ticket, &id),
+                BarrierRequest::Submit(submission) => self.accept(submission, true),
             }
         }
     }
--- a/src/core/store/rebuild.rs
+++ b/src/core/store/rebuild.rs
@@ -23,7 +23,6 @@
 mod procedure;
 mod status;
 
-use crate::core::leadership::state::LeaderState;
 use crate::job::{JobId, MachineId, TaskId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
@@ -136,10 +135,3 @@
         self.held_tasks.values().map(BTreeSet::len).sum()
     }
 }
-
-impl LeaderState {
-    /// Whether a task is of a job that may have been accepted all the same.
-    pub(in crate::core) fn may_be_of_lost_job(&self, known: bool) -> bool {
-        !known && self.rebuild.as_ref().is_some_and(|r| !r.settled)
-    }
-}
--- a/src/core/store/rebuild/held_tasks.rs
+++ b/src/core/store/rebuild/held_tasks.rs
@@ -7,6 +7,13 @@
 use crate::job::{JobId, MachineId, Resources, TaskId};
 use std::collections::BTreeSet;
 
+impl LeaderState {
+    /// Whether a task is of a job that may have been accepted all the same.
+    pub(in crate::core) fn may_be_of_lost_job(&self, known: bool) -> bool {
+        !known && self.rebuild.as_ref().is_some_and(|r| !r.settled)
+    }
+}
+
 impl Core {
     /// A job has become known that tasks on machines are of.
     pub(in crate::core) fn adopt_job(&mut self, id: &JobId) {
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -12,6 +12,7 @@
 mod expression;
 mod facts;
 mod parser;
+mod value_type;
 
 pub use entries::Entry;
 pub use facts::{FleetFacts, JobFacts, MachineFacts};
--- a/src/policy/checker.rs
+++ b/src/policy/checker.rs
@@ -1,9 +1,10 @@
 //! The checker: resolves names and finds the type of an expression.
 
-use crate::policy::entries::{Subject, ValueType};
+use crate::policy::entries::Subject;
 use crate::policy::expression::{
     BinaryOperator, Expression, ExpressionNode, Function, SyntaxFault,
 };
+use crate::policy::value_type::ValueType;
 
 /// Resolves the names in an expression and returns its type, or what does not fit.
 pub(super) fn check(node: &mut ExpressionNode, subject: Subject) -> Result<ValueType, SyntaxFault> {
--- a/src/policy/entries.rs
+++ b/src/policy/entries.rs
@@ -1,23 +1,7 @@
 //! The entries of a policy: their names in the language, their types, and what they are about.
 
 use crate::policy::facts::{FLEET_FACTS, FactInfo, JOB_FACTS, MACHINE_FACTS};
-use std::fmt;
-
-/// The type of an expression.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum ValueType {
-    Number,
-    Boolean,
-}
-
-impl fmt::Display for ValueType {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
-            ValueType::Number => "a number",
-            ValueType::Boolean => "true or false",
-        })
-    }
-}
+use crate::policy::value_type::ValueType;
 
 /// What an entry is evaluated for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/policy/facts.rs
+++ b/src/policy/facts.rs
@@ -1,6 +1,6 @@
 //! The facts that entries are evaluated with. Fields have the names that the language uses.
 
-use crate::policy::entries::ValueType;
+use crate::policy::value_type::ValueType;
 
 /// A fact as the language knows it.
 pub(super) struct FactInfo {
