--- a/src/core/simulation/checker.rs
+++ b/src/core/simulation/checker.rs
@@ -10,15 +10,15 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// What users were told and what has happened, as far as the rules depend on it.
+/// The answers that users received and what has happened, as far as the rules depend on it.
 pub struct Checker {
     /// Who began a leadership in each term: the controller, its process, and which of its leaderships.
     pub(super) leaderships: BTreeMap<u64, (usize, u64, u64)>,
     /// Jobs that were submitted, as they were submitted first.
     pub(super) specs: BTreeMap<String, JobSpec>,
-    /// Final states that users were told, and when first.
+    /// Final states that users received as answers, and when first.
     pub(super) final_answers: BTreeMap<String, (JobState, Instant)>,
-    /// Jobs that some user was told are accepted.
+    /// Jobs that some user received as accepted.
     pub(super) announced_jobs: BTreeSet<String>,
     /// Controllers that remember all that the store held when it lost data, until it is whole again.
     pub(super) complete_replicas: Option<BTreeSet<usize>>,
@@ -29,12 +29,12 @@
     /// Machines whose record the store has lost. If nobody remembers them either, what they hold may be
     /// started once more, whatever is done: a list of the cloud comes too late to tell of all.
     pub(super) machines_with_lost_record: BTreeSet<MachineId>,
-    /// All controllers that remembered lost data have ended: what users were told before may be
+    /// All controllers that remembered lost data have ended: answers given before may be
     /// contradicted.
     pub data_lost_for_good: bool,
     /// Jobs whose users asked to cancel them.
     pub(super) cancellation_requests: BTreeSet<String>,
-    /// When users were first told that a job is cancelled.
+    /// When users first received the answer that a job is cancelled.
     pub cancelled_at: BTreeMap<String, Instant>,
     /// Since when jobs wait though a machine has room for them.
     pub(super) starving_since: BTreeMap<String, Instant>,
@@ -180,9 +180,9 @@
     /// All tasks of a job that is said to be done have ended with a result.
     fn check_done(&self, id: &str) {
         let spec = &self.checker.specs[id];
-        for row in 0..spec.tasks {
+        for index in 0..spec.tasks {
             let job = spec.id.clone();
-            let key = TaskId { job, index: row };
+            let key = TaskId { job, index };
             assert!(self.checker.completed.contains(&key), "{key} is not done");
         }
     }
@@ -215,9 +215,9 @@
         }
         let spec = &self.checker.specs[&*key.job];
         for awaited in &spec.dependencies {
-            for row in 0..self.checker.specs[&**awaited].tasks {
+            for index in 0..self.checker.specs[&**awaited].tasks {
                 let job = awaited.clone();
-                let before = TaskId { job, index: row };
+                let before = TaskId { job, index };
                 let done = self.checker.completed.contains(&before);
                 assert!(done, "{key} starts before {before} is done");
             }
@@ -238,7 +238,7 @@
         found
     }
 
-    /// When the user of a job that this one needs, or its own, was first told that it is cancelled.
+    /// When the user of a job that this one needs, or its own, first received the answer that it is cancelled.
     pub(super) fn dependency_cancelled_at(&self, id: &str) -> Option<Instant> {
         let all = self.upstream(id);
         all.iter()
@@ -273,7 +273,7 @@
             self.checker.leaderships.insert(lead.term, this);
         }
         if begun {
-            self.replay_reports();
+            self.replay_heartbeats();
         }
     }
 
@@ -295,7 +295,7 @@
     /// Something is not as it should be in quiet times.
     pub(super) fn has_active_faults(&self) -> bool {
         let node = |n: &Node| {
-            !n.up || n.paused || n.state != Link::Good || !n.peers_reachable || n.watch_delayed
+            !n.up || n.paused || n.store_link != Link::Good || !n.peers_reachable || n.watch_delayed
         };
         let worker = |m: &Worker| {
             m.hung
@@ -311,7 +311,7 @@
             || self.faults.late_write_share > 0.0
             || self.faults.lost_answer_share > 0.0
             || self.faults.late_command_share > 0.0
-            || self.faults.replayed_report_share > 0.0
+            || self.faults.replayed_heartbeat_share > 0.0
             || !self.faults.duplicate_delay.is_zero()
             || !self.store_complete()
             || self.nodes.iter().any(node)
--- a/src/core/simulation/cloud.rs
+++ b/src/core/simulation/cloud.rs
@@ -32,7 +32,7 @@
                     .collect(),
             ),
             CloudRequest::ScaleOut(body) => {
-                if let Some(ids) = self.rentals.get(&body.request_id) {
+                if let Some(ids) = self.provisioned_by_request.get(&body.request_id) {
                     return CloudOutcome::Provisioned(ids.clone());
                 }
                 if self.faults.zones_without_capacity.contains(&body.zone) {
@@ -49,9 +49,9 @@
                     }
                     *left -= 1;
                     if body.spot {
-                        self.counters.rented.0 += 1;
+                        self.counters.provisioned.0 += 1;
                     } else {
-                        self.counters.rented.1 += 1;
+                        self.counters.provisioned.1 += 1;
                     }
                     let id = self.add_machine(&body.machine_type, &body.zone);
                     if let Some(worker) = self.workers.get_mut(&id) {
@@ -64,8 +64,9 @@
                 if ids.is_empty() {
                     return CloudOutcome::NoCapacity;
                 }
-                self.rentals.insert(body.request_id, ids.clone());
-                if self.faults.rental_answers_lost {
+                self.provisioned_by_request
+                    .insert(body.request_id, ids.clone());
+                if self.faults.scale_out_answers_lost {
                     return CloudOutcome::Failed("timeout".into());
                 }
                 CloudOutcome::Provisioned(ids)
--- a/src/core/simulation/cluster.rs
+++ b/src/core/simulation/cluster.rs
@@ -72,7 +72,7 @@
     /// Its process runs.
     pub up: bool,
     /// How its calls to the state service go.
-    pub state: Link,
+    pub store_link: Link,
     /// It and the other controllers reach one another.
     pub peers_reachable: bool,
     /// Nothing of its watch of the state service reaches it.
@@ -85,7 +85,7 @@
     pub calls: u32,
     pub(super) inbox: Vec<Command>,
     pub(super) lease: Option<u64>,
-    pub(super) stand: Option<LeadershipProof>,
+    pub(super) leadership_proof: Option<LeadershipProof>,
     pub(super) next_renewal: Instant,
     /// A full read that the service has begun to answer: what it tells is as old as that.
     pub(super) reading: Option<(Vec<Item>, u64)>,
@@ -111,9 +111,9 @@
     pub workers: BTreeMap<MachineId, Worker>,
     /// Machine types that the cloud offers.
     pub types: Vec<MachineType>,
-    /// How many machines of each type can still be rented, spot ones apart.
+    /// How many machines of each type can still be provisioned, spot ones apart.
     pub capacity: BTreeMap<(String, bool), u32>,
-    pub(super) rentals: BTreeMap<String, Vec<MachineId>>,
+    pub(super) provisioned_by_request: BTreeMap<String, Vec<MachineId>>,
     pub(super) next_machine: u32,
     pub(super) next_ticket: Ticket,
     /// Users ask every controller at once, and repeat the submission, as soon as a job is accepted or over.
@@ -122,7 +122,7 @@
     pub policy: Arc<Policy>,
     /// Jobs whose tasks fail wherever they start.
     pub broken_jobs: BTreeSet<String>,
-    /// How long a rented machine takes until it is up.
+    /// How long a provisioned machine takes until it is up.
     pub boot_time: Duration,
     /// How long a machine fetches the image of each task.
     pub image_fetch_time: Duration,
@@ -139,7 +139,7 @@
 }
 
 impl Simulation {
-    /// Three controllers with the built-in policy; no machine is rented yet.
+    /// Three controllers with the built-in policy; no machine is provisioned yet.
     pub fn new(seed: u64) -> Simulation {
         Simulation::with_policy(seed, Policy::built_in())
     }
@@ -197,7 +197,7 @@
                 (("small".into(), true), 2),
                 (("large".into(), false), 2),
             ]),
-            rentals: BTreeMap::new(),
+            provisioned_by_request: BTreeMap::new(),
             next_machine: 1,
             next_ticket: 1,
             query_after_answers: false,
@@ -238,7 +238,7 @@
         Node {
             core: Core::new(s, self.policy.clone(), nonce, self.clock()),
             up: true,
-            state: Link::Good,
+            store_link: Link::Good,
             peers_reachable: true,
             watch_delayed: false,
             paused: false,
@@ -246,7 +246,7 @@
             calls: 0,
             inbox: Vec::new(),
             lease: None,
-            stand: None,
+            leadership_proof: None,
             next_renewal: self.now,
             reading: None,
             seen: None,
@@ -294,7 +294,7 @@
                 token: 0,
                 tasks: BTreeMap::new(),
                 lease_from: self.now,
-                next_report: self.now,
+                next_heartbeat: self.now,
                 node,
                 waiting: None,
                 hung: false,
@@ -349,7 +349,7 @@
             self.keep_lease(i);
             self.deliver_watch(i);
         }
-        self.give_up_syncs();
+        self.expire_batches();
         self.deliver_delayed();
         self.apply_delayed_transactions();
         self.deliver_delayed_answers();
@@ -368,9 +368,9 @@
     /// Starts a controller again whose time has come.
     fn restart_if_due(&mut self, i: usize) {
         if self.nodes[i].restart_at.is_some_and(|t| t <= self.now) {
-            let (state, peers) = (self.nodes[i].state, self.nodes[i].peers_reachable);
+            let (store_link, peers) = (self.nodes[i].store_link, self.nodes[i].peers_reachable);
             self.nodes[i] = self.fresh_node(i);
-            self.nodes[i].state = state;
+            self.nodes[i].store_link = store_link;
             self.nodes[i].peers_reachable = peers;
         }
     }
@@ -394,7 +394,7 @@
     pub(super) fn keep_lease(&mut self, i: usize) {
         let now = self.now;
         let node = &mut self.nodes[i];
-        let served = !self.faults.store_outage && node.state.reads();
+        let served = !self.faults.store_outage && node.store_link.reads();
         if !node.up || node.paused || now < node.next_renewal || !served {
             return;
         }
@@ -403,12 +403,12 @@
             Some(id) if self.state.leases.contains_key(&id) => {
                 self.state.leases.insert(id, now + LEASE_TTL);
                 let mut is_enabled = None;
-                if let Some(stand) = &node.stand {
+                if let Some(leadership_proof) = &node.leadership_proof {
                     let txn = CompareAndSwap {
-                        conditions: stand.conditions.clone(),
+                        conditions: leadership_proof.conditions.clone(),
                         changes: Vec::new(),
                     };
-                    let key_version = stand.key_version;
+                    let key_version = leadership_proof.key_version;
                     if let StoreOutcome::Committed { .. } = self.state.txn(&txn) {
                         is_enabled = Some(key_version);
                     } else {
@@ -443,7 +443,7 @@
     /// Tells a controller what has changed in the state service.
     pub(super) fn deliver_watch(&mut self, i: usize) {
         let node = &mut self.nodes[i];
-        if !node.up || self.faults.store_outage || !node.state.reads() || node.watch_delayed {
+        if !node.up || self.faults.store_outage || !node.store_link.reads() || node.watch_delayed {
             return;
         }
         let revision = self.state.revision;
--- a/src/core/simulation/counters.rs
+++ b/src/core/simulation/counters.rs
@@ -3,25 +3,25 @@
 /// How often something happened since the simulation began.
 #[derive(Default)]
 pub struct Counters {
-    /// Machines that were rented: spot ones, and ordinary ones.
-    pub rented: (u32, u32),
+    /// Machines that were provisioned: spot ones, and ordinary ones.
+    pub provisioned: (u32, u32),
     /// Calls to the cloud.
     pub cloud_calls: u32,
-    /// Reports that workers sent.
+    /// Heartbeats that workers sent.
     pub heartbeats: u32,
     /// Tasks that workers started.
     pub starts: u32,
-    /// Ended tasks that workers were told to forget.
+    /// Ended tasks that workers were commanded to forget.
     pub clears: u32,
     /// Tasks that began to run, and commands to start them that were carried out, after their user
-    /// was told that their job is cancelled.
+    /// received the answer that their job is cancelled.
     pub late_starts: u32,
     /// Answers to transactions that were lost (`Faults::lost_answer_share`).
     pub answers_lost: u32,
     /// Direct commands that were delayed (`Faults::late_command_share`).
     pub commands_delayed: u32,
-    /// Reports that were delivered when a leadership began (`Faults::replayed_report_share`).
-    pub reports_replayed: u32,
+    /// Heartbeats that were delivered when a leadership began (`Faults::replayed_heartbeat_share`).
+    pub heartbeats_replayed: u32,
     /// Follow-up queries that were answered with a job's state
     /// (`Simulation::query_after_answers`).
     pub follow_ups_answered: u32,
--- a/src/core/simulation/disabled_guard.rs
+++ b/src/core/simulation/disabled_guard.rs
@@ -15,9 +15,9 @@
 
 /// Fails unless a scenario breaks this rule when a guard is taken out.
 pub fn fails_without(guard: Safeguard, rule: &str, scenario: impl FnOnce()) {
-    let said = failure_without(guard, scenario);
-    let said = said.unwrap_or_else(|| panic!("{guard:?} is out, and nothing is found"));
-    assert!(said.contains(rule), "{guard:?} is out: {said}");
+    let message = failure_without(guard, scenario);
+    let message = message.unwrap_or_else(|| panic!("{guard:?} is out, and nothing is found"));
+    assert!(message.contains(rule), "{guard:?} is out: {message}");
 }
 
 /// The message of a panic.
--- a/src/core/simulation/faults.rs
+++ b/src/core/simulation/faults.rs
@@ -11,7 +11,7 @@
 
 /// Faults that last until a test ends them.
 pub struct Faults {
-    /// Reports and direct commands arrive once more up to this much later, reports at any
+    /// Heartbeats and direct commands arrive once more up to this much later, heartbeats at any
     /// controller.
     pub duplicate_delay: Duration,
     /// This share of transactions gets no answer and is carried out 2 to 12 s later.
@@ -22,15 +22,15 @@
     pub lost_answer_prefix: &'static str,
     /// This share of direct commands gets no answer and is carried out 2 to 16 s later, once.
     pub late_command_share: f64,
-    /// Copies of this share of reports reach every controller when the next leadership begins.
-    pub replayed_report_share: f64,
+    /// Copies of this share of heartbeats reach every controller when the next leadership begins.
+    pub replayed_heartbeat_share: f64,
     /// Direct commands are held until `Simulation::release`.
     pub hold_commands: bool,
     /// The cloud answers every call with an error.
     pub cloud_down: bool,
-    /// Rentals are carried out, and their answers lost.
-    pub rental_answers_lost: bool,
-    /// Zones in which no machine can be rented.
+    /// Scale-outs are carried out, and their answers lost.
+    pub scale_out_answers_lost: bool,
+    /// Zones in which no machine can be provisioned.
     pub zones_without_capacity: BTreeSet<String>,
     /// The state service serves nobody; no lease runs out, and each has its full time again
     /// afterwards (`Simulation::set_store_outage`).
@@ -47,10 +47,10 @@
             lost_answer_share: 0.0,
             lost_answer_prefix: PREFIX,
             late_command_share: 0.0,
-            replayed_report_share: 0.0,
+            replayed_heartbeat_share: 0.0,
             hold_commands: false,
             cloud_down: false,
-            rental_answers_lost: false,
+            scale_out_answers_lost: false,
             zones_without_capacity: BTreeSet::new(),
             store_outage: false,
             store_delay: Duration::ZERO,
@@ -73,11 +73,13 @@
             .retain(|(_, node, _)| *node != i);
         self.nodes[i].restart_at = Some(self.now + restart_after);
         self.network.forwards.retain(|_, (asker, _)| *asker != i);
-        self.network.syncs.retain(|_, (asker, _, _)| *asker != i);
+        self.network
+            .heartbeat_batches
+            .retain(|_, (asker, _, _)| *asker != i);
         let name = format!("n{i}");
         let unanswered = self
             .network
-            .recalls
+            .memory_requests
             .extract_if(.., |_, (a, to, _)| *a == i || *to == name);
         let unanswered: Vec<_> = unanswered.map(|(_, r)| r).collect();
         for (asker, peer, asked) in unanswered.into_iter().filter(|r| r.0 != i) {
@@ -219,7 +221,7 @@
     /// How the calls of all controllers to the state service go from now on.
     pub fn set_store_links(&mut self, link: Link) {
         for node in &mut self.nodes {
-            node.state = link;
+            node.store_link = link;
         }
     }
 
--- a/src/core/simulation/mixed_versions.rs
+++ b/src/core/simulation/mixed_versions.rs
@@ -207,15 +207,15 @@
             json!({"spec": spec, "submitted_ms": 1_699_999_999_000_u64}),
         );
         simulation.put(&format!("burlusher/d/{}/0", spec.id), json!({"rows": done}));
-        let mut rows = TaskSet::default();
-        rows.add_ranges(0, done, spec.tasks);
+        let mut completed = TaskSet::default();
+        completed.add_ranges(0, done, spec.tasks);
         let job = &spec.id;
-        for row in (0..spec.tasks).filter(|r| rows.contains(*r)) {
+        for index in (0..spec.tasks).filter(|r| completed.contains(*r)) {
             let job = job.clone();
             simulation
                 .checker
                 .completed
-                .insert(crate::job::TaskId { job, index: row });
+                .insert(crate::job::TaskId { job, index });
         }
     }
     simulation
@@ -223,15 +223,15 @@
 
 /// Rows that production, or a later leader, finds on record.
 fn is_recorded(simulation: &Simulation, id: &str) -> TaskSet {
-    let mut rows = TaskSet::default();
+    let mut completed = TaskSet::default();
     for (key, v) in simulation.stored(&format!("burlusher/d/{id}/")) {
         let base: u32 = key.rsplit('/').next().unwrap().parse().unwrap();
-        rows.add_ranges(base, v["rows"].as_str().unwrap(), u32::MAX);
+        completed.add_ranges(base, v["rows"].as_str().unwrap(), u32::MAX);
     }
-    rows
+    completed
 }
 
-/// A piece of our size under the key of a larger one of production's forgot what that told beyond.
+/// A piece of our size under the key of a larger one of production's lost what that held beyond.
 #[test]
 fn completed_tasks_in_large_pieces_survive_lower_limits() {
     for lowered in 0..6 {
@@ -343,12 +343,12 @@
         let id = format!("wk-{}", 1000 + n);
         let done = sample(&id, 1, 1.0, 1);
         simulation.register_job(&done);
-        let row = 0;
+        let index = 0;
         let job = done.id.clone();
         simulation
             .checker
             .completed
-            .insert(crate::job::TaskId { job, index: row });
+            .insert(crate::job::TaskId { job, index });
         simulation.put(&format!("burlusher/j/{id}"), json!({"end": "Done"}));
         large.dependencies.push(id.into());
     }
@@ -418,7 +418,7 @@
     simulation.until(2.0, "all parts written", |simulation| {
         simulation.stored("burlusher/s/wk-2/").len() == parts
     });
-    simulation.nodes[other].state = crate::core::simulation::Link::WritesHeld;
+    simulation.nodes[other].store_link = crate::core::simulation::Link::WritesHeld;
     simulation.run(80.0);
     assert!(
         !simulation.network.held_transactions.is_empty()
--- a/src/core/simulation/network.rs
+++ b/src/core/simulation/network.rs
@@ -23,21 +23,21 @@
     /// Requests of users that one controller passed on to another: who did, and its own ticket.
     pub(super) forwards: BTreeMap<Ticket, (usize, Ticket)>,
     /// Frames of controllers that serve workers: who sent them, their numbers, and when.
-    pub(super) syncs: BTreeMap<Ticket, (usize, u64, Instant)>,
+    pub(super) heartbeat_batches: BTreeMap<Ticket, (usize, u64, Instant)>,
     /// Requests between controllers for what they remember: who asked whom, and for what.
-    pub(super) recalls: BTreeMap<Ticket, (usize, String, MemoryRequest)>,
+    pub(super) memory_requests: BTreeMap<Ticket, (usize, String, MemoryRequest)>,
     /// Answers that nobody has fetched yet.
     pub(super) answers: BTreeMap<Ticket, Response>,
-    /// Duplicates of reports: when each arrives, and at which controller.
-    pub(super) delayed_reports: Vec<(Instant, usize, Heartbeat)>,
+    /// Duplicates of heartbeats: when each arrives, and at which controller.
+    pub(super) delayed_heartbeats: Vec<(Instant, usize, Heartbeat)>,
     /// Direct commands that are late or duplicates: when each arrives, and at which machine.
     pub(super) delayed_commands: Vec<(Instant, MachineId, DirectCommands)>,
     /// Transactions that are carried out late.
     pub(super) delayed_transactions: Vec<(Instant, CompareAndSwap)>,
     /// Answers of the state service: when each arrives, and at which controller.
     pub(super) delayed_answers: Vec<(Instant, usize, Command)>,
-    /// Reports that arrive everywhere when the next leadership begins.
-    pub(super) reports_to_replay: Vec<Heartbeat>,
+    /// Heartbeats that arrive everywhere when the next leadership begins.
+    pub(super) heartbeats_to_replay: Vec<Heartbeat>,
     /// Questions asked because of an answer to somebody else.
     pub(super) follow_up_queries: BTreeMap<Ticket, (String, Instant)>,
     /// Cancellations whose answers nobody waits for, and what they were about.
@@ -104,8 +104,8 @@
             } => self.send_batch(from, &peer, number, &frame),
             Effect::MemoryRequest {
                 peer,
-                request: recall,
-            } => self.send_recall(from, peer, recall),
+                request: memory_request,
+            } => self.send_memory_request(from, peer, memory_request),
             Effect::StoreCall { call, request } => self.send_to_store(from, call, &request),
             Effect::CloudCall {
                 call,
@@ -123,7 +123,9 @@
                 self.nodes[from].lease = None;
                 self.nodes[from].next_renewal = self.now;
             }
-            Effect::LeadershipProof(stand) => self.nodes[from].stand = stand,
+            Effect::LeadershipProof(leadership_proof) => {
+                self.nodes[from].leadership_proof = leadership_proof
+            }
             Effect::Ready(_) => {}
         }
     }
@@ -133,24 +135,25 @@
         if answer.not_after.is_some_and(|t| self.now >= t) {
             return;
         }
-        if let Some((asker, peer, asked)) = self.network.recalls.remove(&ticket) {
+        if let Some((asker, peer, asked)) = self.network.memory_requests.remove(&ticket) {
             let (_, body) = peer::read_frame(&mut answer.body.as_slice()).unwrap();
-            let recalled = memory_exchange::decode_memory_page(&body).unwrap();
+            let memory_page = memory_exchange::decode_memory_page(&body).unwrap();
             self.nodes[asker].inbox.push(Command::MemoryPage {
                 peer,
                 asked,
-                answer: Some(Box::new(recalled)),
+                answer: Some(Box::new(memory_page)),
             });
-        } else if let Some((asker, number, _)) = self.network.syncs.remove(&ticket) {
+        } else if let Some((asker, number, _)) = self.network.heartbeat_batches.remove(&ticket) {
             // What cannot get through is as good as lost.
             let through = self.connected(asker, from);
             let frame = peer::read_frame(&mut answer.body.as_slice()).ok();
-            let synced = frame.and_then(|(_, body)| heartbeat_batch::decode_batch_response(&body));
+            let response =
+                frame.and_then(|(_, body)| heartbeat_batch::decode_batch_response(&body));
             self.nodes[asker]
                 .inbox
                 .push(Command::HeartbeatBatchResponse {
                     number,
-                    answer: synced.filter(|_| through).map(Box::new),
+                    answer: response.filter(|_| through).map(Box::new),
                 });
         } else if let Some((asker, original)) = self.network.forwards.remove(&ticket) {
             self.nodes[asker].inbox.push(Command::Forwarded {
@@ -218,33 +221,34 @@
             return;
         }
         let (_, body) = peer::read_frame(&mut { frame }).unwrap();
-        let sync = Box::new(heartbeat_batch::decode_batch(&body).unwrap());
+        let batch = Box::new(heartbeat_batch::decode_batch(&body).unwrap());
         let ticket = self.new_ticket();
-        self.network.syncs.insert(ticket, (from, number, self.now));
-        self.nodes[to].inbox.push(Command::HeartbeatBatch {
-            ticket,
-            batch: sync,
-        });
+        self.network
+            .heartbeat_batches
+            .insert(ticket, (from, number, self.now));
+        self.nodes[to]
+            .inbox
+            .push(Command::HeartbeatBatch { ticket, batch });
     }
 
     /// Asks another controller what it remembers.
-    fn send_recall(&mut self, from: usize, peer: String, recall: MemoryRequest) {
+    fn send_memory_request(&mut self, from: usize, peer: String, memory_request: MemoryRequest) {
         let to = node_of(&peer);
         if !self.reaches(from, to) {
             self.nodes[from].inbox.push(Command::MemoryPage {
                 peer,
-                asked: recall,
+                asked: memory_request,
                 answer: None,
             });
             return;
         }
         let ticket = self.new_ticket();
         self.network
-            .recalls
-            .insert(ticket, (from, peer, recall.clone()));
+            .memory_requests
+            .insert(ticket, (from, peer, memory_request.clone()));
         self.nodes[to].inbox.push(Command::MemoryRequest {
             ticket,
-            request: recall,
+            request: memory_request,
         });
     }
 
@@ -296,7 +300,7 @@
             .push(Command::DirectOutcome { call, outcome });
     }
 
-    /// A report comes to a node late.
+    /// A heartbeat comes to a node late.
     pub fn deliver(&mut self, node: usize, heartbeat: Heartbeat) {
         let ticket = self.new_ticket();
         let heartbeat = Box::new(heartbeat);
@@ -306,11 +310,11 @@
     }
 
     /// Frames that nobody answered within a second.
-    pub(super) fn give_up_syncs(&mut self) {
+    pub(super) fn expire_batches(&mut self) {
         let late = self.now - Duration::from_secs(1);
         for (_, (asker, number, _)) in self
             .network
-            .syncs
+            .heartbeat_batches
             .extract_if(.., |_, (_, _, at)| *at < late)
         {
             self.nodes[asker]
@@ -327,7 +331,7 @@
         let now = self.now;
         let due = self
             .network
-            .delayed_reports
+            .delayed_heartbeats
             .extract_if(.., |(at, ..)| *at <= now);
         for (_, node, heartbeat) in due.collect::<Vec<_>>() {
             if self.nodes[node].up {
@@ -358,9 +362,9 @@
         }
     }
 
-    /// Copies of what workers reported arrive at every controller.
+    /// Copies of heartbeats arrive at every controller.
     pub fn replay_at_next_leadership(&mut self, heartbeats: Vec<Heartbeat>) {
-        self.network.reports_to_replay.extend(heartbeats);
+        self.network.heartbeats_to_replay.extend(heartbeats);
     }
 
     /// Commands of which copies are under way.
@@ -371,11 +375,11 @@
     }
 
     /// What was kept for the beginning of a leadership arrives at every controller.
-    pub(super) fn replay_reports(&mut self) {
-        for heartbeat in std::mem::take(&mut self.network.reports_to_replay) {
+    pub(super) fn replay_heartbeats(&mut self) {
+        for heartbeat in std::mem::take(&mut self.network.heartbeats_to_replay) {
             for node in 0..self.nodes.len() {
                 if self.nodes[node].up {
-                    self.counters.reports_replayed += 1;
+                    self.counters.heartbeats_replayed += 1;
                     self.deliver(node, heartbeat.clone());
                 }
             }
--- a/src/core/simulation/randomized.rs
+++ b/src/core/simulation/randomized.rs
@@ -91,7 +91,7 @@
         machine: usize,
         from_one: bool,
     },
-    /// All report to this controller.
+    /// All send heartbeats to this controller.
     MoveAll(usize),
     /// Some cannot reach a controller.
     Partition {
@@ -458,7 +458,7 @@
         }
     }
 
-    /// Replicas of a job whose acceptance nobody was told of would hold their team's limit for ever.
+    /// Replicas of a job whose acceptance nobody received would hold their team's limit for ever.
     fn cancel_services(&mut self) {
         let simulation = &mut self.simulation;
         for id in &self.services {
@@ -499,7 +499,7 @@
 
 fn refuse_leader(simulation: &mut Simulation) {
     if let Some(leader) = simulation.leader() {
-        simulation.nodes[leader].state = Link::Refused;
+        simulation.nodes[leader].store_link = Link::Refused;
     }
 }
 
@@ -527,7 +527,7 @@
             node.peers_reachable = !node.peers_reachable;
         }
         NodeFault::Isolate(node) => {
-            simulation.nodes[*node].state = Link::Refused;
+            simulation.nodes[*node].store_link = Link::Refused;
             simulation.nodes[*node].peers_reachable = false;
         }
         NodeFault::DeposeLeader => {
@@ -545,7 +545,7 @@
 
 fn inject_store_fault(simulation: &mut Simulation, fault: &StoreFault, backup: Option<&Backup>) {
     match fault {
-        StoreFault::Link(node, link) => simulation.nodes[*node].state = *link,
+        StoreFault::Link(node, link) => simulation.nodes[*node].store_link = *link,
         StoreFault::RefuseAll => simulation.set_store_links(Link::Refused),
         StoreFault::ToggleOutage => simulation.set_store_outage(!simulation.faults.store_outage),
         StoreFault::RefusalThenOutage(ms) => {
@@ -586,7 +586,7 @@
         simulation.set_store_outage(false);
     }
     for node in &mut simulation.nodes {
-        node.state = Link::Good;
+        node.store_link = Link::Good;
         node.peers_reachable = true;
         node.paused = false;
     }
@@ -639,7 +639,7 @@
         NetworkFault::Duplicates(s) => faults.duplicate_delay = Duration::from_secs(*s),
         NetworkFault::LateCommands(percent) => faults.late_command_share = share(*percent),
         NetworkFault::ReplayedHeartbeats(percent) => {
-            faults.replayed_report_share = share(*percent);
+            faults.replayed_heartbeat_share = share(*percent);
         }
     }
 }
@@ -660,7 +660,7 @@
     faults.duplicate_delay = Duration::ZERO;
     faults.lost_answer_share = 0.0;
     faults.late_command_share = 0.0;
-    faults.replayed_report_share = 0.0;
+    faults.replayed_heartbeat_share = 0.0;
     simulation.query_after_answers = false;
     simulation.release();
 }
--- a/src/core/simulation/recorded_decisions.rs
+++ b/src/core/simulation/recorded_decisions.rs
@@ -139,12 +139,12 @@
             } => direct_content(*call, &addr.to_string(), request, self.millis(*not_after)),
             Effect::MemoryRequest {
                 peer,
-                request: recall,
+                request: memory_request,
             } => {
                 json!([
                     MEMORY_REQUEST,
                     peer,
-                    text(&memory_exchange::encode_memory_request(recall))
+                    text(&memory_exchange::encode_memory_request(memory_request))
                 ])
             }
             Effect::RereadStore => json!([REREAD_STORE]),
@@ -330,12 +330,20 @@
     urgent.spot = true;
     let mut dependent = sample("wk-7", 2, 1.0, 4);
     dependent.dependencies = vec!["wk-1".into(), "wk-6".into()];
-    let mut doomed = sample("wk-8", 2, 1.0, 4);
-    doomed.dependencies = vec!["wk-9".into()];
+    let mut cancelled_with_dependency = sample("wk-8", 2, 1.0, 4);
+    cancelled_with_dependency.dependencies = vec!["wk-9".into()];
     let mut long = sample("wk-9", 4, 1.0, 90);
     long.team = "u".into();
     vec![
-        array, service, gang, one_zone, spread, urgent, dependent, long, doomed,
+        array,
+        service,
+        gang,
+        one_zone,
+        spread,
+        urgent,
+        dependent,
+        long,
+        cancelled_with_dependency,
     ]
 }
 
@@ -481,7 +489,7 @@
     simulation.faults.late_write_share = 0.1;
     simulation.faults.lost_answer_share = 0.2;
     simulation.faults.late_command_share = 0.2;
-    simulation.faults.replayed_report_share = 0.3;
+    simulation.faults.replayed_heartbeat_share = 0.3;
     submit_all(simulation);
     simulation.run(5.0);
     simulation.faults.store_delay = Duration::from_millis(600);
@@ -492,10 +500,10 @@
         .into_iter()
         .enumerate()
     {
-        simulation.nodes[n].state = link;
+        simulation.nodes[n].store_link = link;
         simulation.run(4.0);
         simulation.submit(n, &sample(&format!("wk-3{n}"), 3, 1.0, 6));
-        simulation.nodes[n].state = Link::Good;
+        simulation.nodes[n].store_link = Link::Good;
         simulation.release();
         simulation.nodes[n].peers_reachable = false;
         simulation.run(4.0);
--- a/src/core/simulation/scale.rs
+++ b/src/core/simulation/scale.rs
@@ -12,7 +12,7 @@
 use crate::policy::Policy;
 use std::time::{Duration, Instant};
 
-struct Row {
+struct Measurement {
     known_ms: u128,
     start_ms: u128,
     restart_ms: u128,
@@ -27,7 +27,7 @@
     spec
 }
 
-/// So many machines, none of which can be rented, and who leads.
+/// So many machines, none of which can be provisioned, and who leads.
 fn cluster_with_leader(seed: u64, policy: &str, machines: usize) -> (Simulation, usize) {
     let mut simulation = Simulation::with_policy(seed, Policy::with("scale", policy).unwrap());
     simulation.capacity.clear();
@@ -37,7 +37,7 @@
 }
 
 /// A leader of so many machines, each with so many tasks, ends together with one machine.
-fn take_over(machines: usize, tasks_each: usize, delegate: bool) -> Row {
+fn take_over(machines: usize, tasks_each: usize, delegate: bool) -> Measurement {
     let text = format!("delegate = {delegate}");
     let (mut simulation, leader) = cluster_with_leader(7, &text, machines);
     let in_all = machines * tasks_each;
@@ -71,7 +71,7 @@
     let fresh = job("wk-999999", 4);
     simulation.register_job(&fresh);
     simulation.ask(next, crate::core::UserAction::Submit(Box::new(fresh)));
-    let mut row = Row {
+    let mut measurement = Measurement {
         known_ms: 0,
         start_ms: 0,
         restart_ms: 0,
@@ -79,29 +79,29 @@
         changes: 0,
     };
     let end = simulation.now + Duration::from_secs(120);
-    while row.known_ms * row.start_ms * row.restart_ms == 0 {
+    while measurement.known_ms * measurement.start_ms * measurement.restart_ms == 0 {
         assert!(simulation.now < end, "{machines} machines take too long");
         simulation.tick();
         let passed = (simulation.now - since).as_millis().max(1);
-        let left = (simulation.nodes[next].core.leader.as_ref())
+        let unresolved = (simulation.nodes[next].core.leader.as_ref())
             .map_or(usize::MAX, |l| l.recovery.unresolved());
-        if row.known_ms == 0 && left * 100 <= machines {
-            row.known_ms = passed;
-            row.leader_ms = simulation.nodes[next].busy.as_millis();
+        if measurement.known_ms == 0 && unresolved * 100 <= machines {
+            measurement.known_ms = passed;
+            measurement.leader_ms = simulation.nodes[next].busy.as_millis();
         }
-        if row.start_ms == 0 && !simulation.places("wk-999999").is_empty() {
-            row.start_ms = passed;
+        if measurement.start_ms == 0 && !simulation.places("wk-999999").is_empty() {
+            measurement.start_ms = passed;
         }
         let running = || -> usize {
             let live = simulation.workers.iter().filter(|(id, _)| **id != dead);
             live.map(|(_, m)| m.tasks.len()).sum()
         };
-        if row.restart_ms == 0 && row.start_ms > 0 && running() >= in_all + 4 {
-            row.restart_ms = passed;
+        if measurement.restart_ms == 0 && measurement.start_ms > 0 && running() >= in_all + 4 {
+            measurement.restart_ms = passed;
         }
     }
-    row.changes = simulation.changes() - changes;
-    row
+    measurement.changes = simulation.changes() - changes;
+    measurement
 }
 
 #[test]
--- a/src/core/simulation/scenarios/bidding.rs
+++ b/src/core/simulation/scenarios/bidding.rs
@@ -7,7 +7,7 @@
 use crate::policy::Policy;
 use std::time::Duration;
 
-/// Three controllers that bid, with a leader; nothing is rented yet.
+/// Three controllers that bid, with a leader; nothing is provisioned yet.
 pub fn bidding_cluster(seed: u64, entries: &str) -> (Simulation, usize) {
     let text = format!("bidding = true\nworth = 10\n{entries}");
     let mut simulation = Simulation::with_policy(seed, Policy::with("story", &text).unwrap());
@@ -28,20 +28,20 @@
     let (mut simulation, leader) = bidding_cluster(301, "haste = 0");
     simulation.submit(leader, &urgent("wk-1", 6));
     simulation.run(3.0);
-    let rented = simulation.counters.rented;
-    assert!(rented.0 == 2 && rented.1 >= 3, "{rented:?}");
+    let provisioned = simulation.counters.provisioned;
+    assert!(provisioned.0 == 2 && provisioned.1 >= 3, "{provisioned:?}");
     simulation.until_done("wk-1", 40.0);
     // Nothing depends on when this starts, and room comes: it waits for it.
     let mut idle = sample("wk-2", 6, 4.0, 8);
     idle.priority = Priority::Low;
     simulation.submit(leader, &idle);
     simulation.run(20.0);
-    assert_eq!(simulation.counters.rented.1, rented.1);
+    assert_eq!(simulation.counters.provisioned.1, provisioned.1);
 }
 
 /// A job without aims, and with no machine at all, was not worth one and waited for ever.
 #[test]
-fn machines_rented_when_no_room_in_sight() {
+fn machines_provisioned_when_no_room_in_sight() {
     let (mut simulation, leader) = bidding_cluster(308, "haste = 0");
     simulation.submit(leader, &sample("wk-1", 5, 2.0, 5));
     simulation.until_done("wk-1", 60.0);
@@ -50,14 +50,14 @@
 /// Work whose patience is the same for spot machines as for others had to bid for them, and went
 /// without where nothing that it could still meet was at stake.
 #[test]
-fn spot_machines_rented_by_patience_alone() {
+fn spot_machines_provisioned_by_patience_alone() {
     let (mut simulation, leader) =
         bidding_cluster(307, "haste = 0\npatience = 5\nspot_patience = 5");
     let mut plain = sample("wk-1", 2, 4.0, 8);
     plain.spot = true;
     simulation.submit(leader, &plain);
     simulation.run(3.0);
-    assert_eq!(simulation.counters.rented, (2, 0));
+    assert_eq!(simulation.counters.provisioned, (2, 0));
     simulation.until_done("wk-1", 40.0);
 }
 
@@ -83,25 +83,26 @@
     assert!(lost(&simulation).is_empty());
 }
 
-/// The cloud carries a rental out and its answer is lost, twice over, and then the leader dies:
-/// what was rented is used or returned, and nothing is rented for it again by the same name.
+/// The cloud carries a scale-out out and its answer is lost, twice over, and then the leader dies:
+/// what was provisioned is used or returned, and nothing is provisioned for it again by the same name.
 #[test]
-fn unanswered_rentals_found_by_next_leader() {
+fn unanswered_scale_out_found_by_next_leader() {
     let (mut simulation, leader) = bidding_cluster(303, "");
-    simulation.faults.rental_answers_lost = true;
+    simulation.faults.scale_out_answers_lost = true;
     simulation.submit(leader, &urgent("wk-1", 6));
     simulation.run(5.0);
-    let unheard = simulation.counters.rented;
+    let unanswered = simulation.counters.provisioned;
     assert!(
-        unheard.0 + unheard.1 >= 6 && simulation.workers.len() <= 8,
-        "{unheard:?}"
+        unanswered.0 + unanswered.1 >= 6 && simulation.workers.len() <= 8,
+        "{unanswered:?}"
     );
     simulation.kill(leader, Duration::from_secs(60));
-    simulation.faults.rental_answers_lost = false;
+    simulation.faults.scale_out_answers_lost = false;
     simulation.until_done("wk-1", 60.0);
     // Six tasks need six small machines at most, and the awards of one leader were not given again.
     assert!(
-        simulation.counters.rented.0 + simulation.counters.rented.1 <= unheard.0 + unheard.1 + 2
+        simulation.counters.provisioned.0 + simulation.counters.provisioned.1
+            <= unanswered.0 + unanswered.1 + 2
     );
     simulation.until(200.0, "all machines returned", |simulation| {
         simulation.workers.is_empty()
@@ -114,13 +115,13 @@
     simulation.faults.cloud_down = true;
     simulation.submit(leader, &urgent("wk-1", 4));
     simulation.run(12.0);
-    assert_eq!(simulation.counters.rented, (0, 0));
+    assert_eq!(simulation.counters.provisioned, (0, 0));
     simulation.faults.cloud_down = false;
     simulation.until_done("wk-1", 40.0);
     assert!(
-        simulation.counters.rented.0 + simulation.counters.rented.1 <= 5,
+        simulation.counters.provisioned.0 + simulation.counters.provisioned.1 <= 5,
         "{:?}",
-        simulation.counters.rented
+        simulation.counters.provisioned
     );
 }
 
--- a/src/core/simulation/scenarios/cancellation.rs
+++ b/src/core/simulation/scenarios/cancellation.rs
@@ -15,9 +15,9 @@
     simulation.submit(leader, &sample("wk-1", 8, 2.0, 60));
     simulation.run(3.0);
     // Its end is committed, but the leader does not learn so.
-    simulation.nodes[leader].state = Link::AnswersLost;
+    simulation.nodes[leader].store_link = Link::AnswersLost;
     let _ = simulation.cancel(leader, "wk-1");
-    simulation.nodes[leader].state = Link::Refused;
+    simulation.nodes[leader].store_link = Link::Refused;
     // The others read it from the state service and say so.
     let other = follower(leader);
     let (_, state) = simulation.show(other, "wk-1");
@@ -25,7 +25,7 @@
         // The old leader may repeat that or say nothing, but not that it runs, which is checked.
         simulation.show(leader, "wk-1");
     }
-    simulation.nodes[leader].state = Link::Good;
+    simulation.nodes[leader].store_link = Link::Good;
     simulation.run(8.0);
     assert_eq!(
         simulation.cancel(other, "wk-1"),
@@ -94,21 +94,21 @@
             let ends =
                 simulation.now + Duration::from_millis(3500) + Duration::from_millis(early_ms);
             simulation.until(6.0, "the end", |simulation| simulation.now >= ends);
-            simulation.nodes[leader].state = link;
+            simulation.nodes[leader].store_link = link;
             for node in 0..3 {
                 simulation.cancel_without_waiting(node, "wk-000001");
                 simulation.submit_without_waiting(node, &spec);
             }
             simulation.run(1.0);
-            simulation.nodes[leader].state = Link::Good;
+            simulation.nodes[leader].store_link = Link::Good;
             simulation.release();
             // The simulation fails at two different final answers, at `done` ahead of time, at a 404.
-            let mut told = None;
+            let mut answered = None;
             for _ in 0..40 {
                 for node in 0..3 {
                     simulation.cancel_without_waiting(node, "wk-000001");
                     let (_, state) = simulation.show(node, "wk-000001");
-                    told = told.or(state.filter(|s| *s != JobState::Running));
+                    answered = answered.or(state.filter(|s| *s != JobState::Running));
                     assert!(matches!(simulation.submit(node, &spec), 0 | 200 | 503));
                 }
                 if simulation.final_answer("wk-000001").is_some() {
@@ -131,7 +131,7 @@
     );
 }
 
-/// Tasks whose images are being fetched, and starts on their way, when the user is told.
+/// Tasks whose images are being fetched, and starts on their way, when the user is answered.
 fn cancelled_while_it_starts(fetch_ms: u64) {
     let (mut simulation, leader) = eight_machines(920);
     simulation.image_fetch_time = Duration::from_millis(fetch_ms);
@@ -199,8 +199,8 @@
                 simulation.workers.get_mut(id).unwrap().hung = true;
             }
             simulation.run(0.3);
-            let told = simulation.cancel(leader, "wk-000001");
-            assert_eq!(told, (200, Some(JobState::Cancelled)));
+            let answer = simulation.cancel(leader, "wk-000001");
+            assert_eq!(answer, (200, Some(JobState::Cancelled)));
             if leader_ends {
                 simulation.kill(leader, Duration::from_secs(5));
             }
@@ -218,9 +218,12 @@
                     || simulation.now
                         < simulation.checker.cancelled_at["wk-000001"] + simulation.setup.cancel
             );
-            let left = simulation.places("wk-000001");
+            let still_running = simulation.places("wk-000001");
             // A new leader has yet to hear of what it holds, but its lease ends all the same.
-            assert!(left.is_empty() || leader_ends, "{hang} s: {left:?} goes on");
+            assert!(
+                still_running.is_empty() || leader_ends,
+                "{hang} s: {still_running:?} goes on"
+            );
             simulation.run(22.0);
             assert!(simulation.places("wk-000001").is_empty());
         }
@@ -228,7 +231,7 @@
     assert!(resumed >= 12, "{resumed} machines went on with it");
 }
 
-/// Where a cancellation may take less than a lease, users are told when nothing is left.
+/// Where a cancellation may take less than a lease, users get the answer when nothing is left running.
 fn cancelled_in_less_than_a_lease() -> u32 {
     let mut least = u32::MAX;
     let setup = Setup {
@@ -362,8 +365,8 @@
     );
 }
 
-/// Starts that went out with the answer to a report, and that no report has shown, when their job is cancelled.
-fn cancelled_before_a_report_shows_it() {
+/// Starts that went out with the answer to a heartbeat, and that no heartbeat has shown, when their job is cancelled.
+fn cancelled_before_a_heartbeat_shows_it() {
     let (mut simulation, leader) = eight_machines(1330);
     simulation.image_fetch_time = Duration::from_millis(700);
     assert_eq!(
@@ -389,11 +392,11 @@
 }
 
 #[test]
-fn unreported_starts_stopped_by_cancellation() {
-    cancelled_before_a_report_shows_it();
+fn starts_without_heartbeat_stopped_by_cancellation() {
+    cancelled_before_a_heartbeat_shows_it();
     fails_without(
         Safeguard::StopUnseenTasks,
         "it starts after its user was told",
-        cancelled_before_a_report_shows_it,
+        cancelled_before_a_heartbeat_shows_it,
     );
 }
--- a/src/core/simulation/scenarios/cancellation_at_handover.rs
+++ b/src/core/simulation/scenarios/cancellation_at_handover.rs
@@ -138,7 +138,7 @@
             Handover::Killed => simulation.kill(node, Duration::from_secs(20)),
             Handover::Paused => simulation.nodes[node].paused = true,
             Handover::Isolated => {
-                simulation.nodes[node].state = Link::Held;
+                simulation.nodes[node].store_link = Link::Held;
                 simulation.nodes[node].peers_reachable = false;
                 for worker in simulation.workers.values_mut() {
                     worker.partitioned_from = (0..3).filter(|n| *n != node).collect();
@@ -151,7 +151,7 @@
                 }
             }
             Handover::Resigns => simulation.nodes[node].core.resign("another one is to lead"),
-            Handover::Refused => simulation.nodes[node].state = Link::Refused,
+            Handover::Refused => simulation.nodes[node].store_link = Link::Refused,
         }
     }
 }
@@ -194,7 +194,7 @@
     confirmed_early
 }
 
-/// A cluster in which all jobs run, and the controller that all workers report to.
+/// A cluster in which all jobs run, and the controller that all workers send heartbeats to.
 fn cluster_before_handover(handover: Handover, delegate: bool) -> (Simulation, usize) {
     let policy = format!("delegate = {delegate}\nidle_keep = 600");
     let setup = Setup {
@@ -244,7 +244,7 @@
 
 fn heal_after_handover(simulation: &mut Simulation, node: usize) {
     simulation.nodes[node].paused = false;
-    simulation.nodes[node].state = Link::Good;
+    simulation.nodes[node].store_link = Link::Good;
     simulation.nodes[node].peers_reachable = true;
     simulation.heal_worker_partitions();
     simulation.faults.hold_commands = false;
@@ -301,7 +301,7 @@
         });
         simulation.faults.hold_commands = held;
         (
-            simulation.nodes[old].state,
+            simulation.nodes[old].store_link,
             simulation.nodes[old].peers_reachable,
         ) = (Link::Held, false);
         let mut asked = 0;
@@ -320,7 +320,7 @@
             "all are there when its user is told"
         );
         assert_ne!(simulation.leader(), Some(old));
-        // Users of the old one are not told otherwise.
+        // Users of the old one get no other answer.
         for _ in 0..10 {
             simulation.show(old, "wk-000001");
             simulation.run(1.0);
--- a/src/core/simulation/scenarios/cancellation_in_outage.rs
+++ b/src/core/simulation/scenarios/cancellation_in_outage.rs
@@ -1,8 +1,8 @@
 //! Cancellations before and in an outage: the state service refuses the leader alone, another
 //! controller confirms cancellations, and then nobody is served for longer than a cancellation may
-//! take, while the workers report to the old leader. `docs/design.md` has the time line as arithmetic.
+//! take, while the workers send heartbeats to the old leader. `docs/design.md` has the time line as arithmetic.
 //! The simulation checks at every tick that nothing of a cancelled job is on a machine longer than
-//! that after its user was told.
+//! that after its user was answered.
 
 use super::unlimited_job;
 use crate::core::leadership::lease::LEASE_TTL;
@@ -11,9 +11,9 @@
 use crate::policy::Policy;
 use std::time::{Duration, Instant};
 
-/// The controllers that the workers report to when the leader is refused.
+/// The controllers that the workers send heartbeats to when the leader is refused.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum ReportTarget {
+enum HeartbeatTarget {
     Leader,
     Follower,
     All,
@@ -23,7 +23,7 @@
 struct Case {
     nodes: usize,
     delegate: bool,
-    target: ReportTarget,
+    target: HeartbeatTarget,
     /// Seconds after the refusal at which nobody is served any more.
     outage_after: f64,
     /// Seconds for which the leader is refused.
@@ -32,14 +32,14 @@
     paused: bool,
     rounds: u32,
     hold_commands: bool,
-    /// The controller that the workers report to loses the state service and the other controllers.
+    /// The controller that the workers send heartbeats to loses the state service and the other controllers.
     isolated: bool,
 }
 
 const USUAL_CASE: Case = Case {
     nodes: 3,
     delegate: true,
-    target: ReportTarget::Leader,
+    target: HeartbeatTarget::Leader,
     outage_after: 4.0,
     refused: 14.0,
     paused: false,
@@ -62,30 +62,30 @@
     case: Case,
     number: usize,
     old_leader: usize,
-    /// The controller that all workers report to, if it is one.
-    reported_to: Option<usize>,
+    /// The controller that all workers send heartbeats to, if it is one.
+    heartbeat_target: Option<usize>,
     begun: Instant,
 }
 
 impl Round {
-    /// Starts a round's jobs, and lets the workers report to where the case has them.
+    /// Starts a round's jobs, and lets the workers send heartbeats to where the case has them.
     fn begin(simulation: &mut Simulation, case: Case, number: usize) -> Round {
         simulation.until(40.0, "a leader", |simulation| simulation.leader().is_some());
         let old_leader = simulation.leader().unwrap();
-        let reported_to = match case.target {
-            ReportTarget::Leader => Some(old_leader),
-            ReportTarget::Follower => Some((old_leader + 1) % case.nodes),
-            ReportTarget::All => None,
+        let heartbeat_target = match case.target {
+            HeartbeatTarget::Leader => Some(old_leader),
+            HeartbeatTarget::Follower => Some((old_leader + 1) % case.nodes),
+            HeartbeatTarget::All => None,
         };
         let mut round = Round {
             case,
             number,
             old_leader,
-            reported_to,
+            heartbeat_target,
             begun: simulation.now,
         };
         round.start_jobs(simulation);
-        if let Some(node) = reported_to {
+        if let Some(node) = heartbeat_target {
             simulation.workers.values_mut().for_each(|m| m.node = node);
         }
         simulation.run(2.5);
@@ -116,7 +116,7 @@
     }
 
     /// Cancels jobs, refuses the leader and begins the outage, each at its time. Returns how many users
-    /// were told by another controller than the old leader, between the refusal and the outage, while
+    /// were answered by another controller than the old leader, between the refusal and the outage, while
     /// tasks of theirs were still on machines.
     fn play(&self, simulation: &mut Simulation) -> u32 {
         let mut confirmed_early = 0;
@@ -157,11 +157,11 @@
         let refused =
             now >= self.after(REFUSAL_DELAY) && now < self.after(REFUSAL_DELAY + self.case.refused);
         let link = |fault: Link| if refused { fault } else { Link::Good };
-        simulation.nodes[self.old_leader].state = link(Link::Refused);
-        if let Some(node) = self.reported_to.filter(|_| self.case.isolated) {
+        simulation.nodes[self.old_leader].store_link = link(Link::Refused);
+        if let Some(node) = self.heartbeat_target.filter(|_| self.case.isolated) {
             simulation.nodes[node].peers_reachable = !refused;
             if node != self.old_leader {
-                simulation.nodes[node].state = link(Link::Held);
+                simulation.nodes[node].store_link = link(Link::Held);
             }
             // Its workers find no other one.
             for worker in simulation.workers.values_mut() {
@@ -223,7 +223,7 @@
     }
 }
 
-/// Plays a case. Returns how many users were told by another controller than the old leader, between
+/// Plays a case. Returns how many users were answered by another controller than the old leader, between
 /// the refusal and the outage, while tasks of theirs were still on machines.
 fn play(case: Case, seed: u64) -> u32 {
     let policy = format!("delegate = {}\nidle_keep = 600", case.delegate);
@@ -259,11 +259,11 @@
     for delegate in [true, false] {
         for outage_after in [0.2, 1.0, 2.5, 3.4, 4.0, 5.0] {
             for (target, refused) in [
-                (ReportTarget::Leader, 14.0),
-                (ReportTarget::Follower, 14.0),
+                (HeartbeatTarget::Leader, 14.0),
+                (HeartbeatTarget::Follower, 14.0),
                 // The refusal ends inside the outage, or before a lease could end, or not before the outage does.
-                (ReportTarget::All, outage_after + 1.0),
-                (ReportTarget::Leader, 60.0),
+                (HeartbeatTarget::All, outage_after + 1.0),
+                (HeartbeatTarget::Leader, 60.0),
             ] {
                 cases.push(Case {
                     delegate,
@@ -281,7 +281,7 @@
                 ..USUAL_CASE
             };
             let paused = true;
-            for target in [ReportTarget::Leader, ReportTarget::Follower] {
+            for target in [HeartbeatTarget::Leader, HeartbeatTarget::Follower] {
                 let isolated = true;
                 cases.push(Case {
                     target,
@@ -294,7 +294,7 @@
             cases.push(Case { paused, ..case });
             cases.push(Case {
                 nodes: 5,
-                target: ReportTarget::Follower,
+                target: HeartbeatTarget::Follower,
                 paused,
                 rounds: 2,
                 ..case
--- a/src/core/simulation/scenarios/delegation.rs
+++ b/src/core/simulation/scenarios/delegation.rs
@@ -15,7 +15,7 @@
     Policy::with("story", &format!("delegate = {delegate}")).unwrap()
 }
 
-/// Three controllers with a leader, and so many machines that have reported; none can be rented.
+/// Three controllers with a leader, and so many machines that have sent heartbeats; none can be provisioned.
 fn delegating_cluster(seed: u64, machines: usize) -> (Simulation, usize) {
     crate::core::simulation::enable_log();
     let mut simulation = Simulation::with_policy(seed, policy(true));
@@ -25,7 +25,7 @@
     (simulation, leader)
 }
 
-/// How many workers report to each node.
+/// How many workers send heartbeats to each node.
 fn workers_per_node(simulation: &Simulation) -> BTreeMap<usize, usize> {
     let mut out = BTreeMap::new();
     for m in simulation.workers.values() {
@@ -38,13 +38,13 @@
     simulation.workers.values_mut().for_each(|m| m.node = node);
 }
 
-/// Reports that other controllers answered alone, by the leader's count.
+/// Heartbeats that other controllers answered alone, by the leader's count.
 fn answered(simulation: &Simulation, leader: usize) -> u64 {
     (simulation.nodes[leader].core.leader.as_ref()).map_or(0, |l| l.delegates.delegated_answers)
 }
 
 #[test]
-fn followers_answer_unchanged_and_relay_new_reports() {
+fn followers_answer_unchanged_and_relay_new_heartbeats() {
     let (mut simulation, leader) = delegating_cluster(501, 60);
     simulation.run(5.0);
     let before = (
@@ -52,9 +52,12 @@
         simulation.counters.heartbeats,
     );
     simulation.run(10.0);
-    let told = answered(&simulation, leader) - before.0;
+    let answered_by_others = answered(&simulation, leader) - before.0;
     let all = u64::from(simulation.counters.heartbeats - before.1);
-    assert!(told * 2 > all, "{told} of {all} were answered by others");
+    assert!(
+        answered_by_others * 2 > all,
+        "{answered_by_others} of {all} were answered by others"
+    );
     // Nobody was lost by it, and work goes through all of them.
     assert_eq!(simulation.workers.len(), 60);
     assert_eq!(
@@ -67,9 +70,9 @@
     assert_eq!(simulation.counters.clears, 40);
 }
 
-/// Plans are some time apart, and reports were answered before the next one: each start took a call.
+/// Plans are some time apart, and heartbeats were answered before the next one: each start took a call.
 #[test]
-fn start_sent_in_answer_to_completion_report() {
+fn start_sent_in_response_to_completion_heartbeat() {
     let (mut simulation, leader) = delegating_cluster(503, 20);
     assert_eq!(
         simulation.submit(leader, &unlimited_job("wk-1", 300, 4.0, 2)),
@@ -77,14 +80,14 @@
     );
     simulation.until_done("wk-1", 90.0);
     let stats = &simulation.nodes[leader].core.stats;
-    let (told, called) = (
+    let (in_responses, called) = (
         stats.done(Work::StartInAnswer),
         stats.done(Work::StartByCall),
     );
     assert_eq!(simulation.counters.starts, 300);
     assert!(
-        told > 250 && called < 50,
-        "{told} in answers, {called} by calls"
+        in_responses > 250 && called < 50,
+        "{in_responses} in answers, {called} by calls"
     );
 }
 
@@ -157,7 +160,7 @@
     simulation
         .workers
         .values_mut()
-        .for_each(|m| m.next_report = later);
+        .for_each(|m| m.next_heartbeat = later);
     simulation.until(8.0, "a leader", |simulation| simulation.leader().is_some());
     let leader = simulation.leader().unwrap();
     simulation.until(3.0, "all machines known", |simulation| {
@@ -229,7 +232,7 @@
         simulation
             .workers
             .values_mut()
-            .for_each(|m| m.next_report = at);
+            .for_each(|m| m.next_heartbeat = at);
         simulation.run(answered_after + 0.1);
         simulation
             .workers
@@ -284,10 +287,10 @@
     assert_eq!(simulation.workers.len(), 60);
 }
 
-/// Where workers report often, what was told 0.4 s late made each zone seem cut off again and again,
+/// Where workers send heartbeats often, what was relayed 0.4 s late made each zone seem cut off again and again,
 /// and no dead machine was ever given up for its silence.
 #[test]
-fn dead_machine_deleted_despite_delegated_reports() {
+fn dead_machine_deleted_despite_delegated_heartbeats() {
     let (mut simulation, leader) = delegating_cluster(514, 60);
     simulation.run(10.0);
     simulation.submit(leader, &unlimited_job("wk-1", 30, 2.0, 20));
@@ -312,7 +315,7 @@
             .count()
     };
     assert!(delegated(&simulation) > 4);
-    // Direct commands do not get through: starts go with answers to reports, which only the leader
+    // Direct commands do not get through: starts go with answers to heartbeats, which only the leader
     // can give.
     simulation.faults.hold_commands = true;
     simulation.submit(leader, &unlimited_job("wk-1", 48, 1.0, 4));
--- a/src/core/simulation/scenarios/dependencies.rs
+++ b/src/core/simulation/scenarios/dependencies.rs
@@ -145,7 +145,7 @@
 }
 
 /// While a cancellation is being written, nobody says of what needs the job that it still waits:
-/// another node may have read the end and told its user.
+/// another node may have read the end and answered its user.
 #[test]
 fn dependent_of_uncertain_cancellation_never_revived() {
     let (mut simulation, leader) = four_machines(43);
@@ -154,7 +154,7 @@
     simulation.submit(leader, &after("wk-3", &["wk-2"], 1, 5));
     simulation.run(2.0);
     // The end is committed, but the leader does not learn so.
-    simulation.nodes[leader].state = Link::AnswersLost;
+    simulation.nodes[leader].store_link = Link::AnswersLost;
     simulation.cancel_without_waiting(leader, "wk-1");
     simulation.run(0.2);
     simulation.set_peers_reachable(false);
@@ -163,7 +163,7 @@
     assert!(simulation.nodes[leader].core.leads());
     // The simulation fails if the leader said otherwise from memory.
     simulation.show(leader, "wk-3");
-    simulation.nodes[leader].state = Link::Refused;
+    simulation.nodes[leader].store_link = Link::Refused;
     simulation.show(leader, "wk-3");
 }
 
@@ -174,7 +174,7 @@
     let other = follower(leader);
     simulation.submit(leader, &after("wk-1", &[], 4, 60));
     simulation.submit(leader, &after("wk-2", &["wk-1"], 1, 5));
-    simulation.nodes[leader].state = Link::WritesHeld;
+    simulation.nodes[leader].store_link = Link::WritesHeld;
     simulation.cancel_without_waiting(leader, "wk-1");
     simulation.run(0.2);
     simulation.set_peers_reachable(false);
@@ -203,7 +203,7 @@
     simulation.run(1.0);
     simulation.nodes[late].watch_delayed = true;
     // Committed, and nothing more is written: the leader does not learn so.
-    simulation.nodes[leader].state = Link::AnswersLost;
+    simulation.nodes[leader].store_link = Link::AnswersLost;
     simulation.cancel_without_waiting(leader, "wk-1");
     simulation.run(0.2);
     simulation.set_peers_reachable(false);
@@ -260,7 +260,7 @@
     }
 }
 
-/// A waiting job is no part of its team's limit or guarantee, keeps no room, has nothing rented
+/// A waiting job is no part of its team's limit or guarantee, keeps no room, has nothing provisioned
 /// for it and stops nobody.
 #[test]
 fn waiting_dependent_holds_no_resources() {
@@ -278,7 +278,10 @@
     assert_eq!(simulation.places("wk-3").len(), 15);
     simulation.run(20.0);
     assert_eq!(
-        (simulation.places("wk-3").len(), simulation.counters.rented),
+        (
+            simulation.places("wk-3").len(),
+            simulation.counters.provisioned
+        ),
         (15, (0, 0))
     );
     // Team u has 8 CPUs guaranteed: a waiting job that fills them leaves them to the next.
--- a/src/core/simulation/scenarios/late_commands.rs
+++ b/src/core/simulation/scenarios/late_commands.rs
@@ -11,7 +11,7 @@
 /// the heartbeats of the others, and then the starts arrive at machines that have seen neither the new token nor anything else.
 fn commands_of_a_former_leader(after_s: f64, deposed: bool) {
     let (mut simulation, leader) = eight_machines(1220);
-    // Machines have reported just now, so that starts go out by calls.
+    // Machines have sent heartbeats just now, so that starts go out by calls.
     simulation.faults.hold_commands = true;
     assert_eq!(
         simulation.submit(leader, &unlimited_job("wk-000001", 4, 4.0, 30)),
@@ -22,19 +22,19 @@
         !simulation.network.held_commands.is_empty(),
         "none is under way"
     );
-    let told: Vec<MachineId> = simulation
+    let commanded: Vec<MachineId> = simulation
         .network
         .held_commands
         .iter()
         .map(|(id, _)| id.clone())
         .collect();
     simulation.faults.cloud_down = true;
-    for id in &told {
+    for id in &commanded {
         simulation.partition_worker(id);
     }
     let terms = simulation.terms();
     if deposed {
-        simulation.nodes[leader].state = Link::Refused;
+        simulation.nodes[leader].store_link = Link::Refused;
         simulation.nodes[leader].peers_reachable = false;
     } else {
         simulation.kill(leader, Duration::from_secs(30));
@@ -45,14 +45,14 @@
     simulation.faults.hold_commands = false;
     simulation.run(after_s);
     let held = std::mem::take(&mut simulation.network.held_commands);
-    let arrived = held.iter().filter(|(id, _)| told.contains(id)).count();
+    let arrived = held.iter().filter(|(id, _)| commanded.contains(id)).count();
     assert!(arrived > 0, "nothing arrives late");
     for (id, body) in held {
         simulation.direct(&id, &body);
     }
     simulation.run(1.0);
     (
-        simulation.nodes[leader].state,
+        simulation.nodes[leader].store_link,
         simulation.nodes[leader].peers_reachable,
     ) = (Link::Good, true);
     simulation.heal_worker_partitions();
--- a/src/core/simulation/scenarios/late_writes.rs
+++ b/src/core/simulation/scenarios/late_writes.rs
@@ -10,14 +10,14 @@
 /// What the leader writes from now on is kept, and it receives no answer to it; what happens meanwhile it writes
 /// again once it can, so that the first copy is still under way when the second is carried out.
 fn hold_write(simulation: &mut Simulation, leader: usize, f: impl FnOnce(&mut Simulation)) {
-    simulation.nodes[leader].state = Link::WritesHeld;
+    simulation.nodes[leader].store_link = Link::WritesHeld;
     f(simulation);
     simulation.run(2.5);
     assert!(
         !simulation.network.held_transactions.is_empty(),
         "nothing is under way"
     );
-    simulation.nodes[leader].state = Link::Good;
+    simulation.nodes[leader].store_link = Link::Good;
     simulation.run(1.5);
 }
 
@@ -103,14 +103,14 @@
         201
     );
     simulation.run(1.0);
-    simulation.nodes[leader].state = Link::WritesHeld;
+    simulation.nodes[leader].store_link = Link::WritesHeld;
     simulation.run(3.5);
     assert!(
         !simulation.network.held_transactions.is_empty(),
         "nothing is under way"
     );
     simulation.release();
-    simulation.nodes[leader].state = Link::Good;
+    simulation.nodes[leader].store_link = Link::Good;
     simulation.until_done("wk-000001", 6.0);
     assert_eq!(simulation.leader(), Some(leader));
     // With a third of all transactions carried out late, work goes on, and no leader gives up for it.
@@ -129,12 +129,12 @@
     simulation.submit(leader, &sample("wk-1", 4, 2.0, 30));
     simulation.run(2.0);
     // The old leader's cancellation is stuck in the network while another leads.
-    simulation.nodes[leader].state = Link::Held;
+    simulation.nodes[leader].store_link = Link::Held;
     let _ = simulation.cancel(leader, "wk-1");
     simulation.run_until_other_leader(leader, 10.0);
     assert!(!simulation.network.held_transactions.is_empty());
     simulation.release();
-    simulation.nodes[leader].state = Link::Good;
+    simulation.nodes[leader].store_link = Link::Good;
     simulation.until_done("wk-1", 60.0);
 }
 
@@ -153,7 +153,7 @@
         simulation.faults.late_write_share,
         simulation.faults.store_delay,
     ) = (late_writes, slow);
-    simulation.until(20.0, "machines are rented", |simulation| {
+    simulation.until(20.0, "machines are provisioned", |simulation| {
         simulation.workers.len() >= 3
     });
     simulation.run(0.5 + ends_after as f64 * 0.1);
--- a/src/core/simulation/scenarios/leadership.rs
+++ b/src/core/simulation/scenarios/leadership.rs
@@ -74,7 +74,7 @@
 }
 
 /// One machine that had died with the old leader held up all old tasks that nobody had shown, for
-/// more than its report interval.
+/// more than its heartbeat interval.
 #[test]
 fn machine_dead_with_leader_delays_no_other() {
     let (mut simulation, leader) = four_machines(27);
@@ -192,7 +192,7 @@
     }
 }
 
-/// Its former key and lease still stand, and frames of its former life are under way.
+/// Its former key and lease still stand, and frames of its previous process are under way.
 #[test]
 fn quick_restart_ignores_previous_process() {
     let (mut simulation, leader) = eight_machines(68);
--- a/src/core/simulation/scenarios/loss_of_store.rs
+++ b/src/core/simulation/scenarios/loss_of_store.rs
@@ -93,7 +93,7 @@
 
 /// The term begins at 1 again in an empty store, which every worker would drop.
 #[test]
-fn terms_and_rental_names_never_reused() {
+fn terms_and_scale_out_names_never_reused() {
     let (mut simulation, leader) = six_machines(901);
     simulation.kill(leader, Duration::from_secs(1));
     simulation.run(10.0);
@@ -141,15 +141,15 @@
     let (mut simulation, leader) = six_machines(903);
     simulation.submit(leader, &long("wk-1"));
     simulation.run(3.0);
-    simulation.nodes[leader].state = Link::WritesHeld;
+    simulation.nodes[leader].store_link = Link::WritesHeld;
     let other = (leader + 1) % 3;
     simulation.cancel_without_waiting(leader, "wk-1");
     simulation.run(1.0);
     simulation.lose_state();
-    simulation.nodes[leader].state = Link::Good;
+    simulation.nodes[leader].store_link = Link::Good;
     simulation.run(6.0);
     simulation.until(60.0, "the store is whole", Simulation::store_complete);
-    // The held write ends the job: its user was not told so.
+    // The held write ends the job: its user received no such answer.
     let held = simulation.network.held_transactions.len();
     assert!(held > 0);
     let before = simulation.stored("burlusher/j/");
@@ -185,7 +185,7 @@
 }
 
 /// With one controller that stays away, questions of what is unknown are put off for as long; but
-/// what is known is told, and new work is taken, once the workers' leases have run out.
+/// what is known is answered, and new work is taken, once the workers' leases have run out.
 #[test]
 fn absent_controller_does_not_block_service() {
     let (mut simulation, leader) = six_machines(905);
@@ -387,13 +387,13 @@
     let starts = simulation.counters.starts;
     // Nothing else tells it: its reads lag, and its writes are held up.
     simulation.nodes[leader].watch_delayed = true;
-    simulation.nodes[leader].state = Link::WritesHeld;
+    simulation.nodes[leader].store_link = Link::WritesHeld;
     simulation.lose_state();
     simulation.reissue_lease_id(leader);
     simulation.run_until_other_leader(leader, 12.0);
     simulation.run(3.0);
     simulation.nodes[leader].watch_delayed = false;
-    simulation.nodes[leader].state = Link::Good;
+    simulation.nodes[leader].store_link = Link::Good;
     assert_rebuilt(&mut simulation, starts);
     simulation.until_done("wk-1", 90.0);
 }
@@ -407,10 +407,10 @@
     simulation.run(2.0);
     let starts = simulation.counters.starts;
     simulation.lose_state();
-    simulation.nodes[leader].state = Link::Refused;
+    simulation.nodes[leader].store_link = Link::Refused;
     // The simulation fails if two act at the same time.
     simulation.run_until_other_leader(leader, 12.0);
-    simulation.nodes[leader].state = Link::Good;
+    simulation.nodes[leader].store_link = Link::Good;
     assert_rebuilt(&mut simulation, starts);
 }
 
@@ -548,7 +548,7 @@
 }
 
 /// A leader reads the store afresh for a sign of a loss, and accepts a job meanwhile: the read is older
-/// than the job. It dropped the job, whose tasks ran on, and started them anew when the watch told of it
+/// than the job. It dropped the job, whose tasks ran on, and started them anew when the watch delivered it
 /// again; and what was done of others and not on record yet was never counted.
 #[test]
 fn stale_listing_restarts_and_forgets_nothing() {
@@ -636,7 +636,7 @@
     // The others have not noticed yet, and nobody but this one can be asked.
     for node in (0..3).filter(|n| *n != other) {
         (
-            simulation.nodes[node].state,
+            simulation.nodes[node].store_link,
             simulation.nodes[node].peers_reachable,
         ) = (Link::Refused, false);
     }
--- a/src/core/simulation/scenarios/lost_answers.rs
+++ b/src/core/simulation/scenarios/lost_answers.rs
@@ -1,6 +1,6 @@
 //! Transactions that are carried out at once and whose answer alone is lost, while other controllers read what
 //! they wrote; and leaderships that end while their leader key stands. The simulation fails at every step
-//! at which two leaderships have one term, a task is on two machines, or a user is told something older.
+//! at which two leaderships have one term, a task is on two machines, or a user gets an older answer.
 
 use super::{eight_machines, unlimited_job};
 use crate::core::simulation::{Link, Simulation, fails_without};
@@ -81,10 +81,10 @@
     simulation.run(2.0);
     for round in 0..3 {
         let terms = simulation.terms();
-        simulation.nodes[leader].state = link;
+        simulation.nodes[leader].store_link = link;
         simulation.depose(leader);
         simulation.run(1.0);
-        simulation.nodes[leader].state = Link::Good;
+        simulation.nodes[leader].store_link = Link::Good;
         simulation.release();
         simulation.until(10.0, "a leader", |simulation| simulation.leader().is_some());
         assert!(
@@ -108,7 +108,7 @@
     });
 }
 
-/// What another controller has not seen yet is not told by it from its own copy.
+/// What another controller has not seen yet is not answered by it from its own copy.
 fn query_lagging_controllers() {
     let (mut simulation, leader) = eight_machines(1130);
     for n in 0..3 {
@@ -151,7 +151,7 @@
     );
 }
 
-/// A write that is refused is not told as if it had been carried out: its job goes on, whoever leads next.
+/// A write that is refused is not answered as if it had been carried out: its job goes on, whoever leads next.
 fn writes_are_refused() {
     let (mut simulation, leader) = eight_machines(1140);
     assert_eq!(
@@ -190,7 +190,7 @@
     );
 }
 
-/// Creations whose answer is lost: the user is told as soon as the job is seen in the store.
+/// Creations whose answer is lost: the user is answered as soon as the job is seen in the store.
 #[test]
 fn submission_with_lost_answer_accepted_once_seen() {
     let (mut simulation, leader) = eight_machines(1120);
--- a/src/core/simulation/scenarios/mixed_faults.rs
+++ b/src/core/simulation/scenarios/mixed_faults.rs
@@ -53,7 +53,7 @@
                 Link::WritesHeld,
                 Link::Good,
             ];
-            simulation.nodes[node].state = links[simulation.random(5)];
+            simulation.nodes[node].store_link = links[simulation.random(5)];
         }
         4 => {
             let link = [Link::Refused, Link::AnswersLost][simulation.random(2)];
--- a/src/core/simulation/scenarios/mod.rs
+++ b/src/core/simulation/scenarios/mod.rs
@@ -14,7 +14,7 @@
 mod lost_answers;
 mod machine_failures;
 pub mod mixed_faults;
-mod old_reports;
+mod old_heartbeats;
 mod outages;
 mod partitions;
 mod provisioning;
@@ -34,7 +34,7 @@
     (simulation, leader)
 }
 
-/// A thousand machines in two zones and a leader that has received their heartbeats; none can be rented.
+/// A thousand machines in two zones and a leader that has received their heartbeats; none can be provisioned.
 pub fn thousand_machines(seed: u64, kind: &str) -> (Simulation, usize) {
     let mut simulation = Simulation::new(seed);
     simulation.capacity.clear();
@@ -43,7 +43,7 @@
     (simulation, leader)
 }
 
-/// Three controllers that serve workers for one another, and eight machines; none can be rented.
+/// Three controllers that serve workers for one another, and eight machines; none can be provisioned.
 pub fn eight_machines(seed: u64) -> (Simulation, usize) {
     crate::core::simulation::enable_log();
     let policy = Policy::with("added", "delegate = true\nidle_keep = 600").unwrap();
--- a/src/core/simulation/scenarios/old_reports.rs
+++ b/src/core/simulation/scenarios/old_heartbeats.rs
@@ -1,4 +1,4 @@
-//! Reports that are old, repeated or of an earlier life of their machine.
+//! Heartbeats that are old, repeated or of an earlier life of their machine.
 
 use super::{eight_machines, four_machines, machines_in_zone, unlimited_job};
 use crate::core::simulation::{Simulation, fails_without};
@@ -7,9 +7,9 @@
 use crate::wire::{Heartbeat, JobState};
 use std::time::Duration;
 
-/// Reports made before tasks were started reach every controller as the next leader begins, before its first
+/// Heartbeats made before tasks were started reach every controller as the next leader begins, before its first
 /// answer, and before the machines themselves are in contact: they prove nothing about what is there.
-fn old_reports_as_a_leader_begins() {
+fn old_heartbeats_as_a_leader_begins() {
     let (mut simulation, leader) = eight_machines(1200);
     assert_eq!(
         simulation.submit(leader, &unlimited_job("wk-000001", 3, 4.0, 40)),
@@ -27,7 +27,7 @@
     // They say that their machines are to be taken: nothing new is started on these.
     let old = idle.iter().map(|id| Heartbeat {
         reclaim_in_s: Some(60.0),
-        ..simulation.report_of(id)
+        ..simulation.heartbeat_of(id)
     });
     let old = old.collect();
     assert_eq!(
@@ -51,7 +51,7 @@
     simulation.add_machine("small", "b");
     simulation.run(7.0);
     assert!(
-        simulation.counters.reports_replayed >= 10,
+        simulation.counters.heartbeats_replayed >= 10,
         "none was delivered"
     );
     assert_eq!(
@@ -64,25 +64,25 @@
 }
 
 #[test]
-fn old_reports_at_takeover_prove_nothing() {
-    old_reports_as_a_leader_begins();
+fn old_heartbeats_at_takeover_prove_nothing() {
+    old_heartbeats_as_a_leader_begins();
     fails_without(
         Safeguard::TokenProof,
         " and on ",
-        old_reports_as_a_leader_begins,
+        old_heartbeats_as_a_leader_begins,
     );
 }
 
-/// The same through six changes of leader, with every report of some seconds kept for the next, machines that
+/// The same through six changes of leader, with every heartbeat of some seconds kept for the next, machines that
 /// begin anew in between, and a follower that answers under a grant.
 #[test]
-fn leaders_beginning_among_old_reports_start_nothing_twice() {
+fn leaders_beginning_among_old_heartbeats_start_nothing_twice() {
     let (mut simulation, _) = eight_machines(1210);
     let mut delivered = 0;
     for n in 0..6u32 {
         simulation.until(15.0, "a leader", |simulation| simulation.leader().is_some());
         let leader = simulation.leader().unwrap();
-        simulation.faults.replayed_report_share = 0.5;
+        simulation.faults.replayed_heartbeat_share = 0.5;
         let id = format!("wk-{:06}", n + 1);
         simulation.submit_until_accepted(leader, &unlimited_job(&id, 5, 2.0, 6), 0.5);
         simulation
@@ -93,17 +93,17 @@
         let machine = simulation.workers.keys().nth(n as usize).unwrap().clone();
         simulation.reboot(&machine, n % 2 == 0);
         simulation.run(1.5);
-        simulation.faults.replayed_report_share = 0.0;
+        simulation.faults.replayed_heartbeat_share = 0.0;
         simulation.kill(
             leader,
             Duration::from_millis(if n % 2 == 0 { 300 } else { 6000 }),
         );
         simulation.run(6.0);
         assert!(
-            simulation.counters.reports_replayed > delivered,
+            simulation.counters.heartbeats_replayed > delivered,
             "round {n}: none was kept"
         );
-        delivered = simulation.counters.reports_replayed;
+        delivered = simulation.counters.heartbeats_replayed;
     }
     for n in 0..6 {
         simulation.until_done(&format!("wk-{:06}", n + 1), 90.0);
@@ -143,10 +143,10 @@
     assert_eq!(simulation.counters.starts, starts);
 }
 
-/// A machine was returned, and the next leader does not know its name: a report of it that comes now made
+/// A machine was returned, and the next leader does not know its name: a heartbeat of it that comes now made
 /// it a machine again, and stopped what it once held wherever that runs now.
 #[test]
-fn old_report_does_not_revive_deleted_machine() {
+fn old_heartbeat_does_not_revive_deleted_machine() {
     let (mut simulation, leader) = eight_machines(64);
     assert_eq!(
         simulation.submit(leader, &unlimited_job("wk-000001", 1, 4.0, 60)),
@@ -154,7 +154,7 @@
     );
     simulation.run(3.0);
     let (id, _) = simulation.places("wk-000001")[0].clone();
-    let copy = simulation.report_of(&id);
+    let copy = simulation.heartbeat_of(&id);
     simulation.workers.remove(&id);
     simulation.until(40.0, "it starts elsewhere", |simulation| {
         simulation.places("wk-000001").len() == 1
@@ -165,7 +165,7 @@
         simulation.leader().is_some()
     });
     let next = simulation.leader().unwrap();
-    // It comes before the one that has the task now reports.
+    // It comes before the next heartbeat of the machine that has the task now.
     simulation.deliver(next, copy.clone());
     simulation.run(0.2);
     let lead = simulation.nodes[next].core.leader.as_ref().unwrap();
@@ -179,9 +179,9 @@
     simulation.until_done("wk-000001", 70.0);
 }
 
-/// Empty and counting from one, its reports were taken for old ones until it was given up.
+/// Empty and counting from one, its heartbeats were taken for old ones until it was given up.
 #[test]
-fn restarted_machine_distinguished_from_old_report() {
+fn restarted_machine_distinguished_from_old_heartbeat() {
     for from_one in [true, false] {
         let (mut simulation, leader) = eight_machines(66);
         assert_eq!(
@@ -190,7 +190,7 @@
         );
         simulation.run(3.0);
         let (id, _) = simulation.places("wk-000001")[0].clone();
-        let copy = simulation.report_of(&id);
+        let copy = simulation.heartbeat_of(&id);
         simulation.reboot(&id, from_one);
         simulation.deliver(leader, copy);
         let before = simulation.counters.starts;
@@ -211,7 +211,7 @@
 /// A new leader receives an old copy first: the task was there once. When that machine showed that it has
 /// nothing, the task was started a third time, and stopped where it ran.
 #[test]
-fn old_report_at_new_leader_moves_no_task() {
+fn old_heartbeat_at_new_leader_moves_no_task() {
     let (mut simulation, leader) = eight_machines(84);
     assert_eq!(
         simulation.submit(leader, &unlimited_job("wk-000001", 1, 4.0, 30)),
@@ -219,7 +219,7 @@
     );
     simulation.run(3.0);
     let (first, _) = simulation.places("wk-000001")[0].clone();
-    let copy = simulation.report_of(&first);
+    let copy = simulation.heartbeat_of(&first);
     simulation.reboot(&first, false);
     simulation.run(3.0);
     let (second, _) = simulation.places("wk-000001")[0].clone();
@@ -254,7 +254,7 @@
 /// A token that nobody gave passed for the sign of a store that has lost data: the leader gave up, and all
 /// was rebuilt.
 #[test]
-fn forged_report_changes_nothing() {
+fn forged_heartbeat_changes_nothing() {
     let (mut simulation, leader) = eight_machines(87);
     assert_eq!(
         simulation.submit(leader, &unlimited_job("wk-000001", 4, 4.0, 6)),
@@ -263,7 +263,7 @@
     simulation.run(1.0);
     let id = simulation.workers.keys().next().unwrap().clone();
     for node in 0..3 {
-        let mut heartbeat = simulation.report_of(&id);
+        let mut heartbeat = simulation.heartbeat_of(&id);
         (heartbeat.fencing_token, heartbeat.incarnation) = (u64::MAX, 1_000_000);
         heartbeat.tasks.clear();
         simulation.deliver(node, heartbeat);
@@ -287,18 +287,18 @@
 /// A machine that had begun anew, and counted from one, was taken for older than a late copy of its former
 /// life: what was given to it since counted as lost, and was started elsewhere while it ran.
 #[test]
-fn old_report_from_earlier_session_ignored() {
+fn old_heartbeat_from_earlier_incarnation_ignored() {
     let (mut simulation, leader) = eight_machines(88);
     let id = simulation.workers.keys().next().unwrap().clone();
-    let earlier_session = {
+    let earlier_incarnation = {
         simulation.reboot(&id, false);
         simulation.run(3.0);
-        simulation.report_of(&id)
+        simulation.heartbeat_of(&id)
     };
-    let same_session = Heartbeat {
+    let same_incarnation = Heartbeat {
         incarnation: 1,
         sequence: 1000,
-        ..simulation.report_of(&id)
+        ..simulation.heartbeat_of(&id)
     };
     simulation.reboot(&id, true);
     simulation.run(6.0);
@@ -308,7 +308,7 @@
     );
     simulation.run(2.0);
     assert!(simulation.places("wk-000001").iter().any(|(m, _)| *m == id));
-    for copy in [same_session, earlier_session] {
+    for copy in [same_incarnation, earlier_incarnation] {
         simulation.deliver(leader, copy);
         simulation.run(2.0);
     }
@@ -320,7 +320,7 @@
 /// incarnation, which has a whole lease. When it was asked and known at last, its lease was counted from the last answer
 /// to an earlier one; what was then started on it was given up at once, and started elsewhere while it ran.
 #[test]
-fn new_session_has_lease_from_its_start() {
+fn new_incarnation_has_lease_from_its_start() {
     let (mut simulation, leader) = eight_machines(85);
     let id = simulation.workers.keys().next().unwrap().clone();
     // With its whole zone, as single ones are given up.
@@ -343,7 +343,7 @@
     simulation.reboot(&id, false);
     let m = simulation.workers.get_mut(&id).unwrap();
     // It receives again, and is asked; its own heartbeats do not come through for a while.
-    (m.inbound_partitioned, m.next_report) = (false, simulation.now + Duration::from_secs(5));
+    (m.inbound_partitioned, m.next_heartbeat) = (false, simulation.now + Duration::from_secs(5));
     let lead = simulation.nodes[next].core.leader.as_mut().unwrap();
     assert!(lead.machines.get(&id).unwrap().unresolved, "too late");
     lead.recovery.probe_next(id.clone());
@@ -360,10 +360,10 @@
     assert_eq!(simulation.counters.starts, 5);
 }
 
-/// Seen on an own day: reports that a cut had held came when the machines' leases had run out, and
+/// Seen on an own day: heartbeats that a cut had held came when the machines' leases had run out, and
 /// tasks that had been started elsewhere meanwhile were taken for being there still.
 #[test]
-fn report_after_session_end_ignored() {
+fn heartbeat_after_incarnation_end_ignored() {
     let (mut simulation, leader) = four_machines(48);
     simulation.faults.cloud_down = true;
     simulation.submit(leader, &sample("wk-1", 6, 2.0, 60));
@@ -371,7 +371,7 @@
     let id = simulation.places("wk-1")[0].0.clone();
     simulation.workers.get_mut(&id).unwrap().hung = true;
     simulation.run(1.0);
-    let held = simulation.report_of(&id);
+    let held = simulation.heartbeat_of(&id);
     let there = held.tasks.len();
     simulation.run(12.5);
     let placed = |simulation: &Simulation| {
--- a/src/core/simulation/scenarios/outages.rs
+++ b/src/core/simulation/scenarios/outages.rs
@@ -28,13 +28,13 @@
 fn refused_node_forwards_and_refused_leader_replaced() {
     let (mut simulation, leader) = four_machines(13);
     let other = follower(leader);
-    simulation.nodes[other].state = Link::Refused;
+    simulation.nodes[other].store_link = Link::Refused;
     assert_eq!(simulation.submit(other, &sample("wk-1", 2, 2.0, 3)), 201);
     simulation.until_done("wk-1", 20.0);
     assert_eq!(simulation.show(other, "wk-1").1, Some(JobState::Done));
-    simulation.nodes[other].state = Link::Good;
+    simulation.nodes[other].store_link = Link::Good;
 
-    simulation.nodes[leader].state = Link::Refused;
+    simulation.nodes[leader].store_link = Link::Refused;
     simulation.run_until_other_leader(leader, 8.0);
     assert_eq!(simulation.submit(other, &sample("wk-2", 2, 2.0, 3)), 201);
     simulation.until_done("wk-2", 20.0);
--- a/src/core/simulation/scenarios/partitions.rs
+++ b/src/core/simulation/scenarios/partitions.rs
@@ -28,9 +28,9 @@
     assert_eq!(simulation.counters.starts, before);
     simulation.run(4.0);
     let lead = simulation.nodes[leader].core.leader.as_ref().unwrap();
-    let unheard = |id: &MachineId| lead.machines.get(id).unwrap().unconfirmed_token.is_some();
+    let unconfirmed = |id: &MachineId| lead.machines.get(id).unwrap().unconfirmed_token.is_some();
     assert!(
-        machines_in_zone(&simulation, "b").iter().all(unheard),
+        machines_in_zone(&simulation, "b").iter().all(unconfirmed),
         "a new session says so"
     );
     simulation.until_done("wk-000001", 40.0);
@@ -78,7 +78,7 @@
     assert_eq!(simulation.counters.starts, 8);
 }
 
-/// The new leader waited for ever for machines to show its token whose reports kept coming: none of the
+/// The new leader waited for ever for machines to show its token whose heartbeats kept coming: none of the
 /// old tasks that nobody had shown was started again.
 #[test]
 fn inbound_partition_does_not_block_new_leader() {
@@ -93,15 +93,15 @@
     simulation.until(10.0, "another leader", |simulation| {
         simulation.leader().is_some()
     });
-    // What was told to be cancelled during it stays so.
+    // What was answered as cancelled during it stays so.
     let next = simulation.leader().unwrap();
     assert_eq!(
         simulation.submit(next, &unlimited_job("wk-000002", 4, 4.0, 60)),
         201
     );
     simulation.run(1.0);
-    let told = simulation.cancel(next, "wk-000002");
-    assert_eq!(told, (200, Some(JobState::Cancelled)));
+    let answer = simulation.cancel(next, "wk-000002");
+    assert_eq!(answer, (200, Some(JobState::Cancelled)));
     simulation.until_done("wk-000001", 50.0);
     assert!(
         machines_in_zone(&simulation, "b").len() >= 4,
@@ -123,7 +123,7 @@
         simulation.run(3.0);
         let starts = simulation.counters.starts;
         (
-            simulation.nodes[alone].state,
+            simulation.nodes[alone].store_link,
             simulation.nodes[alone].peers_reachable,
         ) = (Link::Held, false);
         simulation.run(1.5);
@@ -140,7 +140,7 @@
         });
         simulation.run(5.0);
         (
-            simulation.nodes[alone].state,
+            simulation.nodes[alone].store_link,
             simulation.nodes[alone].peers_reachable,
         ) = (Link::Good, true);
         simulation.release();
@@ -249,7 +249,7 @@
         );
         simulation.run(3.0);
         (
-            simulation.nodes[inside].state,
+            simulation.nodes[inside].store_link,
             simulation.nodes[inside].peers_reachable,
         ) = (Link::Held, false);
         for m in simulation.workers.values_mut() {
@@ -272,7 +272,7 @@
         simulation.run(LEASE.as_secs_f64() + 4.0);
         assert_eq!(there(&simulation), 0, "its leases have run out");
         (
-            simulation.nodes[inside].state,
+            simulation.nodes[inside].store_link,
             simulation.nodes[inside].peers_reachable,
         ) = (Link::Good, true);
         simulation.heal_worker_partitions();
@@ -289,7 +289,7 @@
 
 /// Machines that reach no controller answer direct commands, again and again: they get no new work, which would
 /// die with their lease.
-fn commands_go_on_to_machines_that_do_not_report() {
+fn commands_go_on_to_machines_without_heartbeats() {
     let (mut simulation, leader) = eight_machines(1340);
     simulation.run(2.0);
     simulation.faults.cloud_down = true;
@@ -320,12 +320,12 @@
 }
 
 #[test]
-fn unreporting_machines_answering_commands_get_no_work() {
-    commands_go_on_to_machines_that_do_not_report();
+fn machines_without_heartbeats_get_no_work() {
+    commands_go_on_to_machines_without_heartbeats();
     fails_without(
         Safeguard::HeartbeatRequired,
         "work is started to die with the lease",
-        commands_go_on_to_machines_that_do_not_report,
+        commands_go_on_to_machines_without_heartbeats,
     );
 }
 
@@ -341,7 +341,7 @@
         let cut = (0..3).filter(|n| (*n == leader) != (i < 2));
         simulation.workers.get_mut(id).unwrap().partitioned_from = cut.collect();
     }
-    simulation.nodes[leader].state = Link::Refused;
+    simulation.nodes[leader].store_link = Link::Refused;
     simulation.nodes[leader].peers_reachable = false;
     simulation.run(9.0);
     for id in &ids {
@@ -349,16 +349,16 @@
             m.partitioned_from.clear();
         }
     }
-    simulation.nodes[leader].state = Link::Good;
+    simulation.nodes[leader].store_link = Link::Good;
     simulation.nodes[leader].peers_reachable = true;
     simulation.release();
     simulation.until_done("wk-1", 90.0);
 }
 
-/// Cut off one way: a new leader's calls come to nothing, while the workers' reports arrive. Machines
-/// that had reported, and were only yet to show its token, were deleted as dead.
+/// Cut off one way: a new leader's calls come to nothing, while the workers' heartbeats arrive. Machines
+/// that had sent heartbeats, and were only yet to show its token, were deleted as dead.
 #[test]
-fn reporting_machines_not_deleted_when_calls_fail() {
+fn heartbeating_machines_not_deleted_when_calls_fail() {
     let (mut simulation, leader) = four_machines(29);
     simulation.submit(leader, &sample("wk-1", 8, 2.0, 20));
     simulation.run(3.0);
--- a/src/core/simulation/scenarios/provisioning.rs
+++ b/src/core/simulation/scenarios/provisioning.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 #[test]
-fn machines_rented_for_queue_and_returned_when_idle() {
+fn machines_provisioned_for_queue_and_returned_when_idle() {
     let mut simulation = Simulation::new(19);
     simulation.run(3.0);
     assert_eq!(simulation.submit(0, &sample("wk-1", 6, 4.0, 20)), 201);
@@ -19,7 +19,7 @@
     });
 }
 
-/// Guests' work on idle time had ordinary machines rented for it at a multiple of the price, and
+/// Guests' work on idle time had ordinary machines provisioned for it at a multiple of the price, and
 /// kept those that were there from being returned.
 #[test]
 fn low_rank_work_uses_spot_machines_or_waits() {
@@ -34,15 +34,15 @@
     assert_eq!(simulation.submit(0, &usual), 201);
     // Three batches one after the other on the two spot machines that there are.
     simulation.until_done("wk-1", 150.0);
-    assert_eq!(simulation.counters.rented, (2, 1));
+    assert_eq!(simulation.counters.provisioned, (2, 1));
     simulation.until_done("wk-2", 150.0);
 }
 
 /// Spot machines stood unrented beside a thousand waiting tasks, as the queue would be through
 /// within the time after which ordinary ones are worth their price.
 #[test]
-fn spot_machine_rented_where_ordinary_not_worth_it() {
-    for (spot, rented) in [(true, (1, 0)), (false, (0, 0))] {
+fn spot_machine_provisioned_where_ordinary_not_worth_it() {
+    for (spot, provisioned) in [(true, (1, 0)), (false, (0, 0))] {
         let (mut simulation, leader) = four_machines(51);
         simulation.submit(leader, &sample("wk-1", 16, 1.0, 30));
         simulation.run(1.5);
@@ -52,16 +52,16 @@
         next.spot = spot;
         simulation.submit(leader, &next);
         simulation.run(4.0);
-        assert_eq!(simulation.counters.rented, rented);
+        assert_eq!(simulation.counters.provisioned, provisioned);
         simulation.until_done("wk-2", 60.0);
     }
 }
 
-/// While a zone was cut off, the ends of its tasks counted as room to come: nothing was rented in
+/// While a zone was cut off, the ends of its tasks counted as room to come: nothing was provisioned in
 /// the others until the cut was over.
 #[test]
 fn tasks_ending_in_partitioned_zone_free_no_room() {
-    for (cut, rented) in [(false, 0), (true, 2)] {
+    for (cut, provisioned) in [(false, 0), (true, 2)] {
         let (mut simulation, leader) = four_machines(61);
         simulation.submit(leader, &sample("wk-1", 16, 1.0, 9));
         simulation.run(1.5);
@@ -75,7 +75,7 @@
         next.team = "u".into();
         simulation.submit(leader, &next);
         simulation.run(3.0);
-        assert_eq!(simulation.counters.rented.1, rented);
+        assert_eq!(simulation.counters.provisioned.1, provisioned);
         simulation.heal_worker_partitions();
         simulation.until_done("wk-2", 120.0);
     }
--- a/src/core/simulation/scenarios/scheduling.rs
+++ b/src/core/simulation/scenarios/scheduling.rs
@@ -110,7 +110,7 @@
     simulation.run(6.0);
     assert_eq!(simulation.places("wk-1").len(), 1999);
 
-    // A planning and a renting step a second at least, and nothing to do: machines that report
+    // A planning and a provisioning step a second at least, and nothing to do: machines that report
     // nothing new are not looked at.
     let (before, heartbeats) = (looked(&simulation), simulation.counters.heartbeats);
     simulation.run(3.0);
@@ -163,7 +163,7 @@
 }
 
 /// Jobs bound to one zone, spread over two or kept together lose machines, with the leader or without, some of
-/// them unheard; the simulation checks where each task starts against where the others are.
+/// them without a response; the simulation checks where each task starts against where the others are.
 #[test]
 fn zone_bound_jobs_restart_where_allowed() {
     for leader_ends in [true, false] {
@@ -250,7 +250,7 @@
     );
 }
 
-/// A row may be on another machine than the one that is known first: the zone of that counts as well where a
+/// A task may be on another machine than the one that is known first: the zone of that counts as well where a
 /// job's tasks are to be together.
 fn one_zone_job_with_uncertain_task() {
     let policy = Policy::with("zones", "idle_keep = 600").unwrap();
@@ -270,13 +270,13 @@
         1,
         "there is no room in its zone"
     );
-    // An old copy was received first: the row is on record there, and where it really is as well.
+    // An old copy was received first: the task is on record there, and where it really is as well.
     let lead = simulation.nodes[leader].core.leader.as_mut().unwrap();
     let run = lead.job_runs.get_mut("wk-000001").unwrap();
-    let row = *run.tasks.assigned().keys().next().unwrap();
-    run.tasks.release(row);
-    run.tasks.assign(row, &other);
-    run.tasks.assign(row, &first);
+    let index = *run.tasks.assigned().keys().next().unwrap();
+    run.tasks.release(index);
+    run.tasks.assign(index, &other);
+    run.tasks.assign(index, &first);
     lead.scheduler.plan_at_once();
     simulation.run(0.3);
     simulation.until_done("wk-000001", 60.0);
--- a/src/core/simulation/scenarios/size.rs
+++ b/src/core/simulation/scenarios/size.rs
@@ -19,8 +19,8 @@
 use std::time::{Duration, Instant, SystemTime};
 
 const MACHINES: usize = 6000;
-/// Of those that are asked, so many report as well.
-const REPORTING: usize = 60;
+/// Of those that are asked, so many send heartbeats as well.
+const RESPONSIVE: usize = 60;
 /// What a platform with so many machines allows a controller.
 const SOCKETS: usize = 8000;
 const MEMORY_MB: f64 = 256.0;
@@ -44,8 +44,8 @@
 }
 
 fn heartbeat(number: usize) -> Box<Heartbeat> {
-    let row = |row| TaskStatus {
-        task: format!("wk-{number:06}/{row}"),
+    let status = |index| TaskStatus {
+        task: format!("wk-{number:06}/{index}"),
         attempt: 1,
         state: TaskState::Running,
         cause: None,
@@ -61,7 +61,7 @@
         sequence: 1,
         fencing_token: 1,
         reclaim_in_s: None,
-        tasks: (0..TASKS).map(row).collect(),
+        tasks: (0..TASKS).map(status).collect(),
     })
 }
 
@@ -96,7 +96,7 @@
     let (mut core, now) = without_leader(large(settings("n0", SETUP)));
     assert_eq!(heartbeats(&mut core, now, MACHINES), []);
     assert_eq!(core.relay.waiting(), MACHINES);
-    // Beyond what the settings allow, they are told to come back, at once.
+    // Beyond what the settings allow, they are asked to come back, at once.
     let few = Settings {
         max_sockets: 2000,
         ..settings("n0", SETUP)
@@ -141,11 +141,11 @@
 #[test]
 fn a_new_leader_asks_6000_machines_that_do_not_report() {
     let mut simulation = recorded(Policy::with("size", "delegate = false").unwrap());
-    let unreachable = simulation.workers.values_mut().skip(REPORTING);
+    let unreachable = simulation.workers.values_mut().skip(RESPONSIVE);
     unreachable.for_each(|m| m.outbound_partitioned = true);
     simulation.until(10.0, "a leader", |simulation| simulation.leader().is_some());
     let leader = simulation.leader().unwrap();
-    let left = |simulation: &Simulation| {
+    let unresolved = |simulation: &Simulation| {
         simulation.nodes[leader]
             .core
             .leader
@@ -155,7 +155,7 @@
             .unresolved()
     };
     let mut rounds = 0;
-    while left(&simulation) > 0 {
+    while unresolved(&simulation) > 0 {
         let out = simulation.nodes[leader]
             .core
             .leader
@@ -168,7 +168,7 @@
         assert!(
             rounds < 200,
             "{} are still to be heard from",
-            left(&simulation)
+            unresolved(&simulation)
         );
     }
     assert!(
@@ -177,7 +177,7 @@
     );
     let calls = simulation.nodes[leader].calls as usize;
     assert!(
-        (MACHINES - REPORTING..=MACHINES).contains(&calls),
+        (MACHINES - RESPONSIVE..=MACHINES).contains(&calls),
         "{calls}"
     );
 }
@@ -201,7 +201,7 @@
         node.core.candidacy.wait_until(later);
     }
     for m in simulation.workers.values_mut() {
-        (m.node, m.waiting, m.next_report) = (0, None, now);
+        (m.node, m.waiting, m.next_heartbeat) = (0, None, now);
     }
     simulation.run(0.1);
     assert_eq!(simulation.nodes[0].core.relay.waiting(), MACHINES);
@@ -228,8 +228,8 @@
 }
 
 /// The leader's answer to a frame: nothing to do for anybody.
-fn answer(sync: &heartbeat_batch::HeartbeatBatch) -> HeartbeatBatchResponse {
-    let told = |r: &RelayedHeartbeat| RelayedResponse {
+fn answer(batch: &heartbeat_batch::HeartbeatBatch) -> HeartbeatBatchResponse {
+    let response = |r: &RelayedHeartbeat| RelayedResponse {
         id: r.id,
         outcome: RelayedOutcome::Commands {
             fencing_token: 1 << 20,
@@ -238,10 +238,10 @@
         },
     };
     HeartbeatBatchResponse {
-        number: sync.number,
+        number: batch.number,
         term: 1,
         grant: Duration::from_secs(2),
-        responses: sync.heartbeats.iter().map(told).collect(),
+        responses: batch.heartbeats.iter().map(response).collect(),
         ..HeartbeatBatchResponse::default()
     }
 }
--- a/src/core/simulation/scenarios/submissions.rs
+++ b/src/core/simulation/scenarios/submissions.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 #[test]
-fn job_runs_and_every_node_reports_it() {
+fn job_runs_and_every_node_shows_it() {
     let (mut simulation, leader) = four_machines(1);
     assert_eq!(
         simulation.submit(follower(leader), &sample("wk-1", 6, 2.0, 5)),
@@ -51,7 +51,7 @@
 fn leader_death_after_commit_leaves_accepted_job() {
     let (mut simulation, leader) = four_machines(3);
     // The creation is carried out, but its answer never comes; then the leader dies.
-    simulation.nodes[leader].state = Link::AnswersLost;
+    simulation.nodes[leader].store_link = Link::AnswersLost;
     simulation.submit(leader, &sample("wk-1", 4, 2.0, 4));
     simulation.kill(leader, Duration::from_secs(60));
     let other = follower(leader);
@@ -67,7 +67,7 @@
 #[test]
 fn node_without_store_accepts_through_peers() {
     let (mut simulation, leader) = four_machines(23);
-    simulation.nodes[leader].state = Link::Refused;
+    simulation.nodes[leader].store_link = Link::Refused;
     for n in 1..6 {
         simulation.run(1.3);
         assert_eq!(
--- a/src/core/simulation/store.rs
+++ b/src/core/simulation/store.rs
@@ -208,7 +208,7 @@
 impl Simulation {
     /// What a controller's request comes to, with its link and the faults that are set.
     pub(super) fn call_state(&mut self, i: usize, request: &StoreRequest) -> StoreOutcome {
-        if let (StoreRequest::CompareAndSwap(txn), Link::Good) = (request, self.nodes[i].state)
+        if let (StoreRequest::CompareAndSwap(txn), Link::Good) = (request, self.nodes[i].store_link)
             && !self.faults.store_outage
             && self.faults.late_write_share > 0.0
             && !txn.changes.is_empty()
@@ -221,7 +221,7 @@
         if self.faults.store_outage {
             return StoreOutcome::Refused("503".into());
         }
-        let link = self.nodes[i].state;
+        let link = self.nodes[i].store_link;
         match link {
             Link::Good if self.loses_answer(request) => {
                 self.counters.answers_lost += 1;
--- a/src/core/simulation/users.rs
+++ b/src/core/simulation/users.rs
@@ -10,13 +10,13 @@
 
 impl Simulation {
     /// Asks a controller; the answer is fetched by this ticket.
-    pub fn ask(&mut self, node: usize, what: UserAction) -> Ticket {
+    pub fn ask(&mut self, node: usize, action: UserAction) -> Ticket {
         let ticket = self.new_ticket();
         let received = self.now;
         if self.nodes[node].up {
             self.nodes[node].inbox.push(Command::User(UserRequest {
                 ticket,
-                action: what,
+                action,
                 forwarded: false,
                 tried: Vec::new(),
                 received,
@@ -26,8 +26,8 @@
     }
 
     /// Asks one node and waits up to 3 s for its answer.
-    pub(super) fn request(&mut self, node: usize, what: UserAction) -> Option<Response> {
-        let ticket = self.ask(node, what);
+    pub(super) fn request(&mut self, node: usize, action: UserAction) -> Option<Response> {
+        let ticket = self.ask(node, action);
         for _ in 0..60 {
             self.tick();
             if let Some(a) = self.network.answers.remove(&ticket) {
@@ -103,7 +103,7 @@
             .insert(ticket, (id.into(), self.now));
     }
 
-    /// The final state that its user was told, if any.
+    /// The final state that its user received, if any.
     pub fn final_answer(&self, id: &str) -> Option<JobState> {
         self.checker.final_answers.get(id).map(|(state, _)| *state)
     }
@@ -171,9 +171,9 @@
     /// All tasks of an array have ended with a result.
     pub fn all_completed(&self, id: &str) -> bool {
         let spec = &self.checker.specs[id];
-        (0..spec.tasks).all(|row| {
+        (0..spec.tasks).all(|index| {
             let job = spec.id.clone();
-            self.checker.completed.contains(&TaskId { job, index: row })
+            self.checker.completed.contains(&TaskId { job, index })
         })
     }
 
@@ -187,8 +187,8 @@
                     .get(id)
                     .map(|s| UserAction::Submit(Box::new(s.clone()))),
             );
-            for what in questions {
-                let ticket = self.ask(node, what);
+            for action in questions {
+                let ticket = self.ask(node, action);
                 self.network
                     .follow_up_queries
                     .insert(ticket, (id.into(), self.now));
--- a/src/core/simulation/worker.rs
+++ b/src/core/simulation/worker.rs
@@ -1,4 +1,4 @@
-//! The simulated workers: what they report, execute and lose.
+//! The simulated workers: their heartbeats, tasks and leases.
 
 use super::cluster::{Simulation, TICK};
 use crate::core::{Command, Ticket};
@@ -16,16 +16,16 @@
 /// A worker's lease.
 pub const LEASE: Duration = Duration::from_secs(10);
 
-/// How often a worker reports.
-const REPORT_INTERVAL: Duration = Duration::from_secs(1);
-/// A worker reports what has changed within this time.
-const REPORT_OF_CHANGES: Duration = Duration::from_millis(200);
+/// How often a worker sends a heartbeat.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
+/// A worker sends a heartbeat within this time after a change.
+const CHANGE_HEARTBEAT_DELAY: Duration = Duration::from_millis(200);
 /// A worker turns to another controller after this long without an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// A report that waits for its answer.
+/// A heartbeat that waits for its answer.
 #[derive(Clone, Copy)]
-pub(super) struct ReportExchange {
+pub(super) struct HeartbeatExchange {
     pub(super) node: usize,
     pub(super) ticket: Ticket,
     pub(super) incarnation: u64,
@@ -54,25 +54,25 @@
     pub up_at: Instant,
     /// Rises each time that it loses its tasks.
     pub incarnation: u64,
-    /// Rises with each report.
+    /// Rises with each heartbeat.
     pub sequence: u64,
     /// The newest token that it was shown.
     pub token: u64,
     pub tasks: BTreeMap<TaskId, WorkerTask>,
-    /// When the last report was sent that was answered.
+    /// When the last heartbeat was sent that was answered.
     pub lease_from: Instant,
-    pub next_report: Instant,
-    /// The controller that it reports to.
+    pub next_heartbeat: Instant,
+    /// The controller that it sends heartbeats to.
     pub node: usize,
-    /// The report that it has sent and that has no answer yet.
-    pub(super) waiting: Option<ReportExchange>,
+    /// The heartbeat that it has sent and that has no answer yet.
+    pub(super) waiting: Option<HeartbeatExchange>,
     /// It executes nothing and says nothing.
     pub hung: bool,
     /// It fails every task.
     pub failing: bool,
     /// Nodes it cannot talk to, in either direction.
     pub partitioned_from: BTreeSet<usize>,
-    /// Its reports arrive; answers and commands do not reach it.
+    /// Its heartbeats arrive; answers and commands do not reach it.
     pub inbound_partitioned: bool,
     /// It can open no connection to any controller; direct commands reach it.
     pub outbound_partitioned: bool,
@@ -86,7 +86,7 @@
 }
 
 impl Worker {
-    /// Its next report.
+    /// Its next heartbeat.
     fn heartbeat(&mut self, id: &MachineId) -> Heartbeat {
         self.sequence += 1;
         Heartbeat {
@@ -125,22 +125,22 @@
         }
     }
 
-    /// It reports to another controller from now on.
+    /// It sends heartbeats to another controller from now on.
     fn turn_to_next(&mut self, nodes: usize) {
         self.node = (self.node + 1) % nodes;
     }
 }
 
 impl Simulation {
-    /// A machine's report as of now, for the network to hold.
-    pub fn report_of(&mut self, id: &MachineId) -> Heartbeat {
+    /// A machine's heartbeat as of now, for the network to hold.
+    pub fn heartbeat_of(&mut self, id: &MachineId) -> Heartbeat {
         self.workers.get_mut(id).unwrap().heartbeat(id)
     }
 
-    /// Carries out a controller's orders, and checks each start against the rules.
-    pub(super) fn execute(&mut self, id: &MachineId, orders: &[TaskCommand]) {
-        let mut beside = self.zones_of_tasks(orders);
-        if orders
+    /// Carries out a controller's commands, and checks each start against the rules.
+    pub(super) fn execute(&mut self, id: &MachineId, commands: &[TaskCommand]) {
+        let mut beside = self.zones_of_tasks(commands);
+        if commands
             .iter()
             .any(|o| matches!(o, TaskCommand::Start { .. }))
         {
@@ -149,8 +149,8 @@
         if !self.workers.contains_key(id) {
             return;
         }
-        for order in orders {
-            match order {
+        for command in commands {
+            match command {
                 TaskCommand::Start { task, attempt } => {
                     self.start_task(id, parse_task_id(task).unwrap(), *attempt, &mut beside);
                 }
@@ -165,10 +165,10 @@
     }
 
     /// Where the tasks of jobs are that are started now and bound in their choice of zones.
-    fn zones_of_tasks(&self, orders: &[TaskCommand]) -> BTreeMap<TaskId, String> {
+    fn zones_of_tasks(&self, commands: &[TaskCommand]) -> BTreeMap<TaskId, String> {
         let mut zones = BTreeMap::new();
-        for order in orders {
-            let TaskCommand::Start { task, .. } = order else {
+        for command in commands {
+            let TaskCommand::Start { task, .. } = command else {
                 continue;
             };
             let job = parse_task_id(task).unwrap().job;
@@ -231,7 +231,7 @@
     }
 
     fn forget_task(&mut self, id: &MachineId, key: &TaskId, attempt: u64) {
-        let worker = self.workers.get_mut(id).expect("the orders are its own");
+        let worker = self.workers.get_mut(id).expect("the commands are its own");
         let ended = |t: &WorkerTask| t.attempt == attempt && t.state == TaskState::Exited;
         if worker.tasks.get(key).is_some_and(ended) {
             self.counters.clears += 1;
@@ -239,7 +239,7 @@
         }
     }
 
-    /// Lets each worker go on by a tick: its tasks, its lease, its reports.
+    /// Lets each worker go on by a tick: its tasks, its lease, its heartbeats.
     pub(super) fn advance_workers(&mut self) {
         let ids: Vec<MachineId> = self.workers.keys().cloned().collect();
         for id in ids {
@@ -256,9 +256,9 @@
             self.advance_tasks(&id);
             let worker = &self.workers[&id];
             if let Some(exchange) = worker.waiting {
-                self.await_report_answer(&id, exchange);
-            } else if self.now >= worker.next_report {
-                self.send_report(&id);
+                self.await_heartbeat_response(&id, exchange);
+            } else if self.now >= worker.next_heartbeat {
+                self.send_heartbeat(&id);
             }
         }
     }
@@ -281,12 +281,12 @@
             }
         }
         if changed {
-            worker.next_report = worker.next_report.min(now + REPORT_OF_CHANGES);
+            worker.next_heartbeat = worker.next_heartbeat.min(now + CHANGE_HEARTBEAT_DELAY);
         }
     }
 
-    /// Takes in the answer to a report, or turns to another controller if there is none for long.
-    fn await_report_answer(&mut self, id: &MachineId, exchange: ReportExchange) {
+    /// Takes in the answer to a heartbeat, or turns to another controller if there is none for long.
+    fn await_heartbeat_response(&mut self, id: &MachineId, exchange: HeartbeatExchange) {
         let nodes = self.setup.nodes;
         let worker = self.workers.get_mut(id).expect("the worker exists");
         let Some(answer) = self.network.answers.remove(&exchange.ticket) else {
@@ -300,8 +300,8 @@
         if worker.partitioned_from.contains(&exchange.node) || worker.inbound_partitioned {
             return;
         }
-        let orders: Option<HeartbeatResponse> = serde_json::from_slice(&answer.body).ok();
-        match (answer.status, orders) {
+        let response: Option<HeartbeatResponse> = serde_json::from_slice(&answer.body).ok();
+        match (answer.status, response) {
             (200, Some(a))
                 if a.fencing_token >= worker.token
                     && exchange.incarnation == worker.incarnation =>
@@ -314,17 +314,17 @@
             _ => match redirect_target(&answer) {
                 Some(other) if other != worker.node => {
                     worker.node = other;
-                    worker.next_report = self.now + TICK * 4;
+                    worker.next_heartbeat = self.now + TICK * 4;
                 }
                 _ => worker.turn_to_next(nodes),
             },
         }
     }
 
-    fn send_report(&mut self, id: &MachineId) {
+    fn send_heartbeat(&mut self, id: &MachineId) {
         let now = self.now;
         let worker = self.workers.get_mut(id).expect("the worker exists");
-        worker.next_report = now + REPORT_INTERVAL;
+        worker.next_heartbeat = now + HEARTBEAT_INTERVAL;
         let node = worker.node;
         if !self.nodes[node].up
             || worker.partitioned_from.contains(&node)
@@ -338,15 +338,15 @@
             let at = now + self.duplicate_after();
             let to = self.rng.random_range(0..self.setup.nodes);
             let copy = (*heartbeat).clone();
-            self.network.delayed_reports.push((at, to, copy));
+            self.network.delayed_heartbeats.push((at, to, copy));
         }
-        let share = self.faults.replayed_report_share;
+        let share = self.faults.replayed_heartbeat_share;
         if share > 0.0 && self.rng.random_bool(share) {
-            self.network.reports_to_replay.push((*heartbeat).clone());
+            self.network.heartbeats_to_replay.push((*heartbeat).clone());
         }
         self.counters.heartbeats += 1;
         let ticket = self.new_ticket();
-        let exchange = ReportExchange {
+        let exchange = HeartbeatExchange {
             node,
             ticket,
             incarnation,
@@ -432,7 +432,7 @@
         if let Some(worker) = self.workers.get_mut(id) {
             worker.tasks.clear();
             worker.waiting = None;
-            (worker.lease_from, worker.next_report) = (now, now + TICK * 4);
+            (worker.lease_from, worker.next_heartbeat) = (now, now + TICK * 4);
             if from_one {
                 // What was under way to it ends with its connections.
                 self.network.held_commands.retain(|(to, _)| to != id);
