--- a/src/core/simulation/cluster.rs
+++ b/src/core/simulation/cluster.rs
@@ -87,7 +87,7 @@
     pub(super) lease: Option<u64>,
     pub(super) leadership_proof: Option<LeadershipProof>,
     pub(super) next_renewal: Instant,
-    /// A full read that the service has begun to answer: what it tells is as old as that.
+    /// A full read that the service has begun to answer: its answer is as old as that.
     pub(super) reading: Option<(Vec<Item>, u64)>,
     /// The revision after which its watch asks for changes, and when that was answered last.
     pub(super) seen: Option<u64>,
@@ -440,7 +440,7 @@
         }
     }
 
-    /// Tells a controller what has changed in the state service.
+    /// Delivers to a controller what has changed in the state service.
     pub(super) fn deliver_watch(&mut self, i: usize) {
         let node = &mut self.nodes[i];
         if !node.up || self.faults.store_outage || !node.store_link.reads() || node.watch_delayed {
--- a/src/core/simulation/mixed_versions.rs
+++ b/src/core/simulation/mixed_versions.rs
@@ -141,7 +141,7 @@
 }
 
 /// Kept by a version that knows of it, after a rollback say, it must not be started by one that
-/// does not, and its user must not hear 404.
+/// does not, and its user must not get 404.
 #[test]
 fn dependent_job_ignored_by_production_version() {
     let mut spec = spec();
--- a/src/core/simulation/network.rs
+++ b/src/core/simulation/network.rs
@@ -22,7 +22,7 @@
 pub struct Network {
     /// Requests of users that one controller passed on to another: who did, and its own ticket.
     pub(super) forwards: BTreeMap<Ticket, (usize, Ticket)>,
-    /// Frames of controllers that serve workers: who sent them, their numbers, and when.
+    /// Heartbeat batches of controllers that serve workers: who sent them, their numbers, and when.
     pub(super) heartbeat_batches: BTreeMap<Ticket, (usize, u64, Instant)>,
     /// Requests between controllers for what they remember: who asked whom, and for what.
     pub(super) memory_requests: BTreeMap<Ticket, (usize, String, MemoryRequest)>,
@@ -309,7 +309,7 @@
             .push(Command::Heartbeat { ticket, heartbeat });
     }
 
-    /// Frames that nobody answered within a second.
+    /// Drops heartbeat batches that nobody answered within a second, and answers their senders so.
     pub(super) fn expire_batches(&mut self) {
         let late = self.now - Duration::from_secs(1);
         for (_, (asker, number, _)) in self
--- a/src/core/simulation/scenarios/cancellation.rs
+++ b/src/core/simulation/scenarios/cancellation.rs
@@ -219,7 +219,7 @@
                         < simulation.checker.cancelled_at["wk-000001"] + simulation.setup.cancel
             );
             let still_running = simulation.places("wk-000001");
-            // A new leader has yet to hear of what it holds, but its lease ends all the same.
+            // A new leader has yet to receive what it holds, but its lease ends all the same.
             assert!(
                 still_running.is_empty() || leader_ends,
                 "{hang} s: {still_running:?} goes on"
--- a/src/core/simulation/scenarios/delegation.rs
+++ b/src/core/simulation/scenarios/delegation.rs
@@ -197,7 +197,7 @@
     );
 }
 
-/// A follower goes on answering until its grant ends, and the leader, which cannot hear it, counted
+/// A follower goes on answering until its grant ends, and the leader, which receives nothing from it, counted
 /// the workers' leases from what it had last received.
 #[test]
 fn possibly_renewed_lease_not_expired() {
@@ -304,7 +304,7 @@
 }
 
 #[test]
-fn pending_orders_revoke_delegation() {
+fn pending_commands_revoke_delegation() {
     let (mut simulation, leader) = delegating_cluster(505, 12);
     simulation.run(6.0);
     let delegated = |simulation: &Simulation| {
--- a/src/core/simulation/scenarios/dependencies.rs
+++ b/src/core/simulation/scenarios/dependencies.rs
@@ -183,7 +183,7 @@
         201
     );
     simulation.run(0.2);
-    // The end is written now, and the leader is the last to hear of it.
+    // The end is written now, and the leader is the last to receive it.
     simulation.nodes[leader].watch_delayed = true;
     simulation.release();
     simulation.run(0.1);
--- a/src/core/simulation/scenarios/old_heartbeats.rs
+++ b/src/core/simulation/scenarios/old_heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats that are old, repeated or of an earlier life of their machine.
+//! Heartbeats that are old, repeated or of an earlier incarnation of their machine.
 
 use super::{eight_machines, four_machines, machines_in_zone, unlimited_job};
 use crate::core::simulation::{Simulation, fails_without};
@@ -284,8 +284,8 @@
     );
 }
 
-/// A machine that had begun anew, and counted from one, was taken for older than a late copy of its former
-/// life: what was given to it since counted as lost, and was started elsewhere while it ran.
+/// A machine that had begun anew, and counted from one, was taken for older than a late copy of its
+/// previous process: what was given to it since counted as lost, and was started elsewhere while it ran.
 #[test]
 fn old_heartbeat_from_earlier_incarnation_ignored() {
     let (mut simulation, leader) = eight_machines(88);
@@ -360,7 +360,7 @@
     assert_eq!(simulation.counters.starts, 5);
 }
 
-/// Seen on an own day: heartbeats that a cut had held came when the machines' leases had run out, and
+/// Seen in a recorded day: heartbeats that a partition had held came when the machines' leases had run out, and
 /// tasks that had been started elsewhere meanwhile were taken for being there still.
 #[test]
 fn heartbeat_after_incarnation_end_ignored() {
--- a/src/core/simulation/scenarios/scheduling.rs
+++ b/src/core/simulation/scenarios/scheduling.rs
@@ -91,7 +91,7 @@
     simulation.until_done("wk-2", 60.0);
 }
 
-/// Found on the first grown days: each step rebuilt what it knew of every machine and task, and
+/// Found on the first days at a larger scale: each step rebuilt what it knew of every machine and task, and
 /// the leader did little else.
 #[test]
 fn step_cost_with_thousand_machines_follows_changes() {
@@ -136,7 +136,7 @@
     assert!(spent < 200, "{spent} for a queue that must wait");
 }
 
-/// Found on the first grown days: a thousand machines took a change of the state service each,
+/// Found on the first days at a larger scale: a thousand machines took a change of the state service each,
 /// and jobs could not be accepted for it.
 #[test]
 fn thousand_machines_recorded_in_few_changes() {
--- a/src/core/simulation/store.rs
+++ b/src/core/simulation/store.rs
@@ -12,8 +12,8 @@
 /// A client of the state service takes an answer for lost after this.
 pub(super) const STORE_TIMEOUT: Duration = Duration::from_millis(1500);
 
-#[derive(Clone)]
 /// A key's value.
+#[derive(Clone)]
 pub(super) struct Entry {
     pub(super) value: serde_json::Value,
     pub(super) version: u64,
@@ -29,8 +29,8 @@
 /// Limits that are announced for later.
 pub const NEXT_LIMITS: Limits = (2048, 10);
 
-#[derive(Clone, Default)]
 /// The state service itself.
+#[derive(Clone, Default)]
 pub(super) struct StateService {
     pub(super) limits: Limits,
     pub(super) keys: BTreeMap<String, Entry>,
@@ -43,7 +43,7 @@
 }
 
 impl StateService {
-    /// Deletes a key, and tells watchers.
+    /// Deletes a key, and notifies watchers.
     pub(super) fn drop_key(&mut self, key: &str) {
         if self.keys.remove(key).is_some() {
             self.events.push(WatchEvent {
