--- a/src/core/simulation/store.rs
+++ b/src/core/simulation/store.rs
@@ -12,8 +12,8 @@
 /// A client of the state service takes an answer for lost after this.
 pub(super) const STORE_TIMEOUT: Duration = Duration::from_millis(1500);
 
-#[derive(Clone)]
 /// A key's value.
+#[derive(Clone)]
 pub(super) struct Entry {
     pub(super) value: serde_json::Value,
     pub(super) version: u64,
@@ -29,8 +29,8 @@
 /// Limits that are announced for later.
 pub const NEXT_LIMITS: Limits = (2048, 10);
 
-#[derive(Clone, Default)]
 /// The state service itself.
+#[derive(Clone, Default)]
 pub(super) struct StateService {
     pub(super) limits: Limits,
     pub(super) keys: BTreeMap<String, Entry>,
@@ -43,7 +43,7 @@
 }
 
 impl StateService {
-    /// Deletes a key, and tells watchers.
+    /// Deletes a key, and notifies watchers.
     pub(super) fn drop_key(&mut self, key: &str) {
         if self.keys.remove(key).is_some() {
             self.events.push(WatchEvent {
@@ -208,7 +208,7 @@
 impl Simulation {
     /// What a controller's request comes to, with its link and the faults that are set.
     pub(super) fn call_state(&mut self, i: usize, request: &StoreRequest) -> StoreOutcome {
-        if let (StoreRequest::CompareAndSwap(txn), Link::Good) = (request, self.nodes[i].state)
+        if let (StoreRequest::CompareAndSwap(txn), Link::Good) = (request, self.nodes[i].store_link)
             && !self.faults.store_outage
             && self.faults.late_write_share > 0.0
             && !txn.changes.is_empty()
@@ -221,7 +221,7 @@
         if self.faults.store_outage {
             return StoreOutcome::Refused("503".into());
         }
-        let link = self.nodes[i].state;
+        let link = self.nodes[i].store_link;
         match link {
             Link::Good if self.loses_answer(request) => {
                 self.counters.answers_lost += 1;
