--- a/crates/scale/src/connection.rs
+++ b/crates/scale/src/connection.rs
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Adds a request to what is to be written; says how many bytes it has.
-    pub fn ask(&mut self, method: &str, path: &str, body: &[u8]) -> usize {
+    /// Adds a request to the bytes to be written, and returns its length.
+    pub fn queue_request(&mut self, method: &str, path: &str, body: &[u8]) -> usize {
         let head = format!(
             "{method} {path} HTTP/1.1\r\nHost: controller\r\nContent-Type: application/json\r\n\
              Content-Length: {}\r\n\r\n",
@@ -49,17 +49,17 @@
         head.len() + body.len()
     }
 
-    /// Adds an answer to what is to be written; says how many bytes it has.
-    pub fn answer(&mut self, answer: &http::Response) -> usize {
+    /// Adds a response to the bytes to be written, and returns its length.
+    pub fn queue_response(&mut self, response: &http::Response) -> usize {
         let head = format!(
             "HTTP/1.1 {} Answer\r\nContent-Type: {}\r\nContent-Length: {}\r\n\r\n",
-            answer.status,
-            answer.content_type,
-            answer.body.len()
+            response.status,
+            response.content_type,
+            response.body.len()
         );
         self.to_write.extend_from_slice(head.as_bytes());
-        self.to_write.extend_from_slice(&answer.body);
-        head.len() + answer.body.len()
+        self.to_write.extend_from_slice(&response.body);
+        head.len() + response.body.len()
     }
 
     /// Writes what the socket takes now.
--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -3,7 +3,7 @@
 use crate::connection::Connection;
 use crate::error::ScaleError;
 use burlusher::wire::{HeartbeatResponse, PATH_HEARTBEAT, Redirect};
-use burlusher_standin::cloud::Hosting;
+use burlusher_standin::cloud::MachineLauncher;
 use burlusher_standin::worker::Worker;
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Registry, Token};
@@ -52,16 +52,16 @@
     }
 }
 
-/// A machine that has been rented.
-struct RentedMachine {
+/// A machine that has been provisioned.
+struct ProvisionedMachine {
     worker: Arc<Worker>,
     listener: std::net::TcpListener,
     up_at: Instant,
 }
 
-/// Hosts machines on a few threads.
+/// Runs machines on a few threads.
 pub struct Fleet {
-    threads: Vec<Sender<RentedMachine>>,
+    threads: Vec<Sender<ProvisionedMachine>>,
     next: AtomicUsize,
     /// What went over all connections.
     pub traffic: Arc<Traffic>,
@@ -78,7 +78,7 @@
             let traffic = traffic.clone();
             let begun = std::thread::Builder::new()
                 .name(format!("hollow-{n}"))
-                .spawn(move || Host::new(poll, receiver, traffic).run());
+                .spawn(move || FleetThread::new(poll, receiver, traffic).run());
             begun.map_err(ScaleError::Thread)?;
             senders.push(sender);
         }
@@ -90,17 +90,17 @@
     }
 }
 
-impl Hosting for Fleet {
-    fn host(&self, worker: Arc<Worker>, listener: std::net::TcpListener, boot: Duration) {
+impl MachineLauncher for Fleet {
+    fn launch(&self, worker: Arc<Worker>, listener: std::net::TcpListener, boot: Duration) {
         let n = self.next.fetch_add(1, Ordering::Relaxed);
         let up_at = Instant::now() + boot;
-        let rented = RentedMachine {
+        let provisioned = ProvisionedMachine {
             worker,
             listener,
             up_at,
         };
-        // A thread that has ended leaves its machines booting for ever; the scenario then says so.
-        let _ = self.threads[n % self.threads.len()].send(rented);
+        // A thread that has ended leaves its machines booting for ever; the scenario's report shows it.
+        let _ = self.threads[n % self.threads.len()].send(provisioned);
     }
 }
 
@@ -111,7 +111,7 @@
     /// It takes direct commands.
     listens: bool,
     up_at: Instant,
-    /// The controller that it reports to.
+    /// The controller that it sends heartbeats to.
     node: usize,
     connection: Option<Connection>,
     /// When the report was sent that has no answer yet.
@@ -121,9 +121,9 @@
 }
 
 /// One thread's machines.
-struct Host {
+struct FleetThread {
     poll: Poll,
-    rented: Receiver<RentedMachine>,
+    provisioned: Receiver<ProvisionedMachine>,
     traffic: Arc<Traffic>,
     machines: BTreeMap<usize, Machine>,
     next: usize,
@@ -136,11 +136,15 @@
     Token(number * KINDS + kind)
 }
 
-impl Host {
-    fn new(poll: Poll, rented: Receiver<RentedMachine>, traffic: Arc<Traffic>) -> Host {
-        Host {
+impl FleetThread {
+    fn new(
+        poll: Poll,
+        provisioned: Receiver<ProvisionedMachine>,
+        traffic: Arc<Traffic>,
+    ) -> FleetThread {
+        FleetThread {
             poll,
-            rented,
+            provisioned,
             traffic,
             machines: BTreeMap::new(),
             next: 0,
@@ -175,28 +179,28 @@
         }
     }
 
-    /// Takes on the machines that have been rented.
+    /// Takes on the machines that have been provisioned.
     fn receive_machines(&mut self) {
-        while let Ok(rented) = self.rented.try_recv() {
-            if rented.listener.set_nonblocking(true).is_err() {
+        while let Ok(provisioned) = self.provisioned.try_recv() {
+            if provisioned.listener.set_nonblocking(true).is_err() {
                 continue;
             }
-            let cluster_state = rented.worker.cluster_state();
+            let cluster_state = provisioned.worker.cluster_state();
             // Reports are spread over the interval.
             let early = cluster_state
                 .report
                 .mul_f64(rand::rng().random_range(0.0..1.0));
             let node = rand::rng().random_range(0..cluster_state.nodes.len());
             let machine = Machine {
-                worker: rented.worker,
-                listener: TcpListener::from_std(rented.listener),
+                worker: provisioned.worker,
+                listener: TcpListener::from_std(provisioned.listener),
                 listens: false,
-                up_at: rented.up_at,
+                up_at: provisioned.up_at,
                 node,
                 connection: None,
                 unanswered_since: None,
-                last: rented.up_at - early,
-                resume_at: rented.up_at,
+                last: provisioned.up_at - early,
+                resume_at: provisioned.up_at,
             };
             self.machines.insert(self.next, machine);
             self.next += 1;
@@ -270,7 +274,7 @@
             return Err(io::ErrorKind::ConnectionReset.into());
         };
         Traffic::add(&traffic.commands, 1);
-        let bytes = connection.answer(&answer);
+        let bytes = connection.queue_response(&answer);
         Traffic::add(&traffic.sent, bytes);
     }
     connection.flush()?;
@@ -311,7 +315,7 @@
         let Some(connection) = &mut self.connection else {
             return self.switch_controller(None, now);
         };
-        let bytes = connection.ask("POST", PATH_HEARTBEAT, &report);
+        let bytes = connection.queue_request("POST", PATH_HEARTBEAT, &report);
         Traffic::add(&traffic.reports, 1);
         Traffic::add(&traffic.sent, bytes);
         self.unanswered_since = Some(now);
--- a/crates/scale/src/hollow/tests.rs
+++ b/crates/scale/src/hollow/tests.rs
@@ -112,9 +112,9 @@
     let fleet = Fleet::new(2).unwrap();
     for n in 0..MACHINES {
         let (worker, listener) = machine(n, &one);
-        fleet.host(worker, listener, Duration::ZERO);
+        fleet.launch(worker, listener, Duration::ZERO);
         let (worker, listener) = machine(n, &other);
-        Threads.host(worker, listener, Duration::ZERO);
+        Threads.launch(worker, listener, Duration::ZERO);
     }
     std::thread::sleep(Duration::from_secs(6));
     // Counts in a window would depend on where in their intervals the machines are at its ends.
@@ -138,15 +138,15 @@
     let fleet = Fleet::new(1).unwrap();
     for n in 0..4 {
         let (worker, listener) = machine(n, &cluster_state);
-        fleet.host(worker, listener, Duration::ZERO);
+        fleet.launch(worker, listener, Duration::ZERO);
     }
-    let told = |c: &Controller| c.reports.lock().unwrap().len();
-    wait("all report there", || told(&to) >= 12);
-    assert!(told(&from) <= 4, "each asks there once at most");
+    let reports = |c: &Controller| c.reports.lock().unwrap().len();
+    wait("all report there", || reports(&to) >= 12);
+    assert!(reports(&from) <= 4, "each asks there once at most");
 }
 
 #[test]
-fn a_hollow_worker_runs_what_it_is_told_directly() {
+fn a_hollow_worker_executes_direct_commands() {
     let ok = controller(200, r#"{"deed":7,"orders":[]}"#);
     let cluster_state = cluster_state(&[&ok]);
     let text = include_str!("../../../../scenarios/hollow.toml");
@@ -169,7 +169,7 @@
         .insert(id.clone(), shared);
     let (worker, listener) = machine(1, &cluster_state);
     let fleet = Fleet::new(1).unwrap();
-    fleet.host(worker.clone(), listener, Duration::ZERO);
+    fleet.launch(worker.clone(), listener, Duration::ZERO);
     wait("it reports", || !ok.reports.lock().unwrap().is_empty());
     let body = |token| {
         to_json(&DirectCommands {
--- a/crates/standin/src/cloud.rs
+++ b/crates/standin/src/cloud.rs
@@ -1,4 +1,4 @@
-//! The stand-in cloud: markets with so many machines each, rented by name, listed and deleted.
+//! The stand-in cloud: markets with so many machines each, provisioned by name, listed and deleted.
 
 use crate::scenario::Scenario;
 use crate::state::query;
@@ -19,34 +19,34 @@
 #[derive(Default)]
 struct Inner {
     machines: BTreeMap<String, (Arc<Worker>, Instant)>,
-    rented: BTreeMap<Offer, u32>,
+    provisioned: BTreeMap<Offer, u32>,
     requests: BTreeMap<String, Vec<burlusher::job::MachineId>>,
     drained: BTreeSet<String>,
     down_until: Option<Instant>,
     next: u64,
-    /// Money spent on machines that are gone, and how many were rented.
+    /// Money spent on machines that are deleted, and how many were provisioned.
     spent: f64,
     count: (u64, u64),
     refused: u64,
 }
 
 /// How machines that come up are run.
-pub trait Hosting: Send + Sync {
+pub trait MachineLauncher: Send + Sync {
     /// The machine is up after this time, and takes direct commands there from then on.
-    fn host(&self, worker: Arc<Worker>, listener: TcpListener, boot: Duration);
+    fn launch(&self, worker: Arc<Worker>, listener: TcpListener, boot: Duration);
 }
 
 /// Two threads for each machine, and one for each connection to it.
 pub struct Threads;
 
-impl Hosting for Threads {
-    fn host(&self, worker: Arc<Worker>, listener: TcpListener, boot: Duration) {
+impl MachineLauncher for Threads {
+    fn launch(&self, worker: Arc<Worker>, listener: TcpListener, boot: Duration) {
         std::thread::spawn(move || {
             std::thread::sleep(boot);
             let serving = worker.clone();
             std::thread::spawn(move || {
-                let answer = move |r: Request| serving.answer(&r);
-                http::serve(listener, 16, Arc::new(answer));
+                let respond = move |r: Request| serving.answer(&r);
+                http::serve(listener, 16, Arc::new(respond));
             });
             worker.live();
         });
@@ -55,31 +55,31 @@
 
 /// The stand-in cloud.
 pub struct Cloud {
-    hosting: Arc<dyn Hosting>,
+    launcher: Arc<dyn MachineLauncher>,
     types: Vec<MachineType>,
     most: BTreeMap<Offer, u32>,
     cluster_state: Arc<ClusterState>,
     inner: Mutex<Inner>,
 }
 
-/// What the cloud can tell at the end.
+/// What the cloud reports at the end.
 pub struct Bill {
     /// Money spent on machines.
     pub spent: f64,
-    /// Ordinary machines that were rented.
+    /// Ordinary machines that were provisioned.
     pub ordinary: u64,
-    /// Spot machines that were rented.
+    /// Spot machines that were provisioned.
     pub spot: u64,
     /// Requests for machines that were refused.
     pub refused: u64,
 }
 
 impl Cloud {
-    /// A cloud with the scenario's machines, none of which is rented yet.
+    /// A cloud with the scenario's machines, none of which is provisioned yet.
     pub fn new(
         scenario: &Scenario,
         cluster_state: Arc<ClusterState>,
-        hosting: Arc<dyn Hosting>,
+        launcher: Arc<dyn MachineLauncher>,
     ) -> Cloud {
         let mut most = BTreeMap::new();
         let mut types = Vec::new();
@@ -102,7 +102,7 @@
             });
         }
         Cloud {
-            hosting,
+            launcher,
             types,
             most,
             cluster_state,
@@ -115,7 +115,7 @@
         self.inner.lock().expect("no panic holds it").down_until = Some(Instant::now() + time);
     }
 
-    /// Nothing is rented there any more, and its machines are taken after the notice.
+    /// Nothing is provisioned in the zone any more, and its machines are taken after the notice.
     pub fn drain(&self, zone: &str, notice: Duration) {
         let mut c = self.inner.lock().expect("no panic holds it");
         c.drained.insert(zone.into());
@@ -138,7 +138,7 @@
         held
     }
 
-    /// What was spent and rented up to now.
+    /// What was spent and provisioned up to now.
     pub fn bill(&self) -> Bill {
         let c = self.inner.lock().expect("no panic holds it");
         let running = c.machines.values().map(|(w, since)| self.price(w, *since));
@@ -174,9 +174,9 @@
             ("GET", PATH_MACHINES) => {
                 let since = query(&r.path, "since").unwrap_or("").to_string();
                 let there = c.machines.values().filter(|(w, _)| !w.is_gone());
-                let listed = there.filter(|(w, _)| w.id > since).map(|(w, rented)| {
+                let listed = there.filter(|(w, _)| w.id > since).map(|(w, provisioned)| {
                     let boot = self.types.iter().find(|t| t.name == w.kind);
-                    let up = rented.elapsed().as_secs_f64() > boot.map_or(0.0, |t| t.boot_s);
+                    let up = provisioned.elapsed().as_secs_f64() > boot.map_or(0.0, |t| t.boot_s);
                     ListedMachine {
                         id: w.id.as_str().into(),
                         addr: Some(w.addr.to_string()),
@@ -188,7 +188,7 @@
                         } else {
                             ListedState::Booting
                         },
-                        age_s: rented.elapsed().as_secs_f64(),
+                        age_s: provisioned.elapsed().as_secs_f64(),
                     }
                 });
                 let machines = listed.collect();
@@ -210,7 +210,7 @@
                 Err(e) => Response::error(400, &e.to_string()),
             },
             ("POST", PATH_MACHINES) => match serde_json::from_slice::<ScaleOutRequest>(&r.body) {
-                Ok(body) if body.count <= 50 => self.rent(&mut c, body),
+                Ok(body) if body.count <= 50 => self.scale_out(&mut c, body),
                 Ok(_) => Response::error(400, "count: at most 50"),
                 Err(e) => Response::error(400, &e.to_string()),
             },
@@ -223,13 +223,13 @@
             w.remove();
             c.spent += self.price(&w, since);
             let offer = (w.kind.clone(), w.zone.clone(), w.spot);
-            if let Some(n) = c.rented.get_mut(&offer) {
+            if let Some(n) = c.provisioned.get_mut(&offer) {
                 *n -= 1;
             }
         }
     }
 
-    fn rent(&self, c: &mut Inner, body: ScaleOutRequest) -> Response {
+    fn scale_out(&self, c: &mut Inner, body: ScaleOutRequest) -> Response {
         let names = |machines| Response::new(200, to_json(&MachineIds { machines }));
         if let Some(machines) = c.requests.get(&body.request_id) {
             return names(machines.clone());
@@ -245,7 +245,7 @@
         }
         let offer = (body.machine_type, body.zone, body.spot);
         let most = self.most.get(&offer).copied().unwrap_or(0);
-        let held = c.rented.get(&offer).copied().unwrap_or(0);
+        let held = c.provisioned.get(&offer).copied().unwrap_or(0);
         let count = body.count.min(most.saturating_sub(held));
         let t = self.types.iter().find(|t| t.name == offer.0);
         let (Some(t), true) = (t, count > 0 && !c.drained.contains(&offer.1)) else {
@@ -262,7 +262,7 @@
                 .insert(worker.id.clone(), (worker, Instant::now()));
         }
         let got = machines.len() as u64;
-        *c.rented.entry(offer.clone()).or_default() += got as u32;
+        *c.provisioned.entry(offer.clone()).or_default() += got as u32;
         match offer.2 {
             true => c.count.1 += got,
             false => c.count.0 += got,
@@ -286,7 +286,7 @@
         let worker = Worker::new(id, addr, offer.clone(), room, self.cluster_state.clone());
         let worker = Arc::new(worker);
         let boot = Duration::from_secs_f64(t.boot_s);
-        self.hosting.host(worker.clone(), listener, boot);
+        self.launcher.launch(worker.clone(), listener, boot);
         Some(worker)
     }
 }
--- a/crates/standin/src/cluster.rs
+++ b/crates/standin/src/cluster.rs
@@ -1,6 +1,6 @@
 //! A whole cluster on loopback: starts everything, plays the scenario, and reports what came of it.
 
-use crate::cloud::{Cloud, Hosting, Threads};
+use crate::cloud::{Cloud, MachineLauncher, Threads};
 use crate::command_line::write_file;
 use crate::controller_settings::{Addresses, controller_settings};
 use crate::controllers::{Controllers, POLICY_FILE, controller_name};
@@ -44,10 +44,10 @@
     scenario: &Scenario,
     program: &Path,
     dir: &Path,
-    hosting: Arc<dyn Hosting>,
+    launcher: Arc<dyn MachineLauncher>,
     observe: &mut dyn FnMut(&Sample),
 ) -> Result<Outcome, StandinError> {
-    let cluster = Cluster::start(scenario, program, dir, hosting)?;
+    let cluster = Cluster::start(scenario, program, dir, launcher)?;
     cluster.wait_ready(dir)?;
     let begin = Instant::now();
     let users = Arc::new(Users::new(cluster.targets.cluster_state.clone()));
@@ -68,7 +68,7 @@
         scenario: &'a Scenario,
         program: &Path,
         dir: &Path,
-        hosting: Arc<dyn Hosting>,
+        launcher: Arc<dyn MachineLauncher>,
     ) -> Result<Cluster<'a>, StandinError> {
         std::fs::create_dir_all(dir).map_err(StandinError::at(dir))?;
         let count = *scenario.controllers.get_ref();
@@ -83,7 +83,7 @@
             lease: Duration::from_secs_f64(scenario.lease_s),
         });
         let state = Arc::new(StateService::default());
-        let cloud = Arc::new(Cloud::new(scenario, cluster_state.clone(), hosting));
+        let cloud = Arc::new(Cloud::new(scenario, cluster_state.clone(), launcher));
         let (state_handler, cloud_handler) = (state.clone(), cloud.clone());
         let addresses = Addresses {
             public,
--- a/crates/standin/src/command_line.rs
+++ b/crates/standin/src/command_line.rs
@@ -19,7 +19,7 @@
 pub struct LoadedScenario {
     /// The file's name.
     pub name: String,
-    /// What it says, with the seed that was asked for.
+    /// The scenario, with the seed of the command line.
     pub scenario: Scenario,
 }
 
--- a/crates/standin/src/records.rs
+++ b/crates/standin/src/records.rs
@@ -86,7 +86,7 @@
             ));
         }
         if tasks.done.contains(task) {
-            // Allowed: its end was not told before its machine was lost. It is counted.
+            // Allowed: its end was not reported before its machine was lost. It is counted.
             self.again += 1;
         } else if !tasks.started.insert(task) {
             self.again += 1;
--- a/crates/standin/src/report.rs
+++ b/crates/standin/src/report.rs
@@ -14,7 +14,7 @@
     pub submitted: usize,
     /// Jobs that were accepted.
     pub accepted: u64,
-    /// Jobs that users were told are done.
+    /// Jobs that were reported done to users.
     pub done: u64,
     /// Tasks that workers started.
     pub tasks_started: u64,
@@ -22,9 +22,9 @@
     pub tasks_started_again: u64,
     /// Runs that ended without a result.
     pub tasks_lost: u64,
-    /// Ordinary machines that were rented.
+    /// Ordinary machines that were provisioned.
     pub machines_ordinary: u64,
-    /// Spot machines that were rented.
+    /// Spot machines that were provisioned.
     pub machines_spot: u64,
     /// Requests for machines that the cloud refused.
     pub offers_refused: u64,
--- a/crates/standin/src/scenario.rs
+++ b/crates/standin/src/scenario.rs
@@ -1,4 +1,4 @@
-//! Scenario files: what the stand-ins play, and the load. Every fault is told with file and line.
+//! Scenario files: what the stand-ins play, and the load. Every error is reported with file and line.
 
 use serde::Deserialize;
 use std::time::Duration;
@@ -154,7 +154,7 @@
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(tag = "do", rename_all = "kebab-case")]
 pub enum EventAction {
-    /// Nothing is rented there any more, and its machines are taken after a notice.
+    /// Nothing is provisioned in it any more, and its machines are reclaimed after a notice.
     DrainZone {
         /// The zone's name.
         zone: String,
@@ -200,7 +200,7 @@
         /// After how long it is started again, in seconds.
         back_s: f64,
     },
-    /// The newest snapshot is offered to whoever leads; there must be a snapshotter.
+    /// The newest snapshot is offered to the leader; there must be a snapshotter.
     Restore {},
 }
 
--- a/crates/standin/src/state.rs
+++ b/crates/standin/src/state.rs
@@ -13,7 +13,7 @@
 
 /// Backups, one a second, to which it can be rolled back.
 const MAX_BACKUPS: usize = 120;
-/// Changes that a watch may still ask for.
+/// Events that a watch can still start from.
 const KEPT_EVENTS: usize = 10_000;
 /// Items on a page of keys.
 const MAX_PAGE: u64 = 1000;
@@ -216,7 +216,7 @@
         }
     }
 
-    /// Everything is gone, its counts of revisions and leases too; nobody is told.
+    /// Everything is gone, its counts of revisions and leases too; watchers get no events for it.
     pub fn lose(&self) {
         *self.store.lock().expect("no panic holds it") = Store::default();
     }
@@ -309,16 +309,16 @@
                 e.version > since && key.is_some_and(|k| k.starts_with(&under))
             };
             let events: Vec<WatchEvent> = s.events.iter().filter(named).cloned().collect();
-            let left = until.saturating_duration_since(Instant::now());
-            if !events.is_empty() || left.is_zero() {
+            let remaining = until.saturating_duration_since(Instant::now());
+            if !events.is_empty() || remaining.is_zero() {
                 let revision = s.revision;
                 return Response::new(200, to_json(&WatchResponse { revision, events }));
             }
             // Leases end without anybody's doing.
-            let nap = left.min(Duration::from_millis(100));
+            let pause = remaining.min(Duration::from_millis(100));
             let (next, _) = self
                 .changed
-                .wait_timeout(s, nap)
+                .wait_timeout(s, pause)
                 .expect("no panic holds it");
             s = next;
         }
--- a/crates/standin/src/users.rs
+++ b/crates/standin/src/users.rs
@@ -1,4 +1,4 @@
-//! Stand-in users: a seeded load of jobs, submitted through any controller and asked about until
+//! Stand-in users: a seeded load of jobs, submitted through any controller and queried until
 //! they are done.
 
 use crate::records::{Quantiles, histogram, quantiles};
@@ -204,8 +204,8 @@
         None
     }
 
-    /// Asks about an accepted job until it is done, and a little longer: what was said must not be
-    /// unsaid.
+    /// Queries an accepted job until it is done, and a few times more: a state that was reported must
+    /// not be taken back.
     fn poll(&self, n: usize, job: &Submitted, until: Instant) {
         let path = format!("{PATH_JOBS}/{}", job.id);
         let mut done = false;
@@ -243,7 +243,7 @@
         }
     }
 
-    /// A user was told that a job is done: all its tasks must be.
+    /// A job was reported done to a user: all its tasks must be.
     fn note_done(&self, job: &Submitted) {
         let mut seen = self.seen.lock().expect("no panic holds it");
         seen.done += 1;
--- a/crates/standin/src/worker.rs
+++ b/crates/standin/src/worker.rs
@@ -214,7 +214,7 @@
         }
     }
 
-    /// Starts a task, unless an attempt of it is here: another one is refused, and not kept.
+    /// Starts a task, unless the machine has an attempt of it: another one is refused, and not recorded.
     fn start(&self, state: &mut WorkerState, task: String, attempt: u64) {
         let held = state.tasks.get(&task);
         if held.is_some_and(|t| t.attempt == attempt || t.state != TaskState::Exited) {
@@ -279,7 +279,7 @@
     fn heartbeat(&self, state: &mut WorkerState) -> Heartbeat {
         self.advance(state);
         state.sequence += 1;
-        let left = |t: Instant| t.saturating_duration_since(Instant::now()).as_secs_f64();
+        let remaining = |t: Instant| t.saturating_duration_since(Instant::now()).as_secs_f64();
         Heartbeat {
             machine: self.id.as_str().into(),
             addr: self.addr.to_string(),
@@ -289,7 +289,7 @@
             incarnation: state.incarnation,
             sequence: state.sequence,
             fencing_token: state.fencing_token,
-            reclaim_in_s: state.taken_at.map(left),
+            reclaim_in_s: state.taken_at.map(remaining),
             tasks: state
                 .tasks
                 .iter()
