--- a/src/cli/error.rs
+++ b/src/cli/error.rs
@@ -6,7 +6,7 @@
 /// An error that ends the program. `main` prints it with its causes.
 pub type CommandError = Box<dyn Error + Send + Sync>;
 
-/// Says what an error is about: a file or an address.
+/// Adds to an error what it is about: a file or an address.
 #[derive(Debug, thiserror::Error)]
 #[error("{subject}")]
 pub struct WithSubject {
--- a/src/core/command.rs
+++ b/src/core/command.rs
@@ -22,44 +22,44 @@
 pub enum Command {
     /// A request about jobs, from a user or passed on by a peer.
     User(UserRequest),
-    /// The status page is asked for.
+    /// The status page is requested.
     Status(Ticket),
-    /// The metrics are asked for.
+    /// The metrics are requested.
     Metrics {
-        /// To be answered.
+        /// Of the request.
         ticket: Ticket,
         /// Commands that wait in each lane of the owner's queue.
         queue_lengths: [usize; 3],
     },
     /// A worker's heartbeat.
     Heartbeat {
-        /// To be answered.
+        /// Of the request.
         ticket: Ticket,
         /// As received.
         heartbeat: Box<Heartbeat>,
     },
     /// Heartbeats passed on by a controller that serves workers for the leader.
     HeartbeatBatch {
-        /// To be answered.
+        /// Of the request.
         ticket: Ticket,
         /// As received.
         batch: Box<HeartbeatBatch>,
     },
-    /// The leader's answer to a batch of this process.
+    /// The leader's response to a batch of this process.
     HeartbeatBatchResponse {
-        /// The batch that it answers.
+        /// The batch that it responds to.
         number: u64,
-        /// `None` if the leader gave no answer.
-        answer: Option<Box<HeartbeatBatchResponse>>,
+        /// `None` if the leader gave no response.
+        response: Option<Box<HeartbeatBatchResponse>>,
     },
-    /// A peer's answer to a request that was passed on to it.
+    /// A peer's response to a request that was passed on to it.
     Forwarded {
         /// Of the request that was passed on.
         ticket: Ticket,
         /// Where it was sent.
         peer: String,
-        /// `None` if the peer gave no answer.
-        answer: Option<PeerAnswer>,
+        /// `None` if the peer gave no response.
+        response: Option<PeerAnswer>,
     },
     /// The lease is granted, or renewed.
     LeaseRenewed {
@@ -91,27 +91,27 @@
         /// The store's revision after them.
         revision: u64,
     },
-    /// A peer asks for what this process remembers of the store.
+    /// A peer requests what this process remembers of the store.
     MemoryRequest {
-        /// To be answered.
+        /// Of the request.
         ticket: Ticket,
         /// Which part of it.
         request: MemoryRequest,
     },
-    /// A peer's answer to [`Effect::MemoryRequest`].
+    /// A peer's response to [`Effect::MemoryRequest`].
     MemoryPage {
         /// Who was asked.
         peer: String,
-        /// What it was asked for.
-        asked: MemoryRequest,
-        /// `None` if the peer gave no answer.
-        answer: Option<Box<MemoryPage>>,
+        /// What was requested of it.
+        request: MemoryRequest,
+        /// `None` if the peer gave no response.
+        response: Option<Box<MemoryPage>>,
     },
     /// An operator accepts a store that has lost data as it is.
     AcceptIncompleteStore(Ticket),
     /// A page of a snapshot from which a store that has lost data may be rebuilt.
     OfferSnapshot {
-        /// To be answered.
+        /// Of the request.
         ticket: Ticket,
         /// The identity of the store of which it is a snapshot.
         store: String,
@@ -146,14 +146,14 @@
 /// One output of a step, to be carried out by the caller.
 #[derive(Debug)]
 pub enum Effect {
-    /// Response a request.
+    /// Respond to a request.
     Response {
         /// Of the request.
         ticket: Ticket,
-        /// What to answer.
-        answer: Response,
+        /// What to send.
+        response: Response,
     },
-    /// Pass a request on to a peer; its answer comes back as [`Command::Forwarded`].
+    /// Pass a request on to a peer; its response comes back as [`Command::Forwarded`].
     Forward {
         /// Of the request.
         ticket: Ticket,
@@ -162,7 +162,7 @@
         /// What to send.
         request: PeerRequest,
     },
-    /// Send a batch of heartbeats to the leader; its answer comes back as [`Command::HeartbeatBatchResponse`].
+    /// Send a batch of heartbeats to the leader; its response comes back as [`Command::HeartbeatBatchResponse`].
     HeartbeatBatch {
         /// The leader's name.
         peer: String,
@@ -198,7 +198,7 @@
         /// Not to be sent after this moment.
         not_after: Instant,
     },
-    /// UserAction a peer what it remembers of the store; its answer comes back as [`Command::MemoryPage`].
+    /// Ask a peer for what it remembers of the store; its response comes back as [`Command::MemoryPage`].
     MemoryRequest {
         /// The peer's name.
         peer: String,
@@ -214,7 +214,7 @@
     ReplaceLease,
     /// What to check with each renewal of the lease from now on; `None`: nothing.
     LeadershipProof(Option<LeadershipProof>),
-    /// What the readiness check answers from now on.
+    /// What the readiness check reports from now on.
     Ready(bool),
 }
 
@@ -303,12 +303,12 @@
 /// Why a job's key is read, and so what is done with its value.
 #[derive(Debug)]
 pub(in crate::core) enum ReadPurpose {
-    /// The job's state is asked for.
+    /// The job's state is requested.
     Show(Ticket),
-    /// The transaction that creates the job got no answer; it is accepted if it is in the store.
+    /// The transaction that creates the job got no response; it is accepted if it is in the store.
     Accepted(Ticket),
     /// The job is to be cancelled.
     Cancel(Ticket),
-    /// The request is invalid, with this answer; which may be said only if the job does not exist.
+    /// The request is invalid, with this response, which may be sent only if the job does not exist.
     Reject(Ticket, Response),
 }
--- a/src/core/jobs/lifecycle.rs
+++ b/src/core/jobs/lifecycle.rs
@@ -31,7 +31,7 @@
             let body = state_body(id, JobState::Cancelled, None, None);
             self.effects.push(Effect::Response {
                 ticket,
-                answer: Response::new(200, body),
+                response: Response::new(200, body),
             });
         }
         if run.ending.is_none() {
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,15 +1,15 @@
 //! The single owner of all state. [`Core::step`] takes commands and returns effects; it does no I/O and reads no
-//! clock, so that every sequence of failures can be played to it in virtual time.
+//! clock, so that any sequence of failures can be simulated in virtual time.
 //!
-//! | folder | owns | main types |
+//! | module | owns | main types |
 //! |---|---|---|
 //! | `command`, `clock`, `ids`, `stats` | what goes into a step and comes out of it; counters | [`Command`], [`Effect`], [`Stats`] |
-//! | `leadership` | the lease, the leader key and its term, campaign and step-down, recovery of a new leader | `LeaderState`, `Lease`, `Candidacy`, `Recovery` |
-//! | `store` | the cache of the key-value store, the leader's durable writes, loss of the store's data | [`StoreCache`], `Writes`, `StoreIntegrity`, `Rebuild` |
+//! | `leadership` | the lease, the leader key and its term, campaign and step-down, isolation and liveness, recovery of a new leader | `LeaderState`, `Lease`, `Candidacy`, `Recovery` |
+//! | `store` | the cache of the key-value store, the leader's durable writes, read barriers, loss of the store's data and its rebuild | [`StoreCache`], `Writes`, `StoreIntegrity`, `Rebuild` |
 //! | `workers` | heartbeats, commands, fencing tokens; delegation of workers to other controllers | `Delegates`, `Relay` |
-//! | `machines` | machines as the leader knows them, failure detection, calls to the cloud | `Machine`, `CloudOperations` |
-//! | `jobs` | submission, users' requests, dependencies, progress and end of jobs | `JobRun` |
-//! | `scheduling` | snapshots for `planning`, and its decisions carried out | `SchedulerState` |
+//! | `machines` | machines as the leader knows them, failure detection, placement, reclamation and removal, calls to the cloud | `Machine`, `CloudOperations` |
+//! | `jobs` | submission and validation, users' requests, dependencies, task assignment, progress and end of jobs | `JobRun` |
+//! | `scheduling` | queue, quotas, gangs, bidding and scaling: snapshots for `planning`, and its decisions carried out | `SchedulerState` |
 //! | `monitoring` | status page, metrics, readiness | |
 //! | `simulation` | tests: a cluster of controllers in virtual time, with faults | |
 //!
@@ -67,8 +67,8 @@
 /// The part of this process's share of the store's requests that reads for users may take: a third of what it uses
 /// in all, as submissions and ends of jobs matter more.
 const USER_READS_SHARE: f64 = 0.2;
-/// The part of the cloud's requests that the leader uses: less than all, as the other controllers ask for machine
-/// types, and a former leader for more.
+/// The part of the cloud's requests that the leader uses: less than all, as the other controllers list machine
+/// types, and a former leader may still send requests.
 const CLOUD_SHARE: f64 = 0.85;
 /// Without a step for longer than this, the process was stopped, and what it did not receive meanwhile proves
 /// nothing.
@@ -91,7 +91,7 @@
     next_call: CallId,
     /// The calls in flight.
     pending: BTreeMap<CallId, Pending>,
-    /// Creations of jobs without an answer yet, and when each is looked at next.
+    /// Creations of jobs without an outcome yet, and when each is looked at next.
     unanswered_creations: VecDeque<(Instant, CallId)>,
     store_cache: StoreCache,
     /// When it was last checked whether cancelled jobs can still have tasks on machines.
@@ -100,7 +100,7 @@
     leader: Option<LeaderState>,
     candidacy: Candidacy,
     stale_leader_key: Option<StaleLeaderKey>,
-    /// Whether controllers serve workers for the one that leads.
+    /// Whether the leader delegates workers to other controllers.
     delegating: bool,
     relay: Relay,
     members: MembershipView,
@@ -108,7 +108,7 @@
     forwards: BTreeMap<Ticket, UserRequest>,
     barriers: ReadBarriers,
     store_integrity: StoreIntegrity,
-    /// Peers that gave no answer lately, and until when they are not asked.
+    /// Peers that did not respond lately, and until when nothing is sent to them.
     unreachable_peers: BTreeMap<String, Instant>,
     machine_types: Vec<MachineType>,
     machine_types_requested: Option<Instant>,
@@ -116,21 +116,21 @@
     peer_reachable_at: Instant,
     last_peer_probe: Option<Instant>,
     peer_probes: u64,
-    /// What the readiness check answers, once that is known.
+    /// What the readiness check reports, once that is known.
     ready: Option<bool>,
     knapsack_tables: KnapsackTables,
     /// Requests that the cloud's limit allows the leader now.
     cloud_budget: RateLimiter,
-    /// Reads for users who ask about jobs that the store's limit allows.
+    /// Reads for users' queries about jobs that the store's limit allows.
     read_budget: RateLimiter,
     /// Changes that the store's limit allows the leader now.
     write_budget: RateLimiter,
-    /// What was done so far, for metrics and the log.
+    /// Counters and latencies, for metrics and the log.
     pub stats: Stats,
 }
 
 impl Core {
-    /// A controller that has just begun, and knows nothing of the store. `nonce` is to differ from that of every
+    /// A controller that has just started, without a copy of the store. `nonce` must differ from that of every
     /// earlier process.
     pub fn new(settings: Arc<Settings>, policy: Arc<Policy>, nonce: u64, now: Now) -> Core {
         let cloud_budget = RateLimiter::new(settings.cloud_rps * CLOUD_SHARE, now.mono);
@@ -180,8 +180,8 @@
         }
     }
 
-    /// Takes in a snapshot of the store before anything is read from it. It counts as what this process remembers,
-    /// and is found to be older than a store that has lost nothing.
+    /// Loads a snapshot of the store before anything is read from it. It counts as what this process remembers;
+    /// a store that has lost nothing supersedes it.
     pub fn remember(&mut self, items: Vec<Item>, revision: u64) {
         self.store_cache.reset(items, revision);
         self.store_cache.loaded = false;
@@ -217,7 +217,7 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// Sets the time of this step. If the process was stopped meanwhile, its machines' silence proves nothing.
+    /// Sets the time of this step. If the process was stopped meanwhile, missing heartbeats prove nothing.
     fn advance_clock(&mut self, now: Now) {
         let elapsed = now.mono.saturating_duration_since(self.now.mono);
         self.now = now;
@@ -249,14 +249,14 @@
                 let due = self.receive_batch(ticket, *batch);
                 responses.batches.extend(due);
             }
-            Command::HeartbeatBatchResponse { number, answer } => {
-                self.batch_answered(number, answer);
+            Command::HeartbeatBatchResponse { number, response } => {
+                self.batch_answered(number, response);
             }
             Command::Forwarded {
                 ticket,
                 peer,
-                answer,
-            } => self.forward_outcome(ticket, peer, answer),
+                response,
+            } => self.forward_outcome(ticket, peer, response),
             Command::LeaseRenewed {
                 lease,
                 sent,
@@ -266,13 +266,15 @@
             Command::LeaseLost => self.lease_lost(),
             Command::StoreListed { items, revision } => self.store_listed(items, revision),
             Command::StoreChanged { events, revision } => self.store_changed(events, revision),
-            Command::MemoryRequest { ticket, request } => self.recall(ticket, request),
+            Command::MemoryRequest { ticket, request } => {
+                self.serve_memory_request(ticket, &request)
+            }
             Command::MemoryPage {
                 peer,
-                asked,
-                answer,
-            } => self.recalled(peer, asked, answer),
-            Command::AcceptIncompleteStore(ticket) => self.settle(ticket),
+                request,
+                response,
+            } => self.memory_response(peer, &request, response),
+            Command::AcceptIncompleteStore(ticket) => self.accept_incomplete_store(ticket),
             Command::OfferSnapshot {
                 ticket,
                 store,
@@ -285,7 +287,7 @@
         }
     }
 
-    /// What a leader does after the commands of a step: it decides, answers workers accordingly, and writes.
+    /// What a leader does after the commands of a step: it decides, responds to workers accordingly, and writes.
     fn finish_step_as_leader(&mut self, mut responses: DeferredResponses) {
         self.advance_rebuild();
         self.check_machines();
@@ -301,8 +303,8 @@
         self.send_writes();
     }
 
-    /// What a controller that may not act as the leader does after the commands of a step: workers are sent to the
-    /// leader, unless they are served for it.
+    /// What a controller that may not act as the leader does after the commands of a step: workers are redirected to the
+    /// leader, unless they are served on its behalf.
     fn finish_step_as_follower(&mut self, mut responses: DeferredResponses) {
         if let Some(leader) = &mut self.leader {
             responses.append(leader.scheduler.take_deferred_responses());
@@ -349,8 +351,8 @@
         call
     }
 
-    fn answer(&mut self, ticket: Ticket, answer: Response) {
-        self.effects.push(Effect::Response { ticket, answer });
+    fn answer(&mut self, ticket: Ticket, response: Response) {
+        self.effects.push(Effect::Response { ticket, response });
     }
 
     /// Hands the outcome of a call to the store to the concern that made it.
@@ -363,7 +365,7 @@
             Some(Pending::CreateJob(creation)) => self.creation_outcome(creation, outcome),
             Some(Pending::CreateJobParts(creation)) => self.parts_outcome(creation, outcome),
             Some(Pending::ReadJob { id, purpose }) => self.read(id, purpose, outcome),
-            Some(Pending::ReadBarrier(questions)) => self.barrier_read(questions, outcome),
+            Some(Pending::ReadBarrier(requests)) => self.barrier_read(requests, outcome),
             Some(Pending::Campaign) => self.campaign_outcome(outcome),
             Some(Pending::AuditJobs { after, suspicion }) => {
                 self.jobs_audited(after, suspicion, outcome);
--- a/src/core/simulation/faults.rs
+++ b/src/core/simulation/faults.rs
@@ -81,11 +81,10 @@
             .extract_if(.., |_, (a, to, _)| *a == i || *to == name);
         let unanswered: Vec<_> = unanswered.map(|(_, r)| r).collect();
         for (asker, peer, asked) in unanswered.into_iter().filter(|r| r.0 != i) {
-            let answer = None;
             self.nodes[asker].inbox.push(Command::MemoryPage {
                 peer,
-                asked,
-                answer,
+                request: asked,
+                response: None,
             });
         }
     }
--- a/src/core/simulation/network.rs
+++ b/src/core/simulation/network.rs
@@ -91,7 +91,7 @@
     /// Carries out what a step of controller `from` decided.
     pub(super) fn apply_effect(&mut self, from: usize, effect: Effect) {
         match effect {
-            Effect::Response { ticket, answer } => self.deliver_answer(from, ticket, answer),
+            Effect::Response { ticket, response } => self.deliver_answer(from, ticket, response),
             Effect::Forward {
                 ticket,
                 peer,
@@ -138,8 +138,8 @@
             let recalled = memory_exchange::decode_memory_page(&body).unwrap();
             self.nodes[asker].inbox.push(Command::MemoryPage {
                 peer,
-                asked,
-                answer: Some(Box::new(recalled)),
+                request: asked,
+                response: Some(Box::new(recalled)),
             });
         } else if let Some((asker, number, _)) = self.network.syncs.remove(&ticket) {
             // What cannot get through is as good as lost.
@@ -150,13 +150,13 @@
                 .inbox
                 .push(Command::HeartbeatBatchResponse {
                     number,
-                    answer: synced.filter(|_| through).map(Box::new),
+                    response: synced.filter(|_| through).map(Box::new),
                 });
         } else if let Some((asker, original)) = self.network.forwards.remove(&ticket) {
             self.nodes[asker].inbox.push(Command::Forwarded {
                 ticket: original,
                 peer: format!("n{from}"),
-                answer: Some(peer_answer(&answer)),
+                response: Some(peer_answer(&answer)),
             });
         } else if let Some((id, asked)) = self.network.unawaited_cancellations.remove(&ticket) {
             self.check_answer(&id, asked, Some(&answer));
@@ -185,7 +185,7 @@
             self.nodes[from].inbox.push(Command::Forwarded {
                 ticket,
                 peer,
-                answer: None,
+                response: None,
             });
             return;
         }
@@ -213,7 +213,7 @@
                 .inbox
                 .push(Command::HeartbeatBatchResponse {
                     number,
-                    answer: None,
+                    response: None,
                 });
             return;
         }
@@ -233,8 +233,8 @@
         if !self.reaches(from, to) {
             self.nodes[from].inbox.push(Command::MemoryPage {
                 peer,
-                asked: recall,
-                answer: None,
+                request: recall,
+                response: None,
             });
             return;
         }
@@ -317,7 +317,7 @@
                 .inbox
                 .push(Command::HeartbeatBatchResponse {
                     number,
-                    answer: None,
+                    response: None,
                 });
         }
     }
--- a/src/core/simulation/recorded_decisions.rs
+++ b/src/core/simulation/recorded_decisions.rs
@@ -111,9 +111,9 @@
     /// An effect in a form that depends on what it does, not on how the program names it.
     fn content(&self, effect: &Effect) -> Value {
         match effect {
-            Effect::Response { ticket, answer } => {
-                let not_after = answer.not_after.map(|t| self.millis(t));
-                answer_content(json!(ticket), answer, not_after)
+            Effect::Response { ticket, response } => {
+                let not_after = response.not_after.map(|t| self.millis(t));
+                answer_content(json!(ticket), response, not_after)
             }
             Effect::Forward {
                 ticket,
--- a/src/core/simulation/scenarios/delegation.rs
+++ b/src/core/simulation/scenarios/delegation.rs
@@ -78,7 +78,7 @@
     simulation.until_done("wk-1", 90.0);
     let stats = &simulation.nodes[leader].core.stats;
     let (told, called) = (
-        stats.done(Work::StartInAnswer),
+        stats.done(Work::StartInResponse),
         stats.done(Work::StartByCall),
     );
     assert_eq!(simulation.counters.starts, 300);
@@ -425,7 +425,7 @@
         };
         let effects = simulation.nodes[node].core.step(now, vec![ask]);
         let body = effects.into_iter().find_map(|e| match e {
-            Effect::Response { ticket, answer } if ticket == u64::MAX => Some(answer.body),
+            Effect::Response { ticket, response } if ticket == u64::MAX => Some(response.body),
             _ => None,
         });
         let text = String::from_utf8(body.unwrap()).unwrap();
--- a/src/core/simulation/scenarios/size.rs
+++ b/src/core/simulation/scenarios/size.rs
@@ -85,7 +85,9 @@
     };
     let effects = core.step(now, (0..count).map(heartbeat).collect());
     let answered = effects.into_iter().filter_map(|effect| match effect {
-        Effect::Response { ticket, answer } => Some((ticket, answer.status, answer.retry_after)),
+        Effect::Response { ticket, response } => {
+            Some((ticket, response.status, response.retry_after))
+        }
         _ => None,
     });
     answered.collect()
@@ -270,12 +272,12 @@
                 Effect::HeartbeatBatch { number, frame, .. } => {
                     let (_, body) = peer::read_frame(&mut frame.as_slice()).unwrap();
                     let answer = answer(&heartbeat_batch::decode_batch(&body).unwrap());
-                    let answer = Some(Box::new(answer));
-                    commands.push(Command::HeartbeatBatchResponse { number, answer });
+                    let response = Some(Box::new(answer));
+                    commands.push(Command::HeartbeatBatchResponse { number, response });
                     frames += 1;
                 }
-                Effect::Response { answer, .. } => {
-                    assert_eq!(answer.status, 200);
+                Effect::Response { response, .. } => {
+                    assert_eq!(response.status, 200);
                     answered += 1;
                 }
                 _ => {}
--- a/src/core/stats.rs
+++ b/src/core/stats.rs
@@ -26,8 +26,8 @@
     DirectCall,
     /// Planning rounds.
     Plan,
-    /// Tasks started in the answer to a heartbeat.
-    StartInAnswer,
+    /// Tasks started in the response to a heartbeat.
+    StartInResponse,
     /// Tasks started by a direct call.
     StartByCall,
 }
@@ -44,7 +44,7 @@
     (Work::CloudCall, "cloud_calls"),
     (Work::DirectCall, "direct_calls"),
     (Work::Plan, "plans"),
-    (Work::StartInAnswer, "starts_in_answers"),
+    (Work::StartInResponse, "starts_in_answers"),
     (Work::StartByCall, "starts_by_calls"),
 ];
 
--- a/src/core/store/integrity/memory_exchange.rs
+++ b/src/core/store/integrity/memory_exchange.rs
@@ -1,5 +1,5 @@
-//! What controllers ask each other about their copies of the store: summaries of an empty one, and whole copies
-//! for a rebuild.
+//! The controllers' requests for each other's copies of the store: summaries while the store is empty, and whole
+//! copies for a rebuild.
 
 use super::is_due;
 use crate::core::{Core, Effect, Ticket};
@@ -11,7 +11,7 @@
 const MEMORY_REQUEST_INTERVAL: Duration = Duration::from_millis(200);
 
 impl Core {
-    /// Asks the controllers that have not read the store, as far as is known, what they remember of an empty one.
+    /// Requests a summary from the controllers that, as far as is known, have not read the empty store.
     pub(super) fn request_peer_summaries(&mut self) {
         let now = self.now.mono;
         let integrity = &mut self.store_integrity;
@@ -22,26 +22,27 @@
         integrity.memories_requested = Some(now);
         let peers = self.settings.peers.iter().map(|p| &p.name);
         for peer in peers.filter(|name| !integrity.peer_has_read_store(name)) {
-            let recall = MemoryRequest {
+            let request = MemoryRequest {
                 summary_only: true,
                 after: String::new(),
             };
             let peer = peer.clone();
-            self.effects.push(Effect::MemoryRequest {
-                peer,
-                request: recall,
-            });
+            self.effects.push(Effect::MemoryRequest { peer, request });
         }
     }
 
-    /// Another controller asks what is remembered here.
-    pub(in crate::core) fn recall(&mut self, ticket: Ticket, recall: MemoryRequest) {
+    /// Responds to another controller with a summary of this copy of the store, or with a page of it.
+    pub(in crate::core) fn serve_memory_request(
+        &mut self,
+        ticket: Ticket,
+        request: &MemoryRequest,
+    ) {
         let cache = &self.store_cache;
         let remembers = cache.term > 0 || !cache.jobs.is_empty() || !cache.finished.is_empty();
-        let (items, more) = if recall.summary_only {
+        let (items, more) = if request.summary_only {
             (Vec::new(), false)
         } else {
-            cache.memory(&recall.after, PAGE_BYTES)
+            cache.memory(&request.after, PAGE_BYTES)
         };
         let items = items.into_iter().map(|(k, v)| (k, v.to_string()));
         let page = MemoryPage {
@@ -56,22 +57,22 @@
         self.answer(ticket, Response::new(200, body));
     }
 
-    /// Another controller's answer to a request for its memory, or that there was none.
-    pub(in crate::core) fn recalled(
+    /// Processes another controller's response to a request for its copy of the store; `None` if there was none.
+    pub(in crate::core) fn memory_response(
         &mut self,
         peer: String,
-        asked: MemoryRequest,
-        answer: Option<Box<MemoryPage>>,
+        request: &MemoryRequest,
+        response: Option<Box<MemoryPage>>,
     ) {
-        if answer.is_some() {
+        if response.is_some() {
             self.peer_reachable_at = self.now.mono;
         }
-        match answer {
-            Some(summary) if asked.summary_only => {
+        match response {
+            Some(summary) if request.summary_only => {
                 self.store_integrity.peer_memories.insert(peer, *summary);
             }
-            None if asked.summary_only => {}
-            answer => self.take_memory_page(&peer, &asked, answer),
+            None if request.summary_only => {}
+            response => self.take_memory_page(&peer, request, response),
         }
     }
 }
--- a/src/core/store/rebuild/operator.rs
+++ b/src/core/store/rebuild/operator.rs
@@ -1,4 +1,4 @@
-//! An operator's commands for an incomplete store: take it as it is, or join a snapshot.
+//! An operator's commands for an incomplete store: accept it as it is, or merge a snapshot.
 
 use super::HeldTask;
 use crate::core::leadership::state::LeaderState;
@@ -11,15 +11,15 @@
 use std::time::Instant;
 
 impl Core {
-    /// For operators' commands, which only the leader can follow.
+    /// The response to an operator's command, which only the leader can carry out.
     fn not_the_leader(&self) -> Response {
         let leader = self.leader_name().unwrap_or("nobody");
         Response::error(409, &format!("not the leader; that is {leader}"))
     }
 
-    /// An operator takes the store as it is: what nobody remembers is stopped, and unknown from now
-    /// on.
-    pub(in crate::core) fn settle(&mut self, ticket: Ticket) {
+    /// Accepts the store as it is: tasks of jobs that no controller remembers are stopped, and those jobs are
+    /// unknown from now on.
+    pub(in crate::core) fn accept_incomplete_store(&mut self, ticket: Ticket) {
         let now = self.now.mono;
         if !self.acting() {
             return self.answer(ticket, self.not_the_leader());
@@ -44,8 +44,8 @@
         self.answer(ticket, Response::new(200, to_json(&body)));
     }
 
-    /// A snapshot, or a page of one, offered as one more memory; `store` is the one that it is of, and
-    /// `last` says that with this page it is whole.
+    /// Merges a snapshot, or a page of one, like a peer's copy; `store` identifies the store of which it is a
+    /// snapshot, and `last` marks its last page.
     pub(in crate::core) fn merge_snapshot(
         &mut self,
         ticket: Ticket,
@@ -76,7 +76,7 @@
 }
 
 impl LeaderState {
-    /// Tasks of jobs that stay unknown stop.
+    /// Stops the tasks of jobs that stay unknown.
     fn stop_held_tasks(&mut self, held: BTreeMap<JobId, BTreeSet<HeldTask>>, now: Instant) {
         for (job, tasks) in held {
             for HeldTask { index, machine } in tasks {
--- a/src/core/workers/commands.rs
+++ b/src/core/workers/commands.rs
@@ -195,7 +195,7 @@
 
     /// The machine is answered with so many starts.
     fn record_response(&mut self, id: &MachineId, starts: usize) {
-        self.stats.count(Work::StartInAnswer, starts);
+        self.stats.count(Work::StartInResponse, starts);
         let Some(leader) = &mut self.leader else {
             return;
         };
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -43,7 +43,7 @@
 pub struct Client {
     addr: SocketAddrV4,
     connect_timeout: Duration,
-    kept: Option<Connection>,
+    idle: Option<Connection>,
 }
 
 impl Client {
@@ -52,14 +52,14 @@
         Client {
             addr,
             connect_timeout,
-            kept: None,
+            idle: None,
         }
     }
 
     /// Sends a request and reads the response.
     ///
     /// # Errors
-    /// `NotSent` if no connection could be opened, else `Unknown`: a kept connection that turns out
+    /// `NotSent` if no connection could be opened, else `Unknown`: a reused connection that turns out
     /// to be closed among others.
     pub fn call(
         &mut self,
@@ -71,7 +71,7 @@
         self.try_call(method, path, body, Instant::now() + timeout)
     }
 
-    /// Like `call`, for a request that may be executed more than once: a kept connection that soon
+    /// Like `call`, for a request that may be executed more than once: a reused connection that soon
     /// turns out to be closed is replaced, and the request repeated.
     ///
     /// # Errors
@@ -83,11 +83,11 @@
         body: &[u8],
         timeout: Duration,
     ) -> Result<ClientResponse, CallError> {
-        let was_kept = self.kept.is_some();
+        let was_reused = self.idle.is_some();
         let started = Instant::now();
         let deadline = started + timeout;
         match self.try_call(method, path, body, deadline) {
-            Err(CallError::Unknown(_)) if was_kept && started.elapsed() < timeout / 4 => {
+            Err(CallError::Unknown(_)) if was_reused && started.elapsed() < timeout / 4 => {
                 self.try_call(method, path, body, deadline)
             }
             result => result,
@@ -101,7 +101,7 @@
         body: &[u8],
         deadline: Instant,
     ) -> Result<ClientResponse, CallError> {
-        let mut connection = match self.kept.take() {
+        let mut connection = match self.idle.take() {
             Some(connection) => connection,
             None => Connection::open(self.addr, self.connect_timeout)
                 .map_err(|e| CallError::NotSent(e.to_string()))?,
@@ -117,7 +117,7 @@
         connection.stream.write_all(&request).map_err(unknown)?;
         let (response, keep_alive) = connection.read_response(deadline).map_err(unknown)?;
         if keep_alive {
-            self.kept = Some(connection);
+            self.idle = Some(connection);
         }
         Ok(response)
     }
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -78,7 +78,7 @@
         Response::new(status, crate::wire::error_body(text))
     }
 
-    /// Status 503: the client is told to retry after so many seconds.
+    /// Status 503: with `Retry-After` in seconds.
     pub fn busy(text: &str, retry_after: u32) -> Response {
         let mut response = Response::error(503, text);
         response.retry_after = Some(retry_after);
@@ -123,7 +123,7 @@
     }
 }
 
-/// A response as it goes over the wire; with `close`, it says that the connection ends with it.
+/// A response as it goes over the wire; with `close`, its head announces that the connection ends with it.
 fn encode_response(response: &Response, close: bool) -> Vec<u8> {
     let mut head = format!(
         "HTTP/1.1 {} {}\r\nContent-Type: {}\r\nContent-Length: {}\r\n",
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -405,14 +405,14 @@
     fn handle(&mut self, request: Request, responder: Responder) {
         let handle = self.handle.clone();
         // The responder comes back out of it if there is no thread.
-        let slot = Arc::new(Mutex::new(Some(responder)));
-        let threads_slot = slot.clone();
+        let shared_responder = Arc::new(Mutex::new(Some(responder)));
+        let thread_responder = shared_responder.clone();
         let started = std::thread::Builder::new()
             .name("request".into())
             .stack_size(REQUEST_STACK_BYTES)
             .spawn(move || {
                 let response = handle(request);
-                let responder = take(&threads_slot);
+                let responder = take(&thread_responder);
                 if let (Some(response), Some(responder)) = (response, responder) {
                     responder.send(&response);
                 }
@@ -421,13 +421,16 @@
             if !std::mem::replace(&mut self.spawn_failure_logged, true) {
                 tracing::warn!(error = %e, "no thread for a request");
             }
-            if let Some(responder) = take(&slot) {
+            if let Some(responder) = take(&shared_responder) {
                 responder.send(&Response::busy("overloaded", 1));
             }
         }
     }
 }
 
-fn take(slot: &Mutex<Option<Responder>>) -> Option<Responder> {
-    slot.lock().unwrap_or_else(PoisonError::into_inner).take()
+fn take(responder: &Mutex<Option<Responder>>) -> Option<Responder> {
+    responder
+        .lock()
+        .unwrap_or_else(PoisonError::into_inner)
+        .take()
 }
--- a/src/http/tests.rs
+++ b/src/http/tests.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn connections_over_the_bound_are_told_to_come_back() {
+fn connections_over_the_bound_get_retry_after() {
     let addr = server(1);
     let held = TcpStream::connect(addr).unwrap();
     std::thread::sleep(Duration::from_millis(100));
@@ -116,8 +116,8 @@
 
 fn connect(addr: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(addr).unwrap();
-    let patience = Some(Duration::from_secs(20));
-    stream.set_read_timeout(patience).unwrap();
+    let timeout = Some(Duration::from_secs(20));
+    stream.set_read_timeout(timeout).unwrap();
     stream
 }
 
@@ -305,9 +305,9 @@
     let mut stream = connect(echo(Limits::with_reserve(200)));
     let head = b"POST /jobs HTTP/1.1\r\nContent-Length: 2\r\nExpect: 100-continue\r\n\r\n";
     stream.write_all(head).unwrap();
-    let mut told = [0; 25];
-    stream.read_exact(&mut told).unwrap();
-    assert_eq!(&told, b"HTTP/1.1 100 Continue\r\n\r\n");
+    let mut interim = [0; 25];
+    stream.read_exact(&mut interim).unwrap();
+    assert_eq!(&interim, b"HTTP/1.1 100 Continue\r\n\r\n");
     assert!(ask(&mut stream, b"{}").ends_with("/jobs"));
 }
 
--- a/src/policy/entries.rs
+++ b/src/policy/entries.rs
@@ -28,7 +28,7 @@
 /// The entries of a policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Entry {
-    /// What settles ties between sets of queue entries that fill the free room equally well.
+    /// Breaks ties between sets of queue entries that fill the free room equally well.
     PriorityWeight,
     /// The queue's order within the same precedence, the lowest first.
     QueueOrder,
--- a/src/service/inbox.rs
+++ b/src/service/inbox.rs
@@ -1,4 +1,4 @@
-//! The way of commands into the owner's queue, and the way of its responses back to whoever asked.
+//! Takes commands into the owner's queue, and its responses back to the clients.
 
 use super::admission_gate::{Admission, AdmissionGate};
 use super::command_queue::{CommandQueue, Lane, QueueLengths};
@@ -20,7 +20,7 @@
 /// Heartbeats that are worked on at a time: what two steps of the owner take, so that the next one
 /// finds work. The others wait, unparsed. Workers send one whenever something changes, so a
 /// thousand of them that run short tasks send more than can be worked through: then each has its
-/// next heartbeat answered a little later and with more in it, and what is urgent does not stand
+/// next heartbeat processed a little later and with more in it, and what is urgent does not stand
 /// behind a thousand of these.
 const CONCURRENT_HEARTBEATS: usize = 2 * Lane::Heartbeat.commands_per_step();
 /// Seconds after which a caller whose request found the queue full should retry.
@@ -59,7 +59,7 @@
     /// Notified when a command comes while the owner is idle.
     not_empty: Condvar,
     next_ticket: AtomicU64,
-    /// Requests that the owner has yet to answer.
+    /// Requests to which the owner has yet to respond.
     pending: Mutex<BTreeMap<Ticket, PendingReply>>,
     heartbeats: AdmissionGate<UnparsedHeartbeat>,
     renewal: LeaseRenewalPriority,
@@ -197,7 +197,7 @@
         }
     }
 
-    /// Sends a response of the owner to whoever asked, unless that was answered for being late.
+    /// Sends a response of the owner to the client, unless the request has expired.
     pub fn respond(&self, ticket: Ticket, response: Response) {
         let pending = lock(&self.shared.pending).remove(&ticket);
         if let Some(pending) = pending {
--- a/src/service/lease_keeper.rs
+++ b/src/service/lease_keeper.rs
@@ -21,7 +21,7 @@
 /// Longest sleep at a time, so that a request of the owner takes effect soon.
 const SLEEP_STEP: Duration = Duration::from_millis(200);
 
-/// What the owner asks of the keeper's thread.
+/// The owner's requests to the keeper's thread.
 #[derive(Default)]
 pub(super) struct LeaseControl {
     release: AtomicBool,
@@ -31,12 +31,12 @@
 }
 
 impl LeaseControl {
-    /// Asks for the lease to be ended, and with it leadership.
+    /// Requests that the lease be revoked, which ends leadership.
     pub(super) fn release(&self) {
         self.release.store(true, Ordering::Relaxed);
     }
 
-    /// Asks for another lease; the present one is neither renewed nor revoked.
+    /// Requests another lease; the present one is neither renewed nor revoked.
     pub(super) fn replace(&self) {
         self.replace.store(true, Ordering::Relaxed);
     }
@@ -166,7 +166,7 @@
     }
 
     /// The version of the leader key, if what leadership rests on still holds; `None` where this
-    /// process does not lead, or cannot tell.
+    /// process does not lead, or cannot know.
     fn confirm_leadership(&mut self) -> Option<u64> {
         let proof = lock(&self.control.proof).clone()?;
         let key_version = proof.key_version;
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Sleeps, or until the owner asks for something.
+    /// Sleeps, or until the owner sends a request.
     fn sleep_until(&self, end: Instant) {
         while Instant::now() < end && !self.control.has_request() {
             let remaining = end.saturating_duration_since(Instant::now());
@@ -201,7 +201,7 @@
     LEASE_TTL / 5
 }
 
-/// Whether so much of the lease's time is gone that the log says so.
+/// Whether so much of the lease's time has passed that it is logged.
 fn is_long(duration: Duration) -> bool {
     duration > LEASE_TTL / 4
 }
--- a/src/service/owner.rs
+++ b/src/service/owner.rs
@@ -38,7 +38,7 @@
     pub(super) responses: ThreadPool<Vec<ResponseCall>>,
     pub(super) watch: Arc<StoreWatch>,
     pub(super) lease: Arc<LeaseControl>,
-    /// What `/ready` answers.
+    /// What `/ready` reports.
     pub(super) ready: Arc<AtomicBool>,
 }
 
@@ -104,10 +104,9 @@
     /// Responses are collected: those of a step are sent together.
     fn carry_out(&self, effect: Effect, responses: &mut Vec<ResponseCall>) {
         match effect {
-            Effect::Response { ticket, answer } => responses.push(ResponseCall {
-                ticket,
-                response: answer,
-            }),
+            Effect::Response { ticket, response } => {
+                responses.push(ResponseCall { ticket, response });
+            }
             Effect::Ready(ready) => self.ready.store(ready, Ordering::Relaxed),
             Effect::ReleaseLease => self.lease.release(),
             Effect::ReplaceLease => self.lease.replace(),
@@ -143,11 +142,8 @@
                 peer,
                 request,
             } => self.send_to_peer(&peer, PeerCall::Forward { ticket, request }),
-            Effect::MemoryRequest {
-                peer,
-                request: recall,
-            } => {
-                self.send_to_peer(&peer, PeerCall::Memory(recall));
+            Effect::MemoryRequest { peer, request } => {
+                self.send_to_peer(&peer, PeerCall::Memory(request));
             }
             Effect::HeartbeatBatch {
                 peer,
--- a/src/service/peer_pool.rs
+++ b/src/service/peer_pool.rs
@@ -20,7 +20,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
 /// Much less than the leader's lease is valid, so that a grant outlives a batch that is lost.
 const HEARTBEAT_BATCH_TIMEOUT: Duration = Duration::from_millis(1000);
-/// A page takes its controller a while, and nothing waits for it but the next page.
+/// A controller needs a while to build a page, and only the request for the next page waits for it.
 const MEMORY_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// One request to a peer.
@@ -76,20 +76,20 @@
     match call {
         PeerCall::Forward { ticket, request } => {
             let frame = peer::encode_request(&request);
-            let answer = connection.exchange(&frame, FORWARD_TIMEOUT, peer::decode_answer);
+            let response = connection.exchange(&frame, FORWARD_TIMEOUT, peer::decode_answer);
             Command::Forwarded {
                 ticket,
                 peer: peer.to_string(),
-                answer: logged(peer, answer),
+                response: logged(peer, response),
             }
         }
-        PeerCall::Memory(asked) => {
-            let frame = memory_exchange::encode_memory_request(&asked);
-            let answer = connection.exchange(&frame, MEMORY_TIMEOUT, decode_memory_page);
+        PeerCall::Memory(request) => {
+            let frame = memory_exchange::encode_memory_request(&request);
+            let response = connection.exchange(&frame, MEMORY_TIMEOUT, decode_memory_page);
             Command::MemoryPage {
                 peer: peer.to_string(),
-                asked,
-                answer: logged(peer, answer).map(Box::new),
+                request,
+                response: logged(peer, response).map(Box::new),
             }
         }
     }
@@ -110,7 +110,7 @@
             connection.close();
         }
     }
-    let answer = match connections.get_mut(&call.peer) {
+    let response = match connections.get_mut(&call.peer) {
         Some(connection) => {
             connection.exchange(&call.frame, HEARTBEAT_BATCH_TIMEOUT, |kind, body: &[u8]| {
                 (kind == heartbeat_batch::KIND_HEARTBEAT_BATCH_RESPONSE)
@@ -121,41 +121,41 @@
     };
     Command::HeartbeatBatchResponse {
         number: call.number,
-        answer: logged(&call.peer, answer).map(Box::new),
+        response: logged(&call.peer, response).map(Box::new),
     }
 }
 
-/// `core` learns only that there is no answer; why is for the log.
-fn logged<T>(peer: &str, answer: io::Result<T>) -> Option<T> {
-    answer
+/// `core` learns only that there is no response; the cause is logged.
+fn logged<T>(peer: &str, response: io::Result<T>) -> Option<T> {
+    response
         .inspect_err(|error| tracing::debug!(peer, %error, "peer request failed"))
         .ok()
 }
 
-/// A connection to one peer that is kept between requests.
+/// A connection to one peer that stays open between requests.
 struct PeerConnection {
     addr: SocketAddrV4,
-    kept: Option<TcpStream>,
+    idle: Option<TcpStream>,
 }
 
 impl PeerConnection {
     fn new(addr: SocketAddrV4) -> PeerConnection {
-        PeerConnection { addr, kept: None }
+        PeerConnection { addr, idle: None }
     }
 
     fn close(&mut self) {
-        self.kept = None;
+        self.idle = None;
     }
 
-    /// Sends a frame and reads its answer. All requests between controllers may be repeated, so a
-    /// kept connection that turns out to be closed is replaced once.
+    /// Sends a frame and reads the response. All requests between controllers may be repeated, so a
+    /// reused connection that turns out to be closed is replaced once.
     fn exchange<T>(
         &mut self,
         frame: &[u8],
         timeout: Duration,
         decode: impl Fn(u8, &[u8]) -> Option<T>,
     ) -> io::Result<T> {
-        if let Some(stream) = self.kept.take() {
+        if let Some(stream) = self.idle.take() {
             let started = Instant::now();
             match self.exchange_on(stream, frame, timeout, &decode) {
                 Err(_) if started.elapsed() <= timeout / 2 => {}
@@ -167,7 +167,7 @@
         self.exchange_on(stream, frame, timeout, &decode)
     }
 
-    /// The connection is kept only if the exchange succeeds.
+    /// The connection stays open only if the exchange succeeds.
     fn exchange_on<T>(
         &mut self,
         mut stream: TcpStream,
@@ -179,8 +179,8 @@
         stream.set_write_timeout(Some(timeout))?;
         peer::write_frame(&mut stream, frame)?;
         let (kind, body) = peer::read_frame(&mut stream)?;
-        let answer = decode(kind, &body).ok_or(io::ErrorKind::InvalidData)?;
-        self.kept = Some(stream);
-        Ok(answer)
+        let response = decode(kind, &body).ok_or(io::ErrorKind::InvalidData)?;
+        self.idle = Some(stream);
+        Ok(response)
     }
 }
--- a/src/service/peer_server.rs
+++ b/src/service/peer_server.rs
@@ -86,7 +86,7 @@
     stream.set_write_timeout(Some(WRITE_TIMEOUT))?;
     loop {
         let (kind, body) = peer::read_frame(&mut stream)?;
-        // A connection without an answer is closed: the peer counts it as none.
+        // The connection is closed instead of a response: the peer counts that as none.
         let Some(frame) = handle(kind, &body, inbox)? else {
             return Ok(());
         };
@@ -94,7 +94,7 @@
     }
 }
 
-/// The frame that answers a request; `None` if it gets no answer.
+/// The response frame to a request; `None` if it gets none.
 fn handle(kind: u8, body: &[u8], inbox: &Inbox) -> io::Result<Option<Vec<u8>>> {
     match kind {
         heartbeat_batch::KIND_HEARTBEAT_BATCH => handle_heartbeat_batch(body, inbox),
@@ -104,22 +104,16 @@
 }
 
 fn handle_heartbeat_batch(body: &[u8], inbox: &Inbox) -> io::Result<Option<Vec<u8>>> {
-    let sync = heartbeat_batch::decode_batch(body).ok_or(io::ErrorKind::InvalidData)?;
-    let sync = Box::new(sync);
-    let response = inbox.request_and_wait(|ticket| Command::HeartbeatBatch {
-        ticket,
-        batch: sync,
-    });
+    let batch = heartbeat_batch::decode_batch(body).ok_or(io::ErrorKind::InvalidData)?;
+    let batch = Box::new(batch);
+    let response = inbox.request_and_wait(|ticket| Command::HeartbeatBatch { ticket, batch });
     let is_frame = response.status == 200;
     Ok((is_frame && !response.expired()).then_some(response.body))
 }
 
 fn handle_memory_request(body: &[u8], inbox: &Inbox) -> io::Result<Option<Vec<u8>>> {
-    let recall = memory_exchange::decode_memory_request(body).ok_or(io::ErrorKind::InvalidData)?;
-    let response = inbox.request_and_wait(|ticket| Command::MemoryRequest {
-        ticket,
-        request: recall,
-    });
+    let request = memory_exchange::decode_memory_request(body).ok_or(io::ErrorKind::InvalidData)?;
+    let response = inbox.request_and_wait(|ticket| Command::MemoryRequest { ticket, request });
     Ok((response.status == 200).then_some(response.body))
 }
 
--- a/src/service/renewal_priority.rs
+++ b/src/service/renewal_priority.rs
@@ -3,9 +3,9 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// A renewal on time has ended by then, but for the state service's slowest answers.
+/// A renewal on time has ended by then, except for the state service's slowest responses.
 const LATE_AFTER: Duration = Duration::from_millis(120);
-/// Longest time for which other work waits: it may be the state service that does not answer.
+/// Longest time for which other work waits: it may be the state service that does not respond.
 const MAX_YIELD: Duration = Duration::from_millis(400);
 const YIELD_STEP: Duration = Duration::from_millis(25);
 
--- a/src/service/routes.rs
+++ b/src/service/routes.rs
@@ -1,4 +1,4 @@
-//! The public HTTP interface: which command a request becomes, and what is answered at once.
+//! The public HTTP interface: maps requests to commands, and responds to some at once.
 
 use super::inbox::{Inbox, ReplyTo};
 use crate::core::{Command, UserAction, UserRequest};
@@ -30,7 +30,7 @@
 }
 
 impl Routes {
-    /// `ready` is what the health check answers.
+    /// `ready` is what the health check reports.
     pub fn new(inbox: Inbox, ready: Arc<AtomicBool>) -> Routes {
         Routes { inbox, ready }
     }
--- a/src/service/store_pool.rs
+++ b/src/service/store_pool.rs
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
-/// A call whose answer is lost keeps its thread until it times out; a leader's writes and the
+/// A call whose response is lost keeps its thread until it times out; a leader's writes and the
 /// creations of jobs have to go on meanwhile.
 pub(super) const STORE_THREADS: usize = 12;
 
--- a/src/service/tests.rs
+++ b/src/service/tests.rs
@@ -95,7 +95,7 @@
 }
 
 /// So long that only a test's own clock reaches it.
-const PATIENCE: Duration = Duration::from_secs(3600);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(3600);
 
 /// The public interface in front of an owner that a test plays.
 struct Front {
@@ -108,7 +108,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let addr = listener.local_addr().unwrap();
         let server = Server::new(listener, Limits::with_reserve(connections)).unwrap();
-        let inbox = Inbox::new(PATIENCE);
+        let inbox = Inbox::new(REQUEST_TIMEOUT);
         let routes = Routes::new(inbox.clone(), Arc::new(AtomicBool::new(true)));
         std::thread::spawn(move || server.run(routes));
         Front { inbox, addr }
@@ -116,8 +116,8 @@
 
     fn send(&self, method: &str, path: &str, body: &str) -> TcpStream {
         let mut stream = TcpStream::connect(self.addr).unwrap();
-        let patience = Some(Duration::from_secs(20));
-        stream.set_read_timeout(patience).unwrap();
+        let timeout = Some(Duration::from_secs(20));
+        stream.set_read_timeout(timeout).unwrap();
         let length = body.len();
         let request = format!(
             "{method} {path} HTTP/1.1\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n{body}"
@@ -151,7 +151,7 @@
 const PLACES: usize = 2 * Lane::Heartbeat.commands_per_step();
 
 #[test]
-fn who_gets_no_answer_is_told_to_come_back() {
+fn requests_without_response_get_retry_after() {
     let front = Front::new(2000);
     let count = PLACES + 10;
     let heartbeats: Vec<TcpStream> = (0..count)
@@ -170,7 +170,9 @@
         front.inbox.next(Duration::ZERO).len(),
         1 + Lane::Heartbeat.commands_per_step()
     );
-    front.inbox.expire_requests(Instant::now() + PATIENCE);
+    front
+        .inbox
+        .expire_requests(Instant::now() + REQUEST_TIMEOUT);
     let answers: Vec<String> = heartbeats.into_iter().map(read).collect();
     let rejected = |text: &str| {
         let busy = |a: &&String| a.starts_with("HTTP/1.1 503") && a.contains("Retry-After: 1\r\n");
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -62,7 +62,7 @@
     pub class: String,
     /// The time that a job of the class should keep to.
     pub threshold: Option<Duration>,
-    /// The part of the class that should meet it; `None` where the file says nothing.
+    /// The part of the class that should meet it; `None` where the file does not set it.
     pub share: Option<f64>,
     /// Of a deadline: how many times as long counts.
     pub times: f64,
--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -11,7 +11,7 @@
     Read {
         /// The file.
         path: PathBuf,
-        /// What the operating system says.
+        /// The operating system's error.
         source: io::Error,
     },
     /// The file's contents are at fault.
--- a/src/settings/raw.rs
+++ b/src/settings/raw.rs
@@ -99,7 +99,7 @@
     pub(super) list_lag_s: f64,
 }
 
-/// What the process may use. A file that says nothing of it means a machine of its own.
+/// What the process may use. Without it in the file, the process has the machine to itself.
 #[derive(Deserialize)]
 #[serde(default)]
 pub(super) struct RawQuota {
