--- a/crates/standin/src/users.rs
+++ b/crates/standin/src/users.rs
@@ -1,4 +1,4 @@
-//! Stand-in users: a seeded load of jobs, submitted through any controller and asked about until
+//! Stand-in users: a seeded load of jobs, submitted through any controller and queried until
 //! they are done.
 
 use crate::records::{Quantiles, histogram, quantiles};
@@ -14,11 +14,11 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// How often a user asks about a job.
+/// How often a user queries a job.
 const POLL_INTERVAL: Duration = Duration::from_secs(1);
 /// How long a user waits before submitting a job once more.
 const RETRY_PAUSE: Duration = Duration::from_millis(500);
-/// How often a user asks about a job that is done.
+/// How often a user queries a job that is done.
 const POLLS_AFTER_END: u32 = 2;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// How long a user waits for an answer.
@@ -204,8 +204,8 @@
         None
     }
 
-    /// Asks about an accepted job until it is done, and a little longer: what was said must not be
-    /// unsaid.
+    /// Queries an accepted job until it is done, and a few times more: a state that was reported must
+    /// not be taken back.
     fn poll(&self, n: usize, job: &Submitted, until: Instant) {
         let path = format!("{PATH_JOBS}/{}", job.id);
         let mut done = false;
@@ -243,7 +243,7 @@
         }
     }
 
-    /// A user was told that a job is done: all its tasks must be.
+    /// A job was reported done to a user: all its tasks must be.
     fn note_done(&self, job: &Submitted) {
         let mut seen = self.seen.lock().expect("no panic holds it");
         seen.done += 1;
--- a/src/core/simulation/network.rs
+++ b/src/core/simulation/network.rs
@@ -91,7 +91,7 @@
     /// Carries out what a step of controller `from` decided.
     pub(super) fn apply_effect(&mut self, from: usize, effect: Effect) {
         match effect {
-            Effect::Response { ticket, answer } => self.deliver_answer(from, ticket, answer),
+            Effect::Response { ticket, response } => self.deliver_answer(from, ticket, response),
             Effect::Forward {
                 ticket,
                 peer,
@@ -140,8 +140,8 @@
             let memory_page = memory_exchange::decode_memory_page(&body).unwrap();
             self.nodes[asker].inbox.push(Command::MemoryPage {
                 peer,
-                asked,
-                answer: Some(Box::new(memory_page)),
+                request: asked,
+                response: Some(Box::new(memory_page)),
             });
         } else if let Some((asker, number, _)) = self.network.heartbeat_batches.remove(&ticket) {
             // What cannot get through is as good as lost.
@@ -153,13 +153,13 @@
                 .inbox
                 .push(Command::HeartbeatBatchResponse {
                     number,
-                    answer: response.filter(|_| through).map(Box::new),
+                    response: response.filter(|_| through).map(Box::new),
                 });
         } else if let Some((asker, original)) = self.network.forwards.remove(&ticket) {
             self.nodes[asker].inbox.push(Command::Forwarded {
                 ticket: original,
                 peer: format!("n{from}"),
-                answer: Some(peer_answer(&answer)),
+                response: Some(peer_answer(&answer)),
             });
         } else if let Some((id, asked)) = self.network.unawaited_cancellations.remove(&ticket) {
             self.check_answer(&id, asked, Some(&answer));
@@ -188,7 +188,7 @@
             self.nodes[from].inbox.push(Command::Forwarded {
                 ticket,
                 peer,
-                answer: None,
+                response: None,
             });
             return;
         }
@@ -216,7 +216,7 @@
                 .inbox
                 .push(Command::HeartbeatBatchResponse {
                     number,
-                    answer: None,
+                    response: None,
                 });
             return;
         }
@@ -237,8 +237,8 @@
         if !self.reaches(from, to) {
             self.nodes[from].inbox.push(Command::MemoryPage {
                 peer,
-                asked: memory_request,
-                answer: None,
+                request: memory_request,
+                response: None,
             });
             return;
         }
@@ -321,7 +321,7 @@
                 .inbox
                 .push(Command::HeartbeatBatchResponse {
                     number,
-                    answer: None,
+                    response: None,
                 });
         }
     }
