--- a/crates/market/examples/ways.rs
+++ b/crates/market/examples/ways.rs
@@ -1,4 +1,4 @@
-//! Compares ways to clear, on made-up markets as large as those that burlusher serves: what each
+//! Compares clearing algorithms on synthetic markets of the sizes that burlusher serves: what each
 //! saves beyond its cost, and the processor time it takes.
 //!
 //!     cargo run --release -p burlusher-market --example ways
@@ -13,8 +13,8 @@
 use rand::{RngExt, SeedableRng};
 use std::time::{Duration, Instant};
 
-fn s(seconds: f64) -> Duration {
-    Duration::from_secs_f64(seconds)
+fn seconds(count: f64) -> Duration {
+    Duration::from_secs_f64(count)
 }
 
 /// Six machine types in three zones, spot and ordinary; `bids` groups of `tasks` tasks in all.
@@ -30,8 +30,8 @@
                 batches.push(OfferBatch {
                     offer: Offer::new(&format!("k{kind}"), zone, spot),
                     price: price * rng.random_range(0.8..1.2),
-                    ready_in: s(boot),
-                    minimum_billed: s(60.0),
+                    ready_in: seconds(boot),
+                    minimum_billed: seconds(60.0),
                     available: if spot {
                         rng.random_range(0..20)
                     } else {
@@ -43,47 +43,47 @@
             }
         }
     }
-    let make = |_| {
+    let make_bid = |_| {
         let run: f64 = rng.random_range(5.0..120.0);
         let nominal_cost = run * 0.033 * 4.0;
         let objectives = vec![
             ServiceLevelObjective {
-                start_within: s(rng.random_range(5.0..60.0)),
+                start_within: seconds(rng.random_range(5.0..60.0)),
                 uncertainty: Duration::ZERO,
                 miss_cost: nominal_cost * rng.random_range(1.0..12.0),
             },
             ServiceLevelObjective {
-                start_within: s(rng.random_range(60.0..180.0)),
+                start_within: seconds(rng.random_range(60.0..180.0)),
                 uncertainty: Duration::ZERO,
                 miss_cost: nominal_cost * rng.random_range(1.0..12.0),
             },
         ];
         Bid {
             tasks: (tasks / bids as f64).ceil(),
-            runtime: s(run),
+            runtime: seconds(run),
             arrives_in: Duration::ZERO,
-            starts_in: s(rng.random_range(5.0..240.0)),
+            starts_in: seconds(rng.random_range(5.0..240.0)),
             delay_cost: DelayCost::new(objectives, nominal_cost / 100.0),
             nominal_cost,
             machine_fits: batches
                 .iter()
-                .map(|l| {
+                .map(|batch| {
                     Some(MachineFit {
-                        tasks_per_machine: (l.machine_size / 4.0) as u32,
-                        fetch: s(1.6 / (0.2 + 0.1 * l.machine_size / 4.0)),
+                        tasks_per_machine: (batch.machine_size / 4.0) as u32,
+                        fetch: seconds(1.6 / (0.2 + 0.1 * batch.machine_size / 4.0)),
                     })
                 })
                 .collect(),
         }
     };
-    ((0..bids).map(make).collect(), batches)
+    ((0..bids).map(make_bid).collect(), batches)
 }
 
-/// The same program by an interior-point method: its value, or none.
+/// The program's value by an interior-point method; `None` if the solver fails.
 ///
 /// The solver minimizes `q x` where `A x + s = b` with slacks `s` of at least 0. The rows of `A`
 /// are the constraints, then the upper bounds of all variables, then their lower ones.
-fn interior(program: &LinearProgram) -> Option<f64> {
+fn interior_point_value(program: &LinearProgram) -> Option<f64> {
     let variables = program.gains.len();
     let constraints = program.constraints.len();
     let rows = constraints + 2 * variables;
@@ -171,9 +171,9 @@
             let (bids, batches) = market(seed, bids, tasks);
             let balance = ZoneBalance::new(["a", "b", "c"], 0.2);
             let timed = |i: usize, sums: &mut [f64; 8], f: &dyn Fn() -> f64| {
-                let begin = Instant::now();
+                let started = Instant::now();
                 sums[i] += f();
-                sums[i + 1] += begin.elapsed().as_secs_f64() * 1e6;
+                sums[i + 1] += started.elapsed().as_secs_f64() * 1e6;
             };
             let program = build_program(&bids, &batches, &balance);
             variables = program.gains.len();
@@ -185,7 +185,9 @@
             timed(4, &mut sums, &|| {
                 net(clear_greedy(&bids, &batches, &balance))
             });
-            timed(6, &mut sums, &|| interior(&program).unwrap_or(f64::NAN));
+            timed(6, &mut sums, &|| {
+                interior_point_value(&program).unwrap_or(f64::NAN)
+            });
         }
         let mean = sums.map(|x| x / SEEDS as f64);
         print!("{bids:>6} {tasks:>7} {variables:>9} ");
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -96,7 +96,7 @@
     ("memory_mb", "largest controller, MB"),
 ];
 
-/// Plays the scenario at these sizes; says whether the rules held at all of them.
+/// Runs the scenario at these sizes; returns whether the rules held at all of them.
 fn sweep(
     cli: &Cli,
     sizes: &[f64],
@@ -145,7 +145,7 @@
     Ok(())
 }
 
-/// Plays the scenario once; says whether the rules held.
+/// Runs the scenario once; returns whether the rules held.
 fn play(cli: &Cli) -> Result<bool, ScaleError> {
     let inputs = Inputs::new(cli)?;
     println!(
--- a/crates/standin/src/cluster.rs
+++ b/crates/standin/src/cluster.rs
@@ -213,7 +213,7 @@
         );
     }
 
-    /// Ends the controllers, and says what came of it all.
+    /// Ends the controllers, and returns the run's report.
     fn finish(self, users: &Users, submitted: usize) -> Outcome {
         let EventTargets {
             cluster_state,
--- a/crates/standin/src/controllers.rs
+++ b/crates/standin/src/controllers.rs
@@ -71,7 +71,7 @@
         Ok(())
     }
 
-    /// Offers the newest snapshot to a controller; says whether it was taken.
+    /// Offers the newest snapshot to a controller; returns whether it was accepted.
     pub(crate) fn restore(&self, node: SocketAddrV4) -> Result<bool, StandinError> {
         let (dir, node) = (self.file("archive"), node.to_string());
         let args = ["snapshot", "restore", "--dir", &dir, "--node", &node];
--- a/crates/standin/src/events.rs
+++ b/crates/standin/src/events.rs
@@ -57,7 +57,7 @@
         }
     }
 
-    /// The controller that says that it leads.
+    /// The controller that reports itself as the leader.
     fn leader(&self) -> Option<usize> {
         let mut nodes = self.cluster_state.nodes.iter();
         nodes.position(|(_, addr)| {
@@ -68,7 +68,7 @@
         })
     }
 
-    /// Offers the newest snapshot to whoever leads, as soon as it rebuilds.
+    /// Offers the newest snapshot to the leader, as soon as it rebuilds.
     fn restore(&self) {
         let deadline = Instant::now() + RESTORE_TIMEOUT;
         while Instant::now() < deadline {
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -35,7 +35,7 @@
     seed: Option<u64>,
 }
 
-/// Plays the scenario; says whether every rule held.
+/// Runs the scenario; returns whether every rule held.
 fn run(cli: Cli) -> Result<bool, StandinError> {
     let loaded = load_scenario(cli.scenario.as_deref(), &SAMPLE, cli.seed)?;
     let program = controller_program(cli.program.as_deref())?;
--- a/crates/standin/src/state.rs
+++ b/crates/standin/src/state.rs
@@ -314,7 +314,7 @@
                 let revision = s.revision;
                 return Response::new(200, to_json(&WatchResponse { revision, events }));
             }
-            // Leases end without anybody's doing.
+            // Leases expire without a request that would signal `changed`.
             let pause = remaining.min(Duration::from_millis(100));
             let (next, _) = self
                 .changed
--- a/crates/standin/src/users.rs
+++ b/crates/standin/src/users.rs
@@ -14,11 +14,11 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// How often a user asks about a job.
+/// How often a user queries a job.
 const POLL_INTERVAL: Duration = Duration::from_secs(1);
 /// How long a user waits before submitting a job once more.
 const RETRY_PAUSE: Duration = Duration::from_millis(500);
-/// How often a user asks about a job that is done.
+/// How often a user queries a job that is done.
 const POLLS_AFTER_END: u32 = 2;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// How long a user waits for an answer.
--- a/src/http/connection.rs
+++ b/src/http/connection.rs
@@ -1,6 +1,6 @@
 //! One connection of the server: its state, and the right to respond to its request.
 //!
-//! The server's thread reads; whoever holds the `Responder` writes. Neither ever blocks. Events
+//! The server's thread reads; the holder of the `Responder` writes. Neither ever blocks. Events
 //! are edge-triggered, so an idle connection costs no system calls, and a heartbeat costs one read
 //! and one write. `Connection::wake` brings the server's thread back to a connection: it
 //! asks for writability, which holds at once, so that no further kind of descriptor is needed.
@@ -98,7 +98,7 @@
     }
 
     /// Follows an event: finishes writing, then reads what has come up to a whole request.
-    /// `ended` says that the client has sent all it will.
+    /// `ended`: the client will send nothing more.
     pub fn advance(
         self: &Arc<Self>,
         readable: bool,
--- a/src/http/tests.rs
+++ b/src/http/tests.rs
@@ -266,7 +266,7 @@
 }
 
 #[test]
-fn a_peer_that_does_not_read_its_answer_keeps_nobody_waiting() {
+fn a_client_that_does_not_read_its_response_delays_no_other() {
     let addr = echo(Limits::with_reserve(200));
     let mut slow: Vec<TcpStream> = (0..8).map(|_| connect(addr)).collect();
     for stream in &mut slow {
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -65,7 +65,7 @@
     Unreadable {
         /// The file's name.
         file: String,
-        /// What the system says.
+        /// The operating system's error.
         source: io::Error,
     },
     /// It is no valid policy.
--- a/src/service/threads.rs
+++ b/src/service/threads.rs
@@ -57,7 +57,7 @@
         Ok(pool)
     }
 
-    /// Queues a request. There is no limit: whoever sends keeps count of what is outstanding.
+    /// Queues a request. There is no limit: the sender bounds the number of outstanding requests.
     pub(super) fn send(&self, request: T) {
         if let Some(queue) = &self.queue {
             // Fails only when all threads of the pool have panicked.
