--- a/crates/market/src/clearing/tests.rs
+++ b/crates/market/src/clearing/tests.rs
@@ -105,7 +105,7 @@
     let c = clear(&[slow.clone(), urgent], &batches, &anywhere());
     assert_eq!(c.awards, [Award { batch: 0, count: 4 }]);
     assert!(c.saved > 8.0 * 400.0, "{}", c.saved);
-    // Left alone, the slow ones get the machines: nobody starves for ever.
+    // Without the urgent ones, the slow ones get the machines: no bid starves.
     let c = clear(&[slow], &batches, &anywhere());
     assert_eq!(c.awards, [Award { batch: 0, count: 4 }]);
 }
@@ -128,7 +128,7 @@
     assert_eq!(here, there);
     let kinds: Vec<&String> = here.keys().map(|o| &o.machine_type).collect();
     assert!(kinds.windows(2).all(|k| k[0] == k[1]), "{here:?}");
-    // Of the same kind and price, zones share what is rented.
+    // Of the same kind and price, zones share the provisioned machines.
     let by_zone: Vec<u32> = here.values().copied().collect();
     assert!(by_zone.len() == 2 && by_zone[0].abs_diff(by_zone[1]) <= 1);
 }
--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -5,7 +5,7 @@
 
 /// A keyed hash of everything that one heartbeat says, in 128 bits: with a key that each process
 /// draws for itself, two different heartbeats of a machine are never taken for one another, even if
-/// somebody chose the names of tasks for it.
+/// a user chose task names in order to cause a collision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Digest(u128);
 
--- a/crates/membership/src/grant/tests.rs
+++ b/crates/membership/src/grant/tests.rs
@@ -36,8 +36,8 @@
         RequestOrder::NewIncarnation
     );
     issued.extend(t + ms(2000), t + ms(901));
-    // A frame of the former life: the leader forgot what it had lent to the living one, which
-    // went on to renew leases that the leader saw run out.
+    // A frame of the previous incarnation: the leader dropped the grants of the live one, which
+    // went on renewing leases that had expired for the leader.
     assert_eq!(
         issued.accept_request(1, 8, t + ms(950)),
         RequestOrder::Stale
--- a/crates/snapshot/src/archive.rs
+++ b/crates/snapshot/src/archive.rs
@@ -50,7 +50,7 @@
             let mut part = tempfile::Builder::new().prefix("part-").tempfile_in(dir)?;
             part.write_all(&key)?;
             part.as_file().sync_all()?;
-            // Whoever comes second uses the first one's.
+            // The second of two concurrent writers uses the key of the first.
             match part.persist_noclobber(&path) {
                 Ok(_) => {}
                 Err(e) if e.error.kind() == io::ErrorKind::AlreadyExists => {}
--- a/crates/snapshot/src/record.rs
+++ b/crates/snapshot/src/record.rs
@@ -164,7 +164,7 @@
     Ok(Some((kind, raw)))
 }
 
-/// Whether a header can be one of a record, before anything is read on its word.
+/// Whether a header can be one of a record, before anything is read that relies on it.
 fn check_header(header: &Header) -> Result<RecordKind, Fault> {
     if header.magic.get() != MAGIC {
         return Err(Fault::Damaged("mark"));
--- a/crates/snapshot/src/timeline/tests.rs
+++ b/crates/snapshot/src/timeline/tests.rs
@@ -41,7 +41,7 @@
     seen
 }
 
-/// The pages of 6,000 machines, told in one answer to an archivist that was held up.
+/// The pages of 6,000 machines, in one answer to an archiver that was delayed.
 #[test]
 fn a_log_of_many_long_values_told_at_once_can_be_read() {
     let dir = tempfile::tempdir().unwrap();
@@ -58,7 +58,7 @@
     assert_eq!((&timeline.image, timeline.faults.len()), (&image, 0));
 }
 
-/// The writer may be ended at any byte: what was written before is read, and it is said that more
+/// The writer may be ended at any byte: what was written before is read, and the result shows that more
 /// was to come.
 #[test]
 fn a_log_cut_at_any_byte_is_read_as_far_as_it_goes() {
@@ -66,16 +66,16 @@
     let seen = small(dir.path());
     let log = dir.path().join("000001.log");
     let whole = std::fs::read(&log).unwrap();
-    let mut told = std::collections::BTreeSet::new();
+    let mut revisions = std::collections::BTreeSet::new();
     for n in 0..=whole.len() {
         std::fs::write(&log, &whole[..n]).unwrap();
         let timeline = read(dir.path(), &KEY).unwrap();
         assert!(seen.contains(&timeline.image), "cut at {n}");
         let between = timeline.faults.first().map(|f| f.fault.clone());
         assert!(matches!(between, None | Some(Fault::Torn)), "{between:?}");
-        told.insert(timeline.image.revision);
+        revisions.insert(timeline.image.revision);
     }
-    assert_eq!(told, [2, 3, 4, 5].into());
+    assert_eq!(revisions, [2, 3, 4, 5].into());
 }
 
 #[test]
--- a/src/core/jobs/answers.rs
+++ b/src/core/jobs/answers.rs
@@ -42,15 +42,15 @@
         Some(Response::new(200, body))
     }
 
-    /// The store has lost data, and somebody may remember more than is known here: what is not
-    /// final cannot be told.
+    /// The store has lost data, and another controller may remember more than is known here: a
+    /// state that is not final must not be answered.
     pub(in crate::core) fn must_withhold_state(&self) -> bool {
         self.store_is_incomplete() && !self.may_report_state()
     }
 
-    /// The state of a live job, which only an acting leader may tell from memory, and only while
+    /// The state of a live job, which only an acting leader may answer from memory, and only while
     /// no end of it, or cancellation of one that it needs, is being written: that write may be
-    /// committed already, and another node may have told the user.
+    /// committed already, and another node may have answered the user with it.
     pub(in crate::core) fn live_answer(&self, id: &str) -> Option<Response> {
         if !self.acting() || self.must_withhold_state() {
             return None;
@@ -86,8 +86,8 @@
         run.tasks.assigned().iter().filter(runs).count() as u32
     }
 
-    /// Answers with what was read after the request came: nobody can have been told anything
-    /// newer before.
+    /// Answers with what was read after the request came: no earlier answer can have shown a
+    /// newer state.
     pub(in crate::core) fn show_fresh(&mut self, ticket: Ticket, id: &str) {
         let answer = self.fresh_answer(id);
         self.answer(ticket, answer);
--- a/src/core/jobs/dependencies/tests.rs
+++ b/src/core/jobs/dependencies/tests.rs
@@ -4,7 +4,7 @@
     format!("wk-{n}").into()
 }
 
-/// A diamond, told in any order: what is ready and what is withdrawn follows from the ends.
+/// A diamond, with its events in any order: what is ready and what is withdrawn follows from the ends.
 #[test]
 fn a_diamond_is_ready_once_and_withdrawn_whole_in_whatever_order_it_is_told() {
     let edges: [(u32, &[u32]); 4] = [(1, &[]), (2, &[1]), (3, &[1]), (4, &[2, 3])];
@@ -23,7 +23,7 @@
         let over = |p: &mut DependencyGraph, finished: &mut BTreeMap<_, _>, n: u32, end| {
             finished.insert(id(n), end);
             let mut changed = p.end(&id(n), &dependencies(n), end);
-            // Told once more, as events are, it changes nothing.
+            // A repeated event, as the watch may deliver, changes nothing.
             assert!(p.end(&id(n), &dependencies(n), end).is_empty());
             changed.sort();
             changed
--- a/src/core/jobs/forwarding.rs
+++ b/src/core/jobs/forwarding.rs
@@ -19,8 +19,8 @@
 const UNREACHABLE_PEER_PAUSE: Duration = Duration::from_secs(1);
 
 impl Core {
-    /// Forwards a request to the leader; without the state service, to whoever may serve it. When
-    /// nobody is left to ask, it is served here as well as can be.
+    /// Forwards a request to the leader; without the state service, to a controller that may serve
+    /// it. If no controller is left to ask, this node serves it as far as it can.
     pub(in crate::core) fn forward_request(&mut self, mut request: UserRequest) {
         let Some(peer) = self.forwarding_target(&request) else {
             return self.serve_without_leader(request);
--- a/src/core/jobs/job_run.rs
+++ b/src/core/jobs/job_run.rs
@@ -65,7 +65,7 @@
     }
 
     /// Stops what is assigned of the job. [`StopReason::Over`] is sent to machines even where they
-    /// were told to stop before; other reasons only once.
+    /// were commanded to stop before; other reasons only once.
     pub fn stop_assigned(
         &self,
         id: &JobId,
--- a/src/core/jobs/lifecycle.rs
+++ b/src/core/jobs/lifecycle.rs
@@ -14,7 +14,7 @@
 use crate::wire::JobState;
 
 impl Core {
-    /// Cancels a live job. Its end is durable before anybody is told.
+    /// Cancels a live job. Its end is durable before any answer shows it.
     pub(in crate::core) fn cancel(&mut self, ticket: Ticket, id: &str) {
         if self.must_withhold_state() {
             return self.answer(ticket, rebuilding_answer());
@@ -49,8 +49,8 @@
             return;
         };
         run.ending = Some(JobOutcome::Cancelled);
-        // What they do from now on is of no use to anybody, and what was still to start would start
-        // after its user was told. Should the end never be written, a later leader starts them again.
+        // Work from now on is wasted, and tasks still to start would start after the user was
+        // answered. Should the end never be written, a later leader starts them again.
         if is_enabled(Safeguard::StopOnCancelRequest) && is_enabled(Safeguard::StopEndedJobs) {
             run.stop_assigned(id, &mut leader.machines, StopReason::Over, self.now.mono);
         }
@@ -92,7 +92,7 @@
         let Some(cancelled) = self.store_cache.dependencies.cancelled_dependency(id) else {
             return;
         };
-        if leader.writes.followers.insert(id.clone()) {
+        if leader.writes.cancelled_dependents.insert(id.clone()) {
             tracing::info!(job = %id, dependency = %cancelled, "job cancelled with its dependency");
         }
     }
@@ -215,7 +215,7 @@
     /// Drops what is kept of a job beside its run, and has the next plan made without it.
     fn forget_job(&mut self, id: &JobId) {
         self.writes.ends.remove(id);
-        self.writes.followers.remove(id);
+        self.writes.cancelled_dependents.remove(id);
         self.writes.progress.remove(id);
         self.cancellation_pending.remove(id);
         self.inherited_urgency.remove(id);
--- a/src/core/jobs/queries.rs
+++ b/src/core/jobs/queries.rs
@@ -62,7 +62,7 @@
     /// The leader cannot be reached: jobs are accepted and read directly on the state service.
     /// Nothing is cancelled here, since the leader would not know it in time.
     pub(in crate::core) fn serve_without_leader(&mut self, request: UserRequest) {
-        // Nobody else is left to ask, and the state service would not answer either: queued for
+        // No other controller is left to ask, and the state service would not answer either: queued for
         // it, the request would be answered when its user has long gone.
         if self.store_is_stale() {
             let answer = Response::busy("the state service is not reached", 1);
--- a/src/core/jobs/statistics.rs
+++ b/src/core/jobs/statistics.rs
@@ -15,7 +15,7 @@
 const RECENT: Duration = Duration::from_secs(30);
 /// Arrivals count for a fraction of 1/e after this time, in seconds.
 const ARRIVAL_DECAY_S: f64 = 180.0;
-/// Fewer jobs than this are not told from none.
+/// Fewer jobs than this count as none.
 const MIN_JOBS: f64 = 1e-3;
 
 /// How a class's run times compare with its estimates.
--- a/src/core/jobs/submissions.rs
+++ b/src/core/jobs/submissions.rs
@@ -33,7 +33,7 @@
 const CREATION_RETRY_WINDOW: Duration = Duration::from_secs(3);
 /// A creation that the state service did not take on is written again at most so often.
 const MAX_RETRIES_REFUSED: u32 = 1;
-/// What a user is told of a job beyond the limits of the state service.
+/// Error text for a job beyond the limits of the state service.
 const TOO_LARGE: &str = "too large to be kept";
 /// The part of the memory that unfinished jobs may take.
 const JOBS_MEMORY_SHARE: f64 = 0.25;
@@ -203,7 +203,7 @@
                 parts.versions.clear();
                 self.write_parts(submission, parts);
             }
-            // What was written is cleared when nobody has referred to it for long.
+            // Written parts are removed once no job key has referred to them for long.
             other => {
                 tracing::info!(job = %id, outcome = ?other, "job parts not stored");
                 let answer = Response::busy("the job cannot be kept now", 1);
@@ -238,8 +238,8 @@
         self.unanswered_creations.push_back((check_at, call));
     }
 
-    /// Settles creations without an answer whose job is in the store: it is accepted, whoever
-    /// wrote it, and a fresh read tells how it stands.
+    /// Settles creations without an answer whose job is in the store: it is accepted, whichever
+    /// node wrote it, and a fresh read shows its state.
     pub(in crate::core) fn resolve_creations(&mut self) {
         let now = self.now.mono;
         while let Some((_, call)) = self.unanswered_creations.pop_front_if(|(at, _)| *at <= now) {
--- a/src/core/jobs/validation.rs
+++ b/src/core/jobs/validation.rs
@@ -12,7 +12,7 @@
 
 impl Core {
     /// Checks a submission as far as this node can: 422 for what can never run, 503 while that
-    /// cannot be told.
+    /// cannot be determined.
     pub(in crate::core) fn validate(&self, spec: &JobSpec) -> Result<(), Response> {
         self.validate_placement(spec)?;
         self.validate_dependencies(spec)
--- a/src/core/leadership/campaign.rs
+++ b/src/core/leadership/campaign.rs
@@ -130,7 +130,7 @@
         self.candidacy.wait_until(self.now.mono + pause);
     }
 
-    /// A conflict that nobody's change explains shows a loss of the store's data.
+    /// A conflict that no writer's change explains shows a loss of the store's data.
     fn examine_conflict(&mut self, failed_keys: &[String], revision: u64) {
         let cache_is_as_new = self.store_cache.revision >= revision;
         if self.contains_identity_key(failed_keys) {
--- a/src/core/leadership/liveness.rs
+++ b/src/core/leadership/liveness.rs
@@ -5,7 +5,7 @@
 
 /// A leader that could not act for longer than this was not there for its workers, and their silence proves nothing.
 const INABILITY_THRESHOLD: Duration = Duration::from_millis(1000);
-/// Direct calls that fail one after another, while no worker reports here, before that means something: single
+/// Direct calls that fail one after another, while no worker sends heartbeats here, before that means something: single
 /// machines may be gone.
 const MAX_FAILED_CALLS: u32 = 8;
 
--- a/src/core/leadership/recovery.rs
+++ b/src/core/leadership/recovery.rs
@@ -12,7 +12,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// Machines that report to other controllers are probed after this: their batches come first, and they probe
+/// Machines that send their heartbeats to other controllers are probed after this: their batches come first, and they probe
 /// the machines themselves.
 const DELEGATE_HEAD_START: Duration = Duration::from_millis(400);
 
--- a/src/core/leadership/recovery_state.rs
+++ b/src/core/leadership/recovery_state.rs
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 /// The state of a new leader's recovery. A machine is unresolved from when the leader learns of it until it has shown
-/// all its tasks, or can have none any more; the machine's own record says so too (`Machine::unresolved`).
+/// all its tasks, or can have none any more; the machine's own record shows this too (`Machine::unresolved`).
 #[derive(Default)]
 pub struct Recovery {
     /// How many machines are unresolved.
--- a/src/core/leadership/stale_key.rs
+++ b/src/core/leadership/stale_key.rs
@@ -1,8 +1,8 @@
-//! A leader key whose lease the store does not know, which would keep everybody from leading.
+//! A leader key whose lease the store does not know, which would prevent any election.
 //!
-//! Such a key, restored without its lease, say, would stay for ever. Where no leader shows itself for long, its lease
-//! is looked up. Once the store does not know it, nobody can renew it, so whoever it belonged to ceases to act within
-//! a lease's time; after that the key is deleted, unless it is another one by then.
+//! Such a key, restored without its lease for example, would never expire. If no leader has been seen for long, the
+//! key's lease is looked up. If the store does not know it, it cannot be renewed, so its holder stops acting within
+//! one lease duration; after that the key is deleted, unless it has been replaced by then.
 
 use crate::core::Core;
 use crate::core::command::Pending;
--- a/src/core/leadership/store_events.rs
+++ b/src/core/leadership/store_events.rs
@@ -74,7 +74,7 @@
         self.adopt_stored_machine_types();
         let holder = self.leader_key_holder();
         if holder == KeyHolder::OtherOnOwnLease {
-            // Renewed by this process, the key of a leader that is gone would stay for ever.
+            // If this process kept renewing the lease, the key of a dead leader would never expire.
             tracing::warn!("leader key of another process has own lease");
             self.step_down("its lease is another's");
             self.replace_lease();
--- a/src/core/machines/cloud_calls.rs
+++ b/src/core/machines/cloud_calls.rs
@@ -184,7 +184,7 @@
             return;
         };
         leader.cloud.next_request += 1;
-        // Terms are unique for ever, and so is the number within one.
+        // A term is never reused, nor is a number within a term.
         let name = format!("burlusher-{}-{}", leader.term, leader.cloud.next_request);
         let Offer {
             machine_type,
--- a/src/core/machines/failure_detection.rs
+++ b/src/core/machines/failure_detection.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 /// A machine that may hold tasks of an earlier term is probed this often, so far apart, before it counts as
-/// dead: one lost packet condemns none, and all such tasks that nobody has shown wait for the dead ones.
+/// dead: one lost packet must not condemn any, and all such tasks that no machine has shown wait for the dead ones.
 pub(in crate::core) const MAX_UNANSWERED_PROBES: u32 = 2;
 /// Added to the time after which a leader that receives nothing resigns: for a takeover costs more
 /// than a moment's silence.
@@ -198,8 +198,8 @@
             && self.has_zone_recovered(&machine.zone)
     }
 
-    /// All tasks of earlier terms that nobody has shown wait for each machine that has not been heard of, one
-    /// that died with the old leader, say. Its neighbours answer, and it did not, twice.
+    /// Every task of an earlier term that no machine has shown yet waits for each machine that has not responded,
+    /// for example one that died with the old leader. Its neighbours answer, and it did not, twice.
     /// One that has sent a heartbeat is not dead, whatever becomes of calls to it, unless its heartbeats
     /// never show what it was answered: they may be copies. Nor are those dead to which no call
     /// gets through, a zone cut off one way.
--- a/src/core/machines/fault_history.rs
+++ b/src/core/machines/fault_history.rs
@@ -1,4 +1,4 @@
-//! What speaks against a machine: failures of tasks on it, and run times longer than elsewhere.
+//! A machine's fault history: failures of tasks on it, and run times longer than elsewhere.
 
 use crate::job::JobId;
 use std::collections::BTreeSet;
--- a/src/core/machines/machine.rs
+++ b/src/core/machines/machine.rs
@@ -85,7 +85,7 @@
     pub in_flight: Option<CallId>,
     /// No commands are sent by a call before this moment.
     pub retry_not_before: Instant,
-    /// Calls in a row that got no answer.
+    /// Consecutive calls that got no answer.
     pub failures: u32,
     /// The call on its way that is to find out whether the machine has begun anew.
     pub restart_probe: Option<RestartProbe>,
@@ -95,7 +95,7 @@
 
 /// A machine as the leader knows it.
 pub struct Machine {
-    /// Its name, unique for ever.
+    /// Its name, never reused.
     pub id: MachineId,
     /// Its worker's address, empty until it is known.
     pub addr: String,
@@ -163,7 +163,7 @@
     pub idle_since: Instant,
     /// Images on it or being fetched, the latest used last.
     pub images: Vec<CachedImage>,
-    /// What speaks against giving it tasks.
+    /// Failures and slow runs that count against placing tasks on it.
     pub fault_history: FaultHistory,
     /// Whether planning takes it as open for tasks; time alone may change that.
     pub schedulable: bool,
@@ -340,7 +340,7 @@
             && (is_recent(self.lease_renewed) || !is_enabled(Safeguard::HeartbeatRequired))
     }
 
-    /// Its latest failures speak against giving it tasks now.
+    /// Whether it gets no tasks now because of its latest failures.
     pub fn is_avoided(&self, now: Instant) -> bool {
         self.fault_history.avoid_until.is_some_and(|t| now < t)
     }
--- a/src/core/machines/placement.rs
+++ b/src/core/machines/placement.rs
@@ -53,7 +53,7 @@
 /// A task that is, or may be, on a machine.
 #[derive(Clone, Debug)]
 pub struct Placement {
-    /// Which attempt at the task this is; unique for ever within a task.
+    /// Which attempt at the task this is; never reused within a task.
     pub attempt: u64,
     /// How far it has come, by the newest heartbeat.
     pub phase: Phase,
--- a/src/core/machines/registry.rs
+++ b/src/core/machines/registry.rs
@@ -4,8 +4,8 @@
 use crate::job::MachineId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// All machines by id. Whoever changes one gets it from here, and that is noted: planning and
-/// the sending of commands then look at what changed, not at all there is.
+/// All machines by id. Mutable access goes through this registry, which records the change, so that planning and
+/// the sending of commands look only at the machines that changed.
 #[derive(Default)]
 pub struct Machines {
     all: BTreeMap<MachineId, Machine>,
--- a/src/core/scheduling/queue.rs
+++ b/src/core/scheduling/queue.rs
@@ -68,7 +68,7 @@
     is_suspect: bool,
     is_not_overdue: bool,
     /// `None` for overdue jobs: where more of a high priority waits for too long than there is
-    /// room for, what is overdue of a low one would be passed over for ever by priority.
+    /// room for, overdue jobs of a low priority would starve.
     importance: Option<Importance>,
 }
 
--- a/src/core/scheduling/scaling.rs
+++ b/src/core/scheduling/scaling.rs
@@ -13,7 +13,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Machines that a new leader has not heard from for so long delay bidding no longer.
+/// Machines from which a new leader has received no heartbeat for this long no longer delay bidding.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(8);
 /// A new leader requests no machines before it has a list of those there are, or for this long.
 const LIST_TIMEOUT: Duration = Duration::from_secs(3);
--- a/src/core/store/cache.rs
+++ b/src/core/store/cache.rs
@@ -74,7 +74,7 @@
     pub loaded: bool,
     /// How new the copy is.
     pub revision: u64,
-    /// Who leads, and the version of the key that says so.
+    /// The current leader, and the version of the leader key.
     pub leader: Option<(LeaderValue, u64)>,
     /// The newest term that is known of.
     pub term: u64,
@@ -86,7 +86,7 @@
     pub machine_types: Vec<MachineType>,
     /// Jobs that are not over.
     pub jobs: BTreeMap<JobId, JobRecord>,
-    /// Finished jobs stay for ever, as little more than their ids.
+    /// Finished jobs are never removed; little more than their ids is kept.
     pub finished: BTreeMap<JobId, JobOutcome>,
     /// Machines that may hold a task.
     pub machines: BTreeMap<MachineId, MachineValue>,
@@ -104,7 +104,7 @@
     pub garbage_keys: BTreeSet<String>,
     /// Jobs too large for one value.
     pub parts: LargeJobParts,
-    /// Which store this is a copy of, and the version of the key that says so.
+    /// The identity of the store that this is a copy of, and the version of its key.
     pub identity: Option<(String, u64)>,
     /// Its first term, if it was taken for new: a worker that has seen an earlier one proves it was not.
     pub first_term: Option<u64>,
--- a/src/core/store/cache/apply.rs
+++ b/src/core/store/cache/apply.rs
@@ -134,7 +134,7 @@
         }
     }
 
-    /// A job's key has this value; version 0 where the store does not hold it, and somebody remembers it.
+    /// Applies a job key's value; version 0 if the store does not hold it and it comes from a controller's memory.
     pub fn put_job(&mut self, id: &str, value: JobValue, version: u64) {
         let id = JobId::from(id);
         self.changed.insert(id.clone());
--- a/src/core/store/integrity.rs
+++ b/src/core/store/integrity.rs
@@ -4,7 +4,7 @@
 //! that, the newest revision it has seen, and all that it read. Signs of a loss (a revision that went
 //! back, an identity that is gone, a lease unknown that should still run, a worker that has seen a
 //! newer term than ours) only make it read the store afresh: the verdict is by what is stored, compared
-//! with the copy. An outage, a watch that is too old, a restart, an older version at the lead are none.
+//! with the copy. An outage, a watch that is too old, a restart, an older version as leader are no such signs.
 //!
 //! Having lost data, the store gets another identity with its next leader, on which all its writes
 //! depend: what was meant for the old one can't be applied to the new, whatever its revisions. And
@@ -108,7 +108,7 @@
 }
 
 impl StoreIntegrity {
-    /// Somebody knows of this term.
+    /// Records that a worker or another controller has seen this term.
     pub(in crate::core) fn observe_term(&mut self, term: u64, now: Instant) {
         if term > self.terms.newest {
             self.terms.newest = term;
--- a/src/core/store/integrity/data_loss.rs
+++ b/src/core/store/integrity/data_loss.rs
@@ -8,8 +8,8 @@
 use crate::wire::Item;
 use std::time::{Duration, Instant};
 
-/// A controller that begins on a store that was rolled back a moment before knows of nothing that is missing. By
-/// then the others have noticed, whoever led has ceased to act, and the store is marked.
+/// A controller that starts on a store that was rolled back just before cannot see that data is missing. After this
+/// delay the other controllers have noticed, the former leader has stopped acting, and the store is marked.
 const LOSS_DETECTION_DELAY: Duration = CHECK_INTERVAL
     .saturating_add(LEASE_TTL)
     .saturating_add(Duration::from_secs(1));
@@ -145,7 +145,7 @@
     }
 
     /// While a new store may yet prove to be an old one that was wiped, an unknown job is not called
-    /// so: each worker reports within this time, and shows the term that it has seen. Nor does a controller
+    /// so: each worker sends a heartbeat within this time, with the term that it has seen. Nor does a controller
     /// that has just begun call it so, as the others may be about to notice a loss.
     pub(in crate::core) fn existence_is_uncertain(&self) -> bool {
         let within =
--- a/src/core/store/integrity/identity.rs
+++ b/src/core/store/integrity/identity.rs
@@ -26,7 +26,7 @@
 
     /// The store has been read, and may have a new identity.
     pub(in crate::core) fn observe_identity(&mut self) {
-        // Somebody noticed a loss that this process may have as well.
+        // Another controller noticed a data loss that may affect this process's copy too.
         let marked = self.store_cache.rebuilding.is_some();
         if marked && !self.store_integrity.was_marked && self.store_integrity.data_loss.is_none() {
             self.suspect_data_loss("it is marked as incomplete");
@@ -51,8 +51,8 @@
         }
     }
 
-    /// A loss is over for this process once somebody has begun to rebuild the store under a new identity, or
-    /// has marked it under the one it had.
+    /// A data loss is over for this process once a leader has begun to rebuild the store under a new identity,
+    /// or has marked it under the identity it had.
     fn compare_identity_with_loss(&mut self, marked: bool) {
         let integrity = &mut self.store_integrity;
         let (Some((identity, _)), Some(loss)) =
@@ -66,7 +66,7 @@
             tracing::warn!(identity, "store goes on under a new leader");
             integrity.data_loss = None;
         } else if !same {
-            // Restored to what it was before; or named by somebody who knew of no loss.
+            // Restored to an earlier state, or given an identity by a leader unaware of the loss.
             loss.identity = Some(identity.clone());
             loss.was_marked = marked;
             self.store_cache.expect_new_identity();
@@ -122,7 +122,7 @@
         }
     }
 
-    /// An empty store is new, or was wiped while nobody here could see it. It is taken for new when all other
+    /// An empty store is new, or was wiped while no controller watched it. It is taken for new when all other
     /// controllers have read it and remember nothing, or when the lease of any earlier leader has expired.
     fn may_campaign_in_empty_store(&mut self) -> bool {
         let now = self.now.mono;
--- a/src/core/store/integrity/terms.rs
+++ b/src/core/store/integrity/terms.rs
@@ -9,7 +9,7 @@
 const EPOCH_S: u64 = 1_577_836_800;
 /// An attempt's number has the term above 32 bits of its own.
 const MAX_TERM: u64 = u32::MAX as u64;
-/// A term this far ahead of the time of day, in seconds, was given by nobody.
+/// A term this far ahead of the time of day, in seconds, was assigned to no leader.
 const MAX_TERM_LEAD_S: u64 = 86_400;
 
 impl Core {
@@ -26,8 +26,8 @@
         self.check_older_term();
     }
 
-    /// Whoever leads next can have done so only after this leader's lease: a term newer than a leader's own
-    /// was given by a store that is no more.
+    /// The next leader can be elected only after this leader's lease has expired: a term newer than an acting
+    /// leader's own was assigned by a store whose data has been lost.
     pub(in crate::core) fn check_newer_term(&mut self) {
         let Some(leader) = &self.leader else { return };
         let (ours, newest) = (leader.term, self.newest_term());
@@ -69,7 +69,7 @@
         since.unwrap_or_default().as_secs().saturating_sub(EPOCH_S)
     }
 
-    /// Whether somebody may have led in this term: none is ahead of the time of day by more than clocks
+    /// Whether a leader may have had this term: none is ahead of the time of day by more than clocks
     /// differ, and leaders that follow one another faster than seconds do.
     pub(in crate::core) fn plausible_term(&self, term: u64) -> bool {
         term <= self.seconds_since_epoch().saturating_add(MAX_TERM_LEAD_S)
--- a/src/core/store/keys.rs
+++ b/src/core/store/keys.rs
@@ -12,7 +12,7 @@
 use crate::store_client::PREFIX;
 use crate::wire::Condition;
 
-/// The name of the key that says who leads.
+/// The name of the key that holds the current leader.
 pub const LEADER: &str = "leader";
 /// The name of the key with the newest term.
 pub const TERM: &str = "term";
@@ -20,7 +20,7 @@
 pub const TYPES: &str = "types";
 /// The store is incomplete: what it lost is being brought back.
 pub const REBUILDING: &str = "rebuilding";
-/// A key that nobody writes: its absence comes with the revision.
+/// A key that is never written: reading its absence returns the store's revision.
 pub const NOTHING: &str = "nothing";
 
 /// Names one writing of a job's parts; a repeated submission writes its own.
--- a/src/core/store/machine_records.rs
+++ b/src/core/store/machine_records.rs
@@ -16,7 +16,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// A machine that is gone may stay on record this long: a new leader would only probe it in vain.
+/// A removed machine may stay in the stored list this long: a new leader would only probe it in vain.
 const STALE_PAGE_DELAY: Duration = Duration::from_secs(2);
 
 #[derive(Default)]
@@ -64,13 +64,13 @@
     single_keys_to_delete: BTreeSet<MachineId>,
 }
 
-/// Pages to write in one transaction, in this order, and the machines that are then on record.
+/// Pages to write in one transaction, in this order, and the machines that are then recorded.
 pub struct PageWrite {
     /// Numbers of the pages.
     pub pages: Vec<usize>,
     /// The change of each page.
     pub changes: Vec<Change>,
-    /// Machines that are on record once this is committed.
+    /// Machines that are recorded once this is committed.
     pub machines: Vec<MachineId>,
 }
 
@@ -85,7 +85,7 @@
 }
 
 impl MachineRecords {
-    /// What a new leader finds on record.
+    /// The machines that a new leader finds in the store.
     pub fn new(store_cache: &StoreCache, value_bytes: usize) -> MachineRecords {
         let mut records = MachineRecords {
             limit: value_bytes / 8 * 7,
@@ -239,19 +239,19 @@
         }
     }
 
-    /// Whether the machine is on record in the state service, as far as what is to be written shows.
+    /// Whether the machine is recorded in the state service, as far as the pending pages show.
     pub fn known(&self, id: &MachineId) -> bool {
         let page = self.page_of.get(id);
         self.single_key_machines.contains(id)
             || page.is_some_and(|n| !self.pages_to_write.contains(n))
     }
 
-    /// Whether the machine is on record, or is to be.
+    /// Whether the machine is recorded, or its record is pending.
     pub fn has(&self, id: &MachineId) -> bool {
         self.page_of.contains_key(id) || self.single_key_machines.contains(id)
     }
 
-    /// Whether all machines that may hold tasks are on record.
+    /// Whether all machines that may hold tasks are recorded.
     pub fn all_written(&self) -> bool {
         self.pages_to_write.is_empty() && self.atomic_groups.is_empty()
     }
--- a/src/core/store/machine_records/tests.rs
+++ b/src/core/store/machine_records/tests.rs
@@ -10,7 +10,7 @@
     }
 }
 
-fn told(store_cache: &mut StoreCache, change: Change, version: u64) {
+fn apply_event(store_cache: &mut StoreCache, change: Change, version: u64) {
     let (put, delete, value) = match change {
         Change::Put { key, value, .. } => (Some(key), None, value),
         Change::Delete { key } => (None, Some(key), serde_json::Value::Null),
@@ -49,7 +49,7 @@
                 for change in write.changes {
                     assert!(to_json(&change).len() < 8192);
                     writes += 1;
-                    told(&mut store_cache, change, version);
+                    apply_event(&mut store_cache, change, version);
                 }
             }
         }
@@ -67,10 +67,10 @@
     while let Some(write) = r.next(now + STALE_PAGE_DELAY, false, 9) {
         version += 1;
         for change in write.changes {
-            told(&mut store_cache, change, version);
+            apply_event(&mut store_cache, change, version);
         }
     }
-    told(
+    apply_event(
         &mut store_cache,
         r.next_single_key_deletion().unwrap(),
         version + 1,
--- a/src/core/store/pending_writes.rs
+++ b/src/core/store/pending_writes.rs
@@ -21,9 +21,9 @@
     /// The cloud's machine types.
     Types,
     /// A job that the store had lost.
-    Owed(JobId),
+    MissingJob(JobId),
     /// So many parts of a large job that the store had lost.
-    OwedParts(JobId, usize),
+    MissingJobParts(JobId, usize),
     /// The store is complete again.
     Rebuilt,
 }
@@ -33,8 +33,8 @@
 pub struct Writes {
     /// Jobs that have ended, and how.
     pub ends: BTreeMap<JobId, JobOutcome>,
-    /// Jobs cancelled with one that they depend on: that is durable already, and these follow.
-    pub followers: BTreeSet<JobId>,
+    /// Jobs to cancel because a job that they depend on was cancelled, which is durable already.
+    pub cancelled_dependents: BTreeSet<JobId>,
     /// Jobs with done tasks that are not written yet, and since when.
     pub progress: BTreeMap<JobId, Instant>,
     /// Machine records.
@@ -47,7 +47,7 @@
     pub missing_parts_written: BTreeMap<JobId, usize>,
     /// The transaction that is in flight, or whose outcome is unknown.
     pub in_flight: Option<InFlightWrite>,
-    /// How many transactions in a row were refused for that.
+    /// How many consecutive transactions were refused for that.
     pub conflicts: u32,
     /// How many changes a transaction may have, if the store refused one of the configured size.
     pub max_changes: Option<usize>,
--- a/src/core/store/rebuild.rs
+++ b/src/core/store/rebuild.rs
@@ -4,7 +4,7 @@
 //! - *Answers.* Ends are final wherever they come from. What is not final, and whether a job is unknown,
 //!   is answered only when all controllers have handed over what they remember, or have nothing, or when
 //!   the workers' leases have expired meanwhile. An unknown job is answered 503 until the mark is gone.
-//! - *Starts.* A machine that was created just before the loss may be on nobody's record. So nothing
+//! - *Starts.* A machine that was created just before the loss may be in no record. So nothing
 //!   starts before a list of the cloud that must have every machine of then, and a heartbeat from each of
 //!   them; or before the lease of every worker has expired.
 //! - *Held tasks.* Tasks of jobs that nobody remembers go on, their results are kept, and nothing of such a
@@ -14,7 +14,7 @@
 //!
 //! Here: what the leader of an incomplete store knows. In the modules below, what it does with it:
 //! `procedure` (begin, gates, end), `memories` (other controllers' copies and snapshots), `machine_list` (machines
-//! on nobody's record), `held_tasks`, `operator` (an operator's commands) and `status`.
+//! in no record), `held_tasks`, `operator` (an operator's commands) and `status`.
 
 mod held_tasks;
 mod machine_list;
@@ -61,7 +61,7 @@
     reason: String,
     since_ms: u64,
     memories: BTreeMap<String, PeerMemory>,
-    /// A copy of the lost store was held here, or by whoever handed over theirs.
+    /// This controller, or one that handed over its memory, held a copy of the lost store.
     copy_available: bool,
     /// An operator takes it as it is.
     settled: bool,
--- a/src/core/store/rebuild/machine_list.rs
+++ b/src/core/store/rebuild/machine_list.rs
@@ -1,4 +1,4 @@
-//! Machines that are on nobody's record: a list of the cloud shows them, or another controller remembers them.
+//! Machines that are in no record of this store: the cloud's machine list or another controller's memory shows them.
 
 use crate::core::Core;
 use crate::core::leadership::state::LeaderState;
@@ -32,7 +32,7 @@
     ) {
         let now = self.now.mono;
         // The list shows a time at most twice its lag ago, and all that the lost store could have
-        // had on record was created before this leadership began.
+        // recorded was created before this leadership began.
         let after = self.settings.machine_list_lag * 2 + LIST_MARGIN;
         let Some(leader) = &mut self.leader else {
             return;
@@ -53,7 +53,7 @@
 }
 
 impl LeaderState {
-    /// A machine that may hold tasks and is on nobody's record here.
+    /// A machine that may hold tasks and has no record here.
     pub(super) fn expect_machine(&mut self, id: &MachineId, value: &MachineValue, now: Instant) {
         let since = self.since;
         let machine = self.machines.get_or_add(id, || {
@@ -70,7 +70,7 @@
         if machine.incarnation > 0 {
             return;
         }
-        // Nobody but this leader has answered it since then.
+        // No controller other than this leader has answered it since then.
         machine.lease_renewed = since;
         let was_unresolved = std::mem::replace(&mut machine.unresolved, true);
         if !was_unresolved {
--- a/src/core/store/rebuild/memories.rs
+++ b/src/core/store/rebuild/memories.rs
@@ -72,7 +72,7 @@
         self.check_newer_term();
     }
 
-    /// Takes in what somebody else remembers. Returns how many jobs, or ends of jobs, were new.
+    /// Merges another controller's memory. Returns how many jobs, or ends of jobs, were new.
     pub(super) fn join_memory(&mut self, items: Vec<(String, serde_json::Value)>) -> usize {
         let new = self.store_cache.remember(items);
         self.sync_job_runs();
--- a/src/core/store/rebuild/procedure.rs
+++ b/src/core/store/rebuild/procedure.rs
@@ -64,12 +64,12 @@
         }
     }
 
-    /// Until the workers' leases have expired, a machine unknown to everybody may hold tasks.
+    /// Until the workers' leases have expired, a machine unknown to all controllers may hold tasks.
     fn worker_leases_expired(&self, leader: &LeaderState) -> bool {
         self.now.mono > leader.since + lease_expiry(self.settings.worker_lease)
     }
 
-    /// Whether the leader may speak of what is not final.
+    /// Whether the leader may answer with states that are not final.
     pub(in crate::core) fn may_report_state(&self) -> bool {
         let Some(leader) = &self.leader else {
             return false;
--- a/src/core/store/transaction.rs
+++ b/src/core/store/transaction.rs
@@ -152,7 +152,7 @@
             || job.is_some_and(|job| Core::blocked_by_recovery(self.leader, job))
     }
 
-    /// Pages with new machines: no task starts on a machine before it is on record.
+    /// Pages with new machines: no task starts on a machine before the machine is recorded.
     fn add_new_machines(&mut self) {
         self.add_machine_pages(true);
     }
@@ -243,7 +243,7 @@
         };
         let changes: Vec<Change> = next.take(self.batch.room().max(1)).map(part).collect();
         let written = written + changes.len();
-        (changes, WriteOp::OwedParts(id.clone(), written))
+        (changes, WriteOp::MissingJobParts(id.clone(), written))
     }
 
     /// Done tasks of live jobs, those that have waited longest first.
@@ -270,7 +270,7 @@
         };
         let size = done_range_size(self.settings);
         // From the last range down: a range of an earlier version may reach further than ours under the
-        // same key, and what it says beyond is to be on record elsewhere first.
+        // same key, and the tasks beyond our range must be stored under their own key first.
         let bases = job.ranges_to_write(&run.unpersisted_done, size);
         for base in bases.into_iter().rev() {
             let key = done_key(id, base);
@@ -292,7 +292,7 @@
     /// Jobs cancelled with one that they depend on. Nothing of them can have started.
     fn add_cancelled_dependents(&mut self) {
         let end = JobOutcome::Cancelled;
-        for id in &self.leader.writes.followers {
+        for id in &self.leader.writes.cancelled_dependents {
             let key = job_key(id);
             if self.is_quarantined(&key) || self.leader.writes.ends.contains_key(id) {
                 continue;
@@ -360,7 +360,7 @@
 /// Writes a missing job's key, which completes it.
 fn job_key_change(id: &JobId, value: &JobValue) -> (Vec<Change>, WriteOp) {
     let change = Change::put(job_key(id), to_json_value(value));
-    (vec![change], WriteOp::Owed(id.clone()))
+    (vec![change], WriteOp::MissingJob(id.clone()))
 }
 
 /// Tasks per stored range, so that even every other task of a range fits into one value.
--- a/src/core/store/writes.rs
+++ b/src/core/store/writes.rs
@@ -16,8 +16,8 @@
 /// The part of the state service's changes that the leader's own writes may take; the rest is
 /// for accepting jobs, which must not wait behind them.
 pub(in crate::core) const WRITE_SHARE: f64 = 0.7;
-/// Conflicts in a row, each for a change of somebody else's, before the whole store is read again; and before
-/// another controller is given the chance to lead.
+/// Consecutive conflicts, each with another writer's change, before the whole store is read again, and before
+/// this leader steps down so that another controller can lead.
 const CONFLICTS_BEFORE_REREAD: u32 = 3;
 const MAX_CONFLICTS: u32 = 6;
 /// The watch shows within moments what a write was refused for; after this, the whole store is read again.
@@ -143,7 +143,7 @@
         self.resolve_write();
     }
 
-    /// It was not executed, and would be refused for ever: the store's limits are lower than the settings
+    /// It was not executed, and every retry would be refused: the store's limits are lower than the settings
     /// say. Fewer changes go together, down to one; a change that is refused by itself is quarantined, as
     /// the others must not wait for it.
     fn write_rejected(&mut self, error: &str) {
@@ -191,7 +191,7 @@
 
     /// Settles the transaction on its way, once this process's copy of the store shows what became of it. It
     /// was committed where the copy shows exactly its changes, whether an answer has said so, was lost, or
-    /// was a refusal of its second copy. Otherwise it was refused for a change of somebody else's.
+    /// was a refusal of its second copy. Otherwise it was refused because of another writer's change.
     pub(in crate::core) fn resolve_write(&mut self) {
         let revision = self.store_cache.revision;
         let Some(write) = self.in_flight_write() else {
@@ -235,9 +235,9 @@
         }
     }
 
-    /// A key that a transaction would change was changed by somebody else. Nothing counts as written; what is
-    /// to be written is worked out anew from this copy, which shows what the service had then. Returns the
-    /// number of conflicts in a row.
+    /// Another writer changed a key of the transaction. Nothing counts as written; the pending changes are
+    /// computed again from this copy, which shows what the service held then. Returns the number of
+    /// consecutive conflicts.
     fn discard_refused_write(&mut self) -> u32 {
         let Some(leader) = &mut self.leader else {
             return 0;
@@ -281,7 +281,7 @@
         match op {
             WriteOp::End(id, end, left) => {
                 leader.writes.ends.remove(&id);
-                leader.writes.followers.remove(&id);
+                leader.writes.cancelled_dependents.remove(&id);
                 self.store_cache.end_written(&id, end, left, revision);
                 self.sync_job_runs();
             }
@@ -291,11 +291,11 @@
             }
             WriteOp::Pages(_, machines) => leader.machines_recorded(&machines),
             WriteOp::Types => leader.writes.machine_types = false,
-            WriteOp::Owed(id) => {
+            WriteOp::MissingJob(id) => {
                 leader.writes.missing_parts_written.remove(&id);
                 self.store_cache.missing_from_store.remove(&id);
             }
-            WriteOp::OwedParts(id, upto) => {
+            WriteOp::MissingJobParts(id, upto) => {
                 leader.writes.missing_parts_written.insert(id, upto);
             }
             WriteOp::Rebuilt => leader.writes.rebuild_complete = false,
@@ -320,7 +320,7 @@
         }
     }
 
-    /// These machines are on record: tasks may start on them.
+    /// These machines are recorded: tasks may start on them.
     fn machines_recorded(&mut self, ids: &[MachineId]) {
         for id in ids {
             if self.machines.get(id).is_some_and(|m| !m.recorded)
--- a/src/core/workers/commands.rs
+++ b/src/core/workers/commands.rs
@@ -203,7 +203,7 @@
             return;
         };
         machine.freed = false;
-        // A worker that sees a new token reports it within half a second, on the connection that
+        // A worker that sees a new token sends it in a heartbeat within half a second, on the connection that
         // it has: that costs less than a call to it.
         if machine.unresolved {
             machine.claimed_until = Some(self.now.mono + TOKEN_CONFIRMATION_DELAY);
--- a/src/core/workers/delegates.rs
+++ b/src/core/workers/delegates.rs
@@ -33,7 +33,7 @@
 pub struct Delegates {
     /// By the controllers' names.
     pub by_name: BTreeMap<Arc<str>, Delegate>,
-    /// Workers that report to the leader itself and are to be redirected: to which controller, and how many.
+    /// Workers that send heartbeats to the leader itself and are to be redirected: to which controller, and how many.
     pub own_reassignments: Vec<(String, u32)>,
     /// When the controllers' loads were last compared.
     pub last_rebalance: Option<Instant>,
--- a/src/core/workers/delegation.rs
+++ b/src/core/workers/delegation.rs
@@ -2,7 +2,7 @@
 //!
 //! Each of them may serve workers: it relays their heartbeats to the leader, many in a frame, and
 //! hands out the leader's answers. A machine for which there are no commands is delegated to the
-//! controller that it reports to: that one answers heartbeats which say the same as the last one by
+//! controller that it sends them to: that one answers heartbeats with the same content as the last one by
 //! itself. What it answers under the grant is what the leader would have answered, so it can renew
 //! a worker's lease, and nothing else.
 //!
@@ -220,7 +220,7 @@
         }
         self.delegates.relayed_heartbeats += batch.heartbeats.len() as u64;
         self.delegates.delegated_answers += batch.answered.len() as u64;
-        // What it answered under an earlier term says nothing in this one.
+        // Answers under an earlier term prove nothing in this one.
         if batch.term == self.term {
             for answered in &batch.answered {
                 self.record_delegated_heartbeat(answered, from, now);
--- a/src/core/workers/delegation/members.rs
+++ b/src/core/workers/delegation/members.rs
@@ -8,7 +8,7 @@
 use burlusher_membership::view::{Capabilities, MemberState};
 use std::time::Instant;
 
-/// The status view's word for what the failure detector says of a member.
+/// The status view's label for a member's state in the failure detector.
 fn state_label(state: MemberState) -> &'static str {
     match state {
         MemberState::Unknown => "not heard of",
--- a/src/core/workers/delegation/rebalancing.rs
+++ b/src/core/workers/delegation/rebalancing.rs
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The controllers that may serve workers, the leader first, with how many report to each.
+    /// The controllers that may serve workers, the leader first, with how many workers each serves.
     fn servers(&self) -> Vec<Server> {
         let Some(leader) = &self.leader else {
             return Vec::new();
--- a/src/core/workers/heartbeat_queue.rs
+++ b/src/core/workers/heartbeat_queue.rs
@@ -26,7 +26,7 @@
 /// The most that the settings allow to wait.
 #[derive(Clone, Copy)]
 struct Bounds {
-    /// Whoever waits for an answer holds a connection.
+    /// Each heartbeat that waits for an answer holds a connection.
     heartbeats: usize,
     /// The memory they take is bounded by their size in frames.
     frame_bytes: usize,
--- a/src/core/workers/heartbeats.rs
+++ b/src/core/workers/heartbeats.rs
@@ -215,7 +215,7 @@
         Ok(())
     }
 
-    /// Sends whoever asked to the leader, if it is known who leads.
+    /// Redirects the caller to the leader, if the leader is known.
     pub(in crate::core) fn redirect(&mut self, ticket: Ticket) {
         let own_name = self.settings.name.as_str();
         // Without the state service, what is known of the leader may be old.
--- a/src/core/workers/heartbeats/failures.rs
+++ b/src/core/workers/heartbeats/failures.rs
@@ -7,8 +7,8 @@
 use crate::job::{JobId, MachineId, TaskId};
 use std::time::Duration;
 
-/// A machine on which a task failed gets none for twice this, doubled with each failure in a row, so many times:
-/// not for so long that work waits for it beyond a minute and a half.
+/// A machine on which a task failed gets no task for twice this, doubled with each consecutive failure up to
+/// `MAX_AVOIDANCE_DOUBLINGS` times, so that work waits for it no longer than a minute and a half.
 const INITIAL_AVOIDANCE: Duration = Duration::from_secs(5);
 const MAX_AVOIDANCE_DOUBLINGS: u32 = 3;
 /// The bound on doublings where `MAX_AVOIDANCE_DOUBLINGS` is switched off for a test.
@@ -50,7 +50,7 @@
         *run.failures.entry(id.clone()).or_default() += 1;
         tracing::warn!(task = %key, machine = %id, "task failed");
         run.record_retry_failure(now);
-        // A job that has failed on several machines and succeeded on none speaks against itself: the machines
+        // A job that has failed on several machines and succeeded on none is itself the likely cause: the machines
         // it was tried on are cleared of its failures.
         if run.is_suspect() {
             for id in run.failures.keys() {
--- a/src/core/workers/relay.rs
+++ b/src/core/workers/relay.rs
@@ -1,4 +1,4 @@
-//! What a controller does for the workers that report to it while another one leads.
+//! Relaying the heartbeats of this controller's workers while another controller leads.
 //!
 //! Their heartbeats wait here until the leader's answer comes, many in a frame; one that says the
 //! same as the last one is answered at once, under the leader's grant and as far as the leader has
@@ -48,7 +48,7 @@
 }
 
 impl Core {
-    /// A worker reports here, and another controller leads, or none.
+    /// A worker sends a heartbeat here, and another controller leads, or none.
     pub(in crate::core) fn relay_heartbeat(&mut self, ticket: Ticket, heartbeat: Box<Heartbeat>) {
         self.observe_fencing_token(heartbeat.fencing_token);
         if !self.delegating {
--- a/src/core/workers/relay/backoff.rs
+++ b/src/core/workers/relay/backoff.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-/// After failures in a row, the leader is left alone for this long, doubled each time up to
+/// After consecutive failures, no batch is sent to the leader for this long, doubled each time up to
 /// `MAX_BACKOFF`: it may be a version that drops the connection.
 const BASE_BACKOFF: Duration = Duration::from_millis(200);
 const MAX_BACKOFF: Duration = Duration::from_secs(5);
@@ -13,7 +13,7 @@
 /// A leader that does not take heartbeat batches is asked again after this long.
 const REFUSED_BACKOFF: Duration = Duration::from_secs(10);
 
-/// Failed batches in a row, and when the next one may be sent.
+/// Consecutive failed batches, and when the next one may be sent.
 #[derive(Default)]
 pub(super) struct LeaderBackoff {
     failures: u32,
--- a/src/core/workers/relay/probes.rs
+++ b/src/core/workers/relay/probes.rs
@@ -1,4 +1,4 @@
-//! Showing a new leader's fencing token to the workers that report here, so that they refuse
+//! Showing a new leader's fencing token to the workers that send heartbeats here, so that they refuse
 //! whatever an earlier leader sent, and the leader knows what each of them has.
 
 use super::state::TokenProbe;
--- a/src/core/workers/relay/state.rs
+++ b/src/core/workers/relay/state.rs
@@ -1,4 +1,4 @@
-//! State of the relay: the workers that report to this controller while another one leads, the
+//! State of the relay: the workers that send heartbeats to this controller while another one leads, the
 //! leader's grant, and the batch of heartbeats on its way.
 
 use super::backoff::LeaderBackoff;
@@ -40,7 +40,7 @@
     pub fencing_token: u64,
 }
 
-/// A worker that reports here.
+/// A worker that sends its heartbeats here.
 pub(super) struct ServedWorker {
     pub incarnation: u64,
     pub sequence: u64,
@@ -120,7 +120,7 @@
 }
 
 impl Relay {
-    /// The relay of a process that has just started and serves nobody.
+    /// The relay of a process that has just started and serves no worker.
     pub fn new(incarnation: u64) -> Relay {
         Relay {
             incarnation,
--- a/src/core/workers/relay/state/tests.rs
+++ b/src/core/workers/relay/state/tests.rs
@@ -7,7 +7,7 @@
     format!("instance-0123456789abcdef-0123456-{number:06}").into()
 }
 
-/// A controller that has just answered reports of so many workers itself.
+/// A controller that has just answered heartbeats of so many workers itself.
 fn serving(now: Instant) -> Relay {
     let mut relay = Relay::new(1);
     for number in 0..MACHINES {
--- a/src/fault_injection.rs
+++ b/src/fault_injection.rs
@@ -58,7 +58,7 @@
     ZoneEligibility,
     /// A controller that has just started calls no job unknown.
     StartupUncertainty,
-    /// What is not final is read from the store before a user is told of it.
+    /// What is not final is read from the store before a user is answered with it.
     FreshRead,
 }
 
--- a/src/planning/backfill/knapsack.rs
+++ b/src/planning/backfill/knapsack.rs
@@ -65,7 +65,7 @@
         (self.capacity + 1) * (self.shadow_capacity + 1)
     }
 
-    /// Words of 64 bits that hold a bit for each cell.
+    /// Number of 64-bit words that hold one bit for each cell.
     fn words(&self) -> usize {
         self.cells().div_ceil(64)
     }
--- a/src/planning/backfill/mod.rs
+++ b/src/planning/backfill/mod.rs
@@ -70,7 +70,7 @@
 }
 
 /// One scheduling step. The snapshot's free room shows afterwards what the plan has allocated;
-/// whoever carries the plan out puts the changed nodes again.
+/// the caller that carries the plan out updates the changed nodes.
 pub fn plan(
     snapshot: &mut ClusterSnapshot,
     queue: &mut [QueuedJob],
--- a/src/planning/backfill/tests.rs
+++ b/src/planning/backfill/tests.rs
@@ -90,7 +90,7 @@
     s
 }
 
-/// A job in the queue, with the queued that it lends to the plan.
+/// A job in the queue, with the queued tasks that the plan borrows from it.
 struct TestJob {
     spec: JobSpec,
     queued: BTreeSet<u32>,
--- a/src/planning/bids.rs
+++ b/src/planning/bids.rs
@@ -161,7 +161,7 @@
     for bid in demand_bids {
         let (starts, unserved) = forecast_starts(&mut forecast, bid, &market.types);
         if unserved == bid.demand.tasks && bid.arrives_in.is_zero() {
-            // No room is in sight for any of it: whatever it is worth, it must not wait for ever.
+            // No capacity is forecast for any of it: whatever its value, it must not starve.
             let scope = OfferScope::All;
             choose_cheapest(&bid.demand, unserved, market, scope, &mut counts);
             continue;
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -63,7 +63,7 @@
     pub items: Vec<(String, Value)>,
 }
 
-/// A job's state, as users are told it.
+/// A job's state, as shown to users.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobState {
     /// None of its tasks runs.
--- a/src/wire/worker.rs
+++ b/src/wire/worker.rs
@@ -16,7 +16,7 @@
     /// It runs.
     #[serde(rename = "running")]
     Running,
-    /// It was told to stop and writes a checkpoint.
+    /// Received a stop command and writes a checkpoint.
     #[serde(rename = "flushing")]
     Saving,
     /// It has ended.
@@ -30,7 +30,7 @@
     /// With a result.
     #[serde(rename = "done")]
     Done,
-    /// It was told to stop.
+    /// Received a stop command.
     #[serde(rename = "stopped")]
     Stopped,
     /// It failed.
