--- a/src/core/jobs/answers.rs
+++ b/src/core/jobs/answers.rs
@@ -74,10 +74,10 @@
     /// How many of a job's tasks run, by the last heartbeats of their machines.
     pub(in crate::core) fn running_tasks(&self, id: &str, run: &JobRun) -> u32 {
         let Some(leader) = &self.leader else { return 0 };
-        let runs = |(row, machine): &(&u32, &MachineId)| {
+        let runs = |(index, machine): &(&u32, &MachineId)| {
             let task = TaskId {
                 job: Self::job_id(id),
-                index: **row,
+                index: **index,
             };
             let machine = leader.machines.get(machine);
             let task = machine.and_then(|m| m.tasks.get(&task));
--- a/src/core/jobs/forwarding.rs
+++ b/src/core/jobs/forwarding.rs
@@ -13,7 +13,7 @@
 const STORE_STALE_AFTER: Duration = Duration::from_millis(1100);
 /// Without the state service, a peer is probed this often.
 const PROBE_INTERVAL: Duration = Duration::from_millis(1000);
-/// A job that nobody can have submitted: answered only by a controller that can read the state.
+/// A job id that no user can have submitted: answered only by a controller that can read the state.
 const PROBE_JOB: &str = "wk-0";
 /// A peer that gave no answer gets no requests for this long.
 const UNREACHABLE_PEER_PAUSE: Duration = Duration::from_secs(1);
--- a/src/core/jobs/submissions.rs
+++ b/src/core/jobs/submissions.rs
@@ -37,7 +37,7 @@
 const TOO_LARGE: &str = "too large to be kept";
 /// The part of the memory that unfinished jobs may take.
 const JOBS_MEMORY_SHARE: f64 = 0.25;
-/// The memory of a task of theirs: an entry in the sets of its job, a little more while it is placed.
+/// Memory for each of their tasks: an entry in the sets of its job, a little more while it is placed.
 const BYTES_PER_TASK: f64 = 32.0;
 
 /// How many tasks unfinished jobs may have.
@@ -50,7 +50,7 @@
     /// before it came.
     pub(in crate::core) fn accept(&mut self, mut submission: Submission, informed: bool) {
         let ticket = submission.ticket;
-        // It may be over, and another controller remember that: accepted anew, it would be said to wait.
+        // The job may be over, which another controller may remember: accepted again, it would be shown as queued.
         if self.must_withhold_state() {
             return self.answer(ticket, rebuilding_answer());
         }
@@ -196,7 +196,7 @@
                     });
                 }
             }
-            // Some may be written late: they are written anew under other names.
+            // Some may be written late: they are written again under other names.
             StoreOutcome::Unknown(error) if self.waited(&submission) < PARTS_RETRY_WINDOW => {
                 tracing::info!(job = %id, %error, "job parts write unanswered");
                 parts.generation = self.next_part_generation();
--- a/src/core/jobs/urgency.rs
+++ b/src/core/jobs/urgency.rs
@@ -37,7 +37,7 @@
         job.spec.estimate.mul_f64(pace * SLOWEST_TASK_FACTOR) + fetch + HANDOVER
     }
 
-    /// Works out anew the urgency of a job that changed, and of those that it depends on.
+    /// Recomputes the urgency of a job that changed, and of those that it depends on.
     pub(in crate::core) fn propagate_job_urgency(&mut self, id: &JobId) {
         let Some(job) = self.store_cache.jobs.get(id) else {
             return;
@@ -49,7 +49,7 @@
         self.propagate_urgency(id);
     }
 
-    /// Works out anew the urgency of a job, and where it changes, of those that it depends on.
+    /// Recomputes the urgency of a job, and where it changes, of those that it depends on.
     pub(in crate::core) fn propagate_urgency(&mut self, from: &JobId) {
         let mut next = vec![from.clone()];
         while let Some(id) = next.pop() {
--- a/src/core/leadership/liveness.rs
+++ b/src/core/leadership/liveness.rs
@@ -22,7 +22,7 @@
     pub zone_reachable_since: BTreeMap<String, Instant>,
     /// When this leader was last able to act.
     last_able_to_act: Instant,
-    /// When a heartbeat last came, here or by way of a delegate.
+    /// When a heartbeat last came, here or through a delegate.
     last_heartbeat: Option<Instant>,
     /// When a worker last reported here or answered a direct call.
     last_direct_contact: Instant,
@@ -58,7 +58,7 @@
         (inactive > INABILITY_THRESHOLD).then_some(inactive)
     }
 
-    /// A heartbeat came, here or by way of a delegate.
+    /// A heartbeat came, here or through a delegate.
     pub(in crate::core) fn record_heartbeat(&mut self, now: Instant) {
         self.last_heartbeat = Some(now);
     }
--- a/src/core/leadership/mod.rs
+++ b/src/core/leadership/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! Leadership is a key in the store that depends on this process's lease. The transaction that writes the key raises a
 //! persistent term, which the workers see as the upper part of their fencing token. A leader acts only until its
-//! lease can have ended, by its own clock, and every write of its has the leader key's version as a condition.
+//! lease can have ended, by its own clock, and each of its writes has the leader key's version as a condition.
 //!
 //! - Data: `lease`, `candidacy`, `liveness`, `recovery_state`, and `state` with all that only a leader has.
 //! - The lease and the store's events: `lease_events`, `store_events`.
--- a/src/core/leadership/probes.rs
+++ b/src/core/leadership/probes.rs
@@ -73,7 +73,7 @@
         }
     }
 
-    /// The machine has restarted, with none of its former tasks, and counts its heartbeats from one. `seen_token` is
+    /// The machine has restarted, without its former tasks, and its heartbeat sequence starts from one. `seen_token` is
     /// the highest fencing token that it has seen since.
     pub(in crate::core) fn machine_restarted(&mut self, id: &MachineId, seen_token: u64) {
         let Some(leader) = &mut self.leader else {
--- a/src/core/leadership/state.rs
+++ b/src/core/leadership/state.rs
@@ -103,7 +103,7 @@
         self.identity.as_ref().map(named)
     }
 
-    /// A worker's heartbeat came, here or by way of another controller.
+    /// A worker's heartbeat came, here or through another controller.
     pub(in crate::core) fn record_heartbeat(&mut self, via: Option<&Arc<str>>, now: Instant) {
         self.liveness.record_heartbeat(now);
         if via.is_none() {
--- a/src/core/machines/cancellation_bound.rs
+++ b/src/core/machines/cancellation_bound.rs
@@ -1,5 +1,5 @@
-//! How long after a cancellation something of its job may still be on machines, and when the residual tasks
-//! of cancelled jobs are forgotten.
+//! The time after a cancellation within which tasks of the job may still run, and the removal of the residual
+//! tasks of cancelled jobs.
 
 use crate::core::Core;
 use crate::core::leadership::lease::LEASE_TTL;
--- a/src/core/machines/failure_detection.rs
+++ b/src/core/machines/failure_detection.rs
@@ -46,7 +46,7 @@
 
 impl ZoneActivity {
     /// A zone from which next to nothing comes is cut off; its machines work on and their
-    /// leases protect them, so they are not given up for their silence. The first sign is
+    /// leases protect them, so they are not removed for missing heartbeats. The first sign is
     /// that no heartbeat comes at all for longer than so many machines ever keep silent together:
     /// half of them are still live when the first ones are silent for too long.
     fn is_reachable(
--- a/src/core/machines/fault_history.rs
+++ b/src/core/machines/fault_history.rs
@@ -50,7 +50,7 @@
     }
 
     fn mean(&self) -> f64 {
-        /// A few notes say little: as many that say nothing are added.
+        /// Weight of a neutral prior, as a few observations prove little.
         const PRIOR_WEIGHT: f64 = 2.0;
         self.sum / (self.weight + PRIOR_WEIGHT)
     }
--- a/src/core/machines/machine.rs
+++ b/src/core/machines/machine.rs
@@ -69,7 +69,7 @@
     pub size_gb: f64,
 }
 
-/// A call made to find out whether a machine has begun anew.
+/// A call made to find out whether a worker has restarted.
 #[derive(Clone, Copy, Debug)]
 pub struct RestartProbe {
     /// The incarnation and sequence number that were known when the call was made.
@@ -81,13 +81,13 @@
 /// Direct calls to a machine's worker.
 #[derive(Clone, Debug)]
 pub struct DirectCalls {
-    /// The call on its way.
+    /// The call in flight.
     pub in_flight: Option<CallId>,
     /// No commands are sent by a call before this moment.
     pub retry_not_before: Instant,
     /// Consecutive calls that got no answer.
     pub failures: u32,
-    /// The call on its way that is to find out whether the machine has begun anew.
+    /// The probe in flight that shows whether the worker has restarted.
     pub restart_probe: Option<RestartProbe>,
     /// The token of the last call that started something.
     pub started_under_token: u64,
@@ -105,7 +105,7 @@
     pub zone: String,
     /// Whether the cloud may reclaim it.
     pub spot: bool,
-    /// Which life of its worker the newest heartbeat is of; 0 until the first one.
+    /// The worker's incarnation in the newest heartbeat; 0 until the first one.
     pub incarnation: u64,
     /// The newest heartbeat's number within the incarnation.
     pub sequence: u64,
@@ -133,8 +133,8 @@
     pub unresolved: bool,
     /// Something ended on it, or it came up, since its last answer.
     pub freed: bool,
-    /// The highest token that it has shown in this life of its: what shows a lower one is older, or of
-    /// another life.
+    /// The highest token that it has shown in this incarnation: a heartbeat with a lower one is older, or of
+    /// another incarnation.
     pub highest_token: u64,
     /// It is in the state service and may get tasks.
     pub recorded: bool,
@@ -248,9 +248,9 @@
         self.age + now.saturating_duration_since(self.known_since)
     }
 
-    /// Whether a heartbeat says only what is known, under this term's token: most heartbeats do, and
-    /// with a thousand machines that each hold dozens of tasks, taking them in anew every time
-    /// was most of a leader's work.
+    /// Whether a heartbeat contains nothing new, under this term's token: most do not, and with a
+    /// thousand machines that each hold dozens of tasks, processing them in full every time was
+    /// most of a leader's work.
     pub(in crate::core) fn is_unchanged_by(&self, heartbeat: &Heartbeat, term: u64) -> bool {
         let is_next_of_incarnation = heartbeat.incarnation == self.incarnation
             && heartbeat.sequence > self.sequence
--- a/src/core/machines/reclamation.rs
+++ b/src/core/machines/reclamation.rs
@@ -13,7 +13,7 @@
 /// A task that cannot save its progress is stopped only if it needs this many times what is left.
 const HOPELESS_FACTOR: u32 = 3;
 
-/// Whether a task is better stopped now, to save its progress or to start anew elsewhere, than left on a
+/// Whether a task is better stopped now, to save its progress or to restart elsewhere, than left on a
 /// machine that is reclaimed after `remaining`.
 fn should_move(task: &Placement, job: &JobRecord, remaining: Duration, now: Instant) -> bool {
     if task.stopping.is_some() {
--- a/src/core/machines/removal.rs
+++ b/src/core/machines/removal.rs
@@ -1,5 +1,5 @@
-//! How a machine leaves: its lease expires, it is given up and deleted, or it is certain to be gone; and what
-//! becomes of its tasks.
+//! Removal of a machine: its lease expires, it is deleted as unresponsive, or it is certain to be gone. Its
+//! tasks are then counted as lost.
 
 use crate::core::Core;
 use crate::core::machines::machine::{DeletionReason, lease_expiry};
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -266,12 +266,14 @@
             Command::LeaseLost => self.lease_lost(),
             Command::StoreListed { items, revision } => self.store_listed(items, revision),
             Command::StoreChanged { events, revision } => self.store_changed(events, revision),
-            Command::MemoryRequest { ticket, request } => self.recall(ticket, request),
+            Command::MemoryRequest { ticket, request } => {
+                self.answer_memory_request(ticket, request)
+            }
             Command::MemoryPage {
                 peer,
                 asked,
                 answer,
-            } => self.recalled(peer, asked, answer),
+            } => self.memory_request_answered(peer, asked, answer),
             Command::AcceptIncompleteStore(ticket) => self.settle(ticket),
             Command::OfferSnapshot {
                 ticket,
--- a/src/core/monitoring/readiness.rs
+++ b/src/core/monitoring/readiness.rs
@@ -7,7 +7,7 @@
 const UNREACHABLE_AFTER: Duration = Duration::from_secs(3);
 
 impl Core {
-    /// A node that reaches neither the store nor any other controller serves nobody. One that reaches others passes
+    /// A node that reaches neither the store nor any other controller cannot serve requests. One that reaches others passes
     /// requests on; and when the others cannot serve either, leaving the balancer would only lengthen the outage.
     pub(in crate::core) fn update_readiness(&mut self) {
         let ready = self.store_cache.loaded && (self.settings.peers.is_empty() || !self.is_alone());
--- a/src/core/scheduling/queue.rs
+++ b/src/core/scheduling/queue.rs
@@ -17,7 +17,7 @@
 
 /// A policy that lets a job pay so many times the lowest price allows machines of any price.
 const ANY_PRICE_RATIO: f64 = 100.0;
-/// The slack of a job that nobody set a deadline for.
+/// The slack of a job without a deadline.
 const NO_DEADLINE_S: f64 = 1e6;
 
 /// A job in the queue.
--- a/src/core/simulation/mixed_versions.rs
+++ b/src/core/simulation/mixed_versions.rs
@@ -117,11 +117,15 @@
         (JobOutcome::Cancelled, r#"{"end":"Cancelled"}"#),
     ] {
         assert_eq!(
-            serde_json::to_value(JobValue::Over { end, left: None }).unwrap(),
+            serde_json::to_value(JobValue::Over {
+                end,
+                residual_tasks: None
+            })
+            .unwrap(),
             value(text)
         );
         let read: JobValue = serde_json::from_str(text).unwrap();
-        assert!(matches!(read, JobValue::Over { end: e, left: None } if e == end));
+        assert!(matches!(read, JobValue::Over { end: e, residual_tasks: None } if e == end));
     }
     // The term keeps its form, so that either version can lead after the other.
     assert_eq!(
--- a/src/core/simulation/scenarios/size.rs
+++ b/src/core/simulation/scenarios/size.rs
@@ -309,7 +309,7 @@
     let at = at.duration_since(SystemTime::UNIX_EPOCH).unwrap();
     let later = JobValue::Over {
         end: JobOutcome::Cancelled,
-        left: Some(ResidualTasks {
+        residual_tasks: Some(ResidualTasks {
             team: "u".into(),
             resources: Resources {
                 cpus: 0.001,
--- a/src/core/store/cache.rs
+++ b/src/core/store/cache.rs
@@ -170,13 +170,20 @@
         &mut self,
         id: &JobId,
         end: JobOutcome,
-        left: Option<ResidualTasks>,
+        residual_tasks: Option<ResidualTasks>,
         revision: u64,
     ) {
         if revision > self.revision {
             self.unconfirmed_ends.insert(id.clone(), revision);
         }
-        self.put_job(id, JobValue::Over { end, left }, revision);
+        self.put_job(
+            id,
+            JobValue::Over {
+                end,
+                residual_tasks,
+            },
+            revision,
+        );
     }
 
     /// What of a job may be on machines, if it is cancelled now.
--- a/src/core/store/cache/apply.rs
+++ b/src/core/store/cache/apply.rs
@@ -155,7 +155,10 @@
                 };
                 self.put_parted_job(&id, head);
             }
-            JobValue::Over { end, left } => self.put_ended_job(id, end, left),
+            JobValue::Over {
+                end,
+                residual_tasks,
+            } => self.put_ended_job(id, end, residual_tasks),
             JobValue::Live { spec, submitted_ms }
             | JobValue::Awaiting {
                 dependent: spec,
--- a/src/core/store/cache/loss.rs
+++ b/src/core/store/cache/loss.rs
@@ -60,8 +60,8 @@
         finished.find(|id| !self.may_lack(id, written_at(id), revision) && not_over(id))
     }
 
-    /// How jobs' keys, from after one and up to another, do not say what the copy does; the copy is as
-    /// new as they are.
+    /// The first difference between the jobs' keys in a range and the copy, which must be as new as
+    /// they are.
     pub fn find_difference(
         &self,
         items: &[Item],
@@ -93,8 +93,8 @@
         Some(format!("it has forgotten job {gone}"))
     }
 
-    /// The store has lost data: what is remembered stays, what is stored joins it, and what of the
-    /// first is not among the second is missing from the store. Versions begin anew.
+    /// The store has lost data: the copy stays, the stored values are merged into it, and what the copy
+    /// has beyond them is missing from the store. Versions are reset.
     pub fn merge_after_loss(&mut self, items: Vec<Item>, revision: u64) {
         let prefix = stored_key("j/");
         let stored: BTreeMap<JobId, bool> = (items.iter())
--- a/src/core/store/cache/memory.rs
+++ b/src/core/store/cache/memory.rs
@@ -141,7 +141,7 @@
         (page.items, !complete)
     }
 
-    /// Jobs come before their done tasks, as these say nothing without them. False: the page is full.
+    /// Jobs come before their done tasks, which mean nothing without them. False: the page is full.
     fn fill(&self, after: &str, page: &mut PageBuilder) -> bool {
         let filled = match StoreKey::parse(after) {
             Some(StoreKey::MachinePage(n)) => self.fill_machines(n.saturating_add(1), page),
@@ -218,8 +218,11 @@
     /// What the job's key holds, or would hold.
     pub fn job_value(&self, id: &JobId) -> Option<JobValue> {
         if let Some(end) = self.finished.get(id) {
-            let left = self.residual_tasks.get(id).cloned();
-            return Some(JobValue::Over { end: *end, left });
+            let residual_tasks = self.residual_tasks.get(id).cloned();
+            return Some(JobValue::Over {
+                end: *end,
+                residual_tasks,
+            });
         }
         let job = self.jobs.get(id)?;
         let since = job.submitted.duration_since(SystemTime::UNIX_EPOCH);
--- a/src/core/store/cache/stored.rs
+++ b/src/core/store/cache/stored.rs
@@ -34,7 +34,7 @@
 /// While this is in the store, what is absent from it may yet have been accepted.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RebuildingValue {
-    /// The identity of the store that lost data, as far as anybody knew it.
+    /// The identity of the store that lost data, if it was known.
     #[serde(rename = "of")]
     pub lost_store: Option<String>,
     /// When that was noticed, in milliseconds since 1970.
@@ -86,13 +86,13 @@
     Over {
         /// Its outcome.
         end: JobOutcome,
-        /// What of a cancelled job may still be on machines. Earlier versions neither write nor read this.
-        #[serde(default, skip_serializing_if = "Option::is_none")]
-        left: Option<ResidualTasks>,
+        /// Tasks of a cancelled job that may still be on machines. Earlier versions neither write nor read this.
+        #[serde(rename = "left", default, skip_serializing_if = "Option::is_none")]
+        residual_tasks: Option<ResidualTasks>,
     },
 }
 
-/// What of a cancelled job may still be on machines: it counts towards its team's limit until their leases
+/// Tasks of a cancelled job that may still be on machines: it counts towards its team's limit until their leases
 /// have expired, also for a leader that never knew the job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ResidualTasks {
--- a/src/core/store/cache/tests.rs
+++ b/src/core/store/cache/tests.rs
@@ -48,7 +48,7 @@
 fn what_is_left_of_cancelled_jobs_is_known_until_its_time_is_over() {
     let cancelled = |at_ms: u64| JobValue::Over {
         end: JobOutcome::Cancelled,
-        left: Some(ResidualTasks {
+        residual_tasks: Some(ResidualTasks {
             team: "t".into(),
             resources: Resources::default(),
             tasks: 1,
--- a/src/core/store/integrity.rs
+++ b/src/core/store/integrity.rs
@@ -1,14 +1,14 @@
-//! Whether the state service still holds what it was given.
+//! Detection of data loss in the state service.
 //!
 //! A store has an identity, a random name that its first leader gives it. Each controller remembers
 //! that, the newest revision it has seen, and all that it read. Signs of a loss (a revision that went
-//! back, an identity that is gone, a lease unknown that should still run, a worker that has seen a
-//! newer term than ours) only make it read the store afresh: the verdict is by what is stored, compared
+//! back, an identity that is gone, an unknown lease that should still be valid, a worker that has seen a
+//! newer term than ours) only make it read the store again: the decision compares what is stored
 //! with the copy. An outage, a watch that is too old, a restart, an older version as leader are no such signs.
 //!
 //! Having lost data, the store gets another identity with its next leader, on which all its writes
 //! depend: what was meant for the old one can't be applied to the new, whatever its revisions. And
-//! nobody leads it before the lease of any earlier leader has expired: that one's last renewal came
+//! no controller leads it before the lease of any earlier leader has expired: that one's last renewal came
 //! before the loss, and the loss before it was noticed.
 //!
 //! - `data_loss`: signs of a loss, and the verdict by a full read.
--- a/src/core/store/integrity/data_loss.rs
+++ b/src/core/store/integrity/data_loss.rs
@@ -114,7 +114,7 @@
         );
     }
 
-    /// Others may have noticed the loss before, and have begun anew.
+    /// Whether another controller noticed the loss earlier and has begun a rebuild.
     fn rebuild_has_begun(&self, loss: &DataLoss) -> bool {
         let known = &self.store_integrity.known_identities;
         loss.was_marked && loss.identity.as_ref().is_some_and(|id| !known.contains(id))
--- a/src/core/store/integrity/memory_exchange.rs
+++ b/src/core/store/integrity/memory_exchange.rs
@@ -22,26 +22,27 @@
         integrity.memories_requested = Some(now);
         let peers = self.settings.peers.iter().map(|p| &p.name);
         for peer in peers.filter(|name| !integrity.peer_has_read_store(name)) {
-            let recall = MemoryRequest {
+            let request = MemoryRequest {
                 summary_only: true,
                 after: String::new(),
             };
             let peer = peer.clone();
-            self.effects.push(Effect::MemoryRequest {
-                peer,
-                request: recall,
-            });
+            self.effects.push(Effect::MemoryRequest { peer, request });
         }
     }
 
-    /// Another controller asks what is remembered here.
-    pub(in crate::core) fn recall(&mut self, ticket: Ticket, recall: MemoryRequest) {
+    /// Answers another controller's request with a page of this controller's memory.
+    pub(in crate::core) fn answer_memory_request(
+        &mut self,
+        ticket: Ticket,
+        request: MemoryRequest,
+    ) {
         let cache = &self.store_cache;
         let remembers = cache.term > 0 || !cache.jobs.is_empty() || !cache.finished.is_empty();
-        let (items, more) = if recall.summary_only {
+        let (items, more) = if request.summary_only {
             (Vec::new(), false)
         } else {
-            cache.memory(&recall.after, PAGE_BYTES)
+            cache.memory(&request.after, PAGE_BYTES)
         };
         let items = items.into_iter().map(|(k, v)| (k, v.to_string()));
         let page = MemoryPage {
@@ -57,7 +58,7 @@
     }
 
     /// Another controller's answer to a request for its memory, or that there was none.
-    pub(in crate::core) fn recalled(
+    pub(in crate::core) fn memory_request_answered(
         &mut self,
         peer: String,
         asked: MemoryRequest,
--- a/src/core/store/integrity/terms.rs
+++ b/src/core/store/integrity/terms.rs
@@ -75,10 +75,10 @@
         term <= self.seconds_since_epoch().saturating_add(MAX_TERM_LEAD_S)
     }
 
-    /// The term of the next leadership: the seconds since 2020, if those before it were less. Leaders follow
-    /// one another less often, so no term is used again, whatever is lost: a controller that has just
-    /// begun, in a store that was rolled back, knows of none that came after what it reads there. Nor do two
-    /// controllers that know the same choose the same: each has terms of its own, one in as many as there are.
+    /// The term of the next leadership: the seconds since 2020, or the newest term plus one if that is more.
+    /// Leaders change less than once a second, so no term is reused, whatever data is lost: a controller that
+    /// has just started on a store that was rolled back cannot know of later terms. Two controllers with the
+    /// same knowledge never choose the same term: each has its own residue modulo the number of controllers.
     pub(in crate::core) fn next_term(&self) -> u64 {
         let least = (self.newest_term() + 1).max(self.seconds_since_epoch());
         let peers = self.settings.peers.iter().map(|p| p.name.as_str());
--- a/src/core/store/machine_records/tests.rs
+++ b/src/core/store/machine_records/tests.rs
@@ -75,6 +75,6 @@
         r.next_single_key_deletion().unwrap(),
         version + 1,
     );
-    let left: Vec<&MachineId> = store_cache.machines.keys().collect();
-    assert_eq!(left, ids.iter().take(10).collect::<Vec<_>>());
+    let remaining: Vec<&MachineId> = store_cache.machines.keys().collect();
+    assert_eq!(remaining, ids.iter().take(10).collect::<Vec<_>>());
 }
--- a/src/core/store/read_barrier.rs
+++ b/src/core/store/read_barrier.rs
@@ -2,8 +2,8 @@
 //! have ended, and whether a job that a submission names was ever accepted, on all keys there are.
 //!
 //! A read begun after the request came shows the state service's revision; once this node's copy
-//! has come as far, nothing can have been answered to anybody before the request that the copy does
-//! not hold. Requests of one step share the read.
+//! has reached that revision, it holds everything that any answer before the request can have
+//! shown. Requests of one step share the read.
 
 use crate::core::Core;
 use crate::core::command::Pending;
--- a/src/core/store/rebuild.rs
+++ b/src/core/store/rebuild.rs
@@ -1,18 +1,18 @@
-//! What a leader does for a store that has lost data: it joins what the controllers remember, writes
-//! it back, and answers nothing and starts nothing before that is safe.
+//! Rebuilding a store that has lost data: the leader merges the controllers' memories, writes them back, and
+//! answers no request and starts no task before that is safe.
 //!
 //! - *Answers.* Ends are final wherever they come from. What is not final, and whether a job is unknown,
 //!   is answered only when all controllers have handed over what they remember, or have nothing, or when
 //!   the workers' leases have expired meanwhile. An unknown job is answered 503 until the mark is gone.
 //! - *Starts.* A machine that was created just before the loss may be in no record. So nothing
-//!   starts before a list of the cloud that must have every machine of then, and a heartbeat from each of
-//!   them; or before the lease of every worker has expired.
-//! - *Held tasks.* Tasks of jobs that nobody remembers go on, their results are kept, and nothing of such a
-//!   job is ever started by itself. They are adopted when the job becomes known, and listed until then.
+//!   starts before a cloud machine list that must contain every machine of that time, and a heartbeat from each
+//!   of them; or before the lease of every worker has expired.
+//! - *Held tasks.* Tasks of jobs that no controller remembers keep running, their results are kept, and no
+//!   further task of such a job is started. They are adopted when the job becomes known, and listed until then.
 //! - *The end.* The mark is deleted when all is written back, all controllers were asked twice, and
-//!   nothing is held; or when an operator settles it.
+//!   no task is held; or when an operator settles it.
 //!
-//! Here: what the leader of an incomplete store knows. In the modules below, what it does with it:
+//! This module holds the state of the rebuild. The modules below act on it:
 //! `procedure` (begin, gates, end), `memories` (other controllers' copies and snapshots), `machine_list` (machines
 //! in no record), `held_tasks`, `operator` (an operator's commands) and `status`.
 
@@ -30,7 +30,7 @@
 /// How far a controller has handed over its memory.
 #[derive(Clone, Debug, Default)]
 struct PeerMemory {
-    /// The key after which it goes on.
+    /// The key after which the next page starts.
     after: String,
     /// Asked, and not answered yet.
     in_flight: bool,
@@ -45,7 +45,7 @@
     new_jobs: usize,
 }
 
-/// A task on a machine, of a job that nobody remembers.
+/// A task on a machine, of a job that no controller remembers.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct HeldTask {
     index: u32,
@@ -55,7 +55,7 @@
 /// What only the leader of an incomplete store has.
 #[derive(Default)]
 pub struct Rebuild {
-    /// The store that lost data, where anybody knows its name.
+    /// The identity of the store that lost data, if known.
     lost_store: Option<String>,
     /// Why it is known to have lost data, and when that was noticed (milliseconds since 1970).
     reason: String,
@@ -69,7 +69,7 @@
     listed: bool,
     /// Machines that it showed as booting: they may be up by now.
     booting: BTreeSet<MachineId>,
-    /// Tasks on machines, of jobs that nobody remembers.
+    /// Tasks on machines, of jobs that no controller remembers.
     held_tasks: BTreeMap<JobId, BTreeSet<HeldTask>>,
     /// Such tasks that have ended well.
     held_results: BTreeMap<JobId, BTreeSet<u32>>,
@@ -92,7 +92,7 @@
         self.settled || self.memories.values().all(|m| m.passes > 1)
     }
 
-    /// Nothing is held of jobs that nobody remembers.
+    /// No task is held of jobs that no controller remembers.
     fn holds_nothing(&self) -> bool {
         self.held_tasks.is_empty() && self.held_results.is_empty()
     }
--- a/src/core/store/rebuild/held_tasks.rs
+++ b/src/core/store/rebuild/held_tasks.rs
@@ -1,4 +1,4 @@
-//! Tasks on machines whose jobs nobody remembers: they are adopted when their job becomes known.
+//! Tasks on machines whose jobs no controller remembers: they are adopted when their job becomes known.
 
 use super::{HeldTask, Rebuild};
 use crate::core::Core;
--- a/src/core/store/rebuild/memories.rs
+++ b/src/core/store/rebuild/memories.rs
@@ -1,4 +1,4 @@
-//! What other controllers and snapshots remember of a store that lost data, joined with what is known here.
+//! Merges the memories of other controllers, and snapshots, of a store that lost data into this copy.
 
 use super::{PeerMemory, Rebuild};
 use crate::core::{Core, Effect};
@@ -28,15 +28,12 @@
                 continue;
             }
             memory.in_flight = true;
-            let recall = MemoryRequest {
+            let request = MemoryRequest {
                 summary_only: false,
                 after: memory.after.clone(),
             };
             let peer = peer.clone();
-            requests.push(Effect::MemoryRequest {
-                peer,
-                request: recall,
-            });
+            requests.push(Effect::MemoryRequest { peer, request });
         }
         self.effects.extend(requests);
     }
--- a/src/core/store/rebuild/operator.rs
+++ b/src/core/store/rebuild/operator.rs
@@ -17,8 +17,8 @@
         Response::error(409, &format!("not the leader; that is {leader}"))
     }
 
-    /// An operator takes the store as it is: what nobody remembers is stopped, and unknown from now
-    /// on.
+    /// An operator accepts the store as it is: tasks of jobs that no controller remembers are stopped,
+    /// and these jobs are unknown from now on.
     pub(in crate::core) fn settle(&mut self, ticket: Ticket) {
         let now = self.now.mono;
         if !self.acting() {
--- a/src/core/store/rebuild/status.rs
+++ b/src/core/store/rebuild/status.rs
@@ -17,7 +17,7 @@
     pub incomplete: f64,
     /// Jobs remembered here that the store has lost.
     pub missing_jobs: f64,
-    /// Tasks on machines of jobs that nobody remembers.
+    /// Tasks on machines of jobs that no controller remembers.
     pub held_tasks: f64,
 }
 
--- a/src/core/store/transaction.rs
+++ b/src/core/store/transaction.rs
@@ -129,9 +129,12 @@
             }
             let cancelled = end == JobOutcome::Cancelled;
             let residual = self.store_cache.residual_of(id, self.now.wall);
-            let left = residual.filter(|_| cancelled);
-            let op = WriteOp::End(id.clone(), end, left.clone());
-            let value = to_json_value(&JobValue::Over { end, left });
+            let residual_tasks = residual.filter(|_| cancelled);
+            let op = WriteOp::End(id.clone(), end, residual_tasks.clone());
+            let value = to_json_value(&JobValue::Over {
+                end,
+                residual_tasks,
+            });
             if !self.batch.add_op(vec![Change::put(key, value)], op) {
                 break;
             }
@@ -297,7 +300,10 @@
             if self.is_quarantined(&key) || self.leader.writes.ends.contains_key(id) {
                 continue;
             }
-            let value = to_json_value(&JobValue::Over { end, left: None });
+            let value = to_json_value(&JobValue::Over {
+                end,
+                residual_tasks: None,
+            });
             let op = WriteOp::End(id.clone(), end, None);
             if !self.batch.add_op(vec![Change::put(key, value)], op) {
                 break;
--- a/src/core/store/versions.rs
+++ b/src/core/store/versions.rs
@@ -1,6 +1,6 @@
-//! Versions of the keys that a leader writes, as far as this process knows. Each change of its depends on
-//! the version that its key had. A transaction without an answer is sent again; its first copy may be
-//! carried out seconds later, after newer ones of the same leader, and must not undo them.
+//! Versions of the keys that a leader writes, as far as this process knows. Each of the leader's changes is
+//! conditional on its key's version. A transaction without an answer is sent again; its first copy may be
+//! executed seconds later, after newer ones of the same leader, and must not undo them.
 
 use crate::wire::Change;
 use std::collections::BTreeMap;
--- a/src/core/store/writes.rs
+++ b/src/core/store/writes.rs
@@ -189,7 +189,7 @@
         }
     }
 
-    /// Settles the transaction on its way, once this process's copy of the store shows what became of it. It
+    /// Settles the transaction in flight, once this process's copy of the store shows what became of it. It
     /// was committed where the copy shows exactly its changes, whether an answer has said so, was lost, or
     /// was a refusal of its second copy. Otherwise it was refused because of another writer's change.
     pub(in crate::core) fn resolve_write(&mut self) {
@@ -279,10 +279,11 @@
             return;
         };
         match op {
-            WriteOp::End(id, end, left) => {
+            WriteOp::End(id, end, residual_tasks) => {
                 leader.writes.ends.remove(&id);
                 leader.writes.cancelled_dependents.remove(&id);
-                self.store_cache.end_written(&id, end, left, revision);
+                self.store_cache
+                    .end_written(&id, end, residual_tasks, revision);
                 self.sync_job_runs();
             }
             WriteOp::Progress(id, tasks) => {
--- a/src/core/workers/commands.rs
+++ b/src/core/workers/commands.rs
@@ -1,8 +1,8 @@
-//! Commands: what workers are given to do.
+//! Commands to workers: starting, stopping and forgetting tasks.
 //!
 //! The leader keeps for each machine the tasks that may be on it, and with each answer sends its
 //! worker the difference to what the heartbeat showed. Every command may be repeated, save one: after a
-//! `forget`, a repeated `start` would start the task anew. So a `forget` goes only into the answer to
+//! `forget`, a repeated `start` would start the task again. So a `forget` goes only into the answer to
 //! a heartbeat (never executed late), and only while no other command can still arrive.
 //!
 //! `direct_calls`: commands that do not wait for the next heartbeat.
@@ -21,8 +21,8 @@
 
 /// More commands than this would make an answer longer than a worker accepts.
 pub(in crate::core) const MAX_COMMANDS: usize = 400;
-/// Direct calls on their way at a time: what the threads that make them finish well within the
-/// leader's lease, so that none is given up unsent for having queued too long.
+/// Direct calls in flight at a time: as many as the calling threads finish well within the
+/// leader's lease, so that none is dropped unsent because it was queued too long.
 pub(in crate::core) const MAX_DIRECT_CALLS: usize = 2 * crate::worker_client::CALL_THREADS;
 /// After an answer with a new token, a worker's next heartbeat has come.
 const TOKEN_CONFIRMATION_DELAY: Duration = Duration::from_millis(900);
@@ -175,8 +175,8 @@
         Some(response)
     }
 
-    /// After a `forget`, a copy of the direct command that started the task would start it anew. The answer
-    /// that forgets carries a higher token than that came with, which the worker observes first.
+    /// After a `forget`, a copy of the direct command that started the task would start it again. The answer
+    /// with the `forget` carries a higher token than that command had, which the worker observes first.
     fn outdate_starts_of_exited(&mut self, id: &MachineId) {
         let Some(leader) = &mut self.leader else {
             return;
--- a/src/core/workers/commands/direct_calls.rs
+++ b/src/core/workers/commands/direct_calls.rs
@@ -177,7 +177,7 @@
         }
     }
 
-    /// The call is over. `None` if its machine is gone or the call was given up.
+    /// The call is over. `None` if its machine is gone or the call was abandoned.
     fn finish_direct_call(
         &mut self,
         id: &MachineId,
@@ -223,7 +223,7 @@
         let Some(machine) = leader.machines.get_mut(id) else {
             return;
         };
-        // The probe was made after we knew more of the machine than the answer says: it has begun anew.
+        // The probe was sent after a newer heartbeat than its answer was known: the worker has restarted.
         let probe = &mut machine.direct_calls.restart_probe;
         let restarted = probe
             .take_if(|probe| probe.call == call)
--- a/src/core/workers/delegates.rs
+++ b/src/core/workers/delegates.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// When a controller that serves workers is suspected or given up; it sends a batch at least every [`MAX_BATCH_INTERVAL`].
+/// When a controller that serves workers is suspected or considered lost; it sends a batch at least every [`MAX_BATCH_INTERVAL`].
 pub(in crate::core) const DELEGATE_TIMEOUTS: FailureDetectorTimeouts = FailureDetectorTimeouts {
     suspect_after: Duration::from_millis(1500),
     lost_after: Duration::from_millis(6000),
@@ -37,7 +37,7 @@
     pub own_reassignments: Vec<(String, u32)>,
     /// When the controllers' loads were last compared.
     pub last_rebalance: Option<Instant>,
-    /// How many heartbeats came by way of delegates, for the status view.
+    /// How many heartbeats came through delegates, for the status view.
     pub relayed_heartbeats: u64,
     /// How many heartbeats delegates have answered themselves.
     pub delegated_answers: u64,
--- a/src/core/workers/delegation.rs
+++ b/src/core/workers/delegation.rs
@@ -12,11 +12,11 @@
 //!   was revoked, or its grant has expired.
 //! - Whatever changes on a delegated machine revokes the delegation. Until the delegate learns of
 //!   that it answers "no commands" with a token that is still good, which is harmless; the command
-//!   itself goes to the worker directly, or into the next answer that comes by way of the leader.
+//!   itself goes to the worker directly, or into the next answer that comes through the leader.
 //!
 //! This module takes in batches and answers them. `delegations` begins, revokes and ends
 //! delegations, `probes` shares out the probes after a failover, `rebalancing` moves workers
-//! between controllers, `members` reports on the controllers.
+//! between controllers, `members` describes the other controllers.
 
 mod delegations;
 mod members;
--- a/src/core/workers/delegation/delegations.rs
+++ b/src/core/workers/delegation/delegations.rs
@@ -68,7 +68,7 @@
         }
     }
 
-    /// A heartbeat came by way of this controller, or to this one itself: no other may answer the
+    /// A heartbeat came through this controller, or to this one itself: no other may answer the
     /// machine from memory any more.
     pub(in crate::core) fn record_route(&mut self, id: &MachineId, via: Option<&Arc<str>>) {
         let Some(m) = self.machines.get_mut_quiet(id) else {
--- a/src/core/workers/delegation/members.rs
+++ b/src/core/workers/delegation/members.rs
@@ -1,4 +1,4 @@
-//! What the leader reports on the other controllers: to each of them, and in the status view.
+//! The leader's view of the other controllers: sent to each of them, and shown in the status view.
 
 use crate::core::Core;
 use crate::core::leadership::state::LeaderState;
@@ -19,7 +19,7 @@
 }
 
 impl LeaderState {
-    /// Until when a machine's silence says nothing, as there is no contact either with a controller
+    /// Until when missing heartbeats of a machine prove nothing, as there is no contact either with a controller
     /// that it may report to, or was just sent to by another: the worker has yet to find that out,
     /// and to find the next one.
     pub(in crate::core) fn silence_inconclusive_until(&self, now: Instant) -> Option<Instant> {
--- a/src/core/workers/delegation/rebalancing.rs
+++ b/src/core/workers/delegation/rebalancing.rs
@@ -94,7 +94,7 @@
             && member.is_some_and(|m| m.capabilities.has(Capabilities::SERVES_WORKERS))
     }
 
-    /// How many workers reported lately by way of each controller.
+    /// How many workers' heartbeats came recently through each controller.
     fn workers_by_server<'a>(&'a self, leader: &'a LeaderState) -> BTreeMap<&'a str, u32> {
         let now = self.now.mono;
         let recent = self.settings.heartbeat_interval * 2;
--- a/src/core/workers/heartbeats.rs
+++ b/src/core/workers/heartbeats.rs
@@ -77,7 +77,7 @@
     }
 
     /// Whether a follower relays this heartbeat once more, as our answer to its first copy was lost: what it
-    /// says is known, and nothing newer is. By way of any other controller it is a late copy.
+    /// says is known, and nothing newer is. Through any other controller it is a late copy.
     fn is_relayed_again(&self, heartbeat: &Heartbeat, via: Option<&Arc<str>>) -> bool {
         via.is_some()
             && self.machines.get(&heartbeat.machine).is_some_and(|m| {
@@ -165,7 +165,7 @@
         Ok(id)
     }
 
-    /// A heartbeat is older than what is known of its machine, or of an earlier life of it: a call to the
+    /// A heartbeat is older than what is known of its machine, or of an earlier incarnation: a call to the
     /// machine finds out which.
     fn reject_stale_heartbeat(&mut self, id: &MachineId, token: u64) -> Response {
         let now = self.now.mono;
@@ -173,7 +173,7 @@
             && token < machine.highest_token
             && !machine.unresolved
         {
-            // If it is of another life, that one has a lease of its own.
+            // If it is of another incarnation, that one has its own lease.
             machine.lease_renewed = machine.lease_renewed.max(now);
         }
         self.probe_for_restart(id);
--- a/src/core/workers/heartbeats/task_transitions.rs
+++ b/src/core/workers/heartbeats/task_transitions.rs
@@ -122,7 +122,7 @@
         Some((resources, team))
     }
 
-    /// While the store is rebuilt: nobody remembers the job, and it may have been accepted all the same, so its
+    /// While the store is rebuilt: no controller remembers the job, and it may have been accepted all the same, so its
     /// task is kept until that is known.
     fn hold_if_job_unknown(&mut self, id: &MachineId, key: &TaskId) -> bool {
         let Some(leader) = &mut self.leader else {
--- a/src/core/workers/relay/backoff.rs
+++ b/src/core/workers/relay/backoff.rs
@@ -23,7 +23,7 @@
 }
 
 impl LeaderBackoff {
-    /// Starts anew in a new term: it has another leader, or one of another version, which has not
+    /// Resets in a new term: it has another leader, or one of another version, which has not
     /// failed yet.
     pub fn enter_term(&mut self, term: u64) {
         if self.term != term {
--- a/src/core/workers/relay/state.rs
+++ b/src/core/workers/relay/state.rs
@@ -31,7 +31,7 @@
 /// How often workers whose lease has expired are looked for.
 const EXPIRY_SCAN_INTERVAL: Duration = Duration::from_secs(5);
 
-/// What a heartbeat that says the same as the last one may be answered with.
+/// The answer that a heartbeat with the same content as the last one may get.
 #[derive(Clone, Copy)]
 pub(super) struct SteadyResponse {
     /// Of the heartbeat that the leader had no commands for.
@@ -110,7 +110,7 @@
     in_flight: Option<BatchInFlight>,
     last_number: u64,
     last_sent: Option<Instant>,
-    /// The term whose leader was informed which workers report here.
+    /// The term whose leader was informed which workers send heartbeats here.
     registered_term: u64,
     pub(super) backoff: LeaderBackoff,
     /// Workers to send elsewhere: the controllers to send them to, and how many to each.
@@ -238,7 +238,7 @@
     }
 
     /// Records a worker whose heartbeat the leader answered with commands or, if `steady_token` is
-    /// given, with none and this token for as long as the worker reports the same.
+    /// given, with none and this token for as long as the worker's heartbeats are unchanged.
     pub(super) fn record_worker(&mut self, answered: &QueuedHeartbeat, steady_token: Option<u64>) {
         let heartbeat = &answered.heartbeat;
         let steady_response = steady_token.map(|fencing_token| SteadyResponse {
@@ -294,7 +294,7 @@
         self.grant = Some(grant);
     }
 
-    /// Whether the leader of this term has yet to be informed which workers report here; it counts
+    /// Whether the leader of this term has yet to be informed which workers send heartbeats here; it counts
     /// as informed from now on.
     pub(super) fn register_term(&mut self, term: u64) -> bool {
         let is_new = self.registered_term != term;
@@ -391,7 +391,7 @@
         workers.filter(move |(_, w)| w.reported_within(recent, now))
     }
 
-    /// The workers that report here, for a leader that has yet to be informed of them. It probes
+    /// The workers that send heartbeats here, for a leader that has yet to be informed of them. It probes
     /// those itself that do not fit into the frame.
     fn served_for_frame(&self, term: u64, recent: Duration, now: Instant) -> Vec<MachineId> {
         if self.registered_term == term {
--- a/src/planning/capacity_forecast.rs
+++ b/src/planning/capacity_forecast.rs
@@ -217,7 +217,7 @@
 struct ForecastBuilder<'a> {
     snapshot: &'a ClusterSnapshot,
     now: Instant,
-    /// By class: its zone can be reached. What ends elsewhere makes no room for anybody.
+    /// By class: its zone can be reached. Tasks that end in other zones free no usable room.
     is_reachable: Vec<bool>,
     gains: Vec<(GainKey, Resources)>,
     boots: BTreeMap<CapacitySource, Duration>,
