--- a/crates/membership/src/share.rs
+++ b/crates/membership/src/share.rs
@@ -1,6 +1,6 @@
 //! How many workers each controller should serve, and how many are moved now.
 //!
-//! A worker that is moved connects anew, which costs both ends more than several heartbeats do. So
+//! A worker that is moved connects again, which costs both ends more than several heartbeats do. So
 //! workers stay where they come to; only a load well above the even share is lowered, only
 //! towards controllers well below it, and so many at a time that nobody is flooded.
 
--- a/src/core/jobs/creation.rs
+++ b/src/core/jobs/creation.rs
@@ -1,4 +1,4 @@
-//! A submission on its way into the state service: the data of its requests, and the transaction
+//! A submission in flight into the state service: the data of its requests, and the transaction
 //! that creates the job.
 
 use crate::core::Ticket;
--- a/src/core/jobs/task_assignment.rs
+++ b/src/core/jobs/task_assignment.rs
@@ -49,7 +49,7 @@
         self.assigned.get(&task).into_iter().chain(others).collect()
     }
 
-    /// A queued task is to start on this machine. Says whether it was queued; if not, nothing
+    /// A queued task is to start on this machine. Returns whether it was queued; if not, nothing
     /// changes.
     pub fn start(&mut self, task: u32, machine: &MachineId) -> bool {
         let was_queued = self.queued.remove(&task);
@@ -77,7 +77,7 @@
     }
 
     /// The task is not on this machine any more; it is queued again when it is on no other one.
-    /// Says whether it was queued.
+    /// Returns whether it was queued.
     pub fn unassign(&mut self, task: u32, machine: &MachineId) -> bool {
         let mut others = self.other_machines.remove(&task).unwrap_or_default();
         let was_first = self.assigned.get(&task) == Some(machine);
--- a/src/core/leadership/isolation.rs
+++ b/src/core/leadership/isolation.rs
@@ -9,9 +9,9 @@
 const FAILOVER_ALLOWANCE: Duration = Duration::from_secs(2);
 
 impl Core {
-    /// Notes that this leader is able to act. Where it was not for a while, its machines' silence proves nothing:
-    /// the store was away, heartbeats were answered with 503 meanwhile, and the workers went from controller to
-    /// controller.
+    /// Notes that this leader is able to act. Where it was not for a while, its machines' missing heartbeats
+    /// prove nothing: the store was unreachable, heartbeats were answered with 503 meanwhile, and the workers went
+    /// from controller to controller.
     pub(in crate::core) fn record_activity(&mut self) {
         let now = self.now.mono;
         let Some(leader) = &mut self.leader else {
--- a/src/core/leadership/liveness.rs
+++ b/src/core/leadership/liveness.rs
@@ -3,7 +3,8 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// A leader that could not act for longer than this was not there for its workers, and their silence proves nothing.
+/// If a leader could not act for longer than this, it did not receive its workers' heartbeats, and missing ones prove
+/// nothing.
 const INABILITY_THRESHOLD: Duration = Duration::from_millis(1000);
 /// Direct calls that fail one after another, while no worker sends heartbeats here, before that means something: single
 /// machines may be gone.
@@ -11,7 +12,7 @@
 
 /// When machines, zones and this leader itself were last known to be alive.
 pub struct Liveness {
-    /// Silence proves nothing before this moment.
+    /// Missing heartbeats prove nothing before this moment.
     pub silence_excused_until: Instant,
     /// With as many machines as there are, silence of all of them for this long means that this process does not
     /// receive their heartbeats.
@@ -45,7 +46,7 @@
         }
     }
 
-    /// The machines' silence proves nothing until this moment.
+    /// Missing heartbeats prove nothing until this moment.
     pub(in crate::core) fn excuse_silence(&mut self, until: Instant) {
         self.silence_excused_until = self.silence_excused_until.max(until);
     }
--- a/src/core/leadership/recovery.rs
+++ b/src/core/leadership/recovery.rs
@@ -12,7 +12,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// Machines that send their heartbeats to other controllers are probed after this: their batches come first, and they probe
+/// Machines that send heartbeats to other controllers are probed after this: their batches come first, and they probe
 /// the machines themselves.
 const DELEGATE_HEAD_START: Duration = Duration::from_millis(400);
 
@@ -73,7 +73,7 @@
         self.probe_machines();
     }
 
-    /// A machine has shown all that it has, or can have nothing any more. `how` says which, for the log.
+    /// A machine has shown all that it has, or can have none any more. `how` states which, for the log.
     pub(in crate::core) fn resolve_machine(&mut self, id: &MachineId, how: &str) {
         let Some(leader) = &mut self.leader else {
             return;
--- a/src/core/leadership/state.rs
+++ b/src/core/leadership/state.rs
@@ -52,7 +52,7 @@
     pub unclaimed_parts: BTreeMap<(JobId, PartGeneration), Instant>,
     /// Changes that are to be written to the store.
     pub writes: Writes,
-    /// What is in flight at the cloud.
+    /// Operations in flight at the cloud.
     pub cloud: CloudOperations,
     /// What planning and scaling carry over from one step to the next.
     pub scheduler: SchedulerState,
--- a/src/core/leadership/store_events.rs
+++ b/src/core/leadership/store_events.rs
@@ -76,7 +76,7 @@
         if holder == KeyHolder::OtherOnOwnLease {
             // If this process kept renewing the lease, the key of a dead leader would never expire.
             tracing::warn!("leader key of another process has own lease");
-            self.step_down("its lease is another's");
+            self.step_down("leader key depends on another lease");
             self.replace_lease();
         }
         let key_version = self.store_cache.leader.as_ref().map(|(_, v)| *v);
--- a/src/core/machines/cancellation_bound.rs
+++ b/src/core/machines/cancellation_bound.rs
@@ -7,9 +7,9 @@
 use crate::settings::Settings;
 use std::time::{Duration, SystemTime};
 
-/// Between two looks at the residual tasks of cancelled jobs.
+/// Interval between checks of the residual tasks of cancelled jobs.
 const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Added for the messages of a cancellation on their way.
+/// Margin for the messages of a cancellation in flight.
 const MESSAGE_MARGIN: Duration = Duration::from_millis(500);
 
 /// From when a cancellation is durable until nothing of its job can be left, whatever fails meanwhile: the
--- a/src/core/machines/cloud_calls.rs
+++ b/src/core/machines/cloud_calls.rs
@@ -12,7 +12,7 @@
 use crate::wire::ScaleOutRequest;
 use std::time::{Duration, Instant};
 
-/// Deletions on their way at a time.
+/// Deletions in flight at a time.
 const MAX_DELETE_CALLS: usize = 2;
 /// Between two lists at least, while machines boot or are silent.
 const SHORT_LIST_INTERVAL: Duration = Duration::from_secs(2);
--- a/src/core/machines/failure_detection.rs
+++ b/src/core/machines/failure_detection.rs
@@ -11,12 +11,12 @@
 /// A machine that may hold tasks of an earlier term is probed this often, so far apart, before it counts as
 /// dead: one lost packet must not condemn any, and all such tasks that no machine has shown wait for the dead ones.
 pub(in crate::core) const MAX_UNANSWERED_PROBES: u32 = 2;
-/// Added to the time after which a leader that receives nothing resigns: for a takeover costs more
-/// than a moment's silence.
+/// Added to the time after which a leader that receives nothing resigns, as a failover costs more than a
+/// short gap in heartbeats.
 const RESIGN_MARGIN: Duration = Duration::from_millis(1000);
 /// Between two checks of all machines.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// After the time at which a machine was to be reclaimed, until its silence counts as that.
+/// Time after a machine's announced reclamation until its missing heartbeats count as the reclamation.
 const RECLAIM_MARGIN: Duration = Duration::from_millis(500);
 /// What a machine of a type that is not known is expected to take to boot, in seconds.
 const DEFAULT_BOOT_S: f64 = 60.0;
@@ -138,7 +138,7 @@
     heartbeat_interval: Duration,
     /// From a worker's last answer until its lease has run out for certain.
     lease_expiry: Duration,
-    /// A follower that relays heartbeats fell silent: until then its workers are finding another controller.
+    /// A follower that relays heartbeats stopped sending: until then its workers are finding another controller.
     silence_excused_until: Option<Instant>,
 }
 
--- a/src/core/machines/machine.rs
+++ b/src/core/machines/machine.rs
@@ -1,5 +1,5 @@
 //! A machine as the leader knows it: data that heartbeats, commands, failure detection and the calls to the
-//! cloud act on. It imports nothing of theirs.
+//! cloud act on. It imports none of them.
 
 use crate::core::CallId;
 use crate::core::machines::fault_history::FaultHistory;
@@ -125,7 +125,7 @@
     /// Direct calls to its worker.
     pub direct_calls: DirectCalls,
     /// It gets no tasks before it has shown this token: its last incarnation ended although it was answered,
-    /// or starts do not come to be, so answers may not reach it.
+    /// or starts are not executed, so answers may not reach it.
     pub unconfirmed_token: Option<u64>,
     /// It has yet to show this term's token, and since when it has been answered with it.
     pub unproven_since: Option<Instant>,
--- a/src/core/machines/machine_list.rs
+++ b/src/core/machines/machine_list.rs
@@ -67,7 +67,7 @@
 }
 
 impl LeaderState {
-    /// Takes in one machine of the list.
+    /// Applies one machine of the list.
     fn observe_listed(&mut self, listed: &ListedMachine, now: Instant) {
         let known = self.machines.get(&listed.id);
         if known.is_some_and(|m| m.is_listed_as_known(listed.state)) {
@@ -104,7 +104,7 @@
 }
 
 impl Core {
-    /// Takes in the cloud's list of machines, which was asked for at `sent`.
+    /// Applies the cloud's list of machines, which was asked for at `sent`.
     pub(super) fn observe_listed_machines(&mut self, sent: Instant, list: &[ListedMachine]) {
         let now = self.now.mono;
         let Some(leader) = &mut self.leader else {
--- a/src/core/machines/machine_types.rs
+++ b/src/core/machines/machine_types.rs
@@ -39,7 +39,7 @@
         });
     }
 
-    /// Takes in the cloud's answer. The leader writes new types to the store, and looks at all machines again.
+    /// Applies the cloud's answer. The leader writes new types to the store, and checks all machines again.
     pub(in crate::core) fn set_machine_types(&mut self, types: Vec<MachineType>) {
         if types.is_empty() || types == self.machine_types {
             return;
--- a/src/core/machines/placement.rs
+++ b/src/core/machines/placement.rs
@@ -29,7 +29,7 @@
 /// How far a task on a machine has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Commanded to start, but in no heartbeat yet: it may be there, and may come to be there.
+    /// Commanded to start, but in no heartbeat yet: it may run, or may start later.
     Unseen,
     /// Its image is being fetched.
     Fetching,
@@ -75,7 +75,7 @@
         matches!(self.phase, Phase::Running | Phase::Saving)
     }
 
-    /// Whether it is stopped because it is of no use any more.
+    /// Whether it is stopped because it is no longer needed.
     pub fn is_obsolete(&self) -> bool {
         (self.stopping).is_some_and(|stop| stop.reason == StopReason::Over)
     }
--- a/src/core/scheduling/snapshot.rs
+++ b/src/core/scheduling/snapshot.rs
@@ -129,7 +129,7 @@
     }
 }
 
-/// Whether a machine holds nothing, and nothing is on its way to it.
+/// Whether a machine holds nothing, and nothing is in flight to it.
 fn is_idle(machine: &Machine, usage: NodeUsage) -> bool {
     machine.tasks.is_empty()
         && machine.incarnation > 0
--- a/src/core/store/cache/apply.rs
+++ b/src/core/store/cache/apply.rs
@@ -313,7 +313,7 @@
         }
     }
 
-    /// The store is complete: whatever it lists of machines is all there is again.
+    /// The store is complete: the machines that it lists are all machines again.
     fn delete_incomplete_mark(&mut self) {
         self.rebuilding = None;
         let pages = self.pages.values().flatten();
--- a/src/core/store/cache/loss.rs
+++ b/src/core/store/cache/loss.rs
@@ -1,4 +1,4 @@
-//! Whether what is stored can be what the copy was made of; and the copy of a store that has lost data.
+//! Comparison of the stored data with this copy, to detect data loss, and the copy's repair after a loss.
 
 use super::StoreCache;
 use super::stored::is_over;
@@ -73,7 +73,7 @@
         for item in items {
             let id = job_id(&item.key);
             if !self.knows(&id) {
-                return Some(format!("it has job {id}, of which the watch has not told"));
+                return Some(format!("it has job {id}, which the watch has not shown"));
             }
             if !is_over(&item.value)
                 && self.finished.contains_key(&id)
@@ -120,7 +120,7 @@
         self.loaded = true;
     }
 
-    /// Forgets what is known of the store itself, other than what it held.
+    /// Clears what is known of the store itself, but keeps the data that it held.
     fn clear_stored(&mut self, revision: u64) {
         self.identity = None;
         self.first_term = None;
@@ -140,7 +140,7 @@
     }
 
     /// The store has lost data and has an identity all the same: it gets another one, so that no write
-    /// that was meant for what is lost can come to be applied.
+    /// that was meant for what is lost can be applied.
     pub fn expect_new_identity(&mut self) {
         self.expects_new_identity = self.identity.is_some();
     }
--- a/src/core/store/cache/memory.rs
+++ b/src/core/store/cache/memory.rs
@@ -1,4 +1,4 @@
-//! What is remembered of a store, handed over in pages, and what others remember taken in. The rules do not depend on
+//! A controller's memory of a store, handed over in pages, and the merging of others'. The rules do not depend on
 //! order: ends are final, done tasks unite, a machine once known is known.
 
 use super::{DoneValue, JobValue, MachineValue, PageValue, StoreCache, TaskSet, TermValue};
@@ -48,7 +48,7 @@
 }
 
 impl StoreCache {
-    /// Takes in what others remember, as far as it is not known here.
+    /// Merges what other controllers remember and this one does not know.
     pub fn remember(&mut self, items: Vec<(String, Value)>) -> Remembered {
         let mut new = Remembered::default();
         for (key, value) in items {
@@ -91,7 +91,7 @@
         Ok(())
     }
 
-    /// Says whether anything of it was new.
+    /// Returns whether any of it was new.
     fn merge_job(&mut self, id: &str, value: JobValue) -> bool {
         let job = JobId::from(id);
         let known = match &value {
@@ -119,7 +119,7 @@
         new
     }
 
-    /// Tasks of a live job that are done by these ranges, and not by what is known here.
+    /// Tasks of a live job that are done by these ranges, and not by this controller's copy.
     fn new_done_tasks(&self, id: &str, base: u32, ranges: &str) -> Option<(JobId, Vec<u32>)> {
         let job = self.jobs.get(id)?;
         let mut done = TaskSet::default();
--- a/src/core/store/integrity/checks.rs
+++ b/src/core/store/integrity/checks.rs
@@ -62,7 +62,7 @@
     /// The answer to a check of the revision, beyond the revision itself.
     pub(in crate::core) fn revision_checked(&mut self, outcome: StoreOutcome) {
         if matches!(outcome, StoreOutcome::Found(_)) && self.store_cache.rebuilding.is_none() {
-            self.suspect_data_loss("it is marked as incomplete, and the watch has not told");
+            self.suspect_data_loss("it is marked as incomplete, which the watch has not shown");
         }
     }
 
--- a/src/core/store/integrity/data_loss.rs
+++ b/src/core/store/integrity/data_loss.rs
@@ -15,7 +15,7 @@
     .saturating_add(Duration::from_secs(1));
 
 impl Core {
-    /// Nothing may be said of what is not in the store, or not final.
+    /// No state may be answered that is not in the store, or not final.
     pub(in crate::core) fn store_is_incomplete(&self) -> bool {
         self.store_integrity.data_loss.is_some() || self.store_cache.rebuilding.is_some()
     }
@@ -28,7 +28,7 @@
         }
         let reread = &mut self.store_integrity.reread;
         if !is_due(reread.started, REREAD_INTERVAL, now) {
-            // A sign that comes close after another one is none that may be missed.
+            // A sign that comes soon after another one must not be lost.
             reread.suspected_again = true;
             return;
         }
--- a/src/core/store/large_jobs.rs
+++ b/src/core/store/large_jobs.rs
@@ -32,7 +32,7 @@
     parts
 }
 
-/// Parts on their way, and which of them are stored at which version.
+/// Parts in flight, and which of them are stored at which version.
 #[derive(Clone, Debug)]
 pub struct PartWrite {
     /// The writing that they belong to.
--- a/src/core/store/rebuild.rs
+++ b/src/core/store/rebuild.rs
@@ -63,7 +63,7 @@
     memories: BTreeMap<String, PeerMemory>,
     /// This controller, or one that handed over its memory, held a copy of the lost store.
     copy_available: bool,
-    /// An operator takes it as it is.
+    /// An operator accepts it as it is.
     settled: bool,
     /// A list of the cloud that has all machines that an earlier leader could know.
     listed: bool,
--- a/src/core/store/rebuild/memories.rs
+++ b/src/core/store/rebuild/memories.rs
@@ -8,7 +8,7 @@
 
 /// After no answer, a controller is asked again.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
-/// All are asked once more, so long after they were asked first: what was on its way to the lost
+/// All are asked once more, so long after they were asked first: what was in flight to the lost
 /// store (its calls take 1.5 s at the most) is in their memory then.
 const SECOND_PASS_DELAY: Duration = Duration::from_secs(2);
 
--- a/src/core/store/rebuild/operator.rs
+++ b/src/core/store/rebuild/operator.rs
@@ -1,4 +1,4 @@
-//! An operator's commands for an incomplete store: take it as it is, or join a snapshot.
+//! An operator's commands for an incomplete store: accept it as it is, or merge a snapshot.
 
 use super::HeldTask;
 use crate::core::leadership::state::LeaderState;
--- a/src/core/store/versions.rs
+++ b/src/core/store/versions.rs
@@ -70,7 +70,7 @@
         self.observed.len() + self.unconfirmed.len()
     }
 
-    /// Another list of all there is takes the place of what was shown.
+    /// A newer full list replaces the versions shown so far.
     pub fn clear_observed(&mut self) {
         self.observed.clear();
     }
--- a/src/core/store/writes.rs
+++ b/src/core/store/writes.rs
@@ -1,4 +1,4 @@
-//! The leader's durable writes: what waits to be written is gathered into transactions, one of which is on its way
+//! The leader's durable writes: what waits to be written is gathered into transactions, one of which is in flight
 //! at a time, and each takes effect here when it is known to be committed.
 
 use crate::core::command::Pending;
@@ -30,7 +30,7 @@
 const UNANSWERED_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 impl Core {
-    /// Sends the next transaction when none is on its way: at once when idle, and what gathers
+    /// Sends the next transaction when none is in flight: at once when idle, and what gathers
     /// meanwhile goes together in the one after it.
     pub(in crate::core) fn send_writes(&mut self) {
         let now = self.now.mono;
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Sends the transaction on its way again when it is time, and reads the store afresh where the watch
+    /// Sends the transaction in flight again when it is time, and reads the store again where the watch
     /// does not show why it was refused.
     fn advance_in_flight_write(&mut self) {
         let now = self.now.mono;
@@ -177,7 +177,7 @@
         self.requeue_deletions(&txn);
     }
 
-    /// Notes whether what the state service shows is the transaction that is on its way.
+    /// Notes whether what the state service shows is the transaction that is in flight.
     pub(in crate::core) fn observe_commit(
         &mut self,
         committed: impl Fn(&CompareAndSwap) -> Option<u64>,
@@ -220,7 +220,7 @@
         }
     }
 
-    /// The transaction on its way is in the store since this revision.
+    /// The transaction in flight is in the store since this revision.
     fn write_committed(&mut self, revision: u64) {
         let Some(leader) = &mut self.leader else {
             return;
--- a/src/core/workers/commands/direct_calls.rs
+++ b/src/core/workers/commands/direct_calls.rs
@@ -28,7 +28,7 @@
 }
 
 impl CallScope {
-    /// A call is made only while fewer are on their way: calls to dead machines take their threads for long.
+    /// A call is made only while fewer are in flight: calls to dead machines take their threads for long.
     fn max_calls_in_flight(self) -> usize {
         match self {
             CallScope::All => MAX_DIRECT_CALLS,
--- a/src/core/workers/delegation.rs
+++ b/src/core/workers/delegation.rs
@@ -14,7 +14,7 @@
 //!   that it answers "no commands" with a token that is still good, which is harmless; the command
 //!   itself goes to the worker directly, or into the next answer that comes through the leader.
 //!
-//! This module takes in batches and answers them. `delegations` begins, revokes and ends
+//! This module processes batches and answers them. `delegations` begins, revokes and ends
 //! delegations, `probes` shares out the probes after a failover, `rebalancing` moves workers
 //! between controllers, `members` describes the other controllers.
 
@@ -43,7 +43,7 @@
 const MAX_RESPONSE_BYTES: usize = 400 * 1024;
 
 impl Core {
-    /// Takes in a batch of a controller that serves workers. It is answered at the end of the step.
+    /// Processes a batch of a controller that serves workers. It is answered at the end of the step.
     pub(in crate::core) fn receive_batch(
         &mut self,
         ticket: Ticket,
@@ -84,7 +84,7 @@
         })
     }
 
-    /// Takes in the heartbeats of a batch. Returns those that want a response, by id, each with the
+    /// Processes the heartbeats of a batch. Returns those that want a response, by id, each with the
     /// machine that it was accepted for, or why it was not.
     fn accept_relayed_heartbeats(
         &mut self,
@@ -114,7 +114,7 @@
         self.answer(ticket, Response::new(200, frame));
     }
 
-    /// Answers a batch that was taken in, under a grant for as long as this controller is proven to
+    /// Answers a processed batch, under a grant for as long as this controller is proven to
     /// lead.
     pub(in crate::core) fn answer_batch(&mut self, batch: PendingBatch) {
         let now = self.now.mono;
@@ -195,7 +195,7 @@
 }
 
 impl LeaderState {
-    /// Takes in the number of a controller's batch, which is a request for a grant.
+    /// Records the number of a controller's batch, which is a request for a grant.
     fn accept_request(
         &mut self,
         from: &Arc<str>,
@@ -213,7 +213,7 @@
         delegate.issued.accept_request(incarnation, number, now)
     }
 
-    /// Takes in everything in a batch but the heartbeats that it relays.
+    /// Processes everything in a batch but the heartbeats that it relays.
     fn record_batch(&mut self, from: &Arc<str>, batch: &HeartbeatBatch, now: Instant) {
         if !batch.answered.is_empty() || !batch.heartbeats.is_empty() {
             self.liveness.record_heartbeat(now);
--- a/src/core/workers/delegation/delegations.rs
+++ b/src/core/workers/delegation/delegations.rs
@@ -96,7 +96,7 @@
         }
     }
 
-    /// The delegate has taken in our answers up to this one, and acknowledged it after that.
+    /// The delegate has applied our answers up to this one, and acknowledged it after that.
     pub(super) fn confirm_revocations(&mut self, from: &Arc<str>, acknowledged: u64) {
         let Some(delegate) = self.delegates.by_name.get_mut(from) else {
             return;
@@ -197,7 +197,7 @@
 
 impl Delegate {
     /// Revoked machines for the answer of this number, as many as a frame takes. One that was sent
-    /// once is sent again in every answer until the delegate has taken in one of them: whichever
+    /// once is sent again in every answer until the delegate has applied one of them: whichever
     /// that is, it had all of these.
     pub(super) fn revocations_for_frame(&mut self, number: u64) -> Vec<MachineId> {
         let sent = self.revocations.iter().filter(|(_, at)| at.is_some());
--- a/src/core/workers/delegation/probes.rs
+++ b/src/core/workers/delegation/probes.rs
@@ -12,7 +12,7 @@
 /// here.
 const PROBE_CLAIM: Duration = Duration::from_millis(1500);
 /// Machines that another controller is given to probe at a time: as many as it probes at once, and
-/// some to go on with until its next frame.
+/// some until its next frame.
 pub(super) const MAX_PROBES_PER_DELEGATE: usize = 3 * MAX_DIRECT_CALLS / 2;
 
 impl LeaderState {
@@ -67,7 +67,7 @@
 }
 
 impl Core {
-    /// Takes in what a worker answered to another controller's probe.
+    /// Applies a worker's answer to another controller's probe.
     pub(super) fn apply_probe_answer(&mut self, heartbeat: Heartbeat) {
         let Some(leader) = &mut self.leader else {
             return;
--- a/src/core/workers/delegation/tests.rs
+++ b/src/core/workers/delegation/tests.rs
@@ -18,7 +18,7 @@
     }
 }
 
-/// The delegate names only the newest answer that it has taken in: all that an earlier one revoked has to be in
+/// The delegate names only the newest answer that it has applied: all that an earlier one revoked has to be in
 /// each later one, also when machines are added that come first by name.
 #[test]
 fn what_an_answer_took_back_is_in_all_later_ones_until_it_is_acknowledged() {
--- a/src/core/workers/heartbeats.rs
+++ b/src/core/workers/heartbeats.rs
@@ -34,7 +34,7 @@
 }
 
 impl LeaderState {
-    /// Takes in a heartbeat that says nothing new of its machine, which is most of them. `None`: it has to be
+    /// Processes a heartbeat that shows no change of its machine, which is most of them. `None`: it has to be
     /// compared with the machine's record.
     fn accept_unchanged(
         &mut self,
@@ -89,7 +89,7 @@
 }
 
 impl Core {
-    /// Takes in a heartbeat from a worker. A ticket that is returned is answered at the end of the step; any
+    /// Processes a heartbeat from a worker. A ticket that is returned is answered at the end of the step; any
     /// other was answered or waits for the leader.
     pub(in crate::core) fn heartbeat(
         &mut self,
@@ -125,7 +125,7 @@
             && self.plausible_term(heartbeat.fencing_token >> TOKEN_EPOCH_BITS)
     }
 
-    /// Takes in, as the leader, a heartbeat that was sent to this controller or relayed by the follower `via`.
+    /// Processes, as the leader, a heartbeat that was sent to this controller or relayed by the follower `via`.
     ///
     /// # Errors
     /// The answer for the worker, where it is not given commands.
@@ -150,7 +150,7 @@
         }
         // A heartbeat of a machine that is not known may be a late copy, of one that is long gone. The answer
         // carries this term's token; the next heartbeat proves that the machine is there. Where the store has
-        // lost data, whatever may be there counts at once.
+        // lost data, every task that may be there counts at once.
         let token = heartbeat.fencing_token;
         let proves_term = token >= leader.term << TOKEN_EPOCH_BITS;
         if !proves_term && leader.rebuild.is_none() && leader.machines.get(&id).is_none() {
--- a/src/core/workers/heartbeats/observation.rs
+++ b/src/core/workers/heartbeats/observation.rs
@@ -76,7 +76,7 @@
         lost
     }
 
-    /// Copies what a heartbeat says of the machine itself.
+    /// Copies the machine's own attributes from a heartbeat.
     fn record(&mut self, heartbeat: &Heartbeat, now: Instant) {
         let token = heartbeat.fencing_token;
         self.incarnation = heartbeat.incarnation;
@@ -225,7 +225,7 @@
         }
     }
 
-    /// Notes for the market forecast that a machine is to be reclaimed, when its heartbeat first says so.
+    /// Notes for the market forecast that a machine is to be reclaimed, when a heartbeat first announces it.
     fn record_reclaim_notice(&mut self, id: &MachineId, heartbeat: &Heartbeat) {
         let now = self.now.mono;
         let Some(leader) = &mut self.leader else {
@@ -244,7 +244,7 @@
         }
     }
 
-    /// Takes in the status of each task in a heartbeat.
+    /// Applies the status of each task in a heartbeat.
     fn observe_tasks(&mut self, id: &MachineId, tasks: Vec<TaskStatus>) -> ReportedTasks {
         let mut reported = ReportedTasks::default();
         for status in tasks {
--- a/src/core/workers/relay.rs
+++ b/src/core/workers/relay.rs
@@ -7,7 +7,7 @@
 //! another controller, at the very moment at which a new leader has most to do. When it comes, the
 //! workers need not look for it, and this controller shows them its fencing token (`probes`).
 //!
-//! - `state`: the workers served here, the grant, and the batch on its way.
+//! - `state`: the workers served here, the grant, and the batch in flight.
 //! - `backoff`: when a leader that gave no answer is asked again.
 //! - `probes`: showing workers the fencing token of a new term.
 
@@ -86,7 +86,7 @@
         Some(heartbeat_answer(fencing_token, Vec::new()).until(until))
     }
 
-    /// Whether it is of use to let heartbeats wait for the leader's answer: there is none, or one
+    /// Whether it is useful to let heartbeats wait for the leader's answer: there is none, or one
     /// that has not failed to answer, or one that granted in this term and may be gone.
     fn may_wait_for_leader(&self) -> bool {
         let term = self.store_cache.term;
@@ -236,7 +236,7 @@
         self.deliver_responses(batch.heartbeats, response.responses, grant);
     }
 
-    /// Takes in what the leader says of the other controllers, and that it is alive itself.
+    /// Applies the leader's view of the other controllers, and records that the leader is alive.
     fn update_members(&mut self, leader: &str, members: &[MemberStatus]) {
         let now = self.now.mono;
         self.members
--- a/src/core/workers/relay/state.rs
+++ b/src/core/workers/relay/state.rs
@@ -1,5 +1,5 @@
 //! State of the relay: the workers that send heartbeats to this controller while another one leads, the
-//! leader's grant, and the batch of heartbeats on its way.
+//! leader's grant, and the batch of heartbeats in flight.
 
 use super::backoff::LeaderBackoff;
 use crate::core::leadership::state::LeaderState;
@@ -102,9 +102,9 @@
     /// Workers that were answered here, and whose lease renewal the leader has yet to be informed
     /// of.
     unreported: BTreeSet<MachineId>,
-    /// The newest answer that was taken in before a batch which reported all of them.
+    /// The newest answer that was applied before a batch that listed all of them.
     acknowledged: u64,
-    /// The newest answer that was taken in.
+    /// The newest answer that was applied.
     last_answer: u64,
     pub(super) waiting: HeartbeatQueue,
     in_flight: Option<BatchInFlight>,
@@ -150,7 +150,7 @@
         self.waiting.len() + sent
     }
 
-    /// Whether a worker reported here lately.
+    /// Whether a worker sent a heartbeat here recently.
     pub fn serves(&self, id: &MachineId, now: Instant) -> bool {
         let worker = self.workers.get(id);
         worker.is_some_and(|w| w.reported_within(SERVED_WINDOW, now))
@@ -263,7 +263,7 @@
         Some(to)
     }
 
-    /// Takes in the leader's answer to a batch but for the responses to heartbeats.
+    /// Applies the leader's answer to a batch but for the responses to heartbeats.
     pub(super) fn apply_response(
         &mut self,
         grant: HeldGrant,
@@ -342,7 +342,7 @@
         self.workers.retain(|_, w| w.reported_within(lease, now));
     }
 
-    /// Whether a batch may be sent now: none is on its way, and the last one was sent at least
+    /// Whether a batch may be sent now: none is in flight, and the last one was sent at least
     /// `interval` ago and did not fail a moment ago.
     pub(super) fn may_send(&self, interval: Duration, now: Instant) -> bool {
         let early = self.last_sent.is_some_and(|at| now < at + interval);
@@ -403,17 +403,17 @@
         served
     }
 
-    /// A batch is on its way.
+    /// A batch is in flight.
     pub(super) fn set_in_flight(&mut self, batch: BatchInFlight) {
         self.in_flight = Some(batch);
     }
 
-    /// The batch on its way, if it has this number.
+    /// The batch in flight, if it has this number.
     pub(super) fn take_in_flight(&mut self, number: u64) -> Option<BatchInFlight> {
         self.in_flight.take_if(|b| b.number == number)
     }
 
-    /// Plans a probe for each worker that reported here lately and has not seen this token. Those
+    /// Plans a probe for each worker that sent a heartbeat here recently and has not seen this token. Those
     /// whose heartbeats wait here, or are in `answered`, see it in the answers to these.
     pub(super) fn plan_token_probes(
         &mut self,
--- a/src/peer/heartbeat_batch.rs
+++ b/src/peer/heartbeat_batch.rs
@@ -1,5 +1,5 @@
 //! Heartbeats that a controller serving workers relays to the leader, and the leader's answers:
-//! frames of a fixed layout, like the others of `peer` and on the same port. One is on its way at a
+//! frames of a fixed layout, like the others of `peer` and on the same port. One is in flight at a
 //! time between two controllers; what comes up meanwhile goes together in the next one.
 //!
 //! A body is a part of fixed size, followed by lists, whose lengths it states; each text in them has
--- a/src/planning/cluster_snapshot.rs
+++ b/src/planning/cluster_snapshot.rs
@@ -93,7 +93,7 @@
     pub active_fetches: usize,
     /// How much delay, in seconds, it is worth to avoid the machine for its past faults.
     pub fault_penalty_s: f64,
-    /// Since when it holds nothing and nothing is on its way to it.
+    /// Since when it holds nothing and nothing is in flight to it.
     pub idle_since: Option<Instant>,
     /// The tasks on it.
     pub tasks: Vec<RunningTask>,
