--- a/src/core/jobs/forwarding.rs
+++ b/src/core/jobs/forwarding.rs
@@ -13,14 +13,14 @@
 const STORE_STALE_AFTER: Duration = Duration::from_millis(1100);
 /// Without the state service, a peer is probed this often.
 const PROBE_INTERVAL: Duration = Duration::from_millis(1000);
-/// A job that nobody can have submitted: answered only by a controller that can read the state.
+/// A job id that no user can have submitted: answered only by a controller that can read the state.
 const PROBE_JOB: &str = "wk-0";
 /// A peer that gave no answer gets no requests for this long.
 const UNREACHABLE_PEER_PAUSE: Duration = Duration::from_secs(1);
 
 impl Core {
-    /// Forwards a request to the leader; without the state service, to whoever may serve it. When
-    /// nobody is left to ask, it is served here as well as can be.
+    /// Forwards a request to the leader; without the state service, to a controller that may serve
+    /// it. If no controller is left to ask, this node serves it as far as it can.
     pub(in crate::core) fn forward_request(&mut self, mut request: UserRequest) {
         let Some(peer) = self.forwarding_target(&request) else {
             return self.serve_without_leader(request);
--- a/src/core/jobs/submissions.rs
+++ b/src/core/jobs/submissions.rs
@@ -33,11 +33,11 @@
 const CREATION_RETRY_WINDOW: Duration = Duration::from_secs(3);
 /// A creation that the state service did not take on is written again at most so often.
 const MAX_RETRIES_REFUSED: u32 = 1;
-/// What a user is told of a job beyond the limits of the state service.
+/// Error text for a job beyond the limits of the state service.
 const TOO_LARGE: &str = "too large to be kept";
 /// The part of the memory that unfinished jobs may take.
 const JOBS_MEMORY_SHARE: f64 = 0.25;
-/// The memory of a task of theirs: an entry in the sets of its job, a little more while it is placed.
+/// Memory for each of their tasks: an entry in the sets of its job, a little more while it is placed.
 const BYTES_PER_TASK: f64 = 32.0;
 
 /// How many tasks unfinished jobs may have.
@@ -50,7 +50,7 @@
     /// before it came.
     pub(in crate::core) fn accept(&mut self, mut submission: Submission, informed: bool) {
         let ticket = submission.ticket;
-        // It may be over, and another controller remember that: accepted anew, it would be said to wait.
+        // The job may be over, which another controller may remember: accepted again, it would be shown as queued.
         if self.must_withhold_state() {
             return self.answer(ticket, rebuilding_answer());
         }
@@ -196,14 +196,14 @@
                     });
                 }
             }
-            // Some may be written late: they are written anew under other names.
+            // Some may be written late: they are written again under other names.
             StoreOutcome::Unknown(error) if self.waited(&submission) < PARTS_RETRY_WINDOW => {
                 tracing::info!(job = %id, %error, "job parts write unanswered");
                 parts.generation = self.next_part_generation();
                 parts.versions.clear();
                 self.write_parts(submission, parts);
             }
-            // What was written is cleared when nobody has referred to it for long.
+            // Written parts are removed once no job key has referred to them for long.
             other => {
                 tracing::info!(job = %id, outcome = ?other, "job parts not stored");
                 let answer = Response::busy("the job cannot be kept now", 1);
@@ -238,8 +238,8 @@
         self.unanswered_creations.push_back((check_at, call));
     }
 
-    /// Settles creations without an answer whose job is in the store: it is accepted, whoever
-    /// wrote it, and a fresh read tells how it stands.
+    /// Settles creations without an answer whose job is in the store: it is accepted, whichever
+    /// node wrote it, and a fresh read shows its state.
     pub(in crate::core) fn resolve_creations(&mut self) {
         let now = self.now.mono;
         while let Some((_, call)) = self.unanswered_creations.pop_front_if(|(at, _)| *at <= now) {
--- a/src/core/leadership/liveness.rs
+++ b/src/core/leadership/liveness.rs
@@ -3,15 +3,16 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// A leader that could not act for longer than this was not there for its workers, and their silence proves nothing.
+/// If a leader could not act for longer than this, it did not receive its workers' heartbeats, and missing ones prove
+/// nothing.
 const INABILITY_THRESHOLD: Duration = Duration::from_millis(1000);
-/// Direct calls that fail one after another, while no worker reports here, before that means something: single
+/// Direct calls that fail one after another, while no worker sends heartbeats here, before that means something: single
 /// machines may be gone.
 const MAX_FAILED_CALLS: u32 = 8;
 
 /// When machines, zones and this leader itself were last known to be alive.
 pub struct Liveness {
-    /// Silence proves nothing before this moment.
+    /// Missing heartbeats prove nothing before this moment.
     pub silence_excused_until: Instant,
     /// With as many machines as there are, silence of all of them for this long means that this process does not
     /// receive their heartbeats.
@@ -22,7 +23,7 @@
     pub zone_reachable_since: BTreeMap<String, Instant>,
     /// When this leader was last able to act.
     last_able_to_act: Instant,
-    /// When a heartbeat last came, here or by way of a delegate.
+    /// When a heartbeat last came, here or through a delegate.
     last_heartbeat: Option<Instant>,
     /// When a worker last reported here or answered a direct call.
     last_direct_contact: Instant,
@@ -45,7 +46,7 @@
         }
     }
 
-    /// The machines' silence proves nothing until this moment.
+    /// Missing heartbeats prove nothing until this moment.
     pub(in crate::core) fn excuse_silence(&mut self, until: Instant) {
         self.silence_excused_until = self.silence_excused_until.max(until);
     }
@@ -58,7 +59,7 @@
         (inactive > INABILITY_THRESHOLD).then_some(inactive)
     }
 
-    /// A heartbeat came, here or by way of a delegate.
+    /// A heartbeat came, here or through a delegate.
     pub(in crate::core) fn record_heartbeat(&mut self, now: Instant) {
         self.last_heartbeat = Some(now);
     }
--- a/src/core/leadership/state.rs
+++ b/src/core/leadership/state.rs
@@ -52,7 +52,7 @@
     pub unclaimed_parts: BTreeMap<(JobId, PartGeneration), Instant>,
     /// Changes that are to be written to the store.
     pub writes: Writes,
-    /// What is in flight at the cloud.
+    /// Operations in flight at the cloud.
     pub cloud: CloudOperations,
     /// What planning and scaling carry over from one step to the next.
     pub scheduler: SchedulerState,
@@ -103,7 +103,7 @@
         self.identity.as_ref().map(named)
     }
 
-    /// A worker's heartbeat came, here or by way of another controller.
+    /// A worker's heartbeat came, here or through another controller.
     pub(in crate::core) fn record_heartbeat(&mut self, via: Option<&Arc<str>>, now: Instant) {
         self.liveness.record_heartbeat(now);
         if via.is_none() {
--- a/src/core/machines/cancellation_bound.rs
+++ b/src/core/machines/cancellation_bound.rs
@@ -1,5 +1,5 @@
-//! How long after a cancellation something of its job may still be on machines, and when the residual tasks
-//! of cancelled jobs are forgotten.
+//! The time after a cancellation within which tasks of the job may still run, and the removal of the residual
+//! tasks of cancelled jobs.
 
 use crate::core::Core;
 use crate::core::leadership::lease::LEASE_TTL;
@@ -7,9 +7,9 @@
 use crate::settings::Settings;
 use std::time::{Duration, SystemTime};
 
-/// Between two looks at the residual tasks of cancelled jobs.
+/// Interval between checks of the residual tasks of cancelled jobs.
 const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Added for the messages of a cancellation on their way.
+/// Margin for the messages of a cancellation in flight.
 const MESSAGE_MARGIN: Duration = Duration::from_millis(500);
 
 /// From when a cancellation is durable until nothing of its job can be left, whatever fails meanwhile: the
--- a/src/core/machines/cloud_calls.rs
+++ b/src/core/machines/cloud_calls.rs
@@ -12,7 +12,7 @@
 use crate::wire::ScaleOutRequest;
 use std::time::{Duration, Instant};
 
-/// Deletions on their way at a time.
+/// Deletions in flight at a time.
 const MAX_DELETE_CALLS: usize = 2;
 /// Between two lists at least, while machines boot or are silent.
 const SHORT_LIST_INTERVAL: Duration = Duration::from_secs(2);
@@ -184,7 +184,7 @@
             return;
         };
         leader.cloud.next_request += 1;
-        // Terms are unique for ever, and so is the number within one.
+        // A term is never reused, nor is a number within a term.
         let name = format!("burlusher-{}-{}", leader.term, leader.cloud.next_request);
         let Offer {
             machine_type,
--- a/src/core/machines/failure_detection.rs
+++ b/src/core/machines/failure_detection.rs
@@ -9,14 +9,14 @@
 use std::time::{Duration, Instant};
 
 /// A machine that may hold tasks of an earlier term is probed this often, so far apart, before it counts as
-/// dead: one lost packet condemns none, and all such tasks that nobody has shown wait for the dead ones.
+/// dead: one lost packet must not condemn any, and all such tasks that no machine has shown wait for the dead ones.
 pub(in crate::core) const MAX_UNANSWERED_PROBES: u32 = 2;
-/// Added to the time after which a leader that receives nothing resigns: for a takeover costs more
-/// than a moment's silence.
+/// Added to the time after which a leader that receives nothing resigns, as a failover costs more than a
+/// short gap in heartbeats.
 const RESIGN_MARGIN: Duration = Duration::from_millis(1000);
 /// Between two checks of all machines.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// After the time at which a machine was to be reclaimed, until its silence counts as that.
+/// Time after a machine's announced reclamation until its missing heartbeats count as the reclamation.
 const RECLAIM_MARGIN: Duration = Duration::from_millis(500);
 /// What a machine of a type that is not known is expected to take to boot, in seconds.
 const DEFAULT_BOOT_S: f64 = 60.0;
@@ -46,7 +46,7 @@
 
 impl ZoneActivity {
     /// A zone from which next to nothing comes is cut off; its machines work on and their
-    /// leases protect them, so they are not given up for their silence. The first sign is
+    /// leases protect them, so they are not removed for missing heartbeats. The first sign is
     /// that no heartbeat comes at all for longer than so many machines ever keep silent together:
     /// half of them are still live when the first ones are silent for too long.
     fn is_reachable(
@@ -138,7 +138,7 @@
     heartbeat_interval: Duration,
     /// From a worker's last answer until its lease has run out for certain.
     lease_expiry: Duration,
-    /// A follower that relays heartbeats fell silent: until then its workers are finding another controller.
+    /// A follower that relays heartbeats stopped sending: until then its workers are finding another controller.
     silence_excused_until: Option<Instant>,
 }
 
@@ -198,8 +198,8 @@
             && self.has_zone_recovered(&machine.zone)
     }
 
-    /// All tasks of earlier terms that nobody has shown wait for each machine that has not been heard of, one
-    /// that died with the old leader, say. Its neighbours answer, and it did not, twice.
+    /// Every task of an earlier term that no machine has shown yet waits for each machine that has not responded,
+    /// for example one that died with the old leader. Its neighbours answer, and it did not, twice.
     /// One that has sent a heartbeat is not dead, whatever becomes of calls to it, unless its heartbeats
     /// never show what it was answered: they may be copies. Nor are those dead to which no call
     /// gets through, a zone cut off one way.
--- a/src/core/machines/fault_history.rs
+++ b/src/core/machines/fault_history.rs
@@ -1,4 +1,4 @@
-//! What speaks against a machine: failures of tasks on it, and run times longer than elsewhere.
+//! A machine's fault history: failures of tasks on it, and run times longer than elsewhere.
 
 use crate::job::JobId;
 use std::collections::BTreeSet;
@@ -50,7 +50,7 @@
     }
 
     fn mean(&self) -> f64 {
-        /// A few notes say little: as many that say nothing are added.
+        /// Weight of a neutral prior, as a few observations prove little.
         const PRIOR_WEIGHT: f64 = 2.0;
         self.sum / (self.weight + PRIOR_WEIGHT)
     }
--- a/src/core/machines/placement.rs
+++ b/src/core/machines/placement.rs
@@ -29,7 +29,7 @@
 /// How far a task on a machine has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Commanded to start, but in no heartbeat yet: it may be there, and may come to be there.
+    /// Commanded to start, but in no heartbeat yet: it may run, or may start later.
     Unseen,
     /// Its image is being fetched.
     Fetching,
@@ -53,7 +53,7 @@
 /// A task that is, or may be, on a machine.
 #[derive(Clone, Debug)]
 pub struct Placement {
-    /// Which attempt at the task this is; unique for ever within a task.
+    /// Which attempt at the task this is; never reused within a task.
     pub attempt: u64,
     /// How far it has come, by the newest heartbeat.
     pub phase: Phase,
@@ -75,7 +75,7 @@
         matches!(self.phase, Phase::Running | Phase::Saving)
     }
 
-    /// Whether it is stopped because it is of no use any more.
+    /// Whether it is stopped because it is no longer needed.
     pub fn is_obsolete(&self) -> bool {
         (self.stopping).is_some_and(|stop| stop.reason == StopReason::Over)
     }
--- a/src/core/scheduling/queue.rs
+++ b/src/core/scheduling/queue.rs
@@ -17,7 +17,7 @@
 
 /// A policy that lets a job pay so many times the lowest price allows machines of any price.
 const ANY_PRICE_RATIO: f64 = 100.0;
-/// The slack of a job that nobody set a deadline for.
+/// The slack of a job without a deadline.
 const NO_DEADLINE_S: f64 = 1e6;
 
 /// A job in the queue.
@@ -68,7 +68,7 @@
     is_suspect: bool,
     is_not_overdue: bool,
     /// `None` for overdue jobs: where more of a high priority waits for too long than there is
-    /// room for, what is overdue of a low one would be passed over for ever by priority.
+    /// room for, overdue jobs of a low priority would starve.
     importance: Option<Importance>,
 }
 
--- a/src/core/store/cache/apply.rs
+++ b/src/core/store/cache/apply.rs
@@ -134,7 +134,7 @@
         }
     }
 
-    /// A job's key has this value; version 0 where the store does not hold it, and somebody remembers it.
+    /// Applies a job key's value; version 0 if the store does not hold it and it comes from a controller's memory.
     pub fn put_job(&mut self, id: &str, value: JobValue, version: u64) {
         let id = JobId::from(id);
         self.changed.insert(id.clone());
@@ -155,7 +155,10 @@
                 };
                 self.put_parted_job(&id, head);
             }
-            JobValue::Over { end, left } => self.put_ended_job(id, end, left),
+            JobValue::Over {
+                end,
+                residual_tasks,
+            } => self.put_ended_job(id, end, residual_tasks),
             JobValue::Live { spec, submitted_ms }
             | JobValue::Awaiting {
                 dependent: spec,
@@ -310,7 +313,7 @@
         }
     }
 
-    /// The store is complete: whatever it lists of machines is all there is again.
+    /// The store is complete: the machines that it lists are all machines again.
     fn delete_incomplete_mark(&mut self) {
         self.rebuilding = None;
         let pages = self.pages.values().flatten();
--- a/src/core/store/cache/loss.rs
+++ b/src/core/store/cache/loss.rs
@@ -1,4 +1,4 @@
-//! Whether what is stored can be what the copy was made of; and the copy of a store that has lost data.
+//! Comparison of the stored data with this copy, to detect data loss, and the copy's repair after a loss.
 
 use super::StoreCache;
 use super::stored::is_over;
@@ -60,8 +60,8 @@
         finished.find(|id| !self.may_lack(id, written_at(id), revision) && not_over(id))
     }
 
-    /// How jobs' keys, from after one and up to another, do not say what the copy does; the copy is as
-    /// new as they are.
+    /// The first difference between the jobs' keys in a range and the copy, which must be as new as
+    /// they are.
     pub fn find_difference(
         &self,
         items: &[Item],
@@ -73,7 +73,7 @@
         for item in items {
             let id = job_id(&item.key);
             if !self.knows(&id) {
-                return Some(format!("it has job {id}, of which the watch has not told"));
+                return Some(format!("it has job {id}, which the watch has not shown"));
             }
             if !is_over(&item.value)
                 && self.finished.contains_key(&id)
@@ -93,8 +93,8 @@
         Some(format!("it has forgotten job {gone}"))
     }
 
-    /// The store has lost data: what is remembered stays, what is stored joins it, and what of the
-    /// first is not among the second is missing from the store. Versions begin anew.
+    /// The store has lost data: the copy stays, the stored values are merged into it, and what the copy
+    /// has beyond them is missing from the store. Versions are reset.
     pub fn merge_after_loss(&mut self, items: Vec<Item>, revision: u64) {
         let prefix = stored_key("j/");
         let stored: BTreeMap<JobId, bool> = (items.iter())
@@ -120,7 +120,7 @@
         self.loaded = true;
     }
 
-    /// Forgets what is known of the store itself, other than what it held.
+    /// Clears what is known of the store itself, but keeps the data that it held.
     fn clear_stored(&mut self, revision: u64) {
         self.identity = None;
         self.first_term = None;
@@ -140,7 +140,7 @@
     }
 
     /// The store has lost data and has an identity all the same: it gets another one, so that no write
-    /// that was meant for what is lost can come to be applied.
+    /// that was meant for what is lost can be applied.
     pub fn expect_new_identity(&mut self) {
         self.expects_new_identity = self.identity.is_some();
     }
--- a/src/core/store/integrity/data_loss.rs
+++ b/src/core/store/integrity/data_loss.rs
@@ -8,14 +8,14 @@
 use crate::wire::Item;
 use std::time::{Duration, Instant};
 
-/// A controller that begins on a store that was rolled back a moment before knows of nothing that is missing. By
-/// then the others have noticed, whoever led has ceased to act, and the store is marked.
+/// A controller that starts on a store that was rolled back just before cannot see that data is missing. After this
+/// delay the other controllers have noticed, the former leader has stopped acting, and the store is marked.
 const LOSS_DETECTION_DELAY: Duration = CHECK_INTERVAL
     .saturating_add(LEASE_TTL)
     .saturating_add(Duration::from_secs(1));
 
 impl Core {
-    /// Nothing may be said of what is not in the store, or not final.
+    /// No state may be answered that is not in the store, or not final.
     pub(in crate::core) fn store_is_incomplete(&self) -> bool {
         self.store_integrity.data_loss.is_some() || self.store_cache.rebuilding.is_some()
     }
@@ -28,7 +28,7 @@
         }
         let reread = &mut self.store_integrity.reread;
         if !is_due(reread.started, REREAD_INTERVAL, now) {
-            // A sign that comes close after another one is none that may be missed.
+            // A sign that comes soon after another one must not be lost.
             reread.suspected_again = true;
             return;
         }
@@ -114,7 +114,7 @@
         );
     }
 
-    /// Others may have noticed the loss before, and have begun anew.
+    /// Whether another controller noticed the loss earlier and has begun a rebuild.
     fn rebuild_has_begun(&self, loss: &DataLoss) -> bool {
         let known = &self.store_integrity.known_identities;
         loss.was_marked && loss.identity.as_ref().is_some_and(|id| !known.contains(id))
@@ -145,7 +145,7 @@
     }
 
     /// While a new store may yet prove to be an old one that was wiped, an unknown job is not called
-    /// so: each worker reports within this time, and shows the term that it has seen. Nor does a controller
+    /// so: each worker sends a heartbeat within this time, with the term that it has seen. Nor does a controller
     /// that has just begun call it so, as the others may be about to notice a loss.
     pub(in crate::core) fn existence_is_uncertain(&self) -> bool {
         let within =
--- a/src/core/store/integrity/terms.rs
+++ b/src/core/store/integrity/terms.rs
@@ -9,7 +9,7 @@
 const EPOCH_S: u64 = 1_577_836_800;
 /// An attempt's number has the term above 32 bits of its own.
 const MAX_TERM: u64 = u32::MAX as u64;
-/// A term this far ahead of the time of day, in seconds, was given by nobody.
+/// A term this far ahead of the time of day, in seconds, was assigned to no leader.
 const MAX_TERM_LEAD_S: u64 = 86_400;
 
 impl Core {
@@ -26,8 +26,8 @@
         self.check_older_term();
     }
 
-    /// Whoever leads next can have done so only after this leader's lease: a term newer than a leader's own
-    /// was given by a store that is no more.
+    /// The next leader can be elected only after this leader's lease has expired: a term newer than an acting
+    /// leader's own was assigned by a store whose data has been lost.
     pub(in crate::core) fn check_newer_term(&mut self) {
         let Some(leader) = &self.leader else { return };
         let (ours, newest) = (leader.term, self.newest_term());
@@ -69,16 +69,16 @@
         since.unwrap_or_default().as_secs().saturating_sub(EPOCH_S)
     }
 
-    /// Whether somebody may have led in this term: none is ahead of the time of day by more than clocks
+    /// Whether a leader may have had this term: none is ahead of the time of day by more than clocks
     /// differ, and leaders that follow one another faster than seconds do.
     pub(in crate::core) fn plausible_term(&self, term: u64) -> bool {
         term <= self.seconds_since_epoch().saturating_add(MAX_TERM_LEAD_S)
     }
 
-    /// The term of the next leadership: the seconds since 2020, if those before it were less. Leaders follow
-    /// one another less often, so no term is used again, whatever is lost: a controller that has just
-    /// begun, in a store that was rolled back, knows of none that came after what it reads there. Nor do two
-    /// controllers that know the same choose the same: each has terms of its own, one in as many as there are.
+    /// The term of the next leadership: the seconds since 2020, or the newest term plus one if that is more.
+    /// Leaders change less than once a second, so no term is reused, whatever data is lost: a controller that
+    /// has just started on a store that was rolled back cannot know of later terms. Two controllers with the
+    /// same knowledge never choose the same term: each has its own residue modulo the number of controllers.
     pub(in crate::core) fn next_term(&self) -> u64 {
         let least = (self.newest_term() + 1).max(self.seconds_since_epoch());
         let peers = self.settings.peers.iter().map(|p| p.name.as_str());
--- a/src/core/store/rebuild/memories.rs
+++ b/src/core/store/rebuild/memories.rs
@@ -1,4 +1,4 @@
-//! What other controllers and snapshots remember of a store that lost data, joined with what is known here.
+//! Merges the memories of other controllers, and snapshots, of a store that lost data into this copy.
 
 use super::{PeerMemory, Rebuild};
 use crate::core::{Core, Effect};
@@ -8,7 +8,7 @@
 
 /// After no answer, a controller is asked again.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
-/// All are asked once more, so long after they were asked first: what was on its way to the lost
+/// All are asked once more, so long after they were asked first: what was in flight to the lost
 /// store (its calls take 1.5 s at the most) is in their memory then.
 const SECOND_PASS_DELAY: Duration = Duration::from_secs(2);
 
@@ -28,15 +28,12 @@
                 continue;
             }
             memory.in_flight = true;
-            let recall = MemoryRequest {
+            let request = MemoryRequest {
                 summary_only: false,
                 after: memory.after.clone(),
             };
             let peer = peer.clone();
-            requests.push(Effect::MemoryRequest {
-                peer,
-                request: recall,
-            });
+            requests.push(Effect::MemoryRequest { peer, request });
         }
         self.effects.extend(requests);
     }
@@ -72,7 +69,7 @@
         self.check_newer_term();
     }
 
-    /// Takes in what somebody else remembers. Returns how many jobs, or ends of jobs, were new.
+    /// Merges another controller's memory. Returns how many jobs, or ends of jobs, were new.
     pub(super) fn join_memory(&mut self, items: Vec<(String, serde_json::Value)>) -> usize {
         let new = self.store_cache.remember(items);
         self.sync_job_runs();
--- a/src/core/workers/commands/direct_calls.rs
+++ b/src/core/workers/commands/direct_calls.rs
@@ -28,7 +28,7 @@
 }
 
 impl CallScope {
-    /// A call is made only while fewer are on their way: calls to dead machines take their threads for long.
+    /// A call is made only while fewer are in flight: calls to dead machines take their threads for long.
     fn max_calls_in_flight(self) -> usize {
         match self {
             CallScope::All => MAX_DIRECT_CALLS,
@@ -177,7 +177,7 @@
         }
     }
 
-    /// The call is over. `None` if its machine is gone or the call was given up.
+    /// The call is over. `None` if its machine is gone or the call was abandoned.
     fn finish_direct_call(
         &mut self,
         id: &MachineId,
@@ -223,7 +223,7 @@
         let Some(machine) = leader.machines.get_mut(id) else {
             return;
         };
-        // The probe was made after we knew more of the machine than the answer says: it has begun anew.
+        // The probe was sent after a newer heartbeat than its answer was known: the worker has restarted.
         let probe = &mut machine.direct_calls.restart_probe;
         let restarted = probe
             .take_if(|probe| probe.call == call)
--- a/src/core/workers/heartbeats.rs
+++ b/src/core/workers/heartbeats.rs
@@ -34,7 +34,7 @@
 }
 
 impl LeaderState {
-    /// Takes in a heartbeat that says nothing new of its machine, which is most of them. `None`: it has to be
+    /// Processes a heartbeat that shows no change of its machine, which is most of them. `None`: it has to be
     /// compared with the machine's record.
     fn accept_unchanged(
         &mut self,
@@ -77,7 +77,7 @@
     }
 
     /// Whether a follower relays this heartbeat once more, as our answer to its first copy was lost: what it
-    /// says is known, and nothing newer is. By way of any other controller it is a late copy.
+    /// says is known, and nothing newer is. Through any other controller it is a late copy.
     fn is_relayed_again(&self, heartbeat: &Heartbeat, via: Option<&Arc<str>>) -> bool {
         via.is_some()
             && self.machines.get(&heartbeat.machine).is_some_and(|m| {
@@ -89,7 +89,7 @@
 }
 
 impl Core {
-    /// Takes in a heartbeat from a worker. A ticket that is returned is answered at the end of the step; any
+    /// Processes a heartbeat from a worker. A ticket that is returned is answered at the end of the step; any
     /// other was answered or waits for the leader.
     pub(in crate::core) fn heartbeat(
         &mut self,
@@ -125,7 +125,7 @@
             && self.plausible_term(heartbeat.fencing_token >> TOKEN_EPOCH_BITS)
     }
 
-    /// Takes in, as the leader, a heartbeat that was sent to this controller or relayed by the follower `via`.
+    /// Processes, as the leader, a heartbeat that was sent to this controller or relayed by the follower `via`.
     ///
     /// # Errors
     /// The answer for the worker, where it is not given commands.
@@ -150,7 +150,7 @@
         }
         // A heartbeat of a machine that is not known may be a late copy, of one that is long gone. The answer
         // carries this term's token; the next heartbeat proves that the machine is there. Where the store has
-        // lost data, whatever may be there counts at once.
+        // lost data, every task that may be there counts at once.
         let token = heartbeat.fencing_token;
         let proves_term = token >= leader.term << TOKEN_EPOCH_BITS;
         if !proves_term && leader.rebuild.is_none() && leader.machines.get(&id).is_none() {
@@ -165,7 +165,7 @@
         Ok(id)
     }
 
-    /// A heartbeat is older than what is known of its machine, or of an earlier life of it: a call to the
+    /// A heartbeat is older than what is known of its machine, or of an earlier incarnation: a call to the
     /// machine finds out which.
     fn reject_stale_heartbeat(&mut self, id: &MachineId, token: u64) -> Response {
         let now = self.now.mono;
@@ -173,7 +173,7 @@
             && token < machine.highest_token
             && !machine.unresolved
         {
-            // If it is of another life, that one has a lease of its own.
+            // If it is of another incarnation, that one has its own lease.
             machine.lease_renewed = machine.lease_renewed.max(now);
         }
         self.probe_for_restart(id);
@@ -215,7 +215,7 @@
         Ok(())
     }
 
-    /// Sends whoever asked to the leader, if it is known who leads.
+    /// Redirects the caller to the leader, if the leader is known.
     pub(in crate::core) fn redirect(&mut self, ticket: Ticket) {
         let own_name = self.settings.name.as_str();
         // Without the state service, what is known of the leader may be old.
--- a/src/core/workers/relay.rs
+++ b/src/core/workers/relay.rs
@@ -1,4 +1,4 @@
-//! What a controller does for the workers that report to it while another one leads.
+//! Relaying the heartbeats of this controller's workers while another controller leads.
 //!
 //! Their heartbeats wait here until the leader's answer comes, many in a frame; one that says the
 //! same as the last one is answered at once, under the leader's grant and as far as the leader has
@@ -7,7 +7,7 @@
 //! another controller, at the very moment at which a new leader has most to do. When it comes, the
 //! workers need not look for it, and this controller shows them its fencing token (`probes`).
 //!
-//! - `state`: the workers served here, the grant, and the batch on its way.
+//! - `state`: the workers served here, the grant, and the batch in flight.
 //! - `backoff`: when a leader that gave no answer is asked again.
 //! - `probes`: showing workers the fencing token of a new term.
 
@@ -48,7 +48,7 @@
 }
 
 impl Core {
-    /// A worker reports here, and another controller leads, or none.
+    /// A worker sends a heartbeat here, and another controller leads, or none.
     pub(in crate::core) fn relay_heartbeat(&mut self, ticket: Ticket, heartbeat: Box<Heartbeat>) {
         self.observe_fencing_token(heartbeat.fencing_token);
         if !self.delegating {
@@ -86,7 +86,7 @@
         Some(heartbeat_answer(fencing_token, Vec::new()).until(until))
     }
 
-    /// Whether it is of use to let heartbeats wait for the leader's answer: there is none, or one
+    /// Whether it is useful to let heartbeats wait for the leader's answer: there is none, or one
     /// that has not failed to answer, or one that granted in this term and may be gone.
     fn may_wait_for_leader(&self) -> bool {
         let term = self.store_cache.term;
@@ -236,7 +236,7 @@
         self.deliver_responses(batch.heartbeats, response.responses, grant);
     }
 
-    /// Takes in what the leader says of the other controllers, and that it is alive itself.
+    /// Applies the leader's view of the other controllers, and records that the leader is alive.
     fn update_members(&mut self, leader: &str, members: &[MemberStatus]) {
         let now = self.now.mono;
         self.members
--- a/src/core/workers/relay/state.rs
+++ b/src/core/workers/relay/state.rs
@@ -1,5 +1,5 @@
-//! State of the relay: the workers that report to this controller while another one leads, the
-//! leader's grant, and the batch of heartbeats on its way.
+//! State of the relay: the workers that send heartbeats to this controller while another one leads, the
+//! leader's grant, and the batch of heartbeats in flight.
 
 use super::backoff::LeaderBackoff;
 use crate::core::leadership::state::LeaderState;
@@ -31,7 +31,7 @@
 /// How often workers whose lease has expired are looked for.
 const EXPIRY_SCAN_INTERVAL: Duration = Duration::from_secs(5);
 
-/// What a heartbeat that says the same as the last one may be answered with.
+/// The answer that a heartbeat with the same content as the last one may get.
 #[derive(Clone, Copy)]
 pub(super) struct SteadyResponse {
     /// Of the heartbeat that the leader had no commands for.
@@ -40,7 +40,7 @@
     pub fencing_token: u64,
 }
 
-/// A worker that reports here.
+/// A worker that sends its heartbeats here.
 pub(super) struct ServedWorker {
     pub incarnation: u64,
     pub sequence: u64,
@@ -102,15 +102,15 @@
     /// Workers that were answered here, and whose lease renewal the leader has yet to be informed
     /// of.
     unreported: BTreeSet<MachineId>,
-    /// The newest answer that was taken in before a batch which reported all of them.
+    /// The newest answer that was applied before a batch that listed all of them.
     acknowledged: u64,
-    /// The newest answer that was taken in.
+    /// The newest answer that was applied.
     last_answer: u64,
     pub(super) waiting: HeartbeatQueue,
     in_flight: Option<BatchInFlight>,
     last_number: u64,
     last_sent: Option<Instant>,
-    /// The term whose leader was informed which workers report here.
+    /// The term whose leader was informed which workers send heartbeats here.
     registered_term: u64,
     pub(super) backoff: LeaderBackoff,
     /// Workers to send elsewhere: the controllers to send them to, and how many to each.
@@ -120,7 +120,7 @@
 }
 
 impl Relay {
-    /// The relay of a process that has just started and serves nobody.
+    /// The relay of a process that has just started and serves no worker.
     pub fn new(incarnation: u64) -> Relay {
         Relay {
             incarnation,
@@ -150,7 +150,7 @@
         self.waiting.len() + sent
     }
 
-    /// Whether a worker reported here lately.
+    /// Whether a worker sent a heartbeat here recently.
     pub fn serves(&self, id: &MachineId, now: Instant) -> bool {
         let worker = self.workers.get(id);
         worker.is_some_and(|w| w.reported_within(SERVED_WINDOW, now))
@@ -238,7 +238,7 @@
     }
 
     /// Records a worker whose heartbeat the leader answered with commands or, if `steady_token` is
-    /// given, with none and this token for as long as the worker reports the same.
+    /// given, with none and this token for as long as the worker's heartbeats are unchanged.
     pub(super) fn record_worker(&mut self, answered: &QueuedHeartbeat, steady_token: Option<u64>) {
         let heartbeat = &answered.heartbeat;
         let steady_response = steady_token.map(|fencing_token| SteadyResponse {
@@ -263,7 +263,7 @@
         Some(to)
     }
 
-    /// Takes in the leader's answer to a batch but for the responses to heartbeats.
+    /// Applies the leader's answer to a batch but for the responses to heartbeats.
     pub(super) fn apply_response(
         &mut self,
         grant: HeldGrant,
@@ -294,7 +294,7 @@
         self.grant = Some(grant);
     }
 
-    /// Whether the leader of this term has yet to be informed which workers report here; it counts
+    /// Whether the leader of this term has yet to be informed which workers send heartbeats here; it counts
     /// as informed from now on.
     pub(super) fn register_term(&mut self, term: u64) -> bool {
         let is_new = self.registered_term != term;
@@ -342,7 +342,7 @@
         self.workers.retain(|_, w| w.reported_within(lease, now));
     }
 
-    /// Whether a batch may be sent now: none is on its way, and the last one was sent at least
+    /// Whether a batch may be sent now: none is in flight, and the last one was sent at least
     /// `interval` ago and did not fail a moment ago.
     pub(super) fn may_send(&self, interval: Duration, now: Instant) -> bool {
         let early = self.last_sent.is_some_and(|at| now < at + interval);
@@ -391,7 +391,7 @@
         workers.filter(move |(_, w)| w.reported_within(recent, now))
     }
 
-    /// The workers that report here, for a leader that has yet to be informed of them. It probes
+    /// The workers that send heartbeats here, for a leader that has yet to be informed of them. It probes
     /// those itself that do not fit into the frame.
     fn served_for_frame(&self, term: u64, recent: Duration, now: Instant) -> Vec<MachineId> {
         if self.registered_term == term {
@@ -403,17 +403,17 @@
         served
     }
 
-    /// A batch is on its way.
+    /// A batch is in flight.
     pub(super) fn set_in_flight(&mut self, batch: BatchInFlight) {
         self.in_flight = Some(batch);
     }
 
-    /// The batch on its way, if it has this number.
+    /// The batch in flight, if it has this number.
     pub(super) fn take_in_flight(&mut self, number: u64) -> Option<BatchInFlight> {
         self.in_flight.take_if(|b| b.number == number)
     }
 
-    /// Plans a probe for each worker that reported here lately and has not seen this token. Those
+    /// Plans a probe for each worker that sent a heartbeat here recently and has not seen this token. Those
     /// whose heartbeats wait here, or are in `answered`, see it in the answers to these.
     pub(super) fn plan_token_probes(
         &mut self,
