--- a/src/core/jobs/job_run.rs
+++ b/src/core/jobs/job_run.rs
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Stops what is assigned of the job. [`StopReason::Over`] is sent to machines even where they
+    /// Stops what is assigned of the job. [`StopReason::Obsolete`] is sent to machines even where they
     /// were commanded to stop before; other reasons only once.
     pub fn stop_assigned(
         &self,
@@ -81,7 +81,7 @@
             };
             if let Some(machine) = machines.get_mut(machine)
                 && let Some(task) = machine.tasks.get_mut(&key)
-                && (reason == StopReason::Over || task.stopping.is_none())
+                && (reason == StopReason::Obsolete || task.stopping.is_none())
             {
                 task.stop(reason, now);
                 machine.needs_push = true;
--- a/src/core/jobs/lifecycle.rs
+++ b/src/core/jobs/lifecycle.rs
@@ -52,7 +52,12 @@
         // Work from now on is wasted, and tasks still to start would start after the user was
         // answered. Should the end never be written, a later leader starts them again.
         if is_enabled(Safeguard::StopOnCancelRequest) && is_enabled(Safeguard::StopEndedJobs) {
-            run.stop_assigned(id, &mut leader.machines, StopReason::Over, self.now.mono);
+            run.stop_assigned(
+                id,
+                &mut leader.machines,
+                StopReason::Obsolete,
+                self.now.mono,
+            );
         }
         let ends = &mut leader.writes.ends;
         ends.insert(id.clone(), JobOutcome::Cancelled);
@@ -164,7 +169,7 @@
             tracing::info!(job = %id, ?outcome, "job finished");
         }
         if is_enabled(Safeguard::StopEndedJobs) {
-            run.stop_assigned(id, &mut leader.machines, StopReason::Over, now);
+            run.stop_assigned(id, &mut leader.machines, StopReason::Obsolete, now);
         }
         if let Some(answer) = self.final_answer(id) {
             for ticket in run.cancel_waiters {
--- a/src/core/leadership/probes.rs
+++ b/src/core/leadership/probes.rs
@@ -51,7 +51,7 @@
             return;
         };
         let call_to_spare = leader.direct_calls_in_flight < MAX_DIRECT_CALLS;
-        let Some(m) = leader.machines.get_mut_quiet(id) else {
+        let Some(m) = leader.machines.get_mut_untracked(id) else {
             return;
         };
         if !call_to_spare
@@ -67,7 +67,7 @@
         m.token_epoch += 1;
         if let Some(call) = self.probe_machine(id)
             && let Some(leader) = &mut self.leader
-            && let Some(m) = leader.machines.get_mut_quiet(id)
+            && let Some(m) = leader.machines.get_mut_untracked(id)
         {
             m.direct_calls.restart_probe = Some(RestartProbe { known, call });
         }
@@ -87,7 +87,7 @@
         m.incarnation = 0;
         m.sequence = 0;
         m.highest_token = seen_token;
-        m.doubtful_until_token = None;
+        m.in_doubt_until_token = None;
         m.start_unconfirmed = false;
         m.lease_expired = false;
         m.exited.clear();
--- a/src/core/machines/cloud_calls.rs
+++ b/src/core/machines/cloud_calls.rs
@@ -183,9 +183,9 @@
         let Some(leader) = &mut self.leader else {
             return;
         };
-        leader.cloud.next_request += 1;
+        leader.cloud.last_request += 1;
         // A term is never reused, nor is a number within a term.
-        let name = format!("burlusher-{}-{}", leader.term, leader.cloud.next_request);
+        let name = format!("burlusher-{}-{}", leader.term, leader.cloud.last_request);
         let Offer {
             machine_type,
             zone,
@@ -270,7 +270,7 @@
             leader.deleted_machines.insert(id.clone());
         }
         for id in ids {
-            self.machine_gone(&id, "deleted");
+            self.remove_machine(&id, "deleted");
         }
     }
 
--- a/src/core/machines/cloud_operations.rs
+++ b/src/core/machines/cloud_operations.rs
@@ -12,7 +12,7 @@
     /// Requests for machines without a final answer, by their names.
     pub scale_outs: BTreeMap<String, ScaleOutOperation>,
     /// The number that goes into the next request's name.
-    pub next_request: u64,
+    pub last_request: u64,
     /// When the list of machines was last asked for.
     pub list_requested: Option<Instant>,
     /// A request for the list is in flight.
--- a/src/core/machines/failure_detection.rs
+++ b/src/core/machines/failure_detection.rs
@@ -139,7 +139,7 @@
     /// From a worker's last answer until its lease has run out for certain.
     lease_expiry: Duration,
     /// A follower that relays heartbeats stopped sending: until then its workers are finding another controller.
-    silence_excused_until: Option<Instant>,
+    delegate_grace_until: Option<Instant>,
 }
 
 impl<'a> FailureDetector<'a> {
@@ -151,7 +151,7 @@
             now,
             heartbeat_interval: core.settings.heartbeat_interval,
             lease_expiry: lease_expiry(core.settings.worker_lease),
-            silence_excused_until: leader.silence_inconclusive_until(now),
+            delegate_grace_until: leader.silence_inconclusive_until(now),
         }
     }
 
@@ -179,7 +179,7 @@
         let since = (machine.last_heartbeat)
             .max(self.leader.liveness.silence_excused_until)
             .max(self.leader.since);
-        let since = (self.silence_excused_until).map_or(since, |excuse| since.max(excuse));
+        let since = (self.delegate_grace_until).map_or(since, |until| since.max(until));
         self.since(since)
     }
 
@@ -204,11 +204,11 @@
     /// never show what it was answered: they may be copies. Nor are those dead to which no call
     /// gets through, a zone cut off one way.
     fn is_unresponsive(&self, machine: &Machine) -> bool {
-        let proof_timeout = max_silence(self.heartbeat_interval) + WORKER_RETRY;
-        let never_proves =
-            (machine.unproven_since).is_some_and(|since| self.now > since + proof_timeout);
+        let confirmation_timeout = max_silence(self.heartbeat_interval) + WORKER_RETRY;
+        let never_confirms =
+            (machine.unproven_since).is_some_and(|since| self.now > since + confirmation_timeout);
         machine.unresolved
-            && (machine.incarnation == 0 || never_proves)
+            && (machine.incarnation == 0 || never_confirms)
             && machine.direct_calls.failures >= MAX_UNANSWERED_PROBES
             && (self.leader.recovery.reachable_zones).contains(&machine.zone)
             && self.is_zone_reachable(&machine.zone)
@@ -252,13 +252,13 @@
                 self.is_silent_beyond_lease(machine),
             ),
             (
-                DeletionReason::NeverCameUp,
+                DeletionReason::BootTimeout,
                 self.has_failed_to_boot(machine),
             ),
             (DeletionReason::Faulty, self.core.is_faulty(machine)),
         ];
-        let holding = reasons.into_iter().filter(|(_, holds)| *holds);
-        holding.map(|(reason, _)| reason).collect()
+        let applicable = reasons.into_iter().filter(|(_, applies)| *applies);
+        applicable.map(|(reason, _)| reason).collect()
     }
 }
 
@@ -304,11 +304,11 @@
             })
             .collect();
         for id in expired {
-            self.machine_lease_expired(&id);
+            self.expire_machine_lease(&id);
         }
         for (id, reason) in failed {
             self.record_machine_loss(&id);
-            self.release_machine(&id, reason);
+            self.schedule_deletion(&id, reason);
         }
     }
 }
--- a/src/core/machines/fault_history.rs
+++ b/src/core/machines/fault_history.rs
@@ -43,10 +43,10 @@
 
 impl Slowness {
     /// Notes the logarithm of a run time's ratio to the usual one; older notes fade.
-    pub fn note(&mut self, log_ratio: f64) {
-        const FADE: f64 = 0.95;
-        self.sum = self.sum * FADE + log_ratio;
-        self.weight = self.weight * FADE + 1.0;
+    pub fn record(&mut self, log_ratio: f64) {
+        const DECAY: f64 = 0.95;
+        self.sum = self.sum * DECAY + log_ratio;
+        self.weight = self.weight * DECAY + 1.0;
     }
 
     fn mean(&self) -> f64 {
@@ -63,7 +63,7 @@
     }
 
     /// Seconds that it is worth to avoid the machine.
-    pub fn delay(&self) -> f64 {
+    pub fn penalty_s(&self) -> f64 {
         const TOLERATED_LOG_RATIO: f64 = 0.3;
         const SECONDS_PER_LOG_RATIO: f64 = 20.0;
         (self.mean() - TOLERATED_LOG_RATIO).max(0.0) * SECONDS_PER_LOG_RATIO
--- a/src/core/machines/machine.rs
+++ b/src/core/machines/machine.rs
@@ -39,7 +39,7 @@
     /// It has been silent for longer than its worker's lease.
     LeaseExpired,
     /// It took much too long to boot.
-    NeverCameUp,
+    BootTimeout,
     /// Tasks fail on it, or are much too slow there.
     Faulty,
     /// It has had nothing to do for long enough.
@@ -53,7 +53,7 @@
             DeletionReason::Unresponsive => "it does not answer",
             DeletionReason::Reclaimed => "it was to be taken and is silent",
             DeletionReason::LeaseExpired => "its lease ran out",
-            DeletionReason::NeverCameUp => "it never came up",
+            DeletionReason::BootTimeout => "it never came up",
             DeletionReason::Faulty => "it is faulty",
             DeletionReason::Idle => "it is idle",
         })
@@ -132,7 +132,7 @@
     /// An earlier leader may have given it tasks that this one has not seen yet.
     pub unresolved: bool,
     /// Something ended on it, or it came up, since its last answer.
-    pub freed: bool,
+    pub capacity_freed: bool,
     /// The highest token that it has shown in this incarnation: a heartbeat with a lower one is older, or of
     /// another incarnation.
     pub highest_token: u64,
@@ -142,7 +142,7 @@
     /// seen the higher token.
     pub token_epoch: u64,
     /// Direct commands may still arrive until the worker shows this token.
-    pub doubtful_until_token: Option<u64>,
+    pub in_doubt_until_token: Option<u64>,
     /// The last answer to a heartbeat carried starts that no later heartbeat has confirmed or denied.
     pub start_unconfirmed: bool,
     /// There are commands for it that should not wait for its next heartbeat.
@@ -176,7 +176,7 @@
     /// Another controller shows it the token; until then it is not probed from here.
     pub claimed_until: Option<Instant>,
     /// It is among the changed machines of the registry.
-    change_noted: bool,
+    change_recorded: bool,
 }
 
 /// Whether a task's id as a worker writes it is this task's.
@@ -213,11 +213,11 @@
             unconfirmed_token: None,
             unproven_since: None,
             unresolved: false,
-            freed: false,
+            capacity_freed: false,
             highest_token: 0,
             recorded: false,
             token_epoch: 0,
-            doubtful_until_token: None,
+            in_doubt_until_token: None,
             start_unconfirmed: false,
             needs_push: false,
             reclaim_at: None,
@@ -234,7 +234,7 @@
             delegated_to: None,
             revoked: false,
             claimed_until: None,
-            change_noted: false,
+            change_recorded: false,
         }
     }
 
@@ -255,9 +255,9 @@
         let is_next_of_incarnation = heartbeat.incarnation == self.incarnation
             && heartbeat.sequence > self.sequence
             && heartbeat.fencing_token >= (term << TOKEN_EPOCH_BITS).max(self.highest_token);
-        let nothing_open = !self.lease_expired
+        let nothing_pending = !self.lease_expired
             && self.recorded
-            && self.doubtful_until_token.is_none()
+            && self.in_doubt_until_token.is_none()
             && !self.start_unconfirmed
             && self.unconfirmed_token.is_none()
             && self.reclaim_at.is_none()
@@ -267,13 +267,13 @@
             && self.addr == heartbeat.addr
             && heartbeat.tasks.len() == self.tasks.len() + self.exited.len();
         is_next_of_incarnation
-            && nothing_open
+            && nothing_pending
             && same_machine
-            && (heartbeat.tasks.iter()).all(|status| self.knows_status(status))
+            && (heartbeat.tasks.iter()).all(|status| self.has_same_status(status))
     }
 
     /// Whether a task is as it was in the heartbeat before.
-    fn knows_status(&self, status: &TaskStatus) -> bool {
+    fn has_same_status(&self, status: &TaskStatus) -> bool {
         if status.state == TaskState::Exited {
             return (self.exited.iter())
                 .any(|e| e.attempt == status.attempt && is_task(&e.key, &status.task));
@@ -308,13 +308,13 @@
 
     /// No command that was sent can still arrive.
     pub(in crate::core) fn no_command_in_flight(&self) -> bool {
-        self.direct_calls.in_flight.is_none() && self.doubtful_until_token.is_none()
+        self.direct_calls.in_flight.is_none() && self.in_doubt_until_token.is_none()
     }
 
     /// Notes that it is about to change, once until `clear_change_mark`.
     pub(super) fn mark_changed(&mut self, changed: &mut Vec<MachineId>) -> &mut Machine {
-        if !self.change_noted {
-            self.change_noted = true;
+        if !self.change_recorded {
+            self.change_recorded = true;
             changed.push(self.id.clone());
         }
         self
@@ -322,7 +322,7 @@
 
     /// Its changes so far have been read.
     pub(super) fn clear_change_mark(&mut self) {
-        self.change_noted = false;
+        self.change_recorded = false;
     }
 
     /// It can be given tasks now: its last heartbeat is younger than `max_silence`, and nothing is open.
@@ -333,7 +333,7 @@
             && !self.lease_expired
             && self.deleting.is_none()
             && self.reclaim_at.is_none()
-            && self.doubtful_until_token.is_none()
+            && self.in_doubt_until_token.is_none()
             && self.unconfirmed_token.is_none()
             && is_recent(self.last_heartbeat)
             // Answers to direct calls renew no lease: without heartbeats, what is started dies with it.
--- a/src/core/machines/machine_list.rs
+++ b/src/core/machines/machine_list.rs
@@ -136,7 +136,7 @@
             if (self.leader.as_ref()).is_none_or(|leader| is_deleted(leader, id)) {
                 continue;
             }
-            self.machine_gone(id, "the cloud lists it as failed");
+            self.remove_machine(id, "the cloud lists it as failed");
             if let Some(leader) = &mut self.leader {
                 leader.cloud.deletions.insert(id.clone(), now);
             }
@@ -151,7 +151,7 @@
         let present = list.iter().map(|listed| listed.id.clone()).collect();
         let Some(leader) = &self.leader else { return };
         for id in leader.absent_machines(&present, lag, sent, now) {
-            self.machine_gone(&id, "the cloud does not list it any more");
+            self.remove_machine(&id, "the cloud does not list it any more");
         }
     }
 }
--- a/src/core/machines/placement.rs
+++ b/src/core/machines/placement.rs
@@ -8,13 +8,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopReason {
     /// Its job is over, or it should not be here.
-    Over,
+    Obsolete,
     /// Room is needed for other work.
     Preempted,
     /// Its machine will be reclaimed.
-    Moved,
+    Reclamation,
     /// Its gang has lost a task and starts again.
-    Regrouped,
+    GangRestart,
 }
 
 /// A stop that was decided.
@@ -77,13 +77,13 @@
 
     /// Whether it is stopped because it is no longer needed.
     pub fn is_obsolete(&self) -> bool {
-        (self.stopping).is_some_and(|stop| stop.reason == StopReason::Over)
+        (self.stopping).is_some_and(|stop| stop.reason == StopReason::Obsolete)
     }
 
-    /// Decides to stop it. The first reason stays, save that `StopReason::Over` replaces any other.
+    /// Decides to stop it. The first reason stays, save that `StopReason::Obsolete` replaces any other.
     pub fn stop(&mut self, reason: StopReason, now: Instant) {
         match &mut self.stopping {
-            Some(stop) if reason == StopReason::Over => stop.reason = reason,
+            Some(stop) if reason == StopReason::Obsolete => stop.reason = reason,
             Some(_) => {}
             None => self.stopping = Some(Stop { reason, since: now }),
         }
--- a/src/core/machines/reclamation.rs
+++ b/src/core/machines/reclamation.rs
@@ -9,9 +9,9 @@
 /// A task that cannot save its progress and has run for less than this loses next to nothing by a stop.
 const NEGLIGIBLE_RUN_TIME: Duration = Duration::from_secs(5);
 /// A task is expected not to end in time if it needs this many times what is left.
-const LATE_FACTOR: f64 = 1.5;
+const LIKELY_LATE_FACTOR: f64 = 1.5;
 /// A task that cannot save its progress is stopped only if it needs this many times what is left.
-const HOPELESS_FACTOR: u32 = 3;
+const CERTAINLY_LATE_FACTOR: u32 = 3;
 
 /// Whether a task is better stopped now, to save its progress or to restart elsewhere, than left on a
 /// machine that is reclaimed after `remaining`.
@@ -22,13 +22,14 @@
     let ran =
         (task.running_since).map_or(Duration::ZERO, |since| now.saturating_duration_since(since));
     let rest = job.spec.estimate.saturating_sub(ran);
-    let ends_late = task.running_since.is_none() || rest > remaining.mul_f64(LATE_FACTOR);
+    let is_likely_late =
+        task.running_since.is_none() || rest > remaining.mul_f64(LIKELY_LATE_FACTOR);
     let keeps_progress =
         !job.spec.checkpoint_interval.is_zero() || job.spec.job_kind == JobKind::Service;
     // What cannot save its progress may be lucky and end in time; stopping it early only pays where it
     // has hardly begun.
-    let loses_little = ran < NEGLIGIBLE_RUN_TIME || rest > remaining * HOPELESS_FACTOR;
-    ends_late && (keeps_progress || loses_little)
+    let loses_little = ran < NEGLIGIBLE_RUN_TIME || rest > remaining * CERTAINLY_LATE_FACTOR;
+    is_likely_late && (keeps_progress || loses_little)
 }
 
 impl Core {
@@ -55,7 +56,7 @@
             if let Some(machine) = leader.machines.get_mut(&id)
                 && let Some(task) = machine.tasks.get_mut(&key)
             {
-                task.stop(StopReason::Moved, now);
+                task.stop(StopReason::Reclamation, now);
                 machine.needs_push = true;
             }
         }
--- a/src/core/machines/registry.rs
+++ b/src/core/machines/registry.rs
@@ -28,7 +28,7 @@
     }
 
     /// For what neither planning nor commands depend on: that a heartbeat came, and when.
-    pub(in crate::core) fn get_mut_quiet(&mut self, id: &MachineId) -> Option<&mut Machine> {
+    pub(in crate::core) fn get_mut_untracked(&mut self, id: &MachineId) -> Option<&mut Machine> {
         self.all.get_mut(id)
     }
 
--- a/src/core/machines/removal.rs
+++ b/src/core/machines/removal.rs
@@ -7,7 +7,7 @@
 
 impl Core {
     /// The worker's lease has run out: its tasks were killed.
-    pub(in crate::core) fn machine_lease_expired(&mut self, id: &MachineId) {
+    pub(in crate::core) fn expire_machine_lease(&mut self, id: &MachineId) {
         let now = self.now.mono;
         let lease_expiry = lease_expiry(self.settings.worker_lease);
         let Some(leader) = &mut self.leader else {
@@ -31,7 +31,7 @@
     }
 
     /// The machine is to be deleted; until that is confirmed, its tasks stay where they are.
-    pub(in crate::core) fn release_machine(&mut self, id: &MachineId, reason: DeletionReason) {
+    pub(in crate::core) fn schedule_deletion(&mut self, id: &MachineId, reason: DeletionReason) {
         let now = self.now.mono;
         let Some(leader) = &mut self.leader else {
             return;
@@ -52,7 +52,7 @@
     }
 
     /// It is certain that the machine and everything on it is gone.
-    pub(in crate::core) fn machine_gone(&mut self, id: &MachineId, cause: &str) {
+    pub(in crate::core) fn remove_machine(&mut self, id: &MachineId, cause: &str) {
         let now = self.now.mono;
         let Some(leader) = &mut self.leader else {
             return;
--- a/src/core/monitoring/status.rs
+++ b/src/core/monitoring/status.rs
@@ -112,7 +112,7 @@
             "lost"
         } else if machine.reclaim_at.is_some() {
             "will be taken"
-        } else if machine.doubtful_until_token.is_some() {
+        } else if machine.in_doubt_until_token.is_some() {
             "commands in doubt"
         } else if avoid_until.is_some_and(|until| until > self.now.mono) {
             "avoided after failures"
--- a/src/core/scheduling/bidding.rs
+++ b/src/core/scheduling/bidding.rs
@@ -50,7 +50,7 @@
     runtime: Duration,
 ) -> Option<StartBound> {
     let threshold_s = objective.threshold.map_or(0.0, |d| d.as_secs_f64());
-    let left_s = threshold_s - facts.wait;
+    let remaining_s = threshold_s - facts.wait;
     let slowest_s = runtime.as_secs_f64() * SLOWEST_TASK_FACTOR;
     let on_start = |within_s| StartBound {
         within_s,
@@ -62,12 +62,12 @@
     };
     let is_of_class = objective.class == spec.class;
     match objective.kind.as_str() {
-        "guarantee" if facts.guaranteed => Some(on_start(left_s)),
-        "wait" if is_of_class => Some(on_start(left_s)),
-        "finished" if is_of_class => Some(on_finish(left_s)),
+        "guarantee" if facts.guaranteed => Some(on_start(remaining_s)),
+        "wait" if is_of_class => Some(on_start(remaining_s)),
+        "finished" if is_of_class => Some(on_finish(remaining_s)),
         "deadline" if is_of_class && facts.has_deadline => {
-            let whole_s = facts.deadline_left + facts.wait;
-            let grace_s = (objective.times - 1.0) * whole_s;
+            let total_s = facts.deadline_left + facts.wait;
+            let grace_s = (objective.times - 1.0) * total_s;
             Some(on_finish(facts.deadline_left + grace_s))
         }
         _ => None,
--- a/src/core/scheduling/deferred_responses.rs
+++ b/src/core/scheduling/deferred_responses.rs
@@ -23,20 +23,23 @@
         // At a takeover all machines are new, and their responses show them the token: no time
         // to lose.
         let is_recovering = !leader.recovery.is_complete();
-        if planned || !scheduler.has_pending_demand || is_recovering {
+        if planned || !scheduler.had_startable_jobs || is_recovering {
             due.heartbeats.extend(waiting.heartbeats);
             due.batches.extend(waiting.batches);
             return;
         }
         let machines = &leader.machines;
-        let is_freed = |id: &MachineId| machines.get(id).is_some_and(|m| m.freed);
-        let has_freed = |batch: &mut PendingBatch| batch.machines().any(is_freed);
+        let has_freed_capacity =
+            |id: &MachineId| machines.get(id).is_some_and(|m| m.capacity_freed);
+        let is_deferred = |batch: &mut PendingBatch| batch.machines().any(has_freed_capacity);
         let mut deferred = waiting;
-        let heartbeats = due.heartbeats.extract_if(.., |(_, id)| is_freed(id));
+        let heartbeats = due
+            .heartbeats
+            .extract_if(.., |(_, id)| has_freed_capacity(id));
         deferred.heartbeats.extend(heartbeats);
         deferred
             .batches
-            .extend(due.batches.extract_if(.., has_freed));
+            .extend(due.batches.extract_if(.., is_deferred));
         leader.scheduler.deferred_responses = deferred;
     }
 
--- a/src/core/scheduling/gangs.rs
+++ b/src/core/scheduling/gangs.rs
@@ -25,7 +25,7 @@
             if run.tasks.queued().is_empty() || run.ending.is_some() {
                 continue;
             }
-            run.stop_assigned(id, &mut leader.machines, StopReason::Regrouped, now);
+            run.stop_assigned(id, &mut leader.machines, StopReason::GangRestart, now);
         }
     }
 }
--- a/src/core/scheduling/placement.rs
+++ b/src/core/scheduling/placement.rs
@@ -34,7 +34,7 @@
         scheduler.last_plan = Some(now);
         // A plan is made again at once while tasks are started.
         scheduler.plan_again = !plan.starts.is_empty();
-        scheduler.has_pending_demand = !jobs.is_empty();
+        scheduler.had_startable_jobs = !jobs.is_empty();
         scheduler.queue_head = plan.head.map(|head| {
             let id = jobs[head.job_index].spec.id.clone();
             (id, head.starts_in)
--- a/src/core/scheduling/queue.rs
+++ b/src/core/scheduling/queue.rs
@@ -273,10 +273,12 @@
 /// Whether anything of a queued job may be started now.
 fn is_startable(entry: &QueueEntry, now: Instant) -> bool {
     let run = entry.run;
-    let is_held = |until: &Instant| now < *until;
+    let is_backing_off = |until: &Instant| now < *until;
     // A gang starts as a whole: not while some of it is still elsewhere or held back.
     let is_gang = entry.job.spec.job_kind == JobKind::Gang;
-    if is_gang && (!run.tasks.assigned().is_empty() || run.backoff_until.values().any(is_held)) {
+    if is_gang
+        && (!run.tasks.assigned().is_empty() || run.backoff_until.values().any(is_backing_off))
+    {
         return false;
     }
     // All tasks of a job with a mistake, tried again and again, filled machines and queues.
--- a/src/core/scheduling/run_times.rs
+++ b/src/core/scheduling/run_times.rs
@@ -78,7 +78,7 @@
         };
         let deviation = record_log_run_time(run, ran_s);
         if let (Some(m), Some(deviation)) = (leader.machines.get_mut(machine), deviation) {
-            m.fault_history.slowness.note(deviation);
+            m.fault_history.slowness.record(deviation);
         }
     }
 }
--- a/src/core/scheduling/scaling.rs
+++ b/src/core/scheduling/scaling.rs
@@ -28,8 +28,8 @@
 /// No more tasks of a job than this are counted at a time.
 const MAX_TASKS: f64 = 1e6;
 /// The expected run time of work that never gives its room to other tasks of its job.
-const ENDLESS: Duration = match Duration::MAX.checked_div(4) {
-    Some(endless) => endless,
+const UNBOUNDED_RUNTIME: Duration = match Duration::MAX.checked_div(4) {
+    Some(runtime) => runtime,
     None => Duration::MAX,
 };
 
@@ -78,7 +78,7 @@
         let idle = self.unneeded_machines(&demands);
         self.request_machines(scale_outs);
         for id in idle {
-            self.release_machine(&id, DeletionReason::Idle);
+            self.schedule_deletion(&id, DeletionReason::Idle);
         }
     }
 
@@ -115,8 +115,8 @@
         let mut zones: BTreeMap<&str, ZoneMachines> = BTreeMap::new();
         for machine in leader.machines.values().filter(|m| m.incarnation > 0) {
             let silence = now.saturating_duration_since(machine.last_heartbeat);
-            let is_heard = silence < self.settings.heartbeat_interval * 2;
-            let is_reachable = is_heard && machine.unconfirmed_token.is_none();
+            let is_reporting = silence < self.settings.heartbeat_interval * 2;
+            let is_reachable = is_reporting && machine.unconfirmed_token.is_none();
             let zone = zones.entry(&machine.zone).or_default();
             zone.all += 1;
             zone.reachable += u32::from(is_reachable);
@@ -130,8 +130,8 @@
 
     /// Whether a new leader knows enough of what runs to bid: until then all of it seems to wait.
     fn may_bid(&self, leader: &LeaderState) -> bool {
-        let led_for = self.now.mono.saturating_duration_since(leader.since);
-        leader.recovery.is_complete() || led_for > RECOVERY_TIMEOUT
+        let leader_for = self.now.mono.saturating_duration_since(leader.since);
+        leader.recovery.is_complete() || leader_for > RECOVERY_TIMEOUT
     }
 
     /// Idle machines that nothing pending could use. A new leader first learns what there is.
@@ -140,9 +140,9 @@
             return Vec::new();
         };
         let now = self.now.mono;
-        let led_for = now.saturating_duration_since(leader.since);
+        let leader_for = now.saturating_duration_since(leader.since);
         let is_settled =
-            leader.recovery.is_complete() && led_for > self.settings.heartbeat_interval * 2;
+            leader.recovery.is_complete() && leader_for > self.settings.heartbeat_interval * 2;
         if !is_settled {
             return Vec::new();
         }
@@ -153,10 +153,10 @@
     /// Requests machines, unless too many requests are under way or nothing is known of the cloud.
     fn request_machines(&mut self, scale_outs: Vec<ScaleOut>) {
         let Some(leader) = &self.leader else { return };
-        let led_for = self.now.mono.saturating_duration_since(leader.since);
+        let leader_for = self.now.mono.saturating_duration_since(leader.since);
         let cloud = &leader.cloud;
         let has_list = cloud.list_requested.is_some() && !cloud.list_in_flight;
-        let may_request = has_list || led_for > LIST_TIMEOUT;
+        let may_request = has_list || leader_for > LIST_TIMEOUT;
         if may_request && cloud.scale_outs.len() < MAX_SCALE_OUTS_IN_FLIGHT {
             for scale_out in scale_outs {
                 self.scale_out(scale_out.offer, scale_out.count);
@@ -238,8 +238,8 @@
             }
             if resources.cpus > 0.0 {
                 let spare = &mut spare_cpus[entry.team];
-                let most = ((*spare + EPSILON) / resources.cpus).floor().max(0.0);
-                tasks = tasks.min(most.min(MAX_TASKS) as u32);
+                let max_tasks = ((*spare + EPSILON) / resources.cpus).floor().max(0.0);
+                tasks = tasks.min(max_tasks.min(MAX_TASKS) as u32);
                 *spare -= f64::from(tasks) * resources.cpus;
             }
             if tasks > 0 {
@@ -254,15 +254,15 @@
         let spec = &entry.job.spec;
         let max_wait = |policy_entry| {
             let wait_s = self.policy.number(policy_entry, &entry.facts);
-            let least_s = fastest_boot_s * MIN_WAIT_PER_BOOT;
-            Duration::from_secs_f64(wait_s.max(least_s).clamp(0.0, MAX_TIME_S))
+            let min_wait_s = fastest_boot_s * MIN_WAIT_PER_BOOT;
+            Duration::from_secs_f64(wait_s.max(min_wait_s).clamp(0.0, MAX_TIME_S))
         };
         PendingDemand {
             spec: spec.clone(),
             priority: entry.priority,
             tasks,
             expected_runtime: match spec.job_kind {
-                JobKind::Service | JobKind::Gang => ENDLESS,
+                JobKind::Service | JobKind::Gang => UNBOUNDED_RUNTIME,
                 JobKind::Array => entry.expected_runtime,
             },
             max_wait: max_wait(Entry::MaxWait),
--- a/src/core/scheduling/snapshot.rs
+++ b/src/core/scheduling/snapshot.rs
@@ -72,7 +72,7 @@
             usage,
             images: machine.images.iter().map(|image| image.tag).collect(),
             active_fetches: usize::from(machine.tasks.values().any(|t| !t.runs())),
-            fault_penalty_s: faults.slowness.delay() + failure_penalty_s,
+            fault_penalty_s: faults.slowness.penalty_s() + failure_penalty_s,
             idle_since: is_idle(machine, usage).then_some(machine.idle_since),
             tasks: tasks
                 .map(|(task, placement)| self.running_task(leader, machine, task, placement))
@@ -134,7 +134,7 @@
     machine.tasks.is_empty()
         && machine.incarnation > 0
         && machine.direct_calls.in_flight.is_none()
-        && machine.doubtful_until_token.is_none()
+        && machine.in_doubt_until_token.is_none()
         && usage != NodeUsage::Closed
         && !machine.unresolved
 }
--- a/src/core/scheduling/state.rs
+++ b/src/core/scheduling/state.rs
@@ -18,14 +18,14 @@
     /// Which jobs lie within their team's guarantee is to be determined again.
     pub(in crate::core::scheduling) guarantees_changed: bool,
     /// Tasks were left without a machine by the last planning round.
-    pub(in crate::core::scheduling) has_pending_demand: bool,
+    pub(in crate::core::scheduling) had_startable_jobs: bool,
     /// Responses to machines that were freed wait for the next planning round, so that they carry the commands to
     /// start what it places there.
     pub(in crate::core::scheduling) deferred_responses: DeferredResponses,
     /// When the number of machines was last decided on.
     pub(in crate::core::scheduling) last_scaling: Option<Instant>,
     /// When the status was last logged.
-    pub(in crate::core::scheduling) last_status_log: Option<Instant>,
+    pub(in crate::core::scheduling) last_summary_log: Option<Instant>,
     /// The head of the queue and when it may start, for the status view.
     pub queue_head: Option<(JobId, Option<Duration>)>,
     /// How actual run times compare with estimates, by class.
@@ -44,10 +44,10 @@
             last_plan: None,
             plan_again: true,
             guarantees_changed: true,
-            has_pending_demand: false,
+            had_startable_jobs: false,
             deferred_responses: DeferredResponses::default(),
             last_scaling: None,
-            last_status_log: None,
+            last_summary_log: None,
             queue_head: None,
             runtime_ratios: BTreeMap::new(),
             arrivals,
--- a/src/core/scheduling/summary.rs
+++ b/src/core/scheduling/summary.rs
@@ -16,11 +16,11 @@
         let Some(leader) = &mut self.leader else {
             return;
         };
-        let last = leader.scheduler.last_status_log;
+        let last = leader.scheduler.last_summary_log;
         if last.is_some_and(|last| now < last + SUMMARY_INTERVAL) {
             return;
         }
-        leader.scheduler.last_status_log = Some(now);
+        leader.scheduler.last_summary_log = Some(now);
         let machines = &leader.machines;
         let count = |is_counted: &dyn Fn(&Machine) -> bool| {
             machines.values().filter(|m| is_counted(m)).count()
--- a/src/core/store/rebuild/held_tasks.rs
+++ b/src/core/store/rebuild/held_tasks.rs
@@ -77,7 +77,7 @@
                     adopted.push((key, machine));
                 }
                 _ => {
-                    task.stop(StopReason::Over, self.now.mono);
+                    task.stop(StopReason::Obsolete, self.now.mono);
                     holder.needs_push = true;
                 }
             }
--- a/src/core/store/rebuild/operator.rs
+++ b/src/core/store/rebuild/operator.rs
@@ -84,7 +84,7 @@
                 if let Some(holder) = self.machines.get_mut(&machine)
                     && let Some(task) = holder.tasks.get_mut(&TaskId { job, index })
                 {
-                    task.stop(StopReason::Over, now);
+                    task.stop(StopReason::Obsolete, now);
                     holder.needs_push = true;
                 }
             }
--- a/src/core/workers/commands.rs
+++ b/src/core/workers/commands.rs
@@ -199,10 +199,10 @@
         let Some(leader) = &mut self.leader else {
             return;
         };
-        let Some(machine) = leader.machines.get_mut_quiet(id) else {
+        let Some(machine) = leader.machines.get_mut_untracked(id) else {
             return;
         };
-        machine.freed = false;
+        machine.capacity_freed = false;
         // A worker that sees a new token sends it in a heartbeat within half a second, on the connection that
         // it has: that costs less than a call to it.
         if machine.unresolved {
--- a/src/core/workers/commands/direct_calls.rs
+++ b/src/core/workers/commands/direct_calls.rs
@@ -255,7 +255,7 @@
         let term = leader.term;
         if let Some(machine) = leader.machines.get_mut(id) {
             machine.token_epoch += 1;
-            machine.doubtful_until_token = Some(machine.token(term));
+            machine.in_doubt_until_token = Some(machine.token(term));
         }
     }
 }
--- a/src/core/workers/delegation/delegations.rs
+++ b/src/core/workers/delegation/delegations.rs
@@ -13,7 +13,7 @@
     /// Delegates a machine for which there are no commands. Returns whether it is delegated to this
     /// controller now.
     pub(super) fn delegate_machine(&mut self, id: &MachineId, to: &Arc<str>) -> bool {
-        let Some(m) = self.machines.get_mut_quiet(id) else {
+        let Some(m) = self.machines.get_mut_untracked(id) else {
             return false;
         };
         let is_free = m.delegated_to.as_ref().is_none_or(|d| d == to) && !m.revoked;
@@ -34,7 +34,7 @@
         from: &Arc<str>,
         now: Instant,
     ) {
-        let Some(m) = self.machines.get_mut_quiet(&answered.machine) else {
+        let Some(m) = self.machines.get_mut_untracked(&answered.machine) else {
             return;
         };
         if m.delegated_to.as_ref() != Some(from)
@@ -54,7 +54,7 @@
 
     /// Revokes the delegation of a machine, if it is delegated.
     pub(super) fn revoke_delegation(&mut self, id: &MachineId) {
-        let Some(m) = self.machines.get_mut_quiet(id) else {
+        let Some(m) = self.machines.get_mut_untracked(id) else {
             return;
         };
         if m.revoked {
@@ -71,7 +71,7 @@
     /// A heartbeat came through this controller, or to this one itself: no other may answer the
     /// machine from memory any more.
     pub(in crate::core) fn record_route(&mut self, id: &MachineId, via: Option<&Arc<str>>) {
-        let Some(m) = self.machines.get_mut_quiet(id) else {
+        let Some(m) = self.machines.get_mut_untracked(id) else {
             return;
         };
         if m.via.as_ref() != via {
@@ -105,7 +105,7 @@
             first_sent.is_some_and(|number| number <= acknowledged)
         };
         for (id, _) in delegate.revocations.extract_if(.., confirmed) {
-            if let Some(m) = self.machines.get_mut_quiet(&id)
+            if let Some(m) = self.machines.get_mut_untracked(&id)
                 && m.delegated_to.as_ref() == Some(from)
             {
                 m.delegated_to = None;
@@ -131,7 +131,7 @@
             .map(|m| m.id.clone())
             .collect();
         for id in delegated {
-            if let Some(m) = self.machines.get_mut_quiet(&id) {
+            if let Some(m) = self.machines.get_mut_untracked(&id) {
                 m.lease_renewed = m.lease_renewed.max(until);
                 m.delegated_to = None;
                 m.revoked = false;
--- a/src/core/workers/delegation/probes.rs
+++ b/src/core/workers/delegation/probes.rs
@@ -29,7 +29,7 @@
         while already_pending + assigned.len() < MAX_PROBES_PER_DELEGATE
             && let Some(id) = self.next_probe(now)
         {
-            let Some(m) = self.machines.get_mut_quiet(&id) else {
+            let Some(m) = self.machines.get_mut_untracked(&id) else {
                 continue;
             };
             m.claimed_until = Some(claimed_until);
@@ -43,7 +43,7 @@
     /// Another controller serves these machines and will probe them.
     pub(super) fn claim_probes(&mut self, served: &[MachineId], from: &Arc<str>, now: Instant) {
         for id in served {
-            if let Some(m) = self.machines.get_mut_quiet(id)
+            if let Some(m) = self.machines.get_mut_untracked(id)
                 && m.unresolved
             {
                 m.claimed_until = Some(now + PROBE_CLAIM);
@@ -55,7 +55,7 @@
     /// These machines gave another controller no answer: they are probed from here.
     pub(super) fn retry_probes(&mut self, unanswered: &[MachineId], now: Instant) {
         for id in unanswered {
-            if let Some(m) = self.machines.get_mut_quiet(id)
+            if let Some(m) = self.machines.get_mut_untracked(id)
                 && m.unresolved
             {
                 m.direct_calls.failures += 1;
--- a/src/core/workers/delegation/rebalancing.rs
+++ b/src/core/workers/delegation/rebalancing.rs
@@ -21,7 +21,7 @@
     /// The controller that a worker reporting here is to go to, if it is to go.
     pub(in crate::core) fn next_reassignment(&mut self, id: &MachineId) -> Option<String> {
         let to = share::next_target(&mut self.delegates.own_reassignments)?;
-        if let Some(m) = self.machines.get_mut_quiet(id) {
+        if let Some(m) = self.machines.get_mut_untracked(id) {
             m.via = Some(to.as_str().into());
         }
         Some(to)
--- a/src/core/workers/heartbeats.rs
+++ b/src/core/workers/heartbeats.rs
@@ -44,7 +44,7 @@
     ) -> Option<Result<MachineId, Response>> {
         let id = &heartbeat.machine;
         let term = self.term;
-        let machine = self.machines.get_mut_quiet(id)?;
+        let machine = self.machines.get_mut_untracked(id)?;
         if machine.unresolved || !machine.is_unchanged_by(heartbeat, term) {
             return None;
         }
--- a/src/core/workers/heartbeats/observation.rs
+++ b/src/core/workers/heartbeats/observation.rs
@@ -66,7 +66,7 @@
             self.require_token_proof(term);
         }
         self.lease_expired = false;
-        self.doubtful_until_token = None;
+        self.in_doubt_until_token = None;
         self.start_unconfirmed = false;
         self.images.clear();
         self.incarnation_since = now;
@@ -89,7 +89,7 @@
             .reclaim_in_s
             .filter(|seconds| seconds.is_finite())
             .map(|seconds| now + Duration::from_secs_f64(seconds.clamp(0.0, MAX_RECLAIM_NOTICE_S)));
-        self.doubtful_until_token.take_if(|needed| token >= *needed);
+        self.in_doubt_until_token.take_if(|needed| token >= *needed);
         self.unconfirmed_token.take_if(|needed| token >= *needed);
     }
 
@@ -211,7 +211,7 @@
         if machine.up_since.is_some() {
             return;
         }
-        machine.freed = true;
+        machine.capacity_freed = true;
         machine.up_since = Some(now);
         machine.idle_since = now;
         let boot_time = machine.age_at(now);
--- a/src/core/workers/heartbeats/task_transitions.rs
+++ b/src/core/workers/heartbeats/task_transitions.rs
@@ -32,7 +32,7 @@
     /// Stops a task that has no use any more, if it is here; by a direct command, if need be.
     fn stop_obsolete(&mut self, key: &TaskId, now: Instant) {
         if let Some(task) = self.tasks.get_mut(key) {
-            task.stop(StopReason::Over, now);
+            task.stop(StopReason::Obsolete, now);
             self.needs_push = true;
         }
     }
@@ -90,7 +90,7 @@
             return;
         };
         if !is_wanted {
-            task.stop(StopReason::Over, now);
+            task.stop(StopReason::Obsolete, now);
             machine.needs_push = true;
         }
         machine.tasks.insert(key.clone(), task);
@@ -197,7 +197,7 @@
         let Some(task) = machine.remove_task(key, now) else {
             return;
         };
-        machine.freed = true;
+        machine.capacity_freed = true;
         leader.scheduler.request_plan();
         tracing::debug!(task = %key, machine = %id, attempt = task.attempt, ?cause, "task exited");
         if cause == ExitCause::Done {
