--- a/src/core/machines/cancellation_bound.rs
+++ b/src/core/machines/cancellation_bound.rs
@@ -1,5 +1,5 @@
-//! The time after a cancellation within which tasks of the job may still run, and the removal of the residual
-//! tasks of cancelled jobs.
+//! Upper bound of the time for which tasks of a cancelled job may still run, and expiry of the records of such
+//! residual tasks.
 
 use crate::core::Core;
 use crate::core::leadership::lease::LEASE_TTL;
@@ -9,17 +9,18 @@
 
 /// Interval between checks of the residual tasks of cancelled jobs.
 const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Margin for the messages of a cancellation in flight.
+/// Margin for messages that are in flight when a job is cancelled.
 const MESSAGE_MARGIN: Duration = Duration::from_millis(500);
 
-/// From when a cancellation is durable until nothing of its job can be left, whatever fails meanwhile: the
-/// leader's lease, within which a worker may be answered by a controller that does not know of it yet, and
-/// then the worker's lease. `docs/design.md`, "A cancellation in the gap".
+/// Returns the time after which no task of a job can be running any more, whatever fails meanwhile, counted from when
+/// the job's cancellation is durable. It consists of the leader's lease, during which a controller that does not know
+/// of the cancellation yet may still answer a worker, and of the worker's lease. See `docs/design.md`, "A cancellation
+/// in the gap".
 pub fn cancellation_bound(lease: Duration) -> Duration {
     LEASE_TTL + lease + lease / 500 + MESSAGE_MARGIN
 }
 
-/// A warning for operators, where the settings allow a cancellation less time than its bound.
+/// Returns a warning for operators if the settings allow a cancellation less time than `cancellation_bound`.
 pub fn cancellation_warning(settings: &Settings) -> Option<String> {
     let bound = cancellation_bound(settings.worker_lease);
     let deadline = settings.cancellation_deadline;
@@ -35,8 +36,8 @@
 }
 
 impl Core {
-    /// Forgets the residual tasks of jobs that were cancelled so long ago that every lease has run out since.
-    /// Each controller does, so that what it remembers is bounded by the pace of cancellations.
+    /// Drops the records of residual tasks of jobs that were cancelled so long ago that every lease has expired since.
+    /// Every controller does so, which bounds the number of records by the rate of cancellations.
     pub(in crate::core) fn forget_cancelled(&mut self) {
         let now = self.now.mono;
         let last_check = self.last_residual_check;
--- a/src/core/machines/cloud_calls.rs
+++ b/src/core/machines/cloud_calls.rs
@@ -1,7 +1,6 @@
-//! Calls to the cloud within its rate limit: lists of machines, deletions and scale-outs; and their outcomes.
+//! Calls to the cloud within its rate limit (lists of machines, deletions and scale-outs), and their outcomes.
 
 use crate::cloud_client::{CloudOutcome, CloudRequest, MACHINES_PER_PAGE, MAX_DELETED_PER_CALL};
-
 use crate::core::command::Pending;
 use crate::core::leadership::state::LeaderState;
 use crate::core::machines::cloud_operations::ScaleOutOperation;
@@ -12,23 +11,23 @@
 use crate::wire::ScaleOutRequest;
 use std::time::{Duration, Instant};
 
-/// Deletions in flight at a time.
+/// Maximum number of deletion calls in flight.
 const MAX_DELETE_CALLS: usize = 2;
-/// Between two lists at least, while machines boot or are silent.
+/// Minimum interval between lists while machines boot or are silent.
 const SHORT_LIST_INTERVAL: Duration = Duration::from_secs(2);
-/// Between two lists at least, otherwise.
+/// Minimum interval between lists otherwise.
 const LONG_LIST_INTERVAL: Duration = Duration::from_secs(6);
-/// A list's pages take no more than this part of the allowed calls, as a divisor.
+/// Divisor of the rate limit that gives the maximum rate of calls for the list's pages.
 const LIST_SHARE_DIVISOR: f64 = 3.0;
-/// After a deletion was sent, until it is sent again if it got no answer.
+/// Delay after which a deletion call without a response is repeated.
 const DELETE_RETRY_INTERVAL: Duration = Duration::from_secs(4);
-/// After a deletion failed, until it is sent again.
+/// Delay after which a failed deletion call is repeated.
 const FAILED_DELETE_PAUSE: Duration = Duration::from_secs(1);
-/// After a scale-out whose outcome is not known, until it is asked again.
+/// Delay after which a scale-out with an unknown outcome is requested again.
 const SCALE_OUT_RETRY_PAUSE: Duration = Duration::from_secs(2);
 
 impl LeaderState {
-    /// Between two lists of machines: a list takes a call for each page of them.
+    /// Returns the minimum interval between lists of machines, each of which takes a call per page.
     fn list_interval(
         &self,
         heartbeat_interval: Duration,
@@ -48,7 +47,7 @@
         })
     }
 
-    /// The next machines to be deleted by one call.
+    /// Returns the machines to be deleted by the next call; none while enough deletion calls are in flight.
     fn due_deletions(&self, now: Instant) -> Vec<MachineId> {
         if self.cloud.delete_calls_in_flight >= MAX_DELETE_CALLS {
             return Vec::new();
@@ -61,7 +60,7 @@
             .collect()
     }
 
-    /// The names of the scale-outs that are to be asked for now.
+    /// Returns the names of the scale-outs that are due to be requested.
     fn due_scale_outs(&self, now: Instant) -> Vec<String> {
         let operations = self.cloud.scale_outs.iter();
         operations
@@ -70,7 +69,7 @@
             .collect()
     }
 
-    /// Adds the machines that a scale-out since `since` has brought.
+    /// Adds the machines that were provisioned for a scale-out that was requested at `since`.
     fn add_provisioned_machines(
         &mut self,
         offer: &Offer,
@@ -95,9 +94,8 @@
 }
 
 impl Core {
-    /// Sends the calls that the cloud's limit allows now. What would have to wait stays here: a
-    /// call that queues elsewhere outlives the leader's lease, is asked again, and so makes
-    /// the queue longer still.
+    /// Sends the calls that the cloud's rate limit allows now. The others wait here: a call that waits in a queue
+    /// elsewhere may outlive the leader's lease and is then repeated, which makes that queue even longer.
     pub(in crate::core) fn call_cloud(&mut self) {
         self.request_list();
         self.request_deletions();
@@ -177,14 +175,14 @@
         call
     }
 
-    /// Queues a scale-out under a name that no controller has ever used.
+    /// Queues a scale-out under a name that no controller has used before.
     pub(in crate::core) fn scale_out(&mut self, offer: Offer, count: u32) {
         let now = self.now.mono;
         let Some(leader) = &mut self.leader else {
             return;
         };
         leader.cloud.last_request += 1;
-        // A term is never reused, nor is a number within a term.
+        // Neither a term nor a number within a term is ever reused.
         let name = format!("burlusher-{}-{}", leader.term, leader.cloud.last_request);
         let Offer {
             machine_type,
@@ -215,7 +213,7 @@
         leader.cloud.scale_outs.insert(name, operation);
     }
 
-    /// The outcome of a call to the cloud.
+    /// Handles the outcome of a call to the cloud.
     pub(in crate::core) fn cloud_outcome(&mut self, call: CallId, outcome: CloudOutcome) {
         let pending = self.pending.remove(&call);
         if let (Some(Pending::ListMachineTypes), CloudOutcome::Types(types)) = (&pending, &outcome)
@@ -243,7 +241,7 @@
             return;
         };
         leader.cloud.listed_machines = list.len();
-        // Its further pages took a call each.
+        // Each further page of the list took one more call.
         for _ in 0..list.len() / MACHINES_PER_PAGE {
             self.cloud_budget.take(now);
         }
@@ -286,7 +284,7 @@
         let provisioned = match outcome {
             CloudOutcome::Provisioned(ids) => ids,
             CloudOutcome::NoCapacity | CloudOutcome::Invalid(_) => Vec::new(),
-            // It may have been carried out: only the same name asked again tells.
+            // The request may have been carried out. Only repeating it under the same name shows that.
             _ => {
                 operation.retry_at = now + SCALE_OUT_RETRY_PAUSE;
                 return;
--- a/src/core/machines/cloud_operations.rs
+++ b/src/core/machines/cloud_operations.rs
@@ -1,38 +1,39 @@
-//! What the leader knows of the cloud's machines, and its calls that are in flight there. Data; `cloud_calls` makes
-//! the calls.
+//! State of the leader's calls to the cloud: pending scale-outs, deletions and lists. This module holds data only;
+//! `cloud_calls` makes the calls.
 
 use crate::job::MachineId;
 use crate::wire::ScaleOutRequest;
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-/// What is known of the cloud's machines, and in flight there.
+/// State of the leader's calls to the cloud.
 #[derive(Default)]
 pub struct CloudOperations {
-    /// Requests for machines without a final answer, by their names.
+    /// Scale-outs without a final response, by request name.
     pub scale_outs: BTreeMap<String, ScaleOutOperation>,
-    /// The number that goes into the next request's name.
+    /// Number in the name of the last scale-out.
     pub last_request: u64,
-    /// When the list of machines was last asked for.
+    /// Time of the last request for the list of machines.
     pub list_requested: Option<Instant>,
-    /// A request for the list is in flight.
+    /// Whether a request for the list is in flight.
     pub list_in_flight: bool,
-    /// How many machines the newest list had.
+    /// Number of machines in the newest list.
     pub listed_machines: usize,
-    /// Machines to be deleted, and when to ask for that.
+    /// Machines to be deleted, each with the time of its next deletion request.
     pub deletions: BTreeMap<MachineId, Instant>,
-    /// How many requests to delete machines are in flight.
+    /// Number of deletion requests in flight.
     pub delete_calls_in_flight: usize,
 }
 
-/// A request for machines. It is repeated under the same name until it has a final answer, which makes it idempotent.
+/// Request for new machines. It is repeated under the same name until it gets a final response; the name makes it
+/// idempotent.
 pub struct ScaleOutOperation {
-    /// As sent.
+    /// Body of the request.
     pub body: ScaleOutRequest,
-    /// When it was first sent.
+    /// Time at which the request was queued.
     pub since: Instant,
-    /// The call that carries it, until that has an outcome.
+    /// Call in flight that carries the request.
     pub call: Option<u64>,
-    /// When it is sent again if its outcome is unknown.
+    /// Earliest time at which the request is sent next, for the first time or again after an unknown outcome.
     pub retry_at: Instant,
 }
--- a/src/core/machines/failure_detection.rs
+++ b/src/core/machines/failure_detection.rs
@@ -1,5 +1,5 @@
-//! Failure detection: which zones are reachable, which machines' leases have expired, and which machines are
-//! given up.
+//! Failure detection: which zones are reachable, which machines' leases have expired, and which machines are to be
+//! deleted.
 
 use crate::core::Core;
 use crate::core::leadership::state::LeaderState;
@@ -8,47 +8,53 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// A machine that may hold tasks of an earlier term is probed this often, so far apart, before it counts as
-/// dead: one lost packet must not condemn any, and all such tasks that no machine has shown wait for the dead ones.
+/// Number of consecutive probes without a response after which a machine that may hold tasks of an earlier term counts
+/// as dead. A single lost packet must not suffice, but all such tasks that no machine has reported yet wait for the
+/// dead machines.
 pub(in crate::core) const MAX_UNANSWERED_PROBES: u32 = 2;
-/// Added to the time after which a leader that receives nothing resigns, as a failover costs more than a
-/// short gap in heartbeats.
+/// Margin added to the time without any heartbeat after which a leader resigns, as a failover costs more than a short
+/// gap in heartbeats.
 const RESIGN_MARGIN: Duration = Duration::from_millis(1000);
-/// Between two checks of all machines.
+/// Interval between checks of all machines.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Time after a machine's announced reclamation until its missing heartbeats count as the reclamation.
+/// Margin after a machine's announced reclamation before missing heartbeats mean that the machine was reclaimed.
 const RECLAIM_MARGIN: Duration = Duration::from_millis(500);
-/// What a machine of a type that is not known is expected to take to boot, in seconds.
+/// Expected boot time of a machine of an unknown type, in seconds.
 const DEFAULT_BOOT_S: f64 = 60.0;
-/// A machine has failed to come up after this many times its type's boot time, and so many seconds more.
+/// Factor of the type's boot time in the boot timeout, which is `boot_s * BOOT_TIME_FACTOR + BOOT_MARGIN_S`.
 const BOOT_TIME_FACTOR: f64 = 2.5;
+/// Margin in the boot timeout, in seconds.
 const BOOT_MARGIN_S: f64 = 10.0;
+/// Maximum boot timeout, in seconds.
 const MAX_BOOT_LIMIT_S: f64 = 86_400.0;
 
-/// So many machines are hardly ever all silent for this long: with heartbeats spread over their
-/// interval, one in 400 times.
+/// Returns a time for which this many machines are hardly ever all silent together. With heartbeats spread evenly over
+/// their interval, that happens by chance once in 400 times.
 fn longest_common_silence(heartbeat_interval: Duration, machines: u32) -> Duration {
     (heartbeat_interval * 6 / machines.max(1)).min(heartbeat_interval * 2)
 }
 
-/// A machine that is silent for longer has failed, where its neighbours are not.
+/// Returns the silence after which a machine counts as failed, if other machines of its zone send heartbeats.
 fn max_silence(heartbeat_interval: Duration) -> Duration {
     heartbeat_interval * 5 / 2
 }
 
-/// The heartbeats of one zone's machines.
+/// Heartbeats from the machines of one zone.
 struct ZoneActivity {
+    /// Number of machines from which heartbeats are expected.
     machines: u32,
-    /// Those of them that have sent a heartbeat lately.
+    /// Number of these machines from which a heartbeat has arrived recently.
     live_machines: u32,
+    /// Time at which the newest heartbeat of any of these machines arrived.
     newest_heartbeat: Instant,
 }
 
 impl ZoneActivity {
-    /// A zone from which next to nothing comes is cut off; its machines work on and their
-    /// leases protect them, so they are not removed for missing heartbeats. The first sign is
-    /// that no heartbeat comes at all for longer than so many machines ever keep silent together:
-    /// half of them are still live when the first ones are silent for too long.
+    /// Returns whether the zone is reachable. A zone from which hardly any heartbeats arrive is partitioned: its
+    /// machines continue to work, protected by their leases, and are not removed for missing heartbeats. The first sign
+    /// of a partition is that no heartbeat arrives at all for longer than this many machines are ever silent together.
+    /// The number of live machines falls too late to be that sign: half of the machines are still live when the first
+    /// ones have been silent for too long.
     fn is_reachable(
         &self,
         heartbeat_interval: Duration,
@@ -65,7 +71,7 @@
 }
 
 impl Machine {
-    /// It is running, or may be: there should be heartbeats from it.
+    /// Returns whether heartbeats from the machine are expected, as it is or may be running.
     fn is_expected(&self) -> bool {
         self.incarnation > 0 || self.unresolved
     }
@@ -94,10 +100,10 @@
         zones
     }
 
-    /// Notes which zones are reachable, and since when: after a cut, the machines behind it need a moment
-    /// until their heartbeats arrive again.
+    /// Updates which zones are reachable, and since when. After a partition heals, it takes some time until heartbeats
+    /// of all machines in the zone arrive again.
     fn update_reachable_zones(&mut self, heartbeat_interval: Duration, now: Instant) {
-        // Heartbeats that others answer are known here a little later.
+        // Heartbeats that delegates answer become known to the leader only after this delay.
         let relay_delay = self.delegates.delegation_delay();
         let earlier = &self.liveness.zone_reachable_since;
         let zones = self.zone_activity(heartbeat_interval, now);
@@ -110,15 +116,16 @@
         self.liveness.zone_reachable_since = reachable.collect();
     }
 
-    /// With as many machines as there are now, a longer silence of all means that this node is cut off.
+    /// Updates the time without any heartbeat after which this leader counts as isolated, for the present number of
+    /// machines.
     fn update_silence_limit(&mut self, heartbeat_interval: Duration) {
         let running = self.machines.values().filter(|m| m.incarnation > 0).count();
         let common_silence = longest_common_silence(heartbeat_interval, running as u32);
         self.liveness.silence_limit = common_silence.max(heartbeat_interval / 2) + RESIGN_MARGIN;
     }
 
-    /// Marks the machines as changed that take tasks now and did not, or the other way round: time alone
-    /// may have changed that.
+    /// Marks the machines as changed that accept tasks now and did not in the snapshot, or the other way round: this
+    /// may change by the passage of time alone.
     fn mark_schedulable_changes(&mut self, heartbeat_interval: Duration, now: Instant) {
         let changed: Vec<MachineId> = (self.machines.values())
             .filter(|m| m.schedulable != self.accepts_tasks(m, now, heartbeat_interval))
@@ -130,15 +137,16 @@
     }
 }
 
-/// One check of all machines: what each of them is judged by.
+/// One check of all machines for failures.
 struct FailureDetector<'a> {
     core: &'a Core,
     leader: &'a LeaderState,
     now: Instant,
     heartbeat_interval: Duration,
-    /// From a worker's last answer until its lease has run out for certain.
+    /// Time from the last response to a worker until its lease has certainly run out.
     lease_expiry: Duration,
-    /// A follower that relays heartbeats stopped sending: until then its workers are finding another controller.
+    /// Time before which silence proves nothing, as a follower that relays heartbeats has stopped sending and its
+    /// workers may still be looking for another controller.
     delegate_grace_until: Option<Instant>,
 }
 
@@ -164,8 +172,8 @@
         liveness.zone_reachable_since.contains_key(zone)
     }
 
-    /// Whether the zone has been reachable, and silence no excuse, for long enough that every live worker of
-    /// it has sent a heartbeat.
+    /// Returns whether the zone has been reachable, without an excuse for missing heartbeats, for long enough that a
+    /// heartbeat of every live worker in the zone should have arrived.
     fn has_zone_recovered(&self, zone: &str) -> bool {
         let liveness = &self.leader.liveness;
         let reachable_since = liveness.zone_reachable_since.get(zone);
@@ -174,7 +182,7 @@
         settled_for >= (self.heartbeat_interval * 5 / 4).max(WORKER_RETRY)
     }
 
-    /// How long the machine has been silent although heartbeats of it could have arrived.
+    /// Returns for how long no heartbeat of the machine has arrived, counting only the time in which it could have.
     fn silence(&self, machine: &Machine) -> Duration {
         let since = (machine.last_heartbeat)
             .max(self.leader.liveness.silence_excused_until)
@@ -183,12 +191,12 @@
         self.since(since)
     }
 
-    /// Whether the worker's lease has run out without being noted.
+    /// Returns whether the worker's lease has run out, and the machine is not marked as expired yet.
     fn has_lease_newly_expired(&self, machine: &Machine) -> bool {
         machine.is_expected()
             && !machine.lease_expired
             && self.now > machine.lease_renewed + self.lease_expiry
-            // A delegate that may answer it for the leader may have renewed its lease since.
+            // A delegate that answers the machine's heartbeats for the leader may have renewed the lease since.
             && machine.delegated_to.is_none()
     }
 
@@ -198,11 +206,13 @@
             && self.has_zone_recovered(&machine.zone)
     }
 
-    /// Every task of an earlier term that no machine has shown yet waits for each machine that has not responded,
-    /// for example one that died with the old leader. Its neighbours answer, and it did not, twice.
-    /// One that has sent a heartbeat is not dead, whatever becomes of calls to it, unless its heartbeats
-    /// never show what it was answered: they may be copies. Nor are those dead to which no call
-    /// gets through, a zone cut off one way.
+    /// Returns whether an unresolved machine counts as dead. Every task of an earlier term that no machine has reported
+    /// yet waits for each unresolved machine, for example one that failed together with the old leader.
+    ///
+    /// A machine counts as dead after `MAX_UNANSWERED_PROBES` probes without a response, while other machines of its
+    /// zone respond. A machine that has sent a heartbeat is not dead, even if calls to it fail, unless its heartbeats
+    /// never contain the fencing token that it was answered with: such heartbeats may be late copies. Machines that no
+    /// call reaches because of a one-way partition of their zone are not dead either.
     fn is_unresponsive(&self, machine: &Machine) -> bool {
         let confirmation_timeout = max_silence(self.heartbeat_interval) + WORKER_RETRY;
         let never_confirms =
@@ -225,7 +235,7 @@
     }
 
     fn has_failed_to_boot(&self, machine: &Machine) -> bool {
-        // A new leader first hears from those that came up before it led.
+        // A new leader first has to receive heartbeats of the machines that came up before its term.
         let is_settled = self.now > self.leader.since + self.heartbeat_interval * 2;
         if machine.is_expected() || !is_settled {
             return false;
@@ -238,7 +248,8 @@
         machine.age_at(self.now) > Duration::from_secs_f64(limit_s)
     }
 
-    /// Every reason to delete the machine, none if it is being deleted; the first one is shown to operators.
+    /// Returns all reasons to delete the machine, or none if it is being deleted already. The first reason is shown to
+    /// operators.
     fn deletion_reasons(&self, machine: &Machine) -> Vec<DeletionReason> {
         if machine.deleting.is_some() {
             return Vec::new();
@@ -263,8 +274,8 @@
 }
 
 impl Core {
-    /// Checks all machines: expired leases, machines to be given up, notices of reclamation, and the cloud's
-    /// list.
+    /// Checks all machines for expired leases, failures and announced reclamations, and sends the calls to the cloud
+    /// that are due.
     pub(in crate::core) fn check_machines(&mut self) {
         let now = self.now.mono;
         let Some(leader) = &mut self.leader else {
--- a/src/core/machines/fault_history.rs
+++ b/src/core/machines/fault_history.rs
@@ -1,30 +1,30 @@
-//! A machine's fault history: failures of tasks on it, and run times longer than elsewhere.
+//! Fault history of a machine: failures of tasks on the machine, and run times longer than elsewhere.
 
 use crate::job::JobId;
 use std::collections::BTreeSet;
 use std::time::Instant;
 
-/// Failures of tasks on a machine, and how slow it is.
+/// Failures of tasks on a machine, and the machine's slowness.
 #[derive(Clone, Debug, Default)]
 pub struct FaultHistory {
-    /// Jobs of which tasks failed here since the last success.
+    /// Jobs whose tasks have failed on the machine since the last success.
     pub failed_jobs: BTreeSet<JobId>,
-    /// Failures of tasks here since the last success.
+    /// Number of failures of tasks on the machine since the last success.
     pub failures: u32,
-    /// Because of its latest failures, it gets no tasks before this moment.
+    /// Time before which the machine gets no tasks because of its latest failures.
     pub avoid_until: Option<Instant>,
-    /// Run times of tasks here against those elsewhere.
+    /// Run times of tasks on the machine, compared with those on other machines.
     pub slowness: Slowness,
 }
 
 impl FaultHistory {
-    /// A task has completed: the failures before it do not count any more.
+    /// Records that a task has completed: earlier failures do not count any more.
     pub fn record_success(&mut self) {
         self.failed_jobs.clear();
         self.failures = 0;
     }
 
-    /// The failures of this job are its own fault.
+    /// Clears the failures of a job whose failures are its own fault.
     pub fn clear_failures_of(&mut self, job: &JobId) {
         self.failed_jobs.remove(job);
         if self.failed_jobs.is_empty() {
@@ -34,7 +34,8 @@
     }
 }
 
-/// Run times on a machine against those of the same jobs everywhere.
+/// Run times on a machine, compared with those of the same jobs on all machines: a decayed mean of logarithms of
+/// ratios.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Slowness {
     sum: f64,
@@ -42,7 +43,7 @@
 }
 
 impl Slowness {
-    /// Notes the logarithm of a run time's ratio to the usual one; older notes fade.
+    /// Records the logarithm of a run time's ratio to the usual run time; the weight of earlier records decays.
     pub fn record(&mut self, log_ratio: f64) {
         const DECAY: f64 = 0.95;
         self.sum = self.sum * DECAY + log_ratio;
@@ -50,19 +51,19 @@
     }
 
     fn mean(&self) -> f64 {
-        /// Weight of a neutral prior, as a few observations prove little.
+        /// Weight of a neutral prior, as a few run times prove little.
         const PRIOR_WEIGHT: f64 = 2.0;
         self.sum / (self.weight + PRIOR_WEIGHT)
     }
 
-    /// Two and a half times the usual, over several tasks.
+    /// Returns whether run times over several tasks are more than about two and a half times (e^0.9) the usual.
     pub fn is_faulty(&self) -> bool {
         const MIN_WEIGHT: f64 = 5.0;
         const MAX_LOG_RATIO: f64 = 0.9;
         self.weight >= MIN_WEIGHT && self.mean() > MAX_LOG_RATIO
     }
 
-    /// Seconds that it is worth to avoid the machine.
+    /// Returns the delay, in seconds, that is worth accepting to avoid the machine.
     pub fn penalty_s(&self) -> f64 {
         const TOLERATED_LOG_RATIO: f64 = 0.3;
         const SECONDS_PER_LOG_RATIO: f64 = 20.0;
--- a/src/core/machines/machine.rs
+++ b/src/core/machines/machine.rs
@@ -1,5 +1,5 @@
-//! A machine as the leader knows it: data that heartbeats, commands, failure detection and the calls to the
-//! cloud act on. It imports none of them.
+//! A machine as the leader knows it: the data that the handling of heartbeats, the sending of commands, failure
+//! detection and the calls to the cloud work on. This module depends on none of those modules.
 
 use crate::core::CallId;
 use crate::core::machines::fault_history::FaultHistory;
@@ -14,35 +14,37 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Fencing tokens are `term << TOKEN_EPOCH_BITS | epoch`; see `Machine::token_epoch`.
+/// Number of low bits of a fencing token that hold the epoch: a token is `term << TOKEN_EPOCH_BITS | epoch`; see
+/// `Machine::token_epoch`.
 pub const TOKEN_EPOCH_BITS: u32 = 20;
-/// A worker that gets no answer from one controller tries the next one this much later (the protocol's
-/// 4 s and 1 s): after a cut it takes that long until heartbeats of all arrive again.
+/// Delay after which a worker that gets no response from one controller tries the next one: by the protocol, a response
+/// timeout of 4 s and a pause of 1 s. After a network partition heals, it takes this long until the heartbeats of all
+/// workers arrive again.
 pub const WORKER_RETRY: Duration = Duration::from_secs(5);
-/// Added to a worker's lease before its tasks count as gone: for drift, and for slow timers.
+/// Margin added to a worker's lease before its tasks count as gone, for clock drift and slow timers.
 const LEASE_MARGIN: Duration = Duration::from_millis(1500);
 
-/// From when a worker was last answered until its lease has run out for certain.
+/// Returns the time from the last response to a worker until its lease has certainly run out.
 pub(in crate::core) fn lease_expiry(lease: Duration) -> Duration {
     lease + lease / 500 + LEASE_MARGIN
 }
 
-/// Why a machine is deleted.
+/// Reason for deleting a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeletionReason {
-    /// No heartbeats come from it, while its zone is reachable.
+    /// No heartbeats arrive from the machine, although its zone is reachable.
     Silent,
-    /// It may hold tasks of an earlier term, and answers no calls.
+    /// The machine may hold tasks of an earlier term, and its worker does not respond to calls.
     Unresponsive,
-    /// The cloud gave notice to reclaim it, and it is silent since.
+    /// The cloud announced the machine's reclamation, and no heartbeats have arrived since that time.
     Reclaimed,
-    /// It has been silent for longer than its worker's lease.
+    /// No heartbeat has arrived for longer than the worker's lease.
     LeaseExpired,
-    /// It took much too long to boot.
+    /// The machine took far longer to boot than its type announces.
     BootTimeout,
-    /// Tasks fail on it, or are much too slow there.
+    /// Tasks fail on the machine, or run much slower than elsewhere.
     Faulty,
-    /// It has had nothing to do for long enough.
+    /// The machine has been without tasks for longer than its idle timeout.
     Idle,
 }
 
@@ -60,126 +62,133 @@
     }
 }
 
-/// An image on a machine, or being fetched to it.
+/// Container image that is on a machine or is being fetched to the machine.
 #[derive(Clone, Debug)]
 pub struct CachedImage {
-    /// Which image.
+    /// Hash of the image's name.
     pub tag: ImageTag,
-    /// Its size in gigabytes.
+    /// Size in gigabytes.
     pub size_gb: f64,
 }
 
-/// A call made to find out whether a worker has restarted.
+/// Direct call that finds out whether a worker has restarted.
 #[derive(Clone, Copy, Debug)]
 pub struct RestartProbe {
-    /// The incarnation and sequence number that were known when the call was made.
+    /// Incarnation and sequence number that were known when the call was made.
     pub known: (u64, u64),
-    /// The call.
+    /// Id of the call.
     pub call: CallId,
 }
 
-/// Direct calls to a machine's worker.
+/// State of the direct calls from the leader to a machine's worker.
 #[derive(Clone, Debug)]
 pub struct DirectCalls {
-    /// The call in flight.
+    /// Call in flight.
     pub in_flight: Option<CallId>,
-    /// No commands are sent by a call before this moment.
+    /// Earliest time at which commands are sent by a direct call again.
     pub retry_not_before: Instant,
-    /// Consecutive calls that got no answer.
+    /// Number of consecutive calls without a response.
     pub failures: u32,
-    /// The probe in flight that shows whether the worker has restarted.
+    /// Probe in flight that finds out whether the worker has restarted.
     pub restart_probe: Option<RestartProbe>,
-    /// The token of the last call that started something.
+    /// Fencing token of the last direct call that carried a command to start a task.
     pub started_under_token: u64,
 }
 
-/// A machine as the leader knows it.
+/// Machine as the leader knows it.
 pub struct Machine {
-    /// Its name, never reused.
+    /// Name of the machine; never reused.
     pub id: MachineId,
-    /// Its worker's address, empty until it is known.
+    /// Network address of the machine's worker; empty until known.
     pub addr: String,
-    /// The name of its type.
+    /// Name of the machine type.
     pub machine_type: String,
-    /// The zone that it is in.
+    /// Zone of the machine.
     pub zone: String,
-    /// Whether the cloud may reclaim it.
+    /// Whether the machine is a spot machine, which the cloud may reclaim.
     pub spot: bool,
-    /// The worker's incarnation in the newest heartbeat; 0 until the first one.
+    /// Worker's incarnation in the newest heartbeat; 0 until the first heartbeat.
     pub incarnation: u64,
-    /// The newest heartbeat's number within the incarnation.
+    /// Sequence number of the newest heartbeat within the incarnation.
     pub sequence: u64,
-    /// When the newest heartbeat came, in answer to a call too.
+    /// Time at which the newest heartbeat arrived, including those in replies to direct calls.
     pub last_heartbeat: Instant,
-    /// Receipt of the last heartbeat answered 200: its lease cannot have begun later.
+    /// Receipt of the last heartbeat that was answered with status 200: the worker's lease began no later than this.
     pub lease_renewed: Instant,
-    /// When the first heartbeat of its incarnation came: it has its lease from when it began, and need not have been
-    /// answered since.
+    /// Time at which the first heartbeat of the incarnation arrived. A worker has a lease from its start on, even if
+    /// none of its heartbeats has been answered yet.
     pub incarnation_since: Instant,
-    /// Its tasks were counted as lost when its lease had run out; the incarnation is over.
+    /// Whether the worker's lease has run out. Its tasks then count as lost, and the incarnation is over.
     pub lease_expired: bool,
-    /// The tasks that are, or may be, on it.
+    /// Tasks that are, or may be, on the machine.
     pub tasks: BTreeMap<TaskId, Placement>,
-    /// Exited tasks in its newest heartbeat.
+    /// Exited tasks in the newest heartbeat.
     pub exited: Vec<ExitedTask>,
-    /// Direct calls to its worker.
+    /// State of the direct calls to the worker.
     pub direct_calls: DirectCalls,
-    /// It gets no tasks before it has shown this token: its last incarnation ended although it was answered,
-    /// or starts are not executed, so answers may not reach it.
+    /// Fencing token that a heartbeat has to contain before the machine gets tasks; set where responses may not reach
+    /// the worker: its last incarnation ended although its heartbeats were answered, or it does not execute commands
+    /// to start tasks.
     pub unconfirmed_token: Option<u64>,
-    /// It has yet to show this term's token, and since when it has been answered with it.
+    /// Time since which the worker has been answered with this term's fencing token without a heartbeat that
+    /// contains the token.
     pub unproven_since: Option<Instant>,
-    /// An earlier leader may have given it tasks that this one has not seen yet.
+    /// Whether the machine may hold tasks of an earlier leader that no heartbeat has shown to this leader yet.
     pub unresolved: bool,
-    /// Something ended on it, or it came up, since its last answer.
+    /// Whether a task has ended on the machine, or the machine has come up, since the last response to its heartbeats.
     pub capacity_freed: bool,
-    /// The highest token that it has shown in this incarnation: a heartbeat with a lower one is older, or of
+    /// Highest fencing token in a heartbeat of this incarnation: a heartbeat with a lower token is older or from
     /// another incarnation.
     pub highest_token: u64,
-    /// It is in the state service and may get tasks.
+    /// Whether the machine is recorded in the state service. Only then may it get tasks, as a later leader has to know
+    /// every machine that may hold tasks.
     pub recorded: bool,
-    /// Raised to outdate direct commands that got no answer: the worker refuses them once it has
-    /// seen the higher token.
+    /// Low bits of the machine's fencing token. The epoch is raised to invalidate direct commands without a response:
+    /// the worker rejects them once it has seen the higher token.
     pub token_epoch: u64,
-    /// Direct commands may still arrive until the worker shows this token.
+    /// Fencing token that a heartbeat has to contain before it is certain that no direct command without a response
+    /// can still arrive.
     pub in_doubt_until_token: Option<u64>,
-    /// The last answer to a heartbeat carried starts that no later heartbeat has confirmed or denied.
+    /// Whether the last response to a heartbeat carried commands to start tasks, and no later heartbeat has shown yet
+    /// whether the worker received them.
     pub start_unconfirmed: bool,
-    /// There are commands for it that should not wait for its next heartbeat.
+    /// Whether there are commands for the machine that should not wait for its next heartbeat.
     pub needs_push: bool,
-    /// When it will be reclaimed, if the cloud gave notice.
+    /// Time of the machine's reclamation, if the cloud has announced it.
     pub reclaim_at: Option<Instant>,
-    /// Since when this leader knows it.
+    /// Time since which this leader knows the machine.
     pub known_since: Instant,
-    /// When the first heartbeat came.
+    /// Time at which the first heartbeat arrived.
     pub up_since: Option<Instant>,
-    /// How old it was when this leader came to know it.
+    /// Age of the machine at `known_since`.
     pub age: Duration,
-    /// When the cloud's list first showed it.
+    /// Time at which the cloud's list first contained the machine.
     pub listed_since: Option<Instant>,
-    /// It is being deleted, and why.
+    /// Reason for the machine's deletion, if it is being deleted.
     pub deleting: Option<DeletionReason>,
-    /// Since when it has no tasks, if it has none.
+    /// Time since which the machine has had no tasks; meaningful only while it has none.
     pub idle_since: Instant,
-    /// Images on it or being fetched, the latest used last.
+    /// Images that are on the machine or being fetched, the most recently used last.
     pub images: Vec<CachedImage>,
-    /// Failures and slow runs that count against placing tasks on it.
+    /// Failures and slow runs, which count against placing tasks on the machine.
     pub fault_history: FaultHistory,
-    /// Whether planning takes it as open for tasks; time alone may change that.
+    /// Whether the planning snapshot shows the machine as open for tasks. The snapshot has to be refreshed when that
+    /// changes, which may happen by the passage of time alone.
     pub schedulable: bool,
-    /// The controller that its newest heartbeat came by; `None`: it sends them to this one.
+    /// Controller that relayed the newest heartbeat; `None` if the worker sends its heartbeats to this controller.
     pub via: Option<Arc<str>>,
-    /// A controller that may answer its heartbeats from memory.
+    /// Controller that may answer the machine's heartbeats without asking the leader.
     pub delegated_to: Option<Arc<str>>,
-    /// That delegation is revoked, and the controller has yet to confirm it.
+    /// Whether that delegation has been revoked, but the controller has not confirmed the revocation yet.
     pub revoked: bool,
-    /// Another controller shows it the token; until then it is not probed from here.
+    /// Time before which this controller does not probe the machine: another controller probes it, or a heartbeat with
+    /// the new token is due.
     pub claimed_until: Option<Instant>,
-    /// It is among the changed machines of the registry.
+    /// Whether the machine is among the changed machines of the registry.
     change_recorded: bool,
 }
 
-/// Whether a task's id as a worker writes it is this task's.
+/// Returns whether a task id as a worker writes it is that of `key`.
 fn is_task(key: &TaskId, text: &str) -> bool {
     text.strip_prefix(&*key.job)
         .and_then(|rest| rest.strip_prefix('/'))
@@ -187,7 +196,7 @@
 }
 
 impl Machine {
-    /// A machine of which nothing more is known yet.
+    /// Creates a machine of which nothing else is known yet.
     pub fn new(id: MachineId, machine_type: &str, zone: &str, spot: bool, now: Instant) -> Machine {
         Machine {
             id,
@@ -238,19 +247,18 @@
         }
     }
 
-    /// The fencing token of whatever is sent to it in this term.
+    /// Returns the fencing token of the commands that are sent to the machine in this term.
     pub fn token(&self, term: u64) -> u64 {
         (term << TOKEN_EPOCH_BITS) | self.token_epoch
     }
 
-    /// How old it is, as far as is known.
+    /// Returns the machine's age, as far as it is known.
     pub fn age_at(&self, now: Instant) -> Duration {
         self.age + now.saturating_duration_since(self.known_since)
     }
 
-    /// Whether a heartbeat contains nothing new, under this term's token: most do not, and with a
-    /// thousand machines that each hold dozens of tasks, processing them in full every time was
-    /// most of a leader's work.
+    /// Returns whether a heartbeat with this term's token contains nothing new. Most heartbeats do not, and with a
+    /// thousand machines of dozens of tasks each, processing all of them in full was most of a leader's work.
     pub(in crate::core) fn is_unchanged_by(&self, heartbeat: &Heartbeat, term: u64) -> bool {
         let is_next_of_incarnation = heartbeat.incarnation == self.incarnation
             && heartbeat.sequence > self.sequence
@@ -272,7 +280,7 @@
             && (heartbeat.tasks.iter()).all(|status| self.has_same_status(status))
     }
 
-    /// Whether a task is as it was in the heartbeat before.
+    /// Returns whether a task's status is the same as in the heartbeat before.
     fn has_same_status(&self, status: &TaskStatus) -> bool {
         if status.state == TaskState::Exited {
             return (self.exited.iter())
@@ -284,8 +292,8 @@
         })
     }
 
-    /// Nothing is open between it and the leader: a heartbeat that says the same as its last one
-    /// would be answered with no commands.
+    /// Returns whether a heartbeat with the same content as the last one would be answered without commands, as the
+    /// machine and the leader await nothing from each other.
     pub(in crate::core) fn is_steady(&self) -> bool {
         self.incarnation > 0
             && self.recorded
@@ -300,18 +308,19 @@
             && (self.tasks.values()).all(|t| t.phase != Phase::Unseen && t.stopping.is_none())
     }
 
-    /// Answers may not reach it: a later token shows that they do.
+    /// Raises the fencing token and requires the worker to report it before the machine gets tasks again, where
+    /// responses may not reach the worker.
     pub(in crate::core) fn require_token_proof(&mut self, term: u64) {
         self.token_epoch += 1;
         self.unconfirmed_token = Some(self.token(term));
     }
 
-    /// No command that was sent can still arrive.
+    /// Returns whether no direct command that was sent can still arrive.
     pub(in crate::core) fn no_command_in_flight(&self) -> bool {
         self.direct_calls.in_flight.is_none() && self.in_doubt_until_token.is_none()
     }
 
-    /// Notes that it is about to change, once until `clear_change_mark`.
+    /// Adds the machine to `changed`, once until `clear_change_mark` is called.
     pub(super) fn mark_changed(&mut self, changed: &mut Vec<MachineId>) -> &mut Machine {
         if !self.change_recorded {
             self.change_recorded = true;
@@ -320,12 +329,13 @@
         self
     }
 
-    /// Its changes so far have been read.
+    /// Clears the mark that `mark_changed` sets, when the registry's changes are read.
     pub(super) fn clear_change_mark(&mut self) {
         self.change_recorded = false;
     }
 
-    /// It can be given tasks now: its last heartbeat is younger than `max_silence`, and nothing is open.
+    /// Returns whether the machine can be given tasks now: its last heartbeat is younger than `max_silence`, its lease
+    /// is valid, it is not about to be removed, and no commands to it are in doubt.
     pub fn is_usable(&self, now: Instant, max_silence: Duration) -> bool {
         let is_recent = |at: Instant| now.saturating_duration_since(at) < max_silence;
         self.incarnation > 0
@@ -336,17 +346,17 @@
             && self.in_doubt_until_token.is_none()
             && self.unconfirmed_token.is_none()
             && is_recent(self.last_heartbeat)
-            // Answers to direct calls renew no lease: without heartbeats, what is started dies with it.
+            // Direct calls do not renew the lease. Without heartbeats it expires, and the worker kills its tasks.
             && (is_recent(self.lease_renewed) || !is_enabled(Safeguard::HeartbeatRequired))
     }
 
-    /// Whether it gets no tasks now because of its latest failures.
+    /// Returns whether the machine gets no tasks now because of its latest failures.
     pub fn is_avoided(&self, now: Instant) -> bool {
         self.fault_history.avoid_until.is_some_and(|t| now < t)
     }
 
-    /// A task uses this image: it is fetched to the machine's cache of `cache_gb`, and the images least
-    /// recently used give way.
+    /// Adds the image of a task to the machine's cache of `cache_gb`, and evicts the least recently used images
+    /// where there is not enough space.
     pub fn use_image(&mut self, tag: ImageTag, size_gb: f64, cache_gb: f64) {
         self.images.retain(|image| image.tag != tag);
         self.images.push(CachedImage { tag, size_gb });
--- a/src/core/machines/machine_list.rs
+++ b/src/core/machines/machine_list.rs
@@ -1,4 +1,4 @@
-//! The cloud's list of machines compared with those the leader knows.
+//! Comparison of the cloud's list of machines with those that the leader knows.
 
 use crate::core::Core;
 use crate::core::leadership::state::LeaderState;
@@ -9,14 +9,14 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-/// Added to twice the list's lag before an absence from it counts.
+/// Margin added to twice the list's lag before a machine's absence from the list counts.
 const LIST_MARGIN: Duration = Duration::from_secs(2);
-/// A machine from which a heartbeat came more lately is not gone, whatever the list says.
+/// Minimum time since the last heartbeat before a machine that the list does not contain counts as gone.
 const MIN_SILENCE_OF_ABSENT: Duration = Duration::from_secs(2);
-/// The greatest age in a list that is believed, in seconds.
+/// Maximum age of a machine that is accepted from a list, in seconds; greater ages are reduced to this.
 const MAX_AGE_S: f64 = 1e7;
 
-/// Machines in a list that are not known, each of which may hold tasks while the store is rebuilt.
+/// Listed machines that the leader does not know. While the store is rebuilt, each of them may hold tasks.
 #[derive(Default)]
 struct UnknownMachines {
     running: Vec<(MachineId, MachineValue)>,
@@ -42,7 +42,8 @@
 }
 
 impl Machine {
-    /// Whether the list has nothing new of it: most machines are listed as they are known.
+    /// Returns whether a list entry in this state contains nothing new about the machine, as is the case for most
+    /// machines.
     fn is_listed_as_known(&self, state: ListedState) -> bool {
         self.incarnation > 0
             && self.listed_since.is_some()
@@ -52,8 +53,8 @@
 
     fn record_listed(&mut self, listed: &ListedMachine, now: Instant) {
         self.listed_since.get_or_insert(now);
-        // Also of machines that an earlier leader provisioned: taken for new, they would be kept
-        // idle for the minute that is paid at least.
+        // The age is applied to machines that an earlier leader provisioned too: as new machines they would be kept
+        // idle for the minute that is charged at least.
         if listed.age_s.is_finite() && listed.age_s >= 0.0 {
             let age = Duration::from_secs_f64(listed.age_s.min(MAX_AGE_S));
             self.age = age.saturating_sub(now.saturating_duration_since(self.known_since));
@@ -67,7 +68,7 @@
 }
 
 impl LeaderState {
-    /// Applies one machine of the list.
+    /// Applies one entry of the list.
     fn observe_listed(&mut self, listed: &ListedMachine, now: Instant) {
         let known = self.machines.get(&listed.id);
         if known.is_some_and(|m| m.is_listed_as_known(listed.state)) {
@@ -86,7 +87,8 @@
         machine.record_listed(listed, now);
     }
 
-    /// The machines that were known to exist before the time that the list tells of, and are not in it.
+    /// Returns the silent machines that existed at the time that the list shows, but are not in the list. That time is
+    /// at most `lag` before `sent`, when the list was requested.
     fn absent_machines(
         &self,
         present: &BTreeSet<MachineId>,
@@ -104,7 +106,7 @@
 }
 
 impl Core {
-    /// Applies the cloud's list of machines, which was asked for at `sent`.
+    /// Applies the cloud's list of machines, which was requested at `sent`.
     pub(super) fn observe_listed_machines(&mut self, sent: Instant, list: &[ListedMachine]) {
         let now = self.now.mono;
         let Some(leader) = &mut self.leader else {
@@ -125,8 +127,8 @@
         self.remove_absent_machines(sent, list);
     }
 
-    /// Deletes the machines that the list shows as failed: they stopped by themselves, but stay in the list
-    /// until they are deleted.
+    /// Removes the machines that the list shows as failed, and schedules their deletion: they have stopped by
+    /// themselves, but stay in the list until they are deleted.
     fn remove_failed_machines(&mut self, list: &[ListedMachine]) {
         let now = self.now.mono;
         let is_deleted =
@@ -143,8 +145,8 @@
         }
     }
 
-    /// The list tells of a time at most twice its lag ago. A machine known to exist before
-    /// that time and absent now is gone.
+    /// Removes the machines that the list no longer contains. The list shows a time at most twice its lag before the
+    /// request: a machine that existed before that time and is not listed is gone.
     fn remove_absent_machines(&mut self, sent: Instant, list: &[ListedMachine]) {
         let now = self.now.mono;
         let lag = self.settings.machine_list_lag * 2 + LIST_MARGIN;
--- a/src/core/machines/machine_types.rs
+++ b/src/core/machines/machine_types.rs
@@ -1,4 +1,5 @@
-//! The cloud's machine types. Every controller knows them, for it has to judge submissions alone at times.
+//! The cloud's machine types. Every controller keeps a list of them, as at times it has to validate submitted jobs
+//! without a leader.
 
 use crate::cloud_client::CloudRequest;
 use crate::core::command::Pending;
@@ -6,15 +7,15 @@
 use crate::wire::MachineType;
 use std::time::Duration;
 
-/// Between two requests while no type is known.
+/// Interval between requests while no type is known.
 const FIRST_REFRESH_INTERVAL: Duration = Duration::from_secs(2);
-/// Between two requests of the leader.
+/// Interval between requests of the leader.
 const LEADER_REFRESH_INTERVAL: Duration = Duration::from_secs(60);
-/// Between two requests of a follower.
+/// Interval between requests of a follower.
 const FOLLOWER_REFRESH_INTERVAL: Duration = Duration::from_secs(600);
 
 impl Core {
-    /// Asks the cloud for its machine types from time to time.
+    /// Requests the machine types from the cloud when a refresh is due.
     pub(in crate::core) fn refresh_machine_types(&mut self) {
         let now = self.now.mono;
         let interval = if self.machine_types.is_empty() {
@@ -39,7 +40,8 @@
         });
     }
 
-    /// Applies the cloud's answer. The leader writes new types to the store, and checks all machines again.
+    /// Applies the machine types that the cloud returned. The leader writes changed types to the store and marks all
+    /// machines as changed.
     pub(in crate::core) fn set_machine_types(&mut self, types: Vec<MachineType>) {
         if types.is_empty() || types == self.machine_types {
             return;
@@ -51,7 +53,7 @@
         self.machine_types = types;
     }
 
-    /// The machine type of this name, if the cloud has it.
+    /// Returns the machine type with this name, if the cloud has one.
     pub(in crate::core) fn type_of(&self, name: &str) -> Option<&MachineType> {
         self.machine_types.iter().find(|t| t.name == name)
     }
--- a/src/core/machines/mod.rs
+++ b/src/core/machines/mod.rs
@@ -1,7 +1,8 @@
-//! Machines as the leader knows them: their record, the detection of failed ones, their removal, and the calls
-//! to the cloud that add and delete them.
+//! Machines as the leader knows them: their state, failure detection, removal, and the calls to the cloud that add
+//! and delete machines.
 //!
-//! `machine`, `placement`, `fault_history` and `registry` are data and import nothing of the logic.
+//! The modules `machine`, `placement`, `fault_history` and `registry` hold data and do not depend on the modules with
+//! the logic.
 
 pub mod cancellation_bound;
 pub mod cloud_calls;
@@ -21,7 +22,7 @@
 use crate::job::MachineId;
 
 impl Core {
-    /// The machine of this id, to be changed, if this controller leads and knows it.
+    /// Returns the machine with this id for modification, if this controller leads and knows the machine.
     pub(in crate::core) fn machine_mut(&mut self, id: &MachineId) -> Option<&mut Machine> {
         self.leader.as_mut()?.machines.get_mut(id)
     }
--- a/src/core/machines/placement.rs
+++ b/src/core/machines/placement.rs
@@ -1,46 +1,47 @@
-//! Tasks that are, or may be, on a machine, and those that ended there.
+//! Tasks that are, or may be, on a machine, and tasks that ended there.
 
 use crate::job::{Resources, TaskId};
 use crate::wire::TaskState;
 use std::time::Instant;
 
-/// Why a task is stopped.
+/// Reason for stopping a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopReason {
-    /// Its job is over, or it should not be here.
+    /// The task's job has ended, or the task should not be on this machine.
     Obsolete,
-    /// Room is needed for other work.
+    /// The task's resources are needed for tasks that take precedence.
     Preempted,
-    /// Its machine will be reclaimed.
+    /// The cloud is about to reclaim the machine.
     Reclamation,
-    /// Its gang has lost a task and starts again.
+    /// The gang has lost another task and restarts as a whole.
     GangRestart,
 }
 
-/// A stop that was decided.
+/// Decision to stop a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Stop {
-    /// Why the task is stopped.
+    /// Reason for the stop.
     pub reason: StopReason,
-    /// When that was first decided.
+    /// Time of the first decision to stop the task.
     pub since: Instant,
 }
 
-/// How far a task on a machine has come.
+/// Execution phase of a task on a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Commanded to start, but in no heartbeat yet: it may run, or may start later.
+    /// The command to start the task was sent, but no heartbeat has contained the task yet: it may be running, or may
+    /// start later.
     Unseen,
-    /// Its image is being fetched.
+    /// The task's image is being fetched.
     Fetching,
-    /// Its program runs.
+    /// The task's program is running.
     Running,
-    /// It saves its progress before it stops.
+    /// The task saves its progress before it stops.
     Saving,
 }
 
 impl Phase {
-    /// The phase that a heartbeat shows.
+    /// Returns the phase that corresponds to a task state in a heartbeat.
     pub(in crate::core) fn of(state: TaskState) -> Phase {
         match state {
             TaskState::Fetching => Phase::Fetching,
@@ -50,37 +51,37 @@
     }
 }
 
-/// A task that is, or may be, on a machine.
+/// Task that is, or may be, on a machine.
 #[derive(Clone, Debug)]
 pub struct Placement {
-    /// Which attempt at the task this is; never reused within a task.
+    /// Number of the attempt at the task; never reused for the same task.
     pub attempt: u64,
-    /// How far it has come, by the newest heartbeat.
+    /// Execution phase, as of the newest heartbeat.
     pub phase: Phase,
-    /// When it was placed here, or found here.
+    /// Time at which the task was placed, or first found, on the machine.
     pub since: Instant,
-    /// When a heartbeat first showed it running.
+    /// Time of the first heartbeat that showed the task running.
     pub running_since: Option<Instant>,
-    /// The stop that was decided, if any.
+    /// Decision to stop the task, if there is one.
     pub stopping: Option<Stop>,
-    /// What it takes; kept here as it holds its room even after its job is over.
+    /// Resources that the task holds; kept here, as the task holds them even after its job has ended.
     pub resources: Resources,
-    /// The team whose limit it counts toward, by its place in the settings.
+    /// Index in the settings of the team whose limit the task counts towards.
     pub team: Option<usize>,
 }
 
 impl Placement {
-    /// Whether its program has begun and not ended.
+    /// Returns whether the task's program has started and not ended.
     pub fn runs(&self) -> bool {
         matches!(self.phase, Phase::Running | Phase::Saving)
     }
 
-    /// Whether it is stopped because it is no longer needed.
+    /// Returns whether the task is being stopped because it is no longer needed.
     pub fn is_obsolete(&self) -> bool {
         (self.stopping).is_some_and(|stop| stop.reason == StopReason::Obsolete)
     }
 
-    /// Decides to stop it. The first reason stays, save that `StopReason::Obsolete` replaces any other.
+    /// Records the decision to stop the task. An earlier reason is kept, unless the new one is `StopReason::Obsolete`.
     pub fn stop(&mut self, reason: StopReason, now: Instant) {
         match &mut self.stopping {
             Some(stop) if reason == StopReason::Obsolete => stop.reason = reason,
@@ -90,13 +91,13 @@
     }
 }
 
-/// A task that ended on a machine and is still in its heartbeats.
+/// Task that ended on a machine and is still in the machine's heartbeats.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ExitedTask {
-    /// The task.
+    /// Id of the task.
     pub key: TaskId,
-    /// Its attempt that ended.
+    /// Number of the attempt that ended.
     pub attempt: u64,
-    /// It may have been started by a direct command that came with this token, or with a lower one.
+    /// Highest fencing token of the direct commands that may have started the attempt.
     pub started_under_token: u64,
 }
--- a/src/core/machines/reclamation.rs
+++ b/src/core/machines/reclamation.rs
@@ -1,4 +1,4 @@
-//! Tasks moved off machines that the cloud has given notice to reclaim.
+//! Moving tasks off machines whose reclamation the cloud has announced.
 
 use crate::core::Core;
 use crate::core::machines::placement::{Placement, StopReason};
@@ -6,14 +6,15 @@
 use crate::job::{JobKind, MachineId, TaskId};
 use std::time::{Duration, Instant};
 
-/// A task that cannot save its progress and has run for less than this loses next to nothing by a stop.
+/// Run time below which a task that cannot save its progress loses next to nothing when it is stopped.
 const NEGLIGIBLE_RUN_TIME: Duration = Duration::from_secs(5);
-/// A task is expected not to end in time if it needs this many times what is left.
+/// A task is likely to end too late if its expected remaining run time exceeds the remaining time by this factor.
 const LIKELY_LATE_FACTOR: f64 = 1.5;
-/// A task that cannot save its progress is stopped only if it needs this many times what is left.
+/// A task that cannot save its progress, and has run for some time, is stopped only if its expected remaining run time
+/// exceeds the remaining time by this factor.
 const CERTAINLY_LATE_FACTOR: u32 = 3;
 
-/// Whether a task is better stopped now, to save its progress or to restart elsewhere, than left on a
+/// Returns whether stopping a task now, to save its progress or to restart it elsewhere, is better than leaving it on a
 /// machine that is reclaimed after `remaining`.
 fn should_move(task: &Placement, job: &JobRecord, remaining: Duration, now: Instant) -> bool {
     if task.stopping.is_some() {
@@ -26,14 +27,14 @@
         task.running_since.is_none() || rest > remaining.mul_f64(LIKELY_LATE_FACTOR);
     let keeps_progress =
         !job.spec.checkpoint_interval.is_zero() || job.spec.job_kind == JobKind::Service;
-    // What cannot save its progress may be lucky and end in time; stopping it early only pays where it
-    // has hardly begun.
+    // A task that cannot save its progress may end earlier than estimated. Stopping it pays only if it has hardly begun
+    // or has no chance to end in time.
     let loses_little = ran < NEGLIGIBLE_RUN_TIME || rest > remaining * CERTAINLY_LATE_FACTOR;
     is_likely_late && (keeps_progress || loses_little)
 }
 
 impl Core {
-    /// Stops work that will not end before its machine is reclaimed.
+    /// Stops the tasks that are unlikely to end before their machine is reclaimed.
     pub(super) fn move_tasks_off_reclaimed(&mut self) {
         let now = self.now.mono;
         let Some(leader) = &mut self.leader else {
--- a/src/core/machines/removal.rs
+++ b/src/core/machines/removal.rs
@@ -1,12 +1,12 @@
-//! Removal of a machine: its lease expires, it is deleted as unresponsive, or it is certain to be gone. Its
-//! tasks are then counted as lost.
+//! Removal of machines: expiry of the worker's lease, scheduled deletion, and removal of machines that are certainly
+//! gone. The tasks of a machine count as lost when its lease expires or when it is gone.
 
 use crate::core::Core;
 use crate::core::machines::machine::{DeletionReason, lease_expiry};
 use crate::job::{MachineId, TaskId};
 
 impl Core {
-    /// The worker's lease has run out: its tasks were killed.
+    /// Handles the expiry of a worker's lease: the worker has killed its tasks.
     pub(in crate::core) fn expire_machine_lease(&mut self, id: &MachineId) {
         let now = self.now.mono;
         let lease_expiry = lease_expiry(self.settings.worker_lease);
@@ -17,8 +17,8 @@
         let Some(machine) = leader.machines.get_mut(id) else {
             return;
         };
-        // Whatever incarnation an earlier leader could know of is over; one that began since may run, and
-        // holds nothing of an earlier leader's.
+        // Every incarnation that an earlier leader may have known is over. An incarnation that began since then may be
+        // running, but holds no tasks of an earlier leader.
         if machine.unresolved && now <= machine.incarnation_since + lease_expiry {
             machine.require_token_proof(term);
         } else {
@@ -30,7 +30,7 @@
         self.resolve_machine(id, "lease expired");
     }
 
-    /// The machine is to be deleted; until that is confirmed, its tasks stay where they are.
+    /// Schedules a machine's deletion. Its tasks count as running there until the cloud confirms the deletion.
     pub(in crate::core) fn schedule_deletion(&mut self, id: &MachineId, reason: DeletionReason) {
         let now = self.now.mono;
         let Some(leader) = &mut self.leader else {
@@ -51,7 +51,7 @@
         leader.scheduler.request_plan();
     }
 
-    /// It is certain that the machine and everything on it is gone.
+    /// Removes a machine that is certainly gone, and counts its tasks as lost.
     pub(in crate::core) fn remove_machine(&mut self, id: &MachineId, cause: &str) {
         let now = self.now.mono;
         let Some(leader) = &mut self.leader else {
--- a/src/core/scheduling/bidding.rs
+++ b/src/core/scheduling/bidding.rs
@@ -1,4 +1,5 @@
-//! Bidding: what starts are worth to waiting and expected work, and the markets cleared.
+//! Bidding: values earlier starts of waiting and expected tasks, and clears these bids against the markets for
+//! machines.
 
 use crate::core::Core;
 use crate::core::leadership::state::LeaderState;
@@ -17,32 +18,34 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// A job takes so many times as long as its average task: as long as the slowest of them.
+/// Assumed ratio of a job's run time, which is that of its slowest task, to the average run time of its tasks.
 const SLOWEST_TASK_FACTOR: f64 = 1.3;
-/// Expected demand arrives in so many waves.
+/// Number of waves in which expected demand is assumed to arrive.
 const WAVES: u32 = 3;
-/// Fewer tasks of a class than this are not worth a forecast.
+/// Minimum number of expected tasks of a class in a wave; fewer are ignored.
 const MIN_EXPECTED_TASKS: f64 = 0.5;
-/// No more tasks of a class than this are expected in a wave.
+/// Maximum number of expected tasks of a class in a wave.
 const MAX_EXPECTED_TASKS: f64 = 1e6;
-/// Nothing is expected beyond this, in seconds.
+/// Maximum forecast horizon, in seconds.
 const MAX_FORECAST_HORIZON_S: f64 = 600.0;
-/// Estimates are often wrong by half; of longer run times than this, by half of this.
+/// Run time up to which the uncertainty of an estimate is half of it, as estimates are often wrong by half; for longer
+/// run times, the uncertainty is half of this.
 const MAX_UNCERTAIN_RUNTIME: Duration = Duration::from_secs(3600);
-/// Objectives that are met for longer than this are met for this long, in seconds.
+/// Maximum time within which a task has to start for an objective, in seconds, to which longer times are reduced.
 const MAX_START_WITHIN_S: f64 = 1e7;
-/// A bid's run time is at least the expected one, and that at least this.
+/// Minimum run time in the bids of services and gangs.
 const MIN_BID_RUNTIME: Duration = Duration::from_secs(1);
 
-/// By when a task has to start for an objective to be met.
+/// Latest start of a task that meets an objective.
 struct StartBound {
-    /// From now on; negative if it is missed.
+    /// Time from now, in seconds; negative if it has passed.
     within_s: f64,
+    /// Uncertainty of that time, caused by that of the run time.
     uncertainty: Duration,
 }
 
-/// By when a task has to start for an objective of the settings to be met; `None` if the
-/// objective is not about its job.
+/// Returns the latest start of a task that meets an objective of the settings, or `None` if the objective does not
+/// apply to the task's job.
 fn start_bound(
     objective: &Objective,
     spec: &JobSpec,
@@ -75,7 +78,7 @@
 }
 
 impl Core {
-    /// What the policy is evaluated with for the machines as a whole.
+    /// Returns the facts that the policy is evaluated with for the machines as a whole.
     pub(in crate::core) fn fleet_facts(&self, leader: &LeaderState) -> FleetFacts {
         FleetFacts {
             machines: leader.machines.values().count() as f64,
@@ -84,8 +87,8 @@
         }
     }
 
-    /// What a later start costs a task of a job: the objectives that it can still meet, by the
-    /// settings, and the policy's value of its time.
+    /// Returns the cost of a later start of a job's task: that of missing the objectives that the task can still meet,
+    /// and the policy's value of its time.
     fn delay_cost(&self, spec: &JobSpec, facts: &JobFacts, runtime: Duration) -> DelayCost {
         let nominal_cost = bids::nominal_cost(&self.machine_types, spec, runtime);
         let weight = self.policy.number(Entry::ObjectiveWeight, facts);
@@ -94,7 +97,7 @@
             let Some(bound) = start_bound(objective, spec, facts, runtime) else {
                 continue;
             };
-            // A missed objective is worth nothing any more.
+            // An objective that is certainly missed has no more influence on the cost.
             if bound.within_s + bound.uncertainty.as_secs_f64() <= 0.0 {
                 continue;
             }
@@ -110,7 +113,7 @@
         DelayCost::new(objectives, time_value)
     }
 
-    /// What one entry of the queue bids.
+    /// Returns the bid of one queue entry.
     pub(super) fn demand_bid(&self, pending: &EntryDemand) -> DemandBid {
         let EntryDemand { entry, demand } = pending;
         let expected_runtime = entry.expected_runtime.max(MIN_BID_RUNTIME);
@@ -122,7 +125,7 @@
         }
     }
 
-    /// What is expected to arrive within `horizon` beyond the usual, in waves.
+    /// Returns bids for the tasks that are expected to arrive within `horizon` beyond the baseline rate, in waves.
     fn expected_demand(&self, leader: &mut LeaderState, horizon: Duration) -> Vec<DemandBid> {
         let now = self.now.mono;
         let wave = horizon / WAVES;
@@ -154,10 +157,10 @@
         expected
     }
 
-    /// What the policy is evaluated with for a job that is expected of a class.
+    /// Returns the facts that the policy is evaluated with for an expected job of a class.
     fn expected_facts(&self, class: &ClassDemand, mean_tasks: f64, runtime: Duration) -> JobFacts {
         let spec = &class.spec;
-        // Owners derive deadlines from their estimates: one job's slack stands for all.
+        // Owners derive deadlines from their estimates, so the newest job's slack is assumed for all jobs of the class.
         let deadline = spec
             .deadline
             .map(|deadline| deadline.saturating_sub(spec.estimate) + runtime);
@@ -179,7 +182,7 @@
         }
     }
 
-    /// Clears what waits and what is expected against the markets.
+    /// Clears the bids of waiting and of expected demand against the markets. Returns the resulting scale-outs.
     pub(super) fn clear_bids(
         &mut self,
         mut demand_bids: Vec<DemandBid>,
@@ -192,8 +195,8 @@
         };
         let facts = self.fleet_facts(&leader);
         market.zone_balance = self.zone_balance(&leader, booting_nodes, &facts);
-        // What spot machines carry bids no more: they are added as soon as waiting is worth one,
-        // for all who may use them, however long they would wait for others.
+        // Spot machines are added first, as soon as waiting costs more than one of them, for every job that may use
+        // them, however long it would wait for other machines. Demand that they will serve does not bid.
         let demands: Vec<PendingDemand> = demand_bids.iter().map(|b| b.demand.clone()).collect();
         let mut counts = autoscaler::plan_spot_scale_out(
             &leader.cluster_snapshot,
@@ -240,7 +243,7 @@
         autoscaler::split_into_requests(counts)
     }
 
-    /// What each zone holds, machines that boot included.
+    /// Returns the capacity of each zone, including machines that are booting.
     fn zone_balance(
         &self,
         leader: &LeaderState,
@@ -261,7 +264,7 @@
         balance
     }
 
-    /// Each market as it is estimated, and what the last clearing has made of all bids.
+    /// Returns the status view of the markets: the estimates of each market, and the result of the last clearing.
     pub(in crate::core) fn markets_view(&self, leader: &LeaderState) -> Value {
         let estimates = &leader.scheduler.bidding.estimates;
         let batches = bids::offer_batches(&self.machine_types, estimates, self.now.mono);
@@ -301,7 +304,7 @@
         })
     }
 
-    /// A machine was lost, or is going to be: its market is less safe than it seemed.
+    /// Records in the estimates of a machine's market that the machine was lost or is about to be.
     pub(in crate::core) fn record_machine_loss(&mut self, id: &MachineId) {
         let now = self.now.mono;
         let Some(leader) = &mut self.leader else {
@@ -315,8 +318,8 @@
     }
 }
 
-/// Puts an expected bid behind what waits at its priority, before lower ones; the order of what
-/// waits stays.
+/// Inserts an expected bid after the waiting ones of the same priority and before those of lower priority. The order of
+/// the waiting bids does not change.
 fn insert_by_priority(demand_bids: &mut Vec<DemandBid>, expected: DemandBid) {
     let priority = expected.demand.priority;
     let last_before = demand_bids
@@ -325,7 +328,7 @@
     demand_bids.insert(last_before.map_or(0, |index| index + 1), expected);
 }
 
-/// Records for the loss rates how many machines of each market there are.
+/// Records the number of machines in each market, from which loss rates are estimated.
 fn record_machine_time(leader: &mut LeaderState, now: Instant) {
     let mut machines: BTreeMap<Offer, u32> = BTreeMap::new();
     for class in leader.cluster_snapshot.classes() {
--- a/src/core/scheduling/bidding_state.rs
+++ b/src/core/scheduling/bidding_state.rs
@@ -1,4 +1,5 @@
-//! What a leader expects of markets and of demand, kept from step to step by it alone.
+//! A leader's estimates of markets and of demand. They are kept between steps, and are not shared with other
+//! controllers.
 
 use crate::job::{JobSpec, Priority};
 use crate::planning::cluster_snapshot::Offer;
@@ -8,31 +9,31 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Demand of one class of jobs, by its newest job.
+/// Estimated demand of one job class, with its newest job as the model of expected ones.
 pub struct ClassDemand {
-    /// How often its jobs arrive, and how large they are.
+    /// Estimated rate of arrivals, and size of the jobs.
     pub arrivals: ArrivalEstimate,
-    /// Its newest job.
+    /// Specification of the class's newest job.
     pub spec: Arc<JobSpec>,
-    /// That job's priority.
+    /// Priority of the class's newest job.
     pub priority: Priority,
 }
 
-/// State of bidding that steps have in common.
+/// State of bidding that is kept between steps.
 #[derive(Default)]
 pub struct BiddingState {
-    /// What is expected of each market.
+    /// Estimates of each market.
     pub estimates: MarketEstimates,
-    /// What is expected to arrive, by class.
+    /// Estimated demand, by job class.
     pub demand_by_class: BTreeMap<String, ClassDemand>,
-    /// The newest clearing, for the status view.
+    /// Result of the last market clearing, for the status view.
     pub last_clearing: Option<ClearingResult>,
-    /// Until when the time that machines were there has been recorded.
+    /// Time up to which machine time has been recorded.
     machine_time_recorded: Option<Instant>,
 }
 
 impl BiddingState {
-    /// A job has arrived that this leader has not seen before.
+    /// Records the arrival of a job that this leader has not seen before.
     pub fn record_arrival(
         &mut self,
         now: Instant,
@@ -53,7 +54,7 @@
         demand.priority = priority;
     }
 
-    /// So many machines of each market were there since the last call.
+    /// Records the number of machines of each market since the last call, as machine time.
     pub fn record_machine_time(&mut self, now: Instant, machines: &BTreeMap<Offer, u32>) {
         if let Some(last) = self.machine_time_recorded.replace(now) {
             let span = now.saturating_duration_since(last);
--- a/src/core/scheduling/deferred_responses.rs
+++ b/src/core/scheduling/deferred_responses.rs
@@ -1,8 +1,8 @@
 //! Responses to heartbeats that wait for the next plan.
 //!
-//! What is placed on a machine that something just ended on then goes into the response to its
-//! heartbeat, and takes no call to the machine. Responses wait no longer than plans are apart at
-//! least.
+//! If a task has just ended on a machine, the response to its heartbeat can then carry the commands to start the tasks
+//! that the plan places there, which saves a direct call to the machine. Responses wait for at most the minimum
+//! interval between plans.
 
 use crate::core::Core;
 use crate::core::scheduling::MIN_PLAN_INTERVAL;
@@ -11,8 +11,8 @@
 use std::time::Duration;
 
 impl Core {
-    /// Takes out of `due` what is to wait for the next plan, and adds what has waited for the
-    /// last one.
+    /// Moves the responses that should wait for the next plan out of `due`, or adds those that have waited to `due` if
+    /// there is no more reason to wait.
     pub(in crate::core) fn defer_responses(&mut self, due: &mut DeferredResponses) {
         let Some(leader) = &mut self.leader else {
             return;
@@ -20,8 +20,7 @@
         let waiting = std::mem::take(&mut leader.scheduler.deferred_responses);
         let scheduler = &leader.scheduler;
         let planned = scheduler.last_plan == Some(self.now.mono) || !scheduler.plan_again;
-        // At a takeover all machines are new, and their responses show them the token: no time
-        // to lose.
+        // During recovery, the responses show the machines the new fencing token, which must not be delayed.
         let is_recovering = !leader.recovery.is_complete();
         if planned || !scheduler.had_startable_jobs || is_recovering {
             due.heartbeats.extend(waiting.heartbeats);
@@ -43,7 +42,7 @@
         leader.scheduler.deferred_responses = deferred;
     }
 
-    /// Time until the next plan, if responses wait for it.
+    /// Returns the time until the next plan, if responses wait for it.
     pub(in crate::core) fn until_next_plan(&self) -> Option<Duration> {
         let scheduler = &self.leader.as_ref()?.scheduler;
         let deferred = &scheduler.deferred_responses;
--- a/src/core/scheduling/gangs.rs
+++ b/src/core/scheduling/gangs.rs
@@ -1,11 +1,11 @@
-//! Gangs that have lost a task.
+//! Restart of gangs that have lost a task.
 
 use crate::core::Core;
 use crate::core::machines::placement::StopReason;
 use crate::job::JobKind;
 
 impl Core {
-    /// Stops what remains of a gang that has lost a task, so that it starts again as a whole.
+    /// Stops the remaining tasks of gangs that have lost a task, so that each gang restarts as a whole.
     pub(super) fn restart_broken_gangs(&mut self) {
         let now = self.now.mono;
         let leader = self.leader.as_ref();
--- a/src/core/scheduling/mod.rs
+++ b/src/core/scheduling/mod.rs
@@ -1,16 +1,17 @@
-//! Scheduling by the leader: snapshots for the pure planning, and its decisions carried out.
+//! Scheduling by the leader: builds the snapshots that the side-effect-free planning works on, and carries out its
+//! decisions.
 //!
-//! - `queue`: which jobs wait, in which order, and what the policy is evaluated with.
-//! - `quotas`: what teams use, and which jobs lie within their guaranteed quotas.
-//! - `run_times`: how long tasks take, from estimates and experience.
-//! - `snapshot`: the cluster snapshot kept current.
-//! - `placement`: the scheduling plan carried out.
-//! - `gangs`: gangs that have lost a task.
-//! - `scaling`: machines added and removed.
-//! - `bidding`, `bidding_state`: markets, what is expected of them, and bids.
+//! - `queue`: the waiting jobs in their order, and the facts that the policy is evaluated with.
+//! - `quotas`: the teams' resource usage, and the jobs within their guaranteed quotas.
+//! - `run_times`: expected run times of tasks, from estimates and earlier run times.
+//! - `snapshot`: updates of the cluster snapshot.
+//! - `placement`: execution of the scheduling plan.
+//! - `gangs`: restart of gangs that have lost a task.
+//! - `scaling`: scale-out for pending demand, and removal of idle machines.
+//! - `bidding`, `bidding_state`: bids for machines, and the estimates of markets and demand behind them.
 //! - `deferred_responses`: responses that wait for the next plan.
-//! - `state`: what planning and scaling carry over from one step to the next.
-//! - `summary`: a line for the log.
+//! - `state`: state that planning and scaling keep between steps.
+//! - `summary`: the cluster summary in the log.
 
 mod bidding;
 pub mod bidding_state;
@@ -28,15 +29,15 @@
 use crate::core::{Core, Work};
 use std::time::Duration;
 
-/// Plans are this far apart at least, so that a flood of small changes is planned together.
+/// Minimum interval between plans, so that a burst of small changes is handled by one plan.
 const MIN_PLAN_INTERVAL: Duration = Duration::from_millis(60);
-/// Without any change, waiting still changes what is best.
+/// Maximum interval between plans. Even without any other change, the best plan changes as jobs wait.
 const MAX_PLAN_INTERVAL: Duration = Duration::from_millis(1000);
-/// Scaling is considered this often.
+/// Interval between scaling decisions.
 const SCALING_INTERVAL: Duration = Duration::from_millis(1000);
 
 impl Core {
-    /// Plans placements and scaling where they are due; called in every step of an acting leader.
+    /// Plans placements and scaling if they are due. Called in every step of an acting leader.
     pub(in crate::core) fn schedule(&mut self) {
         if self.is_plan_due() {
             self.stats.count(Work::Plan, 1);
--- a/src/core/scheduling/placement.rs
+++ b/src/core/scheduling/placement.rs
@@ -1,4 +1,4 @@
-//! The scheduling plan carried out: tasks placed and preempted.
+//! Execution of the scheduling plan: placement and preemption of tasks.
 
 use crate::core::Core;
 use crate::core::leadership::state::LeaderState;
@@ -10,13 +10,13 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Attempt numbers are `term << TERM_SHIFT | count`, so that none is ever used twice.
+/// Position of the term in an attempt number, which is `term << TERM_SHIFT | count`, so that no number is ever reused.
 const TERM_SHIFT: u32 = 32;
 
-/// What is needed of a job in the plan's queue to place its tasks.
+/// Attributes of a job in the planned queue that are needed to place its tasks.
 struct PlannedJob {
     spec: Arc<JobSpec>,
-    /// Its team, by its index in the settings.
+    /// Index of the job's team in the settings.
     team: usize,
 }
 
@@ -32,7 +32,7 @@
         };
         let scheduler = &mut leader.scheduler;
         scheduler.last_plan = Some(now);
-        // A plan is made again at once while tasks are started.
+        // As long as plans start tasks, the next plan follows after the minimum interval.
         scheduler.plan_again = !plan.starts.is_empty();
         scheduler.had_startable_jobs = !jobs.is_empty();
         scheduler.queue_head = plan.head.map(|head| {
@@ -43,7 +43,7 @@
         leader.preempt_planned(plan.preemptions, now);
     }
 
-    /// Makes a scheduling plan. The snapshot shows afterwards what the plan has allocated.
+    /// Makes a scheduling plan. Afterwards the snapshot includes what the plan has allocated.
     fn make_plan(&mut self) -> (SchedulingPlan, Vec<PlannedJob>) {
         let Some(leader) = &mut self.leader else {
             return Default::default();
@@ -83,7 +83,7 @@
         for start in starts {
             let job = &jobs[start.job_index];
             let is_gang = job.spec.job_kind == JobKind::Gang;
-            // The tasks of a gang find one another by their attempt.
+            // The tasks of a gang have the same attempt number, by which they find each other.
             let shares_attempt = is_gang && last_gang == Some(start.job_index);
             if self.start_task(start, job, shares_attempt, machine_types, now) {
                 last_gang = is_gang.then_some(start.job_index);
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Places one task, unless it has been placed already.
+    /// Places one task, unless it has been placed already. Returns whether the task was placed.
     fn start_task(
         &mut self,
         start: &Assignment,
--- a/src/core/scheduling/queue.rs
+++ b/src/core/scheduling/queue.rs
@@ -1,8 +1,7 @@
-//! The job queue: which jobs wait, in which order, and what the policy is evaluated with.
+//! The job queue: the waiting jobs in their order, and the facts that the policy is evaluated with.
 
 use crate::core::Core;
 use crate::core::jobs::job_run::{JobRun, Urgency};
-
 use crate::core::leadership::state::LeaderState;
 use crate::core::store::cache::JobRecord;
 use crate::fault_injection::{Safeguard, is_enabled};
@@ -15,31 +14,31 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant, SystemTime};
 
-/// A policy that lets a job pay so many times the lowest price allows machines of any price.
+/// Price ratio from which on a policy's limit counts as none: the job may use machines of any price.
 const ANY_PRICE_RATIO: f64 = 100.0;
-/// The slack of a job without a deadline.
+/// Slack of a job without a deadline, in seconds.
 const NO_DEADLINE_S: f64 = 1e6;
 
-/// A job in the queue.
+/// Job in the queue.
 pub(super) struct QueueEntry<'a> {
     pub id: &'a JobId,
     pub job: &'a JobRecord,
     pub run: &'a JobRun,
-    /// Its team, by its index in the settings.
+    /// Index of the job's team in the settings.
     pub team: usize,
     /// Expected run time of a task.
     pub expected_runtime: Duration,
     pub facts: JobFacts,
-    /// Its own priority, or that of a job that depends on it.
+    /// Priority of the job, or of a more urgent job that depends on it.
     pub priority: Priority,
-    /// It has been passed over for too long, and comes first with one task.
+    /// Whether the job has been passed over for too long. It then comes first, a job array with a single task.
     pub overdue: bool,
-    /// The policy's order; the lowest comes first.
+    /// Position by the policy among entries of the same precedence; the lowest comes first.
     order: f64,
 }
 
 impl QueueEntry<'_> {
-    /// The order of the queue: by precedence, then by the policy.
+    /// Compares two entries by precedence, and then by the policy's order.
     fn compare(&self, other: &Self) -> Ordering {
         self.precedence()
             .cmp(&other.precedence())
@@ -61,25 +60,26 @@
     }
 }
 
-/// What decides a job's place in the queue before the policy does; the least comes first.
+/// Criteria that determine a job's place in the queue before the policy's order does; the lowest value comes first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Precedence {
-    /// A suspect job is never the head for which room is kept.
+    /// Suspect jobs come last, so that no capacity is reserved for one at the head of the queue.
     is_suspect: bool,
     is_not_overdue: bool,
-    /// `None` for overdue jobs: where more of a high priority waits for too long than there is
-    /// room for, overdue jobs of a low priority would starve.
+    /// `None` for overdue jobs: otherwise, overdue jobs of low priority would starve while more overdue jobs of high
+    /// priority wait than there is capacity for.
     importance: Option<Importance>,
 }
 
-/// Jobs within their teams' quotas come first, then those of higher priority.
+/// Order of jobs that are not overdue: jobs within their teams' quotas come first, then those of higher priority.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Importance {
     is_beyond_quota: bool,
     priority: Priority,
 }
 
-/// Whether the queue contains jobs whose tasks may still run somewhere unobserved.
+/// Whether the queue contains jobs that are blocked by recovery: their tasks may be running without having been
+/// observed.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum BlockedJobs {
     Included,
@@ -87,8 +87,8 @@
 }
 
 impl Core {
-    /// The tightest threshold of a kind that the users' objectives state for a class, in seconds;
-    /// 0 for none.
+    /// Returns the tightest threshold of the users' objectives of this kind for a job class, in seconds; 0 if there is
+    /// none.
     pub(super) fn objective_threshold(&self, class: &str, kind: &str) -> f64 {
         let objectives = self.settings.objectives.iter();
         objectives
@@ -98,7 +98,7 @@
             .map_or(0.0, |threshold| threshold.as_secs_f64())
     }
 
-    /// What the policy is evaluated with for a job.
+    /// Returns the facts that the policy is evaluated with for a job.
     fn job_facts(
         &self,
         job: &JobRecord,
@@ -106,8 +106,7 @@
         urgency: &Urgency,
         expected_runtime: Duration,
     ) -> JobFacts {
-        // Of a job that depends on others, all times but the deadline count from the moment when
-        // it could start.
+        // For a job with dependencies, all times except the deadline count from when its dependencies were done.
         let since = run.ready.map_or(job.submitted, |ready| ready.wall);
         let wait = self.now.wall.duration_since(since).unwrap_or_default();
         let unix_seconds = |time: SystemTime| {
@@ -141,14 +140,14 @@
         }
     }
 
-    /// Whether the job's queued tasks may run somewhere that has not reported yet.
+    /// Returns whether the job's queued tasks may be running on machines that have not reported to this leader yet.
     pub(in crate::core) fn blocked_by_recovery(leader: &LeaderState, job: &JobRecord) -> bool {
         !leader.recovery.is_complete()
             && job.version < leader.key_version
             && is_enabled(Safeguard::RecoveryWait)
     }
 
-    /// Jobs with queued tasks that may be started, in the queue's order.
+    /// Returns the jobs with queued tasks that may be started, in the queue's order.
     pub(super) fn job_queue<'a>(
         &'a self,
         leader: &'a LeaderState,
@@ -184,11 +183,11 @@
         let expected_runtime = self.expected_runtime(leader, job);
         let urgency = leader.urgency_of(id, job);
         let facts = self.job_facts(job, run, &urgency, expected_runtime);
-        // What was tried and failed was not passed over.
+        // A job whose tasks were started and failed was not passed over.
         let overdue = run.failures.is_empty()
             && self.policy.truth(Entry::Overdue, &facts)
             && is_enabled(Safeguard::OverdueFirst);
-        // Among those that were passed over for too long, the one that has waited longest.
+        // Among overdue jobs, the one that has waited longest comes first.
         let longest_first = overdue && is_enabled(Safeguard::LongestWaitingFirst);
         let order = if longest_first {
             facts.submitted
@@ -208,7 +207,7 @@
         }
     }
 
-    /// The queue as the scheduling plan sees it: what may be started now.
+    /// Returns the part of the queue that may be started now, as input of the scheduling plan.
     pub(super) fn startable_jobs<'a>(
         &'a self,
         leader: &'a LeaderState,
@@ -249,8 +248,7 @@
             within_quota: entry.facts.guaranteed,
             may_preempt: self.policy.truth(Entry::MayPreempt, &entry.facts),
             priority_weight: self.policy.number(Entry::PriorityWeight, &entry.facts) as f32,
-            // What was passed over for long takes any room that is there; nothing expensive is
-            // added for it.
+            // An overdue job may use any existing machine. Scaling still adds no expensive machines for it.
             excluded_offers: if entry.overdue {
                 Vec::new()
             } else {
@@ -259,8 +257,8 @@
         }
     }
 
-    /// Offers that are too expensive for a job. Work on idle time is not worth machines that cost
-    /// a multiple of others, neither adding them nor keeping them from being removed.
+    /// Returns the offers that are too expensive for a job. Low-priority work that fills idle capacity does not justify
+    /// machines that cost a multiple of others: they are neither added nor kept for it.
     pub(super) fn excluded_offers(&self, job: &JobRecord, facts: &JobFacts) -> Vec<Offer> {
         let max_ratio = self.policy.number(Entry::MaxPriceRatio, facts);
         if max_ratio >= ANY_PRICE_RATIO {
@@ -270,28 +268,28 @@
     }
 }
 
-/// Whether anything of a queued job may be started now.
+/// Returns whether any task of a queued job may be started now.
 fn is_startable(entry: &QueueEntry, now: Instant) -> bool {
     let run = entry.run;
     let is_backing_off = |until: &Instant| now < *until;
-    // A gang starts as a whole: not while some of it is still elsewhere or held back.
+    // A gang starts as a whole: not while any of its tasks is still on a machine or backing off.
     let is_gang = entry.job.spec.job_kind == JobKind::Gang;
     if is_gang
         && (!run.tasks.assigned().is_empty() || run.backoff_until.values().any(is_backing_off))
     {
         return false;
     }
-    // All tasks of a job with a mistake, tried again and again, filled machines and queues.
+    // Without the back-off, retries of all tasks of a faulty job filled machines and queues.
     !run.is_backing_off(now)
 }
 
-/// Where tasks of a job that is bound to zones are.
+/// Returns the number of a job's tasks in each zone, if the job's placement is constrained by zones.
 fn tasks_per_zone(leader: &LeaderState, job: &JobRecord, run: &JobRun) -> BTreeMap<String, u32> {
     let mut tasks = BTreeMap::new();
     if !job.spec.one_zone && !job.spec.spread {
         return tasks;
     }
-    // Also where a task only may be.
+    // Machines on which a task only may be running count as well.
     let possible = run.tasks.other_machines().map(|(_, machine)| machine);
     let possible = possible.filter(|_| is_enabled(Safeguard::ZoneEligibility));
     for machine in run.tasks.assigned().values().chain(possible) {
@@ -302,7 +300,8 @@
     tasks
 }
 
-/// Nodes on which tasks of a job have failed; a suspect job has failed everywhere.
+/// Returns the nodes on which tasks of a job have failed; none for a suspect job, as its failures are taken to be its
+/// own fault.
 fn avoided_nodes(snapshot: &ClusterSnapshot, run: &JobRun) -> Vec<usize> {
     if run.is_suspect() {
         return Vec::new();
--- a/src/core/scheduling/quotas.rs
+++ b/src/core/scheduling/quotas.rs
@@ -1,4 +1,4 @@
-//! What teams use, and which jobs lie within their teams' guaranteed quotas.
+//! Resource usage of teams, and the jobs within their teams' guaranteed quotas.
 
 use crate::core::Core;
 use crate::core::jobs::job_run::JobRun;
@@ -11,7 +11,7 @@
 use crate::settings::Team;
 use std::time::SystemTime;
 
-/// What is left of a team's quota.
+/// Remaining part of a team's guaranteed quota.
 #[derive(Clone, Copy)]
 struct RemainingQuota {
     cpus: f64,
@@ -19,7 +19,7 @@
 }
 
 impl RemainingQuota {
-    /// A team's whole quota, if it has any.
+    /// Returns a team's whole quota, if it has any.
     fn of(team: &Team) -> Option<RemainingQuota> {
         let has_quota = team.cpus > 0.0 || team.gpus > 0.0;
         has_quota.then_some(RemainingQuota {
@@ -28,7 +28,7 @@
         })
     }
 
-    /// What is left beside this much, if it fits.
+    /// Returns what remains after deducting these resources, or `None` if they do not fit.
     fn without(self, resources: &Resources) -> Option<RemainingQuota> {
         let rest = RemainingQuota {
             cpus: self.cpus - resources.cpus,
@@ -39,7 +39,7 @@
 }
 
 impl Core {
-    /// What every team uses, tasks in doubt and tasks not observed yet included.
+    /// Returns the resource usage of every team, including tasks that may be running without having been observed yet.
     pub(super) fn team_usage(
         &self,
         leader: &LeaderState,
@@ -67,8 +67,8 @@
             }
         }
         if !leader.recovery.is_complete() {
-            // Old tasks that have not been observed yet may run on machines that have not
-            // reported: no more than those machines hold, and no more than there are.
+            // Tasks of earlier terms that have not been observed yet may run on machines that have not reported. Their
+            // usage is limited by the capacity of those machines and by the requests of those tasks.
             let capacity = self.unobserved_capacity(leader);
             let tasks = self.unobserved_tasks(leader);
             for (team, tasks) in usage.iter_mut().zip(tasks) {
@@ -79,8 +79,8 @@
         usage
     }
 
-    /// By team, what tasks hold that an earlier leader may have started and that have not been
-    /// observed yet.
+    /// Returns, by team, the resources of tasks that an earlier leader may have started and that have not been observed
+    /// yet.
     fn unobserved_tasks(&self, leader: &LeaderState) -> Vec<Resources> {
         let mut unobserved = vec![Resources::default(); self.settings.teams.len()];
         for (id, run) in leader
@@ -97,7 +97,7 @@
                 unobserved[team].add(&job.spec.resources.times(tasks));
             }
         }
-        // So may tasks of jobs that were cancelled shortly before.
+        // Tasks of jobs that were cancelled recently may still be running as well.
         if is_enabled(Safeguard::ResidualUsage) {
             for residual in self.store_cache.residual_tasks.values() {
                 if let Some(team) = self.settings.team_index(&residual.team) {
@@ -109,7 +109,7 @@
         unobserved
     }
 
-    /// Room of machines that may hold tasks and have not reported to this leader yet.
+    /// Returns the capacity of the machines that may hold tasks and have not reported to this leader yet.
     pub(super) fn unobserved_capacity(&self, leader: &LeaderState) -> Resources {
         let mut capacity = Resources::default();
         if leader.recovery.is_complete() {
@@ -128,8 +128,8 @@
         capacity
     }
 
-    /// Finds the jobs that fit into their team's quota together with the team's earlier
-    /// unfinished ones. That changes only when a job arrives, becomes ready or ends.
+    /// Determines the jobs that fit into their team's quota together with the team's earlier unfinished jobs. The
+    /// result changes only when a job arrives, becomes ready or ends.
     pub(super) fn update_quotas(&mut self) {
         let Some(leader) = &mut self.leader else {
             return;
@@ -147,7 +147,7 @@
             }
         }
         jobs.sort_by(|a, b| (a.0, a.1).cmp(&(b.0, b.1)));
-        // Nothing is left of a team's quota once a job of it does not fit.
+        // Once a job does not fit, none of the team's later jobs are within the quota.
         let teams = self.settings.teams.iter();
         let mut quotas: Vec<Option<RemainingQuota>> = teams.map(RemainingQuota::of).collect();
         for (_, _, job, run) in jobs {
--- a/src/core/scheduling/run_times.rs
+++ b/src/core/scheduling/run_times.rs
@@ -1,4 +1,4 @@
-//! How long tasks take: estimates corrected by experience, and experience recorded.
+//! Expected run times of tasks: users' estimates, corrected by the recorded run times of earlier tasks.
 
 use crate::core::Core;
 use crate::core::jobs::job_run::JobRun;
@@ -11,21 +11,22 @@
 use crate::planning::cluster_snapshot::fetch_seconds;
 use std::time::Duration;
 
-/// A task that has been asked to stop is expected to end after this.
+/// Expected time to the end of a task that is being stopped.
 const STOPPING_TIME: Duration = Duration::from_secs(1);
-/// Shorter run times count as this long in comparisons, in seconds.
+/// Minimum run time in comparisons, in seconds, to which shorter ones are raised.
 const MIN_COMPARED_RUNTIME_S: f64 = 0.1;
 
 impl Core {
-    /// Expected run time of a job's tasks: its user's estimate, corrected by how the class's
-    /// estimates have held so far.
+    /// Returns the expected run time of a job's tasks: the user's estimate, corrected by the ratio of actual run times
+    /// to estimates in the job's class.
     pub(super) fn expected_runtime(&self, leader: &LeaderState, job: &JobRecord) -> Duration {
         let ratio = leader.scheduler.runtime_ratios.get(&job.spec.class);
         let factor = ratio.map_or(1.0, RuntimeRatio::factor);
         job.spec.estimate.mul_f64(factor)
     }
 
-    /// Expected time to a task's end; `None` for services and overruns.
+    /// Returns the expected time to a task's end, or `None` for services and for tasks that have exceeded their
+    /// expected run time.
     pub(super) fn time_to_end(
         &self,
         leader: &LeaderState,
@@ -52,7 +53,7 @@
         Some(runtime + Duration::from_secs_f64(fetch_s).saturating_sub(waited))
     }
 
-    /// Records that a task of a machine has run to its end.
+    /// Records the run time of a task that has run to its end on a machine.
     pub(in crate::core) fn record_run_time(
         &mut self,
         machine: &MachineId,
@@ -83,9 +84,9 @@
     }
 }
 
-/// Adds a run time to those of its job. Returns by how much its logarithm deviates from their
-/// average before: tasks of one job differ among themselves, so a machine is compared with its
-/// peers only by the average of many.
+/// Adds a run time to those of its job. Returns the deviation of its logarithm from the job's previous average, once
+/// there is one. A single deviation says little about the machine, as the tasks of a job differ among themselves; only
+/// the average of many does.
 fn record_log_run_time(run: &mut JobRun, ran_s: f64) -> Option<f64> {
     let log_run_time = ran_s.max(MIN_COMPARED_RUNTIME_S).ln();
     let average = run.run_times.mean();
--- a/src/core/scheduling/scaling.rs
+++ b/src/core/scheduling/scaling.rs
@@ -1,4 +1,4 @@
-//! Scaling: machines added for pending demand, and idle ones removed.
+//! Scaling: adds machines for pending demand, and removes idle ones.
 
 use crate::core::Core;
 use crate::core::leadership::state::LeaderState;
@@ -13,34 +13,35 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Machines from which a new leader has received no heartbeat for this long no longer delay bidding.
+/// Time after which machines that have not reported to a new leader no longer delay bidding.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(8);
-/// A new leader requests no machines before it has a list of those there are, or for this long.
+/// Time for which a new leader waits for the list of existing machines before it requests new ones without it.
 const LIST_TIMEOUT: Duration = Duration::from_secs(3);
-/// Most requests for machines that are under way at a time.
+/// Maximum number of scale-out requests in flight.
 const MAX_SCALE_OUTS_IN_FLIGHT: usize = 8;
-/// A wait shorter than this part of a boot cannot be helped by adding machines.
+/// Minimum wait that scaling tries to shorten, as a fraction of the fastest boot time: adding machines cannot help with
+/// shorter waits.
 const MIN_WAIT_PER_BOOT: f64 = 0.6;
-/// Announced times above this are taken for this, in seconds.
+/// Maximum boot time and wait, in seconds, to which longer ones are reduced.
 const MAX_TIME_S: f64 = 1e6;
-/// Idle timeouts above this are taken for this, in seconds.
+/// Maximum idle timeout, in seconds, to which longer ones are reduced.
 const MAX_IDLE_TIMEOUT_S: f64 = 1e7;
-/// No more tasks of a job than this are counted at a time.
+/// Maximum number of tasks of a job that count as pending demand.
 const MAX_TASKS: f64 = 1e6;
-/// The expected run time of work that never gives its room to other tasks of its job.
+/// Expected run time of services and gangs, whose tasks never leave their resources to other tasks of the same job.
 const UNBOUNDED_RUNTIME: Duration = match Duration::MAX.checked_div(4) {
     Some(runtime) => runtime,
     None => Duration::MAX,
 };
 
-/// A queue entry with what of it waits for room.
+/// Queue entry with its pending demand.
 pub(super) struct EntryDemand<'a> {
     pub entry: QueueEntry<'a>,
     pub demand: PendingDemand,
 }
 
 impl Core {
-    /// Adds machines for what waits, and removes idle ones.
+    /// Adds machines for pending demand, and removes idle ones.
     pub(super) fn scale_machines(&mut self) {
         let now = self.now.mono;
         self.update_quotas();
@@ -82,7 +83,7 @@
         }
     }
 
-    /// What the cloud offers now. Zones that cannot be reached are closed to bids.
+    /// Returns the present state of the cloud's offers. Unreachable zones are closed to bids.
     fn offer_market(&mut self) -> OfferMarket {
         let now = self.now.mono;
         let unreachable_zones = match &self.leader {
@@ -103,8 +104,8 @@
         }
     }
 
-    /// Zones in which most machines are silent, or do not receive what they are sent: they are of
-    /// no more use than silent ones.
+    /// Returns the zones in which most machines are unreachable: no heartbeats arrive from them, or responses may not
+    /// reach them, which makes them no more useful than silent ones.
     fn unreachable_zones(&self, leader: &LeaderState) -> Vec<String> {
         #[derive(Default)]
         struct ZoneMachines {
@@ -128,13 +129,15 @@
             .collect()
     }
 
-    /// Whether a new leader knows enough of what runs to bid: until then all of it seems to wait.
+    /// Returns whether a new leader knows enough of the running tasks to bid; until then, all of them appear to be
+    /// waiting.
     fn may_bid(&self, leader: &LeaderState) -> bool {
         let leader_for = self.now.mono.saturating_duration_since(leader.since);
         leader.recovery.is_complete() || leader_for > RECOVERY_TIMEOUT
     }
 
-    /// Idle machines that nothing pending could use. A new leader first learns what there is.
+    /// Returns the idle machines that no pending task could use; none until a new leader has completed its recovery and
+    /// has received heartbeats for two intervals.
     fn unneeded_machines(&self, demands: &[PendingDemand]) -> Vec<MachineId> {
         let Some(leader) = &self.leader else {
             return Vec::new();
@@ -150,7 +153,8 @@
         autoscaler::plan_scale_in(&leader.cluster_snapshot, demands, now, idle_timeout)
     }
 
-    /// Requests machines, unless too many requests are under way or nothing is known of the cloud.
+    /// Requests machines, unless too many requests are in flight or this leader has not received the list of existing
+    /// machines yet.
     fn request_machines(&mut self, scale_outs: Vec<ScaleOut>) {
         let Some(leader) = &self.leader else { return };
         let leader_for = self.now.mono.saturating_duration_since(leader.since);
@@ -164,7 +168,7 @@
         }
     }
 
-    /// How long an idle machine is kept, by the policy.
+    /// Returns how long the policy keeps an idle machine.
     fn idle_timeout(&self, leader: &LeaderState, id: &MachineId) -> Duration {
         let Some(machine) = leader.machines.get(id) else {
             return Duration::ZERO;
@@ -189,7 +193,7 @@
         Duration::from_secs_f64(timeout_s.clamp(0.0, MAX_IDLE_TIMEOUT_S))
     }
 
-    /// Machines that have been requested and have no names yet.
+    /// Returns the machines that have been requested, but have no ids yet.
     fn booting_nodes(&self, leader: &LeaderState) -> Vec<BootingNodes> {
         let requests = leader
             .cloud
@@ -209,7 +213,7 @@
             .collect()
     }
 
-    /// What waits for room, in the queue's order, within the teams' limits.
+    /// Returns the demand that waits for capacity, in the queue's order and within the teams' limits.
     fn pending_demand<'a>(&'a self, leader: &'a LeaderState) -> Vec<EntryDemand<'a>> {
         let teams = self.team_usage(leader, &leader.cluster_snapshot);
         let mut spare_cpus: Vec<f64> = teams
@@ -222,8 +226,8 @@
         let boot_times = self.machine_types.iter().map(|t| t.boot_s);
         let fastest_boot_s = boot_times.fold(f64::INFINITY, f64::min);
         let mut demands = Vec::new();
-        // Machines that have not reported to a new leader may be running what it does not see;
-        // what they cannot hold waits for certain, and adding machines for it need not wait.
+        // Machines that have not reported to a new leader may be running tasks that it cannot see. Tasks that exceed
+        // their capacity are certainly waiting, so machines for those can be added at once.
         let mut unobserved = self.unobserved_capacity(leader);
         for entry in self.job_queue(leader, BlockedJobs::Included) {
             if entry.run.is_suspect() {
@@ -271,7 +275,7 @@
         }
     }
 
-    /// Offers refused a short while ago, for the status view.
+    /// Returns the offers that the cloud has refused recently, for the status view.
     pub(in crate::core) fn refused_offers(&self) -> Vec<Offer> {
         let Some(leader) = &self.leader else {
             return Vec::new();
--- a/src/core/scheduling/snapshot.rs
+++ b/src/core/scheduling/snapshot.rs
@@ -1,4 +1,4 @@
-//! The cluster snapshot kept current.
+//! Updates of the cluster snapshot from the leader's state.
 
 use crate::core::Core;
 use crate::core::leadership::state::LeaderState;
@@ -9,15 +9,15 @@
 use crate::wire::MachineType;
 use std::time::Duration;
 
-/// Machines take about so many times as long to boot as their type announces.
+/// Approximate ratio of actual boot times to those that the machine types announce.
 const BOOT_FACTOR: f64 = 1.1;
-/// Announced boot times above this are taken for this, in seconds.
+/// Maximum boot time, in seconds, to which longer announced times are reduced.
 const MAX_BOOT_S: f64 = 1e6;
-/// How much delay, in seconds, it is worth to avoid a machine for each task that failed on it.
+/// Delay, in seconds, that is worth accepting to avoid a machine, per task that failed on the machine.
 const FAILURE_PENALTY_S: f64 = 4.0;
 
 impl Core {
-    /// Takes what has changed about machines into the cluster snapshot.
+    /// Applies the changes of machines to the cluster snapshot.
     pub(in crate::core) fn refresh_snapshot(&mut self) {
         let Some(leader) = &mut self.leader else {
             return;
@@ -47,7 +47,7 @@
         leader.cluster_snapshot = snapshot;
     }
 
-    /// A machine as the snapshot shows it; `None` while its type is unknown.
+    /// Returns the node for a machine, or `None` while the machine's type is unknown.
     fn node_of(
         &self,
         snapshot: &mut ClusterSnapshot,
@@ -129,7 +129,7 @@
     }
 }
 
-/// Whether a machine holds nothing, and nothing is in flight to it.
+/// Returns whether a machine holds no tasks, and no commands to it can still arrive.
 fn is_idle(machine: &Machine, usage: NodeUsage) -> bool {
     machine.tasks.is_empty()
         && machine.incarnation > 0
--- a/src/core/scheduling/state.rs
+++ b/src/core/scheduling/state.rs
@@ -1,4 +1,4 @@
-//! What planning and scaling carry over from one step to the next. Data.
+//! State that planning and scaling keep between steps. This module holds data only.
 
 use crate::core::jobs::statistics::{ArrivalRate, RuntimeRatio};
 use crate::core::scheduling::bidding_state::BiddingState;
@@ -7,37 +7,37 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// What planning and scaling carry over from one step to the next.
+/// State that planning and scaling keep between steps.
 pub struct SchedulerState {
-    /// How many task attempts this leadership has started.
+    /// Number of the last task attempt that this leader started, within its term.
     pub(in crate::core::scheduling) attempts: u64,
-    /// When the last planning round was.
+    /// Time of the last plan.
     pub(in crate::core::scheduling) last_plan: Option<Instant>,
-    /// Something has changed since then.
+    /// Whether something that planning depends on has changed since the last plan.
     pub(in crate::core::scheduling) plan_again: bool,
-    /// Which jobs lie within their team's guarantee is to be determined again.
+    /// Whether the set of jobs within their teams' guaranteed quotas has to be determined again.
     pub(in crate::core::scheduling) guarantees_changed: bool,
-    /// Tasks were left without a machine by the last planning round.
+    /// Whether the queue contained startable jobs at the last plan.
     pub(in crate::core::scheduling) had_startable_jobs: bool,
-    /// Responses to machines that were freed wait for the next planning round, so that they carry the commands to
-    /// start what it places there.
+    /// Responses to heartbeats of machines with newly freed capacity. They wait for the next plan, so that they can
+    /// carry the commands to start the tasks that it places there.
     pub(in crate::core::scheduling) deferred_responses: DeferredResponses,
-    /// When the number of machines was last decided on.
+    /// Time of the last scaling decision.
     pub(in crate::core::scheduling) last_scaling: Option<Instant>,
-    /// When the status was last logged.
+    /// Time at which the cluster summary was last logged.
     pub(in crate::core::scheduling) last_summary_log: Option<Instant>,
-    /// The head of the queue and when it may start, for the status view.
+    /// Job at the head of the queue and the expected time until it starts, for the status view.
     pub queue_head: Option<(JobId, Option<Duration>)>,
-    /// How actual run times compare with estimates, by class.
+    /// Ratios of actual run times to estimates, by job class.
     pub runtime_ratios: BTreeMap<String, RuntimeRatio>,
-    /// How often jobs arrive.
+    /// Rate at which jobs arrive.
     pub arrivals: ArrivalRate,
-    /// What is believed of the machine market, and bid there.
+    /// State of bidding for machines.
     pub bidding: BiddingState,
 }
 
 impl SchedulerState {
-    /// Of a leadership that begins now.
+    /// Creates the state of a leader whose term begins now.
     pub(in crate::core) fn new(arrivals: ArrivalRate) -> SchedulerState {
         SchedulerState {
             attempts: 0,
@@ -55,29 +55,29 @@
         }
     }
 
-    /// Something has changed that planning depends on.
+    /// Requests a plan, as something that planning depends on has changed.
     pub(in crate::core) fn request_plan(&mut self) {
         self.plan_again = true;
     }
 
-    /// Has the next step plan, however short ago the last planning round was.
+    /// Makes the next step plan, regardless of the time of the last plan.
     #[cfg(test)]
     pub(in crate::core) fn plan_at_once(&mut self) {
         self.plan_again = true;
         self.last_plan = None;
     }
 
-    /// Has the next step decide again on the number of machines.
+    /// Makes the next step decide on scaling again.
     pub(in crate::core) fn scale_at_once(&mut self) {
         self.last_scaling = None;
     }
 
-    /// Something has changed that teams' guarantees depend on.
+    /// Requests that the jobs within their teams' guaranteed quotas are determined again.
     pub(in crate::core) fn invalidate_guarantees(&mut self) {
         self.guarantees_changed = true;
     }
 
-    /// Takes the responses that wait for a planning round, of which there will be none.
+    /// Takes the responses that wait for the next plan, for when this leader makes no more plans.
     pub(in crate::core) fn take_deferred_responses(&mut self) -> DeferredResponses {
         std::mem::take(&mut self.deferred_responses)
     }
--- a/src/core/scheduling/summary.rs
+++ b/src/core/scheduling/summary.rs
@@ -1,4 +1,4 @@
-//! A summary of the cluster for the log.
+//! Periodic summary of the cluster in the log.
 
 use crate::core::Core;
 use crate::core::machines::machine::Machine;
@@ -6,11 +6,11 @@
 use crate::job::Resources;
 use std::time::Duration;
 
-/// The summary is logged this often.
+/// Interval between summaries.
 const SUMMARY_INTERVAL: Duration = Duration::from_secs(10);
 
 impl Core {
-    /// Logs one line on machines, tasks and jobs now and then.
+    /// Logs the summary of machines, tasks and jobs if it is due.
     pub(super) fn log_summary(&mut self) {
         let now = self.now.mono;
         let Some(leader) = &mut self.leader else {
