--- a/src/core/machines/machine.rs
+++ b/src/core/machines/machine.rs
@@ -7,7 +7,7 @@
 use crate::core::store::cache::MachineValue;
 use crate::fault_injection::{Safeguard, is_enabled};
 use crate::job::{MachineId, TaskId};
-use crate::planning::cluster_snapshot::ImageTag;
+use crate::planning::cluster_snapshot::ImageHash;
 use crate::wire::{Heartbeat, TaskState, TaskStatus};
 use std::collections::BTreeMap;
 use std::fmt;
@@ -66,7 +66,7 @@
 #[derive(Clone, Debug)]
 pub struct CachedImage {
     /// Hash of the image's name.
-    pub tag: ImageTag,
+    pub tag: ImageHash,
     /// Size in gigabytes.
     pub size_gb: f64,
 }
@@ -357,7 +357,7 @@
 
     /// Adds the image of a task to the machine's cache of `cache_gb`, and evicts the least recently used images
     /// where there is not enough space.
-    pub fn use_image(&mut self, tag: ImageTag, size_gb: f64, cache_gb: f64) {
+    pub fn use_image(&mut self, tag: ImageHash, size_gb: f64, cache_gb: f64) {
         self.images.retain(|image| image.tag != tag);
         self.images.push(CachedImage { tag, size_gb });
         let mut total: f64 = self.images.iter().map(|image| image.size_gb).sum();
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -138,7 +138,7 @@
         let write_budget = RateLimiter::new(writes, now.mono);
         let share = settings.store_rps / (settings.peers.len() as f64 + 1.0);
         let read_budget = RateLimiter::new(share * USER_READS_SHARE, now.mono);
-        let delegating = policy.fleet_truth(Entry::DelegateWorkers, &FleetFacts::default());
+        let delegating = policy.fleet_boolean(Entry::DelegateWorkers, &FleetFacts::default());
         let peers = settings.peers.iter();
         let members = peers.map(|p| (p.name.clone(), p.zone.clone()));
         let members = MembershipView::new(members, DELEGATE_TIMEOUTS);
--- a/src/core/scheduling/placement.rs
+++ b/src/core/scheduling/placement.rs
@@ -5,7 +5,7 @@
 use crate::core::machines::placement::{Phase, Placement, StopReason};
 use crate::job::{JobKind, JobSpec, TaskId};
 use crate::planning::backfill::{self, Assignment, Preemption, SchedulingPlan};
-use crate::planning::cluster_snapshot::image_tag;
+use crate::planning::cluster_snapshot::image_hash;
 use crate::wire::MachineType;
 use std::sync::Arc;
 use std::time::Instant;
@@ -122,7 +122,7 @@
         let mut types = machine_types.iter();
         let machine_type = types.find(|t| t.name == machine.machine_type);
         let cache_gb = machine_type.map_or(0.0, |t| t.cache_gb);
-        machine.use_image(image_tag(&spec.image), spec.image_gb, cache_gb);
+        machine.use_image(image_hash(&spec.image), spec.image_gb, cache_gb);
         let placement = Placement {
             attempt,
             phase: Phase::Unseen,
--- a/src/core/scheduling/queue.rs
+++ b/src/core/scheduling/queue.rs
@@ -8,7 +8,7 @@
 use crate::job::{JobId, JobKind, Priority};
 use crate::planning::autoscaler;
 use crate::planning::backfill::QueuedJob;
-use crate::planning::cluster_snapshot::{ClusterSnapshot, Offer, image_tag};
+use crate::planning::cluster_snapshot::{ClusterSnapshot, Offer, image_hash};
 use crate::policy::{Entry, JobFacts};
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
@@ -185,7 +185,7 @@
         let facts = self.job_facts(job, run, &urgency, expected_runtime);
         // A job whose tasks were started and failed was not passed over.
         let overdue = run.failures.is_empty()
-            && self.policy.truth(Entry::Overdue, &facts)
+            && self.policy.boolean(Entry::Overdue, &facts)
             && is_enabled(Safeguard::OverdueFirst);
         // Among overdue jobs, the one that has waited longest comes first.
         let longest_first = overdue && is_enabled(Safeguard::LongestWaitingFirst);
@@ -235,7 +235,7 @@
         let is_overdue_array = entry.overdue && job.spec.job_kind == JobKind::Array;
         QueuedJob {
             spec: job.spec.clone(),
-            image: image_tag(&job.spec.image),
+            image: image_hash(&job.spec.image),
             team: entry.team,
             priority: entry.priority,
             queued: run.tasks.queued(),
@@ -246,7 +246,7 @@
             tasks_per_zone: tasks_per_zone(leader, job, run),
             avoided_nodes: avoided_nodes(snapshot, run),
             within_quota: entry.facts.guaranteed,
-            may_preempt: self.policy.truth(Entry::MayPreempt, &entry.facts),
+            may_preempt: self.policy.boolean(Entry::MayPreempt, &entry.facts),
             priority_weight: self.policy.number(Entry::PriorityWeight, &entry.facts) as f32,
             // An overdue job may use any existing machine. Scaling still adds no expensive machines for it.
             excluded_offers: if entry.overdue {
--- a/src/core/scheduling/scaling.rs
+++ b/src/core/scheduling/scaling.rs
@@ -58,7 +58,7 @@
         }
         let is_bidding = self
             .policy
-            .fleet_truth(Entry::Bidding, &self.fleet_facts(leader));
+            .fleet_boolean(Entry::Bidding, &self.fleet_facts(leader));
         let pending = self.pending_demand(leader);
         let mut demand_bids = Vec::new();
         if is_bidding {
--- a/src/core/scheduling/snapshot.rs
+++ b/src/core/scheduling/snapshot.rs
@@ -31,7 +31,7 @@
                 let machine = leader.machines.get(&id);
                 match machine.and_then(|m| self.node_of(&mut snapshot, leader, m)) {
                     Some(node) => {
-                        updated.push((id, node.usage == NodeUsage::Open));
+                        updated.push((id, node.usage == NodeUsage::Schedulable));
                         snapshot.put(node);
                     }
                     None => snapshot.remove(&id),
@@ -91,15 +91,15 @@
             machine.deleting.is_some() || machine.reclaim_at.is_some() || machine.lease_expired;
         let has_never_reported = machine.incarnation == 0 && !machine.unresolved;
         if leader.accepts_tasks(machine, self.now.mono, heartbeat_interval) {
-            NodeUsage::Open
+            NodeUsage::Schedulable
         } else if is_leaving {
-            NodeUsage::Closed
+            NodeUsage::Removing
         } else if has_never_reported || !machine.recorded {
             let boot_s = (machine_type.boot_s * BOOT_FACTOR).min(MAX_BOOT_S);
             let remaining = Duration::from_secs_f64(boot_s).saturating_sub(machine.age);
             NodeUsage::Booting(machine.known_since + remaining)
         } else {
-            NodeUsage::Resting
+            NodeUsage::Unschedulable
         }
     }
 
@@ -135,6 +135,6 @@
         && machine.incarnation > 0
         && machine.direct_calls.in_flight.is_none()
         && machine.in_doubt_until_token.is_none()
-        && usage != NodeUsage::Closed
+        && usage != NodeUsage::Removing
         && !machine.unresolved
 }
--- a/src/core/simulation/randomized.rs
+++ b/src/core/simulation/randomized.rs
@@ -263,7 +263,7 @@
 
 impl ScheduleRun {
     fn new(seed: u64) -> ScheduleRun {
-        let policy = Policy::with("history", "delegate = true").unwrap();
+        let policy = Policy::parse("history", "delegate = true").unwrap();
         let mut simulation = Simulation::with_policy(seed, policy);
         simulation.add_machines("small", 6);
         simulation.until(10.0, "a leader", |simulation| simulation.leader().is_some());
--- a/src/core/simulation/recorded_decisions.rs
+++ b/src/core/simulation/recorded_decisions.rs
@@ -284,7 +284,7 @@
 
 /// Plays a schedule with three controllers and four machines, and records what is decided in it.
 fn record(case: &Recorded, schedule: impl Fn(&mut Simulation, u64)) -> Recording {
-    let policy = Policy::with("recorded", case.policy).unwrap();
+    let policy = Policy::parse("recorded", case.policy).unwrap();
     let mut simulation = Simulation::with_policy(case.seed, policy);
     simulation.recorder = Some(DecisionRecorder::new(simulation.now));
     simulation.add_machines("small", 4);
--- a/src/core/simulation/scale.rs
+++ b/src/core/simulation/scale.rs
@@ -29,7 +29,7 @@
 
 /// So many machines, none of which can be provisioned, and who leads.
 fn cluster_with_leader(seed: u64, policy: &str, machines: usize) -> (Simulation, usize) {
-    let mut simulation = Simulation::with_policy(seed, Policy::with("scale", policy).unwrap());
+    let mut simulation = Simulation::with_policy(seed, Policy::parse("scale", policy).unwrap());
     simulation.capacity.clear();
     simulation.add_machines("small", machines);
     let leader = simulation.run_until_leader(5.0);
--- a/src/core/simulation/scenarios/bidding.rs
+++ b/src/core/simulation/scenarios/bidding.rs
@@ -10,7 +10,7 @@
 /// Three controllers that bid, with a leader; nothing is provisioned yet.
 pub fn bidding_cluster(seed: u64, entries: &str) -> (Simulation, usize) {
     let text = format!("bidding = true\nworth = 10\n{entries}");
-    let mut simulation = Simulation::with_policy(seed, Policy::with("story", &text).unwrap());
+    let mut simulation = Simulation::with_policy(seed, Policy::parse("story", &text).unwrap());
     let leader = simulation.run_until_leader(4.0);
     (simulation, leader)
 }
--- a/src/core/simulation/scenarios/cancellation.rs
+++ b/src/core/simulation/scenarios/cancellation.rs
@@ -239,7 +239,7 @@
         cancel: Duration::from_secs(6),
     };
     for cloud_down in [false, true] {
-        let policy = Policy::with("short", "delegate = true\nidle_keep = 600").unwrap();
+        let policy = Policy::parse("short", "delegate = true\nidle_keep = 600").unwrap();
         let mut simulation = Simulation::with_setup(1010, policy, setup);
         simulation.capacity.clear();
         simulation.add_machines("small", 4);
--- a/src/core/simulation/scenarios/cancellation_at_handover.rs
+++ b/src/core/simulation/scenarios/cancellation_at_handover.rs
@@ -202,7 +202,7 @@
         // A worker's lease, the time for which a leader may act on its last proof, and a moment.
         cancel: Duration::from_millis(13_700),
     };
-    let policy = Policy::with("handover", &policy).unwrap();
+    let policy = Policy::parse("handover", &policy).unwrap();
     let mut simulation = Simulation::with_setup(1310, policy, setup);
     simulation.capacity.clear();
     simulation.add_machines("small", 12);
--- a/src/core/simulation/scenarios/cancellation_in_outage.rs
+++ b/src/core/simulation/scenarios/cancellation_in_outage.rs
@@ -231,7 +231,7 @@
         nodes: case.nodes,
         cancel: CANCELLATION_LIMIT,
     };
-    let policy = Policy::with("gap", &policy).unwrap();
+    let policy = Policy::parse("gap", &policy).unwrap();
     let mut simulation = Simulation::with_setup(seed, policy, setup);
     simulation.capacity.clear();
     simulation.add_machines("small", JOBS);
--- a/src/core/simulation/scenarios/delegation.rs
+++ b/src/core/simulation/scenarios/delegation.rs
@@ -12,7 +12,7 @@
 
 /// With or without controllers that serve workers for the leader.
 pub fn policy(delegate: bool) -> Policy {
-    Policy::with("story", &format!("delegate = {delegate}")).unwrap()
+    Policy::parse("story", &format!("delegate = {delegate}")).unwrap()
 }
 
 /// Three controllers with a leader, and so many machines that have sent heartbeats; none can be provisioned.
--- a/src/core/simulation/scenarios/late_writes.rs
+++ b/src/core/simulation/scenarios/late_writes.rs
@@ -141,7 +141,7 @@
 /// Machines that are up within a moment are given work while writes lag, and the leader ends: each is on
 /// record before its first task, so that the next leader asks it before it starts anything again.
 fn new_machines_while_writes_lag(late_writes: f64, slow: Duration, ends_after: u64) -> u32 {
-    let policy = Policy::with("new", "delegate = true\nidle_keep = 600").unwrap();
+    let policy = Policy::parse("new", "delegate = true\nidle_keep = 600").unwrap();
     let mut simulation = Simulation::with_policy(1240 + ends_after, policy);
     simulation.boot_time = Duration::from_millis(400);
     let leader = simulation.run_until_leader(3.0);
--- a/src/core/simulation/scenarios/loss_of_store.rs
+++ b/src/core/simulation/scenarios/loss_of_store.rs
@@ -18,7 +18,7 @@
 
 fn six_machines_with(seed: u64, policy: &str) -> (Simulation, usize) {
     crate::core::simulation::enable_log();
-    let mut simulation = Simulation::with_policy(seed, Policy::with("losses", policy).unwrap());
+    let mut simulation = Simulation::with_policy(seed, Policy::parse("losses", policy).unwrap());
     simulation.add_machines("small", 6);
     let leader = simulation.run_until_leader(3.0);
     (simulation, leader)
--- a/src/core/simulation/scenarios/machine_failures.rs
+++ b/src/core/simulation/scenarios/machine_failures.rs
@@ -97,7 +97,7 @@
 /// The only machine that fits has failed with a job that fails everywhere; a sound one that comes later does not
 /// wait for it for a minute and a half.
 fn only_machine_has_failed() {
-    let policy = Policy::with("avoided", "idle_keep = 600").unwrap();
+    let policy = Policy::parse("avoided", "idle_keep = 600").unwrap();
     let mut simulation = Simulation::with_policy(1350, policy);
     simulation.capacity.clear();
     simulation.add_machine("small", "a");
--- a/src/core/simulation/scenarios/mod.rs
+++ b/src/core/simulation/scenarios/mod.rs
@@ -46,7 +46,7 @@
 /// Three controllers that serve workers for one another, and eight machines; none can be provisioned.
 pub fn eight_machines(seed: u64) -> (Simulation, usize) {
     crate::core::simulation::enable_log();
-    let policy = Policy::with("added", "delegate = true\nidle_keep = 600").unwrap();
+    let policy = Policy::parse("added", "delegate = true\nidle_keep = 600").unwrap();
     let mut simulation = Simulation::with_policy(seed, policy);
     simulation.capacity.clear();
     simulation.add_machines("small", 8);
--- a/src/core/simulation/scenarios/scheduling.rs
+++ b/src/core/simulation/scenarios/scheduling.rs
@@ -213,7 +213,7 @@
 fn overload_with_urgent_work() {
     crate::core::simulation::enable_log();
     let text = "delegate = true\nidle_keep = 600";
-    let mut simulation = Simulation::with_policy(1001, Policy::with("room", text).unwrap());
+    let mut simulation = Simulation::with_policy(1001, Policy::parse("room", text).unwrap());
     simulation.capacity.clear();
     simulation.add_machines("small", 3);
     // At two and a half times the price for twice the room: dear to work that has no aim.
@@ -253,7 +253,7 @@
 /// A task may be on another machine than the one that is known first: the zone of that counts as well where a
 /// job's tasks are to be together.
 fn one_zone_job_with_uncertain_task() {
-    let policy = Policy::with("zones", "idle_keep = 600").unwrap();
+    let policy = Policy::parse("zones", "idle_keep = 600").unwrap();
     let mut simulation = Simulation::with_policy(1360, policy);
     simulation.capacity.clear();
     let first = simulation.add_machine("small", "b");
--- a/src/core/simulation/scenarios/size.rs
+++ b/src/core/simulation/scenarios/size.rs
@@ -28,7 +28,7 @@
 const TASKS: usize = 19;
 
 fn policy() -> Arc<Policy> {
-    Arc::new(Policy::with("size", "delegate = true\nidle_keep = 600").unwrap())
+    Arc::new(Policy::parse("size", "delegate = true\nidle_keep = 600").unwrap())
 }
 
 fn large(settings: Settings) -> Arc<Settings> {
@@ -142,7 +142,7 @@
 /// would resign.
 #[test]
 fn a_new_leader_asks_6000_machines_that_do_not_report() {
-    let mut simulation = recorded(Policy::with("size", "delegate = false").unwrap());
+    let mut simulation = recorded(Policy::parse("size", "delegate = false").unwrap());
     let unreachable = simulation.workers.values_mut().skip(RESPONSIVE);
     unreachable.for_each(|m| m.outbound_partitioned = true);
     simulation.until(10.0, "a leader", |simulation| simulation.leader().is_some());
@@ -186,7 +186,7 @@
 
 /// All controllers end, and all workers come to one of those that follow, which leads then, or doesn't.
 fn heartbeats_after_an_end_of_all(leads: bool) {
-    let mut simulation = recorded(Policy::with("size", "delegate = true").unwrap());
+    let mut simulation = recorded(Policy::parse("size", "delegate = true").unwrap());
     simulation.until(10.0, "a leader", |simulation| simulation.leader().is_some());
     simulation.run(2.0);
     for node in 0..3 {
--- a/src/core/workers/heartbeats/task_transitions.rs
+++ b/src/core/workers/heartbeats/task_transitions.rs
@@ -5,7 +5,7 @@
 use crate::core::machines::placement::{Phase, Placement, StopReason};
 use crate::core::{Core, record};
 use crate::job::{JobKind, MachineId, Resources, TaskId};
-use crate::planning::cluster_snapshot::image_tag;
+use crate::planning::cluster_snapshot::image_hash;
 use crate::wire::{ExitCause, TaskStatus};
 use std::time::{Duration, Instant};
 
@@ -109,7 +109,7 @@
         let (resources, team) = if let Some(job) = self.store_cache.jobs.get(&key.job) {
             let spec = &job.spec;
             let cache_gb = machine_type.map_or(0.0, |t| t.cache_gb);
-            machine.use_image(image_tag(&spec.image), spec.image_gb, cache_gb);
+            machine.use_image(image_hash(&spec.image), spec.image_gb, cache_gb);
             (spec.resources, Some(spec.team.as_str()))
         } else if let Some(residual) = self.store_cache.residual_tasks.get(&key.job) {
             (residual.resources, Some(residual.team.as_str()))
--- a/src/planning/backfill/node_search.rs
+++ b/src/planning/backfill/node_search.rs
@@ -66,7 +66,7 @@
     fn score(&self, snapshot: &ClusterSnapshot, job: &QueuedJob, node_index: usize) -> Option<f64> {
         let node = snapshot.node(node_index);
         let mut score = self.class_penalties_s[node.class]?;
-        if node.usage != NodeUsage::Open || !job.spec.resources.fits(&node.free) {
+        if node.usage != NodeUsage::Schedulable || !job.spec.resources.fits(&node.free) {
             return None;
         }
         let class = snapshot.class_of(node_index);
--- a/src/planning/backfill/preemption.rs
+++ b/src/planning/backfill/preemption.rs
@@ -134,7 +134,7 @@
 ) -> BTreeMap<usize, PreemptionCandidates> {
     let mut by_node = BTreeMap::new();
     for (node_index, node) in step.snapshot.nodes() {
-        let is_usable = node.usage == NodeUsage::Open
+        let is_usable = node.usage == NodeUsage::Schedulable
             && job.accepts(&step.snapshot.classes()[node.class])
             && !job.avoided_nodes.contains(&node_index);
         if !is_usable {
@@ -173,7 +173,7 @@
     let mut tasks: Vec<(Duration, TaskPosition, usize)> = Vec::new();
     let open = snapshot
         .nodes()
-        .filter(|(_, node)| node.usage == NodeUsage::Open);
+        .filter(|(_, node)| node.usage == NodeUsage::Schedulable);
     for (node_index, node) in open {
         for (task_index, task) in node.tasks.iter().enumerate() {
             if let Some(team) = task.team {
--- a/src/planning/backfill/queue.rs
+++ b/src/planning/backfill/queue.rs
@@ -1,7 +1,7 @@
 //! The queue as a scheduling step sees it: jobs with queued tasks, and what teams may use.
 
 use crate::job::{EPSILON, JobSpec, Priority, Resources};
-use crate::planning::cluster_snapshot::{ImageTag, MachineClass, Offer};
+use crate::planning::cluster_snapshot::{ImageHash, MachineClass, Offer};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -14,7 +14,7 @@
     /// Its effective priority, which decides what may be preempted for it.
     pub priority: Priority,
     /// The tag of its image.
-    pub image: ImageTag,
+    pub image: ImageHash,
     /// Its team, by its index in the settings.
     pub team: usize,
     /// Indices of its queued tasks.
--- a/src/planning/backfill/reservation.rs
+++ b/src/planning/backfill/reservation.rs
@@ -28,7 +28,7 @@
         let accepted: Vec<bool> = snapshot.classes().iter().map(|c| job.accepts(c)).collect();
         let is_usable = |node_index: usize| {
             let node = snapshot.node(node_index);
-            node.usage == NodeUsage::Open && accepted[node.class]
+            node.usage == NodeUsage::Schedulable && accepted[node.class]
         };
         // How many of its tasks fit where; only nodes with room for one are of interest.
         let mut task_capacity: BTreeMap<usize, u32> = BTreeMap::new();
--- a/src/planning/backfill/tests.rs
+++ b/src/planning/backfill/tests.rs
@@ -160,7 +160,7 @@
         id: id.into(),
         class,
         free,
-        usage: NodeUsage::Open,
+        usage: NodeUsage::Schedulable,
         images: vec![],
         active_fetches: 0,
         fault_penalty_s: 0.0,
--- a/src/planning/capacity_forecast.rs
+++ b/src/planning/capacity_forecast.rs
@@ -246,7 +246,7 @@
             if after > horizon {
                 break;
             }
-            let is_closed = self.snapshot.node(node_index).usage == NodeUsage::Closed;
+            let is_closed = self.snapshot.node(node_index).usage == NodeUsage::Removing;
             if is_closed || !self.is_reachable(node_index) {
                 continue;
             }
@@ -289,7 +289,7 @@
     fn add_preemptible(&mut self) -> Vec<usize> {
         let mut nodes = Vec::new();
         let open = self.snapshot.nodes();
-        for (node_index, node) in open.filter(|(_, node)| node.usage == NodeUsage::Open) {
+        for (node_index, node) in open.filter(|(_, node)| node.usage == NodeUsage::Schedulable) {
             let is_preemptible = |priority: Priority| priority == Priority::Low;
             for task in &node.tasks {
                 if is_preemptible(task.priority) && !task.stopping {
--- a/src/planning/cluster_snapshot.rs
+++ b/src/planning/cluster_snapshot.rs
@@ -21,10 +21,10 @@
 }
 
 /// A hash of an image's name. A collision could only make a fetch look cheaper than it is.
-pub type ImageTag = u64;
+pub type ImageHash = u64;
 
 /// The tag of an image's name.
-pub fn image_tag(name: &str) -> ImageTag {
+pub fn image_hash(name: &str) -> ImageHash {
     let mut hasher = DefaultHasher::new();
     name.hash(&mut hasher);
     hasher.finish()
@@ -67,13 +67,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NodeUsage {
     /// It accepts tasks.
-    Open,
+    Schedulable,
     /// It boots and is expected to accept tasks from this moment on.
     Booting(Instant),
     /// It accepts no tasks now, but room that becomes free on it will be usable.
-    Resting,
+    Unschedulable,
     /// It is being removed; only what it still holds counts.
-    Closed,
+    Removing,
 }
 
 /// A machine as placement and autoscaling see it.
@@ -88,7 +88,7 @@
     /// What it can be used for.
     pub usage: NodeUsage,
     /// Images that are on the machine or being fetched.
-    pub images: Vec<ImageTag>,
+    pub images: Vec<ImageHash>,
     /// How many fetches share the machine's download rate now.
     pub active_fetches: usize,
     /// How much delay, in seconds, it is worth to avoid the machine for its past faults.
@@ -219,7 +219,7 @@
             *self.tasks_by_priority.entry(task.priority).or_default() += 1;
         }
         match node.usage {
-            NodeUsage::Open if node.free.cpus > MIN_ROOM && node.free.ram > MIN_ROOM => {
+            NodeUsage::Schedulable if node.free.cpus > MIN_ROOM && node.free.ram > MIN_ROOM => {
                 self.open.insert(node_index);
             }
             NodeUsage::Booting(_) => {
@@ -294,7 +294,7 @@
 
     /// Allocates room for one more task, until the node is replaced. Returns whether the node
     /// has to fetch the image for it.
-    pub fn allocate(&mut self, node_index: usize, resources: &Resources, image: ImageTag) -> bool {
+    pub fn allocate(&mut self, node_index: usize, resources: &Resources, image: ImageHash) -> bool {
         self.count_inspected(1);
         let node = self.node_mut(node_index);
         node.free.sub(resources);
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -110,13 +110,13 @@
 impl Policy {
     /// The built-in policy.
     pub fn built_in() -> Policy {
-        Policy::with(BUILT_IN_NAME, "")
+        Policy::parse(BUILT_IN_NAME, "")
             .unwrap_or_else(|error| unreachable!("built-in policy: {error}"))
     }
 
     /// The built-in policy with the entries of `text` in place of its own. `file` is what errors
     /// call the text.
-    pub fn with(file: &str, text: &str) -> Result<Policy, PolicyError> {
+    pub fn parse(file: &str, text: &str) -> Result<Policy, PolicyError> {
         let base =
             parse(BUILT_IN).map_err(|fault| PolicyError::locate(BUILT_IN_NAME, BUILT_IN, fault))?;
         let own = parse(text).map_err(|fault| PolicyError::locate(file, text, fault))?;
@@ -139,7 +139,7 @@
             file: file.clone(),
             source,
         })?;
-        Ok(Policy::with(&file, &text)?)
+        Ok(Policy::parse(&file, &text)?)
     }
 
     /// What is in force, one entry a line.
@@ -188,7 +188,7 @@
     }
 
     /// The value of a boolean entry on a job.
-    pub fn truth(&self, entry: Entry, facts: &JobFacts) -> bool {
+    pub fn boolean(&self, entry: Entry, facts: &JobFacts) -> bool {
         self.value(entry, &facts.values()) != 0.0
     }
 
@@ -198,7 +198,7 @@
     }
 
     /// The value of a boolean entry on all machines together.
-    pub fn fleet_truth(&self, entry: Entry, facts: &FleetFacts) -> bool {
+    pub fn fleet_boolean(&self, entry: Entry, facts: &FleetFacts) -> bool {
         self.value(entry, &facts.values()) != 0.0
     }
 
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 fn fault(text: &str) -> (usize, usize, String) {
-    let e = Policy::with("p", text).unwrap_err();
+    let e = Policy::parse("p", text).unwrap_err();
     (e.line, e.column, e.reason)
 }
 
@@ -38,16 +38,16 @@
     let deploy = include_str!("../../deploy/service.toml");
     assert!(deploy.contains("--policy deploy/service.policy "));
     let text = include_str!("../../deploy/service.policy");
-    let p = Policy::with("deploy/service.policy", text).unwrap();
+    let p = Policy::parse("deploy/service.policy", text).unwrap();
     for entry in [Entry::Bidding, Entry::DelegateWorkers] {
-        assert!(p.fleet_truth(entry, &FleetFacts::default()));
-        assert!(!Policy::built_in().fleet_truth(entry, &FleetFacts::default()));
+        assert!(p.fleet_boolean(entry, &FleetFacts::default()));
+        assert!(!Policy::built_in().fleet_boolean(entry, &FleetFacts::default()));
     }
 }
 
 #[test]
 fn expressions_are_evaluated_and_a_failing_one_falls_back() {
-    let p = Policy::with(
+    let p = Policy::parse(
         "p",
         "merit = 1 + 2 * 3 - 4 / 2  # 5\norder = if wait > 3 and not guaranteed then -1 else 10 / wait\n",
     )
@@ -65,7 +65,7 @@
     assert_eq!(p.number(Entry::QueueOrder, &f), -1.0);
     f.guaranteed = true;
     assert_eq!(p.number(Entry::QueueOrder, &f), 2.5);
-    assert!(p.truth(Entry::MayPreempt, &f));
+    assert!(p.boolean(Entry::MayPreempt, &f));
     assert!(
         p.describe()
             .contains("merit = 1 + 2 * 3 - 4 / 2\n    [file")
