--- a/src/core/scheduling/bidding.rs
+++ b/src/core/scheduling/bidding.rs
@@ -207,7 +207,7 @@
             |demand| demand.spec.spot,
         );
         let booting_nodes =
-            autoscaler::with_scale_outs(booting_nodes, &counts, &self.machine_types);
+            autoscaler::with_planned_nodes(booting_nodes, &counts, &self.machine_types);
         let horizon_s = self.policy.fleet_number(Entry::ForecastHorizon, &facts);
         if horizon_s > 0.0 {
             let horizon = Duration::from_secs_f64(horizon_s.min(MAX_FORECAST_HORIZON_S));
--- a/src/planning/autoscaler.rs
+++ b/src/planning/autoscaler.rs
@@ -100,7 +100,7 @@
     let prefers_spot = |d: &PendingDemand| d.spec.spot && d.max_spot_wait < d.max_wait;
     let mut counts =
         plan_spot_scale_out(snapshot, booting_nodes, demands, market, now, prefers_spot);
-    let booting_nodes = with_scale_outs(booting_nodes, &counts, &market.types);
+    let booting_nodes = with_planned_nodes(booting_nodes, &counts, &market.types);
     let unserved = unserved_demand(
         snapshot,
         &booting_nodes,
@@ -154,16 +154,16 @@
 fn is_spot_available(market: &OfferMarket) -> bool {
     let mut spot_types = market.types.iter().filter(|t| t.spot_price.is_some());
     spot_types.any(|machine_type| {
-        let is_open = |zone: &String| {
+        let is_available = |zone: &String| {
             let offer = Offer::new(&machine_type.name, zone, true);
             !market.refused.contains(&offer)
         };
-        machine_type.zones.iter().any(is_open)
+        machine_type.zones.iter().any(is_available)
     })
 }
 
 /// The machines that boot, once those in `counts` have been requested as well.
-pub fn with_scale_outs(
+pub fn with_planned_nodes(
     booting_nodes: &[BootingNodes],
     counts: &BTreeMap<Offer, u32>,
     types: &[MachineType],
@@ -219,9 +219,9 @@
     let mut remaining = tasks;
     while remaining > 0 {
         let price_per_task = |priced: &PricedOffer| {
-            let taken = f64::from(counts.get(&priced.offer).copied().unwrap_or(0));
-            let used = f64::from(priced.fit.min(remaining));
-            priced.effective_price / used * (1.0 + REPETITION_SURCHARGE * taken)
+            let already_chosen = f64::from(counts.get(&priced.offer).copied().unwrap_or(0));
+            let usable_slots = f64::from(priced.fit.min(remaining));
+            priced.effective_price / usable_slots * (1.0 + REPETITION_SURCHARGE * already_chosen)
         };
         let cheapest = offers
             .iter()
@@ -249,7 +249,7 @@
         }
         // The time before a machine does anything useful is paid for as well.
         let fetch = fetch_seconds(spec.image_gb, machine_type.fetch_gb_per_s);
-        let useful = EXPECTED_USE_S / (EXPECTED_USE_S + machine_type.boot_s + fetch);
+        let useful_share = EXPECTED_USE_S / (EXPECTED_USE_S + machine_type.boot_s + fetch);
         let surcharged_tasks = f64::from(fit.min(MAX_SURCHARGED_TASKS) - 1);
         let size_factor = 1.0 + SIZE_SURCHARGE * surcharged_tasks;
         for zone in &machine_type.zones {
@@ -266,7 +266,7 @@
                 if is_permitted {
                     offers.push(PricedOffer {
                         offer,
-                        effective_price: price * zone_factor / useful * size_factor,
+                        effective_price: price * zone_factor / useful_share * size_factor,
                         fit,
                     });
                 }
@@ -290,7 +290,7 @@
             .map(|since| now.saturating_duration_since(since));
         idle.is_some_and(|idle| idle > idle_timeout(&node.id))
     };
-    let is_unwanted = |node_index: &usize| {
+    let is_unneeded = |node_index: &usize| {
         let (node, class) = (snapshot.node(*node_index), snapshot.class_of(*node_index));
         let could_use = |demand: &PendingDemand| {
             demand.accepts(&class.offer) && demand.spec.resources.fits(&node.free)
@@ -300,7 +300,7 @@
     snapshot
         .idle()
         .filter(has_timed_out)
-        .filter(is_unwanted)
+        .filter(is_unneeded)
         .map(|node_index| snapshot.node(node_index).id.clone())
         .collect()
 }
--- a/src/planning/backfill/knapsack.rs
+++ b/src/planning/backfill/knapsack.rs
@@ -33,7 +33,7 @@
 }
 
 impl Cell {
-    fn with(&self, item: &KnapsackItem) -> Cell {
+    fn with_item(&self, item: &KnapsackItem) -> Cell {
         Cell {
             used: self.used + item.size as u16,
             shadow_used: self.shadow_used + item.shadow_size as u16,
@@ -124,8 +124,9 @@
                 if item.size > capacity || item.shadow_size > shadow_capacity || item.size == 0 {
                     continue;
                 }
-                let rest = grid.index(capacity - item.size, shadow_capacity - item.shadow_size);
-                let with = self.previous[rest].with(item);
+                let remainder =
+                    grid.index(capacity - item.size, shadow_capacity - item.shadow_size);
+                let with = self.previous[remainder].with_item(item);
                 if with.is_better_than(&without) {
                     self.current[cell] = with;
                     selected[cell / 64] |= 1 << (cell % 64);
--- a/src/planning/backfill/lookahead.rs
+++ b/src/planning/backfill/lookahead.rs
@@ -23,7 +23,7 @@
 const EPSILON: f64 = 1e-9;
 
 /// A queue entry that fits somewhere: one task, or a gang with all of its tasks.
-struct Entry {
+struct Candidate {
     job_index: usize,
     /// `None` for a gang.
     task_index: Option<u32>,
@@ -45,44 +45,48 @@
         .copied()
         .filter(|n| step.snapshot.node(*n).free.cpus > 0.0)
         .collect();
-    let entries = fitting_entries(step, &nodes, queue, head, reservation);
-    if entries.is_empty() {
+    let candidates = fitting_candidates(step, &nodes, queue, head, reservation);
+    if candidates.is_empty() {
         return Vec::new();
     }
-    let scale = KnapsackScale::new(step.snapshot, &nodes, queue, &entries);
+    let scale = KnapsackScale::new(step.snapshot, &nodes, queue, &candidates);
     let capacity = scale.free_units(step.snapshot, &nodes);
     if capacity == 0 {
         return Vec::new();
     }
     let shadow_capacity = reservation.map_or(0, |reservation| {
-        let gained = scale.freed_units(step.snapshot, reservation);
-        (capacity + gained).saturating_sub(scale.job_size(&queue[head]))
+        let freed_units = scale.freed_units(step.snapshot, reservation);
+        (capacity + freed_units).saturating_sub(scale.job_size(&queue[head]))
     });
-    let item = |entry: &Entry| {
-        let job = &queue[entry.job_index];
+    let item = |candidate: &Candidate| {
+        let job = &queue[candidate.job_index];
         let size = scale.job_size(job);
         KnapsackItem {
             size,
-            shadow_size: if entry.outlasts_reservation { size } else { 0 },
+            shadow_size: if candidate.outlasts_reservation {
+                size
+            } else {
+                0
+            },
             priority_weight: job.priority_weight,
         }
     };
-    let items: Vec<KnapsackItem> = entries.iter().map(item).collect();
+    let items: Vec<KnapsackItem> = candidates.iter().map(item).collect();
     let selected = select_items(&items, capacity, shadow_capacity, tables);
-    let selected = selected.into_iter().map(|index| &entries[index]);
+    let selected = selected.into_iter().map(|index| &candidates[index]);
     start_selected(step, &nodes, queue, selected, reservation)
 }
 
 /// The first entries behind the head that fit, within their teams' limits. The head's other
 /// tasks are as large as the one that did not fit.
-fn fitting_entries(
+fn fitting_candidates(
     step: &StepContext,
     nodes: &[usize],
     queue: &[QueuedJob],
     head: usize,
     reservation: Option<&Reservation>,
-) -> Vec<Entry> {
-    let mut entries: Vec<Entry> = Vec::new();
+) -> Vec<Candidate> {
+    let mut candidates: Vec<Candidate> = Vec::new();
     let mut team_usage = step.teams.to_vec();
     for (job_index, job) in queue.iter().enumerate().skip(head + 1) {
         let resources = &job.spec.resources;
@@ -94,17 +98,17 @@
             continue;
         }
         let outlasts_reservation = reservation.is_some_and(|reservation| {
-            job.spec.estimate.is_zero() || job.expected_runtime > reservation.after
+            job.spec.estimate.is_zero() || job.expected_runtime > reservation.starts_in
         });
         for task_index in job.startable_tasks(step.now) {
             if !team_usage[job.team].allows(resources, job.tasks_per_entry()) {
                 break;
             }
-            if entries.len() >= LOOKAHEAD {
-                return entries;
+            if candidates.len() >= LOOKAHEAD {
+                return candidates;
             }
             team_usage[job.team].add(resources, f64::from(job.tasks_per_entry()));
-            entries.push(Entry {
+            candidates.push(Candidate {
                 job_index,
                 task_index: (!job.all_or_nothing).then_some(task_index),
                 outlasts_reservation,
@@ -114,7 +118,7 @@
             }
         }
     }
-    entries
+    candidates
 }
 
 /// The unit of room in which the dynamic program counts.
@@ -132,18 +136,18 @@
         snapshot: &ClusterSnapshot,
         nodes: &[usize],
         queue: &[QueuedJob],
-        entries: &[Entry],
+        candidates: &[Candidate],
     ) -> KnapsackScale {
         let largest = snapshot.largest_capacity();
-        let share = |e: &Entry| queue[e.job_index].spec.resources.dominant_share(&largest);
-        let shares = entries.iter().map(share).filter(|share| *share > 0.0);
+        let share = |c: &Candidate| queue[c.job_index].spec.resources.dominant_share(&largest);
+        let shares = candidates.iter().map(share).filter(|share| *share > 0.0);
         let unit = shares.fold(COARSEST_UNIT, |unit: f64, share| {
             unit.min(share / UNITS_PER_SMALLEST_TASK)
         });
         let mut scale = KnapsackScale { largest, unit };
-        let requested: usize = entries
+        let requested: usize = candidates
             .iter()
-            .map(|e| scale.job_size(&queue[e.job_index]))
+            .map(|c| scale.job_size(&queue[c.job_index]))
             .sum();
         // No set uses more room than all entries together, so the tables need no more units.
         let side = scale.free_units(snapshot, nodes).min(requested);
@@ -185,13 +189,13 @@
 
     /// Units that become free by the shadow time.
     fn freed_units(&self, snapshot: &ClusterSnapshot, reservation: &Reservation) -> usize {
-        let gained = |(node_index, freed): (usize, &Resources)| {
+        let freed_units = |(node_index, freed): (usize, &Resources)| {
             let now = snapshot.node(node_index).free;
             let mut then = now;
             then.add(freed);
             self.units(&then).saturating_sub(self.units(&now))
         };
-        reservation.freed().map(gained).sum()
+        reservation.freed().map(freed_units).sum()
     }
 }
 
@@ -201,42 +205,44 @@
     step: &mut StepContext,
     nodes: &[usize],
     queue: &mut [QueuedJob],
-    selected: impl Iterator<Item = &'a Entry>,
+    selected: impl Iterator<Item = &'a Candidate>,
     reservation: Option<&Reservation>,
 ) -> Vec<Assignment> {
     let mut starts = Vec::new();
     // What is allocated to work that ends by the shadow time is there again for the head.
-    let mut returned: BTreeMap<usize, Resources> = BTreeMap::new();
-    for entry in selected {
-        let job = &mut queue[entry.job_index];
+    let mut released_before_head: BTreeMap<usize, Resources> = BTreeMap::new();
+    for candidate in selected {
+        let job = &mut queue[candidate.job_index];
         let resources = job.spec.resources;
         let allowed = |snapshot: &ClusterSnapshot, node_index: usize| match reservation {
-            Some(reservation) if entry.outlasts_reservation => {
+            Some(reservation) if candidate.outlasts_reservation => {
                 let mut remaining = reservation.remaining(snapshot, node_index);
-                if let Some(room) = returned.get(&node_index) {
+                if let Some(room) = released_before_head.get(&node_index) {
                     remaining.add(room);
                 }
                 resources.fits(&remaining)
             }
             _ => true,
         };
-        let assignments = match entry.task_index {
+        let assignments = match candidate.task_index {
             Some(task_index) => {
                 let mut finder = NodeFinder::new(step.snapshot, nodes, job);
                 let allocation = finder.place(step, job, &allowed);
                 allocation.map(|allocation| {
                     vec![Assignment {
-                        job_index: entry.job_index,
+                        job_index: candidate.job_index,
                         task_index,
                         node_index: allocation.node_index,
                     }]
                 })
             }
-            None => place_all(step, nodes, entry.job_index, job, &allowed),
+            None => place_all(step, nodes, candidate.job_index, job, &allowed),
         };
         for assignment in assignments.into_iter().flatten() {
-            if !entry.outlasts_reservation {
-                let room = returned.entry(assignment.node_index).or_default();
+            if !candidate.outlasts_reservation {
+                let room = released_before_head
+                    .entry(assignment.node_index)
+                    .or_default();
                 room.add(&resources);
             }
             starts.push(assignment);
--- a/src/planning/backfill/mod.rs
+++ b/src/planning/backfill/mod.rs
@@ -83,8 +83,8 @@
         return plan;
     };
     // Nodes without room for even the smallest task need no further inspection.
-    let open: Vec<usize> = snapshot.open().collect();
-    let nodes: Vec<usize> = open
+    let available: Vec<usize> = snapshot.available().collect();
+    let nodes: Vec<usize> = available
         .into_iter()
         .filter(|n| smallest.fits(&snapshot.node(*n).free))
         .collect();
@@ -93,13 +93,13 @@
         teams,
         now,
     };
-    let Some(head) = start_in_order(&mut step, &nodes, queue, &mut plan.starts) else {
+    let Some(head) = start_in_queue_order(&mut step, &nodes, queue, &mut plan.starts) else {
         return plan;
     };
     let reservation = Reservation::find(&step, &nodes, &queue[head]);
     plan.head = Some(QueueHead {
         job_index: head,
-        starts_in: reservation.as_ref().map(|r| r.after),
+        starts_in: reservation.as_ref().map(|r| r.starts_in),
     });
     let backfilled =
         lookahead::backfill(&mut step, &nodes, queue, head, reservation.as_ref(), tables);
@@ -127,19 +127,19 @@
 
 /// Starts jobs one after the other as long as first-fit places them. Returns the index of the
 /// first one that lacks room: the head.
-fn start_in_order(
+fn start_in_queue_order(
     step: &mut StepContext,
     nodes: &[usize],
     queue: &mut [QueuedJob],
     starts: &mut Vec<Assignment>,
 ) -> Option<usize> {
     for (job_index, job) in queue.iter_mut().enumerate() {
-        let placed = if job.all_or_nothing {
+        let outcome = if job.all_or_nothing {
             start_gang(step, nodes, job_index, job, starts)
         } else {
             start_tasks(step, nodes, job_index, job, starts)
         };
-        if placed == Placed::LacksRoom {
+        if outcome == PlacementOutcome::InsufficientCapacity {
             return Some(job_index);
         }
     }
@@ -148,11 +148,11 @@
 
 /// Whether a job's tasks were placed.
 #[derive(PartialEq, Eq)]
-enum Placed {
+enum PlacementOutcome {
     /// All that the team's limits allow. A team at its limit waits for itself, not for room, so
     /// its jobs do not become the head.
-    WithinLimits,
-    LacksRoom,
+    Complete,
+    InsufficientCapacity,
 }
 
 fn start_gang(
@@ -161,16 +161,16 @@
     job_index: usize,
     job: &mut QueuedJob,
     starts: &mut Vec<Assignment>,
-) -> Placed {
+) -> PlacementOutcome {
     if !step.teams[job.team].allows(&job.spec.resources, job.tasks_per_entry()) {
-        return Placed::WithinLimits;
+        return PlacementOutcome::Complete;
     }
     match place_all(step, nodes, job_index, job, &any_node) {
         Some(assignments) => {
             starts.extend(assignments);
-            Placed::WithinLimits
+            PlacementOutcome::Complete
         }
-        None => Placed::LacksRoom,
+        None => PlacementOutcome::InsufficientCapacity,
     }
 }
 
@@ -180,7 +180,7 @@
     job_index: usize,
     job: &mut QueuedJob,
     starts: &mut Vec<Assignment>,
-) -> Placed {
+) -> PlacementOutcome {
     let mut finder = None;
     for task_index in job.startable_tasks(step.now) {
         if !step.teams[job.team].allows(&job.spec.resources, 1) {
@@ -188,7 +188,7 @@
         }
         let finder = finder.get_or_insert_with(|| NodeFinder::new(step.snapshot, nodes, job));
         let Some(allocation) = finder.place(step, job, &any_node) else {
-            return Placed::LacksRoom;
+            return PlacementOutcome::InsufficientCapacity;
         };
         starts.push(Assignment {
             job_index,
@@ -196,7 +196,7 @@
             node_index: allocation.node_index,
         });
     }
-    Placed::WithinLimits
+    PlacementOutcome::Complete
 }
 
 #[cfg(test)]
--- a/src/planning/backfill/node_search.rs
+++ b/src/planning/backfill/node_search.rs
@@ -13,7 +13,7 @@
 /// its last task ends.
 const MACHINE_SIZE_PENALTY_S: f64 = 2.0;
 /// What it is worth to use a full machine instead of an empty one, so that others empty.
-const FREE_ROOM_PENALTY_S: f64 = 0.5;
+const FREE_CAPACITY_PENALTY_S: f64 = 0.5;
 /// What it is worth to avoid a node on which the job's tasks have failed.
 const FAILED_NODE_PENALTY_S: f64 = 1000.0;
 /// For longer work than this, a machine's size weighs more and the wait for an image less.
@@ -70,7 +70,7 @@
             return None;
         }
         let class = snapshot.class_of(node_index);
-        if !job.zone_allows(&class.offer.zone) {
+        if !job.allows_in_zone(&class.offer.zone) {
             return None;
         }
         if !node.images.contains(&job.image) {
@@ -80,7 +80,7 @@
             score += FAILED_NODE_PENALTY_S;
         }
         let free_share = node.free.dominant_share(&class.capacity).min(1.0);
-        Some(score + node.fault_penalty_s + FREE_ROOM_PENALTY_S * free_share)
+        Some(score + node.fault_penalty_s + FREE_CAPACITY_PENALTY_S * free_share)
     }
 }
 
@@ -111,7 +111,7 @@
 pub(super) struct Allocation {
     pub node_index: usize,
     /// The node has to fetch the image for it.
-    fetches: bool,
+    needs_fetch: bool,
 }
 
 /// Finds nodes for the tasks of one job, one after the other. Each node is inspected once, and
@@ -148,18 +148,18 @@
         while let Some(candidate) = self.candidates.pop() {
             let node_index = candidate.node_index;
             // Its zone may have become full since the node was inspected.
-            if !job.zone_allows(step.snapshot.zone_of(node_index))
+            if !job.allows_in_zone(step.snapshot.zone_of(node_index))
                 || !allowed(step.snapshot, node_index)
             {
                 continue;
             }
-            let fetches = allocate(step, job, node_index);
+            let needs_fetch = allocate(step, job, node_index);
             if let Some(score) = self.scoring.score(step.snapshot, job, node_index) {
                 self.candidates.push(ScoredNode { score, node_index });
             }
             return Some(Allocation {
                 node_index,
-                fetches,
+                needs_fetch,
             });
         }
         None
@@ -168,10 +168,10 @@
 
 fn allocate(step: &mut StepContext, job: &mut QueuedJob, node_index: usize) -> bool {
     let resources = job.spec.resources;
-    let fetches = step.snapshot.allocate(node_index, &resources, job.image);
-    job.record_zone(step.snapshot.zone_of(node_index));
+    let needs_fetch = step.snapshot.allocate(node_index, &resources, job.image);
+    job.count_in_zone(step.snapshot.zone_of(node_index));
     step.teams[job.team].add(&resources, 1.0);
-    fetches
+    needs_fetch
 }
 
 /// Places all of a job's startable tasks, or none.
@@ -189,10 +189,13 @@
     let mut finder = NodeFinder::new(step.snapshot, nodes, job);
     for task_index in job.startable_tasks(step.now) {
         let Some(allocation) = finder.place(step, job, allowed) else {
-            for undone in allocations.into_iter().rev() {
+            for allocation in allocations.into_iter().rev() {
                 let resources = &job.spec.resources;
-                step.snapshot
-                    .undo_allocation(undone.node_index, resources, undone.fetches);
+                step.snapshot.undo_allocation(
+                    allocation.node_index,
+                    resources,
+                    allocation.needs_fetch,
+                );
             }
             job.tasks_per_zone = saved_zones;
             step.teams.clone_from_slice(&saved_teams);
--- a/src/planning/backfill/preemption.rs
+++ b/src/planning/backfill/preemption.rs
@@ -10,11 +10,11 @@
 use std::time::{Duration, Instant};
 
 /// Room that becomes free by itself this soon is waited for.
-const SOON: Duration = Duration::from_secs(4);
+const MIN_WAIT_TO_PREEMPT: Duration = Duration::from_secs(4);
 /// Tasks of the head's job for which room may be made in one step.
-const MAX_TASKS_HELPED: usize = 16;
+const MAX_TASKS_PER_STEP: usize = 16;
 /// Preempting has to bring the start forward by at least this many times the work it loses.
-const MIN_GAIN_FACTOR: u32 = 3;
+const MIN_GAIN_RATIO: u32 = 3;
 
 /// What could be stopped on one node.
 struct PreemptionCandidates {
@@ -30,11 +30,11 @@
     lost_work: Duration,
     node_index: usize,
     /// How many of the node's first candidates.
-    stops: usize,
+    stop_count: usize,
 }
 
 impl PreemptionCandidates {
-    fn cheapest_option(
+    fn least_loss_option(
         &self,
         node_index: usize,
         node: &Node,
@@ -42,19 +42,19 @@
     ) -> Option<PreemptionOption> {
         let mut free = self.free;
         let mut lost_work = Duration::ZERO;
-        let mut stops = 0;
+        let mut stop_count = 0;
         for (lost, task_index) in &self.tasks {
             if resources.fits(&free) {
                 break;
             }
             free.add(&node.tasks[*task_index].resources);
             lost_work += *lost;
-            stops += 1;
+            stop_count += 1;
         }
         resources.fits(&free).then_some(PreemptionOption {
             lost_work,
             node_index,
-            stops,
+            stop_count,
         })
     }
 }
@@ -65,15 +65,15 @@
 pub(super) fn preempt(
     step: &mut StepContext,
     job: &mut QueuedJob,
-    waiting: usize,
+    waiting_tasks: usize,
     reservation: Option<&Reservation>,
 ) -> Vec<Preemption> {
-    if !job.may_preempt || reservation.is_some_and(|r| r.after <= SOON) {
+    if !job.may_preempt || reservation.is_some_and(|r| r.starts_in <= MIN_WAIT_TO_PREEMPT) {
         return Vec::new();
     }
     let may_reclaim = job.within_quota && step.teams.iter().any(TeamUsage::is_borrowing);
     // Mostly there is nothing that could be stopped, and no node need be inspected.
-    if !may_reclaim && !step.snapshot.has_lower_priority(job.priority) {
+    if !may_reclaim && !step.snapshot.has_lower_priority_tasks(job.priority) {
         return Vec::new();
     }
     let borrowing = if may_reclaim {
@@ -85,28 +85,28 @@
     let resources = job.spec.resources;
     let mut options: BTreeSet<PreemptionOption> = candidates
         .iter()
-        .filter_map(|(&n, c)| c.cheapest_option(n, step.snapshot.node(n), &resources))
+        .filter_map(|(&n, c)| c.least_loss_option(n, step.snapshot.node(n), &resources))
         .collect();
     let mut preemptions = Vec::new();
-    let mut wanted = waiting.min(MAX_TASKS_HELPED.max(job.tasks_per_entry() as usize));
-    while wanted > 0
+    let mut remaining = waiting_tasks.min(MAX_TASKS_PER_STEP.max(job.tasks_per_entry() as usize));
+    while remaining > 0
         && step.teams[job.team].allows(&resources, 1)
         && let Some(option) = options.pop_first()
     {
         let node_index = option.node_index;
-        if !job.zone_allows(step.snapshot.zone_of(node_index)) {
+        if !job.allows_in_zone(step.snapshot.zone_of(node_index)) {
             continue;
         }
         // Work is not thrown away to gain less time than was spent on it.
-        let least_gain = option.lost_work * MIN_GAIN_FACTOR + SOON;
-        if reservation.is_some_and(|r| r.after < least_gain) {
+        let min_wait = option.lost_work * MIN_GAIN_RATIO + MIN_WAIT_TO_PREEMPT;
+        if reservation.is_some_and(|r| r.starts_in < min_wait) {
             break;
         }
         let node = step.snapshot.node(node_index);
         let Some(candidates) = candidates.get_mut(&node_index) else {
             break;
         };
-        for (_, task_index) in candidates.tasks.drain(..option.stops) {
+        for (_, task_index) in candidates.tasks.drain(..option.stop_count) {
             let task = &node.tasks[task_index];
             candidates.free.add(&task.resources);
             preemptions.push(Preemption {
@@ -116,9 +116,9 @@
         }
         candidates.free.sub(&resources);
         step.teams[job.team].add(&resources, 1.0);
-        job.record_zone(step.snapshot.zone_of(node_index));
-        options.extend(candidates.cheapest_option(node_index, node, &resources));
-        wanted -= 1;
+        job.count_in_zone(step.snapshot.zone_of(node_index));
+        options.extend(candidates.least_loss_option(node_index, node, &resources));
+        remaining -= 1;
     }
     preemptions
 }
@@ -171,10 +171,10 @@
     now: Instant,
 ) -> BTreeSet<TaskPosition> {
     let mut tasks: Vec<(Duration, TaskPosition, usize)> = Vec::new();
-    let open = snapshot
+    let schedulable = snapshot
         .nodes()
         .filter(|(_, node)| node.usage == NodeUsage::Schedulable);
-    for (node_index, node) in open {
+    for (node_index, node) in schedulable {
         for (task_index, task) in node.tasks.iter().enumerate() {
             if let Some(team) = task.team {
                 tasks.push((task.lost_work(now), (node_index, task_index), team));
@@ -182,11 +182,11 @@
         }
     }
     tasks.sort_by_key(|(lost_work, _, _)| Reverse(*lost_work));
-    let mut sums = vec![Resources::default(); teams.len()];
+    let mut team_totals = vec![Resources::default(); teams.len()];
     let mut borrowing = BTreeSet::new();
     for (_, (node_index, task_index), team) in tasks {
-        sums[team].add(&snapshot.node(node_index).tasks[task_index].resources);
-        if teams[team].exceeds_quota(sums[team].cpus, sums[team].gpus) {
+        team_totals[team].add(&snapshot.node(node_index).tasks[task_index].resources);
+        if teams[team].exceeds_quota(team_totals[team].cpus, team_totals[team].gpus) {
             borrowing.insert((node_index, task_index));
         }
     }
--- a/src/planning/backfill/queue.rs
+++ b/src/planning/backfill/queue.rs
@@ -72,13 +72,13 @@
     }
 
     /// Whether its zones matter to where its tasks go.
-    pub(super) fn is_bound_to_zones(&self) -> bool {
+    pub(super) fn has_zone_constraint(&self) -> bool {
         self.spec.one_zone || self.spec.spread
     }
 
     /// Whether one more task may go to this zone.
-    pub(super) fn zone_allows(&self, zone: &str) -> bool {
-        if !self.is_bound_to_zones() {
+    pub(super) fn allows_in_zone(&self, zone: &str) -> bool {
+        if !self.has_zone_constraint() {
             return true;
         }
         if self.spec.one_zone && self.tasks_per_zone.keys().any(|other| other != zone) {
@@ -89,8 +89,8 @@
     }
 
     /// Counts one more task in a zone.
-    pub(super) fn record_zone(&mut self, zone: &str) {
-        if self.is_bound_to_zones() {
+    pub(super) fn count_in_zone(&mut self, zone: &str) {
+        if self.has_zone_constraint() {
             *self.tasks_per_zone.entry(zone.to_string()).or_default() += 1;
         }
     }
@@ -116,11 +116,11 @@
 impl TeamUsage {
     /// Whether `count` more tasks stay within the limits.
     pub(super) fn allows(&self, resources: &Resources, count: u32) -> bool {
-        let within = |used: f64, per_task: f64, limit: Option<f64>| {
+        let fits_limit = |used: f64, per_task: f64, limit: Option<f64>| {
             limit.is_none_or(|limit| used + per_task * f64::from(count) <= limit + EPSILON)
         };
-        within(self.cpus, resources.cpus, self.cpu_limit)
-            && within(self.gpus, resources.gpus, self.gpu_limit)
+        fits_limit(self.cpus, resources.cpus, self.cpu_limit)
+            && fits_limit(self.gpus, resources.gpus, self.gpu_limit)
     }
 
     /// Counts `count` more tasks.
--- a/src/planning/backfill/reservation.rs
+++ b/src/planning/backfill/reservation.rs
@@ -11,7 +11,7 @@
 #[derive(Default)]
 pub(super) struct Reservation {
     /// The shadow time, from now on.
-    pub after: Duration,
+    pub starts_in: Duration,
     /// Room that tasks ending by then free, by node.
     freed: BTreeMap<usize, Resources>,
     reserved: BTreeMap<usize, Resources>,
@@ -50,7 +50,7 @@
                 continue;
             }
             if let Some(distribution) = distribute(snapshot, job, &task_capacity, tasks) {
-                reservation.after = end.saturating_duration_since(step.now);
+                reservation.starts_in = end.saturating_duration_since(step.now);
                 for (node_index, count) in distribution {
                     let room = resources.times(f64::from(count));
                     reservation.reserved.insert(node_index, room);
@@ -92,11 +92,11 @@
     tasks: u32,
 ) -> Option<Distribution> {
     if !job.spec.one_zone {
-        let allowed = |zone: &str| job.zone_allows(zone);
+        let allowed = |zone: &str| job.allows_in_zone(zone);
         return distribute_within(snapshot, job, task_capacity, tasks, &allowed);
     }
     let zones: BTreeSet<&str> = task_capacity.keys().map(|n| snapshot.zone_of(*n)).collect();
-    let mut allowed_zones = zones.into_iter().filter(|zone| job.zone_allows(zone));
+    let mut allowed_zones = zones.into_iter().filter(|zone| job.allows_in_zone(zone));
     allowed_zones.find_map(|only| {
         distribute_within(snapshot, job, task_capacity, tasks, &|zone| zone == only)
     })
@@ -119,7 +119,7 @@
             continue;
         }
         let mut count = fit.min(remaining);
-        if job.is_bound_to_zones() {
+        if job.has_zone_constraint() {
             let placed = tasks_per_zone.entry(zone.to_string()).or_default();
             count = count.min(job.spec.max_tasks_per_zone().saturating_sub(*placed));
             *placed += count;
--- a/src/planning/bids.rs
+++ b/src/planning/bids.rs
@@ -24,13 +24,13 @@
 /// Announced boot times above this are taken for this, in seconds.
 const MAX_BOOT_S: f64 = 1e6;
 /// Starts of one job that are this near to each other, as a part of their delay, bid together.
-const START_GROUPING: f64 = 0.3;
+const START_GROUPING_RATIO: f64 = 0.3;
 /// So are those that are this near in seconds.
 const START_GROUPING_S: f64 = 2.0;
 /// The part of all tasks that have to wait for their image.
 const IMAGE_MISS_RATE: f64 = 0.5;
 /// From the end of one task to the start of the next in its place: a heartbeat and a command.
-const TASK_HANDOVER: Duration = Duration::from_secs(1);
+const TASK_HANDOVER_DELAY: Duration = Duration::from_secs(1);
 
 /// Tasks that wait, or that are expected, and what a later start costs them.
 #[derive(Clone, Debug)]
@@ -119,14 +119,14 @@
 impl StartGroups {
     fn add(&mut self, starts_in: Duration, tasks: u32) {
         let (starts_in_s, tasks) = (starts_in.as_secs_f64(), f64::from(tasks));
-        let is_near = |group: &StartGroup| {
-            starts_in_s <= group.starts_in_s * (1.0 + START_GROUPING) + START_GROUPING_S
+        let is_close = |group: &StartGroup| {
+            starts_in_s <= group.starts_in_s * (1.0 + START_GROUPING_RATIO) + START_GROUPING_S
         };
         match self.groups.last_mut() {
-            Some(group) if is_near(group) => {
-                let all = group.tasks + tasks;
-                group.starts_in_s = (group.starts_in_s * group.tasks + starts_in_s * tasks) / all;
-                group.tasks = all;
+            Some(group) if is_close(group) => {
+                let total = group.tasks + tasks;
+                group.starts_in_s = (group.starts_in_s * group.tasks + starts_in_s * tasks) / total;
+                group.tasks = total;
             }
             _ => self.groups.push(StartGroup { starts_in_s, tasks }),
         }
@@ -142,7 +142,7 @@
     batches: &[OfferBatch],
     now: Instant,
 ) -> (BTreeMap<Offer, u32>, ClearingResult) {
-    let preempting = demand_bids
+    let allow_preemption = demand_bids
         .iter()
         .any(|bid| bid.demand.priority < Priority::Low);
     let mut forecast = Forecast::new(
@@ -150,11 +150,11 @@
         booting_nodes,
         now,
         HORIZON,
-        preempting,
+        allow_preemption,
         &market.unreachable_zones,
     );
     if demand_bids.iter().any(|bid| !bid.arrives_in.is_zero()) {
-        forecast.include_free_room();
+        forecast.include_free_capacity();
     }
     let mut market_bids = Vec::new();
     let mut counts: BTreeMap<Offer, u32> = BTreeMap::new();
@@ -191,9 +191,9 @@
     let fetch = mean_fetch(types, &demand.spec).mul_f64(IMAGE_MISS_RATE);
     demand.expected_runtime = demand
         .expected_runtime
-        .saturating_add(fetch + TASK_HANDOVER);
+        .saturating_add(fetch + TASK_HANDOVER_DELAY);
     let mut on_start = |starts_in, tasks| starts.add(starts_in, tasks);
-    let unserved = forecast.serve(&demand, bid.arrives_in, HORIZON, &mut on_start);
+    let unserved = forecast.allocate(&demand, bid.arrives_in, HORIZON, &mut on_start);
     if unserved > 0 {
         starts.add(HORIZON, unserved);
     }
--- a/src/planning/capacity_forecast.rs
+++ b/src/planning/capacity_forecast.rs
@@ -90,19 +90,20 @@
         booting_nodes: &'a [BootingNodes],
         now: Instant,
         horizon: Duration,
-        preempting: bool,
+        allow_preemption: bool,
         unreachable_zones: &[String],
     ) -> Self {
         let mut builder = ForecastBuilder::new(snapshot, unreachable_zones, now);
-        builder.add_ends(horizon);
-        builder.add_booting();
+        builder.add_task_ends(horizon);
+        builder.add_booting_nodes();
         let requested: Vec<&BootingNodes> = booting_nodes
             .iter()
             .flat_map(|nodes| (0..nodes.count).map(move |_| nodes))
             .collect();
-        builder.add_requested(&requested);
-        let preemptible = if preempting && snapshot.has_lower_priority(Priority::Normal) {
-            builder.add_preemptible()
+        builder.add_requested_nodes(&requested);
+        let preemptible = if allow_preemption && snapshot.has_lower_priority_tasks(Priority::Normal)
+        {
+            builder.add_preemptible_tasks()
         } else {
             Vec::new()
         };
@@ -136,15 +137,15 @@
     }
 
     /// Counts room that is free now as well: for tasks that arrive while it is there.
-    pub fn include_free_room(&mut self) {
-        for node_index in self.snapshot.open() {
+    pub fn include_free_capacity(&mut self) {
+        for node_index in self.snapshot.available() {
             let key = (Duration::ZERO, CapacitySource::Node(node_index));
             self.gains.entry(key).or_default();
         }
     }
 
     /// Room that a source had before it was used.
-    fn initial_room(&self, source: CapacitySource) -> Resources {
+    fn initial_capacity(&self, source: CapacitySource) -> Resources {
         match source {
             CapacitySource::Node(node_index) if !self.boots.contains_key(&source) => {
                 self.snapshot.node(node_index).free
@@ -157,7 +158,7 @@
     /// booting anyway, and returns how many tasks are left. Each task gives its room back after
     /// its run. Tasks that are yet to come start when they have arrived, at the earliest.
     /// `on_start` is called with when, from now on, and how many tasks start.
-    pub fn serve(
+    pub fn allocate(
         &mut self,
         demand: &PendingDemand,
         arrives_in: Duration,
@@ -189,17 +190,17 @@
             from = Bound::Excluded((at, source));
             self.gains.remove(&(at, source));
             let leftover = self.leftover.remove(&source);
-            let mut room = leftover.unwrap_or_else(|| self.initial_room(source));
-            room.add(&gain);
-            let count = resources.count_in(&room).min(remaining);
-            room.sub(&resources.times(f64::from(count)));
+            let mut available = leftover.unwrap_or_else(|| self.initial_capacity(source));
+            available.add(&gain);
+            let count = resources.count_in(&available).min(remaining);
+            available.sub(&resources.times(f64::from(count)));
             remaining -= count;
             if remaining == 0 {
                 // What this job does not need is there for the next one, at the same time.
-                self.gains.insert((at, source), room);
+                self.gains.insert((at, source), available);
                 self.leftover.insert(source, Resources::default());
             } else {
-                self.leftover.insert(source, room);
+                self.leftover.insert(source, available);
             }
             if count > 0 {
                 let starts = at.max(arrives_in);
@@ -240,7 +241,7 @@
     }
 
     /// Room of tasks that end within the horizon.
-    fn add_ends(&mut self, horizon: Duration) {
+    fn add_task_ends(&mut self, horizon: Duration) {
         for (end, node_index, task) in self.snapshot.expected_ends(self.now) {
             let after = end.saturating_duration_since(self.now);
             if after > horizon {
@@ -252,14 +253,14 @@
             }
             let key = (after, CapacitySource::Node(node_index));
             match self.gains.last_mut() {
-                Some((last, room)) if *last == key => room.add(&task.resources),
+                Some((last, capacity)) if *last == key => capacity.add(&task.resources),
                 _ => self.gains.push((key, task.resources)),
             }
         }
     }
 
     /// Machines that boot and have names.
-    fn add_booting(&mut self) {
+    fn add_booting_nodes(&mut self) {
         for node_index in self.snapshot.booting() {
             let node = self.snapshot.node(node_index);
             let NodeUsage::Booting(expected) = node.usage else {
@@ -277,7 +278,7 @@
     }
 
     /// Machines that have been requested.
-    fn add_requested(&mut self, requested: &[&BootingNodes]) {
+    fn add_requested_nodes(&mut self, requested: &[&BootingNodes]) {
         for (index, nodes) in requested.iter().enumerate() {
             let source = CapacitySource::Requested(index);
             self.gains.push(((nodes.ready_in, source), nodes.capacity));
@@ -286,10 +287,11 @@
     }
 
     /// Tasks of the lowest priority, which can be preempted. Returns the node of each.
-    fn add_preemptible(&mut self) -> Vec<usize> {
+    fn add_preemptible_tasks(&mut self) -> Vec<usize> {
         let mut nodes = Vec::new();
-        let open = self.snapshot.nodes();
-        for (node_index, node) in open.filter(|(_, node)| node.usage == NodeUsage::Schedulable) {
+        let all_nodes = self.snapshot.nodes();
+        for (node_index, node) in all_nodes.filter(|(_, node)| node.usage == NodeUsage::Schedulable)
+        {
             let is_preemptible = |priority: Priority| priority == Priority::Low;
             for task in &node.tasks {
                 if is_preemptible(task.priority) && !task.stopping {
@@ -317,18 +319,18 @@
     let Some(horizon) = demands.iter().map(&max_wait).max() else {
         return Vec::new();
     };
-    let preempting = demands.iter().any(|d| d.priority < Priority::Low);
+    let allow_preemption = demands.iter().any(|d| d.priority < Priority::Low);
     let mut forecast = Forecast::new(
         snapshot,
         booting_nodes,
         now,
         horizon,
-        preempting,
+        allow_preemption,
         unreachable_zones,
     );
     let unserved = |demand: &'a PendingDemand| {
         let wait = max_wait(demand);
-        let unserved = forecast.serve(demand, Duration::ZERO, wait, &mut |_, _| {});
+        let unserved = forecast.allocate(demand, Duration::ZERO, wait, &mut |_, _| {});
         (demand, unserved)
     };
     let demands = demands.iter().map(unserved);
--- a/src/planning/cluster_snapshot.rs
+++ b/src/planning/cluster_snapshot.rs
@@ -138,9 +138,9 @@
     classes: Vec<MachineClass>,
     node_indices: BTreeMap<MachineId, usize>,
     nodes: Vec<Option<Node>>,
-    vacant: Vec<usize>,
+    vacant_indices: Vec<usize>,
     /// Nodes that accept tasks and have room for some.
-    open: BTreeSet<usize>,
+    available: BTreeSet<usize>,
     booting: BTreeSet<usize>,
     idle: BTreeSet<usize>,
     /// Expected ends, with the node and the task's index on it.
@@ -154,7 +154,7 @@
 }
 
 /// Less room than this counts as none.
-const MIN_ROOM: f64 = 1e-3;
+const MIN_FREE: f64 = 1e-3;
 /// Announced fetch rates below this are taken for this.
 const MIN_FETCH_GB_PER_S: f64 = 0.01;
 
@@ -166,8 +166,8 @@
         capacity: Resources,
         fetch_gb_per_s: f64,
     ) -> usize {
-        let known = self.classes.iter().position(|c| c.offer == *offer);
-        let index = known.unwrap_or_else(|| {
+        let existing = self.classes.iter().position(|c| c.offer == *offer);
+        let index = existing.unwrap_or_else(|| {
             self.classes.push(MachineClass {
                 offer: offer.clone(),
                 capacity,
@@ -202,7 +202,7 @@
         self.count_inspected(1);
         let node_index = match self.node_indices.get(&node.id) {
             Some(&node_index) => {
-                self.withdraw(node_index);
+                self.remove_from_indices(node_index);
                 node_index
             }
             None => self.assign_index(&node.id),
@@ -219,8 +219,8 @@
             *self.tasks_by_priority.entry(task.priority).or_default() += 1;
         }
         match node.usage {
-            NodeUsage::Schedulable if node.free.cpus > MIN_ROOM && node.free.ram > MIN_ROOM => {
-                self.open.insert(node_index);
+            NodeUsage::Schedulable if node.free.cpus > MIN_FREE && node.free.ram > MIN_FREE => {
+                self.available.insert(node_index);
             }
             NodeUsage::Booting(_) => {
                 self.booting.insert(node_index);
@@ -235,7 +235,7 @@
 
     /// An index for a new node: a vacant one if there is any.
     fn assign_index(&mut self, id: &MachineId) -> usize {
-        let node_index = self.vacant.pop().unwrap_or(self.nodes.len());
+        let node_index = self.vacant_indices.pop().unwrap_or(self.nodes.len());
         if node_index == self.nodes.len() {
             self.nodes.push(None);
         }
@@ -244,7 +244,7 @@
     }
 
     /// Removes a node's entries from the indices.
-    fn withdraw(&mut self, node_index: usize) {
+    fn remove_from_indices(&mut self, node_index: usize) {
         let Some(node) = self.nodes[node_index].take() else {
             return;
         };
@@ -261,7 +261,7 @@
                 *count -= 1;
             }
         }
-        self.open.remove(&node_index);
+        self.available.remove(&node_index);
         self.booting.remove(&node_index);
         self.idle.remove(&node_index);
     }
@@ -269,8 +269,8 @@
     /// Removes a machine that is gone.
     pub fn remove(&mut self, id: &MachineId) {
         if let Some(node_index) = self.node_indices.remove(id) {
-            self.withdraw(node_index);
-            self.vacant.push(node_index);
+            self.remove_from_indices(node_index);
+            self.vacant_indices.push(node_index);
         }
     }
 
@@ -298,19 +298,19 @@
         self.count_inspected(1);
         let node = self.node_mut(node_index);
         node.free.sub(resources);
-        let fetches = !node.images.contains(&image);
-        if fetches {
+        let needs_fetch = !node.images.contains(&image);
+        if needs_fetch {
             node.images.push(image);
             node.active_fetches += 1;
         }
-        fetches
+        needs_fetch
     }
 
     /// Takes back the newest allocation on a node; `fetches` is what `allocate` returned.
-    pub fn undo_allocation(&mut self, node_index: usize, resources: &Resources, fetches: bool) {
+    pub fn undo_allocation(&mut self, node_index: usize, resources: &Resources, needs_fetch: bool) {
         let node = self.node_mut(node_index);
         node.free.add(resources);
-        if fetches {
+        if needs_fetch {
             node.images.pop();
             node.active_fetches -= 1;
         }
@@ -327,9 +327,9 @@
     }
 
     /// Nodes that accept tasks and have some room, in a fixed order.
-    pub fn open(&self) -> impl Iterator<Item = usize> + '_ {
-        self.count_inspected(self.open.len());
-        self.open.iter().copied()
+    pub fn available(&self) -> impl Iterator<Item = usize> + '_ {
+        self.count_inspected(self.available.len());
+        self.available.iter().copied()
     }
 
     /// Nodes that boot, in a fixed order.
@@ -365,7 +365,7 @@
     }
 
     /// Whether any task of a lower priority than this is on a machine.
-    pub fn has_lower_priority(&self, priority: Priority) -> bool {
+    pub fn has_lower_priority_tasks(&self, priority: Priority) -> bool {
         let mut counts = self.tasks_by_priority.iter();
         counts.any(|(other, count)| *other > priority && *count > 0)
     }
@@ -393,12 +393,12 @@
 
     /// The most that a machine has of each resource.
     pub fn largest_capacity(&self) -> Resources {
-        let mut most = Resources::default();
+        let mut largest = Resources::default();
         for class in self.classes.iter().filter(|c| c.machines > 0) {
-            most.cpus = most.cpus.max(class.capacity.cpus);
-            most.gpus = most.gpus.max(class.capacity.gpus);
-            most.ram = most.ram.max(class.capacity.ram);
+            largest.cpus = largest.cpus.max(class.capacity.cpus);
+            largest.gpus = largest.gpus.max(class.capacity.gpus);
+            largest.ram = largest.ram.max(class.capacity.ram);
         }
-        most
+        largest
     }
 }
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -19,8 +19,8 @@
 
 use entries::ENTRIES;
 use evaluator::evaluate;
-use expression::{ExpressionNode, SyntaxFault};
-use parser::{ParsedRule, parse};
+use expression::{ExpressionNode, ParseError};
+use parser::{ParsedRule, parse_rules};
 use std::collections::BTreeMap;
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -45,14 +45,14 @@
 
 impl PolicyError {
     /// A fault in a file's text, by line and column.
-    fn locate(file: &str, text: &str, fault: SyntaxFault) -> PolicyError {
-        let before = &text[..fault.offset.min(text.len())];
+    fn locate(file: &str, text: &str, error: ParseError) -> PolicyError {
+        let before = &text[..error.offset.min(text.len())];
         let last_line = before.rsplit('\n').next().unwrap_or("");
         PolicyError {
             file: file.to_string(),
             line: before.matches('\n').count() + 1,
             column: last_line.chars().count() + 1,
-            reason: fault.reason,
+            reason: error.reason,
         }
     }
 }
@@ -79,17 +79,17 @@
     /// The expression as it was written.
     text: String,
     /// It comes from the operators' file.
-    is_own: bool,
+    from_file: bool,
     /// It has failed at run time, which has been logged.
     failed: AtomicBool,
 }
 
 impl Rule {
-    fn new(parsed: ParsedRule, is_own: bool) -> Rule {
+    fn new(parsed: ParsedRule, from_file: bool) -> Rule {
         Rule {
             expression: parsed.expression,
             text: parsed.text,
-            is_own,
+            from_file,
             failed: AtomicBool::new(false),
         }
     }
@@ -117,16 +117,17 @@
     /// The built-in policy with the entries of `text` in place of its own. `file` is what errors
     /// call the text.
     pub fn parse(file: &str, text: &str) -> Result<Policy, PolicyError> {
-        let base =
-            parse(BUILT_IN).map_err(|fault| PolicyError::locate(BUILT_IN_NAME, BUILT_IN, fault))?;
-        let own = parse(text).map_err(|fault| PolicyError::locate(file, text, fault))?;
+        let defaults = parse_rules(BUILT_IN)
+            .map_err(|error| PolicyError::locate(BUILT_IN_NAME, BUILT_IN, error))?;
+        let overrides =
+            parse_rules(text).map_err(|error| PolicyError::locate(file, text, error))?;
         let mut rules = BTreeMap::new();
         let mut built_in = BTreeMap::new();
-        for rule in base {
+        for rule in defaults {
             built_in.insert(rule.entry, rule.expression.clone());
             rules.insert(rule.entry, Rule::new(rule, false));
         }
-        for rule in own {
+        for rule in overrides {
             rules.insert(rule.entry, Rule::new(rule, true));
         }
         Ok(Policy { rules, built_in })
@@ -149,7 +150,11 @@
             let Some(rule) = self.rules.get(&info.entry) else {
                 continue;
             };
-            let origin = if rule.is_own { "file" } else { BUILT_IN_NAME };
+            let origin = if rule.from_file {
+                "file"
+            } else {
+                BUILT_IN_NAME
+            };
             let facts: Vec<&str> = info.subject.facts().iter().map(|f| f.name).collect();
             description.push_str(&format!(
                 "{} = {}\n    [{origin}; may use {}]\n",
--- a/src/policy/checker.rs
+++ b/src/policy/checker.rs
@@ -1,13 +1,11 @@
 //! The checker: resolves names and finds the type of an expression.
 
 use crate::policy::entries::Subject;
-use crate::policy::expression::{
-    BinaryOperator, Expression, ExpressionNode, Function, SyntaxFault,
-};
+use crate::policy::expression::{BinaryOperator, Expression, ExpressionNode, Function, ParseError};
 use crate::policy::value_type::ValueType;
 
 /// Resolves the names in an expression and returns its type, or what does not fit.
-pub(super) fn check(node: &mut ExpressionNode, subject: Subject) -> Result<ValueType, SyntaxFault> {
+pub(super) fn check(node: &mut ExpressionNode, subject: Subject) -> Result<ValueType, ParseError> {
     match &mut node.expression {
         Expression::Number(_) => Ok(ValueType::Number),
         Expression::Boolean(_) => Ok(ValueType::Boolean),
@@ -18,31 +16,31 @@
             Ok(subject.facts()[index].value_type)
         }
         Expression::Not(operand) => {
-            expect(operand, ValueType::Boolean, subject)?;
+            expect_type(operand, ValueType::Boolean, subject)?;
             Ok(ValueType::Boolean)
         }
         Expression::Negate(operand) => {
-            expect(operand, ValueType::Number, subject)?;
+            expect_type(operand, ValueType::Number, subject)?;
             Ok(ValueType::Number)
         }
         Expression::Binary(operator, left, right) => {
             let (operands, result) = signature(*operator);
-            expect(left, operands, subject)?;
-            expect(right, operands, subject)?;
+            expect_type(left, operands, subject)?;
+            expect_type(right, operands, subject)?;
             Ok(result)
         }
         Expression::Conditional(conditional) => {
-            expect(&mut conditional.condition, ValueType::Boolean, subject)?;
+            expect_type(&mut conditional.condition, ValueType::Boolean, subject)?;
             let value_type = check(&mut conditional.consequence, subject)?;
-            expect(&mut conditional.alternative, value_type, subject)?;
+            expect_type(&mut conditional.alternative, value_type, subject)?;
             Ok(value_type)
         }
         Expression::Call(function, arguments) => {
             if !accepts_arguments(*function, arguments.len()) {
-                return Err(SyntaxFault::new(node.offset, "wrong number of arguments"));
+                return Err(ParseError::new(node.offset, "wrong number of arguments"));
             }
             for argument in arguments {
-                expect(argument, ValueType::Number, subject)?;
+                expect_type(argument, ValueType::Number, subject)?;
             }
             Ok(ValueType::Number)
         }
@@ -50,27 +48,27 @@
 }
 
 /// Checks an expression that needs to have some type.
-fn expect(
+fn expect_type(
     node: &mut ExpressionNode,
-    needed: ValueType,
+    expected: ValueType,
     subject: Subject,
-) -> Result<(), SyntaxFault> {
+) -> Result<(), ParseError> {
     let found = check(node, subject)?;
-    if found == needed {
+    if found == expected {
         return Ok(());
     }
-    let reason = format!("this is {found}, but {needed} is needed");
-    Err(SyntaxFault::new(node.offset, reason))
+    let reason = format!("this is {found}, but {expected} is needed");
+    Err(ParseError::new(node.offset, reason))
 }
 
 /// The index of a fact.
-fn resolve(name: &str, subject: Subject, offset: usize) -> Result<usize, SyntaxFault> {
+fn resolve(name: &str, subject: Subject, offset: usize) -> Result<usize, ParseError> {
     let facts = subject.facts();
     let index = facts.iter().position(|fact| fact.name == name);
     index.ok_or_else(|| {
         let known: Vec<&str> = facts.iter().map(|fact| fact.name).collect();
         let reason = format!("unknown name `{name}`; known here: {}", known.join(", "));
-        SyntaxFault::new(offset, reason)
+        ParseError::new(offset, reason)
     })
 }
 
--- a/src/policy/evaluator.rs
+++ b/src/policy/evaluator.rs
@@ -1,18 +1,18 @@
 //! The evaluator of checked expressions.
 
 use crate::policy::expression::{BinaryOperator, Expression, ExpressionNode, Function};
-use crate::policy::facts::truth_value;
+use crate::policy::facts::bool_to_number;
 
 /// An expression's value with these facts; truth values are 0 or 1. It is not finite where the
 /// expression has none, as with a division by zero.
 pub(super) fn evaluate(node: &ExpressionNode, facts: &[f64]) -> f64 {
     match &node.expression {
         Expression::Number(number) => *number,
-        Expression::Boolean(truth) => truth_value(*truth),
+        Expression::Boolean(truth) => bool_to_number(*truth),
         // The checker leaves no name unresolved.
         Expression::Name(_) => f64::NAN,
         Expression::Fact(index) => facts.get(*index).copied().unwrap_or(f64::NAN),
-        Expression::Not(operand) => truth_value(evaluate(operand, facts) == 0.0),
+        Expression::Not(operand) => bool_to_number(evaluate(operand, facts) == 0.0),
         Expression::Negate(operand) => -evaluate(operand, facts),
         Expression::Conditional(conditional) => {
             if evaluate(&conditional.condition, facts) != 0.0 {
@@ -21,39 +21,39 @@
                 evaluate(&conditional.alternative, facts)
             }
         }
-        Expression::Call(function, arguments) => call(*function, arguments, facts),
+        Expression::Call(function, arguments) => evaluate_call(*function, arguments, facts),
         Expression::Binary(operator, left, right) => {
-            apply(*operator, evaluate(left, facts), evaluate(right, facts))
+            evaluate_binary(*operator, evaluate(left, facts), evaluate(right, facts))
         }
     }
 }
 
 /// A function's value; that of `min` and `max` is not a number if any argument is none.
-fn call(function: Function, arguments: &[ExpressionNode], facts: &[f64]) -> f64 {
+fn evaluate_call(function: Function, arguments: &[ExpressionNode], facts: &[f64]) -> f64 {
     let mut values = arguments.iter().map(|argument| evaluate(argument, facts));
     let first = values.next().unwrap_or(f64::NAN);
-    let lesser = |a: f64, b: f64| if b < a || b.is_nan() { b } else { a };
-    let greater = |a: f64, b: f64| if b > a || b.is_nan() { b } else { a };
+    let min = |a: f64, b: f64| if b < a || b.is_nan() { b } else { a };
+    let max = |a: f64, b: f64| if b > a || b.is_nan() { b } else { a };
     match function {
         Function::Abs => first.abs(),
-        Function::Min => values.fold(first, lesser),
-        Function::Max => values.fold(first, greater),
+        Function::Min => values.fold(first, min),
+        Function::Max => values.fold(first, max),
     }
 }
 
-fn apply(operator: BinaryOperator, left: f64, right: f64) -> f64 {
+fn evaluate_binary(operator: BinaryOperator, left: f64, right: f64) -> f64 {
     match operator {
         BinaryOperator::Add => left + right,
         BinaryOperator::Subtract => left - right,
         BinaryOperator::Multiply => left * right,
         BinaryOperator::Divide => left / right,
-        BinaryOperator::Less => truth_value(left < right),
-        BinaryOperator::LessOrEqual => truth_value(left <= right),
-        BinaryOperator::Greater => truth_value(left > right),
-        BinaryOperator::GreaterOrEqual => truth_value(left >= right),
-        BinaryOperator::Equal => truth_value(left == right),
-        BinaryOperator::NotEqual => truth_value(left != right),
-        BinaryOperator::And => truth_value(left != 0.0 && right != 0.0),
-        BinaryOperator::Or => truth_value(left != 0.0 || right != 0.0),
+        BinaryOperator::Less => bool_to_number(left < right),
+        BinaryOperator::LessOrEqual => bool_to_number(left <= right),
+        BinaryOperator::Greater => bool_to_number(left > right),
+        BinaryOperator::GreaterOrEqual => bool_to_number(left >= right),
+        BinaryOperator::Equal => bool_to_number(left == right),
+        BinaryOperator::NotEqual => bool_to_number(left != right),
+        BinaryOperator::And => bool_to_number(left != 0.0 && right != 0.0),
+        BinaryOperator::Or => bool_to_number(left != 0.0 || right != 0.0),
     }
 }
--- a/src/policy/expression.rs
+++ b/src/policy/expression.rs
@@ -2,14 +2,14 @@
 
 /// What is wrong with a text, and at which byte.
 #[derive(Debug)]
-pub(super) struct SyntaxFault {
+pub(super) struct ParseError {
     pub offset: usize,
     pub reason: String,
 }
 
-impl SyntaxFault {
-    pub fn new(offset: usize, reason: impl Into<String>) -> SyntaxFault {
-        SyntaxFault {
+impl ParseError {
+    pub fn new(offset: usize, reason: impl Into<String>) -> ParseError {
+        ParseError {
             offset,
             reason: reason.into(),
         }
--- a/src/policy/facts.rs
+++ b/src/policy/facts.rs
@@ -23,7 +23,7 @@
 }
 
 /// A truth value as the evaluator knows it.
-pub(super) fn truth_value(truth: bool) -> f64 {
+pub(super) fn bool_to_number(truth: bool) -> f64 {
     f64::from(u8::from(truth))
 }
 
@@ -121,15 +121,15 @@
             self.ram,
             self.image_gb,
             self.rank,
-            truth_value(self.guaranteed),
+            bool_to_number(self.guaranteed),
             self.start_goal,
             self.finish_goal,
-            truth_value(self.has_deadline),
+            bool_to_number(self.has_deadline),
             self.deadline_left,
-            truth_value(self.spot),
+            bool_to_number(self.spot),
             self.slack,
-            truth_value(self.pipeline),
-            truth_value(self.begun),
+            bool_to_number(self.pipeline),
+            bool_to_number(self.begun),
         ]
     }
 }
@@ -156,7 +156,7 @@
 impl MachineFacts {
     pub(super) fn values(&self) -> [f64; MACHINE_FACTS.len()] {
         [
-            truth_value(self.spot),
+            bool_to_number(self.spot),
             self.price,
             self.cpus,
             self.ram,
--- a/src/policy/parser.rs
+++ b/src/policy/parser.rs
@@ -3,7 +3,7 @@
 use crate::policy::checker::check;
 use crate::policy::entries::{ENTRIES, Entry, EntryInfo};
 use crate::policy::expression::{
-    BinaryOperator, Conditional, Expression, ExpressionNode, Function, SyntaxFault,
+    BinaryOperator, Conditional, Expression, ExpressionNode, Function, ParseError,
 };
 use winnow::ascii::{digit1, multispace1};
 use winnow::combinator::{alt, opt, repeat};
@@ -43,9 +43,9 @@
 }
 
 /// Parses and checks a policy.
-pub(super) fn parse(text: &str) -> Result<Vec<ParsedRule>, SyntaxFault> {
+pub(super) fn parse_rules(text: &str) -> Result<Vec<ParsedRule>, ParseError> {
     if text.len() > MAX_FILE_BYTES {
-        return Err(SyntaxFault::new(MAX_FILE_BYTES, "the file is too large"));
+        return Err(ParseError::new(MAX_FILE_BYTES, "the file is too large"));
     }
     let mut parser = PolicyParser {
         input: LocatingSlice::new(text),
@@ -61,7 +61,7 @@
 
 type Input<'a> = LocatingSlice<&'a str>;
 
-fn blank(input: &mut Input<'_>) -> winnow::ModalResult<()> {
+fn skip_whitespace_and_comments(input: &mut Input<'_>) -> winnow::ModalResult<()> {
     let comment = ('#', take_till(0.., '\n')).void();
     repeat::<_, _, (), _, _>(0.., alt((multispace1.void(), comment))).parse_next(input)
 }
@@ -89,53 +89,53 @@
 }
 
 impl<'a> PolicyParser<'a> {
-    fn skip_blank(&mut self) {
+    fn skip_blanks(&mut self) {
         // Blank space may always be empty, so this cannot fail.
-        let _ = blank(&mut self.input);
+        let _ = skip_whitespace_and_comments(&mut self.input);
     }
 
     /// Where the next token begins.
     fn next_offset(&mut self) -> usize {
-        self.skip_blank();
+        self.skip_blanks();
         self.input.current_token_start()
     }
 
     /// Takes a symbol if it comes next.
     fn symbol(&mut self, mut symbol: &'static str) -> bool {
-        self.skip_blank();
-        let taken: winnow::ModalResult<&str> = symbol.parse_next(&mut self.input);
-        taken.is_ok()
+        self.skip_blanks();
+        let parsed: winnow::ModalResult<&str> = symbol.parse_next(&mut self.input);
+        parsed.is_ok()
     }
 
     /// Takes an identifier if one comes next.
     fn identifier(&mut self) -> Option<&'a str> {
-        self.skip_blank();
-        let taken = opt(identifier).parse_next(&mut self.input);
-        taken.ok().flatten()
+        self.skip_blanks();
+        let parsed = opt(identifier).parse_next(&mut self.input);
+        parsed.ok().flatten()
     }
 
     /// Takes a keyword if it comes next.
     fn keyword(&mut self, keyword: &str) -> bool {
-        let before = self.input;
+        let start = self.input;
         if self.identifier() == Some(keyword) {
             return true;
         }
-        self.input = before;
+        self.input = start;
         false
     }
 
-    fn fail<T>(&mut self, reason: &str) -> Result<T, SyntaxFault> {
-        Err(SyntaxFault::new(self.next_offset(), reason))
+    fn fail<T>(&mut self, reason: &str) -> Result<T, ParseError> {
+        Err(ParseError::new(self.next_offset(), reason))
     }
 
-    fn expect_keyword(&mut self, keyword: &str) -> Result<(), SyntaxFault> {
+    fn expect_keyword(&mut self, keyword: &str) -> Result<(), ParseError> {
         if self.keyword(keyword) {
             return Ok(());
         }
         self.fail(&format!("expected `{keyword}`"))
     }
 
-    fn expect_symbol(&mut self, symbol: &'static str) -> Result<(), SyntaxFault> {
+    fn expect_symbol(&mut self, symbol: &'static str) -> Result<(), ParseError> {
         if self.symbol(symbol) {
             return Ok(());
         }
@@ -143,7 +143,7 @@
     }
 
     /// One level deeper, within bounds.
-    fn nest(&mut self) -> Result<(), SyntaxFault> {
+    fn enter_nesting(&mut self) -> Result<(), ParseError> {
         self.nesting += 1;
         if self.nesting > MAX_NESTING {
             return self.fail("nested too deeply");
@@ -152,44 +152,44 @@
     }
 
     /// `name = expression`, with a name that is not among `earlier`.
-    fn rule(&mut self, text: &str, earlier: &[ParsedRule]) -> Result<ParsedRule, SyntaxFault> {
+    fn rule(&mut self, text: &str, preceding: &[ParsedRule]) -> Result<ParsedRule, ParseError> {
         let NamedEntry { info, offset } = self.entry()?;
-        if earlier.iter().any(|rule| rule.entry == info.entry) {
+        if preceding.iter().any(|rule| rule.entry == info.entry) {
             let reason = format!("`{}` is set twice", info.name);
-            return Err(SyntaxFault::new(offset, reason));
+            return Err(ParseError::new(offset, reason));
         }
         self.expect_symbol("=")?;
-        let begin = self.next_offset();
+        let start = self.next_offset();
         let mut expression = self.expression()?;
         let value_type = check(&mut expression, info.subject)?;
         if value_type != info.value_type {
             let reason = format!("`{}` must be {}", info.name, info.value_type);
-            return Err(SyntaxFault::new(begin, reason));
+            return Err(ParseError::new(start, reason));
         }
         let end = self.input.current_token_start();
         Ok(ParsedRule {
             entry: info.entry,
             expression,
-            text: single_line(&text[begin..end]),
+            text: single_line(&text[start..end]),
         })
     }
 
-    fn entry(&mut self) -> Result<NamedEntry, SyntaxFault> {
+    fn entry(&mut self) -> Result<NamedEntry, ParseError> {
         let offset = self.next_offset();
         let Some(name) = self.identifier() else {
-            return Err(SyntaxFault::new(offset, "expected the name of an entry"));
+            return Err(ParseError::new(offset, "expected the name of an entry"));
         };
         let info = ENTRIES.iter().find(|info| info.name == name);
         let info = info.ok_or_else(|| {
             let known: Vec<&str> = ENTRIES.iter().map(|info| info.name).collect();
             let reason = format!("unknown entry `{name}`; known: {}", known.join(", "));
-            SyntaxFault::new(offset, reason)
+            ParseError::new(offset, reason)
         })?;
         Ok(NamedEntry { info, offset })
     }
 
-    fn expression(&mut self) -> Result<ExpressionNode, SyntaxFault> {
-        self.nest()?;
+    fn expression(&mut self) -> Result<ExpressionNode, ParseError> {
+        self.enter_nesting()?;
         let offset = self.next_offset();
         let node = if self.keyword("if") {
             self.conditional(offset)?
@@ -201,7 +201,7 @@
     }
 
     /// What follows `if`.
-    fn conditional(&mut self, offset: usize) -> Result<ExpressionNode, SyntaxFault> {
+    fn conditional(&mut self, offset: usize) -> Result<ExpressionNode, ParseError> {
         let condition = self.expression()?;
         self.expect_keyword("then")?;
         let consequence = self.expression()?;
@@ -219,7 +219,7 @@
     }
 
     /// A chain of operators of this precedence, which group from the left.
-    fn binary(&mut self, precedence: usize) -> Result<ExpressionNode, SyntaxFault> {
+    fn binary(&mut self, precedence: usize) -> Result<ExpressionNode, ParseError> {
         let Some(operators) = OPERATORS.get(precedence) else {
             return self.unary();
         };
@@ -255,16 +255,16 @@
         found.map(|(_, operator)| *operator)
     }
 
-    fn unary(&mut self) -> Result<ExpressionNode, SyntaxFault> {
+    fn unary(&mut self) -> Result<ExpressionNode, ParseError> {
         let offset = self.next_offset();
         let operator: fn(Box<ExpressionNode>) -> Expression = if self.keyword("not") {
             Expression::Not
         } else if self.symbol("-") {
             Expression::Negate
         } else {
-            return self.atom();
+            return self.primary();
         };
-        self.nest()?;
+        self.enter_nesting()?;
         let operand = self.unary()?;
         self.nesting -= 1;
         Ok(ExpressionNode {
@@ -274,7 +274,7 @@
     }
 
     /// A literal, a name, a call, or an expression in parentheses.
-    fn atom(&mut self) -> Result<ExpressionNode, SyntaxFault> {
+    fn primary(&mut self) -> Result<ExpressionNode, ParseError> {
         let offset = self.next_offset();
         if self.symbol("(") {
             let inner = self.expression()?;
@@ -293,7 +293,7 @@
                 Some("abs") => self.call(Function::Abs)?,
                 Some(keyword @ ("if" | "then" | "else" | "and" | "or" | "not")) => {
                     let reason = format!("`{keyword}` is out of place");
-                    return Err(SyntaxFault::new(offset, reason));
+                    return Err(ParseError::new(offset, reason));
                 }
                 Some(name) => Expression::Name(name.to_string()),
             }
@@ -302,7 +302,7 @@
     }
 
     /// What follows a function's name.
-    fn call(&mut self, function: Function) -> Result<Expression, SyntaxFault> {
+    fn call(&mut self, function: Function) -> Result<Expression, ParseError> {
         self.expect_symbol("(")?;
         let mut arguments = vec![self.expression()?];
         while self.symbol(",") {
