--- a/src/planning/backfill/lookahead.rs
+++ b/src/planning/backfill/lookahead.rs
@@ -165,7 +165,7 @@
     }
 
     /// Units of some room, rounded down, by its scarcer resource.
-    fn units(&self, room: &Resources) -> usize {
+    fn units(&self, free: &Resources) -> usize {
         let part = |amount: f64, whole: f64| {
             if whole > 0.0 {
                 amount / whole
@@ -173,7 +173,7 @@
                 f64::INFINITY
             }
         };
-        let share = part(room.cpus, self.largest.cpus).min(part(room.ram, self.largest.ram));
+        let share = part(free.cpus, self.largest.cpus).min(part(free.ram, self.largest.ram));
         if share.is_finite() {
             ((share + EPSILON) / self.unit).floor().max(0.0) as usize
         } else {
@@ -217,8 +217,8 @@
         let allowed = |snapshot: &ClusterSnapshot, node_index: usize| match reservation {
             Some(reservation) if candidate.outlasts_reservation => {
                 let mut remaining = reservation.remaining(snapshot, node_index);
-                if let Some(room) = released_before_head.get(&node_index) {
-                    remaining.add(room);
+                if let Some(released) = released_before_head.get(&node_index) {
+                    remaining.add(released);
                 }
                 resources.fits(&remaining)
             }
@@ -240,10 +240,10 @@
         };
         for assignment in assignments.into_iter().flatten() {
             if !candidate.outlasts_reservation {
-                let room = released_before_head
+                let released = released_before_head
                     .entry(assignment.node_index)
                     .or_default();
-                room.add(&resources);
+                released.add(&resources);
             }
             starts.push(assignment);
         }
--- a/src/planning/backfill/reservation.rs
+++ b/src/planning/backfill/reservation.rs
@@ -52,8 +52,8 @@
             if let Some(distribution) = distribute(snapshot, job, &task_capacity, tasks) {
                 reservation.starts_in = end.saturating_duration_since(step.now);
                 for (node_index, count) in distribution {
-                    let room = resources.times(f64::from(count));
-                    reservation.reserved.insert(node_index, room);
+                    let required = resources.times(f64::from(count));
+                    reservation.reserved.insert(node_index, required);
                 }
                 return Some(reservation);
             }
@@ -63,21 +63,21 @@
 
     /// What a node will have left at the shadow time beside the head's tasks.
     pub fn remaining(&self, snapshot: &ClusterSnapshot, node_index: usize) -> Resources {
-        let mut room = snapshot.node(node_index).free;
+        let mut free = snapshot.node(node_index).free;
         if let Some(freed) = self.freed.get(&node_index) {
-            room.add(freed);
+            free.add(freed);
         }
         if let Some(reserved) = self.reserved.get(&node_index) {
-            room.sub(reserved);
+            free.sub(reserved);
         }
-        room
+        free
     }
 
     /// Room that is freed by the shadow time, by node.
     pub fn freed(&self) -> impl Iterator<Item = (usize, &Resources)> {
         self.freed
             .iter()
-            .map(|(node_index, room)| (*node_index, room))
+            .map(|(node_index, freed)| (*node_index, freed))
     }
 }
 
--- a/src/planning/backfill/tests.rs
+++ b/src/planning/backfill/tests.rs
@@ -18,18 +18,18 @@
 #[test]
 fn the_thesis_example_fills_the_machine_from_the_head_of_the_queue() {
     let queue = [item(2, 0), item(1, 1), item(2, 2), item(3, 3)];
-    let mut s = KnapsackTables::default();
+    let mut tables = KnapsackTables::default();
     let used = |picked: &[usize]| picked.iter().map(|&i| queue[i].size).sum::<usize>();
-    let at_zero = select_items(&queue, 5, 0, &mut s);
+    let at_zero = select_items(&queue, 5, 0, &mut tables);
     assert_eq!(at_zero, [0]);
-    assert_eq!(used(&select_items(&queue, 5, 1, &mut s)), 3);
-    assert_eq!(used(&select_items(&queue, 5, 2, &mut s)), 4);
+    assert_eq!(used(&select_items(&queue, 5, 1, &mut tables)), 3);
+    assert_eq!(used(&select_items(&queue, 5, 2, &mut tables)), 4);
     // Figure 3.5: of the two sets that fill the machine, the one closer to the head.
-    assert_eq!(select_items(&queue, 5, 3, &mut s), [0, 1, 2]);
+    assert_eq!(select_items(&queue, 5, 3, &mut tables), [0, 1, 2]);
     // Cell (4,2,2): of two jobs that use all room, the one that leaves the shadow room.
-    assert_eq!(select_items(&queue[..3], 2, 2, &mut s), [0]);
+    assert_eq!(select_items(&queue[..3], 2, 2, &mut tables), [0]);
     // Section 3.5.1: a lookahead of three gives the same set.
-    assert_eq!(select_items(&queue[..3], 5, 3, &mut s), [0, 1, 2]);
+    assert_eq!(select_items(&queue[..3], 5, 3, &mut tables), [0, 1, 2]);
 }
 
 #[test]
@@ -45,7 +45,7 @@
 #[test]
 fn the_program_agrees_with_exhaustive_search() {
     let mut rng = SmallRng::seed_from_u64(7);
-    let mut s = KnapsackTables::default();
+    let mut tables = KnapsackTables::default();
     for _ in 0..400 {
         let items: Vec<KnapsackItem> = (0..rng.random_range(1..9))
             .map(|_| {
@@ -57,7 +57,7 @@
                 }
             })
             .collect();
-        let (n, extra) = (rng.random_range(0..14), rng.random_range(0..14));
+        let (capacity, shadow_capacity) = (rng.random_range(0..14), rng.random_range(0..14));
         let value = |set: &[usize]| {
             let sum =
                 |f: fn(&KnapsackItem) -> usize| set.iter().map(|&i| f(&items[i])).sum::<usize>();
@@ -67,27 +67,40 @@
         let mut best = (0, 0, 0.0f32);
         for mask in 0u32..1 << items.len() {
             let set: Vec<usize> = (0..items.len()).filter(|i| mask >> i & 1 == 1).collect();
-            let v = value(&set);
-            if v.0 <= n
-                && v.1 <= extra
-                && (v.0 > best.0
-                    || (v.0 == best.0 && (v.1 < best.1 || (v.1 == best.1 && v.2 > best.2))))
+            let totals = value(&set);
+            if totals.0 <= capacity
+                && totals.1 <= shadow_capacity
+                && (totals.0 > best.0
+                    || (totals.0 == best.0
+                        && (totals.1 < best.1 || (totals.1 == best.1 && totals.2 > best.2))))
             {
-                best = v;
+                best = totals;
             }
         }
-        let got = value(&select_items(&items, n, extra, &mut s));
-        assert!(got.0 <= n && got.1 <= extra);
-        assert_eq!((got.0, got.1), (best.0, best.1), "{items:?} {n} {extra}");
-        let all_fit = items.iter().map(|i| i.size).sum::<usize>() <= n;
-        assert!(all_fit || got.2 == best.2, "{items:?} {n} {extra}");
+        let selected = value(&select_items(
+            &items,
+            capacity,
+            shadow_capacity,
+            &mut tables,
+        ));
+        assert!(selected.0 <= capacity && selected.1 <= shadow_capacity);
+        assert_eq!(
+            (selected.0, selected.1),
+            (best.0, best.1),
+            "{items:?} {capacity} {shadow_capacity}"
+        );
+        let all_fit = items.iter().map(|i| i.size).sum::<usize>() <= capacity;
+        assert!(
+            all_fit || selected.2 == best.2,
+            "{items:?} {capacity} {shadow_capacity}"
+        );
     }
 }
 
 fn spec(id: &str, tasks: u32, cpus: f64, estimate: u64) -> JobSpec {
-    let mut s = crate::job::sample(id, tasks, cpus, estimate);
-    (s.resources.ram, s.image_gb, s.spot) = (cpus, 1.0, true);
-    s
+    let mut spec = crate::job::sample(id, tasks, cpus, estimate);
+    (spec.resources.ram, spec.image_gb, spec.spot) = (cpus, 1.0, true);
+    spec
 }
 
 /// A job in the queue, with the queued tasks that the plan borrows from it.
@@ -135,7 +148,7 @@
     }
 }
 
-fn room(cpus: f64) -> Resources {
+fn resources(cpus: f64) -> Resources {
     Resources {
         cpus,
         gpus: 0.0,
@@ -150,9 +163,13 @@
     cpus: f64,
     tasks: Vec<RunningTask>,
 ) -> usize {
-    let kind = format!("k{cpus}");
-    let class = snapshot.class_index(&Offer::new(&kind, zone, false), room(cpus), 1.0);
-    let mut free = room(cpus);
+    let machine_type = format!("k{cpus}");
+    let class = snapshot.class_index(
+        &Offer::new(&machine_type, zone, false),
+        resources(cpus),
+        1.0,
+    );
+    let mut free = resources(cpus);
     for t in &tasks {
         free.sub(&t.resources);
     }
@@ -170,15 +187,15 @@
     snapshot.node_index(&id.into()).unwrap()
 }
 
-fn held(cpus: f64, ends: Option<Instant>, since: Instant) -> RunningTask {
+fn running_task(cpus: f64, expected_end: Option<Instant>, running_since: Instant) -> RunningTask {
     RunningTask {
         id: TaskId {
             job: "wk-0".into(),
             index: cpus as u32,
         },
-        resources: room(cpus),
-        expected_end: ends,
-        running_since: Some(since),
+        resources: resources(cpus),
+        expected_end,
+        running_since: Some(running_since),
         checkpoint_duration: None,
         priority: Priority::Low,
         team: None,
@@ -193,7 +210,7 @@
     }
 }
 
-fn decide(
+fn run_plan(
     snapshot: &mut ClusterSnapshot,
     jobs: &[TestJob],
     team: TeamUsage,
@@ -219,59 +236,71 @@
         test_job(spec("wk-3", 1, 2.0, 100)),
         test_job(spec("wk-4", 1, 2.0, 20)),
     ];
-    let mut b = ClusterSnapshot::default();
+    let mut snapshot = ClusterSnapshot::default();
     let end = now + Duration::from_secs(30);
-    node(&mut b, "m", "a", 10.0, vec![held(6.0, Some(end), now)]);
-    let p = decide(&mut b, &queue, TeamUsage::default(), now);
-    assert_eq!(p.head, Some(head(0, Some(Duration::from_secs(30)))));
-    let jobs: Vec<usize> = p.starts.iter().map(|s| s.job_index).collect();
+    node(
+        &mut snapshot,
+        "m",
+        "a",
+        10.0,
+        vec![running_task(6.0, Some(end), now)],
+    );
+    let decision = run_plan(&mut snapshot, &queue, TeamUsage::default(), now);
+    assert_eq!(decision.head, Some(head(0, Some(Duration::from_secs(30)))));
+    let jobs: Vec<usize> = decision.starts.iter().map(|s| s.job_index).collect();
     assert_eq!(jobs, [2, 3]);
 }
 
 #[test]
-fn a_head_behind_endless_work_has_no_shadow_and_blocks_nobody() {
+fn a_head_behind_endless_work_gets_no_reservation_and_blocks_no_other_job() {
     let now = Instant::now();
     let queue = [
         test_job(spec("wk-1", 1, 8.0, 100)),
         test_job(spec("wk-2", 1, 4.0, 1000)),
     ];
     for ends in [None, Some(now - Duration::from_secs(1))] {
-        let mut b = ClusterSnapshot::default();
-        node(&mut b, "m", "a", 10.0, vec![held(6.0, ends, now)]);
-        let p = decide(&mut b, &queue, TeamUsage::default(), now);
-        assert_eq!(p.head, Some(head(0, None)));
-        assert_eq!(p.starts.len(), 1);
+        let mut snapshot = ClusterSnapshot::default();
+        node(
+            &mut snapshot,
+            "m",
+            "a",
+            10.0,
+            vec![running_task(6.0, ends, now)],
+        );
+        let decision = run_plan(&mut snapshot, &queue, TeamUsage::default(), now);
+        assert_eq!(decision.head, Some(head(0, None)));
+        assert_eq!(decision.starts.len(), 1);
     }
 }
 
 #[test]
-fn zones_limits_and_whole_entries_are_kept() {
+fn zone_constraints_team_limits_and_gangs_are_respected() {
     let now = Instant::now();
-    let fresh = || {
+    let new_snapshot = || {
         let mut snapshot = ClusterSnapshot::default();
         let large = node(&mut snapshot, "m", "a", 8.0, vec![]);
         let small = node(&mut snapshot, "n", "b", 3.0, vec![]);
         (snapshot, large, small)
     };
-    let free = TeamUsage::default;
+    let unlimited = TeamUsage::default;
     let mut job = test_job(spec("wk-1", 6, 1.0, 10));
     job.spec.spread = true;
-    let (mut snapshot, large, _) = fresh();
-    let decided = decide(&mut snapshot, std::slice::from_ref(&job), free(), now);
-    let in_a = decided
+    let (mut snapshot, large, _) = new_snapshot();
+    let decision = run_plan(&mut snapshot, std::slice::from_ref(&job), unlimited(), now);
+    let in_a = decision
         .starts
         .iter()
         .filter(|s| s.node_index == large)
         .count();
-    assert_eq!((decided.starts.len(), in_a), (6, 3));
+    assert_eq!((decision.starts.len(), in_a), (6, 3));
 
     job.spec.spread = false;
     job.spec.one_zone = true;
     job.tasks_per_zone.insert("b".into(), 1);
-    let (mut snapshot, _, small) = fresh();
-    let decided = decide(&mut snapshot, std::slice::from_ref(&job), free(), now);
-    assert!(decided.starts.iter().all(|s| s.node_index == small));
-    assert_eq!(decided.starts.len(), 3);
+    let (mut snapshot, _, small) = new_snapshot();
+    let decision = run_plan(&mut snapshot, std::slice::from_ref(&job), unlimited(), now);
+    assert!(decision.starts.iter().all(|s| s.node_index == small));
+    assert_eq!(decision.starts.len(), 3);
 
     job.tasks_per_zone.clear();
     job.spec.one_zone = false;
@@ -280,91 +309,116 @@
         cpu_limit: Some(4.0),
         ..TeamUsage::default()
     };
-    let (mut snapshot, _, _) = fresh();
-    let decided = decide(&mut snapshot, std::slice::from_ref(&job), limited, now);
-    assert_eq!(decided.starts.len(), 2);
+    let (mut snapshot, _, _) = new_snapshot();
+    let decision = run_plan(&mut snapshot, std::slice::from_ref(&job), limited, now);
+    assert_eq!(decision.starts.len(), 2);
 
     // A job that starts whole starts with all of its tasks or not at all.
     let mut gang = test_job(spec("wk-2", 12, 1.0, 10));
     gang.all_or_nothing = true;
-    let (mut snapshot, large, _) = fresh();
-    let decided = decide(&mut snapshot, std::slice::from_ref(&gang), free(), now);
-    assert!(decided.starts.is_empty());
+    let (mut snapshot, large, _) = new_snapshot();
+    let decision = run_plan(&mut snapshot, std::slice::from_ref(&gang), unlimited(), now);
+    assert!(decision.starts.is_empty());
     // Nothing is left behind of the attempt.
-    assert_eq!(snapshot.node(large).free, room(8.0));
+    assert_eq!(snapshot.node(large).free, resources(8.0));
     assert!(snapshot.node(large).images.is_empty() && snapshot.node(large).active_fetches == 0);
     gang.queued = (0..11).collect();
-    let (mut snapshot, _, _) = fresh();
-    let decided = decide(&mut snapshot, std::slice::from_ref(&gang), free(), now);
-    assert_eq!(decided.starts.len(), 11);
+    let (mut snapshot, _, _) = new_snapshot();
+    let decision = run_plan(&mut snapshot, std::slice::from_ref(&gang), unlimited(), now);
+    assert_eq!(decision.starts.len(), 11);
 }
 
 #[test]
 fn a_gang_waits_for_the_end_that_lets_all_of_it_start() {
     let now = Instant::now();
     let at = |s| Some(now + Duration::from_secs(s));
-    let mut b = ClusterSnapshot::default();
-    node(&mut b, "m", "a", 4.0, vec![held(4.0, at(10), now)]);
-    node(&mut b, "n", "b", 4.0, vec![held(4.0, at(20), now)]);
-    node(&mut b, "o", "a", 4.0, vec![held(4.0, at(30), now)]);
+    let mut snapshot = ClusterSnapshot::default();
+    node(
+        &mut snapshot,
+        "m",
+        "a",
+        4.0,
+        vec![running_task(4.0, at(10), now)],
+    );
+    node(
+        &mut snapshot,
+        "n",
+        "b",
+        4.0,
+        vec![running_task(4.0, at(20), now)],
+    );
+    node(
+        &mut snapshot,
+        "o",
+        "a",
+        4.0,
+        vec![running_task(4.0, at(30), now)],
+    );
     let mut gang = test_job(spec("wk-1", 6, 1.0, 10));
     gang.all_or_nothing = true;
-    let p = decide(
-        &mut b,
+    let decision = run_plan(
+        &mut snapshot,
         std::slice::from_ref(&gang),
         TeamUsage::default(),
         now,
     );
-    assert_eq!(p.head, Some(head(0, Some(Duration::from_secs(20)))));
+    assert_eq!(decision.head, Some(head(0, Some(Duration::from_secs(20)))));
     gang.spec.one_zone = true;
-    let p = decide(
-        &mut b,
+    let decision = run_plan(
+        &mut snapshot,
         std::slice::from_ref(&gang),
         TeamUsage::default(),
         now,
     );
-    assert_eq!(p.head, Some(head(0, Some(Duration::from_secs(30)))));
+    assert_eq!(decision.head, Some(head(0, Some(Duration::from_secs(30)))));
 }
 
 #[test]
-fn only_lower_ranks_or_borrowed_work_is_stopped_and_the_youngest_first() {
+fn only_tasks_of_lower_priority_or_on_borrowed_quota_are_preempted_youngest_first() {
     let now = Instant::now() + Duration::from_secs(1000);
-    let mut w = test_job(spec("wk-1", 1, 4.0, 10));
-    w.may_preempt = true;
-    let stops = |rank, own: f64, guaranteed, w: &TestJob| {
+    let mut waiting = test_job(spec("wk-1", 1, 4.0, 10));
+    waiting.may_preempt = true;
+    let preempted = |priority, quota_cpus: f64, within_quota, waiting: &TestJob| {
         let end = Some(now + Duration::from_secs(500));
-        let mut old = held(4.0, end, now - Duration::from_secs(40));
-        let mut young = held(4.0, end, now - Duration::from_secs(5));
+        let mut old = running_task(4.0, end, now - Duration::from_secs(40));
+        let mut young = running_task(4.0, end, now - Duration::from_secs(5));
         (old.id.index, young.id.index) = (0, 1);
         for t in [&mut old, &mut young] {
-            (t.priority, t.team) = (rank, Some(1));
+            (t.priority, t.team) = (priority, Some(1));
         }
-        let mut b = ClusterSnapshot::default();
-        node(&mut b, "m", "a", 8.0, vec![old, young]);
-        let mut queue = [w.as_queued()];
-        queue[0].within_quota = guaranteed;
-        let theirs = TeamUsage {
-            cpu_quota: own,
+        let mut snapshot = ClusterSnapshot::default();
+        node(&mut snapshot, "m", "a", 8.0, vec![old, young]);
+        let mut queue = [waiting.as_queued()];
+        queue[0].within_quota = within_quota;
+        let other_team = TeamUsage {
+            cpu_quota: quota_cpus,
             ..TeamUsage::default()
         };
-        let mut teams = [TeamUsage::default(), theirs];
+        let mut teams = [TeamUsage::default(), other_team];
         teams[1].cpus = 8.0;
-        let p = plan(
-            &mut b,
+        let decision = plan(
+            &mut snapshot,
             &mut queue,
             &mut teams,
             now,
             &mut KnapsackTables::default(),
         );
-        p.preemptions
+        decision
+            .preemptions
             .iter()
             .map(|s| s.task.index)
             .collect::<Vec<_>>()
     };
-    assert_eq!(stops(Priority::Low, 100.0, false, &w), [1]);
-    assert_eq!(stops(Priority::Normal, 100.0, true, &w), [0u32; 0]);
-    assert_eq!(stops(Priority::Production, 4.0, true, &w), [1]);
-    assert_eq!(stops(Priority::Production, 0.0, false, &w), [0u32; 0]);
-    w.may_preempt = false;
-    assert_eq!(stops(Priority::Low, 100.0, false, &w), [0u32; 0]);
+    assert_eq!(preempted(Priority::Low, 100.0, false, &waiting), [1]);
+    assert_eq!(
+        preempted(Priority::Normal, 100.0, true, &waiting),
+        [0u32; 0]
+    );
+    assert_eq!(preempted(Priority::Production, 4.0, true, &waiting), [1]);
+    assert_eq!(
+        preempted(Priority::Production, 0.0, false, &waiting),
+        [0u32; 0]
+    );
+    waiting.may_preempt = false;
+    assert_eq!(preempted(Priority::Low, 100.0, false, &waiting), [0u32; 0]);
 }
--- a/src/planning/capacity_forecast.rs
+++ b/src/planning/capacity_forecast.rs
@@ -247,8 +247,8 @@
             if after > horizon {
                 break;
             }
-            let is_closed = self.snapshot.node(node_index).usage == NodeUsage::Removing;
-            if is_closed || !self.is_reachable(node_index) {
+            let is_removing = self.snapshot.node(node_index).usage == NodeUsage::Removing;
+            if is_removing || !self.is_reachable(node_index) {
                 continue;
             }
             let key = (after, CapacitySource::Node(node_index));
