--- a/src/planning/autoscaler.rs
+++ b/src/planning/autoscaler.rs
@@ -1,5 +1,5 @@
-//! Autoscaling without bidding: from the cluster snapshot and the pending demand to machines to
-//! add (scale-out) and to remove (scale-in).
+//! Autoscaling without bidding: derives the machines to add (scale-out) and to remove (scale-in)
+//! from the cluster snapshot and the pending demand.
 
 use crate::job::{JobSpec, MachineId};
 use crate::planning::capacity_forecast::{BootingNodes, PendingDemand, unserved_demand};
@@ -9,22 +9,24 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Most machines that one request may name.
+/// Maximum number of machines in one request.
 const MAX_MACHINES_PER_REQUEST: u32 = 50;
-/// Useful time for which a machine is expected to be paid, in seconds.
+/// Expected productive time of a new machine, in seconds. The time for booting and fetching images
+/// is paid for in addition.
 const EXPECTED_USE_S: f64 = 120.0;
-/// How much more expensive each further task that fits makes a machine count, up to a number of
-/// tasks: a large machine is paid for until its last task ends.
+/// Relative surcharge for each task beyond the first that fits on a machine: a large machine is paid
+/// for until its last task ends.
 const SIZE_SURCHARGE: f64 = 0.02;
+/// Number of tasks per machine from which on the size surcharge no longer grows.
 const MAX_SURCHARGED_TASKS: u32 = 16;
-/// How much more expensive each machine chosen makes its offer count, so that equal ones take
-/// turns.
+/// Relative surcharge for each machine already chosen of the same offer, so that offers of the same
+/// price are chosen in turn.
 const REPETITION_SURCHARGE: f64 = 0.001;
-/// Announced boot times above this are taken for this, in seconds.
+/// Upper bound on the announced boot time that is counted, in seconds.
 const MAX_BOOT_S: f64 = 1e6;
 
-/// Offers whose price per task is more than `max_ratio` times the lowest that the job could have,
-/// whether that one can be had now or not.
+/// Returns the offers whose price per task is more than `max_ratio` times the lowest price per task
+/// among the offers that the job may use, whether or not these are available now.
 pub fn overpriced_offers(types: &[MachineType], spec: &JobSpec, max_ratio: f64) -> Vec<Offer> {
     let mut offers: Vec<(f64, Offer)> = Vec::new();
     for machine_type in types.iter().filter(|t| spec.allows_type(&t.name)) {
@@ -50,46 +52,47 @@
     offers.into_iter().map(|(_, offer)| offer).collect()
 }
 
-/// A type's prices per hour, spot (if there is one) before on-demand, with whether it is spot.
+/// Returns a type's prices per hour, spot (if there is one) before on-demand, each preceded by
+/// whether it is the spot price.
 pub(super) fn prices(machine_type: &MachineType) -> impl Iterator<Item = (bool, f64)> {
     let spot = machine_type.spot_price.map(|price| (true, price));
     spot.into_iter().chain([(false, machine_type.price)])
 }
 
-/// What can be had from the cloud, as far as is known.
+/// Offers of the cloud, as far as they are known.
 #[derive(Clone, Debug, Default)]
 pub struct OfferMarket {
     /// All machine types.
     pub types: Vec<MachineType>,
-    /// Offers that were refused a short while ago.
+    /// Offers that the cloud refused recently.
     pub refused: Vec<Offer>,
-    /// Zones whose machines cannot be reached now.
+    /// Zones whose machines cannot be reached at present.
     pub unreachable_zones: Vec<String>,
-    /// What each zone holds, and how far beyond its share it may go before it counts as more
-    /// expensive.
+    /// Capacity held by each zone, and the tolerance beyond which a zone counts as more expensive.
     pub zone_balance: ZoneBalance,
 }
 
-/// Machines of one offer to add.
+/// Request to add machines of one offer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScaleOut {
-    /// What to request.
+    /// Requested offer.
     pub offer: Offer,
-    /// How many.
+    /// Number of machines.
     pub count: u32,
 }
 
-/// Which offers may be chosen.
+/// Restriction on the offers that may be chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OfferScope {
-    /// All that the job may use.
+    /// All offers that the job may use.
     All,
     /// Spot offers only.
     SpotOnly,
 }
 
-/// Which machines to add so that no pending task waits longer than its job's limit: spot ones
-/// first, for those that may use them and would wait longer than is worth one of these.
+/// Returns the machines to add so that no pending task waits longer than its job's limit. Spot
+/// machines are planned first, for the jobs that may use them and whose limit for spot machines
+/// (`max_spot_wait`) is the lower one.
 pub fn plan_scale_out(
     snapshot: &ClusterSnapshot,
     booting_nodes: &[BootingNodes],
@@ -115,7 +118,8 @@
     split_into_requests(counts)
 }
 
-/// Spot machines for those of the demands that would wait longer than is worth one of these.
+/// Returns the spot machines to add so that no demand selected by `prefers_spot` waits longer than
+/// its `max_spot_wait`.
 pub fn plan_spot_scale_out(
     snapshot: &ClusterSnapshot,
     booting_nodes: &[BootingNodes],
@@ -125,8 +129,8 @@
     prefers_spot: impl Fn(&PendingDemand) -> bool,
 ) -> BTreeMap<Offer, u32> {
     let mut counts: BTreeMap<Offer, u32> = BTreeMap::new();
-    // Laying out a long queue is the larger part of the work: not where no spot machine can be
-    // had in any case.
+    // The forecast of a long queue is the expensive part, so it is skipped where no spot machine is
+    // available or asked for.
     if !is_spot_available(market) || !demands.iter().any(&prefers_spot) {
         return counts;
     }
@@ -162,7 +166,7 @@
     })
 }
 
-/// The machines that boot, once those in `counts` have been requested as well.
+/// Returns the booting machines together with the planned ones in `counts`.
 pub fn with_planned_nodes(
     booting_nodes: &[BootingNodes],
     counts: &BTreeMap<Offer, u32>,
@@ -182,7 +186,7 @@
     all
 }
 
-/// As many requests as it takes, each of no more machines than one may name.
+/// Splits the planned machines into requests of at most `MAX_MACHINES_PER_REQUEST` machines.
 pub fn split_into_requests(counts: BTreeMap<Offer, u32>) -> Vec<ScaleOut> {
     let mut requests = Vec::new();
     for (offer, mut remaining) in counts {
@@ -198,16 +202,18 @@
     requests
 }
 
-/// An offer that could carry a job's tasks.
+/// Offer that a job may use, with its price.
 struct PricedOffer {
     offer: Offer,
-    /// Price of a machine, with what makes it count as more expensive.
+    /// Price of a machine per hour, raised for its size, for its unproductive time and for the
+    /// balance of the zones.
     effective_price: f64,
-    /// Tasks that fit on one machine.
+    /// Number of tasks that fit on one machine.
     fit: u32,
 }
 
-/// Adds to `counts` the offers that carry `tasks` tasks of a job for the least money.
+/// Adds machines to `counts` until they hold `tasks` tasks of a job: one at a time, of the offer with
+/// the lowest price per task.
 pub fn choose_cheapest(
     demand: &PendingDemand,
     tasks: u32,
@@ -234,7 +240,7 @@
     }
 }
 
-/// All offers that may carry a job's tasks now.
+/// Returns all offers that a job may use now, with their prices.
 fn priced_offers(
     demand: &PendingDemand,
     market: &OfferMarket,
@@ -247,7 +253,7 @@
         if fit == 0 {
             continue;
         }
-        // The time before a machine does anything useful is paid for as well.
+        // The time for booting and fetching the image is paid for as well.
         let fetch = fetch_seconds(spec.image_gb, machine_type.fetch_gb_per_s);
         let useful_share = EXPECTED_USE_S / (EXPECTED_USE_S + machine_type.boot_s + fetch);
         let surcharged_tasks = f64::from(fit.min(MAX_SURCHARGED_TASKS) - 1);
@@ -276,7 +282,8 @@
     offers
 }
 
-/// Machines that have been idle for longer than `idle_timeout` and that no pending task could use.
+/// Returns the machines that have been idle for longer than `idle_timeout` and that no pending task
+/// could use.
 pub fn plan_scale_in(
     snapshot: &ClusterSnapshot,
     demands: &[PendingDemand],
--- a/src/planning/backfill/knapsack.rs
+++ b/src/planning/backfill/knapsack.rs
@@ -1,30 +1,31 @@
-//! The dynamic program that selects which queue entries fill the free room best.
+//! Dynamic program that selects the queue entries that fill the free capacity best.
 //!
-//! This is algorithm 7 of the thesis (Max-Slowdown, section 3.5): a knapsack with two
-//! capacities, the room that is free now and the room that is left beside the head's
-//! reservation at the shadow time.
+//! This is algorithm 7 of the thesis on LOS (Max-Slowdown, section 3.5): a knapsack with two
+//! capacities, the one that is free now and the one that is left at the shadow time beside the
+//! head's reservation.
 
-/// A queue entry as the dynamic program sees it.
+/// Queue entry in the units of the dynamic program.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct KnapsackItem {
-    /// Units of room that it takes now.
+    /// Units of capacity that the entry takes now.
     pub size: usize,
-    /// Units of room that it still holds at the shadow time.
+    /// Units of capacity that the entry still holds at the shadow time.
     pub shadow_size: usize,
-    /// What settles ties between sets of the same sizes.
+    /// Weight of the entry in ties between sets of the same sizes.
     pub priority_weight: f32,
 }
 
-/// The program's tables, kept from one scheduling step to the next for their memory.
+/// Tables of the dynamic program. They are reused from one scheduling step to the next to avoid
+/// allocating them again.
 #[derive(Default)]
 pub struct KnapsackTables {
     current: Vec<Cell>,
     previous: Vec<Cell>,
-    /// A bit for each item and cell: the best set of that cell contains the item.
+    /// One bit for each item and cell, set if the best set of that cell contains the item.
     selected: Vec<u64>,
 }
 
-/// The best set found for one pair of capacities.
+/// Totals of the best set found for one pair of capacities.
 #[derive(Clone, Copy, Default)]
 struct Cell {
     used: u16,
@@ -41,7 +42,8 @@
         }
     }
 
-    /// The greatest size wins, then the least shadow size, then the greatest weight.
+    /// Returns whether this set is better: by the greater size, then by the smaller shadow size, then by
+    /// the greater weight.
     fn is_better_than(&self, other: &Cell) -> bool {
         if self.used != other.used {
             return self.used > other.used;
@@ -53,7 +55,7 @@
     }
 }
 
-/// The dimensions of the tables.
+/// Dimensions of the tables.
 #[derive(Clone, Copy)]
 struct Grid {
     capacity: usize,
@@ -65,7 +67,7 @@
         (self.capacity + 1) * (self.shadow_capacity + 1)
     }
 
-    /// Number of 64-bit words that hold one bit for each cell.
+    /// Returns the number of 64-bit words that hold one bit for each cell.
     fn words(&self) -> usize {
         self.cells().div_ceil(64)
     }
@@ -76,9 +78,9 @@
 }
 
 /// Selects the set with the greatest total size within `capacity` whose shadow sizes stay within
-/// `shadow_capacity`; among equals the one with the least shadow size, then the greatest weight;
-/// where all are equal, the one closer to the head ("bypassed first"). Returns the indices of its
-/// items in ascending order.
+/// `shadow_capacity`. Ties go to the smaller total shadow size, then to the greater total weight, then
+/// to the set closer to the head of the queue ("bypassed first" in the thesis). Returns the indices
+/// of the selected items in ascending order.
 pub fn select_items(
     items: &[KnapsackItem],
     capacity: usize,
@@ -90,7 +92,7 @@
     if total_size <= capacity && total_shadow_size <= shadow_capacity {
         return (0..items.len()).collect();
     }
-    // No set uses more than all items together, so larger tables would hold nothing new.
+    // No set is larger than all items together, so larger tables would add no information.
     let grid = Grid {
         capacity: capacity.min(total_size),
         shadow_capacity: shadow_capacity.min(total_shadow_size).min(capacity),
@@ -112,7 +114,7 @@
         self.selected.resize(grid.words() * items, 0);
     }
 
-    /// Fills the tables with the best sets that may contain one more item.
+    /// Updates the tables to the best sets that may also contain this item.
     fn add_item(&mut self, grid: Grid, index: usize, item: &KnapsackItem) {
         let words = grid.words();
         let selected = &mut self.selected[index * words..(index + 1) * words];
--- a/src/planning/backfill/lookahead.rs
+++ b/src/planning/backfill/lookahead.rs
@@ -1,5 +1,5 @@
-//! Backfilling behind the queue's head: which later entries may use the room that is left
-//! (thesis, section 3.2, steps 2 to 5, with the limited lookahead of section 3.5.1).
+//! Backfilling behind the head of the queue: selects the later entries that use the remaining
+//! capacity (thesis, section 3.2, steps 2 to 5, with the limited lookahead of section 3.5.1).
 
 use crate::job::Resources;
 use crate::planning::backfill::knapsack::{KnapsackItem, KnapsackTables, select_items};
@@ -10,28 +10,31 @@
 use crate::planning::cluster_snapshot::ClusterSnapshot;
 use std::collections::BTreeMap;
 
-/// The dynamic program looks at this many fitting entries (limited lookahead, section 3.5.1).
+/// Maximum number of fitting entries that the dynamic program considers (limited lookahead,
+/// section 3.5.1).
 pub const LOOKAHEAD: usize = 50;
-/// The dynamic program's tables have at most this many units a side, which bounds its memory and
-/// time; where the entries together are larger, its unit is coarser.
+/// Maximum number of units per dimension of the dynamic program's tables, which bounds its memory and
+/// time. Where the entries together are larger, the unit is made coarser.
 const MAX_KNAPSACK_UNITS: usize = 128;
-/// The coarsest unit, as a share of the largest machine, while the tables are not too large.
+/// Upper bound on the unit, as a share of the largest machine, unless the tables would exceed
+/// `MAX_KNAPSACK_UNITS`.
 const COARSEST_UNIT: f64 = 0.125;
-/// A unit is at most this part of the smallest task considered.
+/// Minimum number of units that the smallest candidate's task takes, unless the tables would exceed
+/// `MAX_KNAPSACK_UNITS`.
 const UNITS_PER_SMALLEST_TASK: f64 = 4.0;
-/// Shares may miss a whole number of units by a rounding error of this size.
+/// Tolerance for rounding errors when shares are converted to whole units.
 const EPSILON: f64 = 1e-9;
 
-/// A queue entry that fits somewhere: one task, or a gang with all of its tasks.
+/// Queue entry that is considered for backfilling: a single task, or a gang with all of its tasks.
 struct Candidate {
     job_index: usize,
-    /// `None` for a gang.
+    /// Index of the task in its job; `None` for a gang.
     task_index: Option<u32>,
-    /// It still runs at the shadow time.
+    /// Whether the entry is expected to run beyond the shadow time.
     outlasts_reservation: bool,
 }
 
-/// Starts the best set of entries behind the head.
+/// Starts the best set of queue entries behind the head.
 pub(super) fn backfill(
     step: &mut StepContext,
     nodes: &[usize],
@@ -77,8 +80,9 @@
     start_selected(step, &nodes, queue, selected, reservation)
 }
 
-/// The first entries behind the head that fit, within their teams' limits. The head's other
-/// tasks are as large as the one that did not fit.
+/// Returns the first entries behind the head that fit on a node and are within their teams' limits,
+/// up to `LOOKAHEAD`. The head's own tasks are skipped, as they are as large as the one that did not
+/// fit.
 fn fitting_candidates(
     step: &StepContext,
     nodes: &[usize],
@@ -121,17 +125,18 @@
     candidates
 }
 
-/// The unit of room in which the dynamic program counts.
+/// Unit in which the dynamic program counts capacity.
 struct KnapsackScale {
-    /// Room of the largest machine.
+    /// Largest amount of each resource that a machine has.
     largest: Resources,
-    /// The unit's share of the largest machine.
+    /// Size of the unit, as a share of the largest machine.
     unit: f64,
 }
 
 impl KnapsackScale {
-    /// An eighth of the largest machine at most; finer where the tasks are small, since with a
-    /// coarse unit small machines and rounded-up tasks would count as no room at all.
+    /// Chooses the unit: at most an eighth of the largest machine, and finer where the tasks are small.
+    /// With a coarse unit, small tasks are rounded up to a whole unit and small machines are rounded
+    /// down to none.
     fn new(
         snapshot: &ClusterSnapshot,
         nodes: &[usize],
@@ -149,7 +154,7 @@
             .iter()
             .map(|c| scale.job_size(&queue[c.job_index]))
             .sum();
-        // No set uses more room than all entries together, so the tables need no more units.
+        // No set is larger than all candidates together, so the tables need no more units than these.
         let side = scale.free_units(snapshot, nodes).min(requested);
         if side > MAX_KNAPSACK_UNITS {
             scale.unit *= side as f64 / MAX_KNAPSACK_UNITS as f64;
@@ -157,14 +162,15 @@
         scale
     }
 
-    /// Units that an entry of a job takes, rounded up.
+    /// Returns the units that one queue entry of a job takes, rounded up.
     fn job_size(&self, job: &QueuedJob) -> usize {
         let share = job.spec.resources.dominant_share(&self.largest);
         let share = share * f64::from(job.tasks_per_entry());
         ((share - EPSILON) / self.unit).ceil().max(1.0) as usize
     }
 
-    /// Units of some room, rounded down, by its scarcer resource.
+    /// Returns the units of an amount of free resources, rounded down, by the scarcer of CPUs and
+    /// memory.
     fn units(&self, free: &Resources) -> usize {
         let part = |amount: f64, whole: f64| {
             if whole > 0.0 {
@@ -181,13 +187,13 @@
         }
     }
 
-    /// Units that are free on some nodes.
+    /// Returns the units that are free on these nodes.
     fn free_units(&self, snapshot: &ClusterSnapshot, nodes: &[usize]) -> usize {
         let free = nodes.iter().map(|n| self.units(&snapshot.node(*n).free));
         free.sum()
     }
 
-    /// Units that become free by the shadow time.
+    /// Returns the units that become free by the shadow time.
     fn freed_units(&self, snapshot: &ClusterSnapshot, reservation: &Reservation) -> usize {
         let freed_units = |(node_index, freed): (usize, &Resources)| {
             let now = snapshot.node(node_index).free;
@@ -199,8 +205,8 @@
     }
 }
 
-/// Places the selected entries. The sums do not say which node the head waits for, so its place
-/// there is kept.
+/// Places the selected entries. The dynamic program counts capacity as a sum over all nodes, so here
+/// each placement is checked against the resources reserved for the head on its node.
 fn start_selected<'a>(
     step: &mut StepContext,
     nodes: &[usize],
@@ -209,7 +215,7 @@
     reservation: Option<&Reservation>,
 ) -> Vec<Assignment> {
     let mut starts = Vec::new();
-    // What is allocated to work that ends by the shadow time is there again for the head.
+    // Resources of started entries that end by the shadow time are available to the head again.
     let mut released_before_head: BTreeMap<usize, Resources> = BTreeMap::new();
     for candidate in selected {
         let job = &mut queue[candidate.job_index];
--- a/src/planning/backfill/mod.rs
+++ b/src/planning/backfill/mod.rs
@@ -1,9 +1,12 @@
-//! Placement with backfilling: from the cluster snapshot and the queue to starts and preemptions.
+//! Placement with backfilling: derives starts and preemptions from the cluster snapshot and the
+//! queue.
 //!
-//! This is the thesis's LOS with its Max-Slowdown weight (sections 3.2 to 3.5): the head of the
-//! queue starts if it fits, else it gets a reservation at its shadow time, and a dynamic program
-//! picks the set of later entries that fills the free room best without delaying that
-//! reservation. Where that takes too long, work of lower priority is preempted for the head.
+//! The algorithm is LOS (Lookahead Optimizing Scheduler) with its Max-Slowdown weight. Section,
+//! table and figure numbers in this module refer to the thesis on LOS (here sections 3.2 to 3.5).
+//! The head of the queue starts if it fits. Otherwise it gets a reservation at its shadow time, the
+//! earliest time at which it fits by the expected ends of the running tasks, and a dynamic program
+//! selects the set of later queue entries that fills the free capacity best without delaying the
+//! reservation. If the shadow time is too far off, tasks of lower priority are preempted for the head.
 
 mod knapsack;
 mod lookahead;
@@ -22,55 +25,56 @@
 use reservation::Reservation;
 use std::time::{Duration, Instant};
 
-/// A task to start.
+/// Start of a task on a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Assignment {
-    /// The job's index in the queue.
+    /// Index of the job in the queue.
     pub job_index: usize,
-    /// The task's index in its job.
+    /// Index of the task in its job.
     pub task_index: u32,
-    /// The node's index in the snapshot.
+    /// Index of the node in the snapshot.
     pub node_index: usize,
 }
 
-/// A task to stop, so that its room can be used by others.
+/// Stop of a task, so that other tasks can use its resources.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Preemption {
-    /// The node's index in the snapshot.
+    /// Index of the node in the snapshot.
     pub node_index: usize,
-    /// The task.
+    /// Task to stop.
     pub task: TaskId,
 }
 
-/// The job at the head of the queue, which has to wait.
+/// Job at the head of the queue that has to wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueueHead {
-    /// The job's index in the queue.
+    /// Index of the job in the queue.
     pub job_index: usize,
-    /// In how long it may start, if that can be foreseen.
+    /// Time from now until the job can start; `None` if the expected ends of running tasks do not
+    /// release enough capacity.
     pub starts_in: Option<Duration>,
 }
 
-/// What one scheduling step decides.
+/// Decisions of one scheduling step.
 #[derive(Clone, Debug, Default)]
 pub struct SchedulingPlan {
     /// Tasks to start.
     pub starts: Vec<Assignment>,
     /// Tasks to stop.
     pub preemptions: Vec<Preemption>,
-    /// The head of the queue, if it has to wait.
+    /// Head of the queue, if it has to wait.
     pub head: Option<QueueHead>,
 }
 
-/// What one scheduling step works on.
+/// State that the functions of one scheduling step share.
 struct StepContext<'a> {
     snapshot: &'a mut ClusterSnapshot,
     teams: &'a mut [TeamUsage],
     now: Instant,
 }
 
-/// One scheduling step. The snapshot's free room shows afterwards what the plan has allocated;
-/// the caller that carries the plan out updates the changed nodes.
+/// Computes one scheduling step. Afterwards the snapshot's free resources are reduced by the plan's
+/// allocations; the caller carries out the plan and then updates the changed nodes.
 pub fn plan(
     snapshot: &mut ClusterSnapshot,
     queue: &mut [QueuedJob],
@@ -82,7 +86,7 @@
     let Some(smallest) = smallest_request(queue) else {
         return plan;
     };
-    // Nodes without room for even the smallest task need no further inspection.
+    // Nodes on which not even the smallest task fits need no further inspection.
     let available: Vec<usize> = snapshot.available().collect();
     let nodes: Vec<usize> = available
         .into_iter()
@@ -115,7 +119,7 @@
     plan
 }
 
-/// The least that any queued task needs of each resource; `None` if the queue is empty.
+/// Returns the least that any queued task needs of each resource; `None` if the queue is empty.
 fn smallest_request(queue: &[QueuedJob]) -> Option<Resources> {
     let requests = queue.iter().map(|job| job.spec.resources);
     requests.reduce(|a, b| Resources {
@@ -125,8 +129,8 @@
     })
 }
 
-/// Starts jobs one after the other as long as first-fit places them. Returns the index of the
-/// first one that lacks room: the head.
+/// Starts jobs in queue order as long as capacity lasts. Returns the index of the first job for which
+/// capacity is insufficient: the head.
 fn start_in_queue_order(
     step: &mut StepContext,
     nodes: &[usize],
@@ -146,12 +150,13 @@
     None
 }
 
-/// Whether a job's tasks were placed.
+/// Result of placing a job's tasks.
 #[derive(PartialEq, Eq)]
 enum PlacementOutcome {
-    /// All that the team's limits allow. A team at its limit waits for itself, not for room, so
-    /// its jobs do not become the head.
+    /// All tasks that the team's limits allow were placed. A job of a team at its limit waits for that
+    /// team's own tasks rather than for capacity, so it does not become the head.
     Complete,
+    /// At least one task that may start did not fit anywhere.
     InsufficientCapacity,
 }
 
--- a/src/planning/backfill/node_search.rs
+++ b/src/planning/backfill/node_search.rs
@@ -1,4 +1,4 @@
-//! Finding nodes for the tasks of one job.
+//! Search for the best nodes for the tasks of one job.
 
 use crate::planning::backfill::queue::QueuedJob;
 use crate::planning::backfill::{Assignment, StepContext};
@@ -6,33 +6,36 @@
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// What it is worth, in seconds, to leave on-demand machines to work that needs them, and to let
-/// them empty, since they cost a multiple of spot ones.
+/// Penalty, in seconds, for placing a job that may use spot machines on an on-demand machine. It
+/// leaves on-demand machines to jobs that need them and lets them become idle, as they cost a multiple
+/// of spot machines.
 const ON_DEMAND_PENALTY_S: f64 = 15.0;
-/// What it is worth to leave the largest machine empty instead of a tiny one: it is paid for until
+/// Penalty, in seconds, for the largest machine relative to a tiny one: a machine is paid for until
 /// its last task ends.
 const MACHINE_SIZE_PENALTY_S: f64 = 2.0;
-/// What it is worth to use a full machine instead of an empty one, so that others empty.
+/// Penalty, in seconds, for an empty machine relative to a full one, so that tasks are packed and
+/// other machines become idle.
 const FREE_CAPACITY_PENALTY_S: f64 = 0.5;
-/// What it is worth to avoid a node on which the job's tasks have failed.
+/// Penalty, in seconds, for a node on which tasks of the job have failed.
 const FAILED_NODE_PENALTY_S: f64 = 1000.0;
-/// For longer work than this, a machine's size weighs more and the wait for an image less.
+/// Reference run time, in seconds. For longer tasks a machine's size weighs more and the time to
+/// fetch the image less.
 const REFERENCE_RUNTIME_S: f64 = 15.0;
 
-/// Whether a node may be used at all, asked before each placement on it.
+/// Predicate that decides, before each placement on a node, whether the node may be used.
 pub(super) type NodeFilter<'a> = dyn Fn(&ClusterSnapshot, usize) -> bool + 'a;
 
-/// The filter that lets every node pass.
+/// Accepts every node.
 pub(super) fn any_node(_: &ClusterSnapshot, _: usize) -> bool {
     true
 }
 
-/// How a job scores nodes: which classes it may use, and what each of their machines costs it
-/// beside what that machine itself adds. Scores are in seconds of delay, and the lowest is best.
+/// Scoring of nodes for one job: the parts of the score that all machines of a class share. Scores
+/// are in seconds of delay, and the lowest is best.
 struct NodeScoring {
-    /// By class: its penalty, or `None` where the job may not use it.
+    /// Penalty of each class; `None` if the job may not use the class.
     class_penalties_s: Vec<Option<f64>>,
-    /// By class: what fetching the image costs.
+    /// Penalty of each class for fetching the image.
     fetch_s: Vec<f64>,
 }
 
@@ -60,9 +63,9 @@
         }
     }
 
-    /// The score of a node for one more task; `None` where the task may not or cannot go. Warm
-    /// images come first, then spot machines for work that may use them, then the fullest
-    /// machine, so that others empty and can be removed.
+    /// Returns the score of a node for one more task; `None` if the task may not be placed there or
+    /// does not fit. Nodes that have the image are preferred, then spot machines for jobs that may use
+    /// them, then the fullest machine, so that others become idle and can be removed.
     fn score(&self, snapshot: &ClusterSnapshot, job: &QueuedJob, node_index: usize) -> Option<f64> {
         let node = snapshot.node(node_index);
         let mut score = self.class_penalties_s[node.class]?;
@@ -84,8 +87,8 @@
     }
 }
 
-/// A node with its score; the greatest in this order has the lowest score, and among equals the
-/// lowest index.
+/// Node with its score. The greatest node in this order has the lowest score and, among equal scores,
+/// the lowest index, as `BinaryHeap` is a max-heap.
 #[derive(PartialEq)]
 struct ScoredNode {
     score: f64,
@@ -107,22 +110,22 @@
     }
 }
 
-/// Room allocated for one task.
+/// Resources allocated for one task on a node.
 pub(super) struct Allocation {
     pub node_index: usize,
-    /// The node has to fetch the image for it.
+    /// Whether the node has to fetch the image for the task.
     needs_fetch: bool,
 }
 
-/// Finds nodes for the tasks of one job, one after the other. Each node is inspected once, and
-/// again after it was given a task.
+/// Search for nodes for the tasks of one job, one after the other. Each node is scored once, and again
+/// after a task has been placed on it.
 pub(super) struct NodeFinder {
     scoring: NodeScoring,
     candidates: BinaryHeap<ScoredNode>,
 }
 
 impl NodeFinder {
-    /// A search among these nodes.
+    /// Creates a search among these nodes.
     pub fn new(snapshot: &ClusterSnapshot, nodes: &[usize], job: &QueuedJob) -> NodeFinder {
         let scoring = NodeScoring::new(snapshot, job);
         snapshot.count_inspected(nodes.len());
@@ -137,8 +140,8 @@
         }
     }
 
-    /// Places one more task: its room is allocated in the snapshot and counted for the job's
-    /// zones and its team.
+    /// Places one more task: allocates its resources in the snapshot and counts it for the job's zones
+    /// and team. Returns `None` if no node is left that fits.
     pub fn place(
         &mut self,
         step: &mut StepContext,
@@ -147,7 +150,7 @@
     ) -> Option<Allocation> {
         while let Some(candidate) = self.candidates.pop() {
             let node_index = candidate.node_index;
-            // Its zone may have become full since the node was inspected.
+            // The job's limit for the zone may have been reached since the node was scored.
             if !job.allows_in_zone(step.snapshot.zone_of(node_index))
                 || !allowed(step.snapshot, node_index)
             {
@@ -166,6 +169,7 @@
     }
 }
 
+/// Allocates one task on a node. Returns whether the node has to fetch the image.
 fn allocate(step: &mut StepContext, job: &mut QueuedJob, node_index: usize) -> bool {
     let resources = job.spec.resources;
     let needs_fetch = step.snapshot.allocate(node_index, &resources, job.image);
@@ -174,7 +178,7 @@
     needs_fetch
 }
 
-/// Places all of a job's startable tasks, or none.
+/// Places all of a job's startable tasks, or none of them.
 pub(super) fn place_all(
     step: &mut StepContext,
     nodes: &[usize],
--- a/src/planning/backfill/preemption.rs
+++ b/src/planning/backfill/preemption.rs
@@ -1,4 +1,4 @@
-//! Preemption: stopping work so that the head of the queue can start.
+//! Preemption: stops tasks so that the head of the queue can start.
 
 use crate::job::Resources;
 use crate::planning::backfill::queue::{QueuedJob, TeamUsage};
@@ -9,31 +9,34 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// Room that becomes free by itself this soon is waited for.
+/// Longest wait for which the head waits for capacity to become free instead of preempting tasks.
 const MIN_WAIT_TO_PREEMPT: Duration = Duration::from_secs(4);
-/// Tasks of the head's job for which room may be made in one step.
+/// Maximum number of tasks of the head's job for which tasks are stopped in one step; a larger gang is
+/// not split.
 const MAX_TASKS_PER_STEP: usize = 16;
-/// Preempting has to bring the start forward by at least this many times the work it loses.
+/// Minimum ratio of the time by which preemption advances the head's start to the work it loses.
 const MIN_GAIN_RATIO: u32 = 3;
 
-/// What could be stopped on one node.
+/// Tasks that could be stopped on one node.
 struct PreemptionCandidates {
-    /// Room that is free, or that tasks already stopping are about to free.
+    /// Resources that are free, or that tasks which are already stopping will release.
     free: Resources,
-    /// Work lost by stopping a task, and the task's index on the node; the least loss first.
+    /// Work lost by stopping each task, and the task's index on the node; the least loss first.
     tasks: Vec<(Duration, usize)>,
 }
 
-/// What has to be stopped on a node to fit one more task; ordered by the work it loses.
+/// Option to place one more task on a node by stopping others; ordered by the work that is lost.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct PreemptionOption {
     lost_work: Duration,
     node_index: usize,
-    /// How many of the node's first candidates.
+    /// Number of tasks to stop, from the front of the node's candidates.
     stop_count: usize,
 }
 
 impl PreemptionCandidates {
+    /// Returns the option to stop candidates, those with the least loss first, until the task fits;
+    /// `None` if it does not fit even without all of them.
     fn least_loss_option(
         &self,
         node_index: usize,
@@ -59,9 +62,9 @@
     }
 }
 
-/// Chooses tasks to stop so that up to `waiting` tasks of the head's job can start: tasks of
-/// lower priority, or such that run on borrowed resources where the head is within its team's
-/// quota. For each task the node with the least lost work is chosen.
+/// Chooses the tasks to stop so that up to `waiting_tasks` tasks of the head's job can start. Tasks of
+/// lower priority may be stopped, and tasks on borrowed resources if the head is within its team's
+/// quota. For each task to start, the node on which the least work is lost is chosen.
 pub(super) fn preempt(
     step: &mut StepContext,
     job: &mut QueuedJob,
@@ -72,7 +75,7 @@
         return Vec::new();
     }
     let may_reclaim = job.within_quota && step.teams.iter().any(TeamUsage::is_borrowing);
-    // Mostly there is nothing that could be stopped, and no node need be inspected.
+    // In most steps no task can be stopped; returning here avoids inspecting every node.
     if !may_reclaim && !step.snapshot.has_lower_priority_tasks(job.priority) {
         return Vec::new();
     }
@@ -97,7 +100,7 @@
         if !job.allows_in_zone(step.snapshot.zone_of(node_index)) {
             continue;
         }
-        // Work is not thrown away to gain less time than was spent on it.
+        // Preemption must gain considerably more time than the run time that it discards.
         let min_wait = option.lost_work * MIN_GAIN_RATIO + MIN_WAIT_TO_PREEMPT;
         if reservation.is_some_and(|r| r.starts_in < min_wait) {
             break;
@@ -123,10 +126,10 @@
     preemptions
 }
 
-/// A task on a node: the node's index, and the task's index on it.
+/// Task on a node: the index of the node, and that of the task on it.
 type TaskPosition = (usize, usize);
 
-/// What could be stopped on each node that the head may use.
+/// Returns the tasks that could be stopped on each node that the head may use.
 fn candidates_by_node(
     step: &StepContext,
     job: &QueuedJob,
@@ -148,7 +151,7 @@
             let is_preemptible =
                 task.priority > job.priority || borrowing.contains(&(node_index, task_index));
             if task.stopping {
-                // Room that earlier stops are about to free is for the head first.
+                // Resources that stopping tasks will release go to the head first.
                 candidates.free.add(&task.resources);
             } else if task.id.job != job.spec.id && is_preemptible {
                 candidates
@@ -164,7 +167,8 @@
     by_node
 }
 
-/// What teams run beyond their quotas: their youngest tasks.
+/// Returns the tasks that exceed their teams' quotas. The tasks with the least work to lose count as
+/// the ones beyond the quota.
 fn borrowing_tasks(
     snapshot: &ClusterSnapshot,
     teams: &[TeamUsage],
--- a/src/planning/backfill/queue.rs
+++ b/src/planning/backfill/queue.rs
@@ -1,4 +1,4 @@
-//! The queue as a scheduling step sees it: jobs with queued tasks, and what teams may use.
+//! Input of a scheduling step: jobs with queued tasks, and the usage and limits of teams.
 
 use crate::job::{EPSILON, JobSpec, Priority, Resources};
 use crate::planning::cluster_snapshot::{ImageHash, MachineClass, Offer};
@@ -6,43 +6,44 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A job with queued tasks. Jobs come in the order of the queue.
+/// Job with queued tasks. A scheduling step receives the jobs in queue order.
 #[derive(Clone)]
 pub struct QueuedJob<'a> {
-    /// The job as its user described it.
+    /// Job specification as submitted by its user.
     pub spec: Arc<JobSpec>,
-    /// Its effective priority, which decides what may be preempted for it.
+    /// Effective priority of the job, which decides which tasks may be preempted for it.
     pub priority: Priority,
-    /// The tag of its image.
+    /// Hash of the name of the job's image.
     pub image: ImageHash,
-    /// Its team, by its index in the settings.
+    /// Team of the job, by its index in the settings.
     pub team: usize,
-    /// Indices of its queued tasks.
+    /// Indices of the job's queued tasks.
     pub queued: &'a BTreeSet<u32>,
-    /// Queued tasks that must not be started before some moment.
+    /// Earliest start of each queued task that is in backoff.
     pub backoff_until: &'a BTreeMap<u32, Instant>,
-    /// Gang scheduling: it starts with all of its tasks or not at all.
+    /// Whether the job is a gang, whose tasks start all together or not at all.
     pub all_or_nothing: bool,
-    /// Only one of its tasks is started, as a trial.
+    /// Whether only one task of the job is started per step, as a trial.
     pub single_trial: bool,
     /// Expected run time of a task.
     pub expected_runtime: Duration,
-    /// Tasks of this job that hold room already, by zone; only kept where it is bound to zones.
+    /// Number of tasks of this job that already hold resources in each zone; only maintained for jobs
+    /// with a zone constraint.
     pub tasks_per_zone: BTreeMap<String, u32>,
     /// Nodes that this job should avoid because its tasks failed there.
     pub avoided_nodes: Vec<usize>,
-    /// The job fits into its team's guaranteed quota.
+    /// Whether the job is within its team's guaranteed quota.
     pub within_quota: bool,
-    /// Whether others may be preempted for it while it is at the head of the queue.
+    /// Whether tasks of other jobs may be preempted for the job while it is at the head of the queue.
     pub may_preempt: bool,
-    /// What settles ties between sets of the same size.
+    /// Weight of one queue entry in ties between sets of the same size.
     pub priority_weight: f32,
-    /// Offers that cost more than the job is worth.
+    /// Offers that are too expensive for the job.
     pub excluded_offers: Vec<Offer>,
 }
 
 impl<'a> QueuedJob<'a> {
-    /// Indices of the tasks that may be started now.
+    /// Returns the indices of the tasks that may be started now.
     pub(super) fn startable_tasks(&self, now: Instant) -> impl Iterator<Item = u32> + 'a {
         let (queued, backoff_until) = (self.queued, self.backoff_until);
         let limit = if self.single_trial && !self.all_or_nothing {
@@ -57,7 +58,7 @@
             .take(limit)
     }
 
-    /// How many tasks one queue entry of this job has.
+    /// Returns the number of tasks in one queue entry of this job: all for a gang, otherwise one.
     pub(super) fn tasks_per_entry(&self) -> u32 {
         if self.all_or_nothing {
             self.queued.len() as u32
@@ -66,17 +67,17 @@
         }
     }
 
-    /// Whether the job may, and is to, use machines of this class.
+    /// Returns whether the job may use machines of this class and their offer is not too expensive.
     pub(super) fn accepts(&self, class: &MachineClass) -> bool {
         class.allows(&self.spec) && !self.excluded_offers.contains(&class.offer)
     }
 
-    /// Whether its zones matter to where its tasks go.
+    /// Returns whether the zones of the job's other tasks restrict where a task may be placed.
     pub(super) fn has_zone_constraint(&self) -> bool {
         self.spec.one_zone || self.spec.spread
     }
 
-    /// Whether one more task may go to this zone.
+    /// Returns whether one more task may be placed in this zone.
     pub(super) fn allows_in_zone(&self, zone: &str) -> bool {
         if !self.has_zone_constraint() {
             return true;
@@ -96,25 +97,25 @@
     }
 }
 
-/// What a team uses and may use.
+/// Resources that a team uses, its limits and its guaranteed quota.
 #[derive(Clone, Debug, Default)]
 pub struct TeamUsage {
     /// CPUs in use.
     pub cpus: f64,
     /// GPUs in use.
     pub gpus: f64,
-    /// Most CPUs that it may use, if they are limited.
+    /// Maximum number of CPUs that the team may use, if there is a limit.
     pub cpu_limit: Option<f64>,
-    /// Most GPUs that it may use, if they are limited.
+    /// Maximum number of GPUs that the team may use, if there is a limit.
     pub gpu_limit: Option<f64>,
-    /// Guaranteed CPUs; what its tasks hold beyond them is borrowed.
+    /// Guaranteed CPUs; CPUs that the team's tasks hold beyond them are borrowed.
     pub cpu_quota: f64,
-    /// Guaranteed GPUs.
+    /// Guaranteed GPUs; GPUs that the team's tasks hold beyond them are borrowed.
     pub gpu_quota: f64,
 }
 
 impl TeamUsage {
-    /// Whether `count` more tasks stay within the limits.
+    /// Returns whether `count` more tasks stay within the limits.
     pub(super) fn allows(&self, resources: &Resources, count: u32) -> bool {
         let fits_limit = |used: f64, per_task: f64, limit: Option<f64>| {
             limit.is_none_or(|limit| used + per_task * f64::from(count) <= limit + EPSILON)
@@ -129,12 +130,12 @@
         self.gpus += resources.gpus * count;
     }
 
-    /// Whether the team uses more than its quota.
+    /// Returns whether the team uses more than its quota.
     pub(super) fn is_borrowing(&self) -> bool {
         self.exceeds_quota(self.cpus, self.gpus)
     }
 
-    /// Whether this much is more than the team's quota.
+    /// Returns whether these amounts exceed the team's quota.
     pub(super) fn exceeds_quota(&self, cpus: f64, gpus: f64) -> bool {
         cpus > self.cpu_quota + EPSILON || gpus > self.gpu_quota + EPSILON
     }
--- a/src/planning/backfill/reservation.rs
+++ b/src/planning/backfill/reservation.rs
@@ -1,4 +1,4 @@
-//! The reservation of the queue's head: when it can start, and where (thesis, section 3.2.1).
+//! Reservation for the head of the queue: when and where it can start (thesis, section 3.2.1).
 
 use crate::job::Resources;
 use crate::planning::backfill::StepContext;
@@ -7,20 +7,21 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// When the head can start, and the room kept for its tasks.
+/// Time at which the head can start, and the resources reserved for its tasks.
 #[derive(Default)]
 pub(super) struct Reservation {
-    /// The shadow time, from now on.
+    /// Time from now until the shadow time.
     pub starts_in: Duration,
-    /// Room that tasks ending by then free, by node.
+    /// Resources that tasks ending by the shadow time release, by node.
     freed: BTreeMap<usize, Resources>,
+    /// Resources reserved for the head's tasks, by node.
     reserved: BTreeMap<usize, Resources>,
 }
 
 impl Reservation {
-    /// Walks the running tasks by expected end, adding their room until first-fit places the
-    /// head. Fitting is checked against nodes, not against sums, which hide fragmentation.
-    /// `None` if nothing that runs frees enough room.
+    /// Finds the reservation of a job: releases the running tasks' resources in the order of their
+    /// expected ends until first-fit places the job. The check is made per node, as the sum over all
+    /// nodes hides fragmentation. Returns `None` if the expected ends do not release enough.
     pub fn find(step: &StepContext, nodes: &[usize], job: &QueuedJob) -> Option<Reservation> {
         let snapshot = &*step.snapshot;
         let tasks = job.tasks_per_entry();
@@ -30,7 +31,8 @@
             let node = snapshot.node(node_index);
             node.usage == NodeUsage::Schedulable && accepted[node.class]
         };
-        // How many of its tasks fit where; only nodes with room for one are of interest.
+        // Number of the job's tasks that fit on each node. For a single task the map starts empty: the
+        // task cannot be placed now, so only nodes on which tasks end matter.
         let mut task_capacity: BTreeMap<usize, u32> = BTreeMap::new();
         if tasks > 1 {
             for &node_index in nodes.iter().filter(|n| is_usable(**n)) {
@@ -61,7 +63,7 @@
         None
     }
 
-    /// What a node will have left at the shadow time beside the head's tasks.
+    /// Returns the free resources of a node at the shadow time, less those reserved for the head.
     pub fn remaining(&self, snapshot: &ClusterSnapshot, node_index: usize) -> Resources {
         let mut free = snapshot.node(node_index).free;
         if let Some(freed) = self.freed.get(&node_index) {
@@ -73,7 +75,7 @@
         free
     }
 
-    /// Room that is freed by the shadow time, by node.
+    /// Returns the resources that are released by the shadow time, by node.
     pub fn freed(&self) -> impl Iterator<Item = (usize, &Resources)> {
         self.freed
             .iter()
@@ -81,10 +83,11 @@
     }
 }
 
-/// How many tasks go to each of some nodes.
+/// Number of tasks that are placed on each node.
 type Distribution = Vec<(usize, u32)>;
 
-/// How `tasks` tasks of a job go to nodes that can take so many each, if they do.
+/// Distributes `tasks` tasks of a job over the nodes, given the number that fits on each; `None` if
+/// they do not all fit.
 fn distribute(
     snapshot: &ClusterSnapshot,
     job: &QueuedJob,
@@ -102,7 +105,7 @@
     })
 }
 
-/// The same in the allowed zones.
+/// Distributes the tasks as [`distribute`] does, over nodes in the allowed zones only.
 fn distribute_within(
     snapshot: &ClusterSnapshot,
     job: &QueuedJob,
--- a/src/planning/backfill/tests.rs
+++ b/src/planning/backfill/tests.rs
@@ -14,7 +14,7 @@
     }
 }
 
-/// Figure 3.4 and tables 3.4 to 3.7 of the thesis: five free processors, jobs 2 to 5.
+/// The example of figure 3.4 and tables 3.4 to 3.7 of the thesis: five free processors, jobs 2 to 5.
 #[test]
 fn the_thesis_example_fills_the_machine_from_the_head_of_the_queue() {
     let queue = [item(2, 0), item(1, 1), item(2, 2), item(3, 3)];
@@ -24,11 +24,11 @@
     assert_eq!(at_zero, [0]);
     assert_eq!(used(&select_items(&queue, 5, 1, &mut tables)), 3);
     assert_eq!(used(&select_items(&queue, 5, 2, &mut tables)), 4);
-    // Figure 3.5: of the two sets that fill the machine, the one closer to the head.
+    // Figure 3.5: of the two sets that fill the machine, the one closer to the head is selected.
     assert_eq!(select_items(&queue, 5, 3, &mut tables), [0, 1, 2]);
-    // Cell (4,2,2): of two jobs that use all room, the one that leaves the shadow room.
+    // Cell (4,2,2): of two jobs that use all free capacity, the one that uses none at the shadow time.
     assert_eq!(select_items(&queue[..3], 2, 2, &mut tables), [0]);
-    // Section 3.5.1: a lookahead of three gives the same set.
+    // Section 3.5.1: a lookahead of three selects the same set.
     assert_eq!(select_items(&queue[..3], 5, 3, &mut tables), [0, 1, 2]);
 }
 
@@ -103,7 +103,7 @@
     spec
 }
 
-/// A job in the queue, with the queued tasks that the plan borrows from it.
+/// Owner of the collections that a `QueuedJob` borrows.
 struct TestJob {
     spec: JobSpec,
     queued: BTreeSet<u32>,
@@ -228,7 +228,7 @@
 
 #[test]
 fn the_head_is_never_delayed_by_what_runs_past_its_reservation() {
-    // The head needs 8 of 10; 4 are free now and 10 in 30 s: 2 remain beside it then.
+    // The head needs 8 of 10 CPUs; 4 are free now and 10 in 30 s, when 2 remain beside the head.
     let now = Instant::now();
     let queue = [
         test_job(spec("wk-1", 1, 8.0, 100)),
@@ -313,13 +313,13 @@
     let decision = run_plan(&mut snapshot, std::slice::from_ref(&job), limited, now);
     assert_eq!(decision.starts.len(), 2);
 
-    // A job that starts whole starts with all of its tasks or not at all.
+    // A gang starts with all of its tasks or not at all.
     let mut gang = test_job(spec("wk-2", 12, 1.0, 10));
     gang.all_or_nothing = true;
     let (mut snapshot, large, _) = new_snapshot();
     let decision = run_plan(&mut snapshot, std::slice::from_ref(&gang), unlimited(), now);
     assert!(decision.starts.is_empty());
-    // Nothing is left behind of the attempt.
+    // The failed attempt leaves no allocation and no image behind.
     assert_eq!(snapshot.node(large).free, resources(8.0));
     assert!(snapshot.node(large).images.is_empty() && snapshot.node(large).active_fetches == 0);
     gang.queued = (0..11).collect();
--- a/src/planning/bids.rs
+++ b/src/planning/bids.rs
@@ -1,7 +1,8 @@
-//! From pending and expected demand to bids on the markets, and from awards to machines to add.
+//! Scale-out by bidding: turns pending and expected demand into bids on the markets, and the
+//! awards into machines to add.
 //!
-//! The capacity forecast says when each task would start without another machine, its delay cost
-//! says what that costs, and the market package clears the bids.
+//! The capacity forecast gives the time at which each task would start without additional
+//! machines, the delay cost puts a price on that delay, and the market package clears the bids.
 
 use crate::job::{JobSpec, Priority};
 use crate::planning::autoscaler::{OfferMarket, OfferScope, choose_cheapest, prices};
@@ -13,38 +14,41 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Nothing is forecast beyond this: what would start later bids as if it started then.
+/// Horizon of the forecast. Tasks that would start later bid as if they started at the horizon.
 const HORIZON: Duration = Duration::from_secs(240);
-/// A machine is billed for at least this long (the protocol).
+/// Minimum time for which a machine is billed, as defined by the cloud protocol.
 const MINIMUM_BILLED: Duration = Duration::from_secs(60);
-/// What never ends bids as if it ran this long: the machine is worth its money long before.
+/// Upper bound on the run time that a bid counts, which also applies to tasks that never end: a
+/// machine has paid for itself long before.
 const MAX_COUNTED_RUNTIME: Duration = Duration::from_secs(600);
-/// Fetches longer than this count as this long, in seconds.
+/// Upper bound on the fetch time that is counted, in seconds.
 const MAX_FETCH_S: f64 = 600.0;
-/// Announced boot times above this are taken for this, in seconds.
+/// Upper bound on the announced boot time that is counted, in seconds.
 const MAX_BOOT_S: f64 = 1e6;
-/// Starts of one job that are this near to each other, as a part of their delay, bid together.
+/// Relative distance up to which starts of one job share a bid, as a fraction of the group's mean
+/// time to start.
 const START_GROUPING_RATIO: f64 = 0.3;
-/// So are those that are this near in seconds.
+/// Absolute distance that is added to the relative one, in seconds.
 const START_GROUPING_S: f64 = 2.0;
-/// The part of all tasks that have to wait for their image.
+/// Assumed fraction of tasks that have to wait for their image.
 const IMAGE_MISS_RATE: f64 = 0.5;
-/// From the end of one task to the start of the next in its place: a heartbeat and a command.
+/// Delay from the end of a task to the start of the next one on the same resources: a heartbeat
+/// and a command.
 const TASK_HANDOVER_DELAY: Duration = Duration::from_secs(1);
 
-/// Tasks that wait, or that are expected, and what a later start costs them.
+/// Pending or expected tasks with the cost of a delayed start.
 #[derive(Clone, Debug)]
 pub struct DemandBid {
-    /// The tasks.
+    /// Tasks of one job.
     pub demand: PendingDemand,
-    /// When they arrive, from now on; zero for those that wait.
+    /// Time from now until the tasks arrive; zero for pending tasks.
     pub arrives_in: Duration,
-    /// What each start costs by its delay.
+    /// Cost of the delay of each start.
     pub delay_cost: DelayCost,
 }
 
-/// What a task costs where it is cheapest, whether that can be had now or not: in units of price
-/// per hour, for a second.
+/// Returns the cost of one task on the cheapest offer that the job may use, whether or not that
+/// offer is available now. The unit is the price per hour times seconds.
 pub fn nominal_cost(types: &[MachineType], spec: &JobSpec, runtime: Duration) -> f64 {
     let mut lowest = f64::INFINITY;
     for machine_type in types.iter().filter(|t| spec.allows_type(&t.name)) {
@@ -64,7 +68,7 @@
     }
 }
 
-/// How long a job's image takes to fetch, on the average of the types.
+/// Returns the time to fetch a job's image, averaged over the machine types.
 fn mean_fetch(types: &[MachineType], spec: &JobSpec) -> Duration {
     let sum: f64 = types
         .iter()
@@ -74,7 +78,7 @@
     Duration::from_secs_f64(mean.clamp(0.0, MAX_FETCH_S))
 }
 
-/// All markets as they are estimated now, in a fixed order.
+/// Returns the current estimates of all markets, sorted by offer.
 pub fn offer_batches(
     types: &[MachineType],
     estimates: &MarketEstimates,
@@ -105,12 +109,12 @@
 
 /// Tasks of a job that start at about the same time.
 struct StartGroup {
-    /// Mean time of the starts from now on, in seconds.
+    /// Mean time from now until the starts, in seconds.
     starts_in_s: f64,
     tasks: f64,
 }
 
-/// When the tasks of a job start, where starts near to each other form a group.
+/// Forecast starts of one job's tasks, in which starts close to each other form a group.
 #[derive(Default)]
 struct StartGroups {
     groups: Vec<StartGroup>,
@@ -133,7 +137,8 @@
     }
 }
 
-/// Which machines are worth adding for these bids, in the queue's order.
+/// Returns the number of machines to add of each offer, and how the bids were cleared. The bids are
+/// in queue order.
 pub fn plan_scale_out(
     snapshot: &ClusterSnapshot,
     booting_nodes: &[BootingNodes],
@@ -161,7 +166,8 @@
     for bid in demand_bids {
         let (starts, unserved) = forecast_starts(&mut forecast, bid, &market.types);
         if unserved == bid.demand.tasks && bid.arrives_in.is_zero() {
-            // No capacity is forecast for any of it: whatever its value, it must not starve.
+            // No capacity is forecast for any of these tasks. Machines are added whatever the bid is
+            // worth, so that the job does not starve.
             let scope = OfferScope::All;
             choose_cheapest(&bid.demand, unserved, market, scope, &mut counts);
             continue;
@@ -178,8 +184,8 @@
     (counts, result)
 }
 
-/// When the tasks would start without another machine, and how many see no room within the
-/// horizon; these count as starting at its end.
+/// Returns when the tasks would start without additional machines, and for how many of them no
+/// capacity is forecast within the horizon; these count as starting at the horizon.
 fn forecast_starts(
     forecast: &mut Forecast,
     bid: &DemandBid,
@@ -187,7 +193,7 @@
 ) -> (StartGroups, u32) {
     let mut starts = StartGroups::default();
     let mut demand = bid.demand.clone();
-    // A task holds its place while its image is fetched, too, and until the next one starts.
+    // A task also occupies its resources while its image is fetched and until the next task starts.
     let fetch = mean_fetch(types, &demand.spec).mul_f64(IMAGE_MISS_RATE);
     demand.expected_runtime = demand
         .expected_runtime
@@ -200,7 +206,7 @@
     (starts, unserved)
 }
 
-/// A bid for each group of starts.
+/// Returns one bid for each group of starts.
 fn bids_by_start(
     bid: &DemandBid,
     starts: StartGroups,
@@ -228,7 +234,8 @@
         .collect()
 }
 
-/// How a machine of this batch would carry a job's tasks, if it may and can.
+/// Returns the number of the job's tasks that fit on a machine of this batch and the time to fetch
+/// their image; `None` if the job may not use the offer or none of its tasks fits.
 fn machine_fit(
     demand: &PendingDemand,
     batch: &OfferBatch,
--- a/src/planning/capacity_forecast.rs
+++ b/src/planning/capacity_forecast.rs
@@ -1,5 +1,5 @@
-//! A forecast of the room that running tasks and booting machines will free, laid out over the
-//! queue.
+//! Forecast of the capacity that ending tasks and booting machines will provide, and its allocation
+//! to the jobs of the queue.
 
 use crate::job::{JobSpec, Priority, Resources};
 use crate::planning::cluster_snapshot::{ClusterSnapshot, MachineClass, NodeUsage, Offer, allows};
@@ -8,83 +8,84 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Stopping a task and starting another takes about this long.
+/// Approximate time to stop a task and start another one on its resources.
 const PREEMPTION_DELAY: Duration = Duration::from_secs(4);
-/// A machine that boots for longer than expected is expected after this.
+/// Assumed remaining boot time of a machine that has been booting for longer than expected.
 const LATE_BOOT_DELAY: Duration = Duration::from_secs(1);
 
-/// Tasks of one job that wait for room.
+/// Tasks of one job that wait for capacity.
 #[derive(Clone, Debug)]
 pub struct PendingDemand {
-    /// The job as its user described it.
+    /// Job specification as submitted by its user.
     pub spec: Arc<JobSpec>,
-    /// Its effective priority, which decides what may be preempted for it.
+    /// Effective priority of the job, which decides which tasks may be preempted for it.
     pub priority: Priority,
-    /// How many tasks wait.
+    /// Number of waiting tasks.
     pub tasks: u32,
     /// Expected run time of a task.
     pub expected_runtime: Duration,
-    /// Longest time the job's tasks should wait from now on before a machine is worth adding.
+    /// Longest wait from now on for which adding a machine is not worth its cost.
     pub max_wait: Duration,
-    /// The same where a spot machine can be had.
+    /// The same limit where a spot machine is available.
     pub max_spot_wait: Duration,
-    /// Offers that cost more than the job is worth.
+    /// Offers that are too expensive for the job.
     pub excluded_offers: Vec<Offer>,
 }
 
 impl PendingDemand {
-    /// Whether the job may, and is to, use machines of this offer.
+    /// Returns whether the job may use machines of this offer and the offer is not too expensive.
     pub fn accepts(&self, offer: &Offer) -> bool {
         allows(&self.spec, offer) && !self.excluded_offers.contains(offer)
     }
 }
 
-/// Machines that have been requested and have no names yet.
+/// Machines that have been requested and have no identifiers yet.
 #[derive(Clone, Debug)]
 pub struct BootingNodes {
-    /// What was requested.
+    /// Requested offer.
     pub offer: Offer,
-    /// Room of one of them.
+    /// Capacity of one machine.
     pub capacity: Resources,
-    /// How many were requested.
+    /// Number of machines requested.
     pub count: u32,
-    /// When they are expected to accept tasks, from now on.
+    /// Time from now until the machines are expected to accept tasks.
     pub ready_in: Duration,
 }
 
-/// Where room becomes free.
+/// Source of capacity in the forecast.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum CapacitySource {
-    /// A node of the snapshot, by its index.
+    /// Node of the snapshot, by its index.
     Node(usize),
-    /// A requested machine, by its index among them.
+    /// Requested machine, by its index among the requested machines.
     Requested(usize),
-    /// A task of the lowest priority that can be preempted, by its index among them.
+    /// Task of the lowest priority that can be preempted, by its index among these tasks.
     Preemptible(usize),
 }
 
-/// When room becomes free, from now on, and where.
+/// Time from now at which capacity becomes available, and its source.
 type GainKey = (Duration, CapacitySource);
 
-/// Room that becomes available without adding machines.
+/// Capacity that becomes available without adding machines.
 pub struct Forecast<'a> {
     snapshot: &'a ClusterSnapshot,
     requested: Vec<&'a BootingNodes>,
-    /// The node of each task that can be preempted.
+    /// Node of each task that can be preempted.
     preemptible: Vec<usize>,
-    /// What becomes free and when, the earliest first.
+    /// Capacity that becomes available, the earliest first.
     gains: BTreeMap<GainKey, Resources>,
-    /// Room of each source that was too little for a job and may add up with more. A source that
-    /// is missing here has not been used yet.
+    /// Capacity of each source that was too small for another task and is added to the source's next
+    /// gain. A source without an entry has not been used yet.
     leftover: BTreeMap<CapacitySource, Resources>,
-    /// When each machine that boots is expected.
+    /// Time from now until each booting machine is expected.
     boots: BTreeMap<CapacitySource, Duration>,
+    /// Latest time in `boots`.
     last_boot: Duration,
 }
 
 impl<'a> Forecast<'a> {
-    /// A forecast up to `horizon` from now on. Nothing in `unreachable_zones` counts; tasks of the
-    /// lowest priority count as room where `preempting` is set.
+    /// Creates a forecast of the time from `now` up to `horizon`. Capacity in `unreachable_zones` does
+    /// not count; that of tasks of the lowest priority does if `allow_preemption` is set.
     pub fn new(
         snapshot: &'a ClusterSnapshot,
         booting_nodes: &'a [BootingNodes],
@@ -112,14 +113,14 @@
             requested,
             preemptible,
             last_boot: builder.boots.values().copied().max().unwrap_or_default(),
-            // Nearly in order already, and built at once.
+            // The gains are nearly sorted, so building the map at once is cheap.
             gains: builder.gains.into_iter().collect(),
             leftover: BTreeMap::new(),
             boots: builder.boots,
         }
     }
 
-    /// The index of a source's class in what `accepted_classes` returns.
+    /// Returns the index of a source's class in the result of `accepted_classes`.
     fn class_index(&self, source: CapacitySource) -> usize {
         match source {
             CapacitySource::Node(node_index) => self.snapshot.node(node_index).class,
@@ -128,7 +129,8 @@
         }
     }
 
-    /// Which classes a job accepts: asked once a job, as there may be thousands of ends.
+    /// Returns for each class whether a job accepts it. This is computed once per job, as there may be
+    /// thousands of task ends to test.
     fn accepted_classes(&self, demand: &PendingDemand) -> Vec<bool> {
         let present = self.snapshot.classes().iter().map(|class| &class.offer);
         let requested = self.requested.iter().map(|nodes| &nodes.offer);
@@ -136,7 +138,7 @@
         offers.map(|offer| demand.accepts(offer)).collect()
     }
 
-    /// Counts room that is free now as well: for tasks that arrive while it is there.
+    /// Includes the capacity that is free now, for tasks that are expected to arrive.
     pub fn include_free_capacity(&mut self) {
         for node_index in self.snapshot.available() {
             let key = (Duration::ZERO, CapacitySource::Node(node_index));
@@ -144,7 +146,7 @@
         }
     }
 
-    /// Room that a source had before it was used.
+    /// Returns the free capacity of a source that has not been used yet.
     fn initial_capacity(&self, source: CapacitySource) -> Resources {
         match source {
             CapacitySource::Node(node_index) if !self.boots.contains_key(&source) => {
@@ -154,10 +156,10 @@
         }
     }
 
-    /// Allocates what it can of the coming room to a job's tasks, in time or where a machine is
-    /// booting anyway, and returns how many tasks are left. Each task gives its room back after
-    /// its run. Tasks that are yet to come start when they have arrived, at the earliest.
-    /// `on_start` is called with when, from now on, and how many tasks start.
+    /// Allocates forecast capacity to a job's tasks and returns the number of tasks left without. Only
+    /// capacity that is available within `max_wait`, or on a machine that is booting anyway, is used.
+    /// Each task releases its resources after its run time, and starts no earlier than `arrives_in`.
+    /// `on_start` is called with the time from now and the number of tasks of each start.
     pub fn allocate(
         &mut self,
         demand: &PendingDemand,
@@ -175,7 +177,8 @@
         );
         let mut from = Bound::Unbounded;
         let is_usable = |forecast: &Self, at: Duration, source: CapacitySource| {
-            // A machine that boots counts however late it comes, or it would be requested again.
+            // A booting machine counts however late it becomes ready; otherwise another one would be
+            // requested in its place.
             let in_time = at <= max_wait || forecast.boots.get(&source) == Some(&at);
             let may_preempt = demand.priority < Priority::Low;
             let permitted = may_preempt || !matches!(source, CapacitySource::Preemptible(_));
@@ -196,7 +199,7 @@
             available.sub(&resources.times(f64::from(count)));
             remaining -= count;
             if remaining == 0 {
-                // What this job does not need is there for the next one, at the same time.
+                // Capacity that this job does not need is available to the next one at the same time.
                 self.gains.insert((at, source), available);
                 self.leftover.insert(source, Resources::default());
             } else {
@@ -218,7 +221,8 @@
 struct ForecastBuilder<'a> {
     snapshot: &'a ClusterSnapshot,
     now: Instant,
-    /// By class: its zone can be reached. Tasks that end in other zones free no usable room.
+    /// Whether the zone of each class can be reached. Tasks that end in other zones release no usable
+    /// capacity.
     is_reachable: Vec<bool>,
     gains: Vec<(GainKey, Resources)>,
     boots: BTreeMap<CapacitySource, Duration>,
@@ -240,7 +244,7 @@
         self.is_reachable[self.snapshot.node(node_index).class]
     }
 
-    /// Room of tasks that end within the horizon.
+    /// Adds the resources of tasks that end within the horizon.
     fn add_task_ends(&mut self, horizon: Duration) {
         for (end, node_index, task) in self.snapshot.expected_ends(self.now) {
             let after = end.saturating_duration_since(self.now);
@@ -259,7 +263,7 @@
         }
     }
 
-    /// Machines that boot and have names.
+    /// Adds the booting machines that have identifiers.
     fn add_booting_nodes(&mut self) {
         for node_index in self.snapshot.booting() {
             let node = self.snapshot.node(node_index);
@@ -277,7 +281,7 @@
         }
     }
 
-    /// Machines that have been requested.
+    /// Adds the requested machines.
     fn add_requested_nodes(&mut self, requested: &[&BootingNodes]) {
         for (index, nodes) in requested.iter().enumerate() {
             let source = CapacitySource::Requested(index);
@@ -286,7 +290,8 @@
         }
     }
 
-    /// Tasks of the lowest priority, which can be preempted. Returns the node of each.
+    /// Adds the resources of tasks of the lowest priority, which can be preempted. Returns the node of
+    /// each task.
     fn add_preemptible_tasks(&mut self) -> Vec<usize> {
         let mut nodes = Vec::new();
         let all_nodes = self.snapshot.nodes();
@@ -306,8 +311,9 @@
     }
 }
 
-/// Lays the queue out over the room that becomes available by itself, and returns how many tasks
-/// of which jobs would wait for longer than `max_wait` allows.
+/// Allocates the capacity that becomes available without scale-out to the jobs in queue order, and
+/// returns the demands with tasks that would wait longer than `max_wait`, with the number of these
+/// tasks.
 pub fn unserved_demand<'a>(
     snapshot: &ClusterSnapshot,
     booting_nodes: &[BootingNodes],
--- a/src/planning/cluster_snapshot.rs
+++ b/src/planning/cluster_snapshot.rs
@@ -1,8 +1,9 @@
-//! The cluster as placement and autoscaling see it: every machine with its free room and tasks.
+//! Snapshot of the cluster for placement and autoscaling: every machine with its free resources and
+//! tasks.
 //!
-//! The owner of the state replaces a node whenever something about its machine has changed, and
-//! the snapshot keeps indices up to date. A scheduling step therefore costs what has changed and
-//! what it searches, not the size of the cluster.
+//! The owner of the state replaces a node whenever its machine has changed, and the snapshot keeps
+//! its indices up to date. The cost of a scheduling step therefore depends on the number of changed
+//! and searched nodes, not on the size of the cluster.
 
 use crate::fault_injection::{Safeguard, is_enabled};
 use crate::job::{JobSpec, MachineId, Priority, Resources, TaskId};
@@ -13,47 +14,48 @@
 
 pub use burlusher_market::Offer;
 
-/// Whether a job may use machines of this offer.
+/// Returns whether a job may use machines of this offer.
 pub fn allows(spec: &JobSpec, offer: &Offer) -> bool {
     (spec.spot || !offer.spot || !is_enabled(Safeguard::SpotEligibility))
         && spec.allows_type(&offer.machine_type)
         && spec.allows_zone(&offer.zone)
 }
 
-/// A hash of an image's name. A collision could only make a fetch look cheaper than it is.
+/// Hash of an image's name. A collision only makes a fetch look cheaper than it is.
 pub type ImageHash = u64;
 
-/// The tag of an image's name.
+/// Returns the hash of an image's name.
 pub fn image_hash(name: &str) -> ImageHash {
     let mut hasher = DefaultHasher::new();
     name.hash(&mut hasher);
     hasher.finish()
 }
 
-/// A task that holds room on a machine.
+/// Task that holds resources on a machine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunningTask {
-    /// The task.
+    /// Identifier of the task.
     pub id: TaskId,
-    /// The room it holds.
+    /// Resources that the task holds.
     pub resources: Resources,
-    /// Expected end; `None` for services and overruns, which count as endless.
+    /// Expected end; `None` for services and for tasks that have overrun their estimate, which count as
+    /// endless.
     pub expected_end: Option<Instant>,
-    /// Since when it runs, if it does already.
+    /// Start of the task's run; `None` while it is still starting.
     pub running_since: Option<Instant>,
-    /// Time a checkpoint takes when the task is stopped, if it can checkpoint: then no more work
-    /// than that is lost.
+    /// Time that a checkpoint takes when the task is stopped, which bounds the work lost by stopping
+    /// it; `None` if the task does not write checkpoints.
     pub checkpoint_duration: Option<Duration>,
-    /// The priority of its job, or of a more urgent one that depends on it.
+    /// Priority of the task's job, or that of a more urgent job that depends on it.
     pub priority: Priority,
-    /// Its team, by its index in the settings.
+    /// Team of the task's job, by its index in the settings.
     pub team: Option<usize>,
-    /// It has been asked to stop.
+    /// Whether the task has been asked to stop.
     pub stopping: bool,
 }
 
 impl RunningTask {
-    /// Work that would be lost if it were stopped now, in run time.
+    /// Returns the work that would be lost if the task were stopped now, as run time.
     pub fn lost_work(&self, now: Instant) -> Duration {
         let ran = self
             .running_since
@@ -63,103 +65,105 @@
     }
 }
 
-/// What a machine can be used for at present.
+/// Availability of a machine for scheduling.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NodeUsage {
-    /// It accepts tasks.
+    /// The machine accepts tasks.
     Schedulable,
-    /// It boots and is expected to accept tasks from this moment on.
+    /// The machine is booting and is expected to accept tasks from this time on.
     Booting(Instant),
-    /// It accepts no tasks now, but room that becomes free on it will be usable.
+    /// The machine accepts no tasks for now; resources that its tasks release will be usable.
     Unschedulable,
-    /// It is being removed; only what it still holds counts.
+    /// The machine is being deleted or reclaimed, or its lease has expired; only the tasks that it still
+    /// holds count.
     Removing,
 }
 
-/// A machine as placement and autoscaling see it.
+/// Machine, as it is represented for placement and autoscaling.
 #[derive(Clone, Debug)]
 pub struct Node {
-    /// The machine.
+    /// Identifier of the machine.
     pub id: MachineId,
-    /// Index of its class, see [`ClusterSnapshot::class_index`].
+    /// Index of the machine's class, see [`ClusterSnapshot::class_index`].
     pub class: usize,
-    /// Room that no task holds.
+    /// Resources that no task holds.
     pub free: Resources,
-    /// What it can be used for.
+    /// Availability of the machine for scheduling.
     pub usage: NodeUsage,
-    /// Images that are on the machine or being fetched.
+    /// Images that are on the machine or being fetched to it.
     pub images: Vec<ImageHash>,
-    /// How many fetches share the machine's download rate now.
+    /// Number of image fetches that share the machine's download rate now.
     pub active_fetches: usize,
-    /// How much delay, in seconds, it is worth to avoid the machine for its past faults.
+    /// Delay, in seconds, that is accepted to avoid the machine because of its past faults.
     pub fault_penalty_s: f64,
-    /// Since when it holds nothing and nothing is in flight to it.
+    /// Time since which the machine has held no task and no call to it has been in flight.
     pub idle_since: Option<Instant>,
-    /// The tasks on it.
+    /// Tasks on the machine.
     pub tasks: Vec<RunningTask>,
 }
 
 /// Machines of one offer, which are interchangeable when empty.
 #[derive(Clone, Debug)]
 pub struct MachineClass {
-    /// Machine type, zone and whether it is spot.
+    /// Machine type, zone, and whether the machines are spot machines.
     pub offer: Offer,
-    /// Room of one empty machine.
+    /// Capacity of one empty machine.
     pub capacity: Resources,
-    /// Rate at which one machine fetches images.
+    /// Rate at which one machine fetches images, in GB per second.
     pub fetch_gb_per_s: f64,
-    /// How many machines of the class there are.
+    /// Number of machines of the class.
     pub machines: usize,
 }
 
 impl MachineClass {
-    /// Whether a job may use machines of this class.
+    /// Returns whether a job may use machines of this class.
     pub fn allows(&self, spec: &JobSpec) -> bool {
         allows(spec, &self.offer)
     }
 
-    /// Time one machine takes to fetch an image when nothing else is being fetched, in seconds.
+    /// Returns the time for one machine to fetch an image while it fetches nothing else, in seconds.
     pub fn fetch_seconds(&self, image_gb: f64) -> f64 {
         fetch_seconds(image_gb, self.fetch_gb_per_s)
     }
 }
 
-/// Time a fetch takes at an announced rate, in seconds.
+/// Returns the time for a fetch at an announced rate, in seconds.
 pub fn fetch_seconds(image_gb: f64, announced_gb_per_s: f64) -> f64 {
     image_gb / announced_gb_per_s.max(MIN_FETCH_GB_PER_S)
 }
 
-/// All machines, and the indices by which a scheduling step finds those that matter to it.
+/// All machines, with the indices that a scheduling step searches.
 ///
-/// Invariant: the indices list exactly the nodes in `nodes` by the state in which they were last
-/// put there. Room that a step allocates changes a node's free room only.
+/// Invariant: the indices match the nodes as they were last passed to [`ClusterSnapshot::put`].
+/// Allocations of a scheduling step change a node's free resources and images, but no index.
 #[derive(Default)]
 pub struct ClusterSnapshot {
     classes: Vec<MachineClass>,
     node_indices: BTreeMap<MachineId, usize>,
     nodes: Vec<Option<Node>>,
     vacant_indices: Vec<usize>,
-    /// Nodes that accept tasks and have room for some.
+    /// Nodes that accept tasks and have free resources.
     available: BTreeSet<usize>,
     booting: BTreeSet<usize>,
     idle: BTreeSet<usize>,
-    /// Expected ends, with the node and the task's index on it.
+    /// Expected ends of tasks, with the index of the node and that of the task on it.
     expected_ends: BTreeSet<(Instant, usize, usize)>,
-    /// What the tasks of each team hold.
+    /// Resources that the tasks of each team hold.
     team_allocations: BTreeMap<usize, Resources>,
-    /// How many tasks of each priority are on machines.
+    /// Number of tasks of each priority on machines.
     tasks_by_priority: BTreeMap<Priority, usize>,
-    /// Nodes and expected ends inspected so far; tests judge the cost of a step by it.
+    /// Number of nodes and expected ends inspected so far, from which tests derive the cost of a step.
     inspected: Cell<u64>,
 }
 
-/// Less room than this counts as none.
+/// Free CPUs or memory (GB) up to this amount count as none.
 const MIN_FREE: f64 = 1e-3;
-/// Announced fetch rates below this are taken for this.
+/// Lower bound on the announced fetch rate that is counted.
 const MIN_FETCH_GB_PER_S: f64 = 0.01;
 
 impl ClusterSnapshot {
-    /// The index of an offer's class, which is created or updated with its type's newest figures.
+    /// Returns the index of an offer's class, which is created or updated with the newest properties of
+    /// its machine type.
     pub fn class_index(
         &mut self,
         offer: &Offer,
@@ -182,22 +186,22 @@
         index
     }
 
-    /// All classes; a class keeps its index, also while it has no machines.
+    /// Returns all classes. A class keeps its index, also while it has no machines.
     pub fn classes(&self) -> &[MachineClass] {
         &self.classes
     }
 
-    /// How many nodes and expected ends have been inspected so far.
+    /// Returns the number of nodes and expected ends inspected so far.
     pub fn inspected(&self) -> u64 {
         self.inspected.get()
     }
 
-    /// Counts what a step inspects.
+    /// Adds to the number of nodes and expected ends inspected.
     pub fn count_inspected(&self, count: usize) {
         self.inspected.set(self.inspected.get() + count as u64);
     }
 
-    /// Adds a node, or replaces it by its present state.
+    /// Adds a node, or replaces the node of the same machine.
     pub fn put(&mut self, node: Node) {
         self.count_inspected(1);
         let node_index = match self.node_indices.get(&node.id) {
@@ -233,7 +237,7 @@
         self.nodes[node_index] = Some(node);
     }
 
-    /// An index for a new node: a vacant one if there is any.
+    /// Assigns an index to a new node, reusing a vacant one if there is any.
     fn assign_index(&mut self, id: &MachineId) -> usize {
         let node_index = self.vacant_indices.pop().unwrap_or(self.nodes.len());
         if node_index == self.nodes.len() {
@@ -243,7 +247,7 @@
         node_index
     }
 
-    /// Removes a node's entries from the indices.
+    /// Removes a node and its entries in the indices; its index stays assigned to the machine.
     fn remove_from_indices(&mut self, node_index: usize) {
         let Some(node) = self.nodes[node_index].take() else {
             return;
@@ -266,7 +270,7 @@
         self.idle.remove(&node_index);
     }
 
-    /// Removes a machine that is gone.
+    /// Removes the node of a machine that no longer exists.
     pub fn remove(&mut self, id: &MachineId) {
         if let Some(node_index) = self.node_indices.remove(id) {
             self.remove_from_indices(node_index);
@@ -274,26 +278,30 @@
         }
     }
 
-    /// The index of a machine's node; it stays the same until the machine is removed.
+    /// Returns the index of a machine's node, which stays the same until the machine is removed.
     pub fn node_index(&self, id: &MachineId) -> Option<usize> {
         self.node_indices.get(id).copied()
     }
 
-    /// The node at an index that this snapshot gave out and that is not vacant.
+    /// Returns the node at an index.
+    ///
+    /// # Panics
+    ///
+    /// If no node has this index.
     pub fn node(&self, node_index: usize) -> &Node {
         self.nodes[node_index]
             .as_ref()
-            .expect("a listed node index is in use")
+            .expect("node index should refer to a node of the snapshot")
     }
 
     fn node_mut(&mut self, node_index: usize) -> &mut Node {
         self.nodes[node_index]
             .as_mut()
-            .expect("a listed node index is in use")
+            .expect("node index should refer to a node of the snapshot")
     }
 
-    /// Allocates room for one more task, until the node is replaced. Returns whether the node
-    /// has to fetch the image for it.
+    /// Allocates resources for one more task; the allocation lasts until the node is replaced. Returns
+    /// whether the node has to fetch the image for the task.
     pub fn allocate(&mut self, node_index: usize, resources: &Resources, image: ImageHash) -> bool {
         self.count_inspected(1);
         let node = self.node_mut(node_index);
@@ -306,7 +314,7 @@
         needs_fetch
     }
 
-    /// Takes back the newest allocation on a node; `fetches` is what `allocate` returned.
+    /// Reverts the latest allocation on a node; `needs_fetch` is the result of its `allocate` call.
     pub fn undo_allocation(&mut self, node_index: usize, resources: &Resources, needs_fetch: bool) {
         let node = self.node_mut(node_index);
         node.free.add(resources);
@@ -316,43 +324,43 @@
         }
     }
 
-    /// The class of a node.
+    /// Returns the class of a node.
     pub fn class_of(&self, node_index: usize) -> &MachineClass {
         &self.classes[self.node(node_index).class]
     }
 
-    /// The zone of a node.
+    /// Returns the zone of a node.
     pub fn zone_of(&self, node_index: usize) -> &str {
         &self.class_of(node_index).offer.zone
     }
 
-    /// Nodes that accept tasks and have some room, in a fixed order.
+    /// Returns the nodes that accept tasks and have free resources, in the order of their indices.
     pub fn available(&self) -> impl Iterator<Item = usize> + '_ {
         self.count_inspected(self.available.len());
         self.available.iter().copied()
     }
 
-    /// Nodes that boot, in a fixed order.
+    /// Returns the booting nodes, in the order of their indices.
     pub fn booting(&self) -> impl Iterator<Item = usize> + '_ {
         self.count_inspected(self.booting.len());
         self.booting.iter().copied()
     }
 
-    /// Nodes that hold nothing, in a fixed order.
+    /// Returns the idle nodes, in the order of their indices.
     pub fn idle(&self) -> impl Iterator<Item = usize> + '_ {
         self.count_inspected(self.idle.len());
         self.idle.iter().copied()
     }
 
-    /// All nodes: for questions that have no index and are asked rarely.
+    /// Returns all nodes. The cost grows with the cluster, so this is for rare queries without an index.
     pub fn nodes(&self) -> impl Iterator<Item = (usize, &Node)> {
         self.count_inspected(self.nodes.len());
         let nodes = self.nodes.iter().enumerate();
         nodes.filter_map(|(node_index, node)| Some((node_index, node.as_ref()?)))
     }
 
-    /// Expected ends from `now` on with node and task, the earliest first. A task that should
-    /// have ended already has overrun its estimate and counts as endless.
+    /// Returns the expected ends from `now` on with node and task, the earliest first. Tasks whose
+    /// expected end has passed have overrun their estimate, count as endless and are left out.
     pub fn expected_ends(
         &self,
         now: Instant,
@@ -364,13 +372,13 @@
         })
     }
 
-    /// Whether any task of a lower priority than this is on a machine.
+    /// Returns whether any task of a lower priority than this is on a machine.
     pub fn has_lower_priority_tasks(&self, priority: Priority) -> bool {
         let mut counts = self.tasks_by_priority.iter();
         counts.any(|(other, count)| *other > priority && *count > 0)
     }
 
-    /// What a team's tasks hold together.
+    /// Returns the total resources that a team's tasks hold.
     pub fn team_allocation(&self, team: usize) -> Resources {
         self.team_allocations
             .get(&team)
@@ -378,7 +386,8 @@
             .unwrap_or_default()
     }
 
-    /// Sums the teams' allocations afresh: adding and subtracting for hours leaves rounding errors.
+    /// Recomputes the teams' allocations from the tasks, as hours of additions and subtractions
+    /// accumulate rounding errors.
     pub fn recompute_team_allocations(&mut self) {
         let mut allocations: BTreeMap<usize, Resources> = BTreeMap::new();
         for node in self.nodes.iter().flatten() {
@@ -391,7 +400,7 @@
         self.team_allocations = allocations;
     }
 
-    /// The most that a machine has of each resource.
+    /// Returns the largest amount of each resource that any present machine has in total.
     pub fn largest_capacity(&self) -> Resources {
         let mut largest = Resources::default();
         for class in self.classes.iter().filter(|c| c.machines > 0) {
--- a/src/planning/mod.rs
+++ b/src/planning/mod.rs
@@ -1,5 +1,5 @@
-//! Pure planning: where tasks are placed, which are preempted, and how many machines are added
-//! or removed. There is no clock and no I/O here, and no dependency on the core's state.
+//! Pure planning functions: task placement, preemption, scale-out and scale-in. They read no
+//! clock, do no I/O and do not depend on the core's state.
 
 pub mod autoscaler;
 pub mod backfill;
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,10 +1,10 @@
-//! The operators' policy: a small expression language with a checker.
+//! Scheduling policy set by operators: a small expression language with a type checker.
 //!
-//! A policy is a list of entries, `name = expression`. Expressions are numbers and truth values,
+//! A policy is a list of entries, `name = expression`. Expressions consist of numbers and booleans,
 //! `+ - * /`, comparisons, `and or not`, `if … then … else …`, `min max abs`, and the names of the
-//! facts that the entry is evaluated with. There are no loops and nesting is bounded, so
-//! evaluation ends. An expression that fails at run time falls back to the built-in one and is
-//! logged once.
+//! facts that the entry is evaluated with. The language has no loops and bounds nesting, so
+//! evaluation always terminates. If an expression evaluates to a non-finite number, the built-in
+//! expression is used instead, and the failure is logged once per expression.
 
 mod checker;
 mod entries;
@@ -29,22 +29,22 @@
 const BUILT_IN: &str = include_str!("policy.default");
 const BUILT_IN_NAME: &str = "built-in";
 
-/// What is wrong with a policy, and where.
+/// Error in a policy, with its position.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{file}:{line}:{column}: {reason}")]
 pub struct PolicyError {
-    /// The file's name.
+    /// Name of the file.
     pub file: String,
-    /// The line, from 1.
+    /// Line, counted from 1.
     pub line: usize,
-    /// The column in characters, from 1.
+    /// Column in characters, counted from 1.
     pub column: usize,
-    /// What is wrong there.
+    /// Description of the error.
     pub reason: String,
 }
 
 impl PolicyError {
-    /// A fault in a file's text, by line and column.
+    /// Converts the byte offset of an error in a file's text to line and column.
     fn locate(file: &str, text: &str, error: ParseError) -> PolicyError {
         let before = &text[..error.offset.min(text.len())];
         let last_line = before.rsplit('\n').next().unwrap_or("");
@@ -57,30 +57,30 @@
     }
 }
 
-/// Why a policy file could not be loaded.
+/// Error when loading a policy file.
 #[derive(Debug, thiserror::Error)]
 pub enum PolicyLoadError {
-    /// It could not be read.
+    /// The file could not be read.
     #[error("{file}: {source}")]
     Unreadable {
-        /// The file's name.
+        /// Name of the file.
         file: String,
-        /// The operating system's error.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// It is no valid policy.
+    /// The file is not a valid policy.
     #[error(transparent)]
     Invalid(#[from] PolicyError),
 }
 
-/// The expression in force for an entry.
+/// Expression in effect for an entry.
 struct Rule {
     expression: ExpressionNode,
-    /// The expression as it was written.
+    /// Source text of the expression.
     text: String,
-    /// It comes from the operators' file.
+    /// Whether the expression comes from the operators' file rather than from the built-in policy.
     from_file: bool,
-    /// It has failed at run time, which has been logged.
+    /// Whether a failure of the expression at run time has been logged.
     failed: AtomicBool,
 }
 
@@ -95,7 +95,7 @@
     }
 }
 
-/// A checked policy, in which every entry has an expression.
+/// Checked policy, in which every entry has an expression.
 pub struct Policy {
     rules: BTreeMap<Entry, Rule>,
     built_in: BTreeMap<Entry, ExpressionNode>,
@@ -108,14 +108,14 @@
 }
 
 impl Policy {
-    /// The built-in policy.
+    /// Returns the built-in policy.
     pub fn built_in() -> Policy {
         Policy::parse(BUILT_IN_NAME, "")
-            .unwrap_or_else(|error| unreachable!("built-in policy: {error}"))
+            .unwrap_or_else(|error| unreachable!("the built-in policy is invalid: {error}"))
     }
 
-    /// The built-in policy with the entries of `text` in place of its own. `file` is what errors
-    /// call the text.
+    /// Returns the built-in policy overridden by the entries of `text`. Errors name `file` as their
+    /// source.
     pub fn parse(file: &str, text: &str) -> Result<Policy, PolicyError> {
         let defaults = parse_rules(BUILT_IN)
             .map_err(|error| PolicyError::locate(BUILT_IN_NAME, BUILT_IN, error))?;
@@ -133,7 +133,7 @@
         Ok(Policy { rules, built_in })
     }
 
-    /// The built-in policy with the entries of a file in place of its own.
+    /// Returns the built-in policy overridden by the entries of a file.
     pub fn load(path: &Path) -> Result<Policy, PolicyLoadError> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|source| PolicyLoadError::Unreadable {
@@ -143,7 +143,7 @@
         Ok(Policy::parse(&file, &text)?)
     }
 
-    /// What is in force, one entry a line.
+    /// Describes the expressions in effect, with the origin of each and the facts that it may use.
     pub fn describe(&self) -> String {
         let mut description = String::new();
         for info in &ENTRIES {
@@ -166,7 +166,7 @@
         description
     }
 
-    /// An entry's value; truth values are 0 or 1.
+    /// Returns an entry's value; booleans are 0 or 1.
     fn value(&self, entry: Entry, facts: &[f64]) -> f64 {
         if let Some(rule) = self.rules.get(&entry) {
             let value = evaluate(&rule.expression, facts);
@@ -175,7 +175,7 @@
             }
             if !rule.failed.swap(true, Ordering::Relaxed) {
                 tracing::warn!(
-                    "policy: `{}` gave {value}; the built-in expression is used instead",
+                    "policy: `{}` evaluated to {value}; using the built-in expression instead",
                     rule.text
                 );
             }
@@ -187,27 +187,27 @@
         }
     }
 
-    /// The value of a numeric entry on a job.
+    /// Returns the value of a numeric entry for a job.
     pub fn number(&self, entry: Entry, facts: &JobFacts) -> f64 {
         self.value(entry, &facts.values())
     }
 
-    /// The value of a boolean entry on a job.
+    /// Returns the value of a boolean entry for a job.
     pub fn boolean(&self, entry: Entry, facts: &JobFacts) -> bool {
         self.value(entry, &facts.values()) != 0.0
     }
 
-    /// The value of a numeric entry on all machines together.
+    /// Returns the value of a numeric entry for all machines together.
     pub fn fleet_number(&self, entry: Entry, facts: &FleetFacts) -> f64 {
         self.value(entry, &facts.values())
     }
 
-    /// The value of a boolean entry on all machines together.
+    /// Returns the value of a boolean entry for all machines together.
     pub fn fleet_boolean(&self, entry: Entry, facts: &FleetFacts) -> bool {
         self.value(entry, &facts.values()) != 0.0
     }
 
-    /// The value of a numeric entry on a machine.
+    /// Returns the value of a numeric entry for a machine.
     pub fn machine_number(&self, entry: Entry, facts: &MachineFacts) -> f64 {
         self.value(entry, &facts.values())
     }
--- a/src/policy/checker.rs
+++ b/src/policy/checker.rs
@@ -1,10 +1,10 @@
-//! The checker: resolves names and finds the type of an expression.
+//! Type checker: resolves names and determines the types of expressions.
 
 use crate::policy::entries::Subject;
 use crate::policy::expression::{BinaryOperator, Expression, ExpressionNode, Function, ParseError};
 use crate::policy::value_type::ValueType;
 
-/// Resolves the names in an expression and returns its type, or what does not fit.
+/// Resolves the names in an expression and returns its type, or the first error.
 pub(super) fn check(node: &mut ExpressionNode, subject: Subject) -> Result<ValueType, ParseError> {
     match &mut node.expression {
         Expression::Number(_) => Ok(ValueType::Number),
@@ -47,7 +47,7 @@
     }
 }
 
-/// Checks an expression that needs to have some type.
+/// Checks an expression that must have the expected type.
 fn expect_type(
     node: &mut ExpressionNode,
     expected: ValueType,
@@ -61,7 +61,7 @@
     Err(ParseError::new(node.offset, reason))
 }
 
-/// The index of a fact.
+/// Returns the index of a fact among those of the subject.
 fn resolve(name: &str, subject: Subject, offset: usize) -> Result<usize, ParseError> {
     let facts = subject.facts();
     let index = facts.iter().position(|fact| fact.name == name);
@@ -72,7 +72,7 @@
     })
 }
 
-/// The types of an operator's operands and of its result.
+/// Returns the type of an operator's operands and that of its result.
 fn signature(operator: BinaryOperator) -> (ValueType, ValueType) {
     match operator {
         BinaryOperator::Add
--- a/src/policy/entries.rs
+++ b/src/policy/entries.rs
@@ -1,21 +1,21 @@
-//! The entries of a policy: their names in the language, their types, and what they are about.
+//! Entries of a policy: their names in the language, their types and their subjects.
 
 use crate::policy::facts::{FLEET_FACTS, FactInfo, JOB_FACTS, MACHINE_FACTS};
 use crate::policy::value_type::ValueType;
 
-/// What an entry is evaluated for.
+/// Kind of object that an entry is evaluated for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Subject {
-    /// A job with queued tasks.
+    /// Job with queued tasks.
     Job,
-    /// An idle machine.
+    /// Idle machine.
     Machine,
     /// All machines together.
     Fleet,
 }
 
 impl Subject {
-    /// The facts that an entry on this subject may use, in the order of their values.
+    /// Returns the facts that an entry for this subject may use, in the order of their values.
     pub fn facts(self) -> &'static [FactInfo] {
         match self {
             Subject::Job => &JOB_FACTS,
@@ -25,40 +25,40 @@
     }
 }
 
-/// The entries of a policy.
+/// Entry of a policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Entry {
-    /// Breaks ties between sets of queue entries that fill the free room equally well.
+    /// Weight of a queue entry in ties between sets that fill the free capacity equally well.
     PriorityWeight,
-    /// The queue's order within the same precedence, the lowest first.
+    /// Sort key in the queue among jobs of the same precedence, the lowest first.
     QueueOrder,
-    /// Longest wait, in seconds, that is cheaper than adding a machine.
+    /// Longest wait, in seconds, for which adding a machine is not worth its cost.
     MaxWait,
-    /// The same where a spot machine can be had.
+    /// The same limit where a spot machine is available.
     MaxSpotWait,
-    /// How many times the lowest price per task a job may cost.
+    /// Maximum price per task, as a multiple of the lowest price among the offers that the job may use.
     MaxPriceRatio,
-    /// Whether others may be preempted for the job at the head of the queue.
+    /// Whether tasks of other jobs may be preempted for the job at the head of the queue.
     MayPreempt,
-    /// Whether a job has been passed over for too long.
+    /// Whether a job has been passed over for too long, so that it comes before all others.
     Overdue,
-    /// How much the users' objectives weigh in bids.
+    /// Weight of the users' objectives in bids.
     ObjectiveWeight,
-    /// What a second of delay costs, as a part of a task's nominal cost.
+    /// Cost of a second of delay, as a fraction of a task's nominal cost.
     TimeValue,
-    /// How long an idle machine is kept, in seconds.
+    /// Time for which an idle machine is kept, in seconds.
     IdleTimeout,
     /// Whether machines are added by bidding.
     Bidding,
-    /// How far ahead demand is forecast, in seconds.
+    /// Time for which demand is forecast, in seconds from now.
     ForecastHorizon,
-    /// How far beyond an equal share of the capacity a zone may go.
+    /// Share of the capacity by which a zone may exceed an equal share.
     ZoneTolerance,
     /// Whether the leader delegates workers to other controllers.
     DelegateWorkers,
 }
 
-/// An entry as the language knows it.
+/// Definition of an entry in the language.
 pub(super) struct EntryInfo {
     pub entry: Entry,
     pub name: &'static str,
--- a/src/policy/evaluator.rs
+++ b/src/policy/evaluator.rs
@@ -1,15 +1,15 @@
-//! The evaluator of checked expressions.
+//! Evaluator of checked expressions.
 
 use crate::policy::expression::{BinaryOperator, Expression, ExpressionNode, Function};
 use crate::policy::facts::bool_to_number;
 
-/// An expression's value with these facts; truth values are 0 or 1. It is not finite where the
-/// expression has none, as with a division by zero.
+/// Returns an expression's value with these facts; booleans are 0 or 1. The value is not finite where
+/// it is undefined, as after a division by zero.
 pub(super) fn evaluate(node: &ExpressionNode, facts: &[f64]) -> f64 {
     match &node.expression {
         Expression::Number(number) => *number,
         Expression::Boolean(truth) => bool_to_number(*truth),
-        // The checker leaves no name unresolved.
+        // The checker has resolved all names, so this case does not occur.
         Expression::Name(_) => f64::NAN,
         Expression::Fact(index) => facts.get(*index).copied().unwrap_or(f64::NAN),
         Expression::Not(operand) => bool_to_number(evaluate(operand, facts) == 0.0),
@@ -28,7 +28,8 @@
     }
 }
 
-/// A function's value; that of `min` and `max` is not a number if any argument is none.
+/// Returns a function's value. `min` and `max` return NaN if any argument is NaN, unlike `f64::min`
+/// and `f64::max`.
 fn evaluate_call(function: Function, arguments: &[ExpressionNode], facts: &[f64]) -> f64 {
     let mut values = arguments.iter().map(|argument| evaluate(argument, facts));
     let first = values.next().unwrap_or(f64::NAN);
--- a/src/policy/expression.rs
+++ b/src/policy/expression.rs
@@ -1,6 +1,6 @@
-//! Expressions as syntax trees.
+//! Syntax tree of expressions.
 
-/// What is wrong with a text, and at which byte.
+/// Syntax or type error in a policy's text, with its byte offset.
 #[derive(Debug)]
 pub(super) struct ParseError {
     pub offset: usize,
@@ -16,7 +16,7 @@
     }
 }
 
-/// An expression, and at which byte of the text it begins.
+/// Expression with a byte offset in the text, at which errors are reported.
 #[derive(Clone, Debug)]
 pub(super) struct ExpressionNode {
     pub offset: usize,
@@ -27,9 +27,9 @@
 pub(super) enum Expression {
     Number(f64),
     Boolean(bool),
-    /// The name of a fact, not resolved yet.
+    /// Name of a fact that has not been resolved yet.
     Name(String),
-    /// A fact, by its index; the checker resolves names to these.
+    /// Index of a fact, to which the checker resolves a name.
     Fact(usize),
     Not(Box<ExpressionNode>),
     Negate(Box<ExpressionNode>),
@@ -38,7 +38,7 @@
     Call(Function, Vec<ExpressionNode>),
 }
 
-/// `if condition then consequence else alternative`.
+/// Conditional expression: `if condition then consequence else alternative`.
 #[derive(Clone, Debug)]
 pub(super) struct Conditional {
     pub condition: ExpressionNode,
--- a/src/policy/facts.rs
+++ b/src/policy/facts.rs
@@ -1,8 +1,9 @@
-//! The facts that entries are evaluated with. Fields have the names that the language uses.
+//! Facts: the variables that policy expressions may use. Struct fields have the names that the facts
+//! have in the language.
 
 use crate::policy::value_type::ValueType;
 
-/// A fact as the language knows it.
+/// Definition of a fact in the language.
 pub(super) struct FactInfo {
     pub name: &'static str,
     pub value_type: ValueType,
@@ -22,12 +23,12 @@
     }
 }
 
-/// A truth value as the evaluator knows it.
+/// Converts a boolean to the evaluator's representation, 0 or 1.
 pub(super) fn bool_to_number(truth: bool) -> f64 {
     f64::from(u8::from(truth))
 }
 
-/// Facts about a job, in the order of `JobFacts::values`.
+/// Definitions of the facts about a job, in the order of `JobFacts::values`.
 pub(super) static JOB_FACTS: [FactInfo; 19] = [
     number("wait"),
     number("estimate"),
@@ -50,7 +51,7 @@
     boolean("begun"),
 ];
 
-/// Facts about a machine, in the order of `MachineFacts::values`.
+/// Definitions of the facts about a machine, in the order of `MachineFacts::values`.
 pub(super) static MACHINE_FACTS: [FactInfo; 7] = [
     boolean("spot"),
     number("price"),
@@ -61,50 +62,52 @@
     number("pause"),
 ];
 
-/// Facts about all machines together, in the order of `FleetFacts::values`.
+/// Definitions of the facts about all machines together, in the order of `FleetFacts::values`.
 pub(super) static FLEET_FACTS: [FactInfo; 3] =
     [number("machines"), number("zones"), number("pause")];
 
-/// What entries on a job are evaluated with. Times are in seconds.
+/// Facts about a job. Times are in seconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct JobFacts {
-    /// How long the job has been waiting.
+    /// Time for which the job has been waiting.
     pub wait: f64,
     /// Expected run time of a task.
     pub estimate: f64,
-    /// How many tasks it has.
+    /// Number of tasks of the job.
     pub tasks: f64,
-    /// How many of them are queued.
+    /// Number of queued tasks of the job.
     pub waiting: f64,
-    /// When it was submitted or could start, in seconds of the Unix epoch.
+    /// Time of submission or, for a job with dependencies, time since which they have been met, in
+    /// seconds since the Unix epoch.
     pub submitted: f64,
-    /// CPUs that a task needs.
+    /// Number of CPUs that a task needs.
     pub cpus: f64,
-    /// GPUs that a task needs.
+    /// Number of GPUs that a task needs.
     pub gpus: f64,
     /// Memory that a task needs, in GB.
     pub ram: f64,
-    /// The size of its image, in GB.
+    /// Size of the job's image, in GB.
     pub image_gb: f64,
-    /// Its effective priority: 0 is the highest, 3 the lowest.
+    /// Effective priority of the job: 0 is the highest, 3 the lowest.
     pub rank: f64,
-    /// It lies within its team's guaranteed quota.
+    /// Whether the job is within its team's guaranteed quota.
     pub guaranteed: bool,
-    /// Within what time the users' objectives want its class to start; 0 for none.
+    /// Time within which jobs of its class should start by the users' objectives; 0 for none.
     pub start_goal: f64,
-    /// Within what time the users' objectives want its class to finish; 0 for none.
+    /// Time within which jobs of its class should finish by the users' objectives; 0 for none.
     pub finish_goal: f64,
-    /// It, or a job that depends on it, has a deadline.
+    /// Whether the job, or a job that depends on it, has a deadline.
     pub has_deadline: bool,
-    /// Until it should be done, so that all that depends on it can be done by its deadline.
+    /// Time left until the job should finish so that it and all jobs that depend on it can meet their
+    /// deadlines; 0 without a deadline.
     pub deadline_left: f64,
-    /// It may run on spot machines.
+    /// Whether the job may run on spot machines.
     pub spot: bool,
-    /// What is left of `deadline_left` when it has run; a million without a deadline.
+    /// `deadline_left` less the expected run time; a million without a deadline.
     pub slack: f64,
-    /// It depends on others, or others depend on it.
+    /// Whether the job depends on other jobs, or other jobs depend on it.
     pub pipeline: bool,
-    /// Something of it is done, or on a machine.
+    /// Whether any task of the job has finished or is assigned to a machine.
     pub begun: bool,
 }
 
@@ -134,20 +137,20 @@
     }
 }
 
-/// What entries on a machine are evaluated with. Times are in seconds.
+/// Facts about a machine. Times are in seconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct MachineFacts {
-    /// It is a spot machine.
+    /// Whether the machine is a spot machine.
     pub spot: bool,
-    /// Its price per hour.
+    /// Price of the machine per hour.
     pub price: f64,
-    /// Its CPUs.
+    /// Number of CPUs of the machine.
     pub cpus: f64,
-    /// Its memory, in GB.
+    /// Memory of the machine, in GB.
     pub ram: f64,
-    /// How long ago it was requested.
+    /// Time since the machine was requested.
     pub age: f64,
-    /// The boot time that its type announces.
+    /// Boot time announced for its machine type.
     pub boot: f64,
     /// Mean time between the arrivals of jobs.
     pub pause: f64,
@@ -167,12 +170,12 @@
     }
 }
 
-/// What entries on all machines together are evaluated with.
+/// Facts about all machines together.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FleetFacts {
-    /// How many machines there are.
+    /// Number of machines.
     pub machines: f64,
-    /// How many zones there are.
+    /// Number of zones.
     pub zones: f64,
     /// Mean time between the arrivals of jobs, in seconds.
     pub pause: f64,
--- a/src/policy/parser.rs
+++ b/src/policy/parser.rs
@@ -1,4 +1,4 @@
-//! The parser: from a policy's text to checked entries.
+//! Parser: converts a policy's text to checked entries.
 
 use crate::policy::checker::check;
 use crate::policy::entries::{ENTRIES, Entry, EntryInfo};
@@ -11,11 +11,16 @@
 use winnow::stream::{LocatingSlice, Location};
 use winnow::token::{take_till, take_while};
 
+/// Maximum nesting of expressions, which bounds the recursion of parser, checker and evaluator.
 const MAX_NESTING: u32 = 40;
+/// Maximum number of operators of one precedence in a chain; each of them adds a level to the syntax
+/// tree.
 const MAX_CHAINED_OPERATORS: u32 = 100;
+/// Maximum size of a policy file, in bytes.
 const MAX_FILE_BYTES: usize = 64 * 1024;
 
-/// Binary operators by precedence, the loosest first.
+/// Binary operators by precedence, the lowest first. An operator precedes any other that is a prefix
+/// of it, as the first match is taken.
 const OPERATORS: [&[(&str, BinaryOperator)]; 5] = [
     &[("or", BinaryOperator::Or)],
     &[("and", BinaryOperator::And)],
@@ -34,18 +39,19 @@
     ],
 ];
 
-/// An entry with its expression.
+/// Entry with its checked expression.
 pub(super) struct ParsedRule {
     pub entry: Entry,
     pub expression: ExpressionNode,
-    /// The expression as it was written, on one line and without comments.
+    /// Source text of the expression, on one line and without comments.
     pub text: String,
 }
 
-/// Parses and checks a policy.
+/// Parses and checks the text of a policy.
 pub(super) fn parse_rules(text: &str) -> Result<Vec<ParsedRule>, ParseError> {
     if text.len() > MAX_FILE_BYTES {
-        return Err(ParseError::new(MAX_FILE_BYTES, "the file is too large"));
+        let reason = format!("the file is larger than {MAX_FILE_BYTES} bytes");
+        return Err(ParseError::new(MAX_FILE_BYTES, reason));
     }
     let mut parser = PolicyParser {
         input: LocatingSlice::new(text),
@@ -84,37 +90,37 @@
 
 struct PolicyParser<'a> {
     input: Input<'a>,
-    /// How deeply the expression at this place is nested.
+    /// Nesting depth at the current position.
     nesting: u32,
 }
 
 impl<'a> PolicyParser<'a> {
     fn skip_blanks(&mut self) {
-        // Blank space may always be empty, so this cannot fail.
+        // The parser also accepts empty input, so it cannot fail.
         let _ = skip_whitespace_and_comments(&mut self.input);
     }
 
-    /// Where the next token begins.
+    /// Skips whitespace and comments and returns the offset of the next token.
     fn next_offset(&mut self) -> usize {
         self.skip_blanks();
         self.input.current_token_start()
     }
 
-    /// Takes a symbol if it comes next.
+    /// Consumes a symbol if it comes next, and returns whether it did.
     fn symbol(&mut self, mut symbol: &'static str) -> bool {
         self.skip_blanks();
         let parsed: winnow::ModalResult<&str> = symbol.parse_next(&mut self.input);
         parsed.is_ok()
     }
 
-    /// Takes an identifier if one comes next.
+    /// Consumes and returns an identifier if one comes next.
     fn identifier(&mut self) -> Option<&'a str> {
         self.skip_blanks();
         let parsed = opt(identifier).parse_next(&mut self.input);
         parsed.ok().flatten()
     }
 
-    /// Takes a keyword if it comes next.
+    /// Consumes a keyword if it comes next, and returns whether it did.
     fn keyword(&mut self, keyword: &str) -> bool {
         let start = self.input;
         if self.identifier() == Some(keyword) {
@@ -124,6 +130,7 @@
         false
     }
 
+    /// Returns an error at the next token.
     fn fail<T>(&mut self, reason: &str) -> Result<T, ParseError> {
         Err(ParseError::new(self.next_offset(), reason))
     }
@@ -142,7 +149,7 @@
         self.fail(&format!("expected `{symbol}`"))
     }
 
-    /// One level deeper, within bounds.
+    /// Increments the nesting depth, or fails if it exceeds the maximum.
     fn enter_nesting(&mut self) -> Result<(), ParseError> {
         self.nesting += 1;
         if self.nesting > MAX_NESTING {
@@ -151,7 +158,7 @@
         Ok(())
     }
 
-    /// `name = expression`, with a name that is not among `earlier`.
+    /// Parses `name = expression`, with a name that is not among `preceding`.
     fn rule(&mut self, text: &str, preceding: &[ParsedRule]) -> Result<ParsedRule, ParseError> {
         let NamedEntry { info, offset } = self.entry()?;
         if preceding.iter().any(|rule| rule.entry == info.entry) {
@@ -174,6 +181,7 @@
         })
     }
 
+    /// Parses the name of an entry.
     fn entry(&mut self) -> Result<NamedEntry, ParseError> {
         let offset = self.next_offset();
         let Some(name) = self.identifier() else {
@@ -200,7 +208,7 @@
         Ok(node)
     }
 
-    /// What follows `if`.
+    /// Parses the part of a conditional after `if`.
     fn conditional(&mut self, offset: usize) -> Result<ExpressionNode, ParseError> {
         let condition = self.expression()?;
         self.expect_keyword("then")?;
@@ -218,7 +226,7 @@
         })
     }
 
-    /// A chain of operators of this precedence, which group from the left.
+    /// Parses a left-associative chain of operators of this precedence.
     fn binary(&mut self, precedence: usize) -> Result<ExpressionNode, ParseError> {
         let Some(operators) = OPERATORS.get(precedence) else {
             return self.unary();
@@ -232,7 +240,9 @@
             };
             length += 1;
             if length > MAX_CHAINED_OPERATORS {
-                return self.fail("too long");
+                return self.fail(&format!(
+                    "more than {MAX_CHAINED_OPERATORS} operators in a row"
+                ));
             }
             let right = self.binary(precedence + 1)?;
             left = ExpressionNode {
@@ -242,7 +252,7 @@
         }
     }
 
-    /// Takes one of some operators if it comes next.
+    /// Consumes and returns one of these operators if it comes next.
     fn operator(&mut self, operators: &[(&'static str, BinaryOperator)]) -> Option<BinaryOperator> {
         let mut operators = operators.iter();
         let found = operators.find(|(text, _)| {
@@ -273,7 +283,7 @@
         })
     }
 
-    /// A literal, a name, a call, or an expression in parentheses.
+    /// Parses a literal, a name, a call, or an expression in parentheses.
     fn primary(&mut self) -> Result<ExpressionNode, ParseError> {
         let offset = self.next_offset();
         if self.symbol("(") {
@@ -292,7 +302,7 @@
                 Some("max") => self.call(Function::Max)?,
                 Some("abs") => self.call(Function::Abs)?,
                 Some(keyword @ ("if" | "then" | "else" | "and" | "or" | "not")) => {
-                    let reason = format!("`{keyword}` is out of place");
+                    let reason = format!("unexpected keyword `{keyword}`");
                     return Err(ParseError::new(offset, reason));
                 }
                 Some(name) => Expression::Name(name.to_string()),
@@ -301,7 +311,7 @@
         Ok(ExpressionNode { offset, expression })
     }
 
-    /// What follows a function's name.
+    /// Parses the arguments of a function.
     fn call(&mut self, function: Function) -> Result<Expression, ParseError> {
         self.expect_symbol("(")?;
         let mut arguments = vec![self.expression()?];
@@ -315,13 +325,13 @@
     }
 }
 
-/// An entry, and where its name begins.
+/// Entry with the byte offset of its name.
 struct NamedEntry {
     info: &'static EntryInfo,
     offset: usize,
 }
 
-/// An expression's text on one line and without comments.
+/// Returns an expression's text on one line and without comments.
 fn single_line(text: &str) -> String {
     let lines: Vec<&str> = text
         .lines()
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -44,7 +44,7 @@
     assert!(error_in(&deep).2.contains("deeply"));
 }
 
-/// What the deploy file starts controllers with must check, or none would start.
+/// A controller does not start with an invalid policy, so the deployed one must pass the checker.
 #[test]
 fn the_deployed_policy_is_valid_and_enables_bidding_and_delegation() {
     let deploy = include_str!("../../deploy/service.toml");
--- a/src/policy/value_type.rs
+++ b/src/policy/value_type.rs
@@ -1,8 +1,8 @@
-//! The types of the policy language.
+//! Value types of the policy language.
 
 use std::fmt;
 
-/// The type of an expression.
+/// Type of an expression.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ValueType {
     Number,
