--- a/src/core/machines/failure_detection.rs
+++ b/src/core/machines/failure_detection.rs
@@ -159,7 +159,7 @@
             now,
             heartbeat_interval: core.settings.heartbeat_interval,
             lease_expiry: lease_expiry(core.settings.worker_lease),
-            delegate_grace_until: leader.silence_inconclusive_until(now),
+            delegate_grace_until: leader.delegate_grace_until(now),
         }
     }
 
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -242,7 +242,7 @@
                 queue_lengths,
             } => self.answer_metrics(ticket, queue_lengths),
             Command::Heartbeat { ticket, heartbeat } => {
-                let due = self.heartbeat(ticket, heartbeat);
+                let due = self.receive_heartbeat(ticket, heartbeat);
                 responses.heartbeats.extend(due);
             }
             Command::HeartbeatBatch { ticket, batch } => {
--- a/src/core/workers/commands.rs
+++ b/src/core/workers/commands.rs
@@ -47,7 +47,7 @@
 
 impl Core {
     /// The commands in the answer to the machine's newest heartbeat.
-    fn commands_in_answer(&self, leader: &LeaderState, machine: &Machine) -> Vec<TaskCommand> {
+    fn commands_for_response(&self, leader: &LeaderState, machine: &Machine) -> Vec<TaskCommand> {
         let mut commands = self.stop_commands(machine);
         if machine.no_command_in_flight() {
             commands.extend(self.forget_commands(leader, machine));
@@ -59,7 +59,7 @@
     }
 
     /// The commands in a direct call to the machine's worker.
-    fn commands_in_call(&self, machine: &Machine) -> Vec<TaskCommand> {
+    fn commands_for_direct_call(&self, machine: &Machine) -> Vec<TaskCommand> {
         let mut commands = self.stop_commands(machine);
         let tasks = machine.tasks.iter();
         commands.extend(tasks.filter_map(|(key, task)| start_command(key, task)));
@@ -87,7 +87,7 @@
         if task.phase == Phase::Unseen && !stops_unseen {
             return None;
         }
-        let grace = self.grace(machine, key, task);
+        let grace = self.grace_period(machine, key, task);
         let is_overdue = self.now.mono > stop.since + grace + STOP_MARGIN;
         if task.phase == Phase::Saving && !is_overdue {
             return None;
@@ -122,7 +122,7 @@
     }
 
     /// The time a task has to save its progress when it is stopped: given to what can save and is still of use.
-    fn grace(&self, machine: &Machine, key: &TaskId, task: &Placement) -> Duration {
+    fn grace_period(&self, machine: &Machine, key: &TaskId, task: &Placement) -> Duration {
         if task.is_obsolete() {
             return Duration::ZERO;
         }
@@ -164,12 +164,12 @@
                 commands: Vec::new(),
             });
         }
-        self.outdate_starts_of_exited(id);
+        self.invalidate_starts_of_exited(id);
         let leader = self.leader.as_ref()?;
         let machine = leader.machines.get(id)?;
         let response = HeartbeatResponse {
             fencing_token: machine.token(leader.term),
-            commands: self.commands_in_answer(leader, machine),
+            commands: self.commands_for_response(leader, machine),
         };
         self.record_response(id, count_starts(&response.commands));
         Some(response)
@@ -177,7 +177,7 @@
 
     /// After a `forget`, a copy of the direct command that started the task would start it again. The answer
     /// with the `forget` carries a higher token than that command had, which the worker observes first.
-    fn outdate_starts_of_exited(&mut self, id: &MachineId) {
+    fn invalidate_starts_of_exited(&mut self, id: &MachineId) {
         let Some(leader) = &mut self.leader else {
             return;
         };
--- a/src/core/workers/commands/direct_calls.rs
+++ b/src/core/workers/commands/direct_calls.rs
@@ -134,7 +134,7 @@
     ) -> Option<(SocketAddrV4, DirectCommands)> {
         let leader = self.leader.as_ref()?;
         let machine = leader.machines.get(id)?;
-        let mut commands = self.commands_in_call(machine);
+        let mut commands = self.commands_for_direct_call(machine);
         if scope == CallScope::StopsOnly {
             commands.retain(|command| matches!(command, TaskCommand::Stop { .. }));
         }
@@ -171,7 +171,7 @@
             }
             DirectOutcome::Unknown(error) => {
                 tracing::info!(machine = %id, error, "direct commands got no answer");
-                self.outdate_direct_commands(&id);
+                self.invalidate_direct_commands(&id);
                 self.pause_direct_calls(&id, FAILED_RETRY_PAUSE);
             }
         }
@@ -248,7 +248,7 @@
 
     /// The commands of a call may be executed at any later time, until the worker has seen a higher
     /// token; the next answer to a heartbeat carries one.
-    fn outdate_direct_commands(&mut self, id: &MachineId) {
+    fn invalidate_direct_commands(&mut self, id: &MachineId) {
         let Some(leader) = &mut self.leader else {
             return;
         };
--- a/src/core/workers/delegation.rs
+++ b/src/core/workers/delegation.rs
@@ -156,7 +156,8 @@
         let mut responses = Vec::new();
         let mut size = 0;
         for (id, accepted) in heartbeats {
-            let outcome = accepted.and_then(|machine| self.outcome(&machine, from, &mut size));
+            let outcome =
+                accepted.and_then(|machine| self.relayed_outcome(&machine, from, &mut size));
             let refused = |answer: Response| RelayedOutcome::Refused {
                 status: answer.status,
                 retry_after: answer.retry_after,
@@ -171,7 +172,7 @@
 
     /// The commands for a machine whose heartbeat was accepted, or why there are none. Adds the
     /// bytes that they take to those of the frame.
-    fn outcome(
+    fn relayed_outcome(
         &mut self,
         machine: &MachineId,
         from: &Arc<str>,
--- a/src/core/workers/delegation/members.rs
+++ b/src/core/workers/delegation/members.rs
@@ -22,7 +22,7 @@
     /// Until when missing heartbeats of a machine prove nothing, as there is no contact either with a controller
     /// that it may report to, or was just sent to by another: the worker has yet to find that out,
     /// and to find the next one.
-    pub(in crate::core) fn silence_inconclusive_until(&self, now: Instant) -> Option<Instant> {
+    pub(in crate::core) fn delegate_grace_until(&self, now: Instant) -> Option<Instant> {
         let delegates = self.delegates.by_name.values();
         let is_late =
             |at: &Instant| now.saturating_duration_since(*at) > DELEGATE_TIMEOUTS.suspect_after;
--- a/src/core/workers/delegation/rebalancing.rs
+++ b/src/core/workers/delegation/rebalancing.rs
@@ -10,9 +10,9 @@
 
 /// How often loads are compared. A worker that is sent elsewhere is back within half a second.
 const REBALANCE_INTERVAL: Duration = Duration::from_millis(1000);
-/// At most one in this many of all workers is moved at a time, or `MIN_MOVED` if that is more.
-const MOVED_DIVISOR: u32 = 20;
-const MIN_MOVED: u32 = 4;
+/// At most one in this many of all workers is moved at a time, or `MIN_MOVE_LIMIT` if that is more.
+const MOVE_LIMIT_DIVISOR: u32 = 20;
+const MIN_MOVE_LIMIT: u32 = 4;
 /// The leader's part of an even share, where two others or more serve workers: its processor
 /// is needed for what no other one can do.
 const LEADER_WEIGHT: f64 = 0.25;
@@ -57,7 +57,7 @@
         leader.delegates.last_rebalance = Some(now);
         let servers = self.servers();
         let total: u32 = servers.iter().map(|s| s.load).sum();
-        let moves = share::plan_moves(&servers, (total / MOVED_DIVISOR).max(MIN_MOVED));
+        let moves = share::plan_moves(&servers, (total / MOVE_LIMIT_DIVISOR).max(MIN_MOVE_LIMIT));
         if let Some(leader) = &mut self.leader {
             leader.set_reassignments(moves, &self.settings.name);
         }
--- a/src/core/workers/delegation/tests.rs
+++ b/src/core/workers/delegation/tests.rs
@@ -9,7 +9,7 @@
     format!("instance-0123456789abcdef-0123456-{number:06}").into()
 }
 
-fn delegate() -> Delegate {
+fn delegate_with_revocations() -> Delegate {
     Delegate {
         issued: IssuedGrant::new(1, 0, Instant::now()),
         revocations: (0..MACHINES).map(|n| (machine(n), None)).collect(),
@@ -21,8 +21,8 @@
 /// The delegate names only the newest answer that it has applied: all that an earlier one revoked has to be in
 /// each later one, also when machines are added that come first by name.
 #[test]
-fn what_an_answer_took_back_is_in_all_later_ones_until_it_is_acknowledged() {
-    let mut delegate = delegate();
+fn revocations_are_repeated_in_each_response_until_acknowledged() {
+    let mut delegate = delegate_with_revocations();
     let first = delegate.revocations_for_frame(1);
     assert!(!first.is_empty() && first.len() < MACHINES);
     delegate.revocations.insert("a-comes-first".into(), None);
@@ -30,11 +30,11 @@
     let mut revoked = 0;
     for number in 2.. {
         let acknowledged =
-            |_: &MachineId, since: &mut Option<u64>| since.is_some_and(|n| n < number);
+            |_: &MachineId, first_sent: &mut Option<u64>| first_sent.is_some_and(|n| n < number);
         revoked += delegate.revocations.extract_if(.., acknowledged).count();
         let sent = delegate.revocations_for_frame(number);
-        let since = |id: &MachineId| delegate.revocations[id];
-        assert!(sent.iter().all(|id| since(id) == Some(number)));
+        let first_sent = |id: &MachineId| delegate.revocations[id];
+        assert!(sent.iter().all(|id| first_sent(id) == Some(number)));
         if sent.is_empty() {
             break;
         }
@@ -45,7 +45,7 @@
 /// The fullest answer: as many starts as fit, with the longest ids, and one answer more, as it is only then seen
 /// that no more fit; all machines to take back, and as many to ask as are given out at a time.
 #[test]
-fn the_fullest_answer_to_a_controller_with_6000_workers_can_be_read() {
+fn the_largest_batch_response_for_6000_workers_can_be_decoded() {
     let digits = "9".repeat(32);
     let command = TaskCommand::Stop {
         task: format!("wk-{digits}/99999"),
@@ -53,24 +53,27 @@
         grace: 3.0,
     };
     let commands = vec![command; MAX_COMMANDS];
-    let answers = MAX_RESPONSE_BYTES / heartbeat_batch::response_size(&commands) + 2;
-    let response = |name| RelayedResponse {
-        id: name,
+    let count = MAX_RESPONSE_BYTES / heartbeat_batch::response_size(&commands) + 2;
+    let relayed_response = |id| RelayedResponse {
+        id,
         outcome: RelayedOutcome::Commands {
             fencing_token: 1,
             commands: commands.clone(),
             steady: false,
         },
     };
-    let answer = HeartbeatBatchResponse {
-        revoked: delegate().revocations_for_frame(1),
-        responses: (0..answers as u64).map(response).collect(),
+    let response = HeartbeatBatchResponse {
+        revoked: delegate_with_revocations().revocations_for_frame(1),
+        responses: (0..count as u64).map(relayed_response).collect(),
         probes: (0..MAX_PROBES_PER_DELEGATE)
             .map(|n| (machine(n), "255.255.255.255:65535".into()))
             .collect(),
         ..HeartbeatBatchResponse::default()
     };
-    let frame = heartbeat_batch::encode_batch_response(&answer);
+    let frame = heartbeat_batch::encode_batch_response(&response);
     let (_, body) = crate::peer::read_frame(&mut frame.as_slice()).unwrap();
-    assert_eq!(heartbeat_batch::decode_batch_response(&body), Some(answer));
+    assert_eq!(
+        heartbeat_batch::decode_batch_response(&body),
+        Some(response)
+    );
 }
--- a/src/core/workers/heartbeat_queue.rs
+++ b/src/core/workers/heartbeat_queue.rs
@@ -97,9 +97,9 @@
     }
 
     /// Takes out the oldest heartbeat, if it has waited for longer than this.
-    pub fn pop_overdue(&mut self, now: Instant, longest: Duration) -> Option<QueuedHeartbeat> {
+    pub fn pop_overdue(&mut self, now: Instant, max_wait: Duration) -> Option<QueuedHeartbeat> {
         let oldest = self.heartbeats.front()?.received;
-        if now.saturating_duration_since(oldest) <= longest {
+        if now.saturating_duration_since(oldest) <= max_wait {
             return None;
         }
         self.pop()
--- a/src/core/workers/heartbeat_queue/tests.rs
+++ b/src/core/workers/heartbeat_queue/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::core::simulation::{SETUP, settings};
 
-fn waiting(number: u64, received: Instant) -> QueuedHeartbeat {
+fn queued_heartbeat(number: u64, received: Instant) -> QueuedHeartbeat {
     let heartbeat = Heartbeat {
         machine: format!("i-{number:06}").into(),
         addr: "10.0.0.1:9000".into(),
@@ -26,12 +26,12 @@
 }
 
 #[test]
-fn the_settings_bound_what_waits_by_connections_and_by_memory() {
+fn queue_length_is_bounded_by_connections_and_by_memory() {
     let now = Instant::now();
     let filled = |settings: &Settings| {
         let mut queue = HeartbeatQueue::default();
         while queue.has_room(settings) {
-            queue.push(waiting(queue.len() as u64, now));
+            queue.push(queued_heartbeat(queue.len() as u64, now));
         }
         queue
     };
@@ -53,11 +53,11 @@
 }
 
 #[test]
-fn frames_take_the_oldest_first_and_what_comes_back_keeps_its_place() {
+fn frames_take_the_oldest_first_and_requeued_heartbeats_keep_their_order() {
     let now = Instant::now();
     let mut queue = HeartbeatQueue::default();
     for number in 0..2000 {
-        queue.push(waiting(number, now));
+        queue.push(queued_heartbeat(number, now));
     }
     assert!(queue.exceeds_a_frame());
     let first = queue.take_frame();
@@ -82,16 +82,20 @@
 }
 
 #[test]
-fn reports_that_have_waited_for_too_long_leave_the_queue() {
+fn overdue_heartbeats_leave_the_queue() {
     let now = Instant::now();
-    let longest = Duration::from_secs(3);
+    let max_wait = Duration::from_secs(3);
     let mut queue = HeartbeatQueue::default();
-    queue.push(waiting(1, now));
-    queue.push(waiting(2, now + Duration::from_secs(2)));
-    assert!(queue.pop_overdue(now + longest, longest).is_none());
-    let overdue = queue.pop_overdue(now + longest * 3 / 2, longest);
+    queue.push(queued_heartbeat(1, now));
+    queue.push(queued_heartbeat(2, now + Duration::from_secs(2)));
+    assert!(queue.pop_overdue(now + max_wait, max_wait).is_none());
+    let overdue = queue.pop_overdue(now + max_wait * 3 / 2, max_wait);
     assert_eq!(tickets(overdue), [1]);
-    assert!(queue.pop_overdue(now + longest * 3 / 2, longest).is_none());
+    assert!(
+        queue
+            .pop_overdue(now + max_wait * 3 / 2, max_wait)
+            .is_none()
+    );
     assert_eq!(tickets(queue.take_all()), [2]);
     assert_eq!(queue.frame_bytes, 0);
 }
--- a/src/core/workers/heartbeats.rs
+++ b/src/core/workers/heartbeats.rs
@@ -91,7 +91,7 @@
 impl Core {
     /// Processes a heartbeat from a worker. A ticket that is returned is answered at the end of the step; any
     /// other was answered or waits for the leader.
-    pub(in crate::core) fn heartbeat(
+    pub(in crate::core) fn receive_heartbeat(
         &mut self,
         ticket: Ticket,
         heartbeat: Box<Heartbeat>,
--- a/src/core/workers/heartbeats/failures.rs
+++ b/src/core/workers/heartbeats/failures.rs
@@ -12,7 +12,7 @@
 const INITIAL_AVOIDANCE: Duration = Duration::from_secs(5);
 const MAX_AVOIDANCE_DOUBLINGS: u32 = 3;
 /// The bound on doublings where `MAX_AVOIDANCE_DOUBLINGS` is switched off for a test.
-const MAX_DOUBLINGS_UNGUARDED: u32 = 10;
+const MAX_DOUBLINGS_WITHOUT_SAFEGUARD: u32 = 10;
 /// A failed task waits this long before it starts again, doubled with each failure of its job.
 const INITIAL_RETRY_DELAY_MS: u64 = 250;
 const MAX_RETRY_DOUBLINGS: u32 = 7;
@@ -69,7 +69,7 @@
         let max_doublings = if is_enabled(Safeguard::AvoidanceLimit) {
             MAX_AVOIDANCE_DOUBLINGS
         } else {
-            MAX_DOUBLINGS_UNGUARDED
+            MAX_DOUBLINGS_WITHOUT_SAFEGUARD
         };
         let avoidance = INITIAL_AVOIDANCE * 2u32.pow(history.failures.min(max_doublings));
         history.avoid_until = Some(now + avoidance);
--- a/src/core/workers/heartbeats/observation.rs
+++ b/src/core/workers/heartbeats/observation.rs
@@ -26,9 +26,9 @@
 }
 
 /// What a heartbeat shows of commands that were sent to its machine before.
-struct Delivery {
+struct CommandDelivery {
     /// No command that was sent before the heartbeat can take effect after it.
-    all_settled: bool,
+    none_in_flight: bool,
     /// The last answer carried starts, and calls get no answer either: if the heartbeat does not show those
     /// tasks, nothing reaches the machine.
     starts_in_doubt: bool,
@@ -46,11 +46,13 @@
     /// Whether a heartbeat is older than what is known, or of an incarnation that is over.
     fn is_stale(&self, heartbeat: &Heartbeat) -> bool {
         let known = (self.incarnation, self.sequence);
-        let of_earlier_life = heartbeat.fencing_token < self.highest_token;
+        let of_earlier_incarnation = heartbeat.fencing_token < self.highest_token;
         // Sent before that incarnation's lease ran out, and delayed on the way: the tasks in it are
         // gone, and may have been started elsewhere since.
         let of_expired_lease = self.lease_expired && heartbeat.incarnation == self.incarnation;
-        (heartbeat.incarnation, heartbeat.sequence) <= known || of_earlier_life || of_expired_lease
+        (heartbeat.incarnation, heartbeat.sequence) <= known
+            || of_earlier_incarnation
+            || of_expired_lease
     }
 
     /// A newer incarnation begins. Returns the tasks of the earlier one: they were killed, and its commands
@@ -94,7 +96,7 @@
     }
 
     /// What the heartbeat just recorded shows of earlier commands.
-    fn observe_delivery(&mut self, source: HeartbeatSource) -> Delivery {
+    fn observe_delivery(&mut self, source: HeartbeatSource) -> CommandDelivery {
         // Starts in the answer before this heartbeat: had it been received, the heartbeat would show them.
         let starts_in_doubt = source == HeartbeatSource::Worker
             && self.start_unconfirmed
@@ -104,9 +106,9 @@
         }
         // A reply to a direct call may have been made before the worker read our last answer, so what that
         // one started may be yet to come.
-        let all_settled = self.no_command_in_flight() && !self.start_unconfirmed;
-        Delivery {
-            all_settled,
+        let none_in_flight = self.no_command_in_flight() && !self.start_unconfirmed;
+        CommandDelivery {
+            none_in_flight,
             starts_in_doubt,
         }
     }
@@ -135,12 +137,12 @@
     }
 
     /// Tasks believed to be on the machine that are certain not to be.
-    fn missing_tasks(&self, live: &BTreeSet<TaskId>, all_settled: bool) -> Vec<TaskId> {
+    fn missing_tasks(&self, live: &BTreeSet<TaskId>, none_in_flight: bool) -> Vec<TaskId> {
         let proof_required = self.unconfirmed_token.is_some();
         let missing = self.tasks.iter().filter(|(key, task)| {
             let is_certain = match task.phase {
                 // It is not there, and no command is left that could start it.
-                Phase::Unseen => all_settled && (task.stopping.is_some() || proof_required),
+                Phase::Unseen => none_in_flight && (task.stopping.is_some() || proof_required),
                 _ => true,
             };
             !live.contains(*key) && is_certain
@@ -220,8 +222,8 @@
             && machine.incarnation == 0
         {
             let announced = Duration::from_secs_f64(machine_type.boot_s.clamp(0.0, MAX_BOOT_S));
-            let beliefs = &mut leader.scheduler.bidding.estimates;
-            beliefs.record_boot(&machine_type.name, announced, boot_time);
+            let estimates = &mut leader.scheduler.bidding.estimates;
+            estimates.record_boot(&machine_type.name, announced, boot_time);
         }
     }
 
@@ -269,7 +271,7 @@
         &mut self,
         id: &MachineId,
         reported: ReportedTasks,
-        delivery: &Delivery,
+        delivery: &CommandDelivery,
     ) -> Option<()> {
         let leader = self.leader.as_mut()?;
         let term = leader.term;
@@ -280,8 +282,8 @@
             tracing::info!(machine = %id, "neither answers nor calls reach the machine");
             machine.require_token_proof(term);
         }
-        let missing = machine.missing_tasks(&reported.live, delivery.all_settled);
-        if machine.unconfirmed_token.is_none() && delivery.all_settled && has_absent_start {
+        let missing = machine.missing_tasks(&reported.live, delivery.none_in_flight);
+        if machine.unconfirmed_token.is_none() && delivery.none_in_flight && has_absent_start {
             machine.needs_push = true;
         }
         self.tasks_lost(id, missing, "not on the machine");
--- a/src/core/workers/heartbeats/task_transitions.rs
+++ b/src/core/workers/heartbeats/task_transitions.rs
@@ -15,7 +15,7 @@
 /// Before a task is started again that its machine was too busy to start.
 const BUSY_BACKOFF: Duration = Duration::from_secs(2);
 /// Before a task is started again that its machine did not understand.
-const UNKNOWN_BACKOFF: Duration = Duration::from_secs(3);
+const UNKNOWN_TASK_BACKOFF: Duration = Duration::from_secs(3);
 /// Before a task is started again that ended for another reason, as those of a gang do when one is missing.
 const OTHER_BACKOFF: Duration = Duration::from_millis(500);
 
@@ -255,7 +255,7 @@
                 Some(NO_ROOM_BACKOFF)
             }
             ExitCause::Busy => Some(BUSY_BACKOFF),
-            ExitCause::Unknown => Some(UNKNOWN_BACKOFF),
+            ExitCause::Unknown => Some(UNKNOWN_TASK_BACKOFF),
             ExitCause::Other => Some(OTHER_BACKOFF),
             ExitCause::Done | ExitCause::Stopped => None,
         }
@@ -282,8 +282,8 @@
             task = %key, machine = %newest, kept = %holders[kept],
             "task on several machines, duplicates stopped"
         );
-        for (place, id) in holders.into_iter().enumerate() {
-            if place != kept
+        for (index, id) in holders.into_iter().enumerate() {
+            if index != kept
                 && let Some(machine) = machines.get_mut(id)
             {
                 machine.stop_obsolete(key, now);
--- a/src/core/workers/relay.rs
+++ b/src/core/workers/relay.rs
@@ -35,11 +35,11 @@
 use std::time::Duration;
 
 /// A worker waits 4 s for an answer, and its heartbeat was under way for a moment.
-const MAX_WAIT: Duration = Duration::from_millis(3000);
-const RESPONSE_DEADLINE: Duration = Duration::from_millis(3400);
+const MAX_QUEUE_WAIT: Duration = Duration::from_millis(3000);
+const MAX_RESPONSE_DELAY: Duration = Duration::from_millis(3400);
 
 /// The answer to a heartbeat that the leader took in.
-fn heartbeat_answer(fencing_token: u64, commands: Vec<TaskCommand>) -> Response {
+fn accepted_response(fencing_token: u64, commands: Vec<TaskCommand>) -> Response {
     let response = HeartbeatResponse {
         fencing_token,
         commands,
@@ -54,16 +54,16 @@
         if !self.delegating {
             return self.redirect(ticket);
         }
-        if let Some(answer) = self.delegated_answer(&heartbeat) {
+        if let Some(answer) = self.delegated_response(&heartbeat) {
             return self.answer(ticket, answer);
         }
         if self.store_is_stale() || !self.may_wait_for_leader() {
             return self.redirect(ticket);
         }
-        if !self.relay.waiting.has_room(&self.settings) {
+        if !self.relay.queue.has_room(&self.settings) {
             return self.answer(ticket, Response::busy("overloaded", 1));
         }
-        self.relay.waiting.push(QueuedHeartbeat {
+        self.relay.queue.push(QueuedHeartbeat {
             ticket: Some(ticket),
             heartbeat,
             received: self.now.mono,
@@ -72,18 +72,18 @@
 
     /// The answer to a heartbeat that the leader has delegated to this controller and that says
     /// nothing new. It is void when the grant expires.
-    fn delegated_answer(&mut self, heartbeat: &Heartbeat) -> Option<Response> {
+    fn delegated_response(&mut self, heartbeat: &Heartbeat) -> Option<Response> {
         let now = self.now.mono;
         let grant = self.relay.grant()?;
         if !grant.is_valid(self.store_cache.term, now) && is_enabled(Safeguard::GrantExpiry) {
             return None;
         }
-        let fencing_token = self.relay.steady_answer(heartbeat, now)?;
+        let fencing_token = self.relay.cached_response_token(heartbeat, now)?;
         if let Some(to) = self.relay.next_reassignment(&heartbeat.machine) {
             return Some(redirect_to(&to));
         }
         let until = is_enabled(Safeguard::GrantExpiry).then_some(grant.expires_at);
-        Some(heartbeat_answer(fencing_token, Vec::new()).until(until))
+        Some(accepted_response(fencing_token, Vec::new()).until(until))
     }
 
     /// Whether it is useful to let heartbeats wait for the leader's answer: there is none, or one
@@ -91,22 +91,22 @@
     fn may_wait_for_leader(&self) -> bool {
         let term = self.store_cache.term;
         self.leader_name().is_none()
-            || self.relay.was_granted_lately_in(term, self.now.mono)
+            || self.relay.was_granted_recently_in_term(term, self.now.mono)
             || !self.relay.backoff.is_backing_off(term)
     }
 
     /// This controller has come to lead: heartbeats that waited for a leader are answered here.
     pub(in crate::core) fn drain_waiting_heartbeats(&mut self) -> Vec<(Ticket, MachineId)> {
-        if !self.acting() || self.relay.waiting.is_empty() {
+        if !self.acting() || self.relay.queue.is_empty() {
             return Vec::new();
         }
         let mut accepted = Vec::new();
-        for waiting in self.relay.waiting.take_all() {
-            match waiting.ticket {
-                Some(ticket) => accepted.extend(self.heartbeat(ticket, waiting.heartbeat)),
+        for queued in self.relay.queue.take_all() {
+            match queued.ticket {
+                Some(ticket) => accepted.extend(self.receive_heartbeat(ticket, queued.heartbeat)),
                 None => {
-                    let id = waiting.heartbeat.machine.clone();
-                    self.apply_call_reply(&id, *waiting.heartbeat);
+                    let id = queued.heartbeat.machine.clone();
+                    self.apply_call_reply(&id, *queued.heartbeat);
                 }
             }
         }
@@ -133,7 +133,7 @@
     /// Answers heartbeats that have waited for as long as their workers do.
     fn reject_overdue_heartbeats(&mut self) {
         let now = self.now.mono;
-        while let Some(overdue) = self.relay.waiting.pop_overdue(now, MAX_WAIT) {
+        while let Some(overdue) = self.relay.queue.pop_overdue(now, MAX_QUEUE_WAIT) {
             if let Some(ticket) = overdue.ticket {
                 self.answer(ticket, Response::busy("no leader yet", 1));
             }
@@ -147,10 +147,10 @@
     }
 
     fn may_send_batch(&self, leader: &str) -> bool {
-        let waiting = &self.relay.waiting;
-        let interval = if waiting.is_empty() {
+        let queue = &self.relay.queue;
+        let interval = if queue.is_empty() {
             MAX_BATCH_INTERVAL
-        } else if waiting.exceeds_a_frame() {
+        } else if queue.exceeds_a_frame() {
             Duration::ZERO
         } else {
             BATCH_INTERVAL
@@ -204,8 +204,8 @@
 
     fn handle_batch_failure(&mut self, batch: BatchInFlight) {
         let now = self.now.mono;
-        let granted_lately = self.relay.was_granted_lately(now);
-        self.relay.backoff.record_failure(now, granted_lately);
+        let granted_recently = self.relay.was_granted_recently(now);
+        self.relay.backoff.record_failure(now, granted_recently);
         tracing::debug!(leader = batch.leader, "heartbeat batch not answered");
         self.requeue_heartbeats(batch.heartbeats);
     }
@@ -257,12 +257,12 @@
     ) {
         let mut outcomes: BTreeMap<u64, RelayedOutcome> =
             responses.into_iter().map(|r| (r.id, r.outcome)).collect();
-        for (index, waiting) in heartbeats.into_iter().enumerate() {
-            let Some(ticket) = waiting.ticket else {
+        for (index, queued) in heartbeats.into_iter().enumerate() {
+            let Some(ticket) = queued.ticket else {
                 continue;
             };
             match outcomes.remove(&(index as u64 + 1)) {
-                Some(outcome) => self.deliver_response(ticket, &waiting, outcome, grant),
+                Some(outcome) => self.deliver_response(ticket, &queued, outcome, grant),
                 None => self.answer(ticket, Response::busy("no answer", 1)),
             }
         }
@@ -271,7 +271,7 @@
     fn deliver_response(
         &mut self,
         ticket: Ticket,
-        waiting: &QueuedHeartbeat,
+        queued: &QueuedHeartbeat,
         outcome: RelayedOutcome,
         grant: HeldGrant,
     ) {
@@ -280,7 +280,7 @@
                 status,
                 retry_after,
             } => {
-                self.relay.workers.remove(&waiting.heartbeat.machine);
+                self.relay.workers.remove(&queued.heartbeat.machine);
                 let mut answer = Response::error(status, "see the status");
                 answer.retry_after = retry_after;
                 answer
@@ -290,11 +290,11 @@
                 commands,
                 steady,
             } => {
-                let steady_token = steady.then_some(fencing_token);
-                self.relay.record_worker(waiting, steady_token);
+                let cached_token = steady.then_some(fencing_token);
+                self.relay.record_worker(queued, cached_token);
                 // Before the leader's leadership expires, and before the worker stops to wait.
-                let until = grant.expires_at.min(waiting.received + RESPONSE_DEADLINE);
-                heartbeat_answer(fencing_token, commands).until(Some(until))
+                let until = grant.expires_at.min(queued.received + MAX_RESPONSE_DELAY);
+                accepted_response(fencing_token, commands).until(Some(until))
             }
         };
         self.answer(ticket, answer);
@@ -303,12 +303,12 @@
     /// Heartbeats whose batch came to nothing wait on, or their workers are redirected to the
     /// leader.
     fn requeue_heartbeats(&mut self, heartbeats: Vec<QueuedHeartbeat>) {
-        self.relay.waiting.put_back(heartbeats);
+        self.relay.queue.put_back(heartbeats);
         if self.may_wait_for_leader() {
             return;
         }
-        for waiting in self.relay.waiting.take_all() {
-            if let Some(ticket) = waiting.ticket {
+        for queued in self.relay.queue.take_all() {
+            if let Some(ticket) = queued.ticket {
                 self.redirect(ticket);
             }
         }
--- a/src/core/workers/relay/backoff.rs
+++ b/src/core/workers/relay/backoff.rs
@@ -51,9 +51,9 @@
 
     /// The leader gave no answer. A first failure of one that did not grant lately is retried at
     /// once.
-    pub fn record_failure(&mut self, now: Instant, granted_lately: bool) {
+    pub fn record_failure(&mut self, now: Instant, granted_recently: bool) {
         self.failures += 1;
-        if granted_lately {
+        if granted_recently {
             self.retry_not_before = Some(now + GRANTING_LEADER_BACKOFF);
         } else if self.failures > 1 {
             let backoff = BASE_BACKOFF * 2u32.pow(self.failures.min(MAX_DOUBLINGS));
--- a/src/core/workers/relay/probes.rs
+++ b/src/core/workers/relay/probes.rs
@@ -77,7 +77,7 @@
             probes.unanswered.push(id.clone());
             return;
         };
-        if heartbeat.machine != *id || !self.relay.waiting.has_room(&self.settings) {
+        if heartbeat.machine != *id || !self.relay.queue.has_room(&self.settings) {
             return;
         }
         if let Some(worker) = self.relay.workers.get_mut(id)
@@ -86,7 +86,7 @@
             worker.sequence = worker.sequence.max(heartbeat.sequence);
             worker.fencing_token = worker.fencing_token.max(heartbeat.fencing_token);
         }
-        self.relay.waiting.push(QueuedHeartbeat {
+        self.relay.queue.push(QueuedHeartbeat {
             ticket: None,
             heartbeat,
             received: self.now.mono,
--- a/src/core/workers/relay/state.rs
+++ b/src/core/workers/relay/state.rs
@@ -19,9 +19,9 @@
 /// A leader that granted in this term may be dead with its key still there, for the lease's time
 /// less what passed before its leadership expired. Until then heartbeats wait: sent on to it, their
 /// workers would go from node to node.
-const LEADER_WAIT: Duration = Duration::from_millis(1800);
+const EXPIRED_GRANT_WAIT: Duration = Duration::from_millis(1800);
 /// A leader at work answers a batch in a small part of this.
-const LATE_ANSWER: Duration = Duration::from_millis(350);
+const LATE_RESPONSE_DELAY: Duration = Duration::from_millis(350);
 /// Heartbeats that come closer together than this go together, as far as a frame takes them.
 pub(super) const BATCH_INTERVAL: Duration = Duration::from_millis(50);
 const MIN_IDLE: Duration = Duration::from_millis(5);
@@ -33,7 +33,7 @@
 
 /// The answer that a heartbeat with the same content as the last one may get.
 #[derive(Clone, Copy)]
-pub(super) struct SteadyResponse {
+pub(super) struct CachedResponse {
     /// Of the heartbeat that the leader had no commands for.
     pub digest: Digest,
     /// The fencing token that the leader answered it with.
@@ -49,7 +49,7 @@
     pub fencing_token: u64,
     pub last_heartbeat: Instant,
     /// `None`: its next heartbeat has to go to the leader.
-    pub steady_response: Option<SteadyResponse>,
+    pub cached_response: Option<CachedResponse>,
 }
 
 impl ServedWorker {
@@ -105,8 +105,8 @@
     /// The newest answer that was applied before a batch that listed all of them.
     acknowledged: u64,
     /// The newest answer that was applied.
-    last_answer: u64,
-    pub(super) waiting: HeartbeatQueue,
+    last_response: u64,
+    pub(super) queue: HeartbeatQueue,
     in_flight: Option<BatchInFlight>,
     last_number: u64,
     last_sent: Option<Instant>,
@@ -136,7 +136,7 @@
     /// How long the owner may sleep.
     pub fn idle_for(&self, now: Instant) -> Duration {
         match self.last_sent {
-            Some(sent) if self.in_flight.is_none() && !self.waiting.is_empty() => {
+            Some(sent) if self.in_flight.is_none() && !self.queue.is_empty() => {
                 let next_batch = sent + BATCH_INTERVAL;
                 next_batch.saturating_duration_since(now).max(MIN_IDLE)
             }
@@ -147,7 +147,7 @@
     /// The number of heartbeats that wait for the leader's answer.
     pub fn waiting(&self) -> usize {
         let sent = self.in_flight.as_ref().map_or(0, |b| b.heartbeats.len());
-        self.waiting.len() + sent
+        self.queue.len() + sent
     }
 
     /// Whether a worker sent a heartbeat here recently.
@@ -161,19 +161,20 @@
     pub fn leader_is_late(&self, term: u64, now: Instant) -> bool {
         let granted = self.grant.is_some_and(|g| g.term == term);
         let in_flight = self.in_flight.as_ref();
-        let overdue = in_flight.is_some_and(|b| now > b.sent_at + LATE_ANSWER);
+        let overdue = in_flight.is_some_and(|b| now > b.sent_at + LATE_RESPONSE_DELAY);
         granted && (overdue || self.backoff.has_failures())
     }
 
     /// Whether the newest grant is valid or expired a moment ago: its leader may be gone with its
     /// key still there.
-    pub(super) fn was_granted_lately(&self, now: Instant) -> bool {
-        self.grant.is_some_and(|g| now < g.expires_at + LEADER_WAIT)
+    pub(super) fn was_granted_recently(&self, now: Instant) -> bool {
+        self.grant
+            .is_some_and(|g| now < g.expires_at + EXPIRED_GRANT_WAIT)
     }
 
-    /// As `was_granted_lately`, by the leader of this term.
-    pub(super) fn was_granted_lately_in(&self, term: u64, now: Instant) -> bool {
-        self.grant.is_some_and(|g| g.term == term) && self.was_granted_lately(now)
+    /// As `was_granted_recently`, by the leader of this term.
+    pub(super) fn was_granted_recently_in_term(&self, term: u64, now: Instant) -> bool {
+        self.grant.is_some_and(|g| g.term == term) && self.was_granted_recently(now)
     }
 
     /// Whether a leader of a later term than this one has granted.
@@ -192,7 +193,7 @@
                     addr: m.addr.clone(),
                     fencing_token: m.token(leader.term),
                     last_heartbeat: m.last_heartbeat,
-                    steady_response: None,
+                    cached_response: None,
                 };
                 self.workers.insert(m.id.clone(), worker);
             }
@@ -215,17 +216,21 @@
 
     /// The fencing token to answer this heartbeat with, if it says what the last one said and the
     /// leader had no commands for that.
-    pub(super) fn steady_answer(&mut self, heartbeat: &Heartbeat, now: Instant) -> Option<u64> {
+    pub(super) fn cached_response_token(
+        &mut self,
+        heartbeat: &Heartbeat,
+        now: Instant,
+    ) -> Option<u64> {
         let digest = self.digest(heartbeat);
         let worker = self.workers.get_mut(&heartbeat.machine)?;
-        let steady = worker.steady_response?;
+        let cached = worker.cached_response?;
         let unchanged = heartbeat.incarnation == worker.incarnation
             && heartbeat.sequence > worker.sequence
             // The worker would drop an answer with a lower token than it has seen, and yet stay
             // here while its lease expires.
-            && heartbeat.fencing_token == steady.fencing_token
+            && heartbeat.fencing_token == cached.fencing_token
             && heartbeat.reclaim_in_s.is_none()
-            && digest == steady.digest;
+            && digest == cached.digest;
         if !unchanged {
             return None;
         }
@@ -234,14 +239,14 @@
         if !self.unreported.contains(&heartbeat.machine) {
             self.unreported.insert(heartbeat.machine.clone());
         }
-        Some(steady.fencing_token)
+        Some(cached.fencing_token)
     }
 
-    /// Records a worker whose heartbeat the leader answered with commands or, if `steady_token` is
+    /// Records a worker whose heartbeat the leader answered with commands or, if `cached_token` is
     /// given, with none and this token for as long as the worker's heartbeats are unchanged.
-    pub(super) fn record_worker(&mut self, answered: &QueuedHeartbeat, steady_token: Option<u64>) {
+    pub(super) fn record_worker(&mut self, answered: &QueuedHeartbeat, cached_token: Option<u64>) {
         let heartbeat = &answered.heartbeat;
-        let steady_response = steady_token.map(|fencing_token| SteadyResponse {
+        let cached_response = cached_token.map(|fencing_token| CachedResponse {
             digest: self.digest(heartbeat),
             fencing_token,
         });
@@ -251,7 +256,7 @@
             addr: heartbeat.addr.clone(),
             fencing_token: heartbeat.fencing_token,
             last_heartbeat: answered.received,
-            steady_response,
+            cached_response,
         };
         self.workers.insert(heartbeat.machine.clone(), worker);
     }
@@ -271,11 +276,11 @@
         now: Instant,
     ) {
         self.renew_grant(grant, now);
-        self.last_answer = response.number;
+        self.last_response = response.number;
         self.reassignments = std::mem::take(&mut response.reassignments);
         for id in &response.revoked {
             if let Some(worker) = self.workers.get_mut(id) {
-                worker.steady_response = None;
+                worker.cached_response = None;
             }
         }
     }
@@ -287,7 +292,7 @@
         if !unbroken {
             // The leader counted every delegation as ended when the grant expired.
             for worker in self.workers.values_mut() {
-                worker.steady_response = None;
+                worker.cached_response = None;
             }
             self.unreported.clear();
         }
@@ -327,7 +332,7 @@
     /// heartbeats that were answered here until then.
     fn acknowledge(&mut self) -> u64 {
         if self.unreported.is_empty() {
-            self.acknowledged = self.last_answer;
+            self.acknowledged = self.last_response;
         }
         self.acknowledged
     }
@@ -364,7 +369,7 @@
         let unanswered_probes = self.probes.take_unanswered_for_frame();
         let answered = self.take_answered_for_frame(now);
         let acknowledged = self.acknowledge();
-        let heartbeats = self.waiting.take_frame();
+        let heartbeats = self.queue.take_frame();
         let batch = HeartbeatBatch {
             from: from.to_string(),
             incarnation: self.incarnation,
@@ -377,7 +382,7 @@
             served: self.served_for_frame(term, recent, now),
             unanswered_probes,
             answered,
-            heartbeats: relayed(&heartbeats),
+            heartbeats: relayed_heartbeats(&heartbeats),
         };
         (batch, heartbeats)
     }
@@ -422,12 +427,12 @@
         recent: Duration,
         now: Instant,
     ) {
-        let waiting = self.waiting.iter().chain(answered);
-        let waiting: BTreeSet<&MachineId> = waiting.map(|w| &w.heartbeat.machine).collect();
-        let unaware = self
+        let responded = self.queue.iter().chain(answered);
+        let responded: BTreeSet<&MachineId> = responded.map(|w| &w.heartbeat.machine).collect();
+        let without_token = self
             .recent_workers(recent, now)
-            .filter(|(id, w)| w.fencing_token < token && !waiting.contains(id));
-        let probes = unaware.map(|(id, w)| TokenProbe {
+            .filter(|(id, w)| w.fencing_token < token && !responded.contains(id));
+        let probes = without_token.map(|(id, w)| TokenProbe {
             machine: id.clone(),
             incarnation: w.incarnation,
             addr: w.addr.clone(),
@@ -438,11 +443,11 @@
 
 /// QueuedHeartbeat heartbeats as they stand in a batch, each with its index from 1 as id. 0 is the id of
 /// those that want no response.
-fn relayed(heartbeats: &[QueuedHeartbeat]) -> Vec<RelayedHeartbeat> {
+fn relayed_heartbeats(heartbeats: &[QueuedHeartbeat]) -> Vec<RelayedHeartbeat> {
     let numbered = heartbeats.iter().enumerate();
-    let relayed = numbered.map(|(index, waiting)| RelayedHeartbeat {
-        id: waiting.ticket.map_or(0, |_| index as u64 + 1),
-        heartbeat: waiting.heartbeat.clone(),
+    let relayed = numbered.map(|(index, queued)| RelayedHeartbeat {
+        id: queued.ticket.map_or(0, |_| index as u64 + 1),
+        heartbeat: queued.heartbeat.clone(),
     });
     relayed.collect()
 }
--- a/src/core/workers/relay/state/tests.rs
+++ b/src/core/workers/relay/state/tests.rs
@@ -8,7 +8,7 @@
 }
 
 /// A controller that has just answered heartbeats of so many workers itself.
-fn serving(now: Instant) -> Relay {
+fn relay_with_served_workers(now: Instant) -> Relay {
     let mut relay = Relay::new(1);
     for number in 0..MACHINES {
         let worker = ServedWorker {
@@ -17,7 +17,7 @@
             addr: "10.0.0.1:9000".into(),
             fencing_token: 1,
             last_heartbeat: now,
-            steady_response: None,
+            cached_response: None,
         };
         relay.workers.insert(machine(number), worker);
         relay.unreported.insert(machine(number));
@@ -26,23 +26,23 @@
 }
 
 #[test]
-fn an_answer_is_acknowledged_only_when_all_that_were_answered_here_are_told() {
+fn a_response_is_acknowledged_only_after_all_local_answers_are_reported() {
     let now = Instant::now();
-    let mut relay = serving(now);
-    relay.last_answer = 41;
+    let mut relay = relay_with_served_workers(now);
+    relay.last_response = 41;
     let first = relay.take_answered_for_frame(now);
     assert!(!first.is_empty() && first.len() < MACHINES);
     assert_eq!(relay.acknowledge(), 0, "others have yet to be told");
     let second = relay.take_answered_for_frame(now);
     assert_eq!(first.len() + second.len(), MACHINES);
     assert_eq!(relay.acknowledge(), 41);
-    relay.last_answer = 42;
+    relay.last_response = 42;
     assert!(relay.take_answered_for_frame(now).is_empty());
     assert_eq!(relay.acknowledge(), 42);
 }
 
 #[test]
-fn machines_without_an_answer_are_told_over_several_frames() {
+fn unanswered_probes_are_reported_over_several_frames() {
     let mut relay = Relay::new(1);
     relay.probes.unanswered = (0..MACHINES).map(machine).collect();
     let mut reported = Vec::new();
