--- a/src/core/workers/commands.rs
+++ b/src/core/workers/commands.rs
@@ -1,11 +1,13 @@
 //! Commands to workers: starting, stopping and forgetting tasks.
 //!
-//! The leader keeps for each machine the tasks that may be on it, and with each answer sends its
-//! worker the difference to what the heartbeat showed. Every command may be repeated, save one: after a
-//! `forget`, a repeated `start` would start the task again. So a `forget` goes only into the answer to
-//! a heartbeat (never executed late), and only while no other command can still arrive.
+//! For each machine, the leader tracks the tasks that may be on it. Each response to a heartbeat carries the
+//! commands that reconcile the tasks in that heartbeat with the tasks that the machine should have.
 //!
-//! `direct_calls`: commands that do not wait for the next heartbeat.
+//! Every command is idempotent, with one exception: after a `Forget`, a `Start` that is delivered again would start
+//! the task again. A `Forget` is therefore sent only in a response to a heartbeat, which a worker never executes
+//! late, and only while no other command can still arrive.
+//!
+//! `direct_calls`: commands that are sent without waiting for the next heartbeat.
 
 mod direct_calls;
 
@@ -19,17 +21,18 @@
 use crate::wire::{HeartbeatResponse, TaskCommand, to_json};
 use std::time::Duration;
 
-/// More commands than this would make an answer longer than a worker accepts.
+/// Maximum number of commands in one message. With more, the message would be longer than a worker accepts.
 pub(in crate::core) const MAX_COMMANDS: usize = 400;
-/// Direct calls in flight at a time: as many as the calling threads finish well within the
-/// leader's lease, so that none is dropped unsent because it was queued too long.
+/// Maximum number of direct calls in flight: as many as the calling threads finish well within the leader's lease,
+/// so that no call expires in their queue.
 pub(in crate::core) const MAX_DIRECT_CALLS: usize = 2 * crate::worker_client::CALL_THREADS;
-/// After an answer with a new token, a worker's next heartbeat has come.
+/// Time within which a worker confirms a new fencing token with its next heartbeat.
 const TOKEN_CONFIRMATION_DELAY: Duration = Duration::from_millis(900);
-/// A stop is repeated, with no more grace, this much after its grace has passed.
+/// Delay after the end of a stop's grace period until the stop is repeated without a grace period.
 const STOP_MARGIN: Duration = Duration::from_secs(3);
-/// Time to save is given for this many times what a checkpoint is expected to take, and a second more.
+/// Grace period as a multiple of the expected duration of a checkpoint; `GRACE_MARGIN` is added to it.
 const GRACE_FACTOR: f64 = 1.5;
+/// Fixed part of the grace period.
 const GRACE_MARGIN: Duration = Duration::from_secs(1);
 
 fn count_starts(commands: &[TaskCommand]) -> usize {
@@ -46,7 +49,7 @@
 }
 
 impl Core {
-    /// The commands in the answer to the machine's newest heartbeat.
+    /// Returns the commands for the response to the machine's newest heartbeat.
     fn commands_for_response(&self, leader: &LeaderState, machine: &Machine) -> Vec<TaskCommand> {
         let mut commands = self.stop_commands(machine);
         if machine.no_command_in_flight() {
@@ -58,7 +61,7 @@
         commands
     }
 
-    /// The commands in a direct call to the machine's worker.
+    /// Returns the commands for a direct call to the machine's worker.
     fn commands_for_direct_call(&self, machine: &Machine) -> Vec<TaskCommand> {
         let mut commands = self.stop_commands(machine);
         let tasks = machine.tasks.iter();
@@ -81,8 +84,8 @@
         task: &Placement,
     ) -> Option<TaskCommand> {
         let stop = task.stopping?;
-        // A start that no heartbeat has shown is mostly there all the same, and begins to run before the next
-        // heartbeat where nothing stops it.
+        // A start that no heartbeat has confirmed has usually reached the worker. Without a stop, the task begins to
+        // run before the next heartbeat.
         let stops_unseen = task.is_obsolete() && is_enabled(Safeguard::StopUnseenTasks);
         if task.phase == Phase::Unseen && !stops_unseen {
             return None;
@@ -110,8 +113,9 @@
             .collect()
     }
 
-    /// Whether an exited task may vanish from the heartbeats. A completed one is kept there until a later leader
-    /// would know of it without them; so is the result of a job that may become known again.
+    /// Returns whether the worker may remove an exited task from its heartbeats. A completed task stays in them until
+    /// its completion is in the store, as a later leader could not learn of it otherwise. During a rebuild of the
+    /// store, the results of a job that may yet be recovered stay in them too.
     fn may_forget(&self, leader: &LeaderState, machine: &Machine, exited: &ExitedTask) -> bool {
         let ExitedTask { key, attempt, .. } = exited;
         let run = leader.job_runs.get(&key.job);
@@ -121,7 +125,8 @@
         !is_unpersisted && !may_be_of_lost_job && is_attempt_over
     }
 
-    /// The time a task has to save its progress when it is stopped: given to what can save and is still of use.
+    /// Returns the time that a task has for a checkpoint when it is stopped: zero if it is obsolete or writes no
+    /// checkpoints, and no longer than until its machine is reclaimed.
     fn grace_period(&self, machine: &Machine, key: &TaskId, task: &Placement) -> Duration {
         if task.is_obsolete() {
             return Duration::ZERO;
@@ -139,7 +144,7 @@
         }
     }
 
-    /// Answers a heartbeat that was accepted.
+    /// Responds to an accepted heartbeat.
     pub(in crate::core) fn respond_to_heartbeat(&mut self, ticket: Ticket, id: &MachineId) {
         let until = self.leader_until();
         let answer = match self.heartbeat_response(id) {
@@ -149,15 +154,15 @@
         self.answer(ticket, answer);
     }
 
-    /// The answer to a machine's heartbeat; the machine's record says from now on that it was given. `None` if
-    /// the machine was deleted.
+    /// Returns the response to a machine's newest heartbeat and records it on the machine. Returns `None` if the
+    /// machine was deleted.
     pub(in crate::core) fn heartbeat_response(
         &mut self,
         id: &MachineId,
     ) -> Option<HeartbeatResponse> {
         let leader = self.leader.as_ref()?;
         if leader.machines.get(id).is_none() {
-            // Not added before it has shown that it is there.
+            // An unknown machine is added only after a heartbeat with this term's token; see `accept_heartbeat`.
             let is_deleted = leader.deleted_machines.contains(id);
             return (!is_deleted).then_some(HeartbeatResponse {
                 fencing_token: leader.term << TOKEN_EPOCH_BITS,
@@ -175,8 +180,9 @@
         Some(response)
     }
 
-    /// After a `forget`, a copy of the direct command that started the task would start it again. The answer
-    /// with the `forget` carries a higher token than that command had, which the worker observes first.
+    /// Raises the machine's token if a direct call with the current token may have started a task that has exited.
+    /// After a `Forget`, a late copy of that call would start the task again. The response with the `Forget` carries
+    /// the higher token, which the worker observes before it executes the commands, and it then refuses the copy.
     fn invalidate_starts_of_exited(&mut self, id: &MachineId) {
         let Some(leader) = &mut self.leader else {
             return;
@@ -193,7 +199,7 @@
         }
     }
 
-    /// The machine is answered with so many starts.
+    /// Records on the machine that a response with this number of `Start` commands was sent.
     fn record_response(&mut self, id: &MachineId, starts: usize) {
         self.stats.count(Work::StartInResponse, starts);
         let Some(leader) = &mut self.leader else {
@@ -203,8 +209,8 @@
             return;
         };
         machine.capacity_freed = false;
-        // A worker that sees a new token sends it in a heartbeat within half a second, on the connection that
-        // it has: that costs less than a call to it.
+        // A worker that sees a new token confirms it with a heartbeat within half a second, on a connection that is
+        // already open. That costs less than a probe by a direct call.
         if machine.unresolved {
             machine.claimed_until = Some(self.now.mono + TOKEN_CONFIRMATION_DELAY);
         }
--- a/src/core/workers/commands/direct_calls.rs
+++ b/src/core/workers/commands/direct_calls.rs
@@ -1,4 +1,4 @@
-//! Commands by direct calls to workers, for what should not wait for the next heartbeat, and their outcomes.
+//! Direct calls to workers, with commands that should not wait for the next heartbeat, and their outcomes.
 
 use super::{MAX_DIRECT_CALLS, count_starts};
 use crate::core::command::Pending;
@@ -12,23 +12,26 @@
 use std::net::SocketAddrV4;
 use std::time::{Duration, Instant};
 
-/// After a call without an answer to a machine that may hold tasks of an earlier term, until the next one.
+/// Delay until the next call after an unanswered call to an unresolved machine (one that may hold tasks of an
+/// earlier term).
 const PROBE_RETRY_PAUSE: Duration = Duration::from_millis(300);
-/// After a worker refused commands, until it is sent others.
+/// Delay after a worker has refused commands until it is called with commands again.
 const REFUSED_RETRY_PAUSE: Duration = Duration::from_millis(500);
-/// After a call that got no answer, until the next one with commands.
+/// Delay after an unanswered call until the worker is called with commands again.
 const FAILED_RETRY_PAUSE: Duration = Duration::from_secs(3);
 
-/// Which commands a direct call carries.
+/// Kinds of commands that a direct call may carry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CallScope {
+    /// All commands.
     All,
-    /// To a machine from which no heartbeats come: calls may reach it.
+    /// Only `Stop` commands, to a machine that sends no heartbeats but may still receive calls.
     StopsOnly,
 }
 
 impl CallScope {
-    /// A call is made only while fewer are in flight: calls to dead machines take their threads for long.
+    /// Returns the number of calls in flight at which no further call is made. It is lower for silent machines, as
+    /// a call to a dead machine occupies its thread for long.
     fn max_calls_in_flight(self) -> usize {
         match self {
             CallScope::All => MAX_DIRECT_CALLS,
@@ -38,7 +41,7 @@
 }
 
 impl Machine {
-    /// Whether its worker may be called with commands now.
+    /// Returns whether the worker may be called with commands now.
     fn accepts_direct_commands(&self, now: Instant) -> bool {
         self.incarnation > 0
             && !self.lease_expired
@@ -47,8 +50,8 @@
             && now >= self.direct_calls.retry_not_before
     }
 
-    /// Which commands may go to it by a call now: all while heartbeats come from it, else stops of what is of
-    /// no use any more.
+    /// Returns which commands a call may carry now: all if the machine sends heartbeats, and otherwise only stops, if
+    /// it has obsolete tasks. Returns `None` if no call may be made.
     fn call_scope(&self, now: Instant, max_silence: Duration) -> Option<CallScope> {
         if !self.accepts_direct_commands(now) {
             return None;
@@ -63,8 +66,8 @@
 }
 
 impl Core {
-    /// Calls workers with the commands that should not wait for their next heartbeat, and probes machines with
-    /// the calls that are left.
+    /// Calls workers with the commands that should not wait for their next heartbeat, and uses the remaining calls to
+    /// probe machines.
     pub(in crate::core) fn send_direct_commands(&mut self) {
         let Some(not_after) = self.leader_until() else {
             return;
@@ -80,7 +83,7 @@
         self.probe_machines();
     }
 
-    /// Machines with commands that should not wait, those that send heartbeats first.
+    /// Returns the machines with commands that should not wait, those that send heartbeats first.
     fn machines_to_call(&mut self) -> Vec<(MachineId, CallScope)> {
         let now = self.now.mono;
         let max_silence = self.settings.heartbeat_interval * 2;
@@ -126,7 +129,8 @@
         });
     }
 
-    /// The commands that should not wait, and where to send them. The machine has none from now on.
+    /// Returns the commands for a direct call and the address of the worker, if there are any. Clears the machine's
+    /// `needs_push`.
     fn direct_commands(
         &mut self,
         id: &MachineId,
@@ -149,7 +153,7 @@
         (!body.commands.is_empty()).then_some((addr, body))
     }
 
-    /// The outcome of a direct call: commands, a probe, or a token shown for the leader.
+    /// Processes the outcome of a direct call: commands, a probe, or a token probe on the leader's behalf.
     pub(in crate::core) fn direct_outcome(&mut self, call: CallId, outcome: DirectOutcome) {
         let id = match self.pending.remove(&call) {
             Some(Pending::DirectCall(id)) => id,
@@ -177,7 +181,7 @@
         }
     }
 
-    /// The call is over. `None` if its machine is gone or the call was abandoned.
+    /// Records that a call has ended. Returns `None` if its machine is gone or the call was abandoned.
     fn finish_direct_call(
         &mut self,
         id: &MachineId,
@@ -205,7 +209,8 @@
         Some(())
     }
 
-    /// A worker answered a call with its heartbeat, and executed the commands or refused them all.
+    /// Processes a worker's reply to a call, which contains its heartbeat. `executed` is false if the worker refused
+    /// all commands.
     fn direct_call_answered(
         &mut self,
         id: &MachineId,
@@ -223,7 +228,8 @@
         let Some(machine) = leader.machines.get_mut(id) else {
             return;
         };
-        // The probe was sent after a newer heartbeat than its answer was known: the worker has restarted.
+        // The reply to the probe contains an older heartbeat than the newest one before the probe, or the same one:
+        // the worker has restarted.
         let probe = &mut machine.direct_calls.restart_probe;
         let restarted = probe
             .take_if(|probe| probe.call == call)
@@ -246,8 +252,8 @@
         }
     }
 
-    /// The commands of a call may be executed at any later time, until the worker has seen a higher
-    /// token; the next answer to a heartbeat carries one.
+    /// Raises the machine's token after a call with an unknown outcome. Its commands may still be executed at any later
+    /// time, until the worker has seen the higher token, which the next response to a heartbeat carries.
     fn invalidate_direct_commands(&mut self, id: &MachineId) {
         let Some(leader) = &mut self.leader else {
             return;
--- a/src/core/workers/delegation.rs
+++ b/src/core/workers/delegation.rs
@@ -1,22 +1,23 @@
-//! What a leader delegates to the other controllers, and revokes.
+//! Delegation of heartbeat processing from the leader to the other controllers.
 //!
-//! Each of them may serve workers: it relays their heartbeats to the leader, many in a frame, and
-//! hands out the leader's answers. A machine for which there are no commands is delegated to the
-//! controller that it sends them to: that one answers heartbeats with the same content as the last one by
-//! itself. What it answers under the grant is what the leader would have answered, so it can renew
-//! a worker's lease, and nothing else.
+//! Each of the other controllers may serve workers: it relays their heartbeats to the leader in
+//! batches and passes the leader's responses on. A machine for which there are no commands is
+//! delegated to the controller that receives its heartbeats. The delegate then answers heartbeats
+//! itself as long as their content does not change. Its response is the one that the leader would
+//! have given, so it can renew a worker's lease and do nothing else.
 //!
-//! - The grant expires before the leader's own leadership does, see `membership::grant`.
-//! - A delegated machine's lease may have been renewed without the leader knowing. Its incarnation
-//!   is never counted as over before the delegation has ended: the delegate acknowledged that it
-//!   was revoked, or its grant has expired.
-//! - Whatever changes on a delegated machine revokes the delegation. Until the delegate learns of
-//!   that it answers "no commands" with a token that is still good, which is harmless; the command
-//!   itself goes to the worker directly, or into the next answer that comes through the leader.
+//! - The grant expires before the leader's own leadership does; see `membership::grant`.
+//! - The lease of a delegated machine may have been renewed without the leader's knowledge. The
+//!   leader therefore treats its incarnation as ended only after the delegation has ended, that is,
+//!   after the delegate has acknowledged the revocation or its grant has expired.
+//! - Any change on a delegated machine revokes the delegation. Until the delegate learns of the
+//!   revocation, it answers without commands and with a token that is still valid, which is
+//!   harmless. The command itself goes to the worker in a direct call, or in the next response
+//!   that comes from the leader.
 //!
-//! This module processes batches and answers them. `delegations` begins, revokes and ends
-//! delegations, `probes` shares out the probes after a failover, `rebalancing` moves workers
-//! between controllers, `members` describes the other controllers.
+//! This module processes batches and responds to them. `delegations` begins, revokes and ends
+//! delegations, `probes` distributes the probes after a failover, `rebalancing` moves workers
+//! between controllers, `members` reports the state of the other controllers.
 
 mod delegations;
 mod members;
@@ -38,12 +39,13 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// The bytes that responses take in one frame; a worker whose response does not fit any more asks
-/// again.
+/// Maximum size in bytes of the responses in one frame. A worker whose response does not fit is
+/// told to retry.
 const MAX_RESPONSE_BYTES: usize = 400 * 1024;
 
 impl Core {
-    /// Processes a batch of a controller that serves workers. It is answered at the end of the step.
+    /// Processes a batch from a controller that serves workers. Returns the batch for the response at
+    /// the end of the step, or `None` if it was refused.
     pub(in crate::core) fn receive_batch(
         &mut self,
         ticket: Ticket,
@@ -65,12 +67,12 @@
         let from: Arc<str> = batch.from.as_str().into();
         let leader = self.leader.as_mut()?;
         match leader.accept_request(&from, batch.incarnation, batch.number, now) {
-            // Held up on the way: its sender has given it up, and its heartbeats are old.
+            // Delayed in transit: its sender has given up on it, and its heartbeats are outdated.
             RequestOrder::Stale => {
                 self.refuse_batch(ticket, batch.number);
                 return None;
             }
-            // The process that could answer from memory is gone, and this one knows nothing.
+            // The process with cached responses has ended, and its successor has none.
             RequestOrder::NewIncarnation => leader.reset_delegate(&from),
             RequestOrder::Next => leader.confirm_revocations(&from, batch.acknowledged),
         }
@@ -84,8 +86,8 @@
         })
     }
 
-    /// Processes the heartbeats of a batch. Returns those that want a response, by id, each with the
-    /// machine that it was accepted for, or why it was not.
+    /// Processes the heartbeats of a batch. Returns the ids of those that need a response, each with the
+    /// machine that sent it, or with the error response if the heartbeat was not accepted.
     fn accept_relayed_heartbeats(
         &mut self,
         heartbeats: Vec<RelayedHeartbeat>,
@@ -102,8 +104,8 @@
         accepted
     }
 
-    /// Refuses a batch, as this controller is not the leader, or none that delegates: nothing is
-    /// granted.
+    /// Refuses a batch without a grant, because this controller is not the leader or does not
+    /// delegate.
     pub(in crate::core) fn refuse_batch(&mut self, ticket: Ticket, number: u64) {
         let refusal = HeartbeatBatchResponse {
             number,
@@ -114,8 +116,8 @@
         self.answer(ticket, Response::new(200, frame));
     }
 
-    /// Answers a processed batch, under a grant for as long as this controller is proven to
-    /// lead.
+    /// Responds to a processed batch, with a grant that lasts as long as this controller is certain
+    /// to remain the leader.
     pub(in crate::core) fn answer_batch(&mut self, batch: PendingBatch) {
         let now = self.now.mono;
         let Some(leader_until) = self.leader_until() else {
@@ -147,7 +149,8 @@
         self.answer(batch.ticket, answer);
     }
 
-    /// The responses to the heartbeats of a batch, as many with commands as fit into a frame.
+    /// Returns the responses to the heartbeats of a batch. Those that do not fit into the frame are
+    /// replaced by a refusal.
     fn batch_responses(
         &mut self,
         heartbeats: Vec<(u64, Result<MachineId, Response>)>,
@@ -170,8 +173,8 @@
         responses
     }
 
-    /// The commands for a machine whose heartbeat was accepted, or why there are none. Adds the
-    /// bytes that they take to those of the frame.
+    /// Returns the commands for a machine whose heartbeat was accepted, or an error response if the
+    /// frame is full or the machine was deleted. Adds the size of the commands to `frame_bytes`.
     fn relayed_outcome(
         &mut self,
         machine: &MachineId,
@@ -196,7 +199,8 @@
 }
 
 impl LeaderState {
-    /// Records the number of a controller's batch, which is a request for a grant.
+    /// Records the number of a batch, which also requests a grant, and returns how the batch is ordered
+    /// relative to earlier ones. Adds the controller as a delegate if it is not known.
     fn accept_request(
         &mut self,
         from: &Arc<str>,
@@ -214,14 +218,14 @@
         delegate.issued.accept_request(incarnation, number, now)
     }
 
-    /// Processes everything in a batch but the heartbeats that it relays.
+    /// Processes everything in a batch except the relayed heartbeats.
     fn record_batch(&mut self, from: &Arc<str>, batch: &HeartbeatBatch, now: Instant) {
         if !batch.answered.is_empty() || !batch.heartbeats.is_empty() {
             self.liveness.record_heartbeat(now);
         }
         self.delegates.relayed_heartbeats += batch.heartbeats.len() as u64;
         self.delegates.delegated_answers += batch.answered.len() as u64;
-        // Answers under an earlier term prove nothing in this one.
+        // Heartbeats answered under an earlier leader's grant prove nothing in this term.
         if batch.term == self.term {
             for answered in &batch.answered {
                 self.record_delegated_heartbeat(answered, from, now);
--- a/src/core/workers/delegation/delegations.rs
+++ b/src/core/workers/delegation/delegations.rs
@@ -1,5 +1,6 @@
-//! The life of a delegation: it begins with an answer without commands, is revoked when anything
-//! changes on the machine, and ends when the delegate acknowledges that, or when its grant expires.
+//! Lifecycle of a delegation. It begins with a response without commands, is revoked when anything
+//! changes on the machine, and ends when the delegate acknowledges the revocation or its grant
+//! expires.
 
 use crate::core::Core;
 use crate::core::leadership::state::LeaderState;
@@ -10,8 +11,8 @@
 use std::time::Instant;
 
 impl LeaderState {
-    /// Delegates a machine for which there are no commands. Returns whether it is delegated to this
-    /// controller now.
+    /// Delegates a machine to the controller `to` if no commands are pending for the machine. Returns
+    /// whether the machine is now delegated to that controller.
     pub(super) fn delegate_machine(&mut self, id: &MachineId, to: &Arc<str>) -> bool {
         let Some(m) = self.machines.get_mut_untracked(id) else {
             return false;
@@ -27,7 +28,8 @@
         true
     }
 
-    /// A heartbeat was answered for us: only a machine that was delegated can have had one.
+    /// Records a heartbeat that a delegate answered, and the lease renewal that this implies. The
+    /// record is ignored if the machine is not delegated to that controller.
     pub(super) fn record_delegated_heartbeat(
         &mut self,
         answered: &AnsweredHeartbeat,
@@ -68,8 +70,8 @@
         }
     }
 
-    /// A heartbeat came through this controller, or to this one itself: no other may answer the
-    /// machine from memory any more.
+    /// Records the controller that relayed the machine's newest heartbeat, or `None` if the worker sent
+    /// it to the leader. A delegation to any other controller is revoked.
     pub(in crate::core) fn record_route(&mut self, id: &MachineId, via: Option<&Arc<str>>) {
         let Some(m) = self.machines.get_mut_untracked(id) else {
             return;
@@ -82,8 +84,7 @@
         }
     }
 
-    /// Revokes the delegations of those machines, of all that changed, for which there are commands
-    /// now.
+    /// Revokes the delegations of those changed machines for which commands may now be pending.
     pub(in crate::core) fn revoke_changed(&mut self, changed: &[MachineId]) {
         if self.delegates.by_name.is_empty() {
             return;
@@ -96,7 +97,8 @@
         }
     }
 
-    /// The delegate has applied our answers up to this one, and acknowledged it after that.
+    /// Ends the delegations whose revocation was first sent in the acknowledged response or an earlier
+    /// one, as the delegate has applied it.
     pub(super) fn confirm_revocations(&mut self, from: &Arc<str>, acknowledged: u64) {
         let Some(delegate) = self.delegates.by_name.get_mut(from) else {
             return;
@@ -114,7 +116,7 @@
         }
     }
 
-    /// The delegate's process is a new one, which nothing is delegated to.
+    /// Ends all delegations to a controller whose process has been replaced by a new one.
     pub(super) fn reset_delegate(&mut self, name: &Arc<str>) {
         let Some(delegate) = self.delegates.by_name.get_mut(name) else {
             return;
@@ -124,7 +126,8 @@
         self.end_delegations(name, until);
     }
 
-    /// Ends all delegations to a controller, which answered nothing under them after `until`.
+    /// Ends all delegations to a controller. `until` is the latest time at which it can have answered a
+    /// heartbeat under them.
     fn end_delegations(&mut self, name: &Arc<str>, until: Instant) {
         let delegated: Vec<MachineId> = (self.machines.values())
             .filter(|m| m.delegated_to.as_ref() == Some(name))
@@ -139,7 +142,7 @@
         }
     }
 
-    /// Ends the delegations under grants that have expired.
+    /// Ends the delegations of all delegates whose grant has expired.
     fn expire_grants(&mut self, now: Instant) {
         let mut expired = Vec::new();
         for (name, delegate) in &mut self.delegates.by_name {
@@ -161,8 +164,8 @@
 }
 
 impl Core {
-    /// Called in each step of a leader: ends delegations under expired grants, revokes those of
-    /// silent machines, and rebalances workers now and then.
+    /// Ends delegations under expired grants, revokes those of silent machines, and periodically
+    /// rebalances workers. Called in each step of the leader.
     pub(in crate::core) fn check_delegates(&mut self) {
         let now = self.now.mono;
         let Some(leader) = &mut self.leader else {
@@ -176,8 +179,8 @@
         self.rebalance_workers_if_due();
     }
 
-    /// Revokes the delegations of silent machines: before one can count as lost, its delegation
-    /// has to have ended.
+    /// Revokes the delegations of silent machines, as a machine can be treated as lost only after its
+    /// delegation has ended.
     fn revoke_silent_machines(&mut self) {
         let now = self.now.mono;
         let max_silence = self.settings.heartbeat_interval * 7 / 4;
@@ -196,9 +199,9 @@
 }
 
 impl Delegate {
-    /// Revoked machines for the answer of this number, as many as a frame takes. One that was sent
-    /// once is sent again in every answer until the delegate has applied one of them: whichever
-    /// that is, it had all of these.
+    /// Returns the machines whose delegation is revoked, for the batch response with this number, as many as
+    /// fit into a frame. A revocation that was sent once is repeated in every response until it is
+    /// acknowledged, so whichever response the delegate applies contains all revocations sent before.
     pub(super) fn revocations_for_frame(&mut self, number: u64) -> Vec<MachineId> {
         let sent = self.revocations.iter().filter(|(_, at)| at.is_some());
         let unsent = self.revocations.iter().filter(|(_, at)| at.is_none());
--- a/src/core/workers/delegation/members.rs
+++ b/src/core/workers/delegation/members.rs
@@ -1,4 +1,4 @@
-//! The leader's view of the other controllers: sent to each of them, and shown in the status view.
+//! The leader's view of the other controllers, which is sent to each of them and shown in the status view.
 
 use crate::core::Core;
 use crate::core::leadership::state::LeaderState;
@@ -8,7 +8,7 @@
 use burlusher_membership::view::{Capabilities, MemberState};
 use std::time::Instant;
 
-/// The status view's label for a member's state in the failure detector.
+/// Returns the status view's label for a member's state in the failure detector.
 fn state_label(state: MemberState) -> &'static str {
     match state {
         MemberState::Unknown => "not heard of",
@@ -19,9 +19,9 @@
 }
 
 impl LeaderState {
-    /// Until when missing heartbeats of a machine prove nothing, as there is no contact either with a controller
-    /// that it may report to, or was just sent to by another: the worker has yet to find that out,
-    /// and to find the next one.
+    /// Returns the time until which missing heartbeats do not indicate that a machine has failed, or `None` if all
+    /// delegates are in contact. A worker may send its heartbeats to a delegate that is out of contact, or may just
+    /// have been redirected to it, and needs [`WORKER_RETRY`] to give up on it and try the next controller.
     pub(in crate::core) fn delegate_grace_until(&self, now: Instant) -> Option<Instant> {
         let delegates = self.delegates.by_name.values();
         let is_late =
@@ -35,7 +35,7 @@
 }
 
 impl Core {
-    /// What is known of all controllers but this one and `to`.
+    /// Returns the known state of all controllers except this one and `to`.
     pub(super) fn member_statuses(&self, to: &str) -> Vec<MemberStatus> {
         let now = self.now.mono;
         let others = self.members.members().filter(|(name, _)| *name != to);
@@ -50,8 +50,8 @@
         statuses.collect()
     }
 
-    /// The other controllers for the status view: name, state, workers, and whether each holds a
-    /// grant (null if this one does not lead, or has no batch of it).
+    /// Returns the other controllers for the status view: name, zone, state, number of workers, and whether the
+    /// controller holds a grant (null if this one does not lead, or has received no batch from it).
     pub(in crate::core) fn members_status(&self) -> serde_json::Value {
         let now = self.now.mono;
         let granted = |name: &str| {
--- a/src/core/workers/delegation/probes.rs
+++ b/src/core/workers/delegation/probes.rs
@@ -1,4 +1,4 @@
-//! Sharing the probes of workers after a failover among all live controllers.
+//! Distribution of the probes of workers after a failover among all live controllers.
 
 use crate::core::Core;
 use crate::core::leadership::state::LeaderState;
@@ -8,17 +8,17 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Another controller probes the machines that it claims for this long; then they are probed from
-/// here.
+/// Time for which the probe of a machine is left to another controller before the leader sends the
+/// probe itself.
 const PROBE_CLAIM: Duration = Duration::from_millis(1500);
-/// Machines that another controller is given to probe at a time: as many as it probes at once, and
-/// some until its next frame.
+/// Maximum number of machines assigned to another controller to probe: as many as it probes at the
+/// same time, and half as many again to keep it busy until its next frame.
 pub(super) const MAX_PROBES_PER_DELEGATE: usize = 3 * MAX_DIRECT_CALLS / 2;
 
 impl LeaderState {
-    /// Machines and their addresses for another controller to show the fencing token to, which has
-    /// this many to probe already. All live controllers share the work of a failover, whichever of
-    /// them the workers reported to.
+    /// Returns machines, with their addresses, for another controller to probe with the fencing token.
+    /// `already_pending` is the number of probes that it already has. All live controllers share the
+    /// probes of a failover, whichever of them the workers reported to.
     pub(super) fn assign_probes(
         &mut self,
         already_pending: usize,
@@ -33,14 +33,14 @@
                 continue;
             };
             m.claimed_until = Some(claimed_until);
-            // If nothing comes of it, it is probed from here.
+            // The leader probes the machine itself if the other controller's probe has no result.
             self.recovery.probe_at(claimed_until, id.clone());
             assigned.push((id, m.addr.clone()));
         }
         assigned
     }
 
-    /// Another controller serves these machines and will probe them.
+    /// Leaves the probes of these machines to another controller, which serves them.
     pub(super) fn claim_probes(&mut self, served: &[MachineId], from: &Arc<str>, now: Instant) {
         for id in served {
             if let Some(m) = self.machines.get_mut_untracked(id)
@@ -52,7 +52,7 @@
         }
     }
 
-    /// These machines gave another controller no answer: they are probed from here.
+    /// Schedules probes from the leader for machines that did not answer another controller's probe.
     pub(super) fn retry_probes(&mut self, unanswered: &[MachineId], now: Instant) {
         for id in unanswered {
             if let Some(m) = self.machines.get_mut_untracked(id)
--- a/src/core/workers/delegation/rebalancing.rs
+++ b/src/core/workers/delegation/rebalancing.rs
@@ -1,4 +1,4 @@
-//! Moving workers between controllers, so that each serves its share of them.
+//! Load balancing: moves workers between controllers so that each serves its share of them.
 
 use crate::core::Core;
 use crate::core::leadership::state::LeaderState;
@@ -8,17 +8,19 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How often loads are compared. A worker that is sent elsewhere is back within half a second.
+/// Time between two comparisons of the controllers' loads. A redirected worker reports to its new
+/// controller within half a second.
 const REBALANCE_INTERVAL: Duration = Duration::from_millis(1000);
-/// At most one in this many of all workers is moved at a time, or `MIN_MOVE_LIMIT` if that is more.
+/// At most one in this many of all workers is moved at a time, or `MIN_MOVE_LIMIT` workers if that is more.
 const MOVE_LIMIT_DIVISOR: u32 = 20;
+/// Lower bound on the number of workers that may be moved at a time.
 const MIN_MOVE_LIMIT: u32 = 4;
-/// The leader's part of an even share, where two others or more serve workers: its processor
-/// is needed for what no other one can do.
+/// Weight of the leader's share of the workers, relative to 1 for each other controller, if at least two
+/// others serve workers. The leader needs its CPU time for work that no other controller can do.
 const LEADER_WEIGHT: f64 = 0.25;
 
 impl LeaderState {
-    /// The controller that a worker reporting here is to go to, if it is to go.
+    /// Returns the controller that a worker reporting to the leader is redirected to, if it is to be moved.
     pub(in crate::core) fn next_reassignment(&mut self, id: &MachineId) -> Option<String> {
         let to = share::next_target(&mut self.delegates.own_reassignments)?;
         if let Some(m) = self.machines.get_mut_untracked(id) {
@@ -27,7 +29,7 @@
         Some(to)
     }
 
-    /// Replaces what is to be moved by these moves.
+    /// Replaces the pending reassignments by these moves.
     fn set_reassignments(&mut self, moves: Vec<Move>, own_name: &str) {
         self.delegates.own_reassignments.clear();
         for delegate in self.delegates.by_name.values_mut() {
@@ -63,7 +65,8 @@
         }
     }
 
-    /// The controllers that may serve workers, the leader first, with how many workers each serves.
+    /// Returns the controllers that may serve workers, each with the number of workers that it serves. The
+    /// leader comes first.
     fn servers(&self) -> Vec<Server> {
         let Some(leader) = &self.leader else {
             return Vec::new();
@@ -94,7 +97,7 @@
             && member.is_some_and(|m| m.capabilities.has(Capabilities::SERVES_WORKERS))
     }
 
-    /// How many workers' heartbeats came recently through each controller.
+    /// Returns, for each controller, the number of workers whose newest heartbeat came through it recently.
     fn workers_by_server<'a>(&'a self, leader: &'a LeaderState) -> BTreeMap<&'a str, u32> {
         let now = self.now.mono;
         let recent = self.settings.heartbeat_interval * 2;
--- a/src/core/workers/delegation/tests.rs
+++ b/src/core/workers/delegation/tests.rs
@@ -18,8 +18,8 @@
     }
 }
 
-/// The delegate names only the newest answer that it has applied: all that an earlier one revoked has to be in
-/// each later one, also when machines are added that come first by name.
+/// A delegate acknowledges only the newest response that it has applied. Each response must therefore repeat all
+/// revocations of the earlier ones, even if machines that come first by name are revoked in between.
 #[test]
 fn revocations_are_repeated_in_each_response_until_acknowledged() {
     let mut delegate = delegate_with_revocations();
@@ -42,8 +42,9 @@
     assert_eq!(revoked, MACHINES + 1);
 }
 
-/// The fullest answer: as many starts as fit, with the longest ids, and one answer more, as it is only then seen
-/// that no more fit; all machines to take back, and as many to ask as are given out at a time.
+/// The response is as large as it can become: it has as many commands as fit, with the longest ids, and one
+/// machine's commands more, as the limit is checked before a response is added; revocations for all machines; and
+/// the maximum number of probes.
 #[test]
 fn the_largest_batch_response_for_6000_workers_can_be_decoded() {
     let digits = "9".repeat(32);
--- a/src/core/workers/heartbeat_queue.rs
+++ b/src/core/workers/heartbeat_queue.rs
@@ -1,4 +1,4 @@
-//! Heartbeats that wait on a follower for the leader's answer, in the order in which they came.
+//! Queue of heartbeats that wait on a follower for the leader's response, in the order of their receipt.
 
 use crate::core::Ticket;
 use crate::peer::heartbeat_batch;
@@ -7,28 +7,28 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// The part of the process's memory that waiting heartbeats may take.
+/// Share of the process's memory that queued heartbeats may use.
 const MEMORY_SHARE: f64 = 0.125;
-/// Bytes of memory for each byte that a heartbeat takes in a frame, at most.
+/// Maximum number of bytes of memory per byte of an encoded heartbeat.
 const MEMORY_PER_FRAME_BYTE: f64 = 4.0;
 const BYTES_PER_MB: f64 = 1_048_576.0;
 
-/// A heartbeat that waits.
+/// A heartbeat that waits for the leader's response.
 pub(in crate::core) struct QueuedHeartbeat {
-    /// Whom to answer; `None`: the heartbeat came in reply to a direct call.
+    /// Request to respond to; `None` if the heartbeat was received in reply to a direct call.
     pub ticket: Option<Ticket>,
     /// The heartbeat.
     pub heartbeat: Box<Heartbeat>,
-    /// When it came.
+    /// Time of receipt.
     pub received: Instant,
 }
 
-/// The most that the settings allow to wait.
+/// Limits on the queue, derived from the settings.
 #[derive(Clone, Copy)]
 struct Bounds {
-    /// Each heartbeat that waits for an answer holds a connection.
+    /// Maximum number of heartbeats, as each one that waits for a response holds a connection.
     heartbeats: usize,
-    /// The memory they take is bounded by their size in frames.
+    /// Maximum total size of the encoded heartbeats in bytes, which bounds the memory that they use.
     frame_bytes: usize,
 }
 
@@ -42,7 +42,7 @@
     }
 }
 
-/// A queue that counts how many bytes its heartbeats take in frames.
+/// A queue of heartbeats that tracks their total encoded size.
 #[derive(Default)]
 pub(in crate::core) struct HeartbeatQueue {
     heartbeats: VecDeque<QueuedHeartbeat>,
@@ -50,39 +50,39 @@
 }
 
 impl HeartbeatQueue {
-    /// How many heartbeats wait.
+    /// Returns the number of queued heartbeats.
     pub fn len(&self) -> usize {
         self.heartbeats.len()
     }
 
-    /// Whether none waits.
+    /// Returns whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.heartbeats.is_empty()
     }
 
-    /// The heartbeats, the oldest first.
+    /// Iterates over the heartbeats, the oldest first.
     pub fn iter(&self) -> impl Iterator<Item = &QueuedHeartbeat> {
         self.heartbeats.iter()
     }
 
-    /// Whether another heartbeat may wait.
+    /// Returns whether the settings allow another heartbeat in the queue.
     pub fn has_room(&self, settings: &Settings) -> bool {
         let bounds = Bounds::of(settings);
         self.heartbeats.len() < bounds.heartbeats && self.frame_bytes < bounds.frame_bytes
     }
 
-    /// Whether the next frame leaves heartbeats behind.
+    /// Returns whether the heartbeats do not all fit into the next frame.
     pub fn exceeds_a_frame(&self) -> bool {
         self.frame_bytes > heartbeat_batch::TARGET_BODY_BYTES
     }
 
-    /// Adds the newest heartbeat.
+    /// Appends a heartbeat.
     pub fn push(&mut self, queued: QueuedHeartbeat) {
         self.frame_bytes += heartbeat_batch::encoded_heartbeat_size(&queued.heartbeat);
         self.heartbeats.push_back(queued);
     }
 
-    /// Puts back heartbeats that were taken out, before all others and in the order in which they came.
+    /// Puts heartbeats that were taken out back at the front of the queue, in their original order.
     pub fn put_back(&mut self, heartbeats: Vec<QueuedHeartbeat>) {
         for queued in heartbeats.into_iter().rev() {
             self.frame_bytes += heartbeat_batch::encoded_heartbeat_size(&queued.heartbeat);
@@ -96,7 +96,7 @@
         Some(queued)
     }
 
-    /// Takes out the oldest heartbeat, if it has waited for longer than this.
+    /// Takes out the oldest heartbeat, if it has waited for longer than `max_wait`.
     pub fn pop_overdue(&mut self, now: Instant, max_wait: Duration) -> Option<QueuedHeartbeat> {
         let oldest = self.heartbeats.front()?.received;
         if now.saturating_duration_since(oldest) <= max_wait {
@@ -105,7 +105,7 @@
         self.pop()
     }
 
-    /// Takes out as many of the oldest heartbeats as a frame takes, and at least one.
+    /// Takes out as many of the oldest heartbeats as fit into a frame, but at least one if there is any.
     pub fn take_frame(&mut self) -> Vec<QueuedHeartbeat> {
         let mut taken = Vec::new();
         let mut size = 0;
--- a/src/core/workers/heartbeats.rs
+++ b/src/core/workers/heartbeats.rs
@@ -1,9 +1,9 @@
-//! Accepting heartbeats: which ones count, which of them renew their worker's lease, and what the
-//! others are answered.
+//! Acceptance of heartbeats: which heartbeats are applied, which of them renew their worker's lease, and how the
+//! others are refused.
 //!
-//! - `observation`: an accepted heartbeat applied to the machine's record and to its tasks.
-//! - `task_transitions`: what follows for a task that is live, exited, completed, lost or duplicated.
-//! - `failures`: failures of tasks, held against their job or their machine.
+//! - `observation`: application of an accepted heartbeat to the machine's record and its tasks.
+//! - `task_transitions`: state transitions of tasks that are live, exited, completed, lost or duplicated.
+//! - `failures`: failures of tasks, attributed to their job or their machine.
 
 mod failures;
 mod observation;
@@ -20,10 +20,10 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// The longest machine id that is accepted, in bytes.
+/// Maximum length of a machine id in bytes.
 const MAX_MACHINE_ID_LENGTH: usize = 100;
 
-/// The answer that sends a worker to another controller.
+/// Returns the response that redirects a worker to another controller.
 pub(in crate::core) fn redirect_to(controller: &str) -> Response {
     let leader = Some(controller);
     Response::new(421, to_json(&Redirect { leader }))
@@ -34,8 +34,8 @@
 }
 
 impl LeaderState {
-    /// Processes a heartbeat that shows no change of its machine, which is most of them. `None`: it has to be
-    /// compared with the machine's record.
+    /// Processes a heartbeat that shows no change of its machine, as most heartbeats do. Returns `None` if the
+    /// heartbeat must be compared with the machine's record.
     fn accept_unchanged(
         &mut self,
         heartbeat: &Heartbeat,
@@ -76,8 +76,9 @@
         });
     }
 
-    /// Whether a follower relays this heartbeat once more, as our answer to its first copy was lost: what it
-    /// says is known, and nothing newer is. Through any other controller it is a late copy.
+    /// Returns whether a follower has relayed this heartbeat again because the response to the first copy was lost:
+    /// it is the newest heartbeat that was applied, and the same follower relayed it before. From any other
+    /// controller it is a late copy.
     fn is_relayed_again(&self, heartbeat: &Heartbeat, via: Option<&Arc<str>>) -> bool {
         via.is_some()
             && self.machines.get(&heartbeat.machine).is_some_and(|m| {
@@ -89,8 +90,8 @@
 }
 
 impl Core {
-    /// Processes a heartbeat from a worker. A ticket that is returned is answered at the end of the step; any
-    /// other was answered or waits for the leader.
+    /// Processes a heartbeat from a worker. Returns the ticket and the machine if the response is due at the end of
+    /// the step. Otherwise, the heartbeat has been answered or waits for the leader.
     pub(in crate::core) fn receive_heartbeat(
         &mut self,
         ticket: Ticket,
@@ -100,7 +101,7 @@
             if self.is_well_formed(&heartbeat) {
                 self.relay_heartbeat(ticket, heartbeat);
             } else {
-                self.answer(ticket, Response::error(400, "malformed report"));
+                self.answer(ticket, Response::error(400, "malformed heartbeat"));
             }
             return None;
         }
@@ -113,8 +114,8 @@
         }
     }
 
-    /// Whether a worker can have sent this. What no worker sends changes nothing: a token of a term that never
-    /// was, above all, would pass for the sign of a store that has lost data.
+    /// Returns whether a worker can have sent this heartbeat. Any other heartbeat must change nothing: in particular,
+    /// a token with a term that never existed would be taken for a sign that the store has lost data.
     fn is_well_formed(&self, heartbeat: &Heartbeat) -> bool {
         let id = &heartbeat.machine;
         !id.is_empty()
@@ -125,10 +126,11 @@
             && self.plausible_term(heartbeat.fencing_token >> TOKEN_EPOCH_BITS)
     }
 
-    /// Processes, as the leader, a heartbeat that was sent to this controller or relayed by the follower `via`.
+    /// Processes a heartbeat on the leader. `via` is the follower that relayed it, or `None` if the worker sent it
+    /// to this controller.
     ///
     /// # Errors
-    /// The answer for the worker, where it is not given commands.
+    /// Returns the response for the worker if the heartbeat is refused or the worker is redirected.
     pub(in crate::core) fn accept_heartbeat(
         &mut self,
         heartbeat: Heartbeat,
@@ -136,21 +138,21 @@
     ) -> Result<MachineId, Response> {
         let now = self.now.mono;
         if !self.is_well_formed(&heartbeat) {
-            return Err(Response::error(400, "malformed report"));
+            return Err(Response::error(400, "malformed heartbeat"));
         }
         self.observe_fencing_token(heartbeat.fencing_token);
         let leader = self.leader.as_mut().ok_or_else(no_leader)?;
         let id = heartbeat.machine.clone();
         if leader.deleted_machines.contains(&id) {
-            // Sent before the machine was deleted, and delayed on the way.
+            // Sent before the machine was deleted, and delayed in transit.
             return Err(Response::busy("this machine is gone", 30));
         }
         if let Some(accepted) = leader.accept_unchanged(&heartbeat, via, now) {
             return accepted;
         }
-        // A heartbeat of a machine that is not known may be a late copy, of one that is long gone. The answer
-        // carries this term's token; the next heartbeat proves that the machine is there. Where the store has
-        // lost data, every task that may be there counts at once.
+        // A heartbeat from an unknown machine may be a late copy, from a machine that no longer exists. The response
+        // carries this term's token, and the next heartbeat proves that the machine exists. While the store is
+        // rebuilt after a loss of data, the machine is added at once, as every task that may be on it counts.
         let token = heartbeat.fencing_token;
         let proves_term = token >= leader.term << TOKEN_EPOCH_BITS;
         if !proves_term && leader.rebuild.is_none() && leader.machines.get(&id).is_none() {
@@ -165,22 +167,23 @@
         Ok(id)
     }
 
-    /// A heartbeat is older than what is known of its machine, or of an earlier incarnation: a call to the
-    /// machine finds out which.
+    /// Refuses a heartbeat that is older than the newest one of its machine, or from an earlier incarnation. A probe
+    /// of the machine determines whether the worker has restarted.
     fn reject_stale_heartbeat(&mut self, id: &MachineId, token: u64) -> Response {
         let now = self.now.mono;
         if let Some(machine) = self.machine_mut(id)
             && token < machine.highest_token
             && !machine.unresolved
         {
-            // If it is of another incarnation, that one has its own lease.
+            // The heartbeat may be from another incarnation, which has a lease of its own.
             machine.lease_renewed = machine.lease_renewed.max(now);
         }
         self.probe_for_restart(id);
         Response::busy("an older report", 1)
     }
 
-    /// The heartbeat will be answered, which renews the worker's lease.
+    /// Renews the worker's lease, as its heartbeat will be answered. Returns an error response if the heartbeat must
+    /// not be answered with commands.
     fn renew_lease(
         &mut self,
         id: &MachineId,
@@ -193,32 +196,34 @@
         let machine = (leader.machines.get_mut(id)).ok_or_else(no_leader)?;
         let unresolved = machine.unresolved;
         if unresolved && !proves_term {
-            // Tasks of earlier terms wait for what it has. If no answer of ours reaches it, its lease runs out
-            // counted from the last answer: so there has to be a last one.
+            // Tasks of earlier terms are not started again until it is certain what is on this machine. If responses
+            // do not reach the machine, that is certain once its lease has expired, counted from the last response.
+            // Responses therefore stop after half the lease time.
             let since = *machine.unproven_since.get_or_insert(now);
             if now > since + lease / 2 {
-                return Err(Response::busy("this machine does not take its answers", 1));
+                return Err(Response::busy("responses do not reach this machine", 1));
             }
         }
         machine.lease_renewed = now;
         if !machine.recorded {
-            // Before its first task: a later leader must know every place a task may be.
+            // The machine must be in the store before it gets its first task: a later leader must know every machine
+            // that may have tasks.
             let value = MachineValue::from(&*machine);
             leader.writes.records.add(id, value);
         }
         if proves_term || !unresolved {
-            // A heartbeat without this term's token may be of any age: it shows what may be on the machine,
-            // and not that its worker is alive.
+            // A heartbeat without this term's token may be of any age: it shows which tasks may be on the machine, but
+            // not that the worker is alive.
             leader.record_heartbeat(via, now);
         }
         leader.record_route(id, via);
         Ok(())
     }
 
-    /// Redirects the caller to the leader, if the leader is known.
+    /// Redirects the caller to the leader, or refuses the request if the leader is not known.
     pub(in crate::core) fn redirect(&mut self, ticket: Ticket) {
         let own_name = self.settings.name.as_str();
-        // Without the state service, what is known of the leader may be old.
+        // While the state service is unreachable, the known leader may be outdated.
         let stale = self.store_is_stale();
         let leader = self.leader_name().filter(|n| *n != own_name && !stale);
         let answer = leader.map_or_else(no_leader, redirect_to);
--- a/src/core/workers/heartbeats/failures.rs
+++ b/src/core/workers/heartbeats/failures.rs
@@ -1,4 +1,5 @@
-//! Failures of tasks: held against the job while it has never succeeded, and otherwise against the machine.
+//! Failures of tasks. They are attributed to the job if it has failed on several machines and never succeeded, and
+//! otherwise to the machine.
 
 use crate::core::Core;
 use crate::core::leadership::state::LeaderState;
@@ -7,13 +8,15 @@
 use crate::job::{JobId, MachineId, TaskId};
 use std::time::Duration;
 
-/// A machine on which a task failed gets no task for twice this, doubled with each consecutive failure up to
-/// `MAX_AVOIDANCE_DOUBLINGS` times, so that work waits for it no longer than a minute and a half.
+/// Basis of the time for which a machine gets no tasks after a failure. It is doubled with each consecutive failure,
+/// including the first.
 const INITIAL_AVOIDANCE: Duration = Duration::from_secs(5);
+/// Maximum number of times that `INITIAL_AVOIDANCE` is doubled, so that work waits no longer than a minute and a half
+/// for the machine.
 const MAX_AVOIDANCE_DOUBLINGS: u32 = 3;
-/// The bound on doublings where `MAX_AVOIDANCE_DOUBLINGS` is switched off for a test.
+/// Replacement for `MAX_AVOIDANCE_DOUBLINGS` in tests that disable `Safeguard::AvoidanceLimit`.
 const MAX_DOUBLINGS_WITHOUT_SAFEGUARD: u32 = 10;
-/// A failed task waits this long before it starts again, doubled with each failure of its job.
+/// Basis of the delay in milliseconds before a failed task is started again, doubled with each failure of its job.
 const INITIAL_RETRY_DELAY_MS: u64 = 250;
 const MAX_RETRY_DOUBLINGS: u32 = 7;
 
@@ -28,8 +31,8 @@
 }
 
 impl Core {
-    /// How long a failed task of this job waits before it starts again: ever longer, while no task of the job
-    /// has succeeded.
+    /// Returns the delay before a failed task of this job is started again. It grows with each failure as long as no
+    /// task of the job has succeeded.
     pub(in crate::core) fn retry_delay(&self, job: &JobId) -> Duration {
         let run = (self.leader.as_ref()).and_then(|leader| leader.job_runs.get(job));
         let failures: u32 = run
@@ -38,7 +41,7 @@
         Duration::from_millis(INITIAL_RETRY_DELAY_MS << failures.min(MAX_RETRY_DOUBLINGS))
     }
 
-    /// The task's program has failed on the machine.
+    /// Records that the task's program failed on the machine.
     pub(super) fn record_task_failure(&mut self, id: &MachineId, key: &TaskId) {
         let now = self.now.mono;
         let Some(leader) = &mut self.leader else {
@@ -50,8 +53,8 @@
         *run.failures.entry(id.clone()).or_default() += 1;
         tracing::warn!(task = %key, machine = %id, "task failed");
         run.record_retry_failure(now);
-        // A job that has failed on several machines and succeeded on none is itself the likely cause: the machines
-        // it was tried on are cleared of its failures.
+        // A job that has failed on several machines and succeeded on none is probably faulty itself. Its failures no
+        // longer count against these machines.
         if run.is_suspect() {
             for id in run.failures.keys() {
                 if let Some(machine) = leader.machines.get_mut(id) {
@@ -75,8 +78,9 @@
         history.avoid_until = Some(now + avoidance);
     }
 
-    /// Whether a machine is to be replaced: work of several jobs failed on it with no success in between, or
-    /// repeatedly where one of those jobs succeeded elsewhere, or its tasks are much too slow.
+    /// Returns whether a machine should be replaced: tasks of several jobs that are not suspect failed on it with no
+    /// success in between, or tasks failed on it at least three times and one of their jobs has succeeded elsewhere,
+    /// or its tasks run much too slowly.
     pub(in crate::core) fn is_faulty(&self, machine: &Machine) -> bool {
         let Some(leader) = &self.leader else {
             return false;
--- a/src/core/workers/heartbeats/observation.rs
+++ b/src/core/workers/heartbeats/observation.rs
@@ -1,5 +1,5 @@
-//! An accepted heartbeat applied to its machine's record and reconciled with the tasks the machine is
-//! believed to have.
+//! Application of an accepted heartbeat to its machine's record, and reconciliation with the tasks that the machine is
+//! expected to have.
 
 use crate::core::Core;
 use crate::core::machines::machine::{Machine, TOKEN_EPOCH_BITS};
@@ -11,26 +11,26 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-/// The longest notice of a reclamation that is believed, in seconds.
+/// Maximum notice of a reclamation in seconds; a longer one is reduced to it.
 const MAX_RECLAIM_NOTICE_S: f64 = 86_400.0;
-/// The longest boot time that is believed, in seconds.
+/// Maximum announced boot time in seconds; a longer one is reduced to it.
 const MAX_BOOT_S: f64 = 1e6;
 
-/// How a heartbeat came here.
+/// Origin of a heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum HeartbeatSource {
-    /// The worker sent it, and is answered.
+    /// The worker sent the heartbeat and expects a response.
     Worker,
-    /// It came in reply to a direct call.
+    /// The worker returned the heartbeat in reply to a direct call.
     CallReply,
 }
 
-/// What a heartbeat shows of commands that were sent to its machine before.
+/// Conclusions from a heartbeat about commands that were sent to its machine before.
 struct CommandDelivery {
-    /// No command that was sent before the heartbeat can take effect after it.
+    /// Whether no command that was sent before the heartbeat can take effect after it.
     none_in_flight: bool,
-    /// The last answer carried starts, and calls get no answer either: if the heartbeat does not show those
-    /// tasks, nothing reaches the machine.
+    /// Whether the last response carried `Start` commands and direct calls fail. If the heartbeat does not show the
+    /// tasks of these commands, neither responses nor calls reach the machine.
     starts_in_doubt: bool,
 }
 
@@ -38,25 +38,25 @@
 #[derive(Default)]
 struct ReportedTasks {
     live: BTreeSet<TaskId>,
-    /// With their attempts.
+    /// Exited tasks, each with its attempt.
     exited: Vec<(TaskId, u64)>,
 }
 
 impl Machine {
-    /// Whether a heartbeat is older than what is known, or of an incarnation that is over.
+    /// Returns whether a heartbeat is older than the newest one, or from an incarnation that has ended.
     fn is_stale(&self, heartbeat: &Heartbeat) -> bool {
         let known = (self.incarnation, self.sequence);
         let of_earlier_incarnation = heartbeat.fencing_token < self.highest_token;
-        // Sent before that incarnation's lease ran out, and delayed on the way: the tasks in it are
-        // gone, and may have been started elsewhere since.
+        // Sent before the lease of that incarnation expired, and delayed in transit: its tasks have ended, and may
+        // have been started elsewhere since.
         let of_expired_lease = self.lease_expired && heartbeat.incarnation == self.incarnation;
         (heartbeat.incarnation, heartbeat.sequence) <= known
             || of_earlier_incarnation
             || of_expired_lease
     }
 
-    /// A newer incarnation begins. Returns the tasks of the earlier one: they were killed, and its commands
-    /// are refused.
+    /// Begins a newer incarnation. Returns the tasks of the earlier one, which the worker has killed. The worker
+    /// refuses commands for the earlier incarnation.
     fn begin_incarnation(&mut self, incarnation: u64, term: u64, now: Instant) -> Vec<TaskId> {
         let mut lost = Vec::new();
         if self.incarnation > 0 {
@@ -64,7 +64,7 @@
             lost.extend(self.tasks.keys().cloned());
         }
         if self.incarnation > 0 && !self.unresolved {
-            // Its lease ran out while its heartbeats were answered: answers may not reach it.
+            // The lease expired although the heartbeats were answered, so responses may not reach the machine.
             self.require_token_proof(term);
         }
         self.lease_expired = false;
@@ -78,7 +78,7 @@
         lost
     }
 
-    /// Copies the machine's own attributes from a heartbeat.
+    /// Copies the machine's attributes from a heartbeat.
     fn record(&mut self, heartbeat: &Heartbeat, now: Instant) {
         let token = heartbeat.fencing_token;
         self.incarnation = heartbeat.incarnation;
@@ -95,17 +95,18 @@
         self.unconfirmed_token.take_if(|needed| token >= *needed);
     }
 
-    /// What the heartbeat just recorded shows of earlier commands.
+    /// Returns what the heartbeat that was just recorded shows of earlier commands.
     fn observe_delivery(&mut self, source: HeartbeatSource) -> CommandDelivery {
-        // Starts in the answer before this heartbeat: had it been received, the heartbeat would show them.
+        // The response before this heartbeat carried `Start` commands. If the worker had received it, the heartbeat
+        // would show their tasks.
         let starts_in_doubt = source == HeartbeatSource::Worker
             && self.start_unconfirmed
             && self.direct_calls.failures > 0;
         if source == HeartbeatSource::Worker {
             self.start_unconfirmed = false;
         }
-        // A reply to a direct call may have been made before the worker read our last answer, so what that
-        // one started may be yet to come.
+        // The worker may have replied to a direct call before it read the last response, so the tasks that this
+        // response starts may appear only later.
         let none_in_flight = self.no_command_in_flight() && !self.start_unconfirmed;
         CommandDelivery {
             none_in_flight,
@@ -113,8 +114,8 @@
         }
     }
 
-    /// Replaces the exited tasks by those of the newest heartbeat. Each keeps the token it may have been
-    /// started under.
+    /// Replaces the exited tasks by those of the newest heartbeat. A task that is already known keeps the token under
+    /// which a direct call may have started it.
     fn record_exited(&mut self, exited: Vec<(TaskId, u64)>) {
         let earlier = std::mem::take(&mut self.exited);
         let newest_token = self.direct_calls.started_under_token;
@@ -129,19 +130,19 @@
         self.exited = exited.collect();
     }
 
-    /// Whether a task that it was given to start is not among its live tasks.
+    /// Returns whether a task that the machine was told to start is not among its live tasks.
     fn has_absent_start(&self, live: &BTreeSet<TaskId>) -> bool {
         (self.tasks.iter()).any(|(key, task)| {
             task.phase == Phase::Unseen && task.stopping.is_none() && !live.contains(key)
         })
     }
 
-    /// Tasks believed to be on the machine that are certain not to be.
+    /// Returns the tasks that were expected on the machine but are certain not to be there.
     fn missing_tasks(&self, live: &BTreeSet<TaskId>, none_in_flight: bool) -> Vec<TaskId> {
         let proof_required = self.unconfirmed_token.is_some();
         let missing = self.tasks.iter().filter(|(key, task)| {
             let is_certain = match task.phase {
-                // It is not there, and no command is left that could start it.
+                // The task is not there, and no command remains that could start it.
                 Phase::Unseen => none_in_flight && (task.stopping.is_some() || proof_required),
                 _ => true,
             };
@@ -152,7 +153,7 @@
 }
 
 impl Core {
-    /// Applies a heartbeat that its worker sent; false if it is older than one applied before.
+    /// Applies a heartbeat that its worker sent. Returns false if the heartbeat is stale or its machine is not known.
     pub(in crate::core) fn apply_heartbeat(
         &mut self,
         id: &MachineId,
@@ -162,12 +163,12 @@
             .is_some()
     }
 
-    /// Applies a heartbeat that came in reply to a direct call; one older than what is known changes nothing.
+    /// Applies a heartbeat that was received in reply to a direct call. A stale heartbeat changes nothing.
     pub(in crate::core) fn apply_call_reply(&mut self, id: &MachineId, heartbeat: Heartbeat) {
         self.observe_heartbeat(id, heartbeat, HeartbeatSource::CallReply);
     }
 
-    /// `None` if the heartbeat is stale or its machine is not known.
+    /// Applies a heartbeat. Returns `None` if it is stale or its machine is not known.
     fn observe_heartbeat(
         &mut self,
         id: &MachineId,
@@ -193,7 +194,7 @@
         self.tasks_lost(id, ended, "incarnation ended");
         let reported = self.observe_tasks(id, heartbeat.tasks);
         self.reconcile_tasks(id, reported, &delivery)?;
-        // With this term's token seen, whatever earlier leaders sent is refused from now on.
+        // Once the worker has seen this term's token, it refuses whatever earlier leaders sent.
         let proves_term = heartbeat.fencing_token >= term << TOKEN_EPOCH_BITS;
         if proves_term || !is_enabled(Safeguard::TokenProof) {
             self.resolve_machine(id, "heartbeat received");
@@ -201,7 +202,8 @@
         Some(())
     }
 
-    /// The machine has come up, if this is the first of its heartbeats. Called before it is recorded.
+    /// Records that the machine has booted, if this is its first heartbeat. Must be called before the heartbeat itself
+    /// is recorded.
     fn record_first_heartbeat(&mut self, id: &MachineId) {
         let now = self.now.mono;
         let Some(leader) = &mut self.leader else {
@@ -227,7 +229,7 @@
         }
     }
 
-    /// Notes for the market forecast that a machine is to be reclaimed, when a heartbeat first announces it.
+    /// Records a reclamation for the forecast of the spot markets, when a heartbeat of the machine first announces it.
     fn record_reclaim_notice(&mut self, id: &MachineId, heartbeat: &Heartbeat) {
         let now = self.now.mono;
         let Some(leader) = &mut self.leader else {
@@ -265,8 +267,8 @@
         reported
     }
 
-    /// Compares the tasks in a heartbeat with those the machine is believed to have. `None` if the machine is
-    /// not known any more.
+    /// Compares the tasks in a heartbeat with those that the machine is expected to have. Returns `None` if the machine
+    /// is no longer known.
     fn reconcile_tasks(
         &mut self,
         id: &MachineId,
--- a/src/core/workers/heartbeats/task_transitions.rs
+++ b/src/core/workers/heartbeats/task_transitions.rs
@@ -1,5 +1,5 @@
-//! What follows for a task that a machine shows as live or exited, that is completed, that is lost with its
-//! machine, or that is on several machines.
+//! State transitions of tasks that a machine reports as live or exited, that have completed, that were lost with
+//! their machine, or that are on several machines.
 
 use crate::core::machines::machine::Machine;
 use crate::core::machines::placement::{Phase, Placement, StopReason};
@@ -9,18 +9,19 @@
 use crate::wire::{ExitCause, TaskStatus};
 use std::time::{Duration, Instant};
 
-/// Before a task is started again that its machine had no room for: the next heartbeat shows in what its
-/// account of the machine and ours differ.
+/// Delay before a task is started again after `ExitCause::NoRoom`. The next heartbeat shows how the worker's view of
+/// the machine's free resources differs from the leader's.
 const NO_ROOM_BACKOFF: Duration = Duration::from_secs(1);
-/// Before a task is started again that its machine was too busy to start.
+/// Delay before a task is started again after `ExitCause::Busy`.
 const BUSY_BACKOFF: Duration = Duration::from_secs(2);
-/// Before a task is started again that its machine did not understand.
+/// Delay before a task is started again after `ExitCause::Unknown`.
 const UNKNOWN_TASK_BACKOFF: Duration = Duration::from_secs(3);
-/// Before a task is started again that ended for another reason, as those of a gang do when one is missing.
+/// Delay before a task is started again that ended for another reason, such as the tasks of a gang that lacks one of
+/// its tasks.
 const OTHER_BACKOFF: Duration = Duration::from_millis(500);
 
 impl Machine {
-    /// Removes a task that is not on the machine any more.
+    /// Removes a task that is no longer on the machine, and returns it.
     fn remove_task(&mut self, key: &TaskId, now: Instant) -> Option<Placement> {
         let task = self.tasks.remove(key)?;
         if self.tasks.is_empty() {
@@ -29,7 +30,7 @@
         Some(task)
     }
 
-    /// Stops a task that has no use any more, if it is here; by a direct command, if need be.
+    /// Stops a task that is no longer needed, if it is on this machine. The stop does not wait for the next heartbeat.
     fn stop_obsolete(&mut self, key: &TaskId, now: Instant) {
         if let Some(task) = self.tasks.get_mut(key) {
             task.stop(StopReason::Obsolete, now);
@@ -39,7 +40,7 @@
 }
 
 impl Core {
-    /// A heartbeat shows the task on the machine.
+    /// Applies the status of a task that a heartbeat reports as live.
     pub(super) fn task_live(&mut self, id: &MachineId, key: &TaskId, status: &TaskStatus) {
         let machine = self.leader.as_ref().and_then(|l| l.machines.get(id));
         if machine.is_some_and(|m| !m.tasks.contains_key(key)) {
@@ -54,7 +55,7 @@
             return;
         };
         if task.attempt != status.attempt {
-            // Not expected: a worker refuses a second attempt of a task it has.
+            // This should not happen, as a worker refuses a second attempt of a task that it has.
             tracing::error!(
                 task = %key, machine = %id, attempt = status.attempt, expected = task.attempt,
                 "unexpected attempt of a task"
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Adds a task that a machine shows and that was not known to be there.
+    /// Adds a task that a machine reports and that was not known to be there. It is stopped if it is not needed.
     fn add_found_task(&mut self, id: &MachineId, key: &TaskId, attempt: u64) {
         let now = self.now.mono;
         let Some((resources, team)) = self.resources_of_found(id, key) else {
@@ -96,8 +97,8 @@
         machine.tasks.insert(key.clone(), task);
     }
 
-    /// What a task found on a machine takes, and the team that it counts for. The machine is noted to have the
-    /// image of its job.
+    /// Returns the resources of a task found on a machine, and the team whose limit it counts towards. Records that
+    /// the machine has the image of the task's job.
     fn resources_of_found(
         &mut self,
         id: &MachineId,
@@ -114,7 +115,7 @@
         } else if let Some(residual) = self.store_cache.residual_tasks.get(&key.job) {
             (residual.resources, Some(residual.team.as_str()))
         } else {
-            // A task of which nothing is known any more may take all there is.
+            // An unknown task may use all of the machine's resources.
             let all = machine_type.map_or(Resources::default(), |t| t.room());
             (all, None)
         };
@@ -122,8 +123,8 @@
         Some((resources, team))
     }
 
-    /// While the store is rebuilt: no controller remembers the job, and it may have been accepted all the same, so its
-    /// task is kept until that is known.
+    /// Holds a task whose job is not known to any controller while the store is rebuilt. The job may have been accepted
+    /// before the store lost data, so the task is kept until that is known. Returns whether the task is held.
     fn hold_if_job_unknown(&mut self, id: &MachineId, key: &TaskId) -> bool {
         let Some(leader) = &mut self.leader else {
             return false;
@@ -138,7 +139,8 @@
         true
     }
 
-    /// Assigns a task found on a machine to it, unless it is done or its job is ending or over.
+    /// Assigns a task found on a machine to that machine, unless the task is done, or its job is ending or is not live.
+    /// Returns whether it was assigned.
     fn assign_if_wanted(&mut self, id: &MachineId, key: &TaskId, attempt: u64) -> bool {
         let Some(leader) = &mut self.leader else {
             return false;
@@ -158,7 +160,7 @@
         is_wanted
     }
 
-    /// A task runs: if it is the first of its job, the job's wait has ended.
+    /// Records that a task of a job runs. If it is the job's first, the job's waiting time ends.
     fn job_started(&mut self, key: &TaskId) {
         let leader = self.leader.as_mut();
         let Some(run) = leader.and_then(|l| l.job_runs.get_mut(&key.job)) else {
@@ -175,7 +177,7 @@
         }
     }
 
-    /// A heartbeat shows the task as exited.
+    /// Applies the status of a task that a heartbeat reports as exited.
     pub(super) fn task_exited(&mut self, id: &MachineId, key: &TaskId, status: &TaskStatus) {
         let now = self.now.mono;
         let cause = status.cause.unwrap_or(ExitCause::Other);
@@ -188,7 +190,7 @@
         };
         let known = machine.tasks.get(key);
         if known.is_none_or(|task| task.attempt != status.attempt) {
-            // Seen before, or started by an earlier leader. A completed task stays completed.
+            // The exit was processed before, or an earlier leader started this attempt. A completion still counts.
             if cause == ExitCause::Done {
                 self.task_completed(key, None);
             }
@@ -217,7 +219,7 @@
         }
     }
 
-    /// While the store is rebuilt, the results of tasks count whose job is not known.
+    /// Records the exit of a task whose job is unknown while the store is rebuilt, and its result if it completed.
     fn record_exit_of_unknown_job(&mut self, id: &MachineId, key: &TaskId, cause: ExitCause) {
         let Some(leader) = &mut self.leader else {
             return;
@@ -235,7 +237,8 @@
         }
     }
 
-    /// How long a task that exited without a result is not started again. A failure of its program is noted.
+    /// Returns the delay before a task that exited without a result may be started again, if any. Records a failure of
+    /// the task's program.
     fn backoff_after(
         &mut self,
         id: &MachineId,
@@ -261,8 +264,9 @@
         }
     }
 
-    /// Stops a task that is on several machines on all of them but one. Which of them have it is certain
-    /// when all of them have shown this term's token; for `newest` that is about to be certain.
+    /// Stops a task that is on several machines on all of them but one, once each of these machines has shown this
+    /// term's token: before that, it is not certain which of them have the task. The first machine other than `newest`
+    /// keeps the task.
     pub(in crate::core) fn stop_duplicates(&mut self, key: &TaskId, newest: &MachineId) {
         let now = self.now.mono;
         let Some(leader) = &mut self.leader else {
@@ -291,8 +295,8 @@
         }
     }
 
-    /// A task has completed, on this machine if it was known to be there. A replica of a service that ends is
-    /// started again.
+    /// Records that a task has completed. `machine` is the machine that had it, if it was known to be there. A replica
+    /// of a service that ends is started again.
     pub(in crate::core) fn task_completed(&mut self, key: &TaskId, machine: Option<&MachineId>) {
         let now = self.now.mono;
         let Some(leader) = &mut self.leader else {
@@ -327,7 +331,7 @@
         self.end_if_complete(&key.job);
     }
 
-    /// These tasks are not on the machine any more, without a result.
+    /// Removes tasks that are no longer on the machine and ended without a result.
     pub(in crate::core) fn tasks_lost(&mut self, id: &MachineId, tasks: Vec<TaskId>, reason: &str) {
         let now = self.now.mono;
         let Some(leader) = &mut self.leader else {
--- a/src/core/workers/mod.rs
+++ b/src/core/workers/mod.rs
@@ -1,5 +1,5 @@
-//! The exchange with workers: their heartbeats, the commands they are given, and the controllers that serve them
-//! for the leader (relay on a follower, delegation on the leader).
+//! Communication with workers: their heartbeats, the commands sent to them, and the followers that serve workers on
+//! the leader's behalf (`relay` runs on a follower, `delegation` on the leader).
 
 pub mod commands;
 pub mod delegates;
--- a/src/core/workers/relay.rs
+++ b/src/core/workers/relay.rs
@@ -1,14 +1,16 @@
-//! Relaying the heartbeats of this controller's workers while another controller leads.
+//! Relays the heartbeats of this controller's workers to the leader while another controller leads.
 //!
-//! Their heartbeats wait here until the leader's answer comes, many in a frame; one that says the
-//! same as the last one is answered at once, under the leader's grant and as far as the leader has
-//! delegated that machine (`delegation`). While there is no leader, heartbeats wait for the next
-//! one, though not for longer than a worker does: workers that are turned away would all connect to
-//! another controller, at the very moment at which a new leader has most to do. When it comes, the
-//! workers need not look for it, and this controller shows them its fencing token (`probes`).
+//! Heartbeats are sent to the leader in batches, and wait here for its responses. A heartbeat with
+//! the same content as the last one is answered at once, if the leader has delegated the machine to
+//! this controller (`delegation`) and its grant is valid.
+//!
+//! While there is no leader, heartbeats wait for the next one, but not for longer than a worker
+//! waits for a response. If they were refused, all workers would connect to other controllers just
+//! when a new leader has the most work. As they stay, the workers do not have to look for the new
+//! leader, and this controller shows them its fencing token (`probes`).
 //!
 //! - `state`: the workers served here, the grant, and the batch in flight.
-//! - `backoff`: when a leader that gave no answer is asked again.
+//! - `backoff`: retry delays for a leader that does not respond to batches.
 //! - `probes`: showing workers the fencing token of a new term.
 
 mod backoff;
@@ -34,11 +36,13 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A worker waits 4 s for an answer, and its heartbeat was under way for a moment.
+/// Time after which a queued heartbeat is refused. A worker waits 4 s for a response, counted from
+/// when it sent the heartbeat.
 const MAX_QUEUE_WAIT: Duration = Duration::from_millis(3000);
+/// Time from the receipt of a heartbeat after which no response is sent, as its worker may have given up.
 const MAX_RESPONSE_DELAY: Duration = Duration::from_millis(3400);
 
-/// The answer to a heartbeat that the leader took in.
+/// Returns the response to a heartbeat that was accepted.
 fn accepted_response(fencing_token: u64, commands: Vec<TaskCommand>) -> Response {
     let response = HeartbeatResponse {
         fencing_token,
@@ -48,7 +52,8 @@
 }
 
 impl Core {
-    /// A worker sends a heartbeat here, and another controller leads, or none.
+    /// Processes a heartbeat while this controller is not the leader: answers it under the leader's
+    /// grant, queues it for the leader, or redirects the worker.
     pub(in crate::core) fn relay_heartbeat(&mut self, ticket: Ticket, heartbeat: Box<Heartbeat>) {
         self.observe_fencing_token(heartbeat.fencing_token);
         if !self.delegating {
@@ -70,8 +75,8 @@
         });
     }
 
-    /// The answer to a heartbeat that the leader has delegated to this controller and that says
-    /// nothing new. It is void when the grant expires.
+    /// Returns the response to an unchanged heartbeat of a machine that the leader has delegated to
+    /// this controller. The response is not sent after the grant has expired.
     fn delegated_response(&mut self, heartbeat: &Heartbeat) -> Option<Response> {
         let now = self.now.mono;
         let grant = self.relay.grant()?;
@@ -86,8 +91,9 @@
         Some(accepted_response(fencing_token, Vec::new()).until(until))
     }
 
-    /// Whether it is useful to let heartbeats wait for the leader's answer: there is none, or one
-    /// that has not failed to answer, or one that granted in this term and may be gone.
+    /// Returns whether heartbeats should wait for the leader's response: if there is no leader, if it has
+    /// not failed to respond, or if it issued a grant in this term and may since have died, so that a new
+    /// leader is to be expected.
     fn may_wait_for_leader(&self) -> bool {
         let term = self.store_cache.term;
         self.leader_name().is_none()
@@ -95,7 +101,8 @@
             || !self.relay.backoff.is_backing_off(term)
     }
 
-    /// This controller has come to lead: heartbeats that waited for a leader are answered here.
+    /// Processes the queued heartbeats here once this controller has become the leader. Returns those
+    /// that were accepted and need a response.
     pub(in crate::core) fn drain_waiting_heartbeats(&mut self) -> Vec<(Ticket, MachineId)> {
         if !self.acting() || self.relay.queue.is_empty() {
             return Vec::new();
@@ -113,7 +120,8 @@
         accepted
     }
 
-    /// Called at the end of each step of a controller that does not lead.
+    /// Advances the relay: refuses overdue heartbeats, sends token probes, and sends the next batch when it
+    /// is due. Called at the end of each step of a controller that is not the leader.
     pub(in crate::core) fn advance_relay(&mut self) {
         if !self.delegating {
             return;
@@ -130,7 +138,7 @@
         }
     }
 
-    /// Answers heartbeats that have waited for as long as their workers do.
+    /// Refuses queued heartbeats whose workers are about to stop waiting for a response.
     fn reject_overdue_heartbeats(&mut self) {
         let now = self.now.mono;
         while let Some(overdue) = self.relay.queue.pop_overdue(now, MAX_QUEUE_WAIT) {
@@ -140,7 +148,7 @@
         }
     }
 
-    /// The leader, if it is another controller.
+    /// Returns the name of the leader, if it is another controller.
     fn other_leader(&self) -> Option<String> {
         let leader = self.leader_name()?;
         (leader != self.settings.name).then(|| leader.to_string())
@@ -160,7 +168,8 @@
             && !self.store_is_stale()
     }
 
-    /// The age up to which a worker's heartbeat counts it as reporting here.
+    /// Returns the maximum age of a worker's newest heartbeat at which the worker counts as reporting to
+    /// this controller.
     fn recent_heartbeat_age(&self) -> Duration {
         self.settings.heartbeat_interval * 5 / 2
     }
@@ -187,7 +196,7 @@
         });
     }
 
-    /// The leader's answer to our batch of this number, or that there is none.
+    /// Processes the leader's response to the batch with this number, or `None` if there was no response.
     pub(in crate::core) fn batch_answered(
         &mut self,
         number: u64,
@@ -222,7 +231,7 @@
             self.relay.backoff.record_refusal(now);
             return self.requeue_heartbeats(batch.heartbeats);
         }
-        // It does not lead, or not yet, or not any more.
+        // The sender is not the leader, or its term is over.
         if response.grant.is_zero() || self.relay.is_superseded(response.term) {
             return self.requeue_heartbeats(batch.heartbeats);
         }
@@ -236,7 +245,7 @@
         self.deliver_responses(batch.heartbeats, response.responses, grant);
     }
 
-    /// Applies the leader's view of the other controllers, and records that the leader is alive.
+    /// Merges the leader's view of the other controllers, and records that the leader is alive.
     fn update_members(&mut self, leader: &str, members: &[MemberStatus]) {
         let now = self.now.mono;
         self.members
@@ -292,7 +301,8 @@
             } => {
                 let cached_token = steady.then_some(fencing_token);
                 self.relay.record_worker(queued, cached_token);
-                // Before the leader's leadership expires, and before the worker stops to wait.
+                // The response must be sent before the leader's leadership expires and before the worker stops
+                // waiting.
                 let until = grant.expires_at.min(queued.received + MAX_RESPONSE_DELAY);
                 accepted_response(fencing_token, commands).until(Some(until))
             }
@@ -300,8 +310,8 @@
         self.answer(ticket, answer);
     }
 
-    /// Heartbeats whose batch came to nothing wait on, or their workers are redirected to the
-    /// leader.
+    /// Puts the heartbeats of a failed batch back into the queue. If they should not wait for the
+    /// leader, the workers of all queued heartbeats are redirected to it instead.
     fn requeue_heartbeats(&mut self, heartbeats: Vec<QueuedHeartbeat>) {
         self.relay.queue.put_back(heartbeats);
         if self.may_wait_for_leader() {
--- a/src/core/workers/relay/backoff.rs
+++ b/src/core/workers/relay/backoff.rs
@@ -1,30 +1,30 @@
-//! Back-off towards a leader that does not answer heartbeat batches.
+//! Backoff for a leader that does not respond to heartbeat batches.
 
 use std::time::{Duration, Instant};
 
-/// After consecutive failures, no batch is sent to the leader for this long, doubled each time up to
-/// `MAX_BACKOFF`: it may be a version that drops the connection.
+/// Basis of the delay after consecutive failures, which doubles with each failure up to
+/// `MAX_BACKOFF`. The leader may run a version that drops the connection.
 const BASE_BACKOFF: Duration = Duration::from_millis(200);
 const MAX_BACKOFF: Duration = Duration::from_secs(5);
 const MAX_DOUBLINGS: u32 = 6;
-/// A leader that granted just now is asked again at this pace: a packet was lost, or a partition
-/// that may end.
+/// Delay if the leader issued a grant recently: a packet may have been lost, or a partition may soon
+/// end.
 const GRANTING_LEADER_BACKOFF: Duration = Duration::from_millis(300);
-/// A leader that does not take heartbeat batches is asked again after this long.
+/// Delay after a leader has answered that it does not accept batches.
 const REFUSED_BACKOFF: Duration = Duration::from_secs(10);
 
-/// Consecutive failed batches, and when the next one may be sent.
+/// Number of consecutive failed batches, and the time before which no other batch is sent.
 #[derive(Default)]
 pub(super) struct LeaderBackoff {
     failures: u32,
-    /// The term that failures were counted in.
+    /// Term in which the failures were counted.
     term: u64,
     retry_not_before: Option<Instant>,
 }
 
 impl LeaderBackoff {
-    /// Resets in a new term: it has another leader, or one of another version, which has not
-    /// failed yet.
+    /// Resets the backoff in a new term, whose leader may be another controller or run another version
+    /// and has not failed yet.
     pub fn enter_term(&mut self, term: u64) {
         if self.term != term {
             *self = LeaderBackoff {
@@ -34,23 +34,23 @@
         }
     }
 
-    /// Whether the last batch failed.
+    /// Returns whether the last batch failed.
     pub fn has_failures(&self) -> bool {
         self.failures > 0
     }
 
-    /// Whether the leader of this term is being left alone after failures.
+    /// Returns whether batches to the leader of this term are delayed after a failure or refusal.
     pub fn is_backing_off(&self, term: u64) -> bool {
         self.term == term && self.retry_not_before.is_some()
     }
 
-    /// Whether a batch would be too early now.
+    /// Returns whether a batch must not be sent yet.
     pub fn defers(&self, now: Instant) -> bool {
         self.retry_not_before.is_some_and(|at| now < at)
     }
 
-    /// The leader gave no answer. A first failure of one that did not grant lately is retried at
-    /// once.
+    /// Records that the leader did not respond. The first failure is retried at once, unless the leader
+    /// issued a grant recently.
     pub fn record_failure(&mut self, now: Instant, granted_recently: bool) {
         self.failures += 1;
         if granted_recently {
@@ -61,13 +61,13 @@
         }
     }
 
-    /// The leader answered.
+    /// Records a response from the leader.
     pub fn record_answer(&mut self) {
         self.failures = 0;
         self.retry_not_before = None;
     }
 
-    /// The leader answered that it takes no batches.
+    /// Records a response in which the leader does not accept batches.
     pub fn record_refusal(&mut self, now: Instant) {
         self.retry_not_before = Some(now + REFUSED_BACKOFF);
     }
--- a/src/core/workers/relay/probes.rs
+++ b/src/core/workers/relay/probes.rs
@@ -1,5 +1,5 @@
-//! Showing a new leader's fencing token to the workers that send heartbeats here, so that they refuse
-//! whatever an earlier leader sent, and the leader knows what each of them has.
+//! Token probes: calls that show a new leader's fencing token to the workers that send heartbeats here. The
+//! workers then refuse whatever earlier leaders sent, and the leader learns which tasks each of them has.
 
 use super::state::TokenProbe;
 use crate::core::command::Pending;
@@ -12,7 +12,8 @@
 use crate::worker_client::{DirectOutcome, DirectRequest};
 
 impl Core {
-    /// The leader of a new term granted, and answered these heartbeats.
+    /// Begins the probes for the leader of a new term, after its first grant. `answered` are the heartbeats that
+    /// the leader responded to with that grant.
     pub(super) fn begin_token_probes(&mut self, term: u64, answered: &[QueuedHeartbeat]) {
         let now = self.now.mono;
         let token = term << TOKEN_EPOCH_BITS;
@@ -26,7 +27,7 @@
         );
     }
 
-    /// The leader leaves the probes of these machines to this controller.
+    /// Adds probes that the leader assigned to this controller.
     pub(super) fn add_token_probes(&mut self, machines: Vec<(MachineId, String)>) {
         for (machine, addr) in machines {
             let worker = self.relay.workers.get(&machine);
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Sends pending probes, as many at a time as there are direct calls, while the grant is valid.
+    /// Sends pending probes while the grant is valid, with at most `MAX_DIRECT_CALLS` in flight.
     pub(super) fn send_token_probes(&mut self) {
         let now = self.now.mono;
         let Some(grant) = self.relay.grant().filter(|g| now < g.expires_at) else {
@@ -69,7 +70,8 @@
         }
     }
 
-    /// A worker's answer to a probe. Without one, the leader is informed and probes it once more.
+    /// Processes the outcome of a probe. A worker's response is relayed as a heartbeat. Without a response, the
+    /// leader is informed and probes the worker once more.
     pub(in crate::core) fn token_probe_answered(&mut self, id: &MachineId, outcome: DirectOutcome) {
         let probes = &mut self.relay.probes;
         probes.in_flight = probes.in_flight.saturating_sub(1);
@@ -94,8 +96,8 @@
     }
 }
 
-/// Commands without any, which carry the token. A worker that never reported here is asked for its
-/// status instead, as its incarnation is not known.
+/// Returns the request that shows a worker the token: an empty list of commands, or a status request if the
+/// worker never reported here, as its incarnation is not known then (0).
 fn probe_request(token: u64, incarnation: u64) -> DirectRequest {
     if incarnation == 0 {
         return DirectRequest::Status { token };
--- a/src/core/workers/relay/state.rs
+++ b/src/core/workers/relay/state.rs
@@ -16,50 +16,51 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// A leader that granted in this term may be dead with its key still there, for the lease's time
-/// less what passed before its leadership expired. Until then heartbeats wait: sent on to it, their
-/// workers would go from node to node.
+/// Time after the expiry of a grant for which heartbeats still wait. The leader that issued the grant may
+/// be dead while its leader key still exists: the key's lease ends this much later than the leadership.
+/// Workers that were redirected to the dead leader would go from controller to controller.
 const EXPIRED_GRANT_WAIT: Duration = Duration::from_millis(1800);
-/// A leader at work answers a batch in a small part of this.
+/// Time after which the response to a batch counts as late. A live leader needs only a small part of it.
 const LATE_RESPONSE_DELAY: Duration = Duration::from_millis(350);
-/// Heartbeats that come closer together than this go together, as far as a frame takes them.
+/// Minimum time between two batches, unless more heartbeats wait than fit into one frame.
 pub(super) const BATCH_INTERVAL: Duration = Duration::from_millis(50);
+/// Bounds on the time until the relay needs another step.
 const MIN_IDLE: Duration = Duration::from_millis(5);
 const MAX_IDLE: Duration = Duration::from_secs(1);
-/// A worker whose last heartbeat is older than this does not count as served here.
+/// Maximum age of a worker's newest heartbeat at which the worker counts as served here.
 const SERVED_WINDOW: Duration = Duration::from_secs(20);
-/// How often workers whose lease has expired are looked for.
+/// Time between two scans for workers whose lease has expired.
 const EXPIRY_SCAN_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The answer that a heartbeat with the same content as the last one may get.
+/// Response to heartbeats whose content does not change.
 #[derive(Clone, Copy)]
 pub(super) struct CachedResponse {
-    /// Of the heartbeat that the leader had no commands for.
+    /// Digest of the heartbeat to which the leader responded without commands.
     pub digest: Digest,
-    /// The fencing token that the leader answered it with.
+    /// Fencing token in the leader's response.
     pub fencing_token: u64,
 }
 
-/// A worker that sends its heartbeats here.
+/// A worker that sends its heartbeats to this controller.
 pub(super) struct ServedWorker {
     pub incarnation: u64,
     pub sequence: u64,
     pub addr: String,
-    /// The highest fencing token that it has shown.
+    /// Highest fencing token that the worker has shown.
     pub fencing_token: u64,
     pub last_heartbeat: Instant,
-    /// `None`: its next heartbeat has to go to the leader.
+    /// Response to unchanged heartbeats; `None` if the next heartbeat must be relayed to the leader.
     pub cached_response: Option<CachedResponse>,
 }
 
 impl ServedWorker {
-    /// Whether its last heartbeat came within this time.
+    /// Returns whether the worker's newest heartbeat is younger than `window`.
     fn reported_within(&self, window: Duration, now: Instant) -> bool {
         now.saturating_duration_since(self.last_heartbeat) < window
     }
 }
 
-/// A batch that the leader has yet to answer.
+/// A batch that was sent to the leader and has no response yet.
 pub(super) struct BatchInFlight {
     pub number: u64,
     pub sent_at: Instant,
@@ -67,60 +68,62 @@
     pub heartbeats: Vec<QueuedHeartbeat>,
 }
 
-/// A worker that a new fencing token is to be shown to.
+/// A worker that is to be shown a new fencing token.
 pub(super) struct TokenProbe {
     pub machine: MachineId,
-    /// 0 if not known: the worker never reported here.
+    /// The worker's incarnation; 0 if it is not known because the worker never reported here.
     pub incarnation: u64,
     pub addr: String,
 }
 
-/// Probes that show workers the token of a new term.
+/// Probes that show workers the fencing token of a new term.
 #[derive(Default)]
 pub(super) struct TokenProbes {
     pub pending: Vec<TokenProbe>,
     pub in_flight: usize,
-    /// Workers that gave no answer; the leader has yet to be informed.
+    /// Workers that did not respond, and that are still to be reported to the leader.
     pub unanswered: Vec<MachineId>,
 }
 
 impl TokenProbes {
-    /// Unanswered workers for the next frame, as many as it takes.
+    /// Takes as many of the workers that did not respond as fit into the next frame.
     fn take_unanswered_for_frame(&mut self) -> Vec<MachineId> {
         let count = heartbeat_batch::names_that_fit(&self.unanswered);
         self.unanswered.drain(..count).collect()
     }
 }
 
-/// What a controller that does not lead keeps of the workers that it serves.
+/// State of the workers that a controller serves while it is not the leader.
 #[derive(Default)]
 pub struct Relay {
-    /// Tells this process from an earlier one of the same name.
+    /// Distinguishes this process from earlier ones of the same name.
     incarnation: u64,
     grant: Option<HeldGrant>,
     pub(super) workers: BTreeMap<MachineId, ServedWorker>,
-    /// Workers that were answered here, and whose lease renewal the leader has yet to be informed
-    /// of.
+    /// Workers whose heartbeats were answered here, and whose lease renewal is still to be reported
+    /// to the leader.
     unreported: BTreeSet<MachineId>,
-    /// The newest answer that was applied before a batch that listed all of them.
+    /// Number of the newest batch response that may be acknowledged: after it was applied, all workers in
+    /// `unreported` have been reported.
     acknowledged: u64,
-    /// The newest answer that was applied.
+    /// Number of the newest batch response that was applied.
     last_response: u64,
+    /// Heartbeats that are to be sent with the next batches.
     pub(super) queue: HeartbeatQueue,
     in_flight: Option<BatchInFlight>,
     last_number: u64,
     last_sent: Option<Instant>,
-    /// The term whose leader was informed which workers send heartbeats here.
+    /// Term whose leader has been sent the list of workers that send heartbeats here.
     registered_term: u64,
     pub(super) backoff: LeaderBackoff,
-    /// Workers to send elsewhere: the controllers to send them to, and how many to each.
+    /// Workers to redirect: the target controller and the number of workers for each target.
     reassignments: Vec<(String, u32)>,
     pub(super) probes: TokenProbes,
     last_expiry_scan: Option<Instant>,
 }
 
 impl Relay {
-    /// The relay of a process that has just started and serves no worker.
+    /// Creates the relay of a process that has just started and serves no worker.
     pub fn new(incarnation: u64) -> Relay {
         Relay {
             incarnation,
@@ -128,12 +131,12 @@
         }
     }
 
-    /// The newest grant of a leader; it may have expired.
+    /// Returns the newest grant from a leader; it may have expired.
     pub(in crate::core) fn grant(&self) -> Option<HeldGrant> {
         self.grant
     }
 
-    /// How long the owner may sleep.
+    /// Returns the time until the relay needs another step, if nothing happens before.
     pub fn idle_for(&self, now: Instant) -> Duration {
         match self.last_sent {
             Some(sent) if self.in_flight.is_none() && !self.queue.is_empty() => {
@@ -144,20 +147,20 @@
         }
     }
 
-    /// The number of heartbeats that wait for the leader's answer.
+    /// Returns the number of heartbeats that wait for the leader's response.
     pub fn waiting(&self) -> usize {
         let sent = self.in_flight.as_ref().map_or(0, |b| b.heartbeats.len());
         self.queue.len() + sent
     }
 
-    /// Whether a worker sent a heartbeat here recently.
+    /// Returns whether a worker sent a heartbeat here recently.
     pub fn serves(&self, id: &MachineId, now: Instant) -> bool {
         let worker = self.workers.get(id);
         worker.is_some_and(|w| w.reported_within(SERVED_WINDOW, now))
     }
 
-    /// Whether the leader of this term granted, and by now owes an answer or gave none. One at work
-    /// answers several times a second.
+    /// Returns whether the leader of this term issued a grant, and its response to the last batch is late
+    /// or failed. A live leader responds several times a second.
     pub fn leader_is_late(&self, term: u64, now: Instant) -> bool {
         let granted = self.grant.is_some_and(|g| g.term == term);
         let in_flight = self.in_flight.as_ref();
@@ -165,24 +168,24 @@
         granted && (overdue || self.backoff.has_failures())
     }
 
-    /// Whether the newest grant is valid or expired a moment ago: its leader may be gone with its
-    /// key still there.
+    /// Returns whether the newest grant is valid or expired less than `EXPIRED_GRANT_WAIT` ago: its leader
+    /// may have died while its leader key still exists.
     pub(super) fn was_granted_recently(&self, now: Instant) -> bool {
         self.grant
             .is_some_and(|g| now < g.expires_at + EXPIRED_GRANT_WAIT)
     }
 
-    /// As `was_granted_recently`, by the leader of this term.
+    /// Returns whether the leader of this term issued the newest grant, and `was_granted_recently` holds.
     pub(super) fn was_granted_recently_in_term(&self, term: u64, now: Instant) -> bool {
         self.grant.is_some_and(|g| g.term == term) && self.was_granted_recently(now)
     }
 
-    /// Whether a leader of a later term than this one has granted.
+    /// Returns whether the newest grant is from a leader of a later term than `term`.
     pub(super) fn is_superseded(&self, term: u64) -> bool {
         self.grant.is_some_and(|g| g.term > term)
     }
 
-    /// This controller led until now: the workers that reported to it stay with it.
+    /// Takes over the workers that reported directly to this controller, when its own leadership ends.
     pub fn adopt_workers(&mut self, leader: &LeaderState) {
         self.grant = None;
         for m in leader.machines.values() {
@@ -200,7 +203,7 @@
         }
     }
 
-    /// A digest of everything in a heartbeat that the leader might have commands for.
+    /// Returns a digest of everything in a heartbeat to which the leader might respond with commands.
     fn digest(&self, heartbeat: &Heartbeat) -> Digest {
         let mut digester = Digester::new(self.incarnation);
         digester.text(&heartbeat.addr);
@@ -214,8 +217,8 @@
         digester.finish()
     }
 
-    /// The fencing token to answer this heartbeat with, if it says what the last one said and the
-    /// leader had no commands for that.
+    /// Returns the fencing token of the cached response, if the worker has one and the heartbeat is
+    /// unchanged. The heartbeat then counts as answered here.
     pub(super) fn cached_response_token(
         &mut self,
         heartbeat: &Heartbeat,
@@ -226,8 +229,8 @@
         let cached = worker.cached_response?;
         let unchanged = heartbeat.incarnation == worker.incarnation
             && heartbeat.sequence > worker.sequence
-            // The worker would drop an answer with a lower token than it has seen, and yet stay
-            // here while its lease expires.
+            // The worker would discard a response with a lower token than it has seen, but would keep
+            // reporting here until its lease expires.
             && heartbeat.fencing_token == cached.fencing_token
             && heartbeat.reclaim_in_s.is_none()
             && digest == cached.digest;
@@ -242,8 +245,8 @@
         Some(cached.fencing_token)
     }
 
-    /// Records a worker whose heartbeat the leader answered with commands or, if `cached_token` is
-    /// given, with none and this token for as long as the worker's heartbeats are unchanged.
+    /// Records a worker to whose heartbeat the leader has responded. If `cached_token` is given, the
+    /// leader has delegated the machine, and unchanged heartbeats may be answered with this token.
     pub(super) fn record_worker(&mut self, answered: &QueuedHeartbeat, cached_token: Option<u64>) {
         let heartbeat = &answered.heartbeat;
         let cached_response = cached_token.map(|fencing_token| CachedResponse {
@@ -261,14 +264,14 @@
         self.workers.insert(heartbeat.machine.clone(), worker);
     }
 
-    /// The controller that this worker is to go to, if it is to go.
+    /// Returns the controller that this worker is to be redirected to, if it is to be moved.
     pub(super) fn next_reassignment(&mut self, id: &MachineId) -> Option<String> {
         let to = share::next_target(&mut self.reassignments)?;
         self.workers.remove(id);
         Some(to)
     }
 
-    /// Applies the leader's answer to a batch but for the responses to heartbeats.
+    /// Applies the leader's response to a batch, except for the responses to heartbeats.
     pub(super) fn apply_response(
         &mut self,
         grant: HeldGrant,
@@ -285,12 +288,12 @@
         }
     }
 
-    /// Holds a new grant. If the one before has expired, or is another leader's, what was delegated
-    /// under it is void.
+    /// Replaces the grant. If the previous grant has expired or is from another term, all delegations
+    /// under it have ended.
     fn renew_grant(&mut self, grant: HeldGrant, now: Instant) {
         let unbroken = self.grant.is_some_and(|g| g.is_valid(grant.term, now));
         if !unbroken {
-            // The leader counted every delegation as ended when the grant expired.
+            // The leader has treated every delegation as ended since the grant expired.
             for worker in self.workers.values_mut() {
                 worker.cached_response = None;
             }
@@ -299,15 +302,15 @@
         self.grant = Some(grant);
     }
 
-    /// Whether the leader of this term has yet to be informed which workers send heartbeats here; it counts
-    /// as informed from now on.
+    /// Marks the leader of this term as informed of the workers that send heartbeats here. Returns whether
+    /// it was not informed before.
     pub(super) fn register_term(&mut self, term: u64) -> bool {
         let is_new = self.registered_term != term;
         self.registered_term = term;
         is_new
     }
 
-    /// Workers whose heartbeats were answered here, as many as a frame takes.
+    /// Takes as many of the heartbeats that were answered here and not yet reported as fit into a frame.
     fn take_answered_for_frame(&mut self, now: Instant) -> Vec<AnsweredHeartbeat> {
         let mut answered = Vec::new();
         let mut size = 0;
@@ -327,9 +330,9 @@
         answered
     }
 
-    /// The number of the answer to acknowledge to the leader. The leader counts delegations that
-    /// this answer revoked as its own from then on, so it must have been informed before of all
-    /// heartbeats that were answered here until then.
+    /// Returns the number of the response to acknowledge to the leader. With the acknowledgement, the
+    /// leader treats the delegations that were revoked by this response as ended. All heartbeats that
+    /// were answered here under them must therefore have been reported first.
     fn acknowledge(&mut self) -> u64 {
         if self.unreported.is_empty() {
             self.acknowledged = self.last_response;
@@ -337,7 +340,7 @@
         self.acknowledged
     }
 
-    /// Forgets workers whose lease has expired, now and then.
+    /// Periodically removes workers whose lease has expired.
     pub(super) fn drop_expired_workers(&mut self, now: Instant, lease: Duration) {
         let last_scan = self.last_expiry_scan;
         if last_scan.is_some_and(|at| now < at + EXPIRY_SCAN_INTERVAL) {
@@ -347,16 +350,16 @@
         self.workers.retain(|_, w| w.reported_within(lease, now));
     }
 
-    /// Whether a batch may be sent now: none is in flight, and the last one was sent at least
-    /// `interval` ago and did not fail a moment ago.
+    /// Returns whether a batch may be sent now: no batch is in flight, the last one was sent at least
+    /// `interval` ago, and the backoff after a failure has passed.
     pub(super) fn may_send(&self, interval: Duration, now: Instant) -> bool {
         let early = self.last_sent.is_some_and(|at| now < at + interval);
         self.in_flight.is_none() && !early && !self.backoff.defers(now)
     }
 
-    /// The next batch for the leader of this term, with the heartbeats that wait, which are
-    /// returned beside it. `recent` is the age up to which a worker's heartbeat counts it as
-    /// reporting here.
+    /// Builds the next batch for the leader of this term, and returns it with the queued heartbeats that
+    /// it contains. `recent` is the maximum age of a worker's newest heartbeat at which the worker counts
+    /// as reporting here.
     pub(super) fn next_batch(
         &mut self,
         from: &str,
@@ -396,8 +399,8 @@
         workers.filter(move |(_, w)| w.reported_within(recent, now))
     }
 
-    /// The workers that send heartbeats here, for a leader that has yet to be informed of them. It probes
-    /// those itself that do not fit into the frame.
+    /// Returns the workers that send heartbeats here, or none if the leader of this term has already been
+    /// sent the list. The leader itself probes those that do not fit into the frame.
     fn served_for_frame(&self, term: u64, recent: Duration, now: Instant) -> Vec<MachineId> {
         if self.registered_term == term {
             return Vec::new();
@@ -408,18 +411,18 @@
         served
     }
 
-    /// A batch is in flight.
+    /// Records the batch in flight.
     pub(super) fn set_in_flight(&mut self, batch: BatchInFlight) {
         self.in_flight = Some(batch);
     }
 
-    /// The batch in flight, if it has this number.
+    /// Takes the batch in flight, if it has this number.
     pub(super) fn take_in_flight(&mut self, number: u64) -> Option<BatchInFlight> {
         self.in_flight.take_if(|b| b.number == number)
     }
 
-    /// Plans a probe for each worker that sent a heartbeat here recently and has not seen this token. Those
-    /// whose heartbeats wait here, or are in `answered`, see it in the answers to these.
+    /// Plans a probe for each worker that sent a heartbeat here recently and has not seen this token. Workers
+    /// whose heartbeats are queued or in `answered` are skipped, as they receive the token in the responses.
     pub(super) fn plan_token_probes(
         &mut self,
         token: u64,
@@ -441,8 +444,8 @@
     }
 }
 
-/// QueuedHeartbeat heartbeats as they stand in a batch, each with its index from 1 as id. 0 is the id of
-/// those that want no response.
+/// Returns queued heartbeats in the form in which a batch contains them. The id of each is its index, counted
+/// from 1, or 0 if it needs no response.
 fn relayed_heartbeats(heartbeats: &[QueuedHeartbeat]) -> Vec<RelayedHeartbeat> {
     let numbered = heartbeats.iter().enumerate();
     let relayed = numbered.map(|(index, queued)| RelayedHeartbeat {
--- a/src/core/workers/relay/state/tests.rs
+++ b/src/core/workers/relay/state/tests.rs
@@ -2,12 +2,12 @@
 
 const MACHINES: usize = 6000;
 
-/// A name as long as some clouds give.
+/// Returns a machine id of the length that some clouds use.
 fn machine(number: usize) -> MachineId {
     format!("instance-0123456789abcdef-0123456-{number:06}").into()
 }
 
-/// A controller that has just answered heartbeats of so many workers itself.
+/// Returns the relay of a controller that has just answered a heartbeat of each of `MACHINES` workers itself.
 fn relay_with_served_workers(now: Instant) -> Relay {
     let mut relay = Relay::new(1);
     for number in 0..MACHINES {
@@ -32,7 +32,11 @@
     relay.last_response = 41;
     let first = relay.take_answered_for_frame(now);
     assert!(!first.is_empty() && first.len() < MACHINES);
-    assert_eq!(relay.acknowledge(), 0, "others have yet to be told");
+    assert_eq!(
+        relay.acknowledge(),
+        0,
+        "some answered heartbeats are not reported yet"
+    );
     let second = relay.take_answered_for_frame(now);
     assert_eq!(first.len() + second.len(), MACHINES);
     assert_eq!(relay.acknowledge(), 41);
