--- a/src/core/jobs/dependencies.rs
+++ b/src/core/jobs/dependencies.rs
@@ -22,7 +22,7 @@
 
 impl DependencyGraph {
     /// A job is live; returns the jobs that depend on it and are cancelled with it, itself included.
-    pub fn begin(
+    pub fn add_job(
         &mut self,
         id: &JobId,
         dependencies: &[JobId],
@@ -56,7 +56,12 @@
     }
 
     /// A job is over; returns the jobs that may start now, or are cancelled with it.
-    pub fn end(&mut self, id: &JobId, dependencies: &[JobId], outcome: JobOutcome) -> Vec<JobId> {
+    pub fn remove_job(
+        &mut self,
+        id: &JobId,
+        dependencies: &[JobId],
+        outcome: JobOutcome,
+    ) -> Vec<JobId> {
         self.unfinished.remove(id);
         self.cancelled.remove(id);
         for dependency in dependencies {
--- a/src/core/jobs/dependencies/tests.rs
+++ b/src/core/jobs/dependencies/tests.rs
@@ -6,63 +6,73 @@
 
 /// A diamond, with its events in any order: what is ready and what is withdrawn follows from the ends.
 #[test]
-fn a_diamond_is_ready_once_and_withdrawn_whole_in_whatever_order_it_is_told() {
+fn a_diamond_becomes_ready_once_and_is_cancelled_whole_in_any_event_order() {
     let edges: [(u32, &[u32]); 4] = [(1, &[]), (2, &[1]), (3, &[1]), (4, &[2, 3])];
-    for turn in 0..4 {
-        let mut p = DependencyGraph::default();
+    for rotation in 0..4 {
+        let mut graph = DependencyGraph::default();
         let mut finished = BTreeMap::new();
         let dependencies = |n: u32| -> Vec<JobId> {
             let found = edges.iter().find(|e| e.0 == n).unwrap();
             found.1.iter().map(|a| id(*a)).collect()
         };
         for i in 0..4 {
-            let n = edges[(i + turn) % 4].0;
-            assert!(p.begin(&id(n), &dependencies(n), &finished).is_empty());
+            let n = edges[(i + rotation) % 4].0;
+            assert!(
+                graph
+                    .add_job(&id(n), &dependencies(n), &finished)
+                    .is_empty()
+            );
         }
-        assert_eq!(p.all_dependents(&id(1)).len(), 3);
-        let over = |p: &mut DependencyGraph, finished: &mut BTreeMap<_, _>, n: u32, end| {
+        assert_eq!(graph.all_dependents(&id(1)).len(), 3);
+        let end_job = |graph: &mut DependencyGraph, finished: &mut BTreeMap<_, _>, n: u32, end| {
             finished.insert(id(n), end);
-            let mut changed = p.end(&id(n), &dependencies(n), end);
+            let mut changed = graph.remove_job(&id(n), &dependencies(n), end);
             // A repeated event, as the watch may deliver, changes nothing.
-            assert!(p.end(&id(n), &dependencies(n), end).is_empty());
+            assert!(graph.remove_job(&id(n), &dependencies(n), end).is_empty());
             changed.sort();
             changed
         };
         assert_eq!(
-            over(&mut p, &mut finished, 1, JobOutcome::Done),
+            end_job(&mut graph, &mut finished, 1, JobOutcome::Done),
             [id(2), id(3)]
         );
-        assert!(over(&mut p, &mut finished, 2, JobOutcome::Done).is_empty());
+        assert!(end_job(&mut graph, &mut finished, 2, JobOutcome::Done).is_empty());
         assert_eq!(
             (
-                p.unfinished_dependencies(&id(4)),
-                p.unfinished_dependencies(&id(3))
+                graph.unfinished_dependencies(&id(4)),
+                graph.unfinished_dependencies(&id(3))
             ),
             (1, 0)
         );
-        if turn % 2 == 0 {
-            assert_eq!(over(&mut p, &mut finished, 3, JobOutcome::Done), [id(4)]);
+        if rotation % 2 == 0 {
+            assert_eq!(
+                end_job(&mut graph, &mut finished, 3, JobOutcome::Done),
+                [id(4)]
+            );
         } else {
             assert_eq!(
-                over(&mut p, &mut finished, 3, JobOutcome::Cancelled),
+                end_job(&mut graph, &mut finished, 3, JobOutcome::Cancelled),
                 [id(4)]
             );
-            assert_eq!(p.cancelled_dependency("wk-4"), Some(&id(3)));
+            assert_eq!(graph.cancelled_dependency("wk-4"), Some(&id(3)));
             // What is submitted later is withdrawn as well, directly and through others.
-            assert_eq!(p.begin(&id(5), &[id(4)], &finished), [id(5)]);
-            assert_eq!(p.begin(&id(6), &[id(3)], &finished), [id(6)]);
-            assert!(over(&mut p, &mut finished, 4, JobOutcome::Cancelled).is_empty());
+            assert_eq!(graph.add_job(&id(5), &[id(4)], &finished), [id(5)]);
+            assert_eq!(graph.add_job(&id(6), &[id(3)], &finished), [id(6)]);
+            assert!(end_job(&mut graph, &mut finished, 4, JobOutcome::Cancelled).is_empty());
         }
     }
 }
 
 #[test]
-fn a_chain_of_ten_thousand_is_withdrawn_without_recursion() {
-    let mut p = DependencyGraph::default();
+fn a_chain_of_ten_thousand_is_cancelled_without_recursion() {
+    let mut graph = DependencyGraph::default();
     let finished = BTreeMap::new();
     for n in 1..10_000 {
-        p.begin(&id(n), &[id(n - 1)], &finished);
+        graph.add_job(&id(n), &[id(n - 1)], &finished);
     }
-    assert_eq!(p.all_dependents(&id(0)).len(), 9_999);
-    assert_eq!(p.end(&id(0), &[], JobOutcome::Cancelled).len(), 9_999);
+    assert_eq!(graph.all_dependents(&id(0)).len(), 9_999);
+    assert_eq!(
+        graph.remove_job(&id(0), &[], JobOutcome::Cancelled).len(),
+        9_999
+    );
 }
--- a/src/core/jobs/forwarding.rs
+++ b/src/core/jobs/forwarding.rs
@@ -117,7 +117,7 @@
     }
 
     /// Without the state service, this node finds out whether others serve.
-    pub(in crate::core) fn probe_unreachable_peers(&mut self) {
+    pub(in crate::core) fn probe_next_peer(&mut self) {
         let now = self.now.mono;
         let probed_lately = self
             .last_peer_probe
--- a/src/core/jobs/job_reads.rs
+++ b/src/core/jobs/job_reads.rs
@@ -42,7 +42,7 @@
     }
 
     /// Serves the request for which a job's key was read.
-    pub(in crate::core) fn read(
+    pub(in crate::core) fn job_read_outcome(
         &mut self,
         id: String,
         purpose: ReadPurpose,
@@ -105,7 +105,7 @@
         self.sync_job_runs();
         let final_answer = self.final_answer(&id);
         let accepted = matches!(purpose, ReadPurpose::Accepted(_));
-        if accepted && (final_answer.is_some() || self.own_key_tells_state(&id)) {
+        if accepted && (final_answer.is_some() || self.own_key_determines_state(&id)) {
             let mut answer = self.fresh_answer(&id);
             if answer.status == 200 {
                 answer.status = 201;
@@ -115,7 +115,7 @@
             self.answer(ticket, answer);
         } else if matches!(purpose, ReadPurpose::Cancel(_)) {
             self.cancel_as_leader(ticket, &id);
-        } else if self.own_key_tells_state(&id) {
+        } else if self.own_key_determines_state(&id) {
             self.show_fresh(ticket, &id);
         } else {
             self.queue_barrier_request(BarrierRequest::Show(ticket, id));
@@ -133,7 +133,7 @@
 
     /// Whether a live job's own key is enough to tell its state: that of one with dependencies does
     /// not tell how these have ended.
-    fn own_key_tells_state(&self, id: &str) -> bool {
+    fn own_key_determines_state(&self, id: &str) -> bool {
         let job = self.store_cache.jobs.get(id);
         job.is_some_and(|job| job.spec.dependencies.is_empty())
     }
--- a/src/core/jobs/job_run.rs
+++ b/src/core/jobs/job_run.rs
@@ -148,7 +148,7 @@
     /// When it should be done, so that all after it can be done by their deadlines.
     pub due: Option<SystemTime>,
     /// Others depend on it.
-    pub needed: bool,
+    pub has_dependents: bool,
 }
 
 impl Urgency {
@@ -157,7 +157,7 @@
         Urgency {
             priority: job.spec.priority,
             due: job.spec.deadline.map(|deadline| job.submitted + deadline),
-            needed: false,
+            has_dependents: false,
         }
     }
 }
--- a/src/core/jobs/lifecycle.rs
+++ b/src/core/jobs/lifecycle.rs
@@ -118,9 +118,9 @@
         leader.scheduler.invalidate_guarantees();
         let is_new = job.version > leader.key_version;
         if is_new {
-            leader.scheduler.arrivals.note(self.now.mono, 1);
-            let pace = leader.runtime_factor(&job.spec.class);
-            let expected = job.spec.estimate.mul_f64(pace);
+            leader.scheduler.arrivals.record(self.now.mono, 1);
+            let runtime_factor = leader.runtime_factor(&job.spec.class);
+            let expected = job.spec.estimate.mul_f64(runtime_factor);
             let bidding = &mut leader.scheduler.bidding;
             bidding.record_arrival(self.now.mono, &job.spec, job.spec.priority, expected);
         }
--- a/src/core/jobs/statistics.rs
+++ b/src/core/jobs/statistics.rs
@@ -35,7 +35,7 @@
     }
 
     /// Adds a task's run time and its estimate, in seconds; those before it count a little less.
-    pub fn note(&mut self, actual: f64, estimated: f64) {
+    pub fn record(&mut self, actual: f64, estimated: f64) {
         self.actual = self.actual * RUNTIME_DECAY + actual;
         self.estimated = self.estimated * RUNTIME_DECAY + estimated;
     }
@@ -69,7 +69,7 @@
     }
 
     /// Adds jobs that arrived now.
-    pub fn note(&mut self, now: Instant, jobs: u32) {
+    pub fn record(&mut self, now: Instant, jobs: u32) {
         let passed = now.saturating_duration_since(self.updated).as_secs_f64();
         let kept = (-passed / ARRIVAL_DECAY_S).exp();
         self.updated = now;
@@ -78,7 +78,7 @@
     }
 
     /// Mean time between two jobs, in seconds.
-    pub fn pause(&self) -> f64 {
+    pub fn mean_interarrival_s(&self) -> f64 {
         self.seconds / self.jobs.max(MIN_JOBS)
     }
 }
--- a/src/core/jobs/submissions.rs
+++ b/src/core/jobs/submissions.rs
@@ -46,9 +46,9 @@
 }
 
 impl Core {
-    /// Accepts a submission; `informed` if this node's store cache holds all that was accepted
+    /// Accepts a submission; `cache_is_current` if this node's store cache holds all that was accepted
     /// before it came.
-    pub(in crate::core) fn accept(&mut self, mut submission: Submission, informed: bool) {
+    pub(in crate::core) fn accept(&mut self, mut submission: Submission, cache_is_current: bool) {
         let ticket = submission.ticket;
         // The job may be over, which another controller may remember: accepted again, it would be shown as queued.
         if self.must_withhold_state() {
@@ -63,7 +63,7 @@
         if self.unknown_dependency(&submission.spec).is_some() {
             // This node's copy lags a little behind what other nodes accept, and users submit a
             // job as soon as those that it needs are accepted.
-            if !informed {
+            if !cache_is_current {
                 return self.queue_barrier_request(BarrierRequest::Submit(submission));
             }
             let answer = self.rejection_reason(&submission.spec);
@@ -127,7 +127,7 @@
             return self.read_job_key(id, ReadPurpose::Show(submission.ticket));
         }
         let text = String::from_utf8(to_json(&submission.spec)).unwrap_or_default();
-        let parts = large_jobs::cut(&text, self.usable_value_bytes());
+        let parts = large_jobs::split_text(&text, self.usable_value_bytes());
         // The job's key is written on a condition for each part.
         if parts.len() > self.settings.max_transaction_changes * 4 - 1 {
             return self.reject(&submission, Response::error(422, TOO_LARGE));
@@ -149,8 +149,8 @@
     fn write_parts(&mut self, submission: Submission, parts: Box<PartWrite>) {
         let stored = parts.versions.len();
         let by_bytes = MAX_TRANSACTION_BYTES / self.settings.max_value_bytes.max(1);
-        let most = self.settings.max_transaction_changes.min(by_bytes).max(1);
-        let next = parts.parts.iter().enumerate().skip(stored).take(most);
+        let max_parts = self.settings.max_transaction_changes.min(by_bytes).max(1);
+        let next = parts.parts.iter().enumerate().skip(stored).take(max_parts);
         let put = |(number, text): (usize, &String)| Change::Put {
             key: part_key(&submission.spec.id, parts.generation, number as u32),
             value: to_json_value(&PartValue { text: text.clone() }),
@@ -197,7 +197,9 @@
                 }
             }
             // Some may be written late: they are written again under other names.
-            StoreOutcome::Unknown(error) if self.waited(&submission) < PARTS_RETRY_WINDOW => {
+            StoreOutcome::Unknown(error)
+                if self.time_since_received(&submission) < PARTS_RETRY_WINDOW =>
+            {
                 tracing::info!(job = %id, %error, "job parts write unanswered");
                 parts.generation = self.next_part_generation();
                 parts.versions.clear();
@@ -213,7 +215,7 @@
     }
 
     /// How long a submission has waited here.
-    fn waited(&self, submission: &Submission) -> Duration {
+    fn time_since_received(&self, submission: &Submission) -> Duration {
         self.now.mono.saturating_duration_since(submission.received)
     }
 
@@ -222,7 +224,7 @@
         let now = self.now.wall.duration_since(SystemTime::UNIX_EPOCH);
         let submitted = now
             .unwrap_or_default()
-            .saturating_sub(self.waited(submission));
+            .saturating_sub(self.time_since_received(submission));
         submitted.as_millis() as u64
     }
 
@@ -265,15 +267,17 @@
         let id = &submission.spec.id;
         let ticket = submission.ticket;
         let may_retry_unknown = creation.retries < MAX_RETRIES_UNKNOWN
-            && self.waited(submission) < CREATION_RETRY_WINDOW;
+            && self.time_since_received(submission) < CREATION_RETRY_WINDOW;
         match outcome {
             StoreOutcome::Committed { revision } => self.job_accepted(creation, revision),
             StoreOutcome::Conflict { .. } if is_enabled(Safeguard::ConflictDetection) => {
                 self.read_job_key(id.to_string(), ReadPurpose::Show(ticket));
             }
-            StoreOutcome::Conflict { .. } => self.answer(ticket, created(id, JobState::Queued)),
+            StoreOutcome::Conflict { .. } => {
+                self.answer(ticket, created_response(id, JobState::Queued))
+            }
             StoreOutcome::Unknown(_) if !is_enabled(Safeguard::DurableAcceptance) => {
-                self.answer(ticket, created(id, JobState::Queued));
+                self.answer(ticket, created_response(id, JobState::Queued));
             }
             StoreOutcome::Unknown(error) if may_retry_unknown => {
                 tracing::info!(job = %id, %error, "job creation unanswered");
@@ -296,7 +300,7 @@
         let Creation {
             submission, parts, ..
         } = creation;
-        let waited = self.waited(&submission);
+        let waited = self.time_since_received(&submission);
         let submitted_ms = self.submitted_ms(&submission);
         let Submission { ticket, spec, .. } = submission;
         let id = spec.id.clone();
@@ -312,11 +316,11 @@
         // A job that names a cancelled one is accepted all the same.
         let outcome = self.store_cache.outcome_of(&id);
         let state = outcome.map_or(JobState::Queued, final_state);
-        self.answer(ticket, created(&id, state));
+        self.answer(ticket, created_response(&id, state));
     }
 }
 
 /// The answer to a submission that is accepted.
-fn created(id: &JobId, state: JobState) -> Response {
+fn created_response(id: &JobId, state: JobState) -> Response {
     Response::new(201, state_body(id, state, None, None))
 }
--- a/src/core/jobs/urgency.rs
+++ b/src/core/jobs/urgency.rs
@@ -11,7 +11,7 @@
 
 /// What passes between the end of one job and the start of the next beside the image's fetch: the
 /// last heartbeat, the commit, a plan, a command.
-const HANDOVER: Duration = Duration::from_millis(1500);
+const STAGE_OVERHEAD: Duration = Duration::from_millis(1500);
 /// A job takes as long as the slowest of its tasks: this many times the usual run time.
 const SLOWEST_TASK_FACTOR: f64 = 1.3;
 /// No machine type is taken to fetch images more slowly, in GB a second.
@@ -33,8 +33,12 @@
         let rates = self.machine_types.iter().map(|t| t.fetch_gb_per_s);
         let slowest = rates.fold(f64::INFINITY, f64::min).max(MIN_FETCH_GB_PER_S);
         let fetch = Duration::from_secs_f64((job.spec.image_gb / slowest).min(MAX_FETCH_S));
-        let pace = leader.runtime_factor(&job.spec.class);
-        job.spec.estimate.mul_f64(pace * SLOWEST_TASK_FACTOR) + fetch + HANDOVER
+        let runtime_factor = leader.runtime_factor(&job.spec.class);
+        job.spec
+            .estimate
+            .mul_f64(runtime_factor * SLOWEST_TASK_FACTOR)
+            + fetch
+            + STAGE_OVERHEAD
     }
 
     /// Recomputes the urgency of a job that changed, and of those that it depends on.
@@ -84,11 +88,11 @@
             if graph.cancelled_dependency(dependent).is_some() {
                 continue;
             }
-            let theirs = leader.urgency_of(dependent, job);
+            let inherited = leader.urgency_of(dependent, job);
             let stage = self.stage_duration(leader, job);
-            let due = theirs.due.and_then(|due| due.checked_sub(stage));
-            urgency.needed = true;
-            urgency.priority = urgency.priority.min(theirs.priority);
+            let due = inherited.due.and_then(|due| due.checked_sub(stage));
+            urgency.has_dependents = true;
+            urgency.priority = urgency.priority.min(inherited.priority);
             urgency.due = [urgency.due, due].into_iter().flatten().min();
         }
         urgency
--- a/src/core/leadership/campaign.rs
+++ b/src/core/leadership/campaign.rs
@@ -6,7 +6,7 @@
 use crate::core::leadership::lease::Lease;
 use crate::core::leadership::state::LeaderState;
 use crate::core::store::cache::{LeaderValue, TermValue};
-use crate::core::store::keys::{LEADER, TERM, key, named};
+use crate::core::store::keys::{LEADER, TERM, identity_condition, key};
 use crate::core::store::machine_records::MachineRecords;
 use crate::core::{Core, Effect, LeadershipProof};
 use crate::fault_injection::{Safeguard, is_enabled};
@@ -91,7 +91,7 @@
             condition(key(LEADER), leader_version),
             condition(key(TERM), self.store_cache.term_version),
         ];
-        conditions.extend(self.store_cache.identity.as_ref().map(named));
+        conditions.extend(self.store_cache.identity.as_ref().map(identity_condition));
         let term = self.next_term();
         let mut changes = vec![
             Change::Put {
@@ -162,7 +162,7 @@
         let records = &mut leader.writes.records;
         *records = MachineRecords::new(&self.store_cache, self.settings.max_value_bytes);
         for (id, value) in &self.store_cache.machines {
-            if !records.has(id) {
+            if !records.is_recorded_or_pending(id) {
                 records.add(id, value.clone());
             }
         }
@@ -177,7 +177,7 @@
             key: key(LEADER),
             version: leader.key_version,
         }];
-        conditions.extend(leader.named());
+        conditions.extend(leader.identity_condition());
         let proof = LeadershipProof {
             key_version: leader.key_version,
             conditions,
--- a/src/core/leadership/recovery.rs
+++ b/src/core/leadership/recovery.rs
@@ -54,7 +54,7 @@
         for (id, value) in &self.store_cache.machines {
             let mut machine = recorded_machine(id, value, now);
             // Not recorded, but remembered only, if the store has lost data.
-            machine.recorded = leader.writes.records.known(id);
+            machine.recorded = leader.writes.records.is_recorded(id);
             leader.machines.get_or_add(id, || machine);
             leader.recovery.add_unresolved();
         }
--- a/src/core/leadership/stale_key.rs
+++ b/src/core/leadership/stale_key.rs
@@ -7,7 +7,7 @@
 use crate::core::Core;
 use crate::core::command::Pending;
 use crate::core::leadership::lease::LEASE_TTL;
-use crate::core::store::keys::{LEADER, key, named};
+use crate::core::store::keys::{LEADER, identity_condition, key};
 use crate::store_client::{StoreOutcome, StoreRequest};
 use crate::wire::{Change, CompareAndSwap, Condition};
 use std::time::{Duration, Instant};
@@ -94,7 +94,7 @@
             version,
         }];
         // In a store that has lost data, another leader key may have the same version.
-        conditions.extend(self.store_cache.identity.as_ref().map(named));
+        conditions.extend(self.store_cache.identity.as_ref().map(identity_condition));
         let transaction = CompareAndSwap {
             conditions,
             changes: vec![Change::Delete { key: key(LEADER) }],
--- a/src/core/leadership/state.rs
+++ b/src/core/leadership/state.rs
@@ -9,8 +9,8 @@
 use crate::core::machines::machine::Machine;
 use crate::core::machines::registry::Machines;
 use crate::core::scheduling::state::SchedulerState;
-use crate::core::store::keys::{PartGeneration, named};
-use crate::core::store::pending_writes::Writes;
+use crate::core::store::keys::{PartGeneration, identity_condition};
+use crate::core::store::pending_writes::PendingWrites;
 use crate::core::store::rebuild::Rebuild;
 use crate::core::workers::delegates::Delegates;
 use crate::job::{JobId, MachineId};
@@ -51,7 +51,7 @@
     /// Parts of large jobs that no job refers to, and since when.
     pub unclaimed_parts: BTreeMap<(JobId, PartGeneration), Instant>,
     /// Changes that are to be written to the store.
-    pub writes: Writes,
+    pub writes: PendingWrites,
     /// Operations in flight at the cloud.
     pub cloud: CloudOperations,
     /// What planning and scaling carry over from one step to the next.
@@ -88,7 +88,7 @@
             cancellation_pending: BTreeSet::new(),
             inherited_urgency: BTreeMap::new(),
             unclaimed_parts: BTreeMap::new(),
-            writes: Writes::default(),
+            writes: PendingWrites::default(),
             cloud: CloudOperations::default(),
             scheduler: SchedulerState::new(arrivals),
             liveness: Liveness::new(now),
@@ -99,8 +99,8 @@
     }
 
     /// The condition that the store is still the one it was.
-    pub(in crate::core) fn named(&self) -> Option<Condition> {
-        self.identity.as_ref().map(named)
+    pub(in crate::core) fn identity_condition(&self) -> Option<Condition> {
+        self.identity.as_ref().map(identity_condition)
     }
 
     /// A worker's heartbeat came, here or through another controller.
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -5,7 +5,7 @@
 //! |---|---|---|
 //! | `command`, `clock`, `ids`, `stats` | what goes into a step and comes out of it; counters | [`Command`], [`Effect`], [`Stats`] |
 //! | `leadership` | the lease, the leader key and its term, campaign and step-down, isolation and liveness, recovery of a new leader | `LeaderState`, `Lease`, `Candidacy`, `Recovery` |
-//! | `store` | the cache of the key-value store, the leader's durable writes, read barriers, loss of the store's data and its rebuild | [`StoreCache`], `Writes`, `StoreIntegrity`, `Rebuild` |
+//! | `store` | the cache of the key-value store, the leader's durable writes, read barriers, loss of the store's data and its rebuild | [`StoreCache`], `PendingWrites`, `StoreIntegrity`, `Rebuild` |
 //! | `workers` | heartbeats, commands, fencing tokens; delegation of workers to other controllers | `Delegates`, `Relay` |
 //! | `machines` | machines as the leader knows them, failure detection, placement, reclamation and removal, calls to the cloud | `Machine`, `CloudOperations` |
 //! | `jobs` | submission and validation, users' requests, dependencies, task assignment, progress and end of jobs | `JobRun` |
@@ -209,7 +209,7 @@
         }
         self.send_barrier();
         self.refresh_machine_types();
-        self.probe_unreachable_peers();
+        self.probe_next_peer();
         self.update_readiness();
         for effect in &self.effects {
             self.stats.count_effect(effect);
@@ -364,8 +364,8 @@
         match self.pending.remove(&call) {
             Some(Pending::CreateJob(creation)) => self.creation_outcome(creation, outcome),
             Some(Pending::CreateJobParts(creation)) => self.parts_outcome(creation, outcome),
-            Some(Pending::ReadJob { id, purpose }) => self.read(id, purpose, outcome),
-            Some(Pending::ReadBarrier(requests)) => self.barrier_read(requests, outcome),
+            Some(Pending::ReadJob { id, purpose }) => self.job_read_outcome(id, purpose, outcome),
+            Some(Pending::ReadBarrier(requests)) => self.barrier_outcome(requests, outcome),
             Some(Pending::Campaign) => self.campaign_outcome(outcome),
             Some(Pending::AuditJobs { after, suspicion }) => {
                 self.jobs_audited(after, suspicion, outcome);
--- a/src/core/scheduling/bidding.rs
+++ b/src/core/scheduling/bidding.rs
@@ -83,7 +83,7 @@
         FleetFacts {
             machines: leader.machines.values().count() as f64,
             zones: self.settings.zones.len() as f64,
-            pause: leader.scheduler.arrivals.pause(),
+            pause: leader.scheduler.arrivals.mean_interarrival_s(),
         }
     }
 
--- a/src/core/scheduling/queue.rs
+++ b/src/core/scheduling/queue.rs
@@ -135,7 +135,7 @@
             deadline_left: deadline_left.unwrap_or(0.0),
             spot: spec.spot,
             slack: deadline_left.map_or(NO_DEADLINE_S, |left| left - runtime_s),
-            pipeline: urgency.needed || !spec.dependencies.is_empty(),
+            pipeline: urgency.has_dependents || !spec.dependencies.is_empty(),
             begun: job.done.len() > 0 || !run.tasks.assigned().is_empty(),
         }
     }
--- a/src/core/scheduling/run_times.rs
+++ b/src/core/scheduling/run_times.rs
@@ -73,7 +73,7 @@
         let ran_s = ran.as_secs_f64();
         let class = job.spec.class.clone();
         let ratio = leader.scheduler.runtime_ratios.entry(class).or_default();
-        ratio.note(ran_s, estimate_s);
+        ratio.record(ran_s, estimate_s);
         let Some(run) = leader.job_runs.get_mut(&task.job) else {
             return;
         };
--- a/src/core/scheduling/scaling.rs
+++ b/src/core/scheduling/scaling.rs
@@ -50,7 +50,7 @@
             return;
         };
         leader.scheduler.last_scaling = Some(now);
-        leader.scheduler.arrivals.note(now, 0);
+        leader.scheduler.arrivals.record(now, 0);
         leader.cluster_snapshot.recompute_team_allocations();
         let Some(leader) = &self.leader else { return };
         if self.machine_types.is_empty() {
@@ -187,7 +187,7 @@
             ram: machine_type.map_or(0.0, |t| t.ram),
             age: age.as_secs_f64(),
             boot: machine_type.map_or(0.0, |t| t.boot_s),
-            pause: leader.scheduler.arrivals.pause(),
+            pause: leader.scheduler.arrivals.mean_interarrival_s(),
         };
         let timeout_s = self.policy.machine_number(Entry::IdleTimeout, &facts);
         Duration::from_secs_f64(timeout_s.clamp(0.0, MAX_IDLE_TIMEOUT_S))
--- a/src/core/simulation/scenarios/cancellation.rs
+++ b/src/core/simulation/scenarios/cancellation.rs
@@ -334,7 +334,7 @@
                 lead.writes.ends.len()
             );
             assert!(core.pending.len() < 80, "{} calls wait", core.pending.len());
-            let known = core.store_cache.versions.known();
+            let known = core.store_cache.versions.tracked_keys();
             assert!(known < 200, "{known} versions are kept, after {n} jobs");
             assert!(core.store_cache.garbage_keys.len() < 40);
         }
--- a/src/core/store/cache.rs
+++ b/src/core/store/cache.rs
@@ -158,7 +158,7 @@
             } else if job.version > revision && !self.finished.contains_key(&id) {
                 let cancelled =
                     self.dependencies
-                        .begin(&id, &job.spec.dependencies, &self.finished);
+                        .add_job(&id, &job.spec.dependencies, &self.finished);
                 self.changed.extend(cancelled);
                 self.jobs.insert(id, job);
             }
@@ -243,7 +243,7 @@
 
     /// Whether a job with this id was ever accepted, as far as is known here.
     pub fn knows(&self, id: &str) -> bool {
-        self.jobs.contains_key(id) || self.finished.contains_key(id) || self.parts.awaited_parts(id)
+        self.jobs.contains_key(id) || self.finished.contains_key(id) || self.parts.is_incomplete(id)
     }
 
     /// Whether no dependency of a live job keeps it from starting.
--- a/src/core/store/cache/apply.rs
+++ b/src/core/store/cache/apply.rs
@@ -6,7 +6,7 @@
     ResidualTasks, StoreCache, TaskSet, TermValue,
 };
 use crate::core::store::keys::{PartGeneration, StoreKey, done_key};
-use crate::core::store::large_jobs::{PartValue, PartedJob};
+use crate::core::store::large_jobs::{MultipartHeader, PartValue};
 use crate::fault_injection::{Safeguard, is_enabled};
 use crate::job::{JobId, JobOutcome, JobSpec, MachineId};
 use crate::store_client::PREFIX;
@@ -128,7 +128,7 @@
 
     /// Reads a job whose last part has come.
     fn join_parts(&mut self, id: &JobId) {
-        if let Some((head, spec)) = self.parts.complete(id) {
+        if let Some((head, spec)) = self.parts.take_complete(id) {
             let value = JobValue::live(Box::new(spec), head.submitted_ms);
             self.put_job(id, value, head.version);
         }
@@ -147,7 +147,7 @@
                 generation,
                 submitted_ms,
             } => {
-                let head = PartedJob {
+                let head = MultipartHeader {
                     generation,
                     count,
                     submitted_ms,
@@ -184,9 +184,9 @@
         self.finished.contains_key(id) || self.jobs.contains_key(id)
     }
 
-    fn put_parted_job(&mut self, id: &JobId, head: PartedJob) {
+    fn put_parted_job(&mut self, id: &JobId, head: MultipartHeader) {
         if !self.is_read(id) {
-            self.parts.expect(id, head);
+            self.parts.add_header(id, head);
             self.join_parts(id);
         }
     }
@@ -200,7 +200,7 @@
         let dependencies = job.as_ref().map_or(&[][..], |j| &j.spec.dependencies);
         // Its dependencies inherit no urgency from it any more.
         self.changed.extend(dependencies.iter().cloned());
-        let dependents = self.dependencies.end(&id, dependencies, end);
+        let dependents = self.dependencies.remove_job(&id, dependencies, end);
         self.changed.extend(dependents);
         let stored_ranges = job.map(|j| j.stored_ranges).unwrap_or_default();
         let orphaned = self.take_orphaned_ranges(&id).into_iter();
@@ -209,7 +209,7 @@
             .chain(orphaned.map(|(base, _)| base));
         self.garbage_keys
             .extend(bases.map(|base| done_key(&id, base)));
-        self.garbage_keys.extend(self.parts.end(&id));
+        self.garbage_keys.extend(self.parts.remove_job(&id));
         self.finished.insert(id, end);
     }
 
@@ -224,7 +224,7 @@
         }
         let cancelled = self
             .dependencies
-            .begin(&id, &spec.dependencies, &self.finished);
+            .add_job(&id, &spec.dependencies, &self.finished);
         self.changed.extend(cancelled);
         let record = JobRecord {
             submitted: SystemTime::UNIX_EPOCH + Duration::from_millis(submitted_ms),
--- a/src/core/store/commit/tests.rs
+++ b/src/core/store/commit/tests.rs
@@ -2,7 +2,7 @@
 use crate::wire::{Change, CompareAndSwap, Condition, Item, WatchEvent};
 use serde_json::{Value, json};
 
-fn put(key: &str, value: Value, version: u64) -> WatchEvent {
+fn put_event(key: &str, value: Value, version: u64) -> WatchEvent {
     WatchEvent {
         put: Some(key.into()),
         delete: None,
@@ -12,7 +12,7 @@
     }
 }
 
-fn dropped(key: &str, version: u64) -> WatchEvent {
+fn delete_event(key: &str, version: u64) -> WatchEvent {
     WatchEvent {
         put: None,
         delete: Some(key.into()),
@@ -50,50 +50,56 @@
     }
 }
 
-fn its_events(version: u64) -> Vec<WatchEvent> {
+fn commit_events(version: u64) -> Vec<WatchEvent> {
     vec![
-        put("a", json!({"n": 2.0, "rows": "1-4"}), version),
-        put("b", json!([1.5]), version),
-        dropped("c", version),
+        put_event("a", json!({"n": 2.0, "rows": "1-4"}), version),
+        put_event("b", json!([1.5]), version),
+        delete_event("c", version),
     ]
 }
 
 #[test]
-fn a_revision_with_exactly_its_changes_is_its_commit() {
-    let mut events = vec![put("a", json!(0), 8)];
-    events.extend(its_events(9));
-    events.push(dropped("leader", 10));
+fn a_revision_with_exactly_the_changes_is_the_commit() {
+    let mut events = vec![put_event("a", json!(0), 8)];
+    events.extend(commit_events(9));
+    events.push(delete_event("leader", 10));
     assert_eq!(committed_in_events(&txn(), &events), Some(9));
 }
 
 #[test]
-fn a_revision_with_other_changes_is_somebody_elses() {
-    let of = |edit: &dyn Fn(&mut Vec<WatchEvent>)| {
-        let mut events = its_events(9);
+fn a_revision_with_other_changes_is_not_the_commit() {
+    let committed_after = |edit: &dyn Fn(&mut Vec<WatchEvent>)| {
+        let mut events = commit_events(9);
         edit(&mut events);
         committed_in_events(&txn(), &events)
     };
-    assert_eq!(of(&|_| {}), Some(9));
-    assert_eq!(of(&|e| e[0].value = json!({"rows": "1-5", "n": 2})), None);
-    assert_eq!(of(&|e| e[1].value = json!([1.5, 2])), None);
-    assert_eq!(of(&|e| drop(e.remove(2))), None);
-    assert_eq!(of(&|e| e[0].version = 8), None);
-    assert_eq!(of(&|e| e.push(put("x", json!(1), 9))), None);
-    assert_eq!(of(&|e| e[1] = dropped("b", 9)), None);
-    assert_eq!(of(&|e| e.clear()), None);
+    assert_eq!(committed_after(&|_| {}), Some(9));
+    assert_eq!(
+        committed_after(&|e| e[0].value = json!({"rows": "1-5", "n": 2})),
+        None
+    );
+    assert_eq!(committed_after(&|e| e[1].value = json!([1.5, 2])), None);
+    assert_eq!(committed_after(&|e| drop(e.remove(2))), None);
+    assert_eq!(committed_after(&|e| e[0].version = 8), None);
+    assert_eq!(
+        committed_after(&|e| e.push(put_event("x", json!(1), 9))),
+        None
+    );
+    assert_eq!(committed_after(&|e| e[1] = delete_event("b", 9)), None);
+    assert_eq!(committed_after(&|e| e.clear()), None);
 }
 
 #[test]
-fn a_transaction_that_changes_nothing_leaves_no_trace() {
-    let mut nothing = txn();
-    nothing.changes.drain(..3);
-    assert_eq!(committed_in_events(&nothing, &its_events(9)), None);
-    assert_eq!(committed_in_list(&nothing, &[]), None);
+fn a_transaction_without_effect_is_never_found_committed() {
+    let mut no_op = txn();
+    no_op.changes.drain(..3);
+    assert_eq!(committed_in_events(&no_op, &commit_events(9)), None);
+    assert_eq!(committed_in_list(&no_op, &[]), None);
 }
 
 #[test]
-fn a_list_shows_it_by_values_of_one_version() {
-    let of = |edit: &dyn Fn(&mut Vec<Item>)| {
+fn a_list_shows_a_commit_by_equal_values_of_one_version() {
+    let committed_after = |edit: &dyn Fn(&mut Vec<Item>)| {
         let mut items = vec![
             item("a", json!({"rows": "1-4", "n": 2}), 9),
             item("b", json!([1.5]), 9),
@@ -102,11 +108,20 @@
         edit(&mut items);
         committed_in_list(&txn(), &items)
     };
-    assert_eq!(of(&|_| {}), Some(9));
-    assert_eq!(of(&|i| i[1].version = 10), None);
-    assert_eq!(of(&|i| i[0].value = json!({"rows": "1-5", "n": 2})), None);
-    assert_eq!(of(&|i| drop(i.remove(1))), None);
-    assert_eq!(of(&|i| i.insert(2, item("c", json!(1), 4))), None);
+    assert_eq!(committed_after(&|_| {}), Some(9));
+    assert_eq!(committed_after(&|i| i[1].version = 10), None);
+    assert_eq!(
+        committed_after(&|i| i[0].value = json!({"rows": "1-5", "n": 2})),
+        None
+    );
+    assert_eq!(committed_after(&|i| drop(i.remove(1))), None);
+    assert_eq!(
+        committed_after(&|i| i.insert(2, item("c", json!(1), 4))),
+        None
+    );
     // As it was before: the same values, of the versions that the transaction depends on.
-    assert_eq!(of(&|i| (i[0].version, i[1].version) = (3, 3)), None);
+    assert_eq!(
+        committed_after(&|i| (i[0].version, i[1].version) = (3, 3)),
+        None
+    );
 }
--- a/src/core/store/integrity/identity.rs
+++ b/src/core/store/integrity/identity.rs
@@ -6,7 +6,7 @@
 use crate::core::command::Pending;
 use crate::core::leadership::lease::LEASE_TTL;
 use crate::core::store::cache::{IdentityValue, RebuildingValue};
-use crate::core::store::keys::{REBUILDING, identity_key, key, named};
+use crate::core::store::keys::{REBUILDING, identity_condition, identity_key, key};
 use crate::store_client::StoreRequest;
 use crate::wire::{Change, CompareAndSwap, Condition, to_json_value};
 use std::time::SystemTime;
@@ -196,7 +196,7 @@
             version: 0,
         };
         let request = CompareAndSwap {
-            conditions: vec![named(identity), unmarked],
+            conditions: vec![identity_condition(identity), unmarked],
             changes: vec![self.incomplete_mark(loss)],
         };
         self.call_store(Pending::MarkDataLoss, StoreRequest::CompareAndSwap(request));
--- a/src/core/store/keys.rs
+++ b/src/core/store/keys.rs
@@ -21,7 +21,7 @@
 /// The store is incomplete: what it lost is being brought back.
 pub const REBUILDING: &str = "rebuilding";
 /// A key that is never written: reading its absence returns the store's revision.
-pub const NOTHING: &str = "nothing";
+pub const NEVER_WRITTEN: &str = "nothing";
 
 /// Names one writing of a job's parts; a repeated submission writes its own.
 pub type PartGeneration = u64;
@@ -126,7 +126,7 @@
 }
 
 /// The condition that the store has this identity, given with the version of its key.
-pub fn named(identity: &(String, u64)) -> Condition {
+pub fn identity_condition(identity: &(String, u64)) -> Condition {
     Condition {
         key: identity_key(&identity.0),
         version: identity.1,
--- a/src/core/store/keys/tests.rs
+++ b/src/core/store/keys/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn every_key_written_here_is_parsed_as_what_it_is_for() {
+fn every_written_key_is_parsed_as_its_kind() {
     let cases = [
         (key(LEADER), StoreKey::Leader),
         (key(TERM), StoreKey::Term),
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn keys_of_others_and_with_unreadable_numbers_are_none_of_ours() {
+fn foreign_keys_and_keys_with_malformed_numbers_are_not_parsed() {
     let names = ["nothing", "x/1", "d/wk-1", "d/wk-1/x", "s/wk-1/7", "p/x"];
     for name in names {
         assert_eq!(StoreKey::parse(&key(name)), None, "{name}");
--- a/src/core/store/large_jobs.rs
+++ b/src/core/store/large_jobs.rs
@@ -16,7 +16,7 @@
 }
 
 /// Cuts a text so that each part fits into a value of so many bytes, whatever has to be escaped.
-pub fn cut(text: &str, value_bytes: usize) -> Vec<String> {
+pub fn split_text(text: &str, value_bytes: usize) -> Vec<String> {
     let max_bytes = value_bytes.saturating_sub(32).max(16) / 2;
     let mut parts = Vec::new();
     let mut rest = text;
@@ -45,7 +45,7 @@
 
 /// An accepted job, some parts of which have not been read yet.
 #[derive(Clone, Copy, Debug)]
-pub struct PartedJob {
+pub struct MultipartHeader {
     /// The writing of parts that its key refers to.
     pub generation: PartGeneration,
     /// How many parts it has.
@@ -61,7 +61,7 @@
 pub struct LargeJobParts {
     /// What is stored, by job and writing. Texts are dropped once their job has been read.
     texts: BTreeMap<(JobId, PartGeneration), BTreeMap<u32, String>>,
-    incomplete_jobs: BTreeMap<JobId, PartedJob>,
+    incomplete_jobs: BTreeMap<JobId, MultipartHeader>,
     /// Which writing a live job was read from.
     generation_read: BTreeMap<JobId, PartGeneration>,
 }
@@ -87,23 +87,23 @@
     }
 
     /// A job is accepted; its parts may be read before or after this.
-    pub fn expect(&mut self, id: &JobId, head: PartedJob) {
+    pub fn add_header(&mut self, id: &JobId, header: MultipartHeader) {
         if !self.generation_read.contains_key(id) {
-            self.incomplete_jobs.insert(id.clone(), head);
+            self.incomplete_jobs.insert(id.clone(), header);
         }
     }
 
     /// The job, if it is accepted and all its parts are there.
-    pub fn complete(&mut self, id: &JobId) -> Option<(PartedJob, JobSpec)> {
-        let head = *self.incomplete_jobs.get(id)?;
-        let parts = self.texts.get_mut(&(id.clone(), head.generation))?;
-        let all = (0..head.count).map(|n| parts.get(&n).map(String::as_str));
+    pub fn take_complete(&mut self, id: &JobId) -> Option<(MultipartHeader, JobSpec)> {
+        let header = *self.incomplete_jobs.get(id)?;
+        let parts = self.texts.get_mut(&(id.clone(), header.generation))?;
+        let all = (0..header.count).map(|n| parts.get(&n).map(String::as_str));
         let text: String = all.collect::<Option<Vec<_>>>()?.concat();
         parts.values_mut().for_each(|text| *text = String::new());
         self.incomplete_jobs.remove(id);
-        self.generation_read.insert(id.clone(), head.generation);
+        self.generation_read.insert(id.clone(), header.generation);
         match serde_json::from_str(&text) {
-            Ok(spec) => Some((head, spec)),
+            Ok(spec) => Some((header, spec)),
             Err(e) => {
                 tracing::error!(job = %id, error = %e, "unreadable parts of a job");
                 None
@@ -112,7 +112,7 @@
     }
 
     /// A job is over. Returns the keys that are of no use any more.
-    pub fn end(&mut self, id: &JobId) -> Vec<String> {
+    pub fn remove_job(&mut self, id: &JobId) -> Vec<String> {
         self.incomplete_jobs.remove(id);
         self.generation_read.remove(id);
         let all = (id.clone(), 0)..=(id.clone(), PartGeneration::MAX);
@@ -139,7 +139,7 @@
     }
 
     /// Whether the job is accepted, and some of its parts are not read yet.
-    pub fn awaited_parts(&self, id: &str) -> bool {
+    pub fn is_incomplete(&self, id: &str) -> bool {
         self.incomplete_jobs.contains_key(id)
     }
 }
--- a/src/core/store/machine_records.rs
+++ b/src/core/store/machine_records.rs
@@ -28,8 +28,8 @@
 
 impl Page {
     /// Whether so many bytes more fit; an empty page takes any machine.
-    fn has_room(&self, more: usize, limit: usize) -> bool {
-        self.machines.is_empty() || self.bytes + more <= limit
+    fn has_room(&self, bytes: usize, max_bytes: usize) -> bool {
+        self.machines.is_empty() || self.bytes + bytes <= max_bytes
     }
 
     /// The change that brings the stored page up to date.
@@ -47,7 +47,7 @@
 #[derive(Default)]
 pub struct MachineRecords {
     /// Bytes that a page may have.
-    limit: usize,
+    max_page_bytes: usize,
     pages: Vec<Page>,
     page_of: BTreeMap<MachineId, usize>,
     /// Pages that have new machines on them.
@@ -88,7 +88,7 @@
     /// The machines that a new leader finds in the store.
     pub fn new(store_cache: &StoreCache, value_bytes: usize) -> MachineRecords {
         let mut records = MachineRecords {
-            limit: value_bytes / 8 * 7,
+            max_page_bytes: value_bytes / 8 * 7,
             single_key_machines: store_cache.single_key_machines.clone(),
             ..MachineRecords::default()
         };
@@ -122,9 +122,9 @@
             self.pages_to_write.insert(*n);
             return;
         }
-        let more = entry_bytes(id, &value);
-        let limit = self.limit;
-        let n = self.find_or_add_page(|page| page.has_room(more, limit));
+        let bytes = entry_bytes(id, &value);
+        let max_bytes = self.max_page_bytes;
+        let n = self.find_or_add_page(|page| page.has_room(bytes, max_bytes));
         self.put(n, id.clone(), value);
         self.pages_to_write.insert(n);
     }
@@ -146,11 +146,16 @@
 
     /// The next pages to write, those with new machines first; no more than `max_changes`. The
     /// first page that fits with new machines; else, unless `only_new`, one that lists machines that are gone.
-    pub fn next(&mut self, now: Instant, only_new: bool, max_changes: usize) -> Option<PageWrite> {
+    pub fn next_write(
+        &mut self,
+        now: Instant,
+        only_new: bool,
+        max_changes: usize,
+    ) -> Option<PageWrite> {
         let mut groups = self.atomic_groups.iter();
         if let Some(group) = groups.position(|pages| pages.len() <= max_changes) {
             let pages = self.atomic_groups.swap_remove(group);
-            return Some(self.write(pages));
+            return Some(self.page_write(pages));
         }
         self.deferred_pages.retain(|_, until| now < *until);
         let new = self.next_new_page(max_changes);
@@ -163,7 +168,7 @@
         } else {
             vec![n]
         };
-        Some(self.write(pages))
+        Some(self.page_write(pages))
     }
 
     /// The first page with new machines that can be written now.
@@ -185,8 +190,8 @@
     }
 
     /// The first page of which this holds, or a new one at the end.
-    fn find_or_add_page(&mut self, suits: impl Fn(&Page) -> bool) -> usize {
-        let found = self.pages.iter().position(suits);
+    fn find_or_add_page(&mut self, predicate: impl Fn(&Page) -> bool) -> usize {
+        let found = self.pages.iter().position(predicate);
         found.unwrap_or_else(|| {
             self.pages.push(Page::default());
             self.pages.len() - 1
@@ -196,8 +201,8 @@
     /// How many pages the machines of this one take; a page that others move to as well.
     fn pages_after_split(&self, n: usize) -> usize {
         match self.pages[n].bytes {
-            bytes if bytes <= self.limit => 1,
-            bytes => bytes.div_ceil(self.limit / 4 * 3) + 1,
+            bytes if bytes <= self.max_page_bytes => 1,
+            bytes => bytes.div_ceil(self.max_page_bytes / 4 * 3) + 1,
         }
     }
 
@@ -206,15 +211,15 @@
         let mut pages = vec![n];
         let all = std::mem::take(&mut self.pages[n]);
         for (id, value) in all.machines {
-            let more = entry_bytes(&id, &value);
+            let bytes = entry_bytes(&id, &value);
             let last = *pages.last().unwrap_or(&n);
-            let target = if self.pages[last].has_room(more, self.limit) {
+            let target = if self.pages[last].has_room(bytes, self.max_page_bytes) {
                 last
             } else {
                 // Empty ones only: each other page with room would be one more to write.
-                let vacant = self.find_or_add_page(|page| page.machines.is_empty());
-                pages.push(vacant);
-                vacant
+                let empty_page = self.find_or_add_page(|page| page.machines.is_empty());
+                pages.push(empty_page);
+                empty_page
             };
             self.put(target, id, value);
         }
@@ -222,7 +227,7 @@
     }
 
     /// The changes that bring these pages up to date.
-    fn write(&mut self, pages: Vec<usize>) -> PageWrite {
+    fn page_write(&mut self, pages: Vec<usize>) -> PageWrite {
         let mut changes = Vec::new();
         let mut machines = Vec::new();
         for &n in &pages {
@@ -240,14 +245,14 @@
     }
 
     /// Whether the machine is recorded in the state service, as far as the pending pages show.
-    pub fn known(&self, id: &MachineId) -> bool {
+    pub fn is_recorded(&self, id: &MachineId) -> bool {
         let page = self.page_of.get(id);
         self.single_key_machines.contains(id)
             || page.is_some_and(|n| !self.pages_to_write.contains(n))
     }
 
     /// Whether the machine is recorded, or its record is pending.
-    pub fn has(&self, id: &MachineId) -> bool {
+    pub fn is_recorded_or_pending(&self, id: &MachineId) -> bool {
         self.page_of.contains_key(id) || self.single_key_machines.contains(id)
     }
 
--- a/src/core/store/machine_records/tests.rs
+++ b/src/core/store/machine_records/tests.rs
@@ -28,7 +28,7 @@
 /// What a leader writes is what the next one finds, page by page, machines that came one by
 /// one and all at once, and those of an earlier version's keys too.
 #[test]
-fn a_thousand_machines_are_on_record_in_a_few_pages_and_leave_it_again() {
+fn a_thousand_machines_are_recorded_in_few_pages_and_removed_again() {
     let mut store_cache = StoreCache::default();
     let old = Item {
         key: machine_key("i-old"),
@@ -38,13 +38,13 @@
     };
     store_cache.reset(vec![old], 1);
     let now = Instant::now();
-    let mut r = MachineRecords::new(&store_cache, 8192);
+    let mut records = MachineRecords::new(&store_cache, 8192);
     let ids: Vec<MachineId> = (0..1000).map(|i| format!("i-{i:06}").into()).collect();
     let (mut version, mut writes) = (1, 0);
     for (i, id) in ids.iter().enumerate() {
-        r.add(id, value(i));
+        records.add(id, value(i));
         if i % 100 == 99 {
-            while let Some(write) = r.next(now, true, 9) {
+            while let Some(write) = records.next_write(now, true, 9) {
                 version += 1;
                 for change in write.changes {
                     assert!(to_json(&change).len() < 8192);
@@ -58,13 +58,13 @@
     assert_eq!(store_cache.machines.len(), 1001);
 
     // Another leader takes over what it finds and forgets most of it.
-    let mut r = MachineRecords::new(&store_cache, 8192);
+    let mut records = MachineRecords::new(&store_cache, 8192);
     for id in ids.iter().skip(10) {
-        r.remove(id, now);
+        records.remove(id, now);
     }
-    r.remove(&"i-old".into(), now);
-    assert!(r.next(now, false, 9).is_none());
-    while let Some(write) = r.next(now + STALE_PAGE_DELAY, false, 9) {
+    records.remove(&"i-old".into(), now);
+    assert!(records.next_write(now, false, 9).is_none());
+    while let Some(write) = records.next_write(now + STALE_PAGE_DELAY, false, 9) {
         version += 1;
         for change in write.changes {
             apply_event(&mut store_cache, change, version);
@@ -72,7 +72,7 @@
     }
     apply_event(
         &mut store_cache,
-        r.next_single_key_deletion().unwrap(),
+        records.next_single_key_deletion().unwrap(),
         version + 1,
     );
     let remaining: Vec<&MachineId> = store_cache.machines.keys().collect();
--- a/src/core/store/pending_writes.rs
+++ b/src/core/store/pending_writes.rs
@@ -30,7 +30,7 @@
 
 /// Changes that wait for the next transaction, and the one that is in flight.
 #[derive(Default)]
-pub struct Writes {
+pub struct PendingWrites {
     /// Jobs that have ended, and how.
     pub ends: BTreeMap<JobId, JobOutcome>,
     /// Jobs to cancel because a job that they depend on was cancelled, which is durable already.
--- a/src/core/store/read_barrier.rs
+++ b/src/core/store/read_barrier.rs
@@ -8,7 +8,7 @@
 use crate::core::Core;
 use crate::core::command::Pending;
 use crate::core::store::barrier_request::BarrierRequest;
-use crate::core::store::keys::{NOTHING, key};
+use crate::core::store::keys::{NEVER_WRITTEN, key};
 use crate::http::Response;
 use crate::store_client::{StoreOutcome, StoreRequest};
 use std::time::{Duration, Instant};
@@ -42,19 +42,22 @@
     pub(in crate::core) fn send_barrier(&mut self) {
         let new = std::mem::take(&mut self.barriers.queued);
         if !new.is_empty() {
-            self.call_store(Pending::ReadBarrier(new), StoreRequest::Get(key(NOTHING)));
+            self.call_store(
+                Pending::ReadBarrier(new),
+                StoreRequest::Get(key(NEVER_WRITTEN)),
+            );
         }
     }
 
     /// The read has shown the store's revision, or has failed.
-    pub(in crate::core) fn barrier_read(
+    pub(in crate::core) fn barrier_outcome(
         &mut self,
         requests: Vec<BarrierRequest>,
         outcome: StoreOutcome,
     ) {
         let StoreOutcome::Missing { revision } = outcome else {
             tracing::debug!(?outcome, "read barrier failed");
-            return self.defer(requests);
+            return self.answer_unavailable(requests);
         };
         self.barriers.waiting.push(WaitingGroup {
             revision,
@@ -65,7 +68,7 @@
     }
 
     /// The users are asked to try again.
-    fn defer(&mut self, requests: Vec<BarrierRequest>) {
+    fn answer_unavailable(&mut self, requests: Vec<BarrierRequest>) {
         for request in requests {
             let ticket = match request {
                 BarrierRequest::Show(ticket, _) => ticket,
@@ -82,7 +85,7 @@
             if self.store_cache.loaded && revision >= group.revision {
                 self.answer_requests(group.requests);
             } else if now >= group.deadline {
-                self.defer(group.requests);
+                self.answer_unavailable(group.requests);
             } else {
                 self.barriers.waiting.push(group);
             }
--- a/src/core/store/transaction.rs
+++ b/src/core/store/transaction.rs
@@ -55,14 +55,14 @@
     }
 
     /// How many more changes it may have.
-    fn room(&self) -> usize {
+    fn remaining_changes(&self) -> usize {
         self.max_changes.saturating_sub(self.changes.len())
     }
 
     /// Adds changes that belong together, if there is room for all of them.
     fn add(&mut self, mut changes: Vec<Change>) -> bool {
         let bytes: usize = changes.iter().map(transaction_bytes).sum();
-        if changes.len() > self.room() || self.bytes + bytes > MAX_TRANSACTION_BYTES {
+        if changes.len() > self.remaining_changes() || self.bytes + bytes > MAX_TRANSACTION_BYTES {
             return false;
         }
         self.bytes += bytes;
@@ -114,7 +114,7 @@
             self.leader.writes.machine_types = false;
             return None;
         }
-        Some(self.finish())
+        Some(self.into_transaction())
     }
 
     fn is_quarantined(&self, key: &str) -> bool {
@@ -167,8 +167,9 @@
 
     fn add_machine_pages(&mut self, only_new: bool) {
         let (records, batch) = (&mut self.leader.writes.records, &mut self.batch);
-        while batch.room() > 0
-            && let Some(write) = records.next(self.now.mono, only_new, batch.room())
+        while batch.remaining_changes() > 0
+            && let Some(write) =
+                records.next_write(self.now.mono, only_new, batch.remaining_changes())
         {
             if !batch.add(write.changes) {
                 return records.requeue(write.pages);
@@ -176,7 +177,7 @@
             batch.ops.push(WriteOp::Pages(write.pages, write.machines));
         }
         while !only_new
-            && batch.room() > 0
+            && batch.remaining_changes() > 0
             && let Some(change) = records.next_single_key_deletion()
         {
             batch.changes.push(change);
@@ -226,7 +227,7 @@
         value_bytes: usize,
     ) -> (Vec<Change>, WriteOp) {
         let text = String::from_utf8(to_json(spec)).unwrap_or_default();
-        let texts = large_jobs::cut(&text, value_bytes);
+        let texts = large_jobs::split_text(&text, value_bytes);
         // This leadership's own writing of it.
         let generation = self.leader.term;
         let written = &self.leader.writes.missing_parts_written;
@@ -244,7 +245,10 @@
             let key = part_key(id, generation, n as u32);
             Change::put(key, to_json_value(&PartValue { text }))
         };
-        let changes: Vec<Change> = next.take(self.batch.room().max(1)).map(part).collect();
+        let changes: Vec<Change> = next
+            .take(self.batch.remaining_changes().max(1))
+            .map(part)
+            .collect();
         let written = written + changes.len();
         (changes, WriteOp::MissingJobParts(id.clone(), written))
     }
@@ -331,7 +335,7 @@
     }
 
     fn add_garbage_deletions(&mut self) {
-        while self.batch.room() > 0
+        while self.batch.remaining_changes() > 0
             && let Some(key) = self.store_cache.garbage_keys.pop_first()
         {
             if self.store_cache.versions.of(&key) > 0 {
@@ -340,7 +344,7 @@
         }
     }
 
-    fn finish(self) -> Transaction {
+    fn into_transaction(self) -> Transaction {
         let Batch { changes, ops, .. } = self.batch;
         // Conditional on the leader key: a transaction that arrives after the end of this
         // leadership must change nothing.
@@ -349,7 +353,7 @@
             version: self.leader.key_version,
         }];
         // In a store that has lost data, another leader key may have the same version.
-        conditions.extend(self.leader.named());
+        conditions.extend(self.leader.identity_condition());
         // And one that is carried out after newer ones of this leader must not undo them.
         conditions.extend(changes.iter().map(|change| Condition {
             key: change.key().into(),
@@ -379,18 +383,18 @@
     /// The next transaction of this leader, if anything waits to be written.
     pub(super) fn build_transaction(&mut self) -> Option<Transaction> {
         self.collect_garbage_keys();
-        let allowed = self.settings.max_transaction_changes.saturating_sub(1);
+        let configured = self.settings.max_transaction_changes.saturating_sub(1);
         let budget = self.write_budget.available(self.now.mono) as usize;
-        let max_changes = allowed.max(1).min(budget);
+        let max_changes = configured.max(1).min(budget);
         let leader = self.leader.as_mut()?;
-        let accepted = leader.writes.max_changes.unwrap_or(max_changes);
+        let store_limit = leader.writes.max_changes.unwrap_or(max_changes);
         let builder = TransactionBuilder {
             leader,
             store_cache: &mut self.store_cache,
             settings: &self.settings,
             machine_types: &self.machine_types,
             now: self.now,
-            batch: Batch::new(max_changes.min(accepted)),
+            batch: Batch::new(max_changes.min(store_limit)),
         };
         let transaction = builder.build()?;
         self.write_budget.spend(transaction.request.changes.len());
@@ -403,15 +407,15 @@
         let Some(leader) = &mut self.leader else {
             return;
         };
-        let mut since = std::mem::take(&mut leader.unclaimed_parts);
+        let mut first_seen = std::mem::take(&mut leader.unclaimed_parts);
         for (id, generation) in self.store_cache.parts.unclaimed() {
-            let name = (id.clone(), *generation);
-            let first = since.remove(&name).unwrap_or(now);
-            if now >= first + UNCLAIMED_PARTS_TTL {
+            let part_set = (id.clone(), *generation);
+            let since = first_seen.remove(&part_set).unwrap_or(now);
+            if now >= since + UNCLAIMED_PARTS_TTL {
                 let keys = self.store_cache.parts.keys(id, *generation);
                 self.store_cache.garbage_keys.extend(keys);
             }
-            leader.unclaimed_parts.insert(name, first);
+            leader.unclaimed_parts.insert(part_set, since);
         }
     }
 }
--- a/src/core/store/versions.rs
+++ b/src/core/store/versions.rs
@@ -47,8 +47,8 @@
     }
 
     /// This process wrote these changes, which its copy, of revision `copy`, may not show yet.
-    pub fn record_write(&mut self, changes: &[Change], revision: u64, copy: u64) {
-        if revision <= copy {
+    pub fn record_write(&mut self, changes: &[Change], revision: u64, cache_revision: u64) {
+        if revision <= cache_revision {
             return;
         }
         for change in changes {
@@ -66,7 +66,7 @@
 
     /// Keys of which versions are kept.
     #[cfg(test)]
-    pub fn known(&self) -> usize {
+    pub fn tracked_keys(&self) -> usize {
         self.observed.len() + self.unconfirmed.len()
     }
 
--- a/src/core/store/writes.rs
+++ b/src/core/store/writes.rs
@@ -23,7 +23,7 @@
 /// The watch shows within moments what a write was refused for; after this, the whole store is read again.
 const CONFLICT_SETTLE_TIMEOUT: Duration = Duration::from_secs(2);
 /// What the service refuses by itself is tried again after this long.
-const QUARANTINE: Duration = Duration::from_secs(30);
+const QUARANTINE_DURATION: Duration = Duration::from_secs(30);
 /// Before a transaction is sent again that the service did not take.
 const REFUSED_RETRY_DELAY: Duration = Duration::from_millis(250);
 /// Before a transaction is sent again to which there was no answer.
@@ -46,8 +46,8 @@
         let Some(Transaction { request, ops }) = self.build_transaction() else {
             return;
         };
-        let sent = StoreRequest::CompareAndSwap(request.clone());
-        let call = self.call_store(Pending::Write, sent);
+        let store_request = StoreRequest::CompareAndSwap(request.clone());
+        let call = self.call_store(Pending::Write, store_request);
         if let Some(leader) = &mut self.leader {
             leader.writes.in_flight = Some(InFlightWrite::new(request, ops, call, now));
         }
@@ -124,11 +124,11 @@
     /// Keys that the transaction depends on have other versions. Without its leader key or its store this
     /// leadership is over; otherwise the copy of the store has to show first whose change it was.
     fn write_conflicted(&mut self, conflicting_keys: Vec<String>, revision: u64) {
-        let renamed = self.contains_identity_key(&conflicting_keys);
-        if renamed {
+        let identity_lost = self.contains_identity_key(&conflicting_keys);
+        if identity_lost {
             self.suspect_data_loss("its identity is gone");
         }
-        if renamed || conflicting_keys.contains(&key(LEADER)) {
+        if identity_lost || conflicting_keys.contains(&key(LEADER)) {
             let keys = conflicting_keys.join(", ");
             return self.step_down(&format!("a write was refused: {keys} changed"));
         }
@@ -147,7 +147,7 @@
     /// say. Fewer changes go together, down to one; a change that is refused by itself is quarantined, as
     /// the others must not wait for it.
     fn write_rejected(&mut self, error: &str) {
-        let quarantined_until = self.now.mono + QUARANTINE;
+        let quarantined_until = self.now.mono + QUARANTINE_DURATION;
         let Some(leader) = &mut self.leader else {
             return;
         };
@@ -165,11 +165,11 @@
             let quarantined = &mut writes.quarantined_keys;
             quarantined.insert(key.to_string(), quarantined_until);
         }
-        let alone = ops.len() == 1;
+        let single_op = ops.len() == 1;
         for op in ops {
             if let WriteOp::Pages(pages, _) = op {
                 match pages[..] {
-                    [page] if alone => writes.records.defer(page, quarantined_until),
+                    [page] if single_op => writes.records.defer(page, quarantined_until),
                     _ => writes.records.requeue(pages),
                 }
             }
@@ -296,8 +296,8 @@
                 leader.writes.missing_parts_written.remove(&id);
                 self.store_cache.missing_from_store.remove(&id);
             }
-            WriteOp::MissingJobParts(id, upto) => {
-                leader.writes.missing_parts_written.insert(id, upto);
+            WriteOp::MissingJobParts(id, count) => {
+                leader.writes.missing_parts_written.insert(id, count);
             }
             WriteOp::Rebuilt => leader.writes.rebuild_complete = false,
         }
