--- a/src/core/jobs/answers.rs
+++ b/src/core/jobs/answers.rs
@@ -1,4 +1,4 @@
-//! The state of a job as users see it, from what this controller knows.
+//! Responses to users with the state of a job, as far as this controller knows it.
 
 use crate::core::jobs::job_run::JobRun;
 use crate::core::{Core, Ticket};
@@ -6,7 +6,7 @@
 use crate::job::{JobOutcome, MachineId, TaskId};
 use crate::wire::{JobState, JobStatus, to_json};
 
-/// The body of an answer that tells a job's state.
+/// Returns the body of a response with a job's state.
 pub(in crate::core) fn state_body(
     id: &str,
     state: JobState,
@@ -21,7 +21,7 @@
     })
 }
 
-/// The state of a job that ended so.
+/// Returns the state of a job that ended with this outcome.
 pub(in crate::core) fn final_state(outcome: JobOutcome) -> JobState {
     match outcome {
         JobOutcome::Done => JobState::Done,
@@ -29,28 +29,29 @@
     }
 }
 
-/// The answer while the state of jobs is withheld, see [`Core::must_withhold_state`].
+/// Returns the response while the state of jobs is withheld, see [`Core::must_withhold_state`].
 pub(in crate::core) fn rebuilding_answer() -> Response {
     Response::busy("the state service has lost data and is being rebuilt", 1)
 }
 
 impl Core {
-    /// The state of a job that has ended.
+    /// Returns the response with the state of a job, if the job has ended.
     pub(in crate::core) fn final_answer(&self, id: &str) -> Option<Response> {
         let outcome = self.store_cache.outcome_of(id)?;
         let body = state_body(id, final_state(outcome), None, None);
         Some(Response::new(200, body))
     }
 
-    /// The store has lost data, and another controller may remember more than is known here: a
-    /// state that is not final must not be answered.
+    /// Returns whether states that are not final must be withheld: the store has lost data, and
+    /// another controller may have cached more than this one.
     pub(in crate::core) fn must_withhold_state(&self) -> bool {
         self.store_is_incomplete() && !self.may_report_state()
     }
 
-    /// The state of a live job, which only an acting leader may answer from memory, and only while
-    /// no end of it, or cancellation of one that it needs, is being written: that write may be
-    /// committed already, and another node may have answered the user with it.
+    /// Returns the response with the state of a live job. Only an acting leader may answer from its
+    /// own state, and only while neither the end of the job nor the cancellation of a job that it
+    /// depends on is being written: that write may be committed already, and another node may have
+    /// answered the user accordingly.
     pub(in crate::core) fn live_answer(&self, id: &str) -> Option<Response> {
         if !self.acting() || self.must_withhold_state() {
             return None;
@@ -71,7 +72,7 @@
         Some(Response::new(200, body).until(self.leader_until()))
     }
 
-    /// How many of a job's tasks run, by the last heartbeats of their machines.
+    /// Returns how many of a job's tasks run, by the last heartbeats of their machines.
     pub(in crate::core) fn running_tasks(&self, id: &str, run: &JobRun) -> u32 {
         let Some(leader) = &self.leader else { return 0 };
         let runs = |(index, machine): &(&u32, &MachineId)| {
@@ -86,20 +87,20 @@
         run.tasks.assigned().iter().filter(runs).count() as u32
     }
 
-    /// Answers with what was read after the request came: no earlier answer can have shown a
-    /// newer state.
+    /// Answers from data that was read after the request arrived, so that no earlier response can
+    /// have shown a newer state.
     pub(in crate::core) fn show_fresh(&mut self, ticket: Ticket, id: &str) {
         let answer = self.fresh_answer(id);
         self.answer(ticket, answer);
     }
 
-    /// The state of a job by the store cache, which was brought up to date for it.
+    /// Returns the response with a job's state from the store cache, which was brought up to date for it.
     pub(in crate::core) fn fresh_answer(&self, id: &str) -> Response {
         let known = self.final_answer(id).or_else(|| self.live_answer(id));
         known.unwrap_or_else(|| self.stored_answer(id))
     }
 
-    /// The state of a live job by what is durable of it.
+    /// Returns the response with a live job's state from its durable data alone.
     fn stored_answer(&self, id: &str) -> Response {
         let Some(job) = self.store_cache.jobs.get(id) else {
             return Response::busy("the state cannot be read now", 1);
--- a/src/core/jobs/creation.rs
+++ b/src/core/jobs/creation.rs
@@ -1,5 +1,5 @@
-//! A submission in flight into the state service: the data of its requests, and the transaction
-//! that creates the job.
+//! Creation of a submitted job in the state service: the data of the requests in flight, and the
+//! transaction that creates the job.
 
 use crate::core::Ticket;
 use crate::core::store::cache::JobValue;
@@ -12,9 +12,9 @@
 /// A job that a user submits and that has not been accepted yet.
 #[derive(Debug)]
 pub struct Submission {
-    /// Whom to answer.
+    /// Request to answer.
     pub ticket: Ticket,
-    /// The job as submitted.
+    /// Job as submitted.
     pub spec: Box<JobSpec>,
     /// When the request arrived at this controller.
     pub received: Instant,
@@ -23,16 +23,16 @@
 /// A submission whose job key is being written.
 #[derive(Debug)]
 pub struct Creation {
-    /// What is to be accepted.
+    /// Submission to accept.
     pub submission: Submission,
-    /// How often the write was repeated before.
+    /// Number of retries so far.
     pub retries: u32,
-    /// The stored parts of a job that does not fit into one value.
+    /// Stored parts of a job that does not fit into one value.
     pub parts: Option<Box<PartWrite>>,
 }
 
 impl Creation {
-    /// The same creation, to be written once more.
+    /// Returns the same creation with one more retry.
     pub fn retried(self) -> Creation {
         Creation {
             retries: self.retries + 1,
@@ -44,15 +44,15 @@
 /// A submission too large for one value, whose parts are being written before its job key.
 #[derive(Debug)]
 pub struct PartsCreation {
-    /// What is to be accepted.
+    /// Submission to accept.
     pub submission: Submission,
-    /// The parts, and the versions of those that are stored.
+    /// Parts, and the versions of those that are stored.
     pub parts: Box<PartWrite>,
-    /// How many parts the transaction in flight writes.
+    /// Number of parts in the transaction that is in flight.
     pub in_flight: usize,
 }
 
-/// The value of a job's key when it is accepted: the job itself, or where its parts are.
+/// Returns the value of a job's key at acceptance: the job itself, or a reference to its parts.
 pub(in crate::core) fn initial_value(
     spec: Box<JobSpec>,
     submitted_ms: u64,
@@ -68,11 +68,11 @@
     }
 }
 
-/// The transaction that accepts a job.
+/// Returns the transaction that accepts a job.
 ///
-/// It is create-only: an acceptance that is applied late, or twice, or by two nodes, is still the
-/// one job that its user asked for. A large job's parts must be there: a leader clears those that
-/// no job has referred to for long.
+/// It is create-only: even if it is executed late, or twice, or is sent by two nodes, it creates the
+/// one job that its user asked for. It requires that a large job's parts exist, because a leader
+/// deletes parts that no job has referred to for some time.
 pub(in crate::core) fn create_transaction(
     spec: &JobSpec,
     submitted_ms: u64,
--- a/src/core/jobs/dependencies.rs
+++ b/src/core/jobs/dependencies.rs
@@ -1,27 +1,28 @@
-//! The dependency graph of live jobs. A job that names others starts nothing before all of them
-//! are done, and is cancelled with any of them.
+//! The dependency graph of live jobs. No task of a job starts before all jobs that it depends on are
+//! done, and the job is cancelled with any of them.
 //!
-//! All of it follows from two durable facts: what a job was submitted with, and how the jobs that
-//! it names have ended. So every node knows it, after any takeover and for what is submitted
-//! later, without anything more being written. A change costs what is downstream of it: a reverse
-//! index leads there, and each job has a count of what it still waits for.
+//! The graph follows from two durable facts: the dependencies that a job was submitted with, and the
+//! outcomes of these. So every node can derive it, also after a takeover and for jobs submitted later,
+//! and it is not stored itself. A change costs time in proportion to the jobs downstream of it: a
+//! reverse index leads to them, and each job has a count of its unfinished dependencies.
 
 use crate::job::{JobId, JobOutcome};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Which live jobs wait for which others, and which are cancelled with one.
+/// Dependencies between live jobs, and the cancellations that follow from them.
 #[derive(Default)]
 pub struct DependencyGraph {
-    /// Live jobs, by each job that they depend on and that is not over.
+    /// Live dependents of each job that has not ended.
     dependents: BTreeMap<JobId, BTreeSet<JobId>>,
-    /// How many dependencies of a live job are not done. Not listed: none.
+    /// Number of dependencies of each live job that are not done. A job without any has no entry.
     unfinished: BTreeMap<JobId, usize>,
-    /// Live jobs that depend on a cancelled one, directly or through others, and on which.
+    /// Live jobs that depend on a cancelled job, directly or transitively, each with the cancelled job.
     cancelled: BTreeMap<JobId, JobId>,
 }
 
 impl DependencyGraph {
-    /// A job is live; returns the jobs that depend on it and are cancelled with it, itself included.
+    /// Adds a live job. If one of its dependencies is cancelled, directly or with another job, returns the
+    /// job and those of its dependents that are newly cancelled with it.
     pub fn add_job(
         &mut self,
         id: &JobId,
@@ -47,7 +48,7 @@
         }
     }
 
-    /// A live job waits for another; counted once, however often it is named.
+    /// Adds an unfinished dependency of a live job. It is counted once, even if the job names it repeatedly.
     fn add_unfinished(&mut self, id: &JobId, dependency: &JobId) {
         let dependents = self.dependents.entry(dependency.clone()).or_default();
         if dependents.insert(id.clone()) {
@@ -55,7 +56,7 @@
         }
     }
 
-    /// A job is over; returns the jobs that may start now, or are cancelled with it.
+    /// Removes an ended job. Returns the jobs that may start now or are cancelled with it.
     pub fn remove_job(
         &mut self,
         id: &JobId,
@@ -67,7 +68,7 @@
         for dependency in dependencies {
             self.remove_dependent(dependency, id);
         }
-        // Taken out: the same end reported once more counts nothing twice.
+        // Removed, so that a repeated report of the same end has no effect.
         let dependents = self.dependents.remove(id).unwrap_or_default();
         let mut changed = Vec::new();
         for dependent in dependents {
@@ -92,7 +93,7 @@
         }
     }
 
-    /// One dependency of a live job is done; says whether it was the last one.
+    /// Counts one dependency of a live job as done. Returns whether it was the last one.
     fn dependency_done(&mut self, id: &JobId) -> bool {
         let Some(unfinished) = self.unfinished.get_mut(id) else {
             return false;
@@ -105,8 +106,8 @@
         true
     }
 
-    /// A job and all that depends on it are cancelled with another one; returns those that were not
-    /// before. Chains may be long: no recursion.
+    /// Marks a job and all its dependents as cancelled with another job. Returns those newly marked.
+    /// Does not recurse, since chains of dependencies may be long.
     fn cancel_downstream(&mut self, id: &JobId, cancelled_with: &JobId) -> Vec<JobId> {
         let mut changed = Vec::new();
         let mut next = vec![id.clone()];
@@ -121,7 +122,7 @@
         changed
     }
 
-    /// All that depends on a job, directly or through others.
+    /// Returns all live jobs that depend on a job, directly or transitively.
     pub fn all_dependents(&self, id: &JobId) -> BTreeSet<JobId> {
         let mut found = BTreeSet::new();
         let mut next: Vec<&JobId> = self.dependents(id).collect();
@@ -133,17 +134,17 @@
         found
     }
 
-    /// Live jobs that name this one.
+    /// Returns the live jobs that depend directly on this one.
     pub fn dependents(&self, id: &JobId) -> impl Iterator<Item = &JobId> {
         self.dependents.get(id).into_iter().flatten()
     }
 
-    /// How many dependencies of a live job are not done.
+    /// Returns how many dependencies of a live job are not done.
     pub fn unfinished_dependencies(&self, id: &JobId) -> usize {
         self.unfinished.get(id).copied().unwrap_or(0)
     }
 
-    /// The cancelled job with which a live one is cancelled.
+    /// Returns the cancelled job with which a live job is cancelled.
     pub fn cancelled_dependency(&self, id: &str) -> Option<&JobId> {
         self.cancelled.get(id)
     }
--- a/src/core/jobs/dependencies/tests.rs
+++ b/src/core/jobs/dependencies/tests.rs
@@ -4,7 +4,8 @@
     format!("wk-{n}").into()
 }
 
-/// A diamond, with its events in any order: what is ready and what is withdrawn follows from the ends.
+/// Adds the jobs of a diamond in different orders: which jobs become ready or are cancelled must depend
+/// only on how the others end.
 #[test]
 fn a_diamond_becomes_ready_once_and_is_cancelled_whole_in_any_event_order() {
     let edges: [(u32, &[u32]); 4] = [(1, &[]), (2, &[1]), (3, &[1]), (4, &[2, 3])];
@@ -27,7 +28,7 @@
         let end_job = |graph: &mut DependencyGraph, finished: &mut BTreeMap<_, _>, n: u32, end| {
             finished.insert(id(n), end);
             let mut changed = graph.remove_job(&id(n), &dependencies(n), end);
-            // A repeated event, as the watch may deliver, changes nothing.
+            // A repeated event, which the watch may deliver, changes nothing.
             assert!(graph.remove_job(&id(n), &dependencies(n), end).is_empty());
             changed.sort();
             changed
@@ -55,7 +56,7 @@
                 [id(4)]
             );
             assert_eq!(graph.cancelled_dependency("wk-4"), Some(&id(3)));
-            // What is submitted later is withdrawn as well, directly and through others.
+            // Jobs that are submitted later are cancelled as well, with direct and transitive dependencies.
             assert_eq!(graph.add_job(&id(5), &[id(4)], &finished), [id(5)]);
             assert_eq!(graph.add_job(&id(6), &[id(3)], &finished), [id(6)]);
             assert!(end_job(&mut graph, &mut finished, 4, JobOutcome::Cancelled).is_empty());
--- a/src/core/jobs/forwarding.rs
+++ b/src/core/jobs/forwarding.rs
@@ -1,5 +1,5 @@
-//! Requests forwarded to other controllers: to the leader, or, while this one does not reach the
-//! state service, to any that may.
+//! Requests forwarded to other controllers: to the leader or, while this controller cannot reach the
+//! state service, to any controller that may reach it.
 
 use crate::core::jobs::answers::state_body;
 use crate::core::jobs::requests::{UserAction, UserRequest};
@@ -8,19 +8,21 @@
 use crate::peer::{PeerAnswer, PeerRequest};
 use std::time::Duration;
 
-/// The state service counts as not reached after this long without an answer: the lease is renewed
-/// more often while it answers.
+/// Time without a response after which the state service counts as unreachable. While it responds, the
+/// lease is renewed more often than this.
 const STORE_STALE_AFTER: Duration = Duration::from_millis(1100);
-/// Without the state service, a peer is probed this often.
+/// Interval between probes of peers while the state service is unreachable.
 const PROBE_INTERVAL: Duration = Duration::from_millis(1000);
-/// A job id that no user can have submitted: answered only by a controller that can read the state.
+/// Job id used in probes, which no user can have submitted. Only a controller that can read the state
+/// answers a query for it.
 const PROBE_JOB: &str = "wk-0";
-/// A peer that gave no answer gets no requests for this long.
+/// Time for which a peer that gave no answer is sent no requests.
 const UNREACHABLE_PEER_PAUSE: Duration = Duration::from_secs(1);
 
 impl Core {
-    /// Forwards a request to the leader; without the state service, to a controller that may serve
-    /// it. If no controller is left to ask, this node serves it as far as it can.
+    /// Forwards a request to the leader or, while the state service is unreachable, to a controller
+    /// that may serve it. If no controller is left to ask, this node serves the request as far as it
+    /// can.
     pub(in crate::core) fn forward_request(&mut self, mut request: UserRequest) {
         let Some(peer) = self.forwarding_target(&request) else {
             return self.serve_without_leader(request);
@@ -36,11 +38,11 @@
         });
     }
 
-    /// The peer that a request is forwarded to next.
+    /// Returns the peer that a request is forwarded to next.
     fn forwarding_target(&self, request: &UserRequest) -> Option<String> {
         let now = self.now.mono;
         let stale = self.store_is_stale();
-        // A submission needs no leader, and cannot wait to find out that there is none.
+        // A submission does not need the leader, and must not wait until the leader's absence is certain.
         let is_submission = matches!(request.action, UserAction::Submit(_));
         if is_submission && !stale && self.relay.leader_is_late(self.store_cache.term, now) {
             return None;
@@ -51,12 +53,12 @@
         peers
             .filter(|name| (stale || leader == Some(*name)) && reachable(name))
             .filter(|name| !request.tried.iter().any(|tried| tried == name))
-            // The one that leads, as far as known, comes first.
+            // The presumed leader comes first.
             .min_by_key(|name| leader != Some(*name))
             .map(str::to_string)
     }
 
-    /// Takes a peer's answer to a forwarded request, or `None` if it gave none.
+    /// Handles a peer's answer to a forwarded request, or `None` if it gave none.
     pub(in crate::core) fn forward_outcome(
         &mut self,
         ticket: Ticket,
@@ -90,7 +92,7 @@
         }
     }
 
-    /// A peer's answer as its user gets it.
+    /// Converts a peer's answer to the response for the user.
     fn user_answer(&self, action: &UserAction, peer_answer: PeerAnswer) -> Response {
         let PeerAnswer {
             status,
@@ -102,7 +104,7 @@
         } = peer_answer;
         let body = match (state, action) {
             (Some(state), _) => state_body(action.job_id(), state, done, running),
-            // The leader's reason does not come along; this node mostly knows it too.
+            // A peer's answer does not contain the reason; this node can usually determine it as well.
             (None, UserAction::Submit(spec)) if status == 422 => self.rejection_reason(spec).body,
             (None, _) => crate::wire::error_body("see the status"),
         };
@@ -111,12 +113,13 @@
         answer
     }
 
-    /// The state service has not answered for longer than it ever takes.
+    /// Returns whether the state service counts as unreachable: it has not responded for `STORE_STALE_AFTER`.
     pub(in crate::core) fn store_is_stale(&self) -> bool {
         self.now.mono > self.store_reachable_at + STORE_STALE_AFTER
     }
 
-    /// Without the state service, this node finds out whether others serve.
+    /// Probes the peers in turn while the state service is unreachable, to find out whether others can
+    /// serve requests.
     pub(in crate::core) fn probe_next_peer(&mut self) {
         let now = self.now.mono;
         let probed_lately = self
@@ -134,7 +137,7 @@
         let peer = self.settings.peers[next].name.clone();
         self.last_peer_probe = Some(now);
         self.effects.push(Effect::Forward {
-            // Far from the tickets of requests.
+            // Counted down from the maximum, far from the tickets of requests.
             ticket: Ticket::MAX - self.peer_probes,
             peer,
             request: PeerRequest::Show(PROBE_JOB.into()),
--- a/src/core/jobs/job_reads.rs
+++ b/src/core/jobs/job_reads.rs
@@ -1,4 +1,4 @@
-//! Reads of a job's key from the state service for users' requests, and what follows from them.
+//! Reads of a job's key from the state service for users' requests, and the responses that follow.
 
 use crate::core::command::{Pending, ReadPurpose};
 use crate::core::jobs::answers::state_body;
@@ -12,7 +12,7 @@
 use crate::wire::{Item, JobState};
 
 impl ReadPurpose {
-    /// Whom to answer.
+    /// Returns the request to answer.
     fn ticket(&self) -> Ticket {
         match self {
             ReadPurpose::Show(ticket)
@@ -24,14 +24,15 @@
 }
 
 impl Core {
-    /// Reads a job's key for a user's query, within the budget for these. Without a leader every
-    /// query takes a read. Queued for the state service's limit they kept it busy for many
-    /// seconds after their users had gone, and submissions waited behind them.
+    /// Reads a job's key for a user's query, within the budget for such reads. Without a leader every
+    /// query needs a read. Before there was a budget, queries queued up behind the state service's
+    /// rate limit and kept it busy for many seconds after their users had gone, while submissions
+    /// waited behind them.
     pub(in crate::core) fn read_for_query(&mut self, id: String, ticket: Ticket) {
         if self.read_budget.try_take(self.now.mono) {
             self.read_job_key(id, ReadPurpose::Show(ticket));
         } else {
-            self.answer(ticket, Response::busy("too many questions now", 1));
+            self.answer(ticket, Response::busy("too many queries at the moment", 1));
         }
     }
 
@@ -41,7 +42,7 @@
         self.call_store(Pending::ReadJob { id, purpose }, StoreRequest::Get(key));
     }
 
-    /// Serves the request for which a job's key was read.
+    /// Continues the request for which a job's key was read.
     pub(in crate::core) fn job_read_outcome(
         &mut self,
         id: String,
@@ -65,7 +66,7 @@
             return self.known_job_key_missing(id, purpose);
         }
         if self.existence_is_uncertain() {
-            // It may have been accepted all the same.
+            // The job may have been accepted even so.
             let answer = Response::busy("whether it was accepted cannot be told yet", 3);
             return self.answer(ticket, answer);
         }
@@ -77,15 +78,15 @@
         self.answer(ticket, answer);
     }
 
-    /// The store has lost a job that this controller knows.
+    /// Handles a request for a job that this controller knows and the store has lost.
     fn known_job_key_missing(&mut self, id: String, purpose: ReadPurpose) {
         let ticket = purpose.ticket();
         if !self.store_is_incomplete() {
-            self.suspect_data_loss("it has forgotten a job");
+            self.suspect_data_loss("a known job is missing from it");
             let answer = Response::busy("the state service may have lost data", 1);
             return self.answer(ticket, answer);
         }
-        // Remembered, and not written back yet.
+        // The job is cached here and has not been written back yet.
         match purpose {
             ReadPurpose::Cancel(_) => self.cancel_as_leader(ticket, &id),
             _ => self.show_fresh(ticket, &id),
@@ -131,8 +132,8 @@
         }
     }
 
-    /// Whether a live job's own key is enough to tell its state: that of one with dependencies does
-    /// not tell how these have ended.
+    /// Returns whether a live job's own key determines its state. The key of a job with dependencies
+    /// does not, since it does not contain their outcomes.
     fn own_key_determines_state(&self, id: &str) -> bool {
         let job = self.store_cache.jobs.get(id);
         job.is_some_and(|job| job.spec.dependencies.is_empty())
--- a/src/core/jobs/job_run.rs
+++ b/src/core/jobs/job_run.rs
@@ -1,4 +1,4 @@
-//! A job as its leader knows it: what runs of it, and how it has failed. Data that planning,
+//! The leader's state of a live job: where its tasks are, and how they have failed. Data that planning,
 //! heartbeats and users' requests act on.
 
 use crate::core::jobs::task_assignment::TaskAssignment;
@@ -10,50 +10,50 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant, SystemTime};
 
-/// A live job as its leader knows it.
+/// The leader's state of a live job.
 #[derive(Default)]
 pub struct JobRun {
-    /// Its team, by its place in the settings.
+    /// Index of its team in the settings.
     pub team: Option<usize>,
-    /// Whether it lies within that team's guarantee.
+    /// Whether the job is within its team's guarantee.
     pub guaranteed: bool,
-    /// Where its tasks are.
+    /// Machines that its tasks are assigned to, and its queued tasks.
     pub tasks: TaskAssignment,
-    /// Tasks that are not to be started again before some moment.
+    /// Tasks that must not be restarted yet, and until when.
     pub backoff_until: BTreeMap<u32, Instant>,
     /// Done tasks that are not in the state service yet.
     pub unpersisted_done: BTreeSet<u32>,
-    /// The end that is being written. Nothing is started any more.
+    /// Outcome that is being written. No more tasks are started.
     pub ending: Option<JobOutcome>,
-    /// Users who are answered when its cancellation is durable.
+    /// Requests that are answered when its cancellation is durable.
     pub cancel_waiters: Vec<Ticket>,
-    /// Machines on which its tasks failed, and how often.
+    /// Number of failures of its tasks, by machine.
     pub failures: BTreeMap<MachineId, u32>,
-    /// Whether a task of it has ever completed.
+    /// Whether any of its tasks has ever succeeded.
     pub succeeded: bool,
-    /// While the job is suspect: when it is tried again.
+    /// When a suspect job is retried.
     retry_at: Option<Instant>,
-    /// How often a suspect job was tried again in vain.
+    /// Number of failed retries of a suspect job.
     retries: u32,
-    /// When its first task started, as this leader knows.
+    /// When its first task started, as far as this leader knows.
     pub started: Option<Instant>,
-    /// Since when, as this leader knows, all is done that the job depends on.
+    /// Since when all jobs that it depends on are done, as far as this leader knows.
     pub ready: Option<Now>,
-    /// How long its tasks ran.
+    /// Run times of its tasks.
     pub run_times: LogRunTimes,
 }
 
-/// A job that has failed on this many machines and succeeded on none is suspect: the fault is
-/// taken to be its own.
+/// Number of machines on which a job must have failed, without a success on any, to be suspect: the
+/// cause is then assumed to be the job and not the machines.
 const SUSPECT_MACHINES: usize = 3;
-/// A suspect job is tried again after this, then after twice as long, and so on to a minute:
-/// mostly its owner has made a mistake, and only a cancellation helps.
+/// Delay before the first retry of a suspect job. It doubles with each failed retry, up to about a
+/// minute: usually the job's owner has made a mistake, and only a cancellation helps.
 const INITIAL_RETRY_DELAY: Duration = Duration::from_secs(2);
-/// The delay is doubled this often at the most.
+/// Maximum number of doublings of the retry delay.
 const MAX_RETRY_DOUBLINGS: u32 = 5;
 
 impl JobRun {
-    /// A job of which nothing is known to run; `team` by its place in the settings.
+    /// Creates the state of a job of which no task is known to run; `team` is the index in the settings.
     pub fn new(job: &JobRecord, team: Option<usize>) -> JobRun {
         let unfinished = (0..job.spec.tasks).filter(|task| !job.done.contains(*task));
         JobRun {
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Stops what is assigned of the job. [`StopReason::Obsolete`] is sent to machines even where they
-    /// were commanded to stop before; other reasons only once.
+    /// Stops the assigned tasks of the job. [`StopReason::Obsolete`] is sent also for tasks that are
+    /// being stopped already, and replaces their reason; any other reason leaves these tasks as they are.
     pub fn stop_assigned(
         &self,
         id: &JobId,
@@ -89,13 +89,13 @@
         }
     }
 
-    /// Whether its failures are taken to be its own fault, and not that of the machines.
+    /// Returns whether the failures are attributed to the job and not to the machines.
     pub fn is_suspect(&self) -> bool {
         !self.succeeded && self.failures.len() >= SUSPECT_MACHINES
     }
 
-    /// A suspect job has failed once more: it waits twice as long. What was started together
-    /// with the last try and fails after it counts with it.
+    /// Records a failed retry of a suspect job, whose delay then doubles. Further failures before the
+    /// next retry is due, of tasks that were started together with the failed one, do not count.
     pub fn record_retry_failure(&mut self, now: Instant) {
         if self.is_suspect() && self.retry_at.is_none_or(|at| now >= at) {
             let doublings = self.retries.min(MAX_RETRY_DOUBLINGS);
@@ -104,27 +104,28 @@
         }
     }
 
-    /// Whether nothing of a suspect job is to be started now: it is tried with one task at a time.
+    /// Returns whether no task may start now because the job is suspect: its retry is not due yet, or
+    /// another of its tasks is assigned, as it is retried one task at a time.
     pub fn is_backing_off(&self, now: Instant) -> bool {
         let too_early = self.retry_at.is_some_and(|at| now < at);
         self.is_suspect() && (too_early || !self.tasks.assigned().is_empty())
     }
 
-    /// Whether every queued task waits for a moment before which it is not started again.
+    /// Returns whether all queued tasks are waiting for the end of their backoff.
     pub fn all_queued_deferred(&self) -> bool {
         let mut queued = self.tasks.queued().iter();
         queued.all(|task| self.backoff_until.contains_key(task))
     }
 }
 
-/// The run times of a job's tasks, in logarithms: one long run counts little.
+/// Logarithms of the run times of a job's tasks, so that a single long run has little effect.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LogRunTimes {
     sum: f64,
     count: u32,
 }
 
-/// So many run times tell what is usual for a job.
+/// Minimum number of run times for a mean that is representative of the job.
 const MIN_RUN_TIMES: u32 = 3;
 
 impl LogRunTimes {
@@ -134,25 +135,25 @@
         self.count += 1;
     }
 
-    /// The mean of the logarithms, once there are enough of them.
+    /// Returns the mean of the logarithms, once there are enough of them.
     pub fn mean(&self) -> Option<f64> {
         (self.count >= MIN_RUN_TIMES).then(|| self.sum / f64::from(self.count))
     }
 }
 
-/// How urgent a job is, in itself or for the sake of those that depend on it.
+/// Urgency of a job, from its own specification and that of its dependents.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Urgency {
-    /// The more urgent of its own priority and those of its dependents.
+    /// Most urgent of its own priority and those of its dependents.
     pub priority: Priority,
-    /// When it should be done, so that all after it can be done by their deadlines.
+    /// When the job should be done, to meet its own deadline and those of its dependents.
     pub due: Option<SystemTime>,
-    /// Others depend on it.
+    /// Whether other jobs depend on it.
     pub has_dependents: bool,
 }
 
 impl Urgency {
-    /// How urgent a job is in itself.
+    /// Returns the urgency of a job without regard to its dependents.
     pub fn own(job: &JobRecord) -> Urgency {
         Urgency {
             priority: job.spec.priority,
--- a/src/core/jobs/lifecycle.rs
+++ b/src/core/jobs/lifecycle.rs
@@ -1,5 +1,5 @@
-//! How jobs begin, progress and end: cancellations, and the leader's runs kept in line with what
-//! is durable.
+//! Start, progress and end of jobs: cancellations, and the update of the leader's job runs from
+//! durable state.
 
 use crate::core::jobs::answers::{rebuilding_answer, state_body};
 use crate::core::jobs::job_run::JobRun;
@@ -14,7 +14,7 @@
 use crate::wire::JobState;
 
 impl Core {
-    /// Cancels a live job. Its end is durable before any answer shows it.
+    /// Cancels a live job. The cancellation is durable before any response shows it.
     pub(in crate::core) fn cancel(&mut self, ticket: Ticket, id: &str) {
         if self.must_withhold_state() {
             return self.answer(ticket, rebuilding_answer());
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Stops a job's tasks and has its cancellation written.
+    /// Stops a job's tasks and queues the write of its cancellation.
     fn begin_cancellation(&mut self, id: &JobId) {
         let Some(leader) = &mut self.leader else {
             return;
@@ -49,8 +49,9 @@
             return;
         };
         run.ending = Some(JobOutcome::Cancelled);
-        // Work from now on is wasted, and tasks still to start would start after the user was
-        // answered. Should the end never be written, a later leader starts them again.
+        // The tasks do not wait for the write: further work would be wasted, and tasks still to start
+        // would start after the user was answered. If the end is never written, a later leader starts
+        // them again.
         if is_enabled(Safeguard::StopOnCancelRequest) && is_enabled(Safeguard::StopEndedJobs) {
             run.stop_assigned(
                 id,
@@ -65,7 +66,7 @@
         leader.cancellation_pending.extend(dependents);
     }
 
-    /// Brings the leader's runs in line with the store cache: new jobs begin, finished ones end.
+    /// Updates the leader's runs from the store cache: new jobs begin, finished ones end.
     pub(in crate::core) fn sync_job_runs(&mut self) {
         let changed = std::mem::take(&mut self.store_cache.changed);
         for id in changed {
@@ -88,8 +89,8 @@
         self.end_if_complete(id);
     }
 
-    /// Has a job cancelled that depends on a cancelled one. Nothing of it can have started, as not
-    /// all that it needs is done.
+    /// Queues the cancellation of a job that depends on a cancelled one. None of its tasks can have
+    /// started, since not all its dependencies are done.
     fn cancel_with_dependency(&mut self, id: &JobId) {
         let Some(leader) = &mut self.leader else {
             return;
@@ -132,7 +133,7 @@
         leader.scheduler.request_plan();
     }
 
-    /// Notes when all that a job depends on is done.
+    /// Records when all jobs that a job depends on are done.
     fn check_readiness(&mut self, id: &JobId) {
         let Some(leader) = &mut self.leader else {
             return;
@@ -154,7 +155,7 @@
         }
     }
 
-    /// A job's end is durable: its user may know, and whatever is left of it is stopped.
+    /// Finishes a job whose end is durable: answers its users and stops its remaining tasks.
     fn finish_job(&mut self, id: &JobId) {
         let now = self.now.mono;
         self.adopt_job(id);
@@ -178,7 +179,7 @@
         }
     }
 
-    /// Ends an array whose tasks are all done.
+    /// Ends a job whose tasks are all done, unless it is a service.
     pub(in crate::core) fn end_if_complete(&mut self, id: &str) {
         let Some(leader) = &mut self.leader else {
             return;
@@ -194,7 +195,7 @@
     }
 }
 
-/// Whether every task of a job is done; a service is never complete.
+/// Returns whether every task of a job is done; a service is never complete.
 fn is_complete(job: &JobRecord) -> bool {
     let missing = job.spec.tasks.saturating_sub(job.done.len());
     let tolerated = u32::from(!is_enabled(Safeguard::ArrayCompletion));
@@ -202,13 +203,13 @@
 }
 
 impl LeaderState {
-    /// How the run times of a class compare with its estimates.
+    /// Returns the factor by which estimates of a class are multiplied to get its usual run times.
     pub(in crate::core) fn runtime_factor(&self, class: &str) -> f64 {
         let ratio = self.scheduler.runtime_ratios.get(class);
         ratio.map_or(1.0, RuntimeRatio::factor)
     }
 
-    /// Whether a job was accepted while a cancellation of what it needs is being written.
+    /// Returns whether the cancellation of a job that this one depends on is being written.
     fn may_be_cancelled_with_dependency(&self, job: &JobRecord) -> bool {
         let may_be_cancelled = |id: &JobId| {
             let ending = self.job_runs.get(id).and_then(|run| run.ending);
@@ -217,7 +218,7 @@
         job.spec.dependencies.iter().any(may_be_cancelled)
     }
 
-    /// Drops what is kept of a job beside its run, and has the next plan made without it.
+    /// Drops the data of a job that is kept outside its run, and requests a new plan.
     fn forget_job(&mut self, id: &JobId) {
         self.writes.ends.remove(id);
         self.writes.cancelled_dependents.remove(id);
--- a/src/core/jobs/queries.rs
+++ b/src/core/jobs/queries.rs
@@ -1,5 +1,5 @@
-//! Users' requests: answered from what is final, by an acting leader from memory, or by a read
-//! that is begun after the request came; otherwise they are forwarded to the leader.
+//! Users' requests: answered from final outcomes, by an acting leader from its own state, or by a
+//! read that starts after the request arrived; otherwise they are forwarded to the leader.
 
 use crate::core::Core;
 use crate::core::command::ReadPurpose;
@@ -9,9 +9,9 @@
 use crate::http::Response;
 
 impl Core {
-    /// Answers a user's request, or starts what its answer takes.
+    /// Answers a user's request, or starts the calls that its answer needs.
     pub(in crate::core) fn serve_user(&mut self, request: UserRequest) {
-        // What is final may always be repeated, by any node.
+        // A final outcome never changes, so any node may answer with it at any time.
         if let Some(answer) = self.final_answer(request.action.job_id()) {
             return self.answer(request.ticket, answer);
         }
@@ -25,8 +25,8 @@
             };
         }
         if request.forwarded {
-            // From a node that cannot reach the leader, or the state service: what needs no
-            // leader is done here, if it can be.
+            // Forwarded by a node that cannot reach the leader or the state service: a request that
+            // needs no leader is served here if possible.
             if self.store_is_stale() {
                 return self.answer(request.ticket, Response::busy("not the leader", 1));
             }
@@ -48,7 +48,7 @@
                 false => self.read_job_key(id, ReadPurpose::Cancel(ticket)),
             };
         }
-        // A leader that may just be losing its lease lets another node accept the job.
+        // A leader that may be about to lose its lease lets another node accept the job.
         let is_submission = matches!(request.action, UserAction::Submit(_));
         if is_submission && !request.forwarded && self.store_is_stale() && !is_known {
             return self.forward_request(request);
@@ -59,11 +59,11 @@
         }
     }
 
-    /// The leader cannot be reached: jobs are accepted and read directly on the state service.
-    /// Nothing is cancelled here, since the leader would not know it in time.
+    /// Serves a request while the leader cannot be reached: jobs are accepted and read directly in the
+    /// state service. No job is cancelled here, since the leader would not learn of it in time.
     pub(in crate::core) fn serve_without_leader(&mut self, request: UserRequest) {
-        // No other controller is left to ask, and the state service would not answer either: queued for
-        // it, the request would be answered when its user has long gone.
+        // No other controller is left to ask, and the state service does not respond either: a request
+        // queued for it would be answered long after its user had gone.
         if self.store_is_stale() {
             let answer = Response::busy("the state service is not reached", 1);
             return self.answer(request.ticket, answer);
@@ -71,7 +71,7 @@
         self.serve_from_store(request);
     }
 
-    /// Serves on the state service what takes no leader.
+    /// Serves a request that needs no leader by calls to the state service.
     fn serve_from_store(&mut self, request: UserRequest) {
         let UserRequest {
             ticket,
--- a/src/core/jobs/requests.rs
+++ b/src/core/jobs/requests.rs
@@ -1,4 +1,4 @@
-//! What users ask of a controller, as data.
+//! Users' requests to a controller. Plain data.
 
 use crate::core::Ticket;
 use crate::http::Response;
@@ -9,11 +9,11 @@
 /// A user's request, received here or forwarded by another controller.
 #[derive(Debug)]
 pub struct UserRequest {
-    /// Whom to answer.
+    /// Ticket by which the request is answered.
     pub ticket: Ticket,
-    /// What is asked for.
+    /// Requested action.
     pub action: UserAction,
-    /// It was forwarded by another controller, and is not forwarded again.
+    /// Whether another controller forwarded the request; it is not forwarded again.
     pub forwarded: bool,
     /// Peers to which it has been forwarded already.
     pub tried: Vec<String>,
@@ -21,21 +21,21 @@
     pub received: Instant,
 }
 
-/// What a user's request asks for.
+/// Action that a user requests.
 #[derive(Debug)]
 pub enum UserAction {
     /// Accept a job.
     Submit(Box<JobSpec>),
-    /// Accept a job that cannot be read, though its id can; with the answer if it is not known.
+    /// Accept a job of which only the id can be parsed; with the response for the case that no job has this id.
     Malformed(String, Response),
-    /// Tell the state of the job with this id.
+    /// Return the state of the job with this id.
     Show(String),
     /// Cancel the job with this id.
     Cancel(String),
 }
 
 impl UserAction {
-    /// The id of the job that the request is about.
+    /// Returns the id of the job that the request is about.
     pub fn job_id(&self) -> &str {
         match self {
             UserAction::Submit(spec) => &spec.id,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The request that asks a peer for the same.
+    /// Returns the request that asks a peer for the same action. A malformed submission becomes a query.
     pub fn peer_request(&self) -> PeerRequest {
         match self {
             UserAction::Submit(spec) => PeerRequest::Submit(spec.clone()),
--- a/src/core/jobs/statistics.rs
+++ b/src/core/jobs/statistics.rs
@@ -1,61 +1,62 @@
-//! Running statistics of jobs: how run times compare with estimates, and how often jobs arrive.
+//! Running statistics of jobs: the ratio of run times to estimates, and the arrival rate.
 
 use crate::core::Now;
 use crate::core::store::cache::JobRecord;
 use std::time::{Duration, Instant};
 
-/// A class begins as if it had run, and been estimated to run, for this long, in seconds.
+/// Both the run time and the estimate that a class starts with, in seconds, so that a few run times have
+/// little effect.
 const PRIOR_S: f64 = 60.0;
-/// Bounds of the factor for estimates.
+/// Bounds of the factor by which estimates are multiplied.
 const MIN_RUNTIME_FACTOR: f64 = 0.2;
 const MAX_RUNTIME_FACTOR: f64 = 5.0;
-/// With each run time the ones before it count for this part of what they did.
+/// Factor by which the weight of earlier run times decreases with each new one.
 const RUNTIME_DECAY: f64 = 0.98;
-/// Jobs submitted this short a while ago tell a new leader how often they come.
+/// Maximum age of the jobs from which a new leader estimates the arrival rate.
 const RECENT: Duration = Duration::from_secs(30);
-/// Arrivals count for a fraction of 1/e after this time, in seconds.
+/// Time after which the weight of an arrival has decreased to 1/e, in seconds.
 const ARRIVAL_DECAY_S: f64 = 180.0;
-/// Fewer jobs than this count as none.
+/// Lower bound of the number of arrivals in the mean time between them, which keeps it finite.
 const MIN_JOBS: f64 = 1e-3;
 
-/// How a class's run times compare with its estimates.
+/// Ratio of a class's run times to its estimates.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RuntimeRatio {
-    /// Seconds that tasks ran.
+    /// Run times of tasks, in seconds, decayed.
     actual: f64,
-    /// Seconds that they were estimated to run.
+    /// Estimated run times of the same tasks, in seconds, decayed.
     estimated: f64,
 }
 
 impl RuntimeRatio {
-    /// By what an estimate is to be multiplied; a few run times count little.
+    /// Returns the factor by which an estimate is to be multiplied; a few run times have little effect.
     pub fn factor(&self) -> f64 {
         let ratio = (self.actual + PRIOR_S) / (self.estimated + PRIOR_S);
         ratio.clamp(MIN_RUNTIME_FACTOR, MAX_RUNTIME_FACTOR)
     }
 
-    /// Adds a task's run time and its estimate, in seconds; those before it count a little less.
+    /// Adds a task's run time and its estimate, in seconds; earlier ones lose some of their weight.
     pub fn record(&mut self, actual: f64, estimated: f64) {
         self.actual = self.actual * RUNTIME_DECAY + actual;
         self.estimated = self.estimated * RUNTIME_DECAY + estimated;
     }
 }
 
-/// How often jobs arrive; older arrivals count less.
+/// Rate at which jobs arrive; older arrivals have less weight.
 #[derive(Clone, Copy, Debug)]
 pub struct ArrivalRate {
-    /// When jobs last arrived.
+    /// When the rate was last updated.
     updated: Instant,
-    /// The time observed, decayed.
+    /// Observed time, in seconds, decayed.
     seconds: f64,
-    /// The jobs that arrived in it, decayed.
+    /// Number of jobs that arrived in that time, decayed.
     jobs: f64,
 }
 
 impl ArrivalRate {
-    /// What a new leader expects: as many as came in the last half minute and are not over yet,
-    /// and one in two minutes beside them. Without those, each takeover would keep idle machines
-    /// as if hardly any job came.
+    /// Creates the estimate of a new leader: the rate of those live jobs that were submitted in the last
+    /// half minute, plus one job in two minutes. Without the recent jobs, a new leader would treat idle
+    /// machines as if hardly any jobs arrived.
     pub fn new<'a>(now: Now, jobs: impl Iterator<Item = &'a JobRecord>) -> ArrivalRate {
         let is_recent = |job: &&JobRecord| {
             let age = now.wall.duration_since(job.submitted);
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Adds jobs that arrived now.
+    /// Adds the jobs that arrived now; with 0, only the observed time advances.
     pub fn record(&mut self, now: Instant, jobs: u32) {
         let passed = now.saturating_duration_since(self.updated).as_secs_f64();
         let kept = (-passed / ARRIVAL_DECAY_S).exp();
@@ -77,7 +78,7 @@
         self.jobs = self.jobs * kept + f64::from(jobs);
     }
 
-    /// Mean time between two jobs, in seconds.
+    /// Returns the mean time between the arrivals of two jobs, in seconds.
     pub fn mean_interarrival_s(&self) -> f64 {
         self.seconds / self.jobs.max(MIN_JOBS)
     }
--- a/src/core/jobs/submissions.rs
+++ b/src/core/jobs/submissions.rs
@@ -1,5 +1,5 @@
-//! Acceptance of submitted jobs: any controller accepts one by a create-only key in the state
-//! service, and answers its user when that is durable.
+//! Acceptance of submitted jobs: any controller accepts a job by creating its key in the state
+//! service, and answers its user once the key is durable.
 
 use crate::core::command::{Pending, ReadPurpose};
 use crate::core::jobs::answers::{final_state, rebuilding_answer, state_body};
@@ -20,37 +20,38 @@
 use crate::wire::{Change, CompareAndSwap, JobState, to_json, to_json_value};
 use std::time::{Duration, SystemTime};
 
-/// The state service answers within some ten milliseconds. A creation without an answer for so
-/// long is settled as soon as this process's store cache shows the job, and checked this often
-/// until then.
+/// Interval at which unanswered creations are checked. The state service responds within some ten
+/// milliseconds; a creation without a response for longer than this is settled as soon as this
+/// process's store cache contains the job.
 const CREATION_CHECK_INTERVAL: Duration = Duration::from_millis(60);
-/// A submission takes 5 s at the most: its parts are written once more where no answer came within
-/// this.
+/// Time after the arrival of a submission within which an unanswered write of its parts is retried. A
+/// submission takes at most 5 s.
 const PARTS_RETRY_WINDOW: Duration = Duration::from_millis(2500);
-/// A creation without an answer is written again at most so often, and only this long after the
-/// submission came.
+/// Maximum number of retries of a creation without a response.
 const MAX_RETRIES_UNKNOWN: u32 = 2;
+/// Time after the arrival of a submission within which a creation without a response is retried.
 const CREATION_RETRY_WINDOW: Duration = Duration::from_secs(3);
-/// A creation that the state service did not take on is written again at most so often.
+/// Maximum number of retries of a creation that the state service refused.
 const MAX_RETRIES_REFUSED: u32 = 1;
 /// Error text for a job beyond the limits of the state service.
-const TOO_LARGE: &str = "too large to be kept";
-/// The part of the memory that unfinished jobs may take.
+const TOO_LARGE: &str = "the job is too large to be stored";
+/// Share of the configured memory that unfinished jobs may use.
 const JOBS_MEMORY_SHARE: f64 = 0.25;
-/// Memory for each of their tasks: an entry in the sets of its job, a little more while it is placed.
+/// Bytes of memory for each task of an unfinished job: an entry in the sets of the job, and a little more
+/// while the task is placed.
 const BYTES_PER_TASK: f64 = 32.0;
 
-/// How many tasks unfinished jobs may have.
+/// Returns the maximum number of tasks of all unfinished jobs.
 pub fn max_unfinished_tasks(settings: &Settings) -> u64 {
     (settings.memory_mb * 1e6 * JOBS_MEMORY_SHARE / BYTES_PER_TASK) as u64
 }
 
 impl Core {
-    /// Accepts a submission; `cache_is_current` if this node's store cache holds all that was accepted
-    /// before it came.
+    /// Accepts a submission. `cache_is_current` states that this node's store cache contains every job
+    /// that was accepted before the submission arrived.
     pub(in crate::core) fn accept(&mut self, mut submission: Submission, cache_is_current: bool) {
         let ticket = submission.ticket;
-        // The job may be over, which another controller may remember: accepted again, it would be shown as queued.
+        // Another controller may have cached that the job has ended: accepted again, it would be shown as queued.
         if self.must_withhold_state() {
             return self.answer(ticket, rebuilding_answer());
         }
@@ -61,8 +62,8 @@
             return self.reject(&submission, answer);
         }
         if self.unknown_dependency(&submission.spec).is_some() {
-            // This node's copy lags a little behind what other nodes accept, and users submit a
-            // job as soon as those that it needs are accepted.
+            // This node's cache lags slightly behind what other nodes accept, and users submit a job
+            // as soon as its dependencies are accepted.
             if !cache_is_current {
                 return self.queue_barrier_request(BarrierRequest::Submit(submission));
             }
@@ -86,14 +87,15 @@
         }
     }
 
-    /// Refuses a submission for good, unless its job is found to be known.
+    /// Rejects a submission permanently, unless a read shows that its job exists.
     fn reject(&mut self, submission: &Submission, answer: Response) {
         let id = submission.spec.id.to_string();
         self.read_job_key(id, ReadPurpose::Reject(submission.ticket, answer));
     }
 
-    /// Whether the unfinished jobs would have more tasks with this one than the memory is for: it
-    /// would end the process, and every other job with it. A job alone is always taken.
+    /// Returns whether this job would give the unfinished jobs more tasks than the memory allows.
+    /// Running out of memory would end the process, and with it the service to every other job. A job
+    /// is always accepted while there is no other.
     fn exceeds_task_limit(&self, spec: &JobSpec) -> bool {
         let jobs = &self.store_cache.jobs;
         let unfinished: u64 = jobs.values().map(|job| u64::from(job.spec.tasks)).sum();
@@ -101,26 +103,26 @@
         !jobs.is_empty() && unfinished + u64::from(spec.tasks) > limit
     }
 
-    /// Names of machine types that the cloud does not have allow nothing; they are not kept.
+    /// Removes machine types that the cloud does not have: they allow no machine and are not stored.
     fn retain_known_machine_types(&self, spec: &mut JobSpec) {
         if let Some(names) = &mut spec.machine_types {
             names.retain(|name| self.machine_types.iter().any(|t| t.name == *name));
         }
     }
 
-    /// The bytes that a job or a part of one may have: somewhat less than a value, as the service
-    /// may write numbers at greater length.
+    /// Returns the maximum size of a stored job or part, in bytes. It is somewhat below the maximum size
+    /// of a value, since the service may write numbers in a longer form.
     fn usable_value_bytes(&self) -> usize {
         self.settings.max_value_bytes / 16 * 15
     }
 
-    /// Whether the job can be stored under its own key alone.
+    /// Returns whether the job can be stored under its own key alone.
     fn fits_one_value(&self, spec: &JobSpec) -> bool {
         let value = JobValue::live(Box::new(spec.clone()), u64::MAX);
         to_json(&value).len() <= self.usable_value_bytes()
     }
 
-    /// Accepts a job that is to be stored in parts.
+    /// Accepts a job that has to be stored in parts.
     fn accept_large(&mut self, submission: Submission) {
         let id = submission.spec.id.to_string();
         if self.store_cache.knows(&id) {
@@ -128,7 +130,7 @@
         }
         let text = String::from_utf8(to_json(&submission.spec)).unwrap_or_default();
         let parts = large_jobs::split_text(&text, self.usable_value_bytes());
-        // The job's key is written on a condition for each part.
+        // Each part needs a condition in the transaction that writes the job's key.
         if parts.len() > self.settings.max_transaction_changes * 4 - 1 {
             return self.reject(&submission, Response::error(422, TOO_LARGE));
         }
@@ -140,7 +142,7 @@
         self.write_parts(submission, parts);
     }
 
-    /// Another process, or this one later, writes under another generation.
+    /// Returns a new generation, which differs from those of other processes and later calls.
     fn next_part_generation(&self) -> PartGeneration {
         self.nonce.wrapping_add(self.next_call) >> 1
     }
@@ -170,7 +172,7 @@
         self.call_store(pending, StoreRequest::CompareAndSwap(transaction));
     }
 
-    /// Continues a large job's creation when the outcome of writing some of its parts is known.
+    /// Continues a large job's creation with the outcome of the write of some of its parts.
     pub(in crate::core) fn parts_outcome(
         &mut self,
         creation: PartsCreation,
@@ -196,7 +198,7 @@
                     });
                 }
             }
-            // Some may be written late: they are written again under other names.
+            // The write may still be executed: all parts are written again under other keys.
             StoreOutcome::Unknown(error)
                 if self.time_since_received(&submission) < PARTS_RETRY_WINDOW =>
             {
@@ -205,7 +207,7 @@
                 parts.versions.clear();
                 self.write_parts(submission, parts);
             }
-            // Written parts are removed once no job key has referred to them for long.
+            // Parts that were stored are deleted by a leader, once no job has referred to them for some time.
             other => {
                 tracing::info!(job = %id, outcome = ?other, "job parts not stored");
                 let answer = Response::busy("the job cannot be kept now", 1);
@@ -214,12 +216,12 @@
         }
     }
 
-    /// How long a submission has waited here.
+    /// Returns how long ago a submission arrived here.
     fn time_since_received(&self, submission: &Submission) -> Duration {
         self.now.mono.saturating_duration_since(submission.received)
     }
 
-    /// When a submission was made, in milliseconds since 1970.
+    /// Returns when a submission arrived here, in milliseconds since 1970.
     fn submitted_ms(&self, submission: &Submission) -> u64 {
         let now = self.now.wall.duration_since(SystemTime::UNIX_EPOCH);
         let submitted = now
@@ -240,8 +242,8 @@
         self.unanswered_creations.push_back((check_at, call));
     }
 
-    /// Settles creations without an answer whose job is in the store: it is accepted, whichever
-    /// node wrote it, and a fresh read shows its state.
+    /// Settles creations without a response whose job is in the store cache: the job is accepted,
+    /// whichever node wrote it, and a fresh read shows its state.
     pub(in crate::core) fn resolve_creations(&mut self) {
         let now = self.now.mono;
         while let Some((_, call)) = self.unanswered_creations.pop_front_if(|(at, _)| *at <= now) {
@@ -261,7 +263,7 @@
         }
     }
 
-    /// Answers or repeats a submission when the outcome of writing its job key is known.
+    /// Answers a submission or retries its creation, by the outcome of the write of its job key.
     pub(in crate::core) fn creation_outcome(&mut self, creation: Creation, outcome: StoreOutcome) {
         let submission = &creation.submission;
         let id = &submission.spec.id;
@@ -295,7 +297,7 @@
         }
     }
 
-    /// A job's key was written: takes the job into the store cache and answers its user.
+    /// Handles the write of a job's key: adds the job to the store cache and answers its user.
     fn job_accepted(&mut self, creation: Creation, revision: u64) {
         let Creation {
             submission, parts, ..
@@ -313,14 +315,14 @@
         let value = initial_value(spec, submitted_ms, parts.as_deref());
         self.store_cache.put_job(&id, value, revision);
         self.sync_job_runs();
-        // A job that names a cancelled one is accepted all the same.
+        // A job with a cancelled dependency is accepted too, and is cancelled itself.
         let outcome = self.store_cache.outcome_of(&id);
         let state = outcome.map_or(JobState::Queued, final_state);
         self.answer(ticket, created_response(&id, state));
     }
 }
 
-/// The answer to a submission that is accepted.
+/// Returns the response to an accepted submission.
 fn created_response(id: &JobId, state: JobState) -> Response {
     Response::new(201, state_body(id, state, None, None))
 }
--- a/src/core/jobs/task_assignment.rs
+++ b/src/core/jobs/task_assignment.rs
@@ -1,23 +1,23 @@
-//! Which machines the tasks of a job are assigned to, and which tasks wait for one.
+//! Assignment of a job's tasks to machines, and the queue of those that wait for one.
 
 use crate::job::MachineId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Where the tasks of a job are, by their index.
+/// Assignment of a job's tasks, by their index.
 ///
-/// A task is queued, or assigned to one or several machines, or neither: it is done. It is never
-/// queued while it is assigned.
+/// A task is either queued, or assigned to one or several machines, or neither, which means that it
+/// is done.
 #[derive(Default)]
 pub struct TaskAssignment {
     queued: BTreeSet<u32>,
     assigned: BTreeMap<u32, MachineId>,
-    /// Further machines on which an assigned task is or may be: a heartbeat of unknown age proves
-    /// that it may be there, and that it is elsewhere proves nothing.
+    /// Further machines on which an assigned task is or may be. A heartbeat of unknown age shows that
+    /// the task may be on its machine, even if the task is known to be on another one.
     other_machines: BTreeMap<u32, Vec<MachineId>>,
 }
 
 impl TaskAssignment {
-    /// All of these tasks are queued.
+    /// Creates an assignment in which all of these tasks are queued.
     pub fn new(queued: impl Iterator<Item = u32>) -> TaskAssignment {
         TaskAssignment {
             queued: queued.collect(),
@@ -25,23 +25,23 @@
         }
     }
 
-    /// Tasks that wait for a machine.
+    /// Returns the tasks that wait for a machine.
     pub fn queued(&self) -> &BTreeSet<u32> {
         &self.queued
     }
 
-    /// Tasks that are on a machine, or may be, each with the first machine of which that is known.
+    /// Returns the tasks that are or may be on a machine, each with the first such machine.
     pub fn assigned(&self) -> &BTreeMap<u32, MachineId> {
         &self.assigned
     }
 
-    /// Each assigned task with each machine on which it is or may be beside the first one.
+    /// Returns each assigned task with every further machine on which it is or may be.
     pub fn other_machines(&self) -> impl Iterator<Item = (u32, &MachineId)> {
         let all = self.other_machines.iter();
         all.flat_map(|(task, machines)| machines.iter().map(|machine| (*task, machine)))
     }
 
-    /// The machines on which a task is or may be, if that is more than one.
+    /// Returns the machines on which a task is or may be, if there are several.
     pub fn duplicates(&self, task: u32) -> Vec<&MachineId> {
         let Some(others) = self.other_machines.get(&task) else {
             return Vec::new();
@@ -49,8 +49,8 @@
         self.assigned.get(&task).into_iter().chain(others).collect()
     }
 
-    /// A queued task is to start on this machine. Returns whether it was queued; if not, nothing
-    /// changes.
+    /// Assigns a queued task to the machine on which it is to start. Returns whether it was queued; if
+    /// not, nothing changes.
     pub fn start(&mut self, task: u32, machine: &MachineId) -> bool {
         let was_queued = self.queued.remove(&task);
         if was_queued {
@@ -59,7 +59,7 @@
         was_queued
     }
 
-    /// The task is, or may be, on this machine.
+    /// Records that the task is or may be on this machine.
     pub fn assign(&mut self, task: u32, machine: &MachineId) {
         self.queued.remove(&task);
         match self.assigned.get(&task) {
@@ -76,8 +76,8 @@
         }
     }
 
-    /// The task is not on this machine any more; it is queued again when it is on no other one.
-    /// Returns whether it was queued.
+    /// Records that the task is no longer on this machine, and queues it again if it is on no other one.
+    /// Returns whether it was queued again.
     pub fn unassign(&mut self, task: u32, machine: &MachineId) -> bool {
         let mut others = self.other_machines.remove(&task).unwrap_or_default();
         let was_first = self.assigned.get(&task) == Some(machine);
@@ -101,7 +101,7 @@
         true
     }
 
-    /// The task needs to be nowhere any more; returns where it is or may be.
+    /// Removes a task that no longer has to run. Returns the machines on which it is or may be.
     pub fn release(&mut self, task: u32) -> Vec<MachineId> {
         self.queued.remove(&task);
         let others = self.other_machines.remove(&task).unwrap_or_default();
--- a/src/core/jobs/urgency.rs
+++ b/src/core/jobs/urgency.rs
@@ -1,6 +1,6 @@
-//! How urgent a job is for the sake of those that depend on it. Users set the priority and the
-//! deadline that they care about on the last job of a pipeline; both flow back from there through
-//! all that it needs.
+//! Urgency that jobs inherit from their dependents. Users set the priority and the deadline that
+//! they care about on the last job of a pipeline; both propagate from there to all jobs that it
+//! depends on.
 
 use crate::core::Core;
 use crate::core::jobs::job_run::Urgency;
@@ -9,18 +9,18 @@
 use crate::job::JobId;
 use std::time::Duration;
 
-/// What passes between the end of one job and the start of the next beside the image's fetch: the
-/// last heartbeat, the commit, a plan, a command.
+/// Time between the end of one job and the start of the next, without the fetch of the image: the
+/// last heartbeat, the commit, a plan and a command.
 const STAGE_OVERHEAD: Duration = Duration::from_millis(1500);
-/// A job takes as long as the slowest of its tasks: this many times the usual run time.
+/// Ratio of the run time of a job's slowest task to the usual one. A job takes as long as that task.
 const SLOWEST_TASK_FACTOR: f64 = 1.3;
-/// No machine type is taken to fetch images more slowly, in GB a second.
+/// Lower bound of the rate at which machines fetch images, in GB per second.
 const MIN_FETCH_GB_PER_S: f64 = 0.01;
-/// No image is taken to need longer than this, in seconds.
+/// Upper bound of the time to fetch an image, in seconds.
 const MAX_FETCH_S: f64 = 600.0;
 
 impl LeaderState {
-    /// How urgent a job is for those that depend on it, or in itself.
+    /// Returns the urgency that a job has inherited, or else its own.
     pub fn urgency_of(&self, id: &JobId, job: &JobRecord) -> Urgency {
         let inherited = self.inherited_urgency.get(id).copied();
         inherited.unwrap_or_else(|| Urgency::own(job))
@@ -28,7 +28,7 @@
 }
 
 impl Core {
-    /// How long a job takes from the end of the last one before it, when room is there at once.
+    /// Returns how long a job takes from the end of its last dependency, if there is capacity at once.
     fn stage_duration(&self, leader: &LeaderState, job: &JobRecord) -> Duration {
         let rates = self.machine_types.iter().map(|t| t.fetch_gb_per_s);
         let slowest = rates.fold(f64::INFINITY, f64::min).max(MIN_FETCH_GB_PER_S);
@@ -41,7 +41,7 @@
             + STAGE_OVERHEAD
     }
 
-    /// Recomputes the urgency of a job that changed, and of those that it depends on.
+    /// Recomputes the urgency of a job that changed, and of the jobs that it depends on.
     pub(in crate::core) fn propagate_job_urgency(&mut self, id: &JobId) {
         let Some(job) = self.store_cache.jobs.get(id) else {
             return;
@@ -53,7 +53,7 @@
         self.propagate_urgency(id);
     }
 
-    /// Recomputes the urgency of a job, and where it changes, of those that it depends on.
+    /// Recomputes the urgency of a job and, where it changes, of the jobs that it depends on.
     pub(in crate::core) fn propagate_urgency(&mut self, from: &JobId) {
         let mut next = vec![from.clone()];
         while let Some(id) = next.pop() {
@@ -77,7 +77,7 @@
         }
     }
 
-    /// A job's urgency from its own and from those that depend on it.
+    /// Returns a job's urgency, combined from its own and that of its dependents.
     fn inherit_urgency(&self, leader: &LeaderState, id: &JobId, own: Urgency) -> Urgency {
         let graph = &self.store_cache.dependencies;
         let mut urgency = own;
--- a/src/core/jobs/validation.rs
+++ b/src/core/jobs/validation.rs
@@ -1,5 +1,5 @@
-//! Whether a submitted job can ever run: its resources and machine types, its team's limits, and
-//! the jobs that it depends on.
+//! Validation of submitted jobs: whether a job can ever run with its resources and machine types, its
+//! team's limits, and the jobs that it depends on.
 
 use crate::core::Core;
 use crate::http::Response;
@@ -7,12 +7,12 @@
 use crate::settings::Team;
 use crate::wire::MachineType;
 
-/// Resources are compared with a team's limit to this accuracy.
+/// Tolerance in comparisons of resources with a team's limit.
 const LIMIT_TOLERANCE: f64 = 1e-6;
 
 impl Core {
-    /// Checks a submission as far as this node can: 422 for what can never run, 503 while that
-    /// cannot be determined.
+    /// Validates a submission as far as this node can. The error has status 422 for a job that can never
+    /// run, and 503 while that cannot be determined.
     pub(in crate::core) fn validate(&self, spec: &JobSpec) -> Result<(), Response> {
         self.validate_placement(spec)?;
         self.validate_dependencies(spec)
@@ -29,14 +29,14 @@
             return rejected("a task fits no allowed machine type");
         }
         if exceeds_team_limit(spec, team) {
-            return rejected("needs more than the team's limit");
+            return rejected("the job needs more than the team's limit");
         }
         Ok(())
     }
 
-    /// Whether a task can run on a machine of this type.
+    /// Returns whether a task can run on a machine of this type.
     fn fits_type(&self, spec: &JobSpec, machine_type: &MachineType) -> bool {
-        // A type that names no zones is to be had in those of the settings.
+        // A type that lists no zones is available in all zones of the settings.
         let zones = if machine_type.zones.is_empty() {
             &self.settings.zones
         } else {
@@ -50,10 +50,12 @@
 
     fn validate_dependencies(&self, spec: &JobSpec) -> Result<(), Response> {
         if spec.dependencies.contains(&spec.id) {
-            return rejected("it awaits itself");
+            return rejected("the job depends on itself");
         }
         match spec.dependencies.iter().find(|id| self.is_service(id)) {
-            Some(id) => rejected(&format!("it awaits {id}, a service, which is never done")),
+            Some(id) => rejected(&format!(
+                "the job depends on {id}, a service, which is never done"
+            )),
             None => Ok(()),
         }
     }
@@ -63,18 +65,18 @@
         job.is_some_and(|job| job.spec.job_kind == JobKind::Service)
     }
 
-    /// A job that is depended on and, as far as this node knows, was never accepted.
+    /// Returns a dependency of the job that, as far as this node knows, was never accepted.
     pub(in crate::core) fn unknown_dependency<'a>(&self, spec: &'a JobSpec) -> Option<&'a JobId> {
         let mut dependencies = spec.dependencies.iter();
         dependencies.find(|id| !self.store_cache.knows(id))
     }
 
-    /// Why a submission was refused for good.
+    /// Returns the response with the reason why a submission was rejected permanently.
     pub(in crate::core) fn rejection_reason(&self, spec: &JobSpec) -> Response {
         self.validate(spec).err().unwrap_or_else(|| {
             let text = match self.unknown_dependency(spec) {
-                Some(id) => format!("it awaits {id}, which was never accepted"),
-                None => "it can never run, the leader's log says why".into(),
+                Some(id) => format!("the job depends on {id}, which was never accepted"),
+                None => "the job can never run; the leader's log has the reason".into(),
             };
             Response::error(422, &text)
         })
@@ -85,7 +87,7 @@
     Err(Response::error(422, reason))
 }
 
-/// Whether what has to run of the job at the same time is more than its team may ever use.
+/// Returns whether the tasks that have to run at the same time need more than the team may ever use.
 fn exceeds_team_limit(spec: &JobSpec, team: &Team) -> bool {
     let concurrent_tasks = match spec.job_kind {
         JobKind::Array => 1.0,
--- a/src/core/store/barrier_request.rs
+++ b/src/core/store/barrier_request.rs
@@ -1,4 +1,4 @@
-//! What waits for a read barrier. Data; `read_barrier` answers it.
+//! Requests that wait for a read barrier. Plain data; `read_barrier` answers them.
 
 use crate::core::ids::Ticket;
 use crate::core::jobs::creation::Submission;
@@ -6,8 +6,8 @@
 /// A request that waits for a read barrier.
 #[derive(Debug)]
 pub enum BarrierRequest {
-    /// The state of the job with this id.
+    /// A query for the state of the job with this id.
     Show(Ticket, String),
-    /// A job to accept.
+    /// A submission whose job is to be accepted.
     Submit(Submission),
 }
--- a/src/core/store/commit.rs
+++ b/src/core/store/commit.rs
@@ -1,20 +1,20 @@
-//! Finds out whether a transaction was committed from what the state service holds, where its answer was lost.
+//! Determines from the contents of the state service whether a transaction was committed whose response was lost.
 //!
-//! All changes of a transaction share one revision, so it was committed at the revision at which exactly its
-//! changes happened. The watch shows them like any other change; a list shows them as values that are equal
-//! and share a version.
+//! All changes of a transaction share one revision, so the transaction was committed if exactly its changes
+//! happened at one revision. The watch reports them like any other change; a full list contains the written
+//! values, all with the same version.
 
 use crate::wire::{Change, CompareAndSwap, Condition, Item, WatchEvent};
 use serde_json::Value;
 
-/// The revision at which these events show the transaction to have been committed.
+/// Returns the revision at which the transaction was committed, if these events contain its commit.
 pub fn committed_in_events(txn: &CompareAndSwap, events: &[WatchEvent]) -> Option<u64> {
     let mut groups = events.chunk_by(|a, b| a.version == b.version);
     let group = groups.find(|group| is_commit(txn, group))?;
     Some(group.first()?.version)
 }
 
-/// Whether these events, of one revision, are the changes of the transaction.
+/// Returns whether these events, all of one revision, are exactly the changes of the transaction.
 fn is_commit(txn: &CompareAndSwap, group: &[WatchEvent]) -> bool {
     let shown = |change: &Change| group.iter().any(|event| same_change(change, event));
     let expected = txn.changes.iter().filter(|c| leaves_event(txn, c));
@@ -25,7 +25,7 @@
     expected.count() > 0 && all_shown && nothing_else
 }
 
-/// The deletion of a key that is not there changes nothing, and the watch shows nothing of it.
+/// Returns whether the watch reports the change. The deletion of a key that does not exist produces no event.
 fn leaves_event(txn: &CompareAndSwap, change: &Change) -> bool {
     let absent = |key: &str| {
         txn.conditions
@@ -47,7 +47,7 @@
     }
 }
 
-/// The revision at which a list, ordered by key, shows the transaction to have been committed.
+/// Returns the revision at which the transaction was committed, if a list, ordered by key, contains its values.
 pub fn committed_in_list(txn: &CompareAndSwap, items: &[Item]) -> Option<u64> {
     let find = |key: &str| {
         let at = items.binary_search_by(|item| item.key.as_str().cmp(key));
@@ -67,12 +67,12 @@
             return None;
         }
     }
-    // A key that had this value before, and still has the version that the transaction depends on.
+    // Not a commit if a key still has the version that a condition expects: it had the same value before.
     let unchanged = |c: &Condition| Some(c.version) == revision;
     revision.filter(|_| !txn.conditions.iter().any(unchanged))
 }
 
-/// Whether two values are equal; numbers are compared by amount, as the service may write them differently.
+/// Returns whether two values are equal. Numbers are compared by value, since the service may format them differently.
 fn same_value(a: &Value, b: &Value) -> bool {
     match (a, b) {
         (Value::Number(a), Value::Number(b)) => a == b || a.as_f64() == b.as_f64(),
--- a/src/core/store/commit/tests.rs
+++ b/src/core/store/commit/tests.rs
@@ -31,7 +31,7 @@
     }
 }
 
-/// Writes `a`, which was of version 3, and `b`, and deletes `c` and `d`, of which `d` is not there.
+/// Returns a transaction that overwrites `a` of version 3, creates `b`, and deletes `c` and `d`, which does not exist.
 fn txn() -> CompareAndSwap {
     let conditions = [("leader", 2), ("a", 3), ("b", 0), ("c", 4), ("d", 0)];
     let condition = |(key, version): (&str, u64)| Condition {
@@ -119,7 +119,7 @@
         committed_after(&|i| i.insert(2, item("c", json!(1), 4))),
         None
     );
-    // As it was before: the same values, of the versions that the transaction depends on.
+    // Equal values that still have the versions of the conditions were there before the transaction.
     assert_eq!(
         committed_after(&|i| (i[0].version, i[1].version) = (3, 3)),
         None
--- a/src/core/store/keys.rs
+++ b/src/core/store/keys.rs
@@ -1,41 +1,41 @@
 //! Keys of the state service. All are under `PREFIX`:
 //!
-//! - `leader` (attached to the leader's lease), `term`, `types` (machine types) and `rebuilding` (the store is
-//!   incomplete, and what it lost is being brought back);
-//! - `j/<job>`: a job, or how it ended;
-//! - `d/<job>/<task>`: ranges of done tasks, counted from that task;
+//! - `leader` (attached to the leader's lease), `term`, `types` (machine types) and `rebuilding` (present while
+//!   the store is incomplete and its lost data is being restored);
+//! - `j/<job>`: a job, or its outcome once it has ended;
+//! - `d/<job>/<task>`: ranges of done tasks, numbered relative to that task;
 //! - `s/<job>/<generation>/<n>`: parts of large jobs;
 //! - `p/<n>`: pages of machines that may hold a task;
-//! - `m/<machine>`: such machines one by one, from earlier versions;
-//! - `i/<identity>`: which store this is.
+//! - `m/<machine>`: single machines of this kind, written by earlier versions;
+//! - `i/<identity>`: the identity of the store.
 
 use crate::store_client::PREFIX;
 use crate::wire::Condition;
 
-/// The name of the key that holds the current leader.
+/// Name of the key that holds the current leader.
 pub const LEADER: &str = "leader";
-/// The name of the key with the newest term.
+/// Name of the key with the newest term.
 pub const TERM: &str = "term";
-/// The name of the key with the machine types.
+/// Name of the key with the machine types.
 pub const TYPES: &str = "types";
-/// The store is incomplete: what it lost is being brought back.
+/// Name of the key that marks the store as incomplete while its lost data is being restored.
 pub const REBUILDING: &str = "rebuilding";
-/// A key that is never written: reading its absence returns the store's revision.
+/// Name of a key that is never written: a read of it returns only the store's revision.
 pub const NEVER_WRITTEN: &str = "nothing";
 
-/// Names one writing of a job's parts; a repeated submission writes its own.
+/// Identifies one set of a large job's parts; each submission attempt writes a set of its own.
 pub type PartGeneration = u64;
 
-/// A key of the state service, by what it is for.
+/// A key of the state service, by its purpose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreKey<'a> {
-    /// Who leads.
+    /// The current leader.
     Leader,
     /// The newest term.
     Term,
     /// The machine types.
     MachineTypes,
-    /// The mark of an incomplete store.
+    /// The marker of an incomplete store.
     Rebuilding,
     /// A job with this id.
     Job(&'a str),
@@ -43,28 +43,28 @@
     DoneRange {
         /// The job's id.
         job: &'a str,
-        /// The first task that the range may have.
+        /// The first task that the range can contain.
         base: u32,
     },
     /// A part of a large job.
     JobPart {
         /// The job's id.
         job: &'a str,
-        /// The writing that it belongs to.
+        /// The set of parts that it belongs to.
         generation: PartGeneration,
-        /// Its place among the parts.
+        /// Its index among the parts.
         number: u32,
     },
-    /// A page of machines.
+    /// A page of machine records.
     MachinePage(usize),
-    /// A machine under a key of its own.
+    /// A machine record under a key of its own.
     Machine(&'a str),
-    /// Which store this is.
+    /// The identity of the store.
     Identity(&'a str),
 }
 
 impl<'a> StoreKey<'a> {
-    /// What a key is for; none for a key of another program or version.
+    /// Parses a key. Returns `None` for a key of another program or version.
     pub fn parse(key: &'a str) -> Option<StoreKey<'a>> {
         let name = key.strip_prefix(PREFIX)?;
         let Some((kind, rest)) = name.split_once('/') else {
@@ -104,28 +104,28 @@
     }
 }
 
-/// The key of this name.
+/// Returns the key with this name.
 pub fn key(name: &str) -> String {
     format!("{PREFIX}{name}")
 }
 
-/// The key of a job.
+/// Returns the key of a job.
 pub fn job_key(id: &str) -> String {
     format!("{PREFIX}j/{id}")
 }
 
-/// The key of a job's done tasks, counted from `base`.
+/// Returns the key of a job's done tasks, counted from `base`.
 pub fn done_key(id: &str, base: u32) -> String {
     format!("{PREFIX}d/{id}/{base}")
 }
 
-/// The store's identity is in the key's name, so that a condition on it cannot hold by chance in a
-/// store that began again at revision 0.
+/// Returns the key of the store's identity. The identity is part of the key's name, so that a condition
+/// on the key's version cannot hold by chance in a store that restarted at revision 0.
 pub fn identity_key(id: &str) -> String {
     format!("{PREFIX}i/{id}")
 }
 
-/// The condition that the store has this identity, given with the version of its key.
+/// Returns the condition that the store has this identity, which is given with the version of its key.
 pub fn identity_condition(identity: &(String, u64)) -> Condition {
     Condition {
         key: identity_key(&identity.0),
@@ -133,17 +133,17 @@
     }
 }
 
-/// The key of a page of machines.
+/// Returns the key of a page of machine records.
 pub fn page_key(n: usize) -> String {
     format!("{PREFIX}p/{n}")
 }
 
-/// The key of a single machine, as earlier versions wrote them.
+/// Returns the key of a single machine's record, as written by earlier versions.
 pub fn machine_key(id: &str) -> String {
     format!("{PREFIX}m/{id}")
 }
 
-/// The key of a part of a large job.
+/// Returns the key of a part of a large job.
 pub fn part_key(id: &str, generation: PartGeneration, n: u32) -> String {
     key(&format!("s/{id}/{generation}/{n}"))
 }
--- a/src/core/store/large_jobs.rs
+++ b/src/core/store/large_jobs.rs
@@ -1,21 +1,21 @@
-//! Jobs that do not fit into one value of the state service, such as those that await hundreds of
-//! others: their text is kept in parts under keys of their own. The job's key, which alone means
-//! that it is accepted, is written last, on the condition that every part is still as it was
-//! written. So parts that no job refers to may be cleared at any time.
+//! Jobs that do not fit into one value of the state service, such as jobs with hundreds of
+//! dependencies. Their JSON is stored in parts under separate keys. The job's key, whose presence
+//! alone means that the job is accepted, is written last, on the condition that every part is still
+//! as it was written. Parts that no job refers to can therefore be deleted at any time.
 
 use crate::core::store::keys::{PartGeneration, part_key};
 use crate::job::{JobId, JobSpec};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A part as it is stored.
+/// Stored value of a part.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PartValue {
-    /// A piece of the job's JSON.
+    /// Fragment of the job's JSON.
     pub text: String,
 }
 
-/// Cuts a text so that each part fits into a value of so many bytes, whatever has to be escaped.
+/// Splits JSON text into parts that each fit into a value of `value_bytes` bytes, whichever characters are escaped.
 pub fn split_text(text: &str, value_bytes: usize) -> Vec<String> {
     let max_bytes = value_bytes.saturating_sub(32).max(16) / 2;
     let mut parts = Vec::new();
@@ -32,42 +32,43 @@
     parts
 }
 
-/// Parts in flight, and which of them are stored at which version.
+/// Parts of a job that are being written, and the versions of those already stored.
 #[derive(Clone, Debug)]
 pub struct PartWrite {
-    /// The writing that they belong to.
+    /// Set that the parts belong to.
     pub generation: PartGeneration,
-    /// The texts of all parts.
+    /// Texts of all parts.
     pub parts: Vec<String>,
-    /// The versions of those that are stored, from the first one on.
+    /// Versions of the stored parts, from the first part on.
     pub versions: Vec<u64>,
 }
 
-/// An accepted job, some parts of which have not been read yet.
+/// Content of the key of an accepted large job, some of whose parts have not been read yet.
 #[derive(Clone, Copy, Debug)]
 pub struct MultipartHeader {
-    /// The writing of parts that its key refers to.
+    /// Set of parts that the job's key refers to.
     pub generation: PartGeneration,
-    /// How many parts it has.
+    /// Number of parts.
     pub count: u32,
-    /// When it was accepted, in milliseconds since 1970.
+    /// Time of submission, in milliseconds since 1970.
     pub submitted_ms: u64,
-    /// The version of its key.
+    /// Version of the job's key.
     pub version: u64,
 }
 
-/// Parts of large jobs, as far as they are read.
+/// Parts of large jobs that have been read so far.
 #[derive(Default)]
 pub struct LargeJobParts {
-    /// What is stored, by job and writing. Texts are dropped once their job has been read.
+    /// Stored parts, by job and set. Texts are cleared once their job has been read.
     texts: BTreeMap<(JobId, PartGeneration), BTreeMap<u32, String>>,
+    /// Accepted jobs that still have unread parts.
     incomplete_jobs: BTreeMap<JobId, MultipartHeader>,
-    /// Which writing a live job was read from.
+    /// Set of parts from which each live job was read.
     generation_read: BTreeMap<JobId, PartGeneration>,
 }
 
 impl LargeJobParts {
-    /// The store holds this part.
+    /// Adds a part that the store holds.
     pub fn put(&mut self, id: &JobId, generation: PartGeneration, n: u32, text: String) {
         let read = self.generation_read.get(id) == Some(&generation);
         let text = if read { String::new() } else { text };
@@ -75,7 +76,7 @@
         parts.insert(n, text);
     }
 
-    /// The store does not hold this part any more.
+    /// Removes a part that the store no longer holds.
     pub fn delete(&mut self, id: &JobId, generation: PartGeneration, n: u32) {
         let key = (id.clone(), generation);
         if let Some(parts) = self.texts.get_mut(&key) {
@@ -86,14 +87,14 @@
         }
     }
 
-    /// A job is accepted; its parts may be read before or after this.
+    /// Adds an accepted job; its parts may be read before or after its key.
     pub fn add_header(&mut self, id: &JobId, header: MultipartHeader) {
         if !self.generation_read.contains_key(id) {
             self.incomplete_jobs.insert(id.clone(), header);
         }
     }
 
-    /// The job, if it is accepted and all its parts are there.
+    /// Returns the job if it is accepted and all its parts have been read, and clears their texts.
     pub fn take_complete(&mut self, id: &JobId) -> Option<(MultipartHeader, JobSpec)> {
         let header = *self.incomplete_jobs.get(id)?;
         let parts = self.texts.get_mut(&(id.clone(), header.generation))?;
@@ -111,7 +112,7 @@
         }
     }
 
-    /// A job is over. Returns the keys that are of no use any more.
+    /// Removes an ended job. Returns the keys of its stored parts, which can be deleted.
     pub fn remove_job(&mut self, id: &JobId) -> Vec<String> {
         self.incomplete_jobs.remove(id);
         self.generation_read.remove(id);
@@ -123,7 +124,7 @@
         stored.flat_map(|g| self.keys(id, g)).collect()
     }
 
-    /// Writings that no accepted job refers to.
+    /// Returns the sets of parts that no accepted job refers to.
     pub fn unclaimed(&self) -> impl Iterator<Item = &(JobId, PartGeneration)> {
         self.texts.keys().filter(|(id, generation)| {
             self.generation_read.get(id) != Some(generation)
@@ -131,14 +132,14 @@
         })
     }
 
-    /// The keys of one writing's parts.
+    /// Returns the keys of the stored parts of one set.
     pub fn keys(&self, id: &JobId, generation: PartGeneration) -> Vec<String> {
         let parts = self.texts.get(&(id.clone(), generation));
         let numbers = parts.into_iter().flat_map(|p| p.keys());
         numbers.map(|n| part_key(id, generation, *n)).collect()
     }
 
-    /// Whether the job is accepted, and some of its parts are not read yet.
+    /// Returns whether the job is accepted and some of its parts have not been read yet.
     pub fn is_incomplete(&self, id: &str) -> bool {
         self.incomplete_jobs.contains_key(id)
     }
--- a/src/core/store/machine_records.rs
+++ b/src/core/store/machine_records.rs
@@ -1,13 +1,13 @@
-//! The record of every machine that may hold a task, for leaders to come. Machines share pages of
-//! the state service, as many as fit into one value: a change is counted by key, and hundreds of
-//! machines come up together.
+//! Records of all machines that may hold a task, stored for later leaders. A page under one key of
+//! the state service holds as many machines as fit into a value, because the service counts changes
+//! by key, and hundreds of machines may start at the same time.
 //!
 //! Earlier versions wrote pages up to a larger limit. Such a page stays as it is until it has to be
-//! written; then what is too much for it moves to other pages in one transaction. Earlier versions
-//! forget a machine when one page ceases to list it, even where another one lists it already, and
-//! a task on a machine that the next leader does not know of would be started twice. The service
-//! shows the changes of a transaction in their order, so the page that gives machines up goes
-//! first, and those that take them on follow.
+//! written; its excess machines then move to other pages in the same transaction. Earlier versions
+//! drop a machine as soon as one page stops listing it, even if another page already lists it, and
+//! a task on a machine that the next leader does not know would be started twice. The service
+//! delivers the changes of a transaction in order, so the page that loses machines is written
+//! first, followed by the pages that receive them.
 
 use crate::core::store::cache::{MachineValue, PageValue, StoreCache};
 use crate::core::store::keys::{machine_key, page_key};
@@ -16,23 +16,24 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// A removed machine may stay in the stored list this long: a new leader would only probe it in vain.
+/// Delay before a page is written only to drop removed machines. Until then, a new leader would merely
+/// probe them without success.
 const STALE_PAGE_DELAY: Duration = Duration::from_secs(2);
 
 #[derive(Default)]
 struct Page {
     machines: BTreeMap<MachineId, MachineValue>,
-    /// What they take of a value.
+    /// Bytes that the machines take of the value.
     bytes: usize,
 }
 
 impl Page {
-    /// Whether so many bytes more fit; an empty page takes any machine.
+    /// Returns whether this many more bytes fit; an empty page accepts a machine of any size.
     fn has_room(&self, bytes: usize, max_bytes: usize) -> bool {
         self.machines.is_empty() || self.bytes + bytes <= max_bytes
     }
 
-    /// The change that brings the stored page up to date.
+    /// Returns the change that brings the stored page up to date.
     fn change(&self, key: String) -> Change {
         if self.machines.is_empty() {
             return Change::Delete { key };
@@ -43,49 +44,49 @@
     }
 }
 
-/// The pages as they are or will be in the state service, and what is to be written of them.
+/// Pages as they are or will be stored in the state service, and the writes that are still due.
 #[derive(Default)]
 pub struct MachineRecords {
-    /// Bytes that a page may have.
+    /// Maximum size of a page, in bytes.
     max_page_bytes: usize,
     pages: Vec<Page>,
     page_of: BTreeMap<MachineId, usize>,
-    /// Pages that have new machines on them.
+    /// Pages with new machines, which are to be written.
     pages_to_write: BTreeSet<usize>,
-    /// Pages that list machines which are gone, and since when.
+    /// Stored pages that still list removed machines, and since when.
     stale_pages: BTreeMap<usize, Instant>,
-    /// Pages that the service refuses, and until when they are not tried again.
+    /// Pages that the service refused, and when they may be written again.
     deferred_pages: BTreeMap<usize, Instant>,
-    /// Pages between which machines move: written together, in this order, or not at all.
+    /// Groups of pages between which machines move: each group is written in one transaction, in this order.
     atomic_groups: Vec<Vec<usize>>,
-    /// Machines recorded under keys of their own, as earlier versions did.
+    /// Machines recorded under keys of their own by earlier versions.
     single_key_machines: BTreeSet<MachineId>,
-    /// Those of them that are gone.
+    /// Machines of that kind whose keys are to be deleted.
     single_keys_to_delete: BTreeSet<MachineId>,
 }
 
 /// Pages to write in one transaction, in this order, and the machines that are then recorded.
 pub struct PageWrite {
-    /// Numbers of the pages.
+    /// Page numbers.
     pub pages: Vec<usize>,
-    /// The change of each page.
+    /// Change of each page.
     pub changes: Vec<Change>,
-    /// Machines that are recorded once this is committed.
+    /// Machines that are recorded once the transaction is committed.
     pub machines: Vec<MachineId>,
 }
 
-/// What quotes and separators take of a page, for each machine.
+/// Bytes of a page for the quotes and separators of one machine.
 const ENTRY_OVERHEAD_BYTES: usize = 4;
-/// Pages from this number on are not ours, and stay as they are.
+/// Upper bound of page numbers. Pages with higher numbers were not written by this program and are left alone.
 const MAX_PAGES: usize = 1 << 16;
 
-/// Bytes that a machine takes of its page.
+/// Returns the bytes that a machine takes of its page.
 fn entry_bytes(id: &MachineId, value: &MachineValue) -> usize {
     id.len() + to_json(value).len() + ENTRY_OVERHEAD_BYTES
 }
 
 impl MachineRecords {
-    /// The machines that a new leader finds in the store.
+    /// Creates the records from the machines that a new leader finds in the store.
     pub fn new(store_cache: &StoreCache, value_bytes: usize) -> MachineRecords {
         let mut records = MachineRecords {
             max_page_bytes: value_bytes / 8 * 7,
@@ -116,7 +117,7 @@
         self.page_of.insert(id, n);
     }
 
-    /// Puts a machine on the first page with room for it, to be written soon.
+    /// Puts a machine on the first page with room for it, unless it is on a page already, and queues the page.
     pub fn add(&mut self, id: &MachineId, value: MachineValue) {
         if let Some(n) = self.page_of.get(id) {
             self.pages_to_write.insert(*n);
@@ -129,7 +130,7 @@
         self.pages_to_write.insert(n);
     }
 
-    /// Takes a machine that is gone off its page, to be written when convenient.
+    /// Removes a machine from its page, which is written after `STALE_PAGE_DELAY` at the earliest.
     pub fn remove(&mut self, id: &MachineId, now: Instant) {
         if self.single_key_machines.remove(id) {
             self.delete_single_key(id.clone());
@@ -144,8 +145,8 @@
         self.stale_pages.entry(n).or_insert(now);
     }
 
-    /// The next pages to write, those with new machines first; no more than `max_changes`. The
-    /// first page that fits with new machines; else, unless `only_new`, one that lists machines that are gone.
+    /// Returns the next pages to write, at most `max_changes`: a group of pages between which machines
+    /// move, else the first page with new machines, else, unless `only_new`, a page that lists removed ones.
     pub fn next_write(
         &mut self,
         now: Instant,
@@ -171,13 +172,13 @@
         Some(self.page_write(pages))
     }
 
-    /// The first page with new machines that can be written now.
+    /// Returns the first page with new machines that can be written now.
     fn next_new_page(&self, max_changes: usize) -> Option<usize> {
         let mut pages = self.pages_to_write.iter().copied();
         pages.find(|n| self.can_write(*n, max_changes))
     }
 
-    /// The first page that has listed machines that are gone for long enough, and can be written now.
+    /// Returns the first page that has listed removed machines for `STALE_PAGE_DELAY` and can be written now.
     fn next_stale_page(&self, now: Instant, max_changes: usize) -> Option<usize> {
         let due = |since: Instant| now >= since + STALE_PAGE_DELAY;
         let mut pages = self.stale_pages.iter();
@@ -189,7 +190,7 @@
         self.pages_after_split(n) <= max_changes && !self.deferred_pages.contains_key(&n)
     }
 
-    /// The first page of which this holds, or a new one at the end.
+    /// Returns the first page that satisfies the predicate, or a new one at the end.
     fn find_or_add_page(&mut self, predicate: impl Fn(&Page) -> bool) -> usize {
         let found = self.pages.iter().position(predicate);
         found.unwrap_or_else(|| {
@@ -198,7 +199,7 @@
         })
     }
 
-    /// How many pages the machines of this one take; a page that others move to as well.
+    /// Returns how many pages have to be written at most to write this one: several if it has to be split.
     fn pages_after_split(&self, n: usize) -> usize {
         match self.pages[n].bytes {
             bytes if bytes <= self.max_page_bytes => 1,
@@ -206,7 +207,7 @@
         }
     }
 
-    /// Moves what is too much for a page to others, and names all pages that this concerns.
+    /// Moves the excess machines of a page to empty pages. Returns all pages that change, this one first.
     fn split(&mut self, n: usize) -> Vec<usize> {
         let mut pages = vec![n];
         let all = std::mem::take(&mut self.pages[n]);
@@ -216,7 +217,7 @@
             let target = if self.pages[last].has_room(bytes, self.max_page_bytes) {
                 last
             } else {
-                // Empty ones only: each other page with room would be one more to write.
+                // Only empty pages are filled: partly filled ones would add more pages to the transaction.
                 let empty_page = self.find_or_add_page(|page| page.machines.is_empty());
                 pages.push(empty_page);
                 empty_page
@@ -226,7 +227,7 @@
         pages
     }
 
-    /// The changes that bring these pages up to date.
+    /// Returns the write that brings these pages up to date, and removes them from the queues.
     fn page_write(&mut self, pages: Vec<usize>) -> PageWrite {
         let mut changes = Vec::new();
         let mut machines = Vec::new();
@@ -244,24 +245,24 @@
         }
     }
 
-    /// Whether the machine is recorded in the state service, as far as the pending pages show.
+    /// Returns whether the machine's record is stored, which it is unless its page is still queued.
     pub fn is_recorded(&self, id: &MachineId) -> bool {
         let page = self.page_of.get(id);
         self.single_key_machines.contains(id)
             || page.is_some_and(|n| !self.pages_to_write.contains(n))
     }
 
-    /// Whether the machine is recorded, or its record is pending.
+    /// Returns whether the machine's record is stored or queued.
     pub fn is_recorded_or_pending(&self, id: &MachineId) -> bool {
         self.page_of.contains_key(id) || self.single_key_machines.contains(id)
     }
 
-    /// Whether all machines that may hold tasks are recorded.
+    /// Returns whether the records of all machines that may hold tasks are stored.
     pub fn all_written(&self) -> bool {
         self.pages_to_write.is_empty() && self.atomic_groups.is_empty()
     }
 
-    /// The pages were not written after all.
+    /// Queues pages again that were not written.
     pub fn requeue(&mut self, pages: Vec<usize>) {
         if let [n] = pages[..] {
             self.pages_to_write.insert(n);
@@ -270,18 +271,18 @@
         }
     }
 
-    /// The service refuses this page; it is tried again later.
+    /// Queues a page that the service refused, to be written again at the given time.
     pub fn defer(&mut self, n: usize, until: Instant) {
         self.deferred_pages.insert(n, until);
         self.pages_to_write.insert(n);
     }
 
-    /// This key of a single machine is to be deleted.
+    /// Queues the deletion of a single machine's key.
     pub fn delete_single_key(&mut self, id: MachineId) {
         self.single_keys_to_delete.insert(id);
     }
 
-    /// The next key of a single machine to delete.
+    /// Returns the next queued deletion of a single machine's key.
     pub fn next_single_key_deletion(&mut self) -> Option<Change> {
         let id = self.single_keys_to_delete.pop_first()?;
         Some(Change::Delete {
--- a/src/core/store/machine_records/tests.rs
+++ b/src/core/store/machine_records/tests.rs
@@ -25,8 +25,9 @@
     store_cache.apply(vec![event], version);
 }
 
-/// What a leader writes is what the next one finds, page by page, machines that came one by
-/// one and all at once, and those of an earlier version's keys too.
+/// Guards against machines that are lost between two leaders: the next leader must find every machine
+/// that was written page by page, whether added alone or with others, and one under the key of an
+/// earlier version.
 #[test]
 fn a_thousand_machines_are_recorded_in_few_pages_and_removed_again() {
     let mut store_cache = StoreCache::default();
@@ -57,7 +58,7 @@
     assert!(writes < 40, "{writes} writes for a thousand machines");
     assert_eq!(store_cache.machines.len(), 1001);
 
-    // Another leader takes over what it finds and forgets most of it.
+    // The next leader reads the records and removes most machines.
     let mut records = MachineRecords::new(&store_cache, 8192);
     for id in ids.iter().skip(10) {
         records.remove(id, now);
--- a/src/core/store/pending_writes.rs
+++ b/src/core/store/pending_writes.rs
@@ -1,5 +1,5 @@
-//! The leader's durable writes: what waits for the next transaction, and the one transaction that is in flight.
-//! Data; `writes` builds and sends the transactions.
+//! Data of the leader's durable writes: the changes that wait for the next transaction, and the one transaction
+//! that is in flight. `transaction` builds the transactions, and `writes` sends them.
 
 use crate::core::ids::CallId;
 use crate::core::store::cache::ResidualTasks;
@@ -9,81 +9,81 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
 
-/// One durable change of the leader's, as part of a transaction.
+/// A durable change by the leader, as part of a transaction.
 #[derive(Clone, Debug)]
 pub enum WriteOp {
-    /// A job has ended; with what may remain of it on machines.
+    /// The end of a job, with the tasks of it that may remain on machines.
     End(JobId, JobOutcome, Option<ResidualTasks>),
-    /// These tasks of a job are done.
+    /// Tasks of a job that are done.
     Progress(JobId, Vec<u32>),
     /// Pages of machine records, and the machines on them.
     Pages(Vec<usize>, Vec<MachineId>),
     /// The cloud's machine types.
     Types,
-    /// A job that the store had lost.
+    /// A restored job that the store had lost.
     MissingJob(JobId),
-    /// So many parts of a large job that the store had lost.
+    /// Restored parts of a large job that the store had lost, with their number so far.
     MissingJobParts(JobId, usize),
-    /// The store is complete again.
+    /// The end of a rebuild: the store is complete again.
     Rebuilt,
 }
 
-/// Changes that wait for the next transaction, and the one that is in flight.
+/// Changes that wait for the next transaction, and the transaction that is in flight.
 #[derive(Default)]
 pub struct PendingWrites {
-    /// Jobs that have ended, and how.
+    /// Outcomes of ended jobs.
     pub ends: BTreeMap<JobId, JobOutcome>,
-    /// Jobs to cancel because a job that they depend on was cancelled, which is durable already.
+    /// Jobs to cancel because a job that they depend on was cancelled. That cancellation is already durable.
     pub cancelled_dependents: BTreeSet<JobId>,
     /// Jobs with done tasks that are not written yet, and since when.
     pub progress: BTreeMap<JobId, Instant>,
-    /// Machine records.
+    /// Records of machines that may hold tasks.
     pub records: MachineRecords,
-    /// The machine types are to be written.
+    /// Whether the machine types are to be written.
     pub machine_types: bool,
-    /// The mark of an incomplete store is to be removed.
+    /// Whether the marker of an incomplete store is to be removed.
     pub rebuild_complete: bool,
-    /// How many parts are written of large jobs that the store had lost.
+    /// Number of restored parts of each large job that the store had lost.
     pub missing_parts_written: BTreeMap<JobId, usize>,
-    /// The transaction that is in flight, or whose outcome is unknown.
+    /// Transaction that is in flight or whose outcome is unknown.
     pub in_flight: Option<InFlightWrite>,
-    /// How many consecutive transactions were refused for that.
+    /// Number of consecutive transactions that were refused because of another writer's change.
     pub conflicts: u32,
-    /// How many changes a transaction may have, if the store refused one of the configured size.
+    /// Maximum number of changes in a transaction, once the store has rejected one of the configured size.
     pub max_changes: Option<usize>,
-    /// Keys that the store refuses to have written, and until when that is not tried again.
+    /// Keys whose changes the store rejected, and when they may be written again.
     pub quarantined_keys: BTreeMap<String, Instant>,
 }
 
-/// The transaction that is in flight, or whose outcome is unknown.
+/// A transaction that is in flight or whose outcome is unknown.
 pub struct InFlightWrite {
-    /// As sent.
+    /// Transaction as it was sent.
     pub txn: CompareAndSwap,
-    /// The changes that are in it.
+    /// Changes in the transaction, with their effects.
     pub ops: Vec<WriteOp>,
-    /// The call that carries it, until that has an outcome.
+    /// Call that carries the transaction, until the call has an outcome.
     pub call: Option<CallId>,
-    /// When it is sent again if its outcome is unknown.
+    /// When the transaction is sent again if its outcome is unknown.
     pub retry_at: Instant,
-    /// The revision at which the store shows it to have been committed.
+    /// Revision of its commit, if the store's contents show that it was committed.
     pub committed: Option<u64>,
-    /// It was refused for what the store held at some revision: whether that is this transaction's own first copy is
-    /// known when the cache has come as far.
+    /// Set when the transaction was refused because of the store's contents at some revision. Whether these came from
+    /// an earlier copy of this very transaction is known once the cache has reached that revision.
     pub refused: Option<RefusedWrite>,
 }
 
-/// A refused transaction, until it is known who made the change for which it was refused.
+/// Refusal of a transaction, kept until it is known who made the conflicting change.
 pub struct RefusedWrite {
-    /// The keys whose versions differ from the conditions.
+    /// Keys whose versions differ from the conditions.
     pub conflicting_keys: Vec<String>,
-    /// The store's revision at the refusal.
+    /// Revision of the store at the refusal.
     pub revision: u64,
-    /// When the refusal came.
+    /// When the refusal arrived.
     pub since: Instant,
 }
 
 impl InFlightWrite {
-    /// A transaction that is sent now, by this call.
+    /// Creates the state of a transaction that is sent now, by this call.
     pub fn new(
         txn: CompareAndSwap,
         ops: Vec<WriteOp>,
--- a/src/core/store/read_barrier.rs
+++ b/src/core/store/read_barrier.rs
@@ -1,9 +1,9 @@
-//! Linearizable reads of what one key cannot answer. The state of a job with dependencies depends on how those
-//! have ended, and whether a job that a submission names was ever accepted, on all keys there are.
+//! Linearizable reads that need more than one key. The state of a job with dependencies depends on their outcomes,
+//! and whether a dependency named by a submission was ever accepted can depend on any key.
 //!
-//! A read begun after the request came shows the state service's revision; once this node's copy
-//! has reached that revision, it holds everything that any answer before the request can have
-//! shown. Requests of one step share the read.
+//! A read that starts after the request arrived returns the state service's revision. Once this node's
+//! cache has reached that revision, it contains everything that any response before the request can
+//! have shown. Requests of one step share the read.
 
 use crate::core::Core;
 use crate::core::command::Pending;
@@ -13,32 +13,33 @@
 use crate::store_client::{StoreOutcome, StoreRequest};
 use std::time::{Duration, Instant};
 
-/// The watch brings changes within some ten milliseconds; a user waits 2 s for a poll.
+/// Maximum time that a request waits for the cache. The watch delivers changes within some ten milliseconds, and
+/// a user waits 2 s for the response to a poll.
 const BARRIER_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Requests for which the store's revision is being read, or which wait until the copy has come as far.
+/// Requests that wait until the store's revision is read, or until the cache has reached it.
 #[derive(Default)]
 pub struct ReadBarriers {
-    /// Received in this step.
+    /// Requests received in this step.
     queued: Vec<BarrierRequest>,
     waiting: Vec<WaitingGroup>,
 }
 
-/// Requests that wait for the copy.
+/// Requests that wait for the cache to reach the same revision.
 struct WaitingGroup {
-    /// The revision that the copy has to reach.
+    /// Revision that the cache has to reach.
     revision: u64,
     deadline: Instant,
     requests: Vec<BarrierRequest>,
 }
 
 impl Core {
-    /// The request is answered after a read that begins at the end of this step.
+    /// Queues a request, to be answered after a read that starts at the end of this step.
     pub(in crate::core) fn queue_barrier_request(&mut self, request: BarrierRequest) {
         self.barriers.queued.push(request);
     }
 
-    /// Begins the read for the requests of this step; called at its end.
+    /// Starts the read for the requests of this step; called at the end of the step.
     pub(in crate::core) fn send_barrier(&mut self) {
         let new = std::mem::take(&mut self.barriers.queued);
         if !new.is_empty() {
@@ -49,7 +50,7 @@
         }
     }
 
-    /// The read has shown the store's revision, or has failed.
+    /// Handles the outcome of the read: the store's revision, or a failure.
     pub(in crate::core) fn barrier_outcome(
         &mut self,
         requests: Vec<BarrierRequest>,
@@ -67,7 +68,7 @@
         self.answer_barriers();
     }
 
-    /// The users are asked to try again.
+    /// Answers with status 503, so that the users try again.
     fn answer_unavailable(&mut self, requests: Vec<BarrierRequest>) {
         for request in requests {
             let ticket = match request {
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Answers what the copy is new enough for; what has waited for too long is put off.
+    /// Answers requests for which the cache is new enough, and with status 503 those past their deadline.
     pub(in crate::core) fn answer_barriers(&mut self) {
         let (now, revision) = (self.now.mono, self.store_cache.revision);
         for group in std::mem::take(&mut self.barriers.waiting) {
--- a/src/core/store/transaction.rs
+++ b/src/core/store/transaction.rs
@@ -1,8 +1,8 @@
-//! Builds the leader's next transaction from everything that waits to be written.
+//! Builds the leader's next transaction from all pending changes.
 //!
-//! Kinds of change are taken in order of importance until the transaction is full: ends of jobs, new machines,
-//! what a lost store held, done tasks, dependents cancelled with their dependency, stale machine pages, machine
-//! types, the end of a rebuild, and last the deletion of keys that are of no use any more.
+//! Changes are taken in order of importance until the transaction is full: ends of jobs, new machines, jobs that
+//! the store has lost, done tasks, dependents cancelled with their dependency, stale machine pages, machine types,
+//! the end of a rebuild, and finally the deletion of obsolete keys.
 
 use crate::core::leadership::state::LeaderState;
 use crate::core::machines::cancellation_bound::cancellation_bound;
@@ -17,26 +17,27 @@
 use crate::wire::{Change, CompareAndSwap, Condition, MachineType, to_json, to_json_value};
 use std::time::{Duration, Instant};
 
-/// A submission takes 5 s at the most; its parts wait this long for their job.
+/// Age at which parts that no job refers to are deleted. A submission takes at most 5 s.
 const UNCLAIMED_PARTS_TTL: Duration = Duration::from_secs(60);
-/// Done ranges may wait this long to be written together; users may learn of them 3 s late.
+/// Delay before done tasks are written, so that more of them share a write. Users may see them up to 3 s late.
 const PROGRESS_DELAY: Duration = Duration::from_millis(2000);
-/// A transaction may have 64 KiB; this leaves room for its frame.
+/// Maximum size of a transaction's changes and conditions, in bytes. The store's limit
+/// of 64 KiB includes the frame of the request.
 pub(in crate::core) const MAX_TRANSACTION_BYTES: usize = 56 * 1024;
-/// What a condition takes of that, beside its key.
+/// Bytes of a condition without its key.
 const CONDITION_BYTES: usize = 48;
-/// What the separator after a change takes of that.
+/// Bytes of the separator after a change.
 const SEPARATOR_BYTES: usize = 2;
 
-/// A transaction, and what it means to the leader once it is committed.
+/// A transaction, and its effects on the leader's state once it is committed.
 pub(super) struct Transaction {
-    /// What is sent to the store.
+    /// Request to the store.
     pub(super) request: CompareAndSwap,
-    /// The effects of its commit, in the order of its changes.
+    /// Effects of the commit, in the order of the changes.
     pub(super) ops: Vec<WriteOp>,
 }
 
-/// Changes and their effects, within the limits on a transaction.
+/// Changes and their effects, within the limits of a transaction.
 struct Batch {
     max_changes: usize,
     bytes: usize,
@@ -54,12 +55,12 @@
         }
     }
 
-    /// How many more changes it may have.
+    /// Returns how many more changes the batch may have.
     fn remaining_changes(&self) -> usize {
         self.max_changes.saturating_sub(self.changes.len())
     }
 
-    /// Adds changes that belong together, if there is room for all of them.
+    /// Adds changes that belong together, if all of them fit; returns whether they did.
     fn add(&mut self, mut changes: Vec<Change>) -> bool {
         let bytes: usize = changes.iter().map(transaction_bytes).sum();
         if changes.len() > self.remaining_changes() || self.bytes + bytes > MAX_TRANSACTION_BYTES {
@@ -70,7 +71,7 @@
         true
     }
 
-    /// Adds changes that belong together and their effect, if there is room.
+    /// Adds changes that belong together and their effect, if they fit; returns whether they did.
     fn add_op(&mut self, changes: Vec<Change>, op: WriteOp) -> bool {
         let added = self.add(changes);
         if added {
@@ -80,12 +81,12 @@
     }
 }
 
-/// What a change and the condition on its key take of a transaction.
+/// Returns the bytes that a change and the condition on its key take of a transaction.
 fn transaction_bytes(change: &Change) -> usize {
     to_json(change).len() + SEPARATOR_BYTES + change.key().len() + CONDITION_BYTES
 }
 
-/// Gathers what waits to be written. Each `add` method stops where the transaction is full.
+/// Collects pending changes. Each `add` method stops when the transaction is full.
 struct TransactionBuilder<'a> {
     leader: &'a mut LeaderState,
     store_cache: &'a mut StoreCache,
@@ -110,7 +111,7 @@
         self.add_rebuild_completion();
         self.add_garbage_deletions();
         if self.batch.changes.is_empty() {
-            // A list too long for a value stays unwritten.
+            // Machine types that were not added, such as a list too long for a value, stay unwritten.
             self.leader.writes.machine_types = false;
             return None;
         }
@@ -141,8 +142,9 @@
         }
     }
 
-    /// A user who has been answered that a job is cancelled counts on its tasks being gone within `cancel_s`.
-    /// Where that is less than what a worker's lease takes to expire, they have to be gone before.
+    /// Returns whether a cancellation is written only after the job's tasks are gone. Tasks must be gone within
+    /// `cancel_s` after the user is told of the cancellation. If a worker's lease may take longer than that to
+    /// expire, they have to be gone before.
     fn cancellation_must_wait(&self, id: &JobId, end: JobOutcome) -> bool {
         let settings = self.settings;
         let in_time = cancellation_bound(settings.worker_lease) <= settings.cancellation_deadline;
@@ -155,12 +157,12 @@
             || job.is_some_and(|job| Core::blocked_by_recovery(self.leader, job))
     }
 
-    /// Pages with new machines: no task starts on a machine before the machine is recorded.
+    /// Adds pages with new machines: no task starts on a machine before the machine is recorded.
     fn add_new_machines(&mut self) {
         self.add_machine_pages(true);
     }
 
-    /// Pages that still list machines that are gone, and keys of single machines that are.
+    /// Adds pages that still list removed machines, and deletions of the keys of single ones.
     fn add_stale_machines(&mut self) {
         self.add_machine_pages(false);
     }
@@ -184,7 +186,7 @@
         }
     }
 
-    /// What the store has lost, ends of jobs first: these are final, and some user was answered with them.
+    /// Adds jobs that the store has lost, ended ones first: their outcomes are final, and users may know them.
     fn add_missing_jobs(&mut self) {
         let missing = &self.store_cache.missing_from_store;
         let ended = |id: &&JobId| self.store_cache.finished.contains_key(*id);
@@ -202,7 +204,7 @@
         }
     }
 
-    /// The changes that bring one missing job back: its key, or the next parts of a large one.
+    /// Returns the changes that restore one missing job: its key, or the next parts of a large job.
     fn missing_job_changes(&self, id: &JobId) -> Option<(Vec<Change>, WriteOp)> {
         let value = self.store_cache.job_value(id)?;
         let value_bytes = self.settings.max_value_bytes / 16 * 15;
@@ -218,7 +220,7 @@
         }
     }
 
-    /// The next parts of a large job that are not written yet, or then the key that refers to them.
+    /// Returns the next unwritten parts of a large job or, if there are none, the key that refers to them.
     fn large_job_changes(
         &self,
         id: &JobId,
@@ -228,7 +230,7 @@
     ) -> (Vec<Change>, WriteOp) {
         let text = String::from_utf8(to_json(spec)).unwrap_or_default();
         let texts = large_jobs::split_text(&text, value_bytes);
-        // This leadership's own writing of it.
+        // The term identifies the set of parts that this leadership writes.
         let generation = self.leader.term;
         let written = &self.leader.writes.missing_parts_written;
         let written = written.get(id).copied().unwrap_or(0);
@@ -253,7 +255,7 @@
         (changes, WriteOp::MissingJobParts(id.clone(), written))
     }
 
-    /// Done tasks of live jobs, those that have waited longest first.
+    /// Adds done tasks of live jobs, those that have waited longest first.
     fn add_progress(&mut self) {
         let writes = &self.leader.writes;
         let mut due: Vec<(Instant, JobId)> = (writes.progress.iter())
@@ -269,15 +271,15 @@
         }
     }
 
-    /// Adds the done ranges of one job, up to one that the store refuses. False: the transaction is full.
+    /// Adds the done ranges of one job, up to a quarantined key. Returns false if the transaction is full.
     fn add_done_ranges(&mut self, id: &JobId) -> bool {
         let run = self.leader.job_runs.get(id);
         let (Some(run), Some(job)) = (run, self.store_cache.jobs.get(id)) else {
             return true;
         };
         let size = done_range_size(self.settings);
-        // From the last range down: a range of an earlier version may reach further than ours under the
-        // same key, and the tasks beyond our range must be stored under their own key first.
+        // From the last range down: an earlier version may have stored a longer range under the same key.
+        // The tasks beyond the present range must be stored under their own key before that is overwritten.
         let bases = job.ranges_to_write(&run.unpersisted_done, size);
         for base in bases.into_iter().rev() {
             let key = done_key(id, base);
@@ -296,7 +298,7 @@
         true
     }
 
-    /// Jobs cancelled with one that they depend on. Nothing of them can have started.
+    /// Adds jobs that are cancelled with one that they depend on. None of their tasks can have started.
     fn add_cancelled_dependents(&mut self) {
         let end = JobOutcome::Cancelled;
         for id in &self.leader.writes.cancelled_dependents {
@@ -315,7 +317,7 @@
         }
     }
 
-    /// Every controller learns the types from the cloud as well; a list too long for a value is not kept here.
+    /// Adds the machine types, unless the list is too long for a value: every controller also gets it from the cloud.
     fn add_machine_types(&mut self) {
         let key = key(TYPES);
         let fits = to_json(&self.machine_types).len() <= self.settings.max_value_bytes;
@@ -325,7 +327,7 @@
         }
     }
 
-    /// The mark of an incomplete store is deleted alone, after everything else is written.
+    /// Adds the deletion of the marker of an incomplete store, alone and after everything else is written.
     fn add_rebuild_completion(&mut self) {
         if self.leader.writes.rebuild_complete && self.batch.changes.is_empty() {
             let key = key(REBUILDING);
@@ -352,9 +354,10 @@
             key: key(LEADER),
             version: self.leader.key_version,
         }];
-        // In a store that has lost data, another leader key may have the same version.
+        // Conditional on the store's identity: after a loss of data, another leader key may have the same version.
         conditions.extend(self.leader.identity_condition());
-        // And one that is carried out after newer ones of this leader must not undo them.
+        // Conditional on each key's version: a transaction executed after newer ones of this leader must not
+        // undo them.
         conditions.extend(changes.iter().map(|change| Condition {
             key: change.key().into(),
             version: self.store_cache.versions.of(change.key()),
@@ -367,20 +370,20 @@
     }
 }
 
-/// Writes a missing job's key, which completes it.
+/// Returns the change that writes a missing job's key, which completes its restoration.
 fn job_key_change(id: &JobId, value: &JobValue) -> (Vec<Change>, WriteOp) {
     let change = Change::put(job_key(id), to_json_value(value));
     (vec![change], WriteOp::MissingJob(id.clone()))
 }
 
-/// Tasks per stored range, so that even every other task of a range fits into one value.
+/// Returns the number of tasks per stored range. A range fits into one value even if every other task is done.
 fn done_range_size(settings: &Settings) -> u32 {
     let tasks = (settings.max_value_bytes as u32 / 4).clamp(64, 2048);
     1 << tasks.ilog2()
 }
 
 impl Core {
-    /// The next transaction of this leader, if anything waits to be written.
+    /// Builds the next transaction of this leader, if there are pending changes.
     pub(super) fn build_transaction(&mut self) -> Option<Transaction> {
         self.collect_garbage_keys();
         let configured = self.settings.max_transaction_changes.saturating_sub(1);
@@ -401,7 +404,7 @@
         Some(transaction)
     }
 
-    /// Parts that no job has referred to for long are of a submission that came to nothing.
+    /// Queues parts for deletion that no job has referred to for `UNCLAIMED_PARTS_TTL`: their submission failed.
     fn collect_garbage_keys(&mut self) {
         let now = self.now.mono;
         let Some(leader) = &mut self.leader else {
--- a/src/core/store/versions.rs
+++ b/src/core/store/versions.rs
@@ -1,28 +1,28 @@
 //! Versions of the keys that a leader writes, as far as this process knows. Each of the leader's changes is
-//! conditional on its key's version. A transaction without an answer is sent again; its first copy may be
-//! executed seconds later, after newer ones of the same leader, and must not undo them.
+//! conditional on its key's version. A transaction without a response is sent again; its first copy may be
+//! executed seconds later, after newer transactions of the same leader, and must not undo them.
 
 use crate::wire::Change;
 use std::collections::BTreeMap;
 
-/// Versions of keys: those that the store has shown, and those that this process has written since.
+/// Versions of keys: those that the store has reported, and those that this process has written since.
 #[derive(Default)]
 pub struct KeyVersions {
-    /// What the state service has shown, by key.
+    /// Versions that the state service has reported, by key.
     observed: BTreeMap<String, u64>,
-    /// What this process wrote and the watch has yet to show.
+    /// Writes of this process that the watch has not reported yet, by key.
     unconfirmed: BTreeMap<String, UnconfirmedWrite>,
 }
 
 /// A committed write of this process.
 struct UnconfirmedWrite {
     revision: u64,
-    /// Whether the key exists since; it was deleted otherwise.
+    /// Whether the key exists after the write; otherwise it was deleted.
     exists: bool,
 }
 
 impl KeyVersions {
-    /// The version of a key; 0 where there is no such key.
+    /// Returns the version of a key, or 0 if there is no such key.
     pub fn of(&self, key: &str) -> u64 {
         match self.unconfirmed.get(key) {
             Some(write) if write.exists => write.revision,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The store has shown a key with this version; an older one than known changes nothing.
+    /// Records a version that the store has reported; one older than the known version changes nothing.
     pub fn put(&mut self, key: &str, version: u64) {
         match self.observed.get_mut(key) {
             Some(known) => *known = version.max(*known),
@@ -41,12 +41,12 @@
         }
     }
 
-    /// Deleted, or never to be written again.
+    /// Removes the reported version of a key that was deleted or will never be written again.
     pub fn forget(&mut self, key: &str) {
         self.observed.remove(key);
     }
 
-    /// This process wrote these changes, which its copy, of revision `copy`, may not show yet.
+    /// Records changes that this process wrote, unless its cache is new enough to include them.
     pub fn record_write(&mut self, changes: &[Change], revision: u64, cache_revision: u64) {
         if revision <= cache_revision {
             return;
@@ -58,19 +58,19 @@
         }
     }
 
-    /// The copy has come as far as this revision.
+    /// Drops the writes that the cache includes, as it has reached this revision.
     pub fn drop_confirmed(&mut self, revision: u64) {
         self.unconfirmed
             .retain(|_, write| write.revision > revision);
     }
 
-    /// Keys of which versions are kept.
+    /// Returns the number of versions that are kept.
     #[cfg(test)]
     pub fn tracked_keys(&self) -> usize {
         self.observed.len() + self.unconfirmed.len()
     }
 
-    /// A newer full list replaces the versions shown so far.
+    /// Clears the reported versions, before a newer full list replaces them.
     pub fn clear_observed(&mut self) {
         self.observed.clear();
     }
--- a/src/core/store/writes.rs
+++ b/src/core/store/writes.rs
@@ -1,5 +1,5 @@
-//! The leader's durable writes: what waits to be written is gathered into transactions, one of which is in flight
-//! at a time, and each takes effect here when it is known to be committed.
+//! The leader's durable writes. Pending changes are batched into transactions, one of which is in flight at a time.
+//! A transaction takes effect in the leader's state once it is known to be committed.
 
 use crate::core::command::Pending;
 use crate::core::leadership::state::LeaderState;
@@ -13,25 +13,26 @@
 use crate::wire::{Change, CompareAndSwap};
 use std::time::{Duration, Instant};
 
-/// The part of the state service's changes that the leader's own writes may take; the rest is
+/// Share of the state service's rate of changes that the leader's own writes may use. The rest is
 /// for accepting jobs, which must not wait behind them.
 pub(in crate::core) const WRITE_SHARE: f64 = 0.7;
-/// Consecutive conflicts, each with another writer's change, before the whole store is read again, and before
-/// this leader steps down so that another controller can lead.
+/// Number of consecutive conflicts with other writers' changes after which the whole store is read again.
 const CONFLICTS_BEFORE_REREAD: u32 = 3;
+/// Number of consecutive conflicts after which this leader steps down, so that another controller can lead.
 const MAX_CONFLICTS: u32 = 6;
-/// The watch shows within moments what a write was refused for; after this, the whole store is read again.
+/// Time after which the whole store is read again if the watch has not shown the change that caused a conflict.
+/// Normally the watch shows it within moments.
 const CONFLICT_SETTLE_TIMEOUT: Duration = Duration::from_secs(2);
-/// What the service refuses by itself is tried again after this long.
+/// Delay before a change that the service rejected on its own is written again.
 const QUARANTINE_DURATION: Duration = Duration::from_secs(30);
-/// Before a transaction is sent again that the service did not take.
+/// Delay before a transaction that the service did not accept is sent again.
 const REFUSED_RETRY_DELAY: Duration = Duration::from_millis(250);
-/// Before a transaction is sent again to which there was no answer.
+/// Delay before a transaction without a response is sent again.
 const UNANSWERED_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 impl Core {
-    /// Sends the next transaction when none is in flight: at once when idle, and what gathers
-    /// meanwhile goes together in the one after it.
+    /// Sends the next transaction if none is in flight. A change is sent at once when idle; changes
+    /// that arrive while a transaction is in flight are batched in the next one.
     pub(in crate::core) fn send_writes(&mut self) {
         let now = self.now.mono;
         let Some(leader) = &self.leader else {
@@ -53,8 +54,8 @@
         }
     }
 
-    /// Sends the transaction in flight again when it is time, and reads the store again where the watch
-    /// does not show why it was refused.
+    /// Sends the transaction in flight again when its retry is due, and reads the store again if the watch
+    /// does not show why the transaction was refused.
     fn advance_in_flight_write(&mut self) {
         let now = self.now.mono;
         let Some(write) = self.in_flight_write() else {
@@ -63,15 +64,17 @@
         if let Some(refused) = &mut write.refused {
             if now >= refused.since + CONFLICT_SETTLE_TIMEOUT {
                 refused.since = now;
-                self.suspect_data_loss("a write was refused, and the watch does not tell why");
+                self.suspect_data_loss(
+                    "a write was refused, and the watch does not show the conflicting change",
+                );
             }
             return;
         }
         if write.call.is_some() || now < write.retry_at {
             return;
         }
-        // No answer, or refused: the very same again. Should the first copy be applied as well,
-        // the second of the two finds other versions, and changes nothing.
+        // Without a response, or not accepted: an identical copy is sent. If the store executes both
+        // copies, the second one finds other versions and changes nothing.
         let request = StoreRequest::CompareAndSwap(write.txn.clone());
         let call = self.call_store(Pending::Write, request);
         if let Some(write) = self.in_flight_write() {
@@ -79,7 +82,7 @@
         }
     }
 
-    /// The answer to a transaction; one to an earlier copy than the last is passed over.
+    /// Handles the outcome of a transaction's call; that of an earlier copy than the last is ignored.
     pub(in crate::core) fn write_outcome(&mut self, call: CallId, outcome: StoreOutcome) {
         if self.in_flight_write().is_none_or(|w| w.call != Some(call)) {
             return;
@@ -112,7 +115,7 @@
         self.leader.as_mut()?.writes.in_flight.as_mut()
     }
 
-    /// The very same transaction is sent again after this delay.
+    /// Schedules an identical copy of the transaction to be sent after this delay.
     fn retry_write(&mut self, delay: Duration) {
         let now = self.now.mono;
         if let Some(write) = self.in_flight_write() {
@@ -121,8 +124,9 @@
         }
     }
 
-    /// Keys that the transaction depends on have other versions. Without its leader key or its store this
-    /// leadership is over; otherwise the copy of the store has to show first whose change it was.
+    /// Handles a refusal because keys that the transaction depends on have other versions. If the leader key or
+    /// the store's identity changed, this leadership is over; otherwise the cache has to show first whose change
+    /// it was.
     fn write_conflicted(&mut self, conflicting_keys: Vec<String>, revision: u64) {
         let identity_lost = self.contains_identity_key(&conflicting_keys);
         if identity_lost {
@@ -143,9 +147,9 @@
         self.resolve_write();
     }
 
-    /// It was not executed, and every retry would be refused: the store's limits are lower than the settings
-    /// say. Fewer changes go together, down to one; a change that is refused by itself is quarantined, as
-    /// the others must not wait for it.
+    /// Handles a rejection of the transaction as invalid. It was not executed, and every retry would be rejected:
+    /// the store's limits are lower than the settings say. The next transactions have fewer changes, down to
+    /// one; a change that is rejected on its own is quarantined, so that the others do not wait for it.
     fn write_rejected(&mut self, error: &str) {
         let quarantined_until = self.now.mono + QUARANTINE_DURATION;
         let Some(leader) = &mut self.leader else {
@@ -177,7 +181,7 @@
         self.requeue_deletions(&txn);
     }
 
-    /// Notes whether what the state service shows is the transaction that is in flight.
+    /// Records the commit of the transaction in flight, if `committed` finds it in what the state service reports.
     pub(in crate::core) fn observe_commit(
         &mut self,
         committed: impl Fn(&CompareAndSwap) -> Option<u64>,
@@ -189,9 +193,9 @@
         }
     }
 
-    /// Settles the transaction in flight, once this process's copy of the store shows what became of it. It
-    /// was committed where the copy shows exactly its changes, whether an answer has said so, was lost, or
-    /// was a refusal of its second copy. Otherwise it was refused because of another writer's change.
+    /// Settles the transaction in flight once the store cache shows its outcome. It was committed if the cache
+    /// has received exactly its changes, whether the response said so, was lost, or was a refusal of its second
+    /// copy. Otherwise it was refused because of another writer's change.
     pub(in crate::core) fn resolve_write(&mut self) {
         let revision = self.store_cache.revision;
         let Some(write) = self.in_flight_write() else {
@@ -214,13 +218,13 @@
                 "writes are refused again and again: {keys} changed"
             ));
         } else if conflicts >= CONFLICTS_BEFORE_REREAD {
-            self.suspect_data_loss("it has other versions of what is known here");
+            self.suspect_data_loss("its versions of some keys differ from the cached ones");
         } else {
             tracing::info!(keys, conflicts, "write conflict, transaction built again");
         }
     }
 
-    /// The transaction in flight is in the store since this revision.
+    /// Applies the effects of the transaction in flight, which was committed at this revision.
     fn write_committed(&mut self, revision: u64) {
         let Some(leader) = &mut self.leader else {
             return;
@@ -235,9 +239,9 @@
         }
     }
 
-    /// Another writer changed a key of the transaction. Nothing counts as written; the pending changes are
-    /// computed again from this copy, which shows what the service held then. Returns the number of
-    /// consecutive conflicts.
+    /// Discards the transaction in flight, as another writer changed one of its keys. None of its changes counts
+    /// as written; the pending changes are computed again from the cache, which has reached the revision of the
+    /// refusal. Returns the number of consecutive conflicts.
     fn discard_refused_write(&mut self) -> u32 {
         let Some(leader) = &mut self.leader else {
             return 0;
@@ -257,7 +261,7 @@
         conflicts
     }
 
-    /// Deletions that were not carried out, other than of whole pages.
+    /// Queues the transaction's deletions again, except those of machine pages.
     fn requeue_deletions(&mut self, txn: &CompareAndSwap) {
         let Some(leader) = &mut self.leader else {
             return;
@@ -305,7 +309,7 @@
 }
 
 impl LeaderState {
-    /// These done tasks of a job are durable.
+    /// Records that these done tasks of a job are durable.
     fn progress_persisted(&mut self, id: JobId, tasks: &[u32], now: Instant) {
         let Some(run) = self.job_runs.get_mut(&id) else {
             self.writes.progress.remove(&id);
@@ -321,7 +325,7 @@
         }
     }
 
-    /// These machines are recorded: tasks may start on them.
+    /// Marks these machines as recorded: tasks may start on them.
     fn machines_recorded(&mut self, ids: &[MachineId]) {
         for id in ids {
             if self.machines.get(id).is_some_and(|m| !m.recorded)
