--- a/src/core/command.rs
+++ b/src/core/command.rs
@@ -53,7 +53,7 @@
         response: Option<Box<HeartbeatBatchResponse>>,
     },
     /// A peer's response to a request that was passed on to it.
-    Forwarded {
+    ForwardResponse {
         /// Of the request that was passed on.
         ticket: Ticket,
         /// Where it was sent.
@@ -153,7 +153,7 @@
         /// What to send.
         response: Response,
     },
-    /// Pass a request on to a peer; its response comes back as [`Command::Forwarded`].
+    /// Pass a request on to a peer; its response comes back as [`Command::ForwardResponse`].
     Forward {
         /// Of the request.
         ticket: Ticket,
@@ -229,7 +229,7 @@
 
 /// What a call in flight is for.
 #[derive(Debug)]
-pub(in crate::core) enum Pending {
+pub(in crate::core) enum PendingCall {
     /// The key that accepts a job.
     CreateJob(Creation),
     /// The parts of a large job that is to be accepted.
@@ -273,29 +273,29 @@
     ScaleIn(Vec<MachineId>),
 }
 
-impl Pending {
+impl PendingCall {
     /// Whether the outcome still matters to a controller that has ceased to lead: what only a leader does ends
     /// with its leadership.
     pub(in crate::core) fn survives_step_down(&self) -> bool {
         match self {
-            Pending::CreateJob(_)
-            | Pending::CreateJobParts(_)
-            | Pending::ReadJob { .. }
-            | Pending::ReadBarrier(_)
-            | Pending::Campaign
-            | Pending::ListMachineTypes
-            | Pending::TokenProbe(_)
-            | Pending::CheckIdentity(_)
-            | Pending::CheckRevision
-            | Pending::MarkDataLoss
-            | Pending::CheckLeaderLease(_)
-            | Pending::DeleteStaleLeaderKey
-            | Pending::AuditJobs { .. } => true,
-            Pending::Write
-            | Pending::DirectCall(_)
-            | Pending::ListMachines { .. }
-            | Pending::ScaleOut(_)
-            | Pending::ScaleIn(_) => false,
+            PendingCall::CreateJob(_)
+            | PendingCall::CreateJobParts(_)
+            | PendingCall::ReadJob { .. }
+            | PendingCall::ReadBarrier(_)
+            | PendingCall::Campaign
+            | PendingCall::ListMachineTypes
+            | PendingCall::TokenProbe(_)
+            | PendingCall::CheckIdentity(_)
+            | PendingCall::CheckRevision
+            | PendingCall::MarkDataLoss
+            | PendingCall::CheckLeaderLease(_)
+            | PendingCall::DeleteStaleLeaderKey
+            | PendingCall::AuditJobs { .. } => true,
+            PendingCall::Write
+            | PendingCall::DirectCall(_)
+            | PendingCall::ListMachines { .. }
+            | PendingCall::ScaleOut(_)
+            | PendingCall::ScaleIn(_) => false,
         }
     }
 }
@@ -306,7 +306,7 @@
     /// The job's state is requested.
     Show(Ticket),
     /// The transaction that creates the job got no response; it is accepted if it is in the store.
-    Accepted(Ticket),
+    ConfirmCreation(Ticket),
     /// The job is to be cancelled.
     Cancel(Ticket),
     /// The request is invalid, with this response, which may be sent only if the job does not exist.
--- a/src/core/jobs/answers.rs
+++ b/src/core/jobs/answers.rs
@@ -53,7 +53,7 @@
     /// depends on is being written: that write may be committed already, and another node may have
     /// answered the user accordingly.
     pub(in crate::core) fn live_answer(&self, id: &str) -> Option<Response> {
-        if !self.acting() || self.must_withhold_state() {
+        if !self.is_active_leader() || self.must_withhold_state() {
             return None;
         }
         let job = self.store_cache.jobs.get(id)?;
@@ -69,7 +69,7 @@
             JobState::Queued
         };
         let body = state_body(id, state, Some(job.done.len()), Some(running));
-        Some(Response::new(200, body).until(self.leader_until()))
+        Some(Response::new(200, body).until(self.leadership_valid_until()))
     }
 
     /// Returns how many of a job's tasks run, by the last heartbeats of their machines.
--- a/src/core/jobs/forwarding.rs
+++ b/src/core/jobs/forwarding.rs
@@ -85,7 +85,7 @@
             }
         }
         // Meanwhile this node may have become the leader itself.
-        if self.acting() && !self.store_is_stale() {
+        if self.is_active_leader() && !self.store_is_stale() {
             self.serve_user(request);
         } else {
             self.forward_request(request);
--- a/src/core/jobs/job_reads.rs
+++ b/src/core/jobs/job_reads.rs
@@ -1,6 +1,6 @@
 //! Reads of a job's key from the state service for users' requests, and the responses that follow.
 
-use crate::core::command::{Pending, ReadPurpose};
+use crate::core::command::{PendingCall, ReadPurpose};
 use crate::core::jobs::answers::state_body;
 use crate::core::store::barrier_request::BarrierRequest;
 use crate::core::store::cache::JobValue;
@@ -16,7 +16,7 @@
     fn ticket(&self) -> Ticket {
         match self {
             ReadPurpose::Show(ticket)
-            | ReadPurpose::Accepted(ticket)
+            | ReadPurpose::ConfirmCreation(ticket)
             | ReadPurpose::Cancel(ticket)
             | ReadPurpose::Reject(ticket, _) => *ticket,
         }
@@ -39,7 +39,7 @@
     /// Reads a job's key.
     pub(in crate::core) fn read_job_key(&mut self, id: String, purpose: ReadPurpose) {
         let key = job_key(&id);
-        self.call_store(Pending::ReadJob { id, purpose }, StoreRequest::Get(key));
+        self.call_store(PendingCall::ReadJob { id, purpose }, StoreRequest::Get(key));
     }
 
     /// Continues the request for which a job's key was read.
@@ -105,8 +105,7 @@
         self.store_cache.put_job(&id, value, item.version);
         self.sync_job_runs();
         let final_answer = self.final_answer(&id);
-        let accepted = matches!(purpose, ReadPurpose::Accepted(_));
-        if accepted && (final_answer.is_some() || self.own_key_determines_state(&id)) {
+ let accepted = matches!(purpose, ReadPurpose::ConfirmCreation(_)); if accepted && (final_answer.is_some() || self.own_key_determines_state(&id)) {
             let mut answer = self.fresh_answer(&id);
             if answer.status == 200 {
                 answer.status = 201;
@@ -125,7 +124,7 @@
 
     /// Cancels a job whose key was read, if this controller still leads.
     fn cancel_as_leader(&mut self, ticket: Ticket, id: &str) {
-        if self.acting() {
+        if self.is_active_leader() {
             self.cancel(ticket, id);
         } else {
             self.answer(ticket, Response::busy("the leader changed", 1));
--- a/src/core/jobs/queries.rs
+++ b/src/core/jobs/queries.rs
@@ -15,7 +15,7 @@
         if let Some(answer) = self.final_answer(request.action.job_id()) {
             return self.answer(request.ticket, answer);
         }
-        if self.acting() {
+        if self.is_active_leader() {
             return self.serve_as_leader(request);
         }
         if let (UserAction::Show(id), false) = (&request.action, is_enabled(Safeguard::FreshRead)) {
--- a/src/core/jobs/submissions.rs
+++ b/src/core/jobs/submissions.rs
@@ -1,7 +1,7 @@
 //! Acceptance of submitted jobs: any controller accepts a job by creating its key in the state
 //! service, and answers its user once the key is durable.
 
-use crate::core::command::{Pending, ReadPurpose};
+use crate::core::command::{PendingCall, ReadPurpose};
 use crate::core::jobs::answers::{final_state, rebuilding_answer, state_body};
 use crate::core::jobs::creation::{
     Creation, PartsCreation, Submission, create_transaction, initial_value,
@@ -164,7 +164,7 @@
             conditions: Vec::new(),
             changes,
         };
-        let pending = Pending::CreateJobParts(PartsCreation {
+        let pending = PendingCall::CreateJobParts(PartsCreation {
             submission,
             parts,
             in_flight,
@@ -236,7 +236,7 @@
         let submitted_ms = self.submitted_ms(submission);
         let transaction =
             create_transaction(&submission.spec, submitted_ms, creation.parts.as_deref());
-        let pending = Pending::CreateJob(creation);
+        let pending = PendingCall::CreateJob(creation);
         let call = self.call_store(pending, StoreRequest::CompareAndSwap(transaction));
         let check_at = self.now.mono + CREATION_CHECK_INTERVAL;
         self.unanswered_creations.push_back((check_at, call));
@@ -247,7 +247,7 @@
     pub(in crate::core) fn resolve_creations(&mut self) {
         let now = self.now.mono;
         while let Some((_, call)) = self.unanswered_creations.pop_front_if(|(at, _)| *at <= now) {
-            let Some(Pending::CreateJob(creation)) = self.pending.get(&call) else {
+            let Some(PendingCall::CreateJob(creation)) = self.pending.get(&call) else {
                 continue;
             };
             let submission = &creation.submission;
@@ -259,7 +259,7 @@
             let (ticket, id) = (submission.ticket, submission.spec.id.to_string());
             tracing::info!(job = %id, "unanswered creation found in the store");
             self.pending.remove(&call);
-            self.read_job_key(id, ReadPurpose::Accepted(ticket));
+            self.read_job_key(id, ReadPurpose::ConfirmCreation(ticket));
         }
     }
 
--- a/src/core/leadership/campaign.rs
+++ b/src/core/leadership/campaign.rs
@@ -1,7 +1,7 @@
 //! How a leadership begins: the transaction that writes the leader key and raises the term, and what a new leader
 //! starts with.
 
-use crate::core::command::Pending;
+use crate::core::command::PendingCall;
 use crate::core::jobs::statistics::ArrivalRate;
 use crate::core::leadership::lease::Lease;
 use crate::core::leadership::state::LeaderState;
@@ -70,14 +70,20 @@
             return;
         };
         let mut calls = self.pending.values();
-        let in_flight = calls.any(|p| matches!(p, Pending::Campaign));
-        if !lease.is_fresh(now) || in_flight || !self.candidacy.is_open(now) || !self.may_campaign()
+        let in_flight = calls.any(|p| matches!(p, PendingCall::Campaign));
+        if !lease.is_fresh(now)
+            || in_flight
+            || !self.candidacy.may_attempt(now)
+            || !self.may_campaign()
         {
             return;
         }
         let transaction = self.campaign_transaction(leader_version, lease);
         self.candidacy.campaign_sent(now);
-        self.call_store(Pending::Campaign, StoreRequest::CompareAndSwap(transaction));
+        self.call_store(
+            PendingCall::Campaign,
+            StoreRequest::CompareAndSwap(transaction),
+        );
     }
 
     fn campaign_transaction(&mut self, leader_version: u64, lease: Lease) -> CompareAndSwap {
@@ -114,7 +120,7 @@
         let pause = match outcome {
             StoreOutcome::Committed { .. } => PAUSE_AFTER_COMMIT,
             StoreOutcome::Conflict { failed, revision } => {
-                self.examine_conflict(&failed, revision);
+                self.check_conflict_for_data_loss(&failed, revision);
                 PAUSE_AFTER_CONFLICT
             }
             StoreOutcome::Invalid(error) => {
@@ -127,11 +133,11 @@
             | StoreOutcome::Page { .. }
             | StoreOutcome::LeaseAlive(_) => Duration::ZERO,
         };
-        self.candidacy.wait_until(self.now.mono + pause);
+        self.candidacy.delay_until(self.now.mono + pause);
     }
 
     /// A conflict that no writer's change explains shows a loss of the store's data.
-    fn examine_conflict(&mut self, failed_keys: &[String], revision: u64) {
+    fn check_conflict_for_data_loss(&mut self, failed_keys: &[String], revision: u64) {
         let cache_is_as_new = self.store_cache.revision >= revision;
         if self.contains_identity_key(failed_keys) {
             self.suspect_data_loss("its identity is gone");
@@ -157,7 +163,7 @@
         let arrivals = ArrivalRate::new(self.now, self.store_cache.jobs.values());
         let mut leader = LeaderState::new(key_version, term, self.now.mono, arrivals);
         leader.leader_key_confirmed = self.candidacy.last_campaign();
-        leader.liveness.silence_limit = self.settings.heartbeat_interval * 2;
+        leader.liveness.isolation_timeout = self.settings.heartbeat_interval * 2;
         leader.identity = self.store_cache.identity.clone();
         let records = &mut leader.writes.records;
         *records = MachineRecords::new(&self.store_cache, self.settings.max_value_bytes);
--- a/src/core/leadership/candidacy.rs
+++ b/src/core/leadership/candidacy.rs
@@ -52,12 +52,12 @@
     }
 
     /// Whether it may try to lead now.
-    pub(in crate::core) fn is_open(&self, now: Instant) -> bool {
+    pub(in crate::core) fn may_attempt(&self, now: Instant) -> bool {
         now >= self.not_before
     }
 
     /// No attempt before this moment, and none before a later one set earlier.
-    pub(in crate::core) fn wait_until(&mut self, at: Instant) {
+    pub(in crate::core) fn delay_until(&mut self, at: Instant) {
         self.not_before = self.not_before.max(at);
     }
 
--- a/src/core/leadership/isolation.rs
+++ b/src/core/leadership/isolation.rs
@@ -21,7 +21,7 @@
             let inactive_ms = inactive.as_millis() as u64;
             tracing::info!(term = leader.term, inactive_ms, "leader acts again");
             let until = now + self.settings.heartbeat_interval;
-            leader.liveness.excuse_silence(until);
+            leader.liveness.extend_heartbeat_grace(until);
         }
     }
 
@@ -48,7 +48,7 @@
         let failover_time = self.settings.heartbeat_interval * 2 + FAILOVER_ALLOWANCE;
         let settled = now.saturating_duration_since(leader.since) > failover_time;
         let limit = if settled {
-            leader.liveness.silence_limit.min(failover_time)
+            leader.liveness.isolation_timeout.min(failover_time)
         } else {
             failover_time
         };
--- a/src/core/leadership/lease.rs
+++ b/src/core/leadership/lease.rs
@@ -46,7 +46,7 @@
     }
 
     /// Whether it should run for long still, so that its end now shows a loss of the store's data.
-    pub(in crate::core) fn should_still_run(&self, now: Instant) -> bool {
+    pub(in crate::core) fn should_be_valid(&self, now: Instant) -> bool {
         now < self.renewed_at + LEASE_TTL * 9 / 10
     }
 }
--- a/src/core/leadership/lease_events.rs
+++ b/src/core/leadership/lease_events.rs
@@ -7,7 +7,7 @@
 
 impl Core {
     /// Until when this process may act as the leader.
-    pub(in crate::core) fn leader_until(&self) -> Option<Instant> {
+    pub(in crate::core) fn leadership_valid_until(&self) -> Option<Instant> {
         let leader = self.leader.as_ref()?;
         if !is_enabled(Safeguard::LeaseValidity) {
             return Some(self.now.mono + LEASE_TTL);
@@ -17,8 +17,9 @@
     }
 
     /// Whether this process is the leader and may act as such now.
-    pub(in crate::core) fn acting(&self) -> bool {
-        self.leader_until().is_some_and(|t| self.now.mono < t)
+    pub fn is_active_leader(&self) -> bool {
+        self.leadership_valid_until()
+            .is_some_and(|t| self.now.mono < t)
     }
 
     /// The lease of this number was granted or renewed by a request sent at `sent`, and since then the leader key of
@@ -57,7 +58,7 @@
     pub(in crate::core) fn lease_lost(&mut self) {
         let lost = self.lease.take();
         self.step_down("the lease has ended");
-        if lost.is_some_and(|l| l.should_still_run(self.now.mono)) {
+        if lost.is_some_and(|l| l.should_be_valid(self.now.mono)) {
             self.suspect_data_loss("it does not know a lease that should still run");
         }
     }
--- a/src/core/leadership/mod.rs
+++ b/src/core/leadership/mod.rs
@@ -30,7 +30,7 @@
 impl Core {
     /// Called once per step, after its commands.
     pub(in crate::core) fn advance_leadership(&mut self) {
-        if self.acting() {
+        if self.is_active_leader() {
             self.record_activity();
             self.resign_if_isolated();
         } else {
--- a/src/core/leadership/probes.rs
+++ b/src/core/leadership/probes.rs
@@ -1,7 +1,7 @@
 //! Probes: direct calls that show a machine the leader's token and ask what it has. During recovery all unresolved
 //! machines are probed; later those that may have restarted.
 
-use crate::core::command::Pending;
+use crate::core::command::PendingCall;
 use crate::core::leadership::state::LeaderState;
 use crate::core::machines::machine::RestartProbe;
 use crate::core::workers::commands::MAX_DIRECT_CALLS;
@@ -50,11 +50,11 @@
         let Some(leader) = &mut self.leader else {
             return;
         };
-        let call_to_spare = leader.direct_calls_in_flight < MAX_DIRECT_CALLS;
+        let call_available = leader.direct_calls_in_flight < MAX_DIRECT_CALLS;
         let Some(m) = leader.machines.get_mut_untracked(id) else {
             return;
         };
-        if !call_to_spare
+        if !call_available
             || m.direct_calls.in_flight.is_some()
             || m.incarnation == 0
             || now < m.direct_calls.retry_not_before
@@ -99,10 +99,10 @@
 
     /// Shows a machine the new token and asks what it has. `None` if that cannot be asked.
     fn probe_machine(&mut self, id: &MachineId) -> Option<CallId> {
-        let not_after = self.leader_until()?;
+        let not_after = self.leadership_valid_until()?;
         let machine = self.leader.as_ref()?.machines.get(id)?;
         let addr = machine.addr.parse().ok()?;
-        let call = self.register_call(Pending::DirectCall(id.clone()));
+        let call = self.register_call(PendingCall::DirectCall(id.clone()));
         let leader = self.leader.as_mut()?;
         let term = leader.term;
         let machine = leader.machines.get_mut(id)?;
--- a/src/core/leadership/recovery.rs
+++ b/src/core/leadership/recovery.rs
@@ -14,7 +14,7 @@
 
 /// Machines that send heartbeats to other controllers are probed after this: their batches come first, and they probe
 /// the machines themselves.
-const DELEGATE_HEAD_START: Duration = Duration::from_millis(400);
+const DELEGATED_PROBE_DELAY: Duration = Duration::from_millis(400);
 
 /// A machine as an earlier leader recorded it, of which nothing else is known yet.
 fn recorded_machine(id: &MachineId, value: &MachineValue, now: Instant) -> Machine {
@@ -67,7 +67,7 @@
         let reports_here = |id: &MachineId| self.relay.serves(id, now);
         if self.delegating && to_probe.iter().any(reports_here) {
             let others = to_probe.extract_if(.., |id| !reports_here(id));
-            later.extend(others.map(|id| (now + DELEGATE_HEAD_START, id)));
+            later.extend(others.map(|id| (now + DELEGATED_PROBE_DELAY, id)));
         }
         leader.recovery.begin(to_probe, later);
         self.probe_machines();
--- a/src/core/leadership/stale_key.rs
+++ b/src/core/leadership/stale_key.rs
@@ -5,7 +5,7 @@
 //! one lease duration; after that the key is deleted, unless it has been replaced by then.
 
 use crate::core::Core;
-use crate::core::command::Pending;
+use crate::core::command::PendingCall;
 use crate::core::leadership::lease::LEASE_TTL;
 use crate::core::store::keys::{LEADER, identity_condition, key};
 use crate::store_client::{StoreOutcome, StoreRequest};
@@ -23,7 +23,7 @@
     /// The key's version.
     version: u64,
     /// When this version was first seen.
-    since: Instant,
+    first_seen: Instant,
     /// When the store was last asked about it.
     last_request: Option<Instant>,
     /// When it was found that the store does not know its lease.
@@ -34,7 +34,7 @@
     fn new(version: u64, now: Instant) -> StaleLeaderKey {
         StaleLeaderKey {
             version,
-            since: now,
+            first_seen: now,
             last_request: None,
             lease_unknown_since: None,
         }
@@ -47,7 +47,7 @@
 
     /// Whether its lease is to be looked up, where a leader last showed itself at `last_contact`.
     fn lookup_due(&self, now: Instant, last_contact: Option<Instant>) -> bool {
-        let silent_since = last_contact.map_or(self.since, |t| self.since.max(t));
+        let silent_since = last_contact.map_or(self.first_seen, |t| self.first_seen.max(t));
         let interval = match last_contact {
             Some(_) => LOOKUP_INTERVAL,
             None => LOOKUP_INTERVAL_WITHOUT_CONTACT,
@@ -83,7 +83,7 @@
         if self.leader.is_none() && stale.lookup_due(now, last_contact) {
             stale.last_request = Some(now);
             let request = StoreRequest::CheckLease(lease);
-            self.call_store(Pending::CheckLeaderLease(version), request);
+            self.call_store(PendingCall::CheckLeaderLease(version), request);
         }
     }
 
@@ -100,7 +100,7 @@
             changes: vec![Change::Delete { key: key(LEADER) }],
         };
         self.call_store(
-            Pending::DeleteStaleLeaderKey,
+            PendingCall::DeleteStaleLeaderKey,
             StoreRequest::CompareAndSwap(transaction),
         );
     }
--- a/src/core/leadership/state.rs
+++ b/src/core/leadership/state.rs
@@ -99,8 +99,7 @@
     }
 
     /// The condition that the store is still the one it was.
-    pub(in crate::core) fn identity_condition(&self) -> Option<Condition> {
-        self.identity.as_ref().map(identity_condition)
+ pub(in crate::core) fn identity_condition(&self) -> Option<Condition> {self.identity.as_ref().map(identity_condition) 
     }
 
     /// A worker's heartbeat came, here or through another controller.
--- a/src/core/machines/cloud_calls.rs
+++ b/src/core/machines/cloud_calls.rs
@@ -1,7 +1,7 @@
 //! Calls to the cloud within its rate limit (lists of machines, deletions and scale-outs), and their outcomes.
 
 use crate::cloud_client::{CloudOutcome, CloudRequest, MACHINES_PER_PAGE, MAX_DELETED_PER_CALL};
-use crate::core::command::Pending;
+use crate::core::command::PendingCall;
 use crate::core::leadership::state::LeaderState;
 use crate::core::machines::cloud_operations::ScaleOutOperation;
 use crate::core::machines::machine::Machine;
@@ -120,7 +120,7 @@
             leader.cloud.list_in_flight = true;
             leader.cloud.list_requested = Some(now);
         }
-        self.send_cloud_call(Pending::ListMachines { sent: now }, CloudRequest::List);
+        self.send_cloud_call(PendingCall::ListMachines { sent: now }, CloudRequest::List);
     }
 
     fn request_deletions(&mut self) {
@@ -138,7 +138,7 @@
             leader.cloud.deletions.insert(id.clone(), retry_at);
         }
         let request = CloudRequest::Delete(ids.clone());
-        self.send_cloud_call(Pending::ScaleIn(ids), request);
+        self.send_cloud_call(PendingCall::ScaleIn(ids), request);
     }
 
     fn request_scale_outs(&mut self) {
@@ -154,7 +154,7 @@
                 return;
             };
             let call = self.send_cloud_call(
-                Pending::ScaleOut(name.clone()),
+                PendingCall::ScaleOut(name.clone()),
                 CloudRequest::ScaleOut(body),
             );
             let leader = self.leader.as_mut();
@@ -164,8 +164,8 @@
         }
     }
 
-    fn send_cloud_call(&mut self, pending: Pending, request: CloudRequest) -> CallId {
-        let not_after = self.leader_until();
+    fn send_cloud_call(&mut self, pending: PendingCall, request: CloudRequest) -> CallId {
+        let not_after = self.leadership_valid_until();
         let call = self.register_call(pending);
         self.effects.push(Effect::CloudCall {
             call,
@@ -216,7 +216,8 @@
     /// Handles the outcome of a call to the cloud.
     pub(in crate::core) fn cloud_outcome(&mut self, call: CallId, outcome: CloudOutcome) {
         let pending = self.pending.remove(&call);
-        if let (Some(Pending::ListMachineTypes), CloudOutcome::Types(types)) = (&pending, &outcome)
+        if let (Some(PendingCall::ListMachineTypes), CloudOutcome::Types(types)) =
+            (&pending, &outcome)
         {
             return self.set_machine_types(types.clone());
         }
@@ -224,9 +225,9 @@
             tracing::info!(error, "cloud call failed");
         }
         match pending {
-            Some(Pending::ListMachines { sent }) => self.list_outcome(sent, outcome),
-            Some(Pending::ScaleIn(ids)) => self.deletion_outcome(ids, &outcome),
-            Some(Pending::ScaleOut(name)) => self.scale_out_outcome(&name, outcome),
+            Some(PendingCall::ListMachines { sent }) => self.list_outcome(sent, outcome),
+            Some(PendingCall::ScaleIn(ids)) => self.deletion_outcome(ids, &outcome),
+            Some(PendingCall::ScaleOut(name)) => self.scale_out_outcome(&name, outcome),
             _ => {}
         }
     }
--- a/src/core/machines/failure_detection.rs
+++ b/src/core/machines/failure_detection.rs
@@ -118,10 +118,11 @@
 
     /// Updates the time without any heartbeat after which this leader counts as isolated, for the present number of
     /// machines.
-    fn update_silence_limit(&mut self, heartbeat_interval: Duration) {
+    fn update_isolation_timeout(&mut self, heartbeat_interval: Duration) {
         let running = self.machines.values().filter(|m| m.incarnation > 0).count();
         let common_silence = longest_common_silence(heartbeat_interval, running as u32);
-        self.liveness.silence_limit = common_silence.max(heartbeat_interval / 2) + RESIGN_MARGIN;
+        self.liveness.isolation_timeout =
+            common_silence.max(heartbeat_interval / 2) + RESIGN_MARGIN;
     }
 
     /// Marks the machines as changed that accept tasks now and did not in the snapshot, or the other way round: this
@@ -178,14 +179,14 @@
         let liveness = &self.leader.liveness;
         let reachable_since = liveness.zone_reachable_since.get(zone);
         let reachable_for = reachable_since.map_or(Duration::ZERO, |since| self.since(*since));
-        let settled_for = reachable_for.min(self.since(liveness.silence_excused_until));
+        let settled_for = reachable_for.min(self.since(liveness.heartbeat_grace_until));
         settled_for >= (self.heartbeat_interval * 5 / 4).max(WORKER_RETRY)
     }
 
     /// Returns for how long no heartbeat of the machine has arrived, counting only the time in which it could have.
     fn silence(&self, machine: &Machine) -> Duration {
         let since = (machine.last_heartbeat)
-            .max(self.leader.liveness.silence_excused_until)
+            .max(self.leader.liveness.heartbeat_grace_until)
             .max(self.leader.since);
         let since = (self.delegate_grace_until).map_or(since, |until| since.max(until));
         self.since(since)
@@ -299,7 +300,7 @@
             return;
         };
         leader.update_reachable_zones(heartbeat_interval, now);
-        leader.update_silence_limit(heartbeat_interval);
+        leader.update_isolation_timeout(heartbeat_interval);
         leader.mark_schedulable_changes(heartbeat_interval, now);
         let Some(leader) = &self.leader else { return };
         let detector = FailureDetector::new(self, leader);
--- a/src/core/machines/machine_types.rs
+++ b/src/core/machines/machine_types.rs
@@ -2,7 +2,7 @@
 //! without a leader.
 
 use crate::cloud_client::CloudRequest;
-use crate::core::command::Pending;
+use crate::core::command::PendingCall;
 use crate::core::{Core, Effect};
 use crate::wire::MachineType;
 use std::time::Duration;
@@ -32,7 +32,7 @@
             return;
         }
         self.machine_types_requested = Some(now);
-        let call = self.register_call(Pending::ListMachineTypes);
+        let call = self.register_call(PendingCall::ListMachineTypes);
         self.effects.push(Effect::CloudCall {
             call,
             request: CloudRequest::Types,
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -38,10 +38,10 @@
 pub use jobs::submissions::max_unfinished_tasks;
 pub use leadership::lease::LEASE_TTL;
 pub use machines::cancellation_bound::cancellation_warning;
-pub use stats::{Stats, WORK, Work, record};
+pub use stats::{Stats, WORK_NAMES, Work, record};
 pub use store::cache::StoreCache;
 
-use crate::core::command::Pending;
+use crate::core::command::PendingCall;
 use crate::core::leadership::candidacy::Candidacy;
 use crate::core::leadership::lease::Lease;
 use crate::core::leadership::stale_key::StaleLeaderKey;
@@ -90,7 +90,7 @@
     effects: Vec<Effect>,
     next_call: CallId,
     /// The calls in flight.
-    pending: BTreeMap<CallId, Pending>,
+    pending: BTreeMap<CallId, PendingCall>,
     /// Creations of jobs without an outcome yet, and when each is looked at next.
     unanswered_creations: VecDeque<(Instant, CallId)>,
     store_cache: StoreCache,
@@ -182,7 +182,7 @@
 
     /// Loads a snapshot of the store before anything is read from it. It counts as what this process remembers;
     /// a store that has lost nothing supersedes it.
-    pub fn remember(&mut self, items: Vec<Item>, revision: u64) {
+    pub fn load_snapshot(&mut self, items: Vec<Item>, revision: u64) {
         self.store_cache.reset(items, revision);
         self.store_cache.loaded = false;
     }
@@ -202,7 +202,7 @@
         self.resolve_creations();
         let waiting = self.drain_waiting_heartbeats();
         responses.heartbeats.extend(waiting);
-        if self.acting() {
+        if self.is_active_leader() {
             self.finish_step_as_leader(responses);
         } else {
             self.finish_step_as_follower(responses);
@@ -228,7 +228,7 @@
         tracing::warn!(stalled_ms, "process stalled");
         if let Some(leader) = &mut self.leader {
             let until = now.mono + self.settings.heartbeat_interval * 2;
-            leader.liveness.excuse_silence(until);
+            leader.liveness.extend_heartbeat_grace(until);
         }
     }
 
@@ -252,7 +252,7 @@
             Command::HeartbeatBatchResponse { number, response } => {
                 self.batch_answered(number, response);
             }
-            Command::Forwarded {
+            Command::ForwardResponse {
                 ticket,
                 peer,
                 response,
@@ -331,20 +331,15 @@
         creation.map_or(idle, |(at, _)| idle.min(at.saturating_duration_since(now)))
     }
 
-    /// Whether this process is the leader and may act as such now.
-    pub fn leads(&self) -> bool {
-        self.acting()
-    }
-
     /// Registers a call; its number goes into the effect that makes it.
-    fn register_call(&mut self, pending: Pending) -> CallId {
+    fn register_call(&mut self, pending: PendingCall) -> CallId {
         let id = self.next_call;
         self.next_call += 1;
         self.pending.insert(id, pending);
         id
     }
 
-    fn call_store(&mut self, pending: Pending, request: StoreRequest) -> CallId {
+    fn call_store(&mut self, pending: PendingCall, request: StoreRequest) -> CallId {
         let call = self.register_call(pending);
         self.store_integrity.call(call);
         self.effects.push(Effect::StoreCall { call, request });
@@ -362,18 +357,15 @@
         }
         self.observe_revision(call, &outcome);
         match self.pending.remove(&call) {
-            Some(Pending::CreateJob(creation)) => self.creation_outcome(creation, outcome),
-            Some(Pending::CreateJobParts(creation)) => self.parts_outcome(creation, outcome),
-            Some(Pending::ReadJob { id, purpose }) => self.job_read_outcome(id, purpose, outcome),
-            Some(Pending::ReadBarrier(requests)) => self.barrier_outcome(requests, outcome),
-            Some(Pending::Campaign) => self.campaign_outcome(outcome),
-            Some(Pending::AuditJobs { after, suspicion }) => {
+ Some(PendingCall::CreateJob(creation)) => self.creation_outcome(creation, outcome), Some(PendingCall::CreateJobParts(creation)) => self.parts_outcome(creation, outcome), Some(PendingCall::ReadJob {id, purpose}) => self.job_read_outcome(id, purpose, outcome), Some(PendingCall::ReadBarrier(requests)) => self.barrier_outcome(requests, outcome), Some(PendingCall::Campaign) => self.campaign_outcome(outcome), Some(PendingCall::AuditJobs {after, suspicion}) => {
                 self.jobs_audited(after, suspicion, outcome);
             }
-            Some(Pending::CheckIdentity(version)) => self.identity_checked(version, outcome),
-            Some(Pending::CheckLeaderLease(version)) => self.leader_lease_checked(version, outcome),
-            Some(Pending::CheckRevision) => self.revision_checked(outcome),
-            Some(Pending::Write) => self.write_outcome(call, outcome),
+            Some(PendingCall::CheckIdentity(version)) => self.identity_checked(version, outcome),
+            Some(PendingCall::CheckLeaderLease(version)) => {
+                self.leader_lease_checked(version, outcome)
+            }
+            Some(PendingCall::CheckRevision) => self.revision_checked(outcome),
+            Some(PendingCall::Write) => self.write_outcome(call, outcome),
             _ => {}
         }
     }
--- a/src/core/monitoring/metrics.rs
+++ b/src/core/monitoring/metrics.rs
@@ -3,7 +3,7 @@
 
 use crate::core::jobs::job_run::JobRun;
 use crate::core::leadership::state::LeaderState;
-use crate::core::{Core, Ticket, WORK};
+use crate::core::{Core, Ticket, WORK_NAMES};
 use crate::http::Response;
 use crate::metrics::Page;
 use burlusher_membership::view::{Capabilities, MemberState};
@@ -19,7 +19,7 @@
 const MEMBER_SUSPECT: f64 = 1.0;
 const MEMBER_LOST: f64 = 0.0;
 
-fn flag(value: bool) -> f64 {
+fn bool_value(value: bool) -> f64 {
     f64::from(u8::from(value))
 }
 
@@ -32,7 +32,7 @@
         self.store_metrics(&mut page);
         self.member_metrics(&mut page);
         self.relay_metrics(&mut page);
-        if let (true, Some(leader)) = (self.acting(), &self.leader) {
+        if let (true, Some(leader)) = (self.is_active_leader(), &self.leader) {
             self.machine_metrics(&mut page, leader);
             job_metrics(&mut page, leader);
             leadership_metrics(&mut page, leader, self.now.mono);
@@ -44,7 +44,7 @@
         page.gauge(
             "leads",
             "1 on the controller that leads",
-            flag(self.acting()),
+            bool_value(self.is_active_leader()),
         );
         page.gauge("term", "The newest term", self.store_cache.term as f64);
         page.gauge(
@@ -76,9 +76,9 @@
             let quantiles = QUANTILES.map(|(label, quantile)| (label, value(quantile)));
             page.gauges(name, help, "quantile", quantiles);
         }
-        for (work, name) in WORK {
+        for (work, name) in WORK_NAMES {
             let help = "What the owner has done since this process began";
-            page.counter(name, help, self.stats.done(work));
+            page.counter(name, help, self.stats.total(work));
         }
     }
 
@@ -119,7 +119,7 @@
 
     fn member_metrics(&self, page: &mut Page) {
         let now = self.now.mono;
-        let standing = |name: &str| match self.members.state(name, now) {
+        let state_value = |name: &str| match self.members.state(name, now) {
             MemberState::Alive => MEMBER_ALIVE,
             MemberState::Suspect => MEMBER_SUSPECT,
             MemberState::Unknown | MemberState::Lost => MEMBER_LOST,
@@ -129,14 +129,19 @@
             "members",
             "The other controllers: 2 alive, 1 suspect, 0 lost or never heard of",
             "node",
-            members.map(|(name, _)| (name, standing(name))),
+            members.map(|(name, _)| (name, state_value(name))),
         );
         let members = self.members.members();
         page.gauges(
             "takes_reports",
             "1 for a controller that serves workers for the leader",
             "node",
-            members.map(|(name, m)| (name, flag(m.capabilities.has(Capabilities::SERVES_WORKERS)))),
+            members.map(|(name, m)| {
+                (
+                    name,
+                    bool_value(m.capabilities.has(Capabilities::SERVES_WORKERS)),
+                )
+            }),
         );
     }
 
--- a/src/core/monitoring/status.rs
+++ b/src/core/monitoring/status.rs
@@ -17,7 +17,7 @@
 impl Core {
     /// Answers with the status document.
     pub(in crate::core) fn answer_status(&mut self, ticket: Ticket) {
-        let mut body = match (self.acting(), &self.leader) {
+        let mut body = match (self.is_active_leader(), &self.leader) {
             (true, Some(leader)) => self.leader_view(leader),
             (true, None) => json!({}),
             (false, _) => self.follower_view(),
@@ -26,12 +26,12 @@
         body["start_ms"] = quantiles(&self.stats.start);
         body["step_us"] = quantiles(&self.stats.step);
         body["rebuild"] = self.rebuild_status();
-        body["up_s"] = json!(self.since(self.started));
+        body["up_s"] = json!(self.seconds_since(self.started));
         self.answer(ticket, Response::new(200, body.to_string().into_bytes()));
     }
 
     /// Whole seconds since a moment.
-    fn since(&self, t: Instant) -> u64 {
+    fn seconds_since(&self, t: Instant) -> u64 {
         self.now.mono.saturating_duration_since(t).as_secs()
     }
 
@@ -40,7 +40,7 @@
             "node": self.settings.name,
             "leads": false,
             "leader": self.leader_name(),
-            "state_service_heard_s": self.since(self.store_reachable_at),
+            "state_service_heard_s": self.seconds_since(self.store_reachable_at),
             "members": self.members_status(),
         })
     }
@@ -64,7 +64,7 @@
             "leads": true,
             "leader": self.settings.name,
             "term": leader.term,
-            "leads_s": self.since(leader.since),
+            "leads_s": self.seconds_since(leader.since),
             "machines_not_heard_yet": leader.recovery.unresolved(),
             "refused_offers": refused,
             "bidding": self.markets_view(leader),
@@ -92,7 +92,7 @@
             "zone": machine.zone,
             "spot": machine.spot,
             "state": self.machine_state(machine),
-            "heard_s": self.since(machine.last_heartbeat),
+            "heard_s": self.seconds_since(machine.last_heartbeat),
             "reports_to": machine.via,
             "tasks": tasks,
         })
@@ -100,8 +100,8 @@
 
     /// What holds a machine back most, if anything does.
     fn machine_state(&self, machine: &Machine) -> String {
-        if let Some(why) = machine.deleting {
-            return format!("being returned: {why}");
+        if let Some(reason) = machine.deleting {
+            return format!("being returned: {reason}");
         }
         let avoid_until = machine.fault_history.avoid_until;
         let state = if machine.unresolved {
@@ -138,7 +138,7 @@
             "running": running,
             "starting": run.tasks.assigned().len() - running,
             "waiting": run.tasks.queued().len(),
-            "why": self.why_waiting(leader, id, job, run),
+            "why": self.waiting_reason(leader, id, job, run),
         })
     }
 
@@ -158,7 +158,7 @@
     }
 
     /// One sentence on why a job's waiting tasks wait.
-    fn why_waiting(
+    fn waiting_reason(
         &self,
         leader: &LeaderState,
         id: &JobId,
@@ -195,12 +195,12 @@
         if failures > 0 && run.all_queued_deferred() {
             return format!("its tasks failed {failures} times; they are tried again later");
         }
-        why_no_room(leader, id)
+        reason_not_placed(leader, id)
     }
 }
 
 /// Why a job waits that may start.
-fn why_no_room(leader: &LeaderState, id: &JobId) -> String {
+fn reason_not_placed(leader: &LeaderState, id: &JobId) -> String {
     match &leader.scheduler.queue_head {
         Some((head, Some(after))) if head == id => {
             let seconds = after.as_secs();
--- a/src/core/simulation/checker.rs
+++ b/src/core/simulation/checker.rs
@@ -392,7 +392,7 @@
 
     /// What must hold at every tick of what controllers and machines do.
     pub(super) fn check(&self) {
-        let acts = |n: &&Node| n.up && !n.paused && n.core.leads();
+        let acts = |n: &&Node| n.up && !n.paused && n.core.is_active_leader();
         let leaders = self.nodes.iter().filter(acts).count();
         let one = leaders <= 1 || !is_enabled(Safeguard::LeaseValidity);
         assert!(one, "{leaders} leaders act at the same time");
--- a/src/core/simulation/cluster.rs
+++ b/src/core/simulation/cluster.rs
@@ -262,7 +262,7 @@
 
     /// The controller that leads now.
     pub fn leader(&self) -> Option<usize> {
-        (0..self.nodes.len()).find(|i| self.nodes[*i].up && self.nodes[*i].core.leads())
+        (0..self.nodes.len()).find(|i| self.nodes[*i].up && self.nodes[*i].core.is_active_leader())
     }
 
     /// How many leaderships there were.
--- a/src/core/simulation/faults.rs
+++ b/src/core/simulation/faults.rs
@@ -134,7 +134,7 @@
         let current =
             |n: &Node| n.up && n.core.store_cache.loaded && n.seen >= Some(self.state.revision);
         let up = (0..self.nodes.len()).filter(|i| current(&self.nodes[*i]));
-        let leads = |n: &Node| n.up && n.core.leads() && !n.core.store_is_incomplete();
+        let leads = |n: &Node| n.up && n.core.is_active_leader() && !n.core.store_is_incomplete();
         if self.nodes.iter().any(leads) && !self.state.keys.contains_key("burlusher/rebuilding") {
             self.checker.survivors = up.clone().collect();
         }
--- a/src/core/simulation/network.rs
+++ b/src/core/simulation/network.rs
@@ -3,7 +3,7 @@
 use super::cluster::Simulation;
 use super::store::STORE_TIMEOUT;
 use crate::cloud_client::{CloudOutcome, CloudRequest};
-use crate::core::command::Pending;
+use crate::core::command::PendingCall;
 use crate::core::{CallId, Command, Effect, Ticket, UserAction, UserRequest};
 use crate::http::Response;
 use crate::job::MachineId;
@@ -156,7 +156,7 @@
                     response: response.filter(|_| through).map(Box::new),
                 });
         } else if let Some((asker, original)) = self.network.forwards.remove(&ticket) {
-            self.nodes[asker].inbox.push(Command::Forwarded {
+            self.nodes[asker].inbox.push(Command::ForwardResponse {
                 ticket: original,
                 peer: format!("n{from}"),
                 response: Some(peer_answer(&answer)),
@@ -185,7 +185,7 @@
     fn forward_request(&mut self, from: usize, ticket: Ticket, peer: String, request: PeerRequest) {
         let to = node_of(&peer);
         if !self.reaches(from, to) {
-            self.nodes[from].inbox.push(Command::Forwarded {
+            self.nodes[from].inbox.push(Command::ForwardResponse {
                 ticket,
                 peer,
                 response: None,
@@ -291,7 +291,7 @@
     fn send_to_worker(&mut self, from: usize, call: CallId, request: DirectRequest) {
         // All workers share an address here; the call's machine is the core's own note.
         let id = match self.nodes[from].core.pending.get(&call) {
-            Some(Pending::DirectCall(id) | Pending::TokenProbe(id)) => id.clone(),
+            Some(PendingCall::DirectCall(id) | PendingCall::TokenProbe(id)) => id.clone(),
             _ => return,
         };
         let outcome = self.call_worker(from, &id, request);
--- a/src/core/simulation/scenarios/delegation.rs
+++ b/src/core/simulation/scenarios/delegation.rs
@@ -81,8 +81,8 @@
     simulation.until_done("wk-1", 90.0);
     let stats = &simulation.nodes[leader].core.stats;
     let (in_responses, called) = (
-        stats.done(Work::StartInResponse),
-        stats.done(Work::StartByCall),
+        stats.total(Work::StartInResponse),
+        stats.total(Work::StartByCall),
     );
     assert_eq!(simulation.counters.starts, 300);
     assert!(
--- a/src/core/simulation/scenarios/dependencies.rs
+++ b/src/core/simulation/scenarios/dependencies.rs
@@ -160,7 +160,7 @@
     simulation.set_peers_reachable(false);
     let other = follower(leader);
     assert_eq!(simulation.show(other, "wk-3").1, Some(JobState::Cancelled));
-    assert!(simulation.nodes[leader].core.leads());
+    assert!(simulation.nodes[leader].core.is_active_leader());
     // The simulation fails if the leader said otherwise from memory.
     simulation.show(leader, "wk-3");
     simulation.nodes[leader].store_link = Link::Refused;
@@ -188,7 +188,7 @@
     simulation.release();
     simulation.run(0.1);
     assert_eq!(simulation.show(other, "wk-3").1, Some(JobState::Cancelled));
-    assert!(simulation.nodes[leader].core.leads());
+    assert!(simulation.nodes[leader].core.is_active_leader());
     simulation.show(leader, "wk-3");
 }
 
--- a/src/core/simulation/scenarios/loss_of_store.rs
+++ b/src/core/simulation/scenarios/loss_of_store.rs
@@ -1,7 +1,7 @@
 //! A state service that loses data. The simulation checks at every tick that nothing runs twice, and
 //! at every answer that nothing is forgotten or contradicted.
 
-use crate::core::command::Pending;
+use crate::core::command::PendingCall;
 use crate::core::simulation::{Link, Simulation, fails_without};
 use crate::core::{Core, Effect};
 use crate::fault_injection::Safeguard;
@@ -605,7 +605,7 @@
     core.effects.clear();
     core.jobs_audited(String::new(), None, page(1));
     let suspicion = core.pending.values().find_map(|p| match p {
-        Pending::AuditJobs { suspicion, .. } => suspicion.clone(),
+        PendingCall::AuditJobs { suspicion, .. } => suspicion.clone(),
         _ => None,
     });
     assert!(suspicion.is_some(), "it is read once more");
--- a/src/core/simulation/scenarios/size.rs
+++ b/src/core/simulation/scenarios/size.rs
@@ -200,7 +200,7 @@
     let later = now + Duration::from_secs(20);
     let others = if leads { 1..3 } else { 0..1 };
     for node in &mut simulation.nodes[others] {
-        node.core.candidacy.wait_until(later);
+        node.core.candidacy.delay_until(later);
     }
     for m in simulation.workers.values_mut() {
         (m.node, m.waiting, m.next_heartbeat) = (0, None, now);
--- a/src/core/stats.rs
+++ b/src/core/stats.rs
@@ -33,7 +33,7 @@
 }
 
 /// All kinds of work, each with its name in metrics and in the log.
-pub const WORK: [(Work, &str); 12] = [
+pub const WORK_NAMES: [(Work, &str); 12] = [
     (Work::Step, "steps"),
     (Work::Heartbeat, "reports"),
     (Work::UserRequest, "requests"),
@@ -49,7 +49,7 @@
 ];
 
 /// How often each kind of work was done, indexed by [`Work`].
-pub type WorkCounts = [u64; WORK.len()];
+pub type WorkCounts = [u64; WORK_NAMES.len()];
 
 /// The largest value that a histogram records; larger ones count as this. An hour in milliseconds, some seconds in
 /// microseconds.
@@ -71,7 +71,7 @@
 impl Default for Stats {
     fn default() -> Stats {
         Stats {
-            work: [0; WORK.len()],
+            work: [0; WORK_NAMES.len()],
             accept: new_histogram(),
             start: new_histogram(),
             step: new_histogram(),
@@ -98,7 +98,7 @@
     }
 
     /// How often this work was done so far.
-    pub fn done(&self, work: Work) -> u64 {
+    pub fn total(&self, work: Work) -> u64 {
         self.work[work as usize]
     }
 
@@ -131,8 +131,8 @@
     /// The work done since `last`, as text for the log; `last` is brought up to date.
     pub fn work_since(&self, last: &mut WorkCounts) -> String {
         let mut text = String::new();
-        for (work, name) in WORK {
-            let new = self.done(work) - last[work as usize];
+        for (work, name) in WORK_NAMES {
+            let new = self.total(work) - last[work as usize];
             text.push_str(&format!(" {name} {new}"));
         }
         *last = self.work;
--- a/src/core/store/integrity/checks.rs
+++ b/src/core/store/integrity/checks.rs
@@ -2,8 +2,7 @@
 
 use super::{CHECK_INTERVAL, REREAD_INTERVAL, is_due};
 use crate::core::Core;
-use crate::core::command::Pending;
-use crate::core::store::keys::{NEVER_WRITTEN, REBUILDING, identity_key, key};
+use crate::core::command::PendingCall; use crate::core::store::keys::{NEVER_WRITTEN, REBUILDING, identity_key, key}; 
 use crate::store_client::{StoreOutcome, StoreRequest};
 
 /// Jobs that the leader compares with their keys at each check.
@@ -26,16 +25,13 @@
         // Restored while it was away: the revision shows it, unless others' changes make up for it first.
         let was_unreachable = std::mem::take(&mut self.store_integrity.was_unreachable);
         if was_unreachable && self.store_cache.loaded {
-            self.call_store(
-                Pending::CheckRevision,
-                StoreRequest::Get(key(NEVER_WRITTEN)),
-            );
+ self.call_store(PendingCall::CheckRevision, StoreRequest::Get(key(NEVER_WRITTEN))); 
         }
         let last_check = self.store_integrity.last_check;
         if !self.store_cache.loaded || !is_due(last_check, CHECK_INTERVAL, now) {
             return;
         }
-        if self.acting() && !self.store_is_incomplete() {
+        if self.is_active_leader() && !self.store_is_incomplete() {
             let after = self.store_integrity.audit_cursor.clone();
             self.audit(after, None);
         }
@@ -52,14 +48,13 @@
         let identity = self.store_cache.identity.as_ref();
         if let Some((identity, version)) = identity.filter(|_| check_identity) {
             let (key, version) = (identity_key(identity), *version);
-            self.call_store(Pending::CheckIdentity(version), StoreRequest::Get(key));
+            self.call_store(PendingCall::CheckIdentity(version), StoreRequest::Get(key));
             return;
         }
         // Where there is no mark, its absence shows the revision. A store rolled back into its
         // rebuilding shows it again, and no watch tells of that.
         let unmarked = self.store_cache.rebuilding.is_none();
-        let name = if unmarked { REBUILDING } else { NEVER_WRITTEN };
-        self.call_store(Pending::CheckRevision, StoreRequest::Get(key(name)));
+ let name = if unmarked {REBUILDING} else {NEVER_WRITTEN}; self.call_store(PendingCall::CheckRevision, StoreRequest::Get(key(name))); 
     }
 
     /// The answer to a check of the revision, beyond the revision itself.
@@ -93,7 +88,7 @@
             after: after.clone(),
             limit: AUDIT_BATCH,
         };
-        self.call_store(Pending::AuditJobs { after, suspicion }, request);
+        self.call_store(PendingCall::AuditJobs { after, suspicion }, request);
     }
 
     /// The copy may have changed after the keys were read, so only the same difference in a second read,
@@ -123,7 +118,7 @@
         if let Some(reason) = difference {
             if suspicion.as_ref() == Some(&reason) {
                 self.suspect_data_loss(&reason);
-            } else if self.acting() {
+            } else if self.is_active_leader() {
                 return self.audit(after, Some(reason));
             }
         }
--- a/src/core/store/integrity/identity.rs
+++ b/src/core/store/integrity/identity.rs
@@ -3,7 +3,7 @@
 
 use super::DataLoss;
 use crate::core::Core;
-use crate::core::command::Pending;
+use crate::core::command::PendingCall;
 use crate::core::leadership::lease::LEASE_TTL;
 use crate::core::store::cache::{IdentityValue, RebuildingValue};
 use crate::core::store::keys::{REBUILDING, identity_condition, identity_key, key};
@@ -187,7 +187,7 @@
         let in_flight = self
             .pending
             .values()
-            .any(|p| matches!(p, Pending::MarkDataLoss));
+            .any(|p| matches!(p, PendingCall::MarkDataLoss));
         if !other_leads || !waited || self.store_cache.rebuilding.is_some() || in_flight {
             return;
         }
@@ -199,7 +199,10 @@
             conditions: vec![identity_condition(identity), unmarked],
             changes: vec![self.incomplete_mark(loss)],
         };
-        self.call_store(Pending::MarkDataLoss, StoreRequest::CompareAndSwap(request));
+        self.call_store(
+            PendingCall::MarkDataLoss,
+            StoreRequest::CompareAndSwap(request),
+        );
     }
 
     fn incomplete_mark(&self, loss: &DataLoss) -> Change {
--- a/src/core/store/integrity/terms.rs
+++ b/src/core/store/integrity/terms.rs
@@ -31,7 +31,7 @@
     pub(in crate::core) fn check_newer_term(&mut self) {
         let Some(leader) = &self.leader else { return };
         let (ours, newest) = (leader.term, self.newest_term());
-        if newest > ours && self.acting() {
+        if newest > ours && self.is_active_leader() {
             self.declare_data_loss(format!(
                 "term {newest} was there before, and this is term {ours}"
             ));
--- a/src/core/store/read_barrier.rs
+++ b/src/core/store/read_barrier.rs
@@ -6,7 +6,7 @@
 //! have shown. Requests of one step share the read.
 
 use crate::core::Core;
-use crate::core::command::Pending;
+use crate::core::command::PendingCall;
 use crate::core::store::barrier_request::BarrierRequest;
 use crate::core::store::keys::{NEVER_WRITTEN, key};
 use crate::http::Response;
@@ -43,10 +43,7 @@
     pub(in crate::core) fn send_barrier(&mut self) {
         let new = std::mem::take(&mut self.barriers.queued);
         if !new.is_empty() {
-            self.call_store(
-                Pending::ReadBarrier(new),
-                StoreRequest::Get(key(NEVER_WRITTEN)),
-            );
+ self.call_store(PendingCall::ReadBarrier(new), StoreRequest::Get(key(NEVER_WRITTEN))); 
         }
     }
 
--- a/src/core/store/rebuild/operator.rs
+++ b/src/core/store/rebuild/operator.rs
@@ -21,7 +21,7 @@
     /// unknown from now on.
     pub(in crate::core) fn accept_incomplete_store(&mut self, ticket: Ticket) {
         let now = self.now.mono;
-        if !self.acting() {
+        if !self.is_active_leader() {
             return self.answer(ticket, self.not_the_leader());
         }
         let Some(leader) = &mut self.leader else {
@@ -53,7 +53,7 @@
         last: bool,
         items: Vec<(String, serde_json::Value)>,
     ) {
-        if !self.acting() {
+        if !self.is_active_leader() {
             return self.answer(ticket, self.not_the_leader());
         }
         let rebuild = self.leader.as_ref().and_then(|l| l.rebuild.as_ref());
--- a/src/core/store/rebuild/procedure.rs
+++ b/src/core/store/rebuild/procedure.rs
@@ -75,7 +75,7 @@
             return false;
         };
         let complete = |r: &Rebuild| r.complete() || self.worker_leases_expired(leader);
-        self.acting() && leader.rebuild.as_ref().is_some_and(complete)
+        self.is_active_leader() && leader.rebuild.as_ref().is_some_and(complete)
     }
 
     /// Whether tasks may be started, as far as a loss of data is concerned.
--- a/src/core/store/writes.rs
+++ b/src/core/store/writes.rs
@@ -1,7 +1,7 @@
 //! The leader's durable writes. Pending changes are batched into transactions, one of which is in flight at a time.
 //! A transaction takes effect in the leader's state once it is known to be committed.
 
-use crate::core::command::Pending;
+use crate::core::command::PendingCall;
 use crate::core::leadership::state::LeaderState;
 use crate::core::store::keys::{LEADER, key, machine_key};
 use crate::core::store::pending_writes::{InFlightWrite, RefusedWrite, WriteOp};
@@ -47,8 +47,7 @@
         let Some(Transaction { request, ops }) = self.build_transaction() else {
             return;
         };
-        let store_request = StoreRequest::CompareAndSwap(request.clone());
-        let call = self.call_store(Pending::Write, store_request);
+ let store_request = StoreRequest::CompareAndSwap(request.clone()); let call = self.call_store(PendingCall::Write, store_request); 
         if let Some(leader) = &mut self.leader {
             leader.writes.in_flight = Some(InFlightWrite::new(request, ops, call, now));
         }
@@ -76,7 +75,7 @@
         // Without a response, or not accepted: an identical copy is sent. If the store executes both
         // copies, the second one finds other versions and changes nothing.
         let request = StoreRequest::CompareAndSwap(write.txn.clone());
-        let call = self.call_store(Pending::Write, request);
+        let call = self.call_store(PendingCall::Write, request);
         if let Some(write) = self.in_flight_write() {
             write.call = Some(call);
         }
--- a/src/core/workers/commands.rs
+++ b/src/core/workers/commands.rs
@@ -146,7 +146,7 @@
 
     /// Responds to an accepted heartbeat.
     pub(in crate::core) fn respond_to_heartbeat(&mut self, ticket: Ticket, id: &MachineId) {
-        let until = self.leader_until();
+        let until = self.leadership_valid_until();
         let answer = match self.heartbeat_response(id) {
             Some(body) => Response::new(200, to_json(&body)).until(until),
             None => Response::busy("this machine is gone", 30),
--- a/src/core/workers/commands/direct_calls.rs
+++ b/src/core/workers/commands/direct_calls.rs
@@ -1,7 +1,7 @@
 //! Direct calls to workers, with commands that should not wait for the next heartbeat, and their outcomes.
 
 use super::{MAX_DIRECT_CALLS, count_starts};
-use crate::core::command::Pending;
+use crate::core::command::PendingCall;
 use crate::core::machines::failure_detection::MAX_UNANSWERED_PROBES;
 use crate::core::machines::machine::Machine;
 use crate::core::{CallId, Core, Effect, Work};
@@ -69,7 +69,7 @@
     /// Calls workers with the commands that should not wait for their next heartbeat, and uses the remaining calls to
     /// probe machines.
     pub(in crate::core) fn send_direct_commands(&mut self) {
-        let Some(not_after) = self.leader_until() else {
+        let Some(not_after) = self.leadership_valid_until() else {
             return;
         };
         self.refresh_snapshot();
@@ -109,7 +109,7 @@
         let Some((addr, body)) = self.direct_commands(id, scope) else {
             return;
         };
-        let call = self.register_call(Pending::DirectCall(id.clone()));
+        let call = self.register_call(PendingCall::DirectCall(id.clone()));
         if let Some(leader) = &mut self.leader
             && let Some(machine) = leader.machines.get_mut(id)
         {
@@ -156,8 +156,8 @@
     /// Processes the outcome of a direct call: commands, a probe, or a token probe on the leader's behalf.
     pub(in crate::core) fn direct_outcome(&mut self, call: CallId, outcome: DirectOutcome) {
         let id = match self.pending.remove(&call) {
-            Some(Pending::DirectCall(id)) => id,
-            Some(Pending::TokenProbe(id)) => return self.token_probe_answered(&id, outcome),
+            Some(PendingCall::DirectCall(id)) => id,
+            Some(PendingCall::TokenProbe(id)) => return self.token_probe_answered(&id, outcome),
             _ => return,
         };
         let is_answered = matches!(outcome, DirectOutcome::Heartbeat { .. });
--- a/src/core/workers/delegation.rs
+++ b/src/core/workers/delegation.rs
@@ -60,7 +60,7 @@
             batch.load,
             now,
         );
-        if !self.delegating || !is_member || !self.acting() {
+        if !self.delegating || !is_member || !self.is_active_leader() {
             self.refuse_batch(ticket, batch.number);
             return None;
         }
@@ -120,7 +120,7 @@
     /// to remain the leader.
     pub(in crate::core) fn answer_batch(&mut self, batch: PendingBatch) {
         let now = self.now.mono;
-        let Some(leader_until) = self.leader_until() else {
+        let Some(leader_until) = self.leadership_valid_until() else {
             return self.refuse_batch(batch.ticket, batch.number);
         };
         let responses = self.batch_responses(batch.heartbeats, &batch.from);
--- a/src/core/workers/heartbeats.rs
+++ b/src/core/workers/heartbeats.rs
@@ -97,7 +97,7 @@
         ticket: Ticket,
         heartbeat: Box<Heartbeat>,
     ) -> Option<(Ticket, MachineId)> {
-        if !self.acting() {
+        if !self.is_active_leader() {
             if self.is_well_formed(&heartbeat) {
                 self.relay_heartbeat(ticket, heartbeat);
             } else {
--- a/src/core/workers/relay/probes.rs
+++ b/src/core/workers/relay/probes.rs
@@ -2,7 +2,7 @@
 //! workers then refuse whatever earlier leaders sent, and the leader learns which tasks each of them has.
 
 use super::state::TokenProbe;
-use crate::core::command::Pending;
+use crate::core::command::PendingCall;
 use crate::core::machines::machine::TOKEN_EPOCH_BITS;
 use crate::core::workers::commands::MAX_DIRECT_CALLS;
 use crate::core::workers::heartbeat_queue::QueuedHeartbeat;
@@ -59,7 +59,7 @@
             let Ok(addr) = probe.addr.parse() else {
                 continue;
             };
-            let call = self.register_call(Pending::TokenProbe(probe.machine));
+            let call = self.register_call(PendingCall::TokenProbe(probe.machine));
             self.relay.probes.in_flight += 1;
             self.effects.push(Effect::DirectCall {
                 call,
--- a/src/service/owner.rs
+++ b/src/service/owner.rs
@@ -89,7 +89,7 @@
 fn log_stats(core: &Core) {
     let stats = &core.stats;
     tracing::info!(
-        leads = core.leads(),
+        leads = core.is_active_leader(),
         accepted = stats.accept.len(),
         accept_p95_ms = stats.accept.value_at_quantile(0.95),
         started = stats.start.len(),
--- a/src/service/peer_pool.rs
+++ b/src/service/peer_pool.rs
@@ -77,7 +77,7 @@
         PeerCall::Forward { ticket, request } => {
             let frame = peer::encode_request(&request);
             let response = connection.exchange(&frame, FORWARD_TIMEOUT, peer::decode_answer);
-            Command::Forwarded {
+            Command::ForwardResponse {
                 ticket,
                 peer: peer.to_string(),
                 response: logged(peer, response),
