--- a/src/core/clock.rs
+++ b/src/core/clock.rs
@@ -1,12 +1,12 @@
-//! The time of a step.
+//! The time at which a step runs.
 
 use std::time::{Instant, SystemTime};
 
 /// The monotonic clock and the time of day, read once per step.
 #[derive(Clone, Copy, Debug)]
 pub struct Now {
-    /// For durations and deadlines.
+    /// Monotonic time, for durations and deadlines.
     pub mono: Instant,
-    /// For times that users see or that are stored.
+    /// Time of day, for times that are shown to users or stored.
     pub wall: SystemTime,
 }
--- a/src/core/command.rs
+++ b/src/core/command.rs
@@ -1,5 +1,5 @@
-//! The input and the output of [`Core::step`](crate::core::Core::step): commands in, effects out, and the calls
-//! that are between the two.
+//! The input and output of [`Core::step`](crate::core::Core::step), commands and effects, and the calls in flight
+//! between an effect and the command with its outcome.
 
 use crate::cloud_client::{CloudOutcome, CloudRequest};
 use crate::core::ids::{CallId, Ticket};
@@ -17,124 +17,124 @@
 use std::net::SocketAddrV4;
 use std::time::Instant;
 
-/// One input of a step.
+/// Input of a step.
 #[derive(Debug)]
 pub enum Command {
-    /// A request about jobs, from a user or passed on by a peer.
+    /// A request about jobs, from a user or forwarded by a peer.
     User(UserRequest),
-    /// The status page is requested.
+    /// A request for the status document.
     Status(Ticket),
-    /// The metrics are requested.
+    /// A request for the metrics.
     Metrics {
-        /// Of the request.
+        /// Identifier of the request.
         ticket: Ticket,
-        /// Commands that wait in each lane of the owner's queue.
+        /// Number of commands that wait in each lane of the command queue.
         queue_lengths: [usize; 3],
     },
     /// A worker's heartbeat.
     Heartbeat {
-        /// Of the request.
+        /// Identifier of the request.
         ticket: Ticket,
-        /// As received.
+        /// The heartbeat as received.
         heartbeat: Box<Heartbeat>,
     },
-    /// Heartbeats passed on by a controller that serves workers for the leader.
+    /// A batch of heartbeats from a controller that serves workers on the leader's behalf.
     HeartbeatBatch {
-        /// Of the request.
+        /// Identifier of the request.
         ticket: Ticket,
-        /// As received.
+        /// The batch as received.
         batch: Box<HeartbeatBatch>,
     },
-    /// The leader's response to a batch of this process.
+    /// The leader's response to a batch that this process has sent.
     HeartbeatBatchResponse {
-        /// The batch that it responds to.
+        /// Number of the batch.
         number: u64,
-        /// `None` if the leader gave no response.
+        /// The response; `None` if there was none.
         response: Option<Box<HeartbeatBatchResponse>>,
     },
-    /// A peer's response to a request that was passed on to it.
+    /// A peer's response to [`Effect::Forward`].
     ForwardResponse {
-        /// Of the request that was passed on.
+        /// Identifier of the forwarded request.
         ticket: Ticket,
-        /// Where it was sent.
+        /// Name of the peer.
         peer: String,
-        /// `None` if the peer gave no response.
+        /// The response; `None` if there was none.
         response: Option<PeerAnswer>,
     },
-    /// The lease is granted, or renewed.
+    /// A lease was granted or renewed.
     LeaseRenewed {
-        /// The lease's number in the store.
+        /// Id of the lease in the store.
         lease: u64,
-        /// When the request was sent.
+        /// Time at which the request was sent.
         sent: Instant,
-        /// The version of the leader key that was seen to exist after that.
+        /// Version of the leader key, if the conditions of the [`LeadershipProof`] were confirmed after that time.
         confirmed_key_version: Option<u64>,
     },
-    /// The conditions of the [`LeadershipProof`] for this leader key do not hold any more.
+    /// The conditions of a [`LeadershipProof`] no longer hold.
     LeadershipDisproved {
-        /// The version of the leader key that was to be watched.
+        /// Version of the leader key in the [`LeadershipProof`].
         key_version: u64,
     },
     /// The lease has expired, or the store does not know it.
     LeaseLost,
-    /// Everything under this program's prefix in the store.
+    /// A complete list of the keys under this program's prefix in the store.
     StoreListed {
-        /// All keys and values.
+        /// All keys with their values.
         items: Vec<Item>,
-        /// The store had this revision, or a later one, when the last item was read.
+        /// Revision than which the list is no older; single items may be newer.
         revision: u64,
     },
     /// Changes in the store, in order.
     StoreChanged {
-        /// What has changed since the last list or the last such command.
+        /// Changes since the last list or the last command of this kind.
         events: Vec<WatchEvent>,
-        /// The store's revision after them.
+        /// Revision of the store after these changes.
         revision: u64,
     },
-    /// A peer requests what this process remembers of the store.
+    /// A peer's request for a part of this process's cached copy of the store.
     MemoryRequest {
-        /// Of the request.
+        /// Identifier of the request.
         ticket: Ticket,
-        /// Which part of it.
+        /// The requested part.
         request: MemoryRequest,
     },
     /// A peer's response to [`Effect::MemoryRequest`].
     MemoryPage {
-        /// Who was asked.
+        /// Name of the peer.
         peer: String,
-        /// What was requested of it.
+        /// The requested part.
         request: MemoryRequest,
-        /// `None` if the peer gave no response.
+        /// The response; `None` if there was none.
         response: Option<Box<MemoryPage>>,
     },
-    /// An operator accepts a store that has lost data as it is.
+    /// An operator's request to accept a store that has lost data as it is.
     AcceptIncompleteStore(Ticket),
     /// A page of a snapshot from which a store that has lost data may be rebuilt.
     OfferSnapshot {
-        /// Of the request.
+        /// Identifier of the request.
         ticket: Ticket,
-        /// The identity of the store of which it is a snapshot.
+        /// Identity of the store from which the snapshot was taken.
         store: String,
-        /// Whether this is the snapshot's last page.
+        /// Whether this is the last page of the snapshot.
         last: bool,
         /// Keys and values of this page.
         items: Vec<(String, serde_json::Value)>,
     },
-    /// How an [`Effect::StoreCall`] ended.
+    /// The outcome of an [`Effect::StoreCall`].
     StoreOutcome {
         /// The call.
         call: CallId,
         /// Its outcome.
         outcome: StoreOutcome,
     },
-    /// How an [`Effect::CloudCall`] ended.
+    /// The outcome of an [`Effect::CloudCall`].
     CloudOutcome {
         /// The call.
         call: CallId,
         /// Its outcome.
         outcome: CloudOutcome,
     },
-    /// How an [`Effect::DirectCall`] ended.
+    /// The outcome of an [`Effect::DirectCall`].
     DirectOutcome {
         /// The call.
         call: CallId,
@@ -143,139 +143,139 @@
     },
 }
 
-/// One output of a step, to be carried out by the caller.
+/// Output of a step, to be carried out by the caller.
 #[derive(Debug)]
 pub enum Effect {
     /// Respond to a request.
     Response {
-        /// Of the request.
+        /// Identifier of the request.
         ticket: Ticket,
-        /// What to send.
+        /// The response to send.
         response: Response,
     },
-    /// Pass a request on to a peer; its response comes back as [`Command::ForwardResponse`].
+    /// Forward a request to a peer; the response comes back as [`Command::ForwardResponse`].
     Forward {
-        /// Of the request.
+        /// Identifier of the request.
         ticket: Ticket,
-        /// The peer's name.
+        /// Name of the peer.
         peer: String,
-        /// What to send.
+        /// The request to send.
         request: PeerRequest,
     },
-    /// Send a batch of heartbeats to the leader; its response comes back as [`Command::HeartbeatBatchResponse`].
+    /// Send a batch of heartbeats to the leader; the response comes back as [`Command::HeartbeatBatchResponse`].
     HeartbeatBatch {
-        /// The leader's name.
+        /// Name of the leader.
         peer: String,
-        /// Identifies the batch.
+        /// Number of the batch, which identifies it in the response.
         number: u64,
         /// The encoded batch.
         frame: Vec<u8>,
     },
     /// Call the key-value store.
     StoreCall {
-        /// Identifies the call in [`Command::StoreOutcome`].
+        /// Identifier of the call in [`Command::StoreOutcome`].
         call: CallId,
-        /// What to send.
+        /// The request to send.
         request: StoreRequest,
     },
     /// Call the cloud.
     CloudCall {
-        /// Identifies the call in [`Command::CloudOutcome`].
+        /// Identifier of the call in [`Command::CloudOutcome`].
         call: CallId,
-        /// What to send.
+        /// The request to send.
         request: CloudRequest,
-        /// Not to be sent after this moment.
+        /// Time after which the request must not be sent.
         not_after: Option<Instant>,
     },
     /// Call a worker at its own address.
     DirectCall {
-        /// Identifies the call in [`Command::DirectOutcome`].
+        /// Identifier of the call in [`Command::DirectOutcome`].
         call: CallId,
-        /// The worker's address.
+        /// Address of the worker.
         addr: SocketAddrV4,
-        /// What to send.
+        /// The request to send.
         request: DirectRequest,
-        /// Not to be sent after this moment.
+        /// Time after which the request must not be sent.
         not_after: Instant,
     },
-    /// Ask a peer for what it remembers of the store; its response comes back as [`Command::MemoryPage`].
+    /// Request a part of a peer's cached copy of the store; the response comes back as [`Command::MemoryPage`].
     MemoryRequest {
-        /// The peer's name.
+        /// Name of the peer.
         peer: String,
-        /// Which part of it.
+        /// The requested part.
         request: MemoryRequest,
     },
-    /// Read all of the store again, and watch it from there on.
+    /// Read the whole store again, and watch it from the new list on.
     RereadStore,
-    /// Revoke the lease, and with it end leadership, so that another controller can take over.
+    /// Revoke the lease, which ends the leadership, so that another controller can take over.
     ReleaseLease,
-    /// Take another lease, and leave the old one alone: in a store that has lost data its number may have been
-    /// given to another process since.
+    /// Obtain another lease without revoking the present one, whose id may have been assigned to another process by a
+    /// store that has lost data.
     ReplaceLease,
-    /// What to check with each renewal of the lease from now on; `None`: nothing.
+    /// Set the conditions to check with each renewal of the lease from now on; `None` for no check.
     LeadershipProof(Option<LeadershipProof>),
-    /// What the readiness check reports from now on.
+    /// Set what the readiness check reports from now on.
     Ready(bool),
 }
 
-/// The conditions that have to hold in the store, beside the lease, for a leadership to continue.
+/// Conditions that must hold in the store, in addition to a valid lease, for a leadership to continue.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LeadershipProof {
-    /// The version of the leader key that began the leadership.
+    /// Version of the leader key with which the leadership began.
     pub key_version: u64,
-    /// The leader key has this version, and the store is the one it was.
+    /// Conditions that the leader key has this version and that the identity of the store is unchanged.
     pub conditions: Vec<Condition>,
 }
 
-/// What a call in flight is for.
+/// A call in flight, by its purpose.
 #[derive(Debug)]
 pub(in crate::core) enum PendingCall {
-    /// The key that accepts a job.
+    /// Creation of a job's key, which accepts the job.
     CreateJob(Creation),
-    /// The parts of a large job that is to be accepted.
+    /// Creation of the parts of a large job, before the job's key.
     CreateJobParts(PartsCreation),
-    /// A job's key, read for one request.
+    /// Read of a job's key for one request.
     ReadJob { id: String, purpose: ReadPurpose },
-    /// A read after which the cache is as new as these requests need.
+    /// Read of the store's revision, up to which the cache must advance before these requests are answered.
     ReadBarrier(Vec<BarrierRequest>),
-    /// The transaction that takes the leader key.
+    /// Transaction that writes the leader key.
     Campaign,
-    /// Whether the store's identity still has this version.
+    /// Check whether the key of the store's identity still has this version.
     CheckIdentity(u64),
-    /// Whether the store's revision has gone back.
+    /// Check whether the store's revision has decreased.
     CheckRevision,
-    /// A page of job keys, compared with the cache.
+    /// Read of a page of job keys, which is compared with the cache.
     AuditJobs {
-        /// The key after which the page begins.
+        /// Key after which the page begins.
         after: String,
-        /// What was seen to differ when the page was read before.
+        /// Difference found by the previous read of this page; finding the same one again confirms it.
         suspicion: Option<String>,
     },
-    /// The mark in the store that shows a loss of its data to all controllers.
+    /// Write of the key that marks the store as incomplete, by which all controllers see the data loss.
     MarkDataLoss,
-    /// Whether the lease of the leader key with this version still runs.
+    /// Look-up of the lease of the leader key with this version.
     CheckLeaderLease(u64),
-    /// The deletion of a leader key without a lease.
+    /// Deletion of a leader key whose lease does not exist.
     DeleteStaleLeaderKey,
-    /// The leader's transaction of changes.
+    /// The leader's transaction of pending changes.
     Write,
-    /// Commands for a machine, or a probe of it.
+    /// Commands for a machine, or a probe, sent by the leader.
     DirectCall(MachineId),
-    /// A probe that shows the leader's token to a machine, made by a delegate.
+    /// Probe that presents the leader's fencing token to a machine, sent by a delegate.
     TokenProbe(MachineId),
-    /// The cloud's machine types.
+    /// Request for the cloud's list of machine types.
     ListMachineTypes,
-    /// The cloud's machines.
+    /// Request for the cloud's list of machines.
     ListMachines { sent: Instant },
-    /// A request for new machines, by its name.
+    /// Request for new machines, identified by its name.
     ScaleOut(String),
-    /// The deletion of these machines.
+    /// Deletion of these machines.
     ScaleIn(Vec<MachineId>),
 }
 
 impl PendingCall {
-    /// Whether the outcome still matters to a controller that has ceased to lead: what only a leader does ends
-    /// with its leadership.
+    /// Returns whether the call is kept when this controller stops leading. Outcomes of calls that only a leader makes
+    /// are ignored after that.
     pub(in crate::core) fn survives_step_down(&self) -> bool {
         match self {
             PendingCall::CreateJob(_)
@@ -300,15 +300,15 @@
     }
 }
 
-/// Why a job's key is read, and so what is done with its value.
+/// Reason for reading a job's key, which determines how the value is used.
 #[derive(Debug)]
 pub(in crate::core) enum ReadPurpose {
-    /// The job's state is requested.
+    /// Answer a request for the job's state.
     Show(Ticket),
-    /// The transaction that creates the job got no response; it is accepted if it is in the store.
+    /// Find out whether the job was accepted, as the transaction that creates it got no response.
     ConfirmCreation(Ticket),
-    /// The job is to be cancelled.
+    /// Cancel the job.
     Cancel(Ticket),
-    /// The request is invalid, with this response, which may be sent only if the job does not exist.
+    /// Reject an invalid submission with this response, which may be sent only if the job does not exist.
     Reject(Ticket, Response),
 }
--- a/src/core/ids.rs
+++ b/src/core/ids.rs
@@ -1,7 +1,7 @@
-//! Identifiers of what is in progress between two steps.
+//! Identifiers of requests and calls that are in progress between steps.
 
-/// Identifies a request of a client, worker or peer until the response is sent; chosen by the caller of `step`.
+/// Identifier of a request from a client, worker or peer until its response is sent; chosen by the caller of `step`.
 pub type Ticket = u64;
 
-/// Identifies a call to another service until its outcome is known; chosen by `Core`, never used twice.
+/// Identifier of a call to another service until its outcome is known; chosen by `Core` and never reused.
 pub type CallId = u64;
--- a/src/core/jobs/job_reads.rs
+++ b/src/core/jobs/job_reads.rs
@@ -105,7 +105,8 @@
         self.store_cache.put_job(&id, value, item.version);
         self.sync_job_runs();
         let final_answer = self.final_answer(&id);
- let accepted = matches!(purpose, ReadPurpose::ConfirmCreation(_)); if accepted && (final_answer.is_some() || self.own_key_determines_state(&id)) {
+        let accepted = matches!(purpose, ReadPurpose::ConfirmCreation(_));
+        if accepted && (final_answer.is_some() || self.own_key_determines_state(&id)) {
             let mut answer = self.fresh_answer(&id);
             if answer.status == 200 {
                 answer.status = 201;
--- a/src/core/leadership/campaign.rs
+++ b/src/core/leadership/campaign.rs
@@ -1,5 +1,5 @@
-//! How a leadership begins: the transaction that writes the leader key and raises the term, and what a new leader
-//! starts with.
+//! Start of a leadership: the transaction that writes the leader key and increments the term, and the initial state
+//! of a new leader.
 
 use crate::core::command::PendingCall;
 use crate::core::jobs::statistics::ArrivalRate;
@@ -14,29 +14,31 @@
 use crate::wire::{Change, CompareAndSwap, Condition, to_json_value};
 use std::time::Duration;
 
-/// Before the next attempt, if the watch has not shown the leader key by then.
+/// Delay before the next campaign after a committed transaction, in case the watch has not shown the leader key by
+/// then.
 const PAUSE_AFTER_COMMIT: Duration = Duration::from_millis(1500);
-/// Before the next attempt, after another controller was faster.
+/// Delay before the next campaign after a conflict: another controller was faster.
 const PAUSE_AFTER_CONFLICT: Duration = Duration::from_millis(300);
-/// Before the next attempt, after the store refused the transaction or did not answer.
+/// Delay before the next campaign after the store refused the transaction or did not answer.
 const PAUSE_AFTER_FAILURE: Duration = Duration::from_millis(400);
-/// Before the next attempt, after the store found the transaction malformed.
+/// Delay before the next campaign after the store rejected the transaction as malformed.
 const PAUSE_AFTER_INVALID: Duration = Duration::from_millis(500);
 
 impl Core {
-    /// Begins a leadership if this key gives one. A leadership has a term that no other has, for workers,
-    /// controllers, attempts and writes alike: the transaction that writes the leader key raises the term, so both
-    /// have one version, and this process leads but once in it. Where a leadership ended and its key is still there,
-    /// the key is written again, with the next term (`campaign`).
+    /// Begins a leadership with this process's leader key, unless the term written with the key has been used.
+    /// Workers, controllers, task attempts and writes rely on each leadership having a term of its own: the
+    /// transaction that writes the leader key increments the term, so both keys have the same version, and a process
+    /// leads at most once per term. If a leadership has ended while its key still exists, `campaign` writes the key
+    /// again with the next term.
     pub(in crate::core) fn begin_leadership(&mut self, key_version: u64) {
-        // A list is as old as its first page: what a former leader wrote last may be missing in it.
+        // A list of the store is only as recent as its first page, so it may lack the last writes of a former leader.
         if self.store_cache.revision >= key_version && self.has_unused_term(key_version) {
             self.become_leader(key_version);
         }
     }
 
-    /// The term was raised together with this version of the leader key, no newer term is known, and this process
-    /// has not led in it.
+    /// Returns whether the stored term was written together with this version of the leader key, no newer term is
+    /// known, and this process has not led in it.
     fn has_unused_term(&self, key_version: u64) -> bool {
         if !is_enabled(Safeguard::UniqueTerm) {
             return true;
@@ -48,8 +50,8 @@
             && self.candidacy.is_term_unused(cache.term)
     }
 
-    /// The version that the leader key has if a leadership may begin now: 0 where there is no key, that of our own
-    /// key where its term has been used.
+    /// Returns the version of the leader key that a campaign may replace: 0 if there is no key, or the version of
+    /// this process's own key if its term has been used. Returns `None` if no campaign is possible.
     fn vacant_leader_version(&self) -> Option<u64> {
         if !self.store_cache.loaded || self.leader.is_some() {
             return None;
@@ -63,7 +65,7 @@
         }
     }
 
-    /// Writes the leader key and raises the term, if a leadership may begin now.
+    /// Sends the transaction that writes the leader key and increments the term, if a campaign is possible now.
     pub(in crate::core) fn campaign(&mut self) {
         let now = self.now.mono;
         let (Some(leader_version), Some(lease)) = (self.vacant_leader_version(), self.lease) else {
@@ -114,8 +116,8 @@
         }
     }
 
-    /// Decides when the next attempt may be. Whether the transaction was committed is seen in the watch, after
-    /// everything that was committed before it.
+    /// Sets the time of the next campaign. A committed transaction takes effect only when the watch shows the leader
+    /// key, as the watch delivers all earlier commits first.
     pub(in crate::core) fn campaign_outcome(&mut self, outcome: StoreOutcome) {
         let pause = match outcome {
             StoreOutcome::Committed { .. } => PAUSE_AFTER_COMMIT,
@@ -136,13 +138,13 @@
         self.candidacy.delay_until(self.now.mono + pause);
     }
 
-    /// A conflict that no writer's change explains shows a loss of the store's data.
+    /// Suspects a loss of the store's data if the conflict cannot have been caused by another writer.
     fn check_conflict_for_data_loss(&mut self, failed_keys: &[String], revision: u64) {
         let cache_is_as_new = self.store_cache.revision >= revision;
         if self.contains_identity_key(failed_keys) {
             self.suspect_data_loss("its identity is gone");
         } else if cache_is_as_new && self.vacant_leader_version().is_some() {
-            self.suspect_data_loss("it has other versions of what a leader begins with");
+            self.suspect_data_loss("it has other versions of the keys that a campaign depends on");
         }
     }
 
@@ -177,7 +179,7 @@
         leader
     }
 
-    /// Has renewals of the lease check that this leadership still holds.
+    /// Requests that each renewal of the lease checks whether this leadership still holds.
     fn send_leadership_proof(&mut self, leader: &LeaderState) {
         let mut conditions = vec![Condition {
             key: key(LEADER),
--- a/src/core/leadership/candidacy.rs
+++ b/src/core/leadership/candidacy.rs
@@ -1,30 +1,30 @@
-//! When this process may try to become the leader, and what it has been. Data that outlives leaderships.
+//! When this process may campaign for leadership, and its past leaderships. This data outlives leaderships.
 
 use std::time::{Duration, Instant};
 
-/// A controller that resigned leaves leadership to the others for this long.
+/// Delay before a controller that resigned may campaign again, so that another one takes over.
 const PAUSE_AFTER_RESIGNATION: Duration = Duration::from_secs(12);
-/// Between two resignations of a leader that receives nothing from workers, at least.
+/// Minimum interval between two resignations because of isolation from workers.
 const ISOLATION_RESIGN_INTERVAL: Duration = Duration::from_secs(90);
-/// Between the end of a leadership and the next attempt.
+/// Delay between the end of a leadership and the next campaign.
 const PAUSE_AFTER_STEP_DOWN: Duration = Duration::from_millis(200);
 
-/// A controller's attempts to lead, and its former leaderships.
+/// A controller's campaigns and past leaderships.
 pub struct Candidacy {
-    /// How many leaderships this process has begun.
+    /// Number of leaderships that this process has begun.
     leaderships: u64,
-    /// The newest term in which it has led.
+    /// Newest term in which this process has led.
     newest_led_term: u64,
-    /// When the last attempt to lead was sent.
+    /// Time at which the last campaign was sent.
     last_campaign: Instant,
-    /// No attempt to lead before this moment.
+    /// Earliest time of the next campaign.
     not_before: Instant,
-    /// When it last resigned because it received nothing from workers.
+    /// Time of the last resignation because of isolation from workers.
     resigned_in_isolation: Option<Instant>,
 }
 
 impl Candidacy {
-    /// A process that begins at `now` and may try to lead at once.
+    /// Creates the state of a process that starts at `now` and may campaign at once.
     pub(in crate::core) fn new(now: Instant) -> Candidacy {
         Candidacy {
             leaderships: 0,
@@ -35,61 +35,61 @@
         }
     }
 
-    /// How many leaderships this process has begun.
+    /// Returns the number of leaderships that this process has begun.
     #[cfg(test)]
     pub(in crate::core) fn leaderships(&self) -> u64 {
         self.leaderships
     }
 
-    /// When the last attempt to lead was sent.
+    /// Returns the time at which the last campaign was sent.
     pub(in crate::core) fn last_campaign(&self) -> Instant {
         self.last_campaign
     }
 
-    /// Whether this process has not led in this term or a later one.
+    /// Returns whether this process has led neither in this term nor in a later one.
     pub(in crate::core) fn is_term_unused(&self, term: u64) -> bool {
         term > self.newest_led_term
     }
 
-    /// Whether it may try to lead now.
+    /// Returns whether all delays before the next campaign have passed.
     pub(in crate::core) fn may_attempt(&self, now: Instant) -> bool {
         now >= self.not_before
     }
 
-    /// No attempt before this moment, and none before a later one set earlier.
+    /// Delays the next campaign until `at`, or until a later time that was set before.
     pub(in crate::core) fn delay_until(&mut self, at: Instant) {
         self.not_before = self.not_before.max(at);
     }
 
-    /// An attempt to lead is sent.
+    /// Records that a campaign is sent.
     pub(in crate::core) fn campaign_sent(&mut self, now: Instant) {
         self.last_campaign = now;
     }
 
-    /// A leadership begins in this term.
+    /// Records that a leadership begins in this term.
     pub(in crate::core) fn leadership_began(&mut self, term: u64) {
         self.leaderships += 1;
         self.newest_led_term = self.newest_led_term.max(term);
     }
 
-    /// A leadership has ended.
+    /// Records that a leadership has ended.
     pub(in crate::core) fn leadership_ended(&mut self, now: Instant) {
         self.not_before = now + PAUSE_AFTER_STEP_DOWN;
     }
 
-    /// This process gives leadership up for the others to take.
+    /// Records that this process has resigned, and delays its next campaign so that another controller takes over.
     pub(in crate::core) fn resigned(&mut self, now: Instant) {
         self.not_before = now + PAUSE_AFTER_RESIGNATION;
     }
 
-    /// Whether an isolated leader may resign. Where no other controller receives heartbeats either, passing
-    /// leadership around would only keep all of them from finding out that the machines are gone.
+    /// Returns whether an isolated leader may resign. Resignations are rate-limited: if no controller receives
+    /// heartbeats, frequent changes of leader would keep each leader from detecting that the machines are gone.
     pub(in crate::core) fn may_resign_in_isolation(&self, now: Instant) -> bool {
         self.resigned_in_isolation
             .is_none_or(|t| now > t + ISOLATION_RESIGN_INTERVAL)
     }
 
-    /// An isolated leader resigns.
+    /// Records that this process resigns because of isolation from workers.
     pub(in crate::core) fn resigned_in_isolation(&mut self, now: Instant) {
         self.resigned_in_isolation = Some(now);
     }
--- a/src/core/leadership/isolation.rs
+++ b/src/core/leadership/isolation.rs
@@ -1,17 +1,17 @@
-//! A leader that its workers do not reach, or that does not reach them, while the store is reachable: another
-//! controller may do better.
+//! Resignation of a leader that reaches the store but not its workers, or is not reached by them: another controller
+//! may be connected to them.
 
 use crate::core::Core;
 use crate::core::leadership::state::LeaderState;
 use std::time::Duration;
 
-/// Added to two heartbeat intervals: how long workers need to find a new leader.
+/// Margin added to two heartbeat intervals for the time that workers need to find a new leader.
 const FAILOVER_ALLOWANCE: Duration = Duration::from_secs(2);
 
 impl Core {
-    /// Notes that this leader is able to act. Where it was not for a while, its machines' missing heartbeats
-    /// prove nothing: the store was unreachable, heartbeats were answered with 503 meanwhile, and the workers went
-    /// from controller to controller.
+    /// Records that this leader is able to act. After a period in which it was not, missing heartbeats are no evidence
+    /// of failed machines: the store was unreachable, so heartbeats were answered with 503 and the workers tried one
+    /// controller after another.
     pub(in crate::core) fn record_activity(&mut self) {
         let now = self.now.mono;
         let Some(leader) = &mut self.leader else {
@@ -44,7 +44,7 @@
         if !has_reports && leader.recovery.is_complete() {
             return false;
         }
-        // Until the workers have found a new leader, few heartbeats come in any case.
+        // Few heartbeats arrive before the workers have found the new leader.
         let failover_time = self.settings.heartbeat_interval * 2 + FAILOVER_ALLOWANCE;
         let settled = now.saturating_duration_since(leader.since) > failover_time;
         let limit = if settled {
--- a/src/core/leadership/lease.rs
+++ b/src/core/leadership/lease.rs
@@ -1,27 +1,27 @@
-//! The lease in the key-value store, on which the leader key depends. Data.
+//! The lease in the key-value store to which the leader key is attached.
 
 use std::time::{Duration, Instant};
 
-/// How long the store keeps the lease, and with it the leader key, after the last renewal.
+/// Time after its last renewal at which the store expires the lease and deletes the leader key with it.
 pub const LEASE_TTL: Duration = Duration::from_millis(3000);
-/// The leader stops acting this long before its lease can end: for the time from a decision until it leaves the
-/// process.
+/// Time before the earliest expiry of its lease at which the leader stops acting. It covers the delay from a decision
+/// until the decision has left the process.
 const SAFETY_MARGIN: Duration = Duration::from_millis(350);
-/// What the store's clock may run faster than this one within a lease: 0.1 %.
+/// Allowance for a store clock that runs up to 0.1 % faster than the local one during a lease.
 const MAX_CLOCK_DRIFT: Duration = Duration::from_millis(3);
 const _: () = assert!(MAX_CLOCK_DRIFT.as_millis() == LEASE_TTL.as_millis() / 1000);
 
 /// This process's lease.
 #[derive(Clone, Copy, Debug)]
 pub struct Lease {
-    /// Its number in the store.
+    /// Id of the lease in the store.
     pub id: u64,
-    /// When the last successful renewal was sent.
+    /// Time at which the last successful renewal was sent.
     renewed_at: Instant,
 }
 
 impl Lease {
-    /// A lease that was granted to a request sent at `sent`.
+    /// Creates a lease granted in answer to a request that was sent at `sent`.
     pub(in crate::core) fn new(id: u64, sent: Instant) -> Lease {
         Lease {
             id,
@@ -29,23 +29,23 @@
         }
     }
 
-    /// The lease was renewed by a request sent at `sent`.
+    /// Records a renewal by a request that was sent at `sent`.
     pub(in crate::core) fn renew(&mut self, sent: Instant) {
         self.renewed_at = self.renewed_at.max(sent);
     }
 
-    /// Until when a leader may act that saw its leader key in the store at `key_confirmed`. Certainly before the
-    /// store can give the leader key to another process.
+    /// Returns the time until which a leader may act whose leader key was last confirmed by a request sent at
+    /// `key_confirmed`. It lies before the earliest time at which another process can take the leader key.
     pub(in crate::core) fn valid_until(&self, key_confirmed: Instant) -> Instant {
         self.renewed_at.min(key_confirmed) + LEASE_TTL - MAX_CLOCK_DRIFT - SAFETY_MARGIN
     }
 
-    /// Whether it was renewed lately enough to begin a leadership with it.
+    /// Returns whether the last renewal is recent enough to begin a leadership with this lease.
     pub(in crate::core) fn is_fresh(&self, now: Instant) -> bool {
         now < self.renewed_at + LEASE_TTL / 2
     }
 
-    /// Whether it should run for long still, so that its end now shows a loss of the store's data.
+    /// Returns whether the lease should not have expired yet, so that its absence is a sign of data loss in the store.
     pub(in crate::core) fn should_be_valid(&self, now: Instant) -> bool {
         now < self.renewed_at + LEASE_TTL * 9 / 10
     }
--- a/src/core/leadership/lease_events.rs
+++ b/src/core/leadership/lease_events.rs
@@ -1,4 +1,4 @@
-//! What follows from renewals of the lease and from its end; and until when this process may act as the leader.
+//! Handling of renewals and of the loss of the lease, and how long this process may act as the leader.
 
 use crate::core::leadership::lease::{LEASE_TTL, Lease};
 use crate::core::{Core, Effect};
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 impl Core {
-    /// Until when this process may act as the leader.
+    /// Returns the time until which this process may act as the leader; `None` if it is not the leader or has no lease.
     pub(in crate::core) fn leadership_valid_until(&self) -> Option<Instant> {
         let leader = self.leader.as_ref()?;
         if !is_enabled(Safeguard::LeaseValidity) {
@@ -16,14 +16,14 @@
         Some(lease.valid_until(leader.leader_key_confirmed))
     }
 
-    /// Whether this process is the leader and may act as such now.
+    /// Returns whether this process is the leader and its leadership is valid now.
     pub fn is_active_leader(&self) -> bool {
         self.leadership_valid_until()
             .is_some_and(|t| self.now.mono < t)
     }
 
-    /// The lease of this number was granted or renewed by a request sent at `sent`, and since then the leader key of
-    /// this version was seen.
+    /// Handles a lease with this id that was granted or renewed by a request sent at `sent`. If the leader key was read
+    /// after that, `confirmed_key_version` is its version.
     pub(in crate::core) fn lease_renewed(
         &mut self,
         id: u64,
@@ -45,21 +45,22 @@
         }
     }
 
-    /// The leader key is gone though its lease is not, or the store is another one.
+    /// Handles a failed check of the leadership's conditions: the leader key is gone although its lease is not, or
+    /// the identity of the store has changed.
     pub(in crate::core) fn leadership_disproved(&mut self, key_version: u64) {
         let current = self.leader.as_ref().map(|l| l.key_version);
         if current == Some(key_version) {
-            self.step_down("the leader key is not there any more");
-            self.suspect_data_loss("a leader key is gone before its lease");
+            self.step_down("the leader key no longer exists");
+            self.suspect_data_loss("the leader key is gone although its lease is not");
         }
     }
 
-    /// The lease has expired, or the store does not know it.
+    /// Handles a lease that has expired or that the store does not know.
     pub(in crate::core) fn lease_lost(&mut self) {
         let lost = self.lease.take();
-        self.step_down("the lease has ended");
+        self.step_down("the lease no longer exists");
         if lost.is_some_and(|l| l.should_be_valid(self.now.mono)) {
-            self.suspect_data_loss("it does not know a lease that should still run");
+            self.suspect_data_loss("it does not know a lease that should still be valid");
         }
     }
 
@@ -69,7 +70,7 @@
         self.effects.push(Effect::ReleaseLease);
     }
 
-    /// Takes another lease; the old one's number may be another process's by now.
+    /// Requests another lease without revoking the present one, whose id may have been assigned to another process.
     pub(in crate::core) fn replace_lease(&mut self) {
         self.lease = None;
         self.effects.push(Effect::ReplaceLease);
--- a/src/core/leadership/liveness.rs
+++ b/src/core/leadership/liveness.rs
@@ -1,38 +1,37 @@
-//! When workers and this leader itself were last known to be alive. Data.
+//! Records of when workers and this leader itself were last known to be alive.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// If a leader could not act for longer than this, it did not receive its workers' heartbeats, and missing ones prove
-/// nothing.
+/// Time without being able to act after which a leader disregards missing heartbeats: it could not receive them.
 const INACTIVITY_THRESHOLD: Duration = Duration::from_millis(1000);
-/// Direct calls that fail one after another, while no worker sends heartbeats here, before that means something: single
-/// machines may be gone.
+/// Number of consecutive failed direct calls, with no worker in direct contact meanwhile, from which they count as a
+/// sign of isolation. A smaller number may be caused by single failed machines.
 const MAX_FAILED_CALLS: u32 = 8;
 
-/// When machines, zones and this leader itself were last known to be alive.
+/// Records of when machines, zones and this leader itself were last known to be alive.
 pub struct Liveness {
-    /// Missing heartbeats prove nothing before this moment.
+    /// Time before which missing heartbeats are no evidence of a failure.
     pub heartbeat_grace_until: Instant,
-    /// With as many machines as there are, silence of all of them for this long means that this process does not
-    /// receive their heartbeats.
+    /// Time without any heartbeat after which this leader counts as isolated. It depends on the number of machines, as
+    /// many machines are unlikely to be silent at the same time.
     pub isolation_timeout: Duration,
-    /// When machines were last checked for failures.
+    /// Time of the last check of all machines for failures.
     pub last_machine_check: Option<Instant>,
-    /// Zones from which heartbeats come, and since when without a break.
+    /// Zones from which heartbeats arrive, with the time since when they have arrived without a gap.
     pub zone_reachable_since: BTreeMap<String, Instant>,
-    /// When this leader was last able to act.
+    /// Time at which this leader was last able to act.
     last_active: Instant,
-    /// When a heartbeat last came, here or through a delegate.
+    /// Time of the last heartbeat, received directly or through a delegate.
     last_heartbeat: Option<Instant>,
-    /// When a worker last reported here or answered a direct call.
+    /// Time of the last heartbeat received directly or the last answered direct call.
     last_direct_contact: Instant,
-    /// How many direct calls have failed since.
+    /// Number of direct calls that have failed since the last direct contact.
     failed_direct_calls: u32,
 }
 
 impl Liveness {
-    /// Of a leadership that begins now.
+    /// Creates the records of a leadership that begins at `now`.
     pub(in crate::core) fn new(now: Instant) -> Liveness {
         Liveness {
             heartbeat_grace_until: now,
@@ -46,38 +45,38 @@
         }
     }
 
-    /// Missing heartbeats prove nothing until this moment.
+    /// Disregards missing heartbeats until `until`, or until a later time that was set before.
     pub(in crate::core) fn extend_heartbeat_grace(&mut self, until: Instant) {
         self.heartbeat_grace_until = self.heartbeat_grace_until.max(until);
     }
 
-    /// This leader is able to act. Returns for how long it was not, where that was too long for its workers'
-    /// silence to prove anything.
+    /// Records that this leader is able to act. Returns how long it was not, if that was too long for missing
+    /// heartbeats to be evidence of a failure.
     pub(in crate::core) fn record_activity(&mut self, now: Instant) -> Option<Duration> {
         let inactive = now.saturating_duration_since(self.last_active);
         self.last_active = now;
         (inactive > INACTIVITY_THRESHOLD).then_some(inactive)
     }
 
-    /// A heartbeat came, here or through a delegate.
+    /// Records a heartbeat received directly or through a delegate.
     pub(in crate::core) fn record_heartbeat(&mut self, now: Instant) {
         self.last_heartbeat = Some(now);
     }
 
-    /// A worker reported here, or answered a direct call.
+    /// Records a heartbeat received directly or an answered direct call.
     pub(in crate::core) fn record_direct_contact(&mut self, now: Instant) {
         self.last_direct_contact = now;
         self.failed_direct_calls = 0;
     }
 
-    /// A direct call got no answer.
+    /// Records a direct call that got no answer.
     pub(in crate::core) fn record_failed_call(&mut self) {
         self.failed_direct_calls += 1;
     }
 
-    /// Whether workers do not reach this leader, which has led since `leading_since`, or are not reached by it: no heartbeat
-    /// came for longer than `timeout`, or all direct calls failed for as long. Then others receive the heartbeats, but
-    /// commands do not get through.
+    /// Returns whether this leader, which has led since `leading_since`, is isolated from its workers: either no
+    /// heartbeat arrived for longer than `timeout`, or all direct calls failed for that long. In the second case
+    /// heartbeats may still arrive through delegates, but commands do not reach the workers.
     pub(in crate::core) fn is_isolated(
         &self,
         now: Instant,
--- a/src/core/leadership/mod.rs
+++ b/src/core/leadership/mod.rs
@@ -1,14 +1,16 @@
-//! Leadership: who may decide and write.
+//! Leader election and the leader's lifecycle.
 //!
-//! Leadership is a key in the store that depends on this process's lease. The transaction that writes the key raises a
-//! persistent term, which the workers see as the upper part of their fencing token. A leader acts only until its
-//! lease can have ended, by its own clock, and each of its writes has the leader key's version as a condition.
+//! The leader is the controller whose lease holds the leader key in the store. The transaction that writes this key
+//! increments a persistent term, which is the upper part of the fencing tokens sent to workers. A leader acts only
+//! until the earliest moment, by its own clock, at which its lease may expire, and each of its writes is conditional
+//! on the version of the leader key.
 //!
-//! - Data: `lease`, `candidacy`, `liveness`, `recovery_state`, and `state` with all that only a leader has.
-//! - The lease and the store's events: `lease_events`, `store_events`.
-//! - Beginning and end of a leadership: `campaign`, `isolation`, `step_down`; `stale_key` removes a leader key that no
+//! - Data: `lease`, `candidacy`, `liveness`, `recovery_state`, and `state`, which holds everything that only a leader
+//!   has.
+//! - Events of the lease and the store: `lease_events`, `store_events`.
+//! - Start and end of a leadership: `campaign`, `isolation`, `step_down`; `stale_key` deletes a leader key that no
 //!   process can renew.
-//! - `recovery`, `probes`: how a new leader finds out which tasks are on which machines.
+//! - `recovery`, `probes`: how a new leader finds out which tasks run on which machines.
 
 pub mod candidacy;
 pub mod lease;
@@ -28,7 +30,7 @@
 use crate::core::Core;
 
 impl Core {
-    /// Called once per step, after its commands.
+    /// Performs the periodic leadership work of a step, after the commands of the step have been processed.
     pub(in crate::core) fn advance_leadership(&mut self) {
         if self.is_active_leader() {
             self.record_activity();
--- a/src/core/leadership/probes.rs
+++ b/src/core/leadership/probes.rs
@@ -1,5 +1,5 @@
-//! Probes: direct calls that show a machine the leader's token and ask what it has. During recovery all unresolved
-//! machines are probed; later those that may have restarted.
+//! Probes: direct calls that present the leader's fencing token to a machine and ask for its tasks. During recovery all
+//! unresolved machines are probed, later those that may have restarted.
 
 use crate::core::command::PendingCall;
 use crate::core::leadership::state::LeaderState;
@@ -10,11 +10,11 @@
 use crate::worker_client::DirectRequest;
 use std::time::{Duration, Instant};
 
-/// Between two probes of a machine from which old heartbeats come.
+/// Minimum interval between two probes of a machine that sends outdated heartbeats.
 const RESTART_PROBE_INTERVAL: Duration = Duration::from_secs(2);
 
 impl LeaderState {
-    /// Takes the next unresolved machine that no call is in flight to and no delegate is about to probe.
+    /// Takes the next unresolved machine that has no call in flight and that no delegate is about to probe.
     pub(in crate::core) fn next_probe(&mut self, now: Instant) -> Option<MachineId> {
         loop {
             let id = self.recovery.take_next(now)?;
@@ -32,7 +32,7 @@
 }
 
 impl Core {
-    /// Probes as many unresolved machines as there are calls to spare.
+    /// Probes as many unresolved machines as the limit on direct calls allows.
     pub(in crate::core) fn probe_machines(&mut self) {
         let now = self.now.mono;
         while let Some(leader) = &mut self.leader
@@ -43,8 +43,8 @@
         }
     }
 
-    /// A heartbeat came that is older than what is known: a copy that comes late, or the machine has restarted and
-    /// counts its heartbeats from one. Its answer to a probe that is sent now tells which.
+    /// Probes a machine after a heartbeat with an old sequence number. Either the heartbeat is a delayed duplicate, or
+    /// the machine has restarted and numbers its heartbeats from one again; the answer to the probe tells which.
     pub(in crate::core) fn probe_for_restart(&mut self, id: &MachineId) {
         let now = self.now.mono;
         let Some(leader) = &mut self.leader else {
@@ -63,7 +63,7 @@
         }
         m.direct_calls.retry_not_before = now + RESTART_PROBE_INTERVAL;
         let known = (m.incarnation, m.sequence);
-        // Shown with the probe: what was sent to the machine before its restart is refused from then on.
+        // The probe carries the new token, so the machine refuses all commands that were sent before its restart.
         m.token_epoch += 1;
         if let Some(call) = self.probe_machine(id)
             && let Some(leader) = &mut self.leader
@@ -73,8 +73,8 @@
         }
     }
 
-    /// The machine has restarted, without its former tasks, and its heartbeat sequence starts from one. `seen_token` is
-    /// the highest fencing token that it has seen since.
+    /// Handles a restart of the machine, which has lost its tasks and numbers its heartbeats from one again.
+    /// `seen_token` is the highest fencing token that it has seen since.
     pub(in crate::core) fn machine_restarted(&mut self, id: &MachineId, seen_token: u64) {
         let Some(leader) = &mut self.leader else {
             return;
@@ -94,10 +94,11 @@
         m.images.clear();
         m.require_token_proof(term);
         let tasks = m.tasks.keys().cloned().collect();
-        self.tasks_lost(id, tasks, "it has begun anew");
+        self.tasks_lost(id, tasks, "the machine restarted");
     }
 
-    /// Shows a machine the new token and asks what it has. `None` if that cannot be asked.
+    /// Sends a probe to a machine; `None` if the leadership is not valid, or the machine is unknown or has no valid
+    /// address.
     fn probe_machine(&mut self, id: &MachineId) -> Option<CallId> {
         let not_after = self.leadership_valid_until()?;
         let machine = self.leader.as_ref()?.machines.get(id)?;
--- a/src/core/leadership/recovery.rs
+++ b/src/core/leadership/recovery.rs
@@ -1,8 +1,8 @@
-//! How a new leader finds out which tasks its predecessors started, and where.
+//! Recovery: how a new leader finds out which tasks earlier leaders started, and on which machines.
 //!
-//! Every machine that may hold a task is recorded in the store before it gets one. A task of an old job that no
-//! heartbeat has shown yet is started only when each of those machines has shown all that it has, or can have nothing
-//! any more.
+//! Every machine that may hold a task is recorded in the store before it is given one. A task of an older job that no
+//! heartbeat has reported yet is started only after each recorded machine has reported all its tasks or can no longer
+//! have any; until then the machine is unresolved.
 
 use crate::core::Core;
 use crate::core::leadership::lease::LEASE_TTL;
@@ -12,24 +12,25 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// Machines that send heartbeats to other controllers are probed after this: their batches come first, and they probe
-/// the machines themselves.
+/// Delay before probing machines that send heartbeats to other controllers. Batches from these controllers usually
+/// arrive earlier, and the controllers probe the machines themselves.
 const DELEGATED_PROBE_DELAY: Duration = Duration::from_millis(400);
 
-/// A machine as an earlier leader recorded it, of which nothing else is known yet.
+/// Creates an unresolved machine from what an earlier leader recorded about it.
 fn recorded_machine(id: &MachineId, value: &MachineValue, now: Instant) -> Machine {
     let (machine_type, zone) = (&value.machine_type, &value.zone);
     let mut machine = Machine::new(id.clone(), machine_type, zone, value.spot, now);
     machine.addr = value.addr.clone();
-    // The predecessor stopped answering heartbeats before our key could be created, so the machine's lease runs from
-    // now at the latest; or, if the predecessor resigned, from when its last grant to a delegate expired.
+    // The earlier leader stopped answering heartbeats before this leader's key could be written, so it last renewed
+    // the machine's lease before now. If the earlier leader resigned, one of its delegates may have renewed the lease
+    // until its grant expired, which takes at most one lease duration.
     machine.lease_renewed = now + LEASE_TTL;
     machine.unresolved = true;
     machine
 }
 
-/// The recorded machines in the order in which they are popped to be probed. Zones take turns, so that one that is
-/// cut off does not hold up the others.
+/// Returns the recorded machines in probe order, the first one last. Zones alternate, so that an unreachable zone does
+/// not delay the others.
 fn probe_order(machines: &BTreeMap<MachineId, MachineValue>) -> Vec<MachineId> {
     let mut zones: BTreeMap<&str, Vec<&MachineId>> = BTreeMap::new();
     for (id, value) in machines {
@@ -45,7 +46,7 @@
 }
 
 impl Core {
-    /// Begins to find out what all recorded machines have.
+    /// Marks all recorded machines as unresolved and begins to probe them.
     pub(in crate::core) fn start_recovery(&mut self) {
         let now = self.now.mono;
         let Some(leader) = &mut self.leader else {
@@ -53,7 +54,7 @@
         };
         for (id, value) in &self.store_cache.machines {
             let mut machine = recorded_machine(id, value, now);
-            // Not recorded, but remembered only, if the store has lost data.
+            // After a data loss in the store, a machine may be known only from the cached copy of the store.
             machine.recorded = leader.writes.records.is_recorded(id);
             leader.machines.get_or_add(id, || machine);
             leader.recovery.add_unresolved();
@@ -73,7 +74,8 @@
         self.probe_machines();
     }
 
-    /// A machine has shown all that it has, or can have none any more. `how` states which, for the log.
+    /// Marks a machine as resolved: it has reported all its tasks, or can no longer have any. `how` states which, for
+    /// the log.
     pub(in crate::core) fn resolve_machine(&mut self, id: &MachineId, how: &str) {
         let Some(leader) = &mut self.leader else {
             return;
@@ -106,7 +108,7 @@
         }
     }
 
-    /// Stops what this machine has and another one has as well.
+    /// Stops duplicates of tasks that run on this machine and on another one.
     fn stop_duplicates_on(&mut self, id: &MachineId) {
         let Some(leader) = &self.leader else { return };
         let Some(machine) = leader.machines.get(id) else {
--- a/src/core/leadership/recovery_state.rs
+++ b/src/core/leadership/recovery_state.rs
@@ -1,29 +1,30 @@
-//! Which machines may hold tasks that an earlier leader started, and how far they have been probed. Data; `recovery`
-//! acts on it.
+//! The set of machines that may hold tasks of earlier leaders, and the order in which they are probed. The logic is in
+//! `recovery`.
 
 use crate::job::MachineId;
 use std::collections::BTreeSet;
 use std::time::Instant;
 
-/// The state of a new leader's recovery. A machine is unresolved from when the leader learns of it until it has shown
-/// all its tasks, or can have none any more; the machine's own record shows this too (`Machine::unresolved`).
+/// State of a new leader's recovery. A machine is unresolved from the time at which the leader learns of it until it
+/// has reported all its tasks or can no longer have any; `Machine::unresolved` records this per machine.
 #[derive(Default)]
 pub struct Recovery {
-    /// How many machines are unresolved.
+    /// Number of unresolved machines.
     unresolved: usize,
-    /// Machines that have not been probed yet, the next one last.
+    /// Machines to be probed as soon as possible, the next one last.
     to_probe: Vec<MachineId>,
-    /// Machines to be probed again, and when.
+    /// Machines to be probed at a later time, by that time.
     retries: BTreeSet<(Instant, MachineId)>,
-    /// How many were unresolved when this leadership began, until nearly all are resolved.
+    /// Number of machines that were unresolved when this leadership began; 0 once nearly all of them are resolved.
     initially_unresolved: usize,
-    /// Zones in which a machine has answered a direct call: elsewhere, a call without an answer proves nothing about
-    /// the machine.
+    /// Zones in which a machine has answered a direct call. In other zones an unanswered call is no evidence that the
+    /// machine has failed.
     pub reachable_zones: BTreeSet<String>,
 }
 
 impl Recovery {
-    /// Begins to probe: the machines in `to_probe` at once, the last one first, and the others at their time.
+    /// Starts the recovery. Machines in `to_probe` are probed at once, the last one first, those in `later` at the
+    /// given time.
     pub(in crate::core) fn begin(
         &mut self,
         to_probe: Vec<MachineId>,
@@ -34,38 +35,38 @@
         self.retries = later;
     }
 
-    /// How many machines are unresolved.
+    /// Returns the number of unresolved machines.
     pub(in crate::core) fn unresolved(&self) -> usize {
         self.unresolved
     }
 
-    /// Whether no machine is unresolved.
+    /// Returns whether no machine is unresolved.
     pub(in crate::core) fn is_complete(&self) -> bool {
         self.unresolved == 0
     }
 
-    /// One machine more is unresolved.
+    /// Counts one more unresolved machine.
     pub(in crate::core) fn add_unresolved(&mut self) {
         self.unresolved += 1;
     }
 
-    /// One machine less is unresolved.
+    /// Counts one unresolved machine less.
     pub(in crate::core) fn remove_unresolved(&mut self) {
         self.unresolved -= 1;
     }
 
-    /// Has a machine probed before all others.
+    /// Schedules a probe of a machine before all others.
     pub(in crate::core) fn probe_next(&mut self, id: MachineId) {
         self.to_probe.push(id);
     }
 
-    /// Has a machine probed at this moment, or when there is a call to spare after it.
+    /// Schedules a probe of a machine at `at`, or later if the limit on direct calls is reached then.
     pub(in crate::core) fn probe_at(&mut self, at: Instant, id: MachineId) {
         self.retries.insert((at, id));
     }
 
-    /// Takes the next machine to probe. Those that were not probed yet come first: one that did not answer takes up
-    /// a call for long.
+    /// Takes the next machine to probe. Machines that have not been probed yet come first, as a call to a machine that
+    /// does not answer occupies one of the limited direct calls until it times out.
     pub(in crate::core) fn take_next(&mut self, now: Instant) -> Option<MachineId> {
         if let Some(id) = self.to_probe.pop() {
             return Some(id);
@@ -77,8 +78,8 @@
         self.retries.pop_first().map(|(_, id)| id)
     }
 
-    /// Once 99 % of the machines are resolved that were not when this leadership began, returns how many that were;
-    /// afterwards `None`. The others are mostly machines that died with the last leader.
+    /// Returns the initial number of unresolved machines, once, when 99 % of them are resolved; otherwise `None`. The
+    /// rest are mostly machines that failed together with the last leader.
     pub(in crate::core) fn take_nearly_complete(&mut self) -> Option<usize> {
         let initially = self.initially_unresolved;
         if initially == 0 || self.unresolved * 100 > initially {
@@ -88,7 +89,7 @@
         Some(initially)
     }
 
-    /// A machine in this zone has answered a direct call.
+    /// Records that a machine in this zone has answered a direct call.
     pub(in crate::core) fn mark_zone_reachable(&mut self, zone: &str) {
         if !self.reachable_zones.contains(zone) {
             self.reachable_zones.insert(zone.to_string());
--- a/src/core/leadership/stale_key.rs
+++ b/src/core/leadership/stale_key.rs
@@ -1,8 +1,9 @@
-//! A leader key whose lease the store does not know, which would prevent any election.
+//! Deletion of a leader key whose lease the store does not know, which would prevent any election.
 //!
-//! Such a key, restored without its lease for example, would never expire. If no leader has been seen for long, the
-//! key's lease is looked up. If the store does not know it, it cannot be renewed, so its holder stops acting within
-//! one lease duration; after that the key is deleted, unless it has been replaced by then.
+//! Such a key, for example one that was restored from a backup without its lease, would never expire. If there has been
+//! no contact with a leader for some time, the lease of its key is looked up in the store. A lease that the store does
+//! not know cannot be renewed, so the key's holder stops acting within one lease duration. After that time the key is
+//! deleted, unless it has been replaced.
 
 use crate::core::Core;
 use crate::core::command::PendingCall;
@@ -12,21 +13,22 @@
 use crate::wire::{Change, CompareAndSwap, Condition};
 use std::time::{Duration, Instant};
 
-/// A leader that is silent for this long has its lease looked up, and again so often.
+/// Time without contact to the leader after which the lease of its key is looked up, and interval of further look-ups.
 const LOOKUP_INTERVAL: Duration = Duration::from_secs(4);
-/// The same where no leader has ever shown itself: one of an earlier version sends nothing to the others.
+/// The same if there has never been contact with a leader: a leader of an earlier version sends nothing to the other
+/// controllers.
 const LOOKUP_INTERVAL_WITHOUT_CONTACT: Duration = LOOKUP_INTERVAL.saturating_mul(3);
 
-/// A leader key of which it is not known whether any process holds it.
+/// A leader key that may have no living holder.
 #[derive(Clone, Copy, Debug)]
 pub struct StaleLeaderKey {
-    /// The key's version.
+    /// Version of the key.
     version: u64,
-    /// When this version was first seen.
+    /// Time at which this version was first seen.
     first_seen: Instant,
-    /// When the store was last asked about it.
+    /// Time of the last request to the store about this key, a look-up of its lease or its deletion.
     last_request: Option<Instant>,
-    /// When it was found that the store does not know its lease.
+    /// Time at which the store answered that it does not know the key's lease.
     lease_unknown_since: Option<Instant>,
 }
 
@@ -40,12 +42,12 @@
         }
     }
 
-    /// Whether no request was sent for this long.
+    /// Returns whether no request was sent within the last `interval`.
     fn may_request(&self, now: Instant, interval: Duration) -> bool {
         self.last_request.is_none_or(|t| now >= t + interval)
     }
 
-    /// Whether its lease is to be looked up, where a leader last showed itself at `last_contact`.
+    /// Returns whether the lease of this key is to be looked up, given the time of the last contact with a leader.
     fn lookup_due(&self, now: Instant, last_contact: Option<Instant>) -> bool {
         let silent_since = last_contact.map_or(self.first_seen, |t| self.first_seen.max(t));
         let interval = match last_contact {
@@ -57,7 +59,7 @@
 }
 
 impl Core {
-    /// Looks up the lease of a leader key that may be stale, and deletes the key once that is certain.
+    /// Looks up the lease of a leader key that may be stale, and deletes the key once it is certainly stale.
     pub(in crate::core) fn check_stale_leader_key(&mut self) {
         let now = self.now.mono;
         let Some((value, version)) = &self.store_cache.leader else {
@@ -93,7 +95,7 @@
             key: key(LEADER),
             version,
         }];
-        // In a store that has lost data, another leader key may have the same version.
+        // In a store that has lost data, a different leader key may have the same version.
         conditions.extend(self.store_cache.identity.as_ref().map(identity_condition));
         let transaction = CompareAndSwap {
             conditions,
@@ -105,7 +107,7 @@
         );
     }
 
-    /// Whether the lease of a leader key of this version runs.
+    /// Handles the answer to a look-up of the lease of the leader key with this version.
     pub(in crate::core) fn leader_lease_checked(&mut self, version: u64, outcome: StoreOutcome) {
         let now = self.now.mono;
         if let Some(stale) = &mut self.stale_leader_key
--- a/src/core/leadership/state.rs
+++ b/src/core/leadership/state.rs
@@ -1,5 +1,5 @@
-//! What only a leader has. Data, put together from the data of each concern; it is created when a leadership begins
-//! and dropped when it ends.
+//! The state that only a leader has, composed of the data of the other modules. It is created when a leadership
+//! begins and dropped when the leadership ends.
 
 use crate::core::jobs::job_run::{JobRun, Urgency};
 use crate::core::jobs::statistics::ArrivalRate;
@@ -20,54 +20,54 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// What only a leader has.
+/// The state that only a leader has.
 pub struct LeaderState {
-    /// The version of the leader key that began this leadership.
+    /// Version of the leader key with which this leadership began.
     pub key_version: u64,
-    /// The term of this leadership, which no other leadership has.
+    /// Term of this leadership, unique to it.
     pub term: u64,
-    /// When this leadership began.
+    /// Time at which this leadership began.
     pub since: Instant,
-    /// When it was last seen that the leader key exists, by when that was asked. Renewals of the lease alone prove
-    /// nothing: in a store that has lost data its number may have been given to another process.
+    /// Time at or after which the store last confirmed that the leader key exists. A successful renewal of the lease is
+    /// no such confirmation: a store that has lost data may have assigned the lease's id to another process.
     pub leader_key_confirmed: Instant,
-    /// All machines that this leader knows.
+    /// Machines known to this leader.
     pub machines: Machines,
-    /// What planning and scaling see of the machines.
+    /// The machines as planning and scaling see them.
     pub cluster_snapshot: ClusterSnapshot,
-    /// Machines that are deleted; what still arrives from them is old.
+    /// Deleted machines; messages that still arrive from them are outdated.
     pub deleted_machines: BTreeSet<MachineId>,
-    /// Which machines may hold tasks of earlier leaders.
+    /// Progress of finding out which machines hold tasks of earlier leaders.
     pub recovery: Recovery,
-    /// How many direct calls are in flight.
+    /// Number of direct calls to workers in flight.
     pub direct_calls_in_flight: usize,
-    /// Each live job's progress.
+    /// Progress of each live job.
     pub job_runs: BTreeMap<JobId, JobRun>,
-    /// Live jobs that depend on one whose cancellation is being written: that may be durable already, and another
-    /// controller may have answered a user that they are cancelled.
+    /// Live jobs that depend on a job whose cancellation is being written. The cancellation may be durable already,
+    /// so another controller may have told a user that these jobs are cancelled.
     pub cancellation_pending: BTreeSet<JobId>,
-    /// How urgent jobs are that more urgent ones depend on.
+    /// Urgency of jobs on which more urgent jobs depend.
     pub inherited_urgency: BTreeMap<JobId, Urgency>,
-    /// Parts of large jobs that no job refers to, and since when.
+    /// Stored parts of large jobs to which no job refers, with the time at which that was first seen.
     pub unclaimed_parts: BTreeMap<(JobId, PartGeneration), Instant>,
-    /// Changes that are to be written to the store.
+    /// Changes that have yet to be written to the store.
     pub writes: PendingWrites,
-    /// Operations in flight at the cloud.
+    /// Cloud operations in progress.
     pub cloud: CloudOperations,
-    /// What planning and scaling carry over from one step to the next.
+    /// State that planning and scaling keep between steps.
     pub scheduler: SchedulerState,
-    /// When machines and this leader were last known to be alive.
+    /// Evidence of when zones, machines and this leader itself were last alive.
     pub liveness: Liveness,
-    /// Controllers that serve workers for this one.
+    /// Controllers that serve workers on behalf of this leader.
     pub delegates: Delegates,
-    /// The store's identity and its version, on which all writes depend as on the leader key.
+    /// Identity of the store and the version of its key. All writes are conditional on it, as on the leader key.
     pub identity: Option<(String, u64)>,
-    /// While the store is incomplete.
+    /// Progress of rebuilding the store after a data loss; `None` while the store is complete.
     pub rebuild: Option<Rebuild>,
 }
 
 impl LeaderState {
-    /// A leadership that begins now and knows nothing yet.
+    /// Creates the state of a leadership that begins at `now`, without any machines or jobs.
     pub(in crate::core) fn new(
         key_version: u64,
         term: u64,
@@ -98,11 +98,13 @@
         }
     }
 
-    /// The condition that the store is still the one it was.
- pub(in crate::core) fn identity_condition(&self) -> Option<Condition> {self.identity.as_ref().map(identity_condition) 
+    /// Returns the condition that the store still has the identity it had when this leadership began; `None` if the
+    /// store had no identity.
+    pub(in crate::core) fn identity_condition(&self) -> Option<Condition> {
+        self.identity.as_ref().map(identity_condition)
     }
 
-    /// A worker's heartbeat came, here or through another controller.
+    /// Records a worker's heartbeat, received directly or, with `via` set, through another controller.
     pub(in crate::core) fn record_heartbeat(&mut self, via: Option<&Arc<str>>, now: Instant) {
         self.liveness.record_heartbeat(now);
         if via.is_none() {
@@ -110,7 +112,7 @@
         }
     }
 
-    /// Whether a machine may be given tasks now.
+    /// Returns whether a machine may be given tasks now.
     pub fn accepts_tasks(&self, m: &Machine, now: Instant, heartbeat: Duration) -> bool {
         m.is_usable(now, heartbeat * 9 / 4) && !m.is_avoided(now) && !m.unresolved
     }
--- a/src/core/leadership/step_down.rs
+++ b/src/core/leadership/step_down.rs
@@ -1,12 +1,12 @@
-//! How a leadership ends.
+//! End of a leadership.
 
 use crate::core::leadership::state::LeaderState;
 use crate::core::{Core, Effect, Ticket};
 use crate::http::Response;
 
 impl Core {
-    /// Ends this process's leadership, if it has one: requests that wait for its decisions are answered, and the
-    /// outcomes of its calls are disregarded. The lease is kept.
+    /// Ends this process's leadership, if it has one: answers requests that wait for the leader's decisions and drops
+    /// the leader's calls in flight, whose outcomes are then ignored. Keeps the lease.
     pub(in crate::core) fn step_down(&mut self, reason: &str) {
         let Some(mut leader) = self.leader.take() else {
             return;
@@ -19,7 +19,8 @@
         self.pending.retain(|_, call| call.survives_step_down());
     }
 
-    /// Answers all requests that wait for a decision of this leader.
+    /// Answers all requests that wait for a decision of this leader: heartbeats are redirected, batches refused, and
+    /// users who cancel jobs are told to retry.
     fn answer_waiting(&mut self, leader: &mut LeaderState) {
         let responses = leader.scheduler.take_deferred_responses();
         for (ticket, _) in responses.heartbeats {
--- a/src/core/leadership/store_events.rs
+++ b/src/core/leadership/store_events.rs
@@ -1,23 +1,24 @@
-//! What follows for leadership from lists and changes of the store: when a leadership begins and when it ends.
+//! Effects of lists and changes of the store on leadership: a leadership begins or ends with the leader key.
 
 use crate::core::Core;
 use crate::core::store::commit::{committed_in_events, committed_in_list};
 use crate::core::store::keys::identity_key;
 use crate::wire::{Item, WatchEvent};
 
-/// Whose leader key the cache holds.
+/// Holder of the leader key in the cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum KeyHolder {
     Nobody,
-    /// This process, by its current lease.
+    /// This process, with its current lease.
     Own,
-    /// Another process, whose key has this process's lease. A store that was restored gives numbers of leases again.
+    /// Another process, whose key is attached to this process's lease. A store that was restored from a backup assigns
+    /// the ids of leases again.
     OtherOnOwnLease,
     Other,
 }
 
 impl Core {
-    /// All keys were read.
+    /// Handles a complete list of the store's keys.
     pub(in crate::core) fn store_listed(&mut self, items: Vec<Item>, revision: u64) {
         self.store_reachable_at = self.now.mono;
         self.observe_commit(|txn| committed_in_list(txn, &items));
@@ -32,7 +33,8 @@
         self.store_cache_changed();
     }
 
-    /// Some keys have changed, or the store has come to a new revision without such changes.
+    /// Handles changes of keys, or, with no events, a new revision of the store without changes under the program's
+    /// prefix.
     pub(in crate::core) fn store_changed(&mut self, events: Vec<WatchEvent>, revision: u64) {
         self.store_reachable_at = self.now.mono;
         if revision < self.store_cache.revision {
@@ -40,7 +42,8 @@
         }
         if events.is_empty() {
             self.store_cache.advance_revision(revision);
-            // A list may have had our key before the cache was known to be as new.
+            // The list may have contained this process's leader key while the cache's revision was still older than
+            // the key, which delays the start of the leadership until now.
             if self.leader.is_none() && self.holds_leader_key() {
                 self.store_cache_changed();
             }
@@ -51,7 +54,7 @@
         self.store_cache_changed();
     }
 
-    /// Whether the leader key is this process's, and depends on the lease that it has now.
+    /// Returns whether the leader key is held by this process with its current lease.
     pub(in crate::core) fn holds_leader_key(&self) -> bool {
         self.leader_key_holder() == KeyHolder::Own
     }
@@ -74,25 +77,25 @@
         self.adopt_stored_machine_types();
         let holder = self.leader_key_holder();
         if holder == KeyHolder::OtherOnOwnLease {
-            // If this process kept renewing the lease, the key of a dead leader would never expire.
+            // If this process kept renewing the lease, the leader key of a process that has died would never expire.
             tracing::warn!("leader key of another process has own lease");
-            self.step_down("leader key depends on another lease");
+            self.step_down("the leader key of another process is attached to this lease");
             self.replace_lease();
         }
         let key_version = self.store_cache.leader.as_ref().map(|(_, v)| *v);
         match (&self.leader, holder == KeyHolder::Own) {
-            // The key was restored together with everything else that the store held long ago.
+            // The leader key was restored from a backup together with all other keys of that time.
             (None, true) if self.store_integrity.data_loss.is_some() => self.resign_to_rebuild(),
             (None, true) => self.begin_leadership(key_version.unwrap_or_default()),
             (Some(l), true) if Some(l.key_version) == key_version => self.sync_job_runs(),
-            (Some(_), _) => self.step_down("the leader key is not ours any more"),
-            // A leadership begins with all jobs.
+            (Some(_), _) => self.step_down("the leader key is no longer held by this process"),
+            // A new leadership starts with all jobs, so changes of single jobs need not be kept.
             (None, false) => self.store_cache.changed.clear(),
         }
         self.resolve_write();
     }
 
-    /// Until the cloud has answered, the machine types are those that a leader has written.
+    /// Adopts the machine types that a leader has written to the store, unless the cloud has already returned them.
     fn adopt_stored_machine_types(&mut self) {
         if self.store_cache.machine_types.is_empty() || !self.machine_types.is_empty() {
             return;
@@ -103,13 +106,13 @@
         }
     }
 
-    /// Whether the store's identity is among these keys.
+    /// Returns whether the key of the store's identity is among these keys.
     pub(in crate::core) fn contains_identity_key(&self, keys: &[String]) -> bool {
         let identity = self.store_cache.identity.as_ref();
         identity.is_some_and(|(id, _)| keys.contains(&identity_key(id)))
     }
 
-    /// The name of the controller whose leader key the cache holds.
+    /// Returns the name of the controller that holds the leader key in the cache.
     pub(in crate::core) fn leader_name(&self) -> Option<&str> {
         let leader = self.store_cache.leader.as_ref();
         leader.map(|(value, _)| value.name.as_str())
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,20 +1,20 @@
-//! The single owner of all state. [`Core::step`] takes commands and returns effects; it does no I/O and reads no
-//! clock, so that any sequence of failures can be simulated in virtual time.
+//! All state of a controller and all decisions on it. [`Core::step`] takes commands and returns effects; it does no I/O
+//! and reads no clock, so that any sequence of failures can be simulated in virtual time.
 //!
 //! | module | owns | main types |
 //! |---|---|---|
-//! | `command`, `clock`, `ids`, `stats` | what goes into a step and comes out of it; counters | [`Command`], [`Effect`], [`Stats`] |
+//! | `command`, `clock`, `ids`, `stats` | input and output of a step; counters | [`Command`], [`Effect`], [`Stats`] |
 //! | `leadership` | the lease, the leader key and its term, campaign and step-down, isolation and liveness, recovery of a new leader | `LeaderState`, `Lease`, `Candidacy`, `Recovery` |
-//! | `store` | the cache of the key-value store, the leader's durable writes, read barriers, loss of the store's data and its rebuild | [`StoreCache`], `PendingWrites`, `StoreIntegrity`, `Rebuild` |
+//! | `store` | the cache of the key-value store, the leader's durable writes, read barriers, detection of data loss in the store and rebuild of lost data | [`StoreCache`], `PendingWrites`, `StoreIntegrity`, `Rebuild` |
 //! | `workers` | heartbeats, commands, fencing tokens; delegation of workers to other controllers | `Delegates`, `Relay` |
-//! | `machines` | machines as the leader knows them, failure detection, placement, reclamation and removal, calls to the cloud | `Machine`, `CloudOperations` |
+//! | `machines` | the leader's view of the machines, failure detection, placement, reclamation and removal, calls to the cloud | `Machine`, `CloudOperations` |
 //! | `jobs` | submission and validation, users' requests, dependencies, task assignment, progress and end of jobs | `JobRun` |
-//! | `scheduling` | queue, quotas, gangs, bidding and scaling: snapshots for `planning`, and its decisions carried out | `SchedulerState` |
+//! | `scheduling` | queue, quotas, gangs, bidding and scaling: takes snapshots for `planning` and carries out its decisions | `SchedulerState` |
 //! | `monitoring` | status page, metrics, readiness | |
-//! | `simulation` | tests: a cluster of controllers in virtual time, with faults | |
+//! | `simulation` | tests: a cluster of controllers in virtual time, with injected faults | |
 //!
-//! Only the leader has a `LeaderState`; it is created when a leadership begins and dropped when it ends. Everything
-//! else in [`Core`] outlives leaderships.
+//! Only the leader has a `LeaderState`, which is created when a leadership begins and dropped when the leadership ends.
+//! Everything else in [`Core`] outlives leaderships.
 
 #[cfg(test)]
 mod simulation;
@@ -64,37 +64,37 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The part of this process's share of the store's requests that reads for users may take: a third of what it uses
-/// in all, as submissions and ends of jobs matter more.
+/// Fraction of this process's share of the store's request rate that reads for users may take. It amounts to a
+/// third of the requests that a process makes, as submissions and ends of jobs matter more than queries.
 const USER_READS_SHARE: f64 = 0.2;
-/// The part of the cloud's requests that the leader uses: less than all, as the other controllers list machine
-/// types, and a former leader may still send requests.
+/// Fraction of the cloud's request rate that the leader uses. The rest is left for the other controllers, which list
+/// machine types, and for a former leader that may still send requests.
 const CLOUD_SHARE: f64 = 0.85;
-/// Without a step for longer than this, the process was stopped, and what it did not receive meanwhile proves
-/// nothing.
+/// Interval between two steps above which the process counts as having been stopped, so that heartbeats missing from
+/// this interval are no evidence of failed machines.
 const STALL_THRESHOLD: Duration = Duration::from_millis(1500);
-/// The longest time between two steps of a leader.
+/// Maximum interval between two steps of a leader.
 const LEADER_TICK: Duration = Duration::from_millis(100);
-/// The longest time between two steps of a follower.
+/// Maximum interval between two steps of a follower.
 const FOLLOWER_TICK: Duration = Duration::from_millis(200);
 
-/// All state of a controller, and all decisions on it.
+/// A controller: its state and its decisions.
 pub struct Core {
     settings: Arc<Settings>,
     policy: Arc<Policy>,
-    /// Distinguishes this process from an earlier one of the same name.
+    /// Random number that distinguishes this process from earlier ones of the same name.
     nonce: u64,
     now: Now,
     started: Instant,
-    /// The effects of the step in progress.
+    /// Effects of the step in progress.
     effects: Vec<Effect>,
     next_call: CallId,
-    /// The calls in flight.
+    /// Calls in flight.
     pending: BTreeMap<CallId, PendingCall>,
-    /// Creations of jobs without an outcome yet, and when each is looked at next.
+    /// Creations of jobs whose outcome is not known yet, each with the time at which it is checked next.
     unanswered_creations: VecDeque<(Instant, CallId)>,
     store_cache: StoreCache,
-    /// When it was last checked whether cancelled jobs can still have tasks on machines.
+    /// Time of the last check whether cancelled jobs can still have tasks on machines.
     last_residual_check: Option<Instant>,
     lease: Option<Lease>,
     leader: Option<LeaderState>,
@@ -104,11 +104,11 @@
     delegating: bool,
     relay: Relay,
     members: MembershipView,
-    /// Users' requests that were passed on to a peer.
+    /// Users' requests that were forwarded to a peer.
     forwards: BTreeMap<Ticket, UserRequest>,
     barriers: ReadBarriers,
     store_integrity: StoreIntegrity,
-    /// Peers that did not respond lately, and until when nothing is sent to them.
+    /// Peers that did not respond to a recent request, with the time until which nothing is sent to them.
     unreachable_peers: BTreeMap<String, Instant>,
     machine_types: Vec<MachineType>,
     machine_types_requested: Option<Instant>,
@@ -116,22 +116,21 @@
     peer_reachable_at: Instant,
     last_peer_probe: Option<Instant>,
     peer_probes: u64,
-    /// What the readiness check reports, once that is known.
+    /// Result of the readiness check; `None` before the first one.
     ready: Option<bool>,
     knapsack_tables: KnapsackTables,
-    /// Requests that the cloud's limit allows the leader now.
+    /// Budget of requests to the cloud that the leader may send.
     cloud_budget: RateLimiter,
-    /// Reads for users' queries about jobs that the store's limit allows.
+    /// Budget of reads from the store for users' queries about jobs.
     read_budget: RateLimiter,
-    /// Changes that the store's limit allows the leader now.
+    /// Budget of changes that the leader may write to the store.
     write_budget: RateLimiter,
-    /// Counters and latencies, for metrics and the log.
+    /// Counters and latencies for the metrics and the log.
     pub stats: Stats,
 }
 
 impl Core {
-    /// A controller that has just started, without a copy of the store. `nonce` must differ from that of every
-    /// earlier process.
+    /// Creates a controller that has no copy of the store yet. `nonce` must differ from that of every earlier process.
     pub fn new(settings: Arc<Settings>, policy: Arc<Policy>, nonce: u64, now: Now) -> Core {
         let cloud_budget = RateLimiter::new(settings.cloud_rps * CLOUD_SHARE, now.mono);
         let writes = settings.store_write_rps * store::writes::WRITE_SHARE;
@@ -180,14 +179,14 @@
         }
     }
 
-    /// Loads a snapshot of the store before anything is read from it. It counts as what this process remembers;
-    /// a store that has lost nothing supersedes it.
+    /// Loads a snapshot into the cached copy of the store, before anything is read from the store. If the store has
+    /// lost no data, its own contents replace the snapshot.
     pub fn load_snapshot(&mut self, items: Vec<Item>, revision: u64) {
         self.store_cache.reset(items, revision);
         self.store_cache.loaded = false;
     }
 
-    /// Processes a batch of commands and returns what is to be done.
+    /// Processes a batch of commands and returns the effects to carry out.
     pub fn step(&mut self, now: Now, commands: Vec<Command>) -> Vec<Effect> {
         self.advance_clock(now);
         self.forget_cancelled();
@@ -217,7 +216,8 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// Sets the time of this step. If the process was stopped meanwhile, missing heartbeats prove nothing.
+    /// Sets the time of this step. If the process was stopped since the last step, heartbeats that are missing now are
+    /// not counted as failures.
     fn advance_clock(&mut self, now: Now) {
         let elapsed = now.mono.saturating_duration_since(self.now.mono);
         self.now = now;
@@ -232,7 +232,8 @@
         }
     }
 
-    /// Processes one command. Workers' and delegates' responses are collected, and sent at the end of the step.
+    /// Processes one command. Responses to workers and delegates are collected in `responses` and sent at the end of
+    /// the step.
     fn dispatch(&mut self, command: Command, responses: &mut DeferredResponses) {
         match command {
             Command::User(request) => self.serve_user(request),
@@ -287,7 +288,7 @@
         }
     }
 
-    /// What a leader does after the commands of a step: it decides, responds to workers accordingly, and writes.
+    /// Completes a step as the leader: makes decisions, answers workers accordingly, and sends commands and writes.
     fn finish_step_as_leader(&mut self, mut responses: DeferredResponses) {
         self.advance_rebuild();
         self.check_machines();
@@ -303,8 +304,8 @@
         self.send_writes();
     }
 
-    /// What a controller that may not act as the leader does after the commands of a step: workers are redirected to the
-    /// leader, unless they are served on its behalf.
+    /// Completes a step as a controller that may not act as the leader: redirects workers to the leader, unless this
+    /// controller serves them on the leader's behalf.
     fn finish_step_as_follower(&mut self, mut responses: DeferredResponses) {
         if let Some(leader) = &mut self.leader {
             responses.append(leader.scheduler.take_deferred_responses());
@@ -318,7 +319,7 @@
         self.advance_relay();
     }
 
-    /// How long the owner may sleep when no command comes.
+    /// Returns the maximum time until the next call of `step` if no command arrives.
     pub fn idle_for(&self) -> Duration {
         let now = self.now.mono;
         let idle = if self.leader.is_some() {
@@ -331,7 +332,7 @@
         creation.map_or(idle, |(at, _)| idle.min(at.saturating_duration_since(now)))
     }
 
-    /// Registers a call; its number goes into the effect that makes it.
+    /// Registers a call, and returns the identifier for the effect that makes the call.
     fn register_call(&mut self, pending: PendingCall) -> CallId {
         let id = self.next_call;
         self.next_call += 1;
@@ -350,14 +351,21 @@
         self.effects.push(Effect::Response { ticket, response });
     }
 
-    /// Hands the outcome of a call to the store to the concern that made it.
+    /// Passes the outcome of a call to the store to the handler for the purpose of the call.
     fn store_outcome(&mut self, call: CallId, outcome: StoreOutcome) {
         if !matches!(outcome, StoreOutcome::Refused(_) | StoreOutcome::Unknown(_)) {
             self.store_reachable_at = self.now.mono;
         }
         self.observe_revision(call, &outcome);
         match self.pending.remove(&call) {
- Some(PendingCall::CreateJob(creation)) => self.creation_outcome(creation, outcome), Some(PendingCall::CreateJobParts(creation)) => self.parts_outcome(creation, outcome), Some(PendingCall::ReadJob {id, purpose}) => self.job_read_outcome(id, purpose, outcome), Some(PendingCall::ReadBarrier(requests)) => self.barrier_outcome(requests, outcome), Some(PendingCall::Campaign) => self.campaign_outcome(outcome), Some(PendingCall::AuditJobs {after, suspicion}) => {
+            Some(PendingCall::CreateJob(creation)) => self.creation_outcome(creation, outcome),
+            Some(PendingCall::CreateJobParts(creation)) => self.parts_outcome(creation, outcome),
+            Some(PendingCall::ReadJob { id, purpose }) => {
+                self.job_read_outcome(id, purpose, outcome)
+            }
+            Some(PendingCall::ReadBarrier(requests)) => self.barrier_outcome(requests, outcome),
+            Some(PendingCall::Campaign) => self.campaign_outcome(outcome),
+            Some(PendingCall::AuditJobs { after, suspicion }) => {
                 self.jobs_audited(after, suspicion, outcome);
             }
             Some(PendingCall::CheckIdentity(version)) => self.identity_checked(version, outcome),
--- a/src/core/monitoring/metrics.rs
+++ b/src/core/monitoring/metrics.rs
@@ -1,5 +1,5 @@
-//! The metrics page of this controller, in groups: the process, the store, the other controllers,
-//! and what only the leader knows. See `crate::metrics` for the format.
+//! The metrics page of this controller, in groups: the process, the store, the other controllers, and values that only
+//! the leader has. See `crate::metrics` for the format.
 
 use crate::core::jobs::job_run::JobRun;
 use crate::core::leadership::state::LeaderState;
@@ -11,7 +11,7 @@
 use std::time::Instant;
 
 const QUANTILES: [(&str, f64); 3] = [("0.5", 0.5), ("0.95", 0.95), ("0.99", 0.99)];
-/// The lanes of the owner's queue, the most urgent first.
+/// Names of the lanes of the command queue, the most urgent first.
 const LANES: [&str; 3] = ["urgent", "questions", "reports"];
 
 /// Values of the gauge `members`.
@@ -24,8 +24,8 @@
 }
 
 impl Core {
-    /// Answers with the metrics page; `queue_lengths`: commands that wait in each lane of the
-    /// owner's queue, the most urgent first.
+    /// Answers with the metrics page. `queue_lengths` are the numbers of commands that wait in each lane of the command
+    /// queue, the most urgent lane first.
     pub(in crate::core) fn answer_metrics(&mut self, ticket: Ticket, queue_lengths: [usize; 3]) {
         let mut page = Page::default();
         self.process_metrics(&mut page, queue_lengths);
@@ -237,7 +237,7 @@
     );
 }
 
-/// Zero if `from` is after `to`.
+/// Returns the seconds from `from` to `to`, or zero if `from` is later.
 fn seconds_between(from: Instant, to: Instant) -> f64 {
     to.saturating_duration_since(from).as_secs_f64()
 }
--- a/src/core/monitoring/mod.rs
+++ b/src/core/monitoring/mod.rs
@@ -1,4 +1,4 @@
-//! What operators see: the status view and the metrics.
+//! Interfaces for operators and load balancers: the status document, the metrics and the readiness check.
 
 pub mod metrics;
 pub mod readiness;
--- a/src/core/monitoring/readiness.rs
+++ b/src/core/monitoring/readiness.rs
@@ -1,14 +1,15 @@
-//! What the readiness check answers, by which a load balancer decides whether this node gets requests.
+//! The readiness check, by which a load balancer decides whether this node receives requests.
 
 use crate::core::{Core, Effect};
 use std::time::Duration;
 
-/// A service that was not reached for longer than this counts as unreachable.
+/// Time without contact after which the store or the other controllers count as unreachable.
 const UNREACHABLE_AFTER: Duration = Duration::from_secs(3);
 
 impl Core {
-    /// A node that reaches neither the store nor any other controller cannot serve requests. One that reaches others passes
-    /// requests on; and when the others cannot serve either, leaving the balancer would only lengthen the outage.
+    /// Updates the result of the readiness check. A node that reaches neither the store nor any other controller is not
+    /// ready. A node that reaches another controller forwards requests to it, and stays ready even if the other one
+    /// cannot serve them: removing all nodes from the load balancer would only lengthen the outage.
     pub(in crate::core) fn update_readiness(&mut self) {
         let ready =
             self.store_cache.loaded && (self.settings.peers.is_empty() || !self.is_disconnected());
@@ -19,7 +20,7 @@
         }
     }
 
-    /// Neither the store nor any other controller is reachable.
+    /// Returns whether neither the store nor any other controller is reachable.
     fn is_disconnected(&self) -> bool {
         let now = self.now.mono;
         now > self.store_reachable_at + UNREACHABLE_AFTER
--- a/src/core/monitoring/status.rs
+++ b/src/core/monitoring/status.rs
@@ -1,4 +1,4 @@
-//! The status document of this controller: what runs where and why a job waits, for operators.
+//! The status document of this controller for operators: which tasks run on which machines, and why jobs wait.
 
 use crate::core::jobs::job_run::JobRun;
 use crate::core::leadership::state::LeaderState;
@@ -11,7 +11,7 @@
 use serde_json::{Value, json};
 use std::time::{Instant, SystemTime};
 
-/// Jobs shown in one view; the rest is counted.
+/// Maximum number of jobs listed in the status document; it gives the total number as well.
 const MAX_LISTED_JOBS: usize = 200;
 
 impl Core {
@@ -30,7 +30,7 @@
         self.answer(ticket, Response::new(200, body.to_string().into_bytes()));
     }
 
-    /// Whole seconds since a moment.
+    /// Returns the whole seconds since a time.
     fn seconds_since(&self, t: Instant) -> u64 {
         self.now.mono.saturating_duration_since(t).as_secs()
     }
@@ -98,7 +98,7 @@
         })
     }
 
-    /// What holds a machine back most, if anything does.
+    /// Returns the state of a machine: the most significant reason why it takes no tasks, or "up" if there is none.
     fn machine_state(&self, machine: &Machine) -> String {
         if let Some(reason) = machine.deleting {
             return format!("being returned: {reason}");
@@ -142,22 +142,22 @@
         })
     }
 
-    /// What is left until its pipeline's deadline when the job has run, in seconds; below zero if
-    /// it will be late.
+    /// Returns the slack of a job in seconds: the time between its estimated end, if it starts now, and the deadline
+    /// of its pipeline. The slack is negative if the job will be late.
     fn slack_s(&self, leader: &LeaderState, id: &JobId, job: &JobRecord) -> Option<i64> {
         let due = leader.urgency_of(id, job).due?;
         let slack = seconds_until(due, self.now.wall) - job.spec.estimate.as_secs_f64();
         Some(slack.round() as i64)
     }
 
-    /// The jobs that one depends on and that are not done.
+    /// Returns the dependencies of a job that are not done.
     fn unfinished_dependencies<'a>(&self, spec: &'a JobSpec) -> Vec<&'a JobId> {
         let finished = &self.store_cache.finished;
         let is_unfinished = |id: &&JobId| finished.get(*id) != Some(&JobOutcome::Done);
         spec.dependencies.iter().filter(is_unfinished).collect()
     }
 
-    /// One sentence on why a job's waiting tasks wait.
+    /// Describes in one sentence why a job's queued tasks are not started.
     fn waiting_reason(
         &self,
         leader: &LeaderState,
@@ -199,7 +199,7 @@
     }
 }
 
-/// Why a job waits that may start.
+/// Describes why a job waits although nothing but capacity or its quota prevents it from starting.
 fn reason_not_placed(leader: &LeaderState, id: &JobId) -> String {
     match &leader.scheduler.queue_head {
         Some((head, Some(after))) if head == id => {
@@ -221,7 +221,7 @@
     }
 }
 
-/// Below zero for a moment that has passed.
+/// Returns the seconds from `now` until a time, negative if it has passed.
 fn seconds_until(moment: SystemTime, now: SystemTime) -> f64 {
     match moment.duration_since(now) {
         Ok(left) => left.as_secs_f64(),
--- a/src/core/stats.rs
+++ b/src/core/stats.rs
@@ -3,7 +3,7 @@
 use crate::core::command::{Command, Effect};
 use hdrhistogram::Histogram;
 
-/// What the owner of the state does, as it is counted.
+/// Kind of work that a controller counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Work {
     /// Steps of `Core`.
@@ -32,7 +32,7 @@
     StartByCall,
 }
 
-/// All kinds of work, each with its name in metrics and in the log.
+/// All kinds of work, each with its name in the metrics and in the log.
 pub const WORK_NAMES: [(Work, &str); 12] = [
     (Work::Step, "steps"),
     (Work::Heartbeat, "reports"),
@@ -48,23 +48,23 @@
     (Work::StartByCall, "starts_by_calls"),
 ];
 
-/// How often each kind of work was done, indexed by [`Work`].
+/// Number of times that each kind of work was done, indexed by [`Work`].
 pub type WorkCounts = [u64; WORK_NAMES.len()];
 
-/// The largest value that a histogram records; larger ones count as this. An hour in milliseconds, some seconds in
-/// microseconds.
+/// Largest value that a histogram records; larger values count as this one. It is one hour for histograms in
+/// milliseconds and 3.6 s for those in microseconds.
 const MAX_RECORDED: u64 = 3_600_000;
-/// Significant decimal digits of recorded values.
+/// Number of significant decimal digits of recorded values.
 const PRECISION: u8 = 2;
 
-/// What this process has done since it began, and how long it took.
+/// Counters and latencies since the start of this process.
 pub struct Stats {
     work: WorkCounts,
-    /// Milliseconds from a submission to its acceptance.
+    /// Time from a job's submission to its acceptance, in milliseconds.
     pub accept: Histogram<u64>,
-    /// Milliseconds from a task's readiness to its start.
+    /// Time from a task's readiness to its start, in milliseconds.
     pub start: Histogram<u64>,
-    /// Microseconds that a step took.
+    /// Duration of a step, in microseconds.
     pub step: Histogram<u64>,
 }
 
@@ -87,22 +87,22 @@
 }
 
 impl Stats {
-    /// Counts work that was done `times` times.
+    /// Counts work of this kind that was done `times` times.
     pub fn count(&mut self, work: Work, times: usize) {
         self.work[work as usize] += times as u64;
     }
 
-    /// How often each kind of work was done so far.
+    /// Returns how often each kind of work was done so far.
     pub fn counts(&self) -> WorkCounts {
         self.work
     }
 
-    /// How often this work was done so far.
+    /// Returns how often this kind of work was done so far.
     pub fn total(&self, work: Work) -> u64 {
         self.work[work as usize]
     }
 
-    /// Counts a command that was received.
+    /// Counts the work of a received command.
     pub(in crate::core) fn count_command(&mut self, command: &Command) {
         match command {
             Command::Heartbeat { .. } => self.count(Work::Heartbeat, 1),
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Counts an effect that is to be carried out.
+    /// Counts the work of an effect that is about to be carried out.
     pub(in crate::core) fn count_effect(&mut self, effect: &Effect) {
         match effect {
             Effect::StoreCall { .. } => self.count(Work::StoreCall, 1),
@@ -128,7 +128,7 @@
         }
     }
 
-    /// The work done since `last`, as text for the log; `last` is brought up to date.
+    /// Returns the work done since `last` as text for the log, and updates `last`.
     pub fn work_since(&self, last: &mut WorkCounts) -> String {
         let mut text = String::new();
         for (work, name) in WORK_NAMES {
@@ -140,7 +140,7 @@
     }
 }
 
-/// Records a value; one beyond the histogram's range counts as the largest.
+/// Records a value; a value beyond the histogram's range counts as the largest one.
 pub fn record(histogram: &mut Histogram<u64>, value: u128) {
     histogram.saturating_record(u64::try_from(value).unwrap_or(u64::MAX));
 }
--- a/src/core/store/integrity/checks.rs
+++ b/src/core/store/integrity/checks.rs
@@ -2,7 +2,8 @@
 
 use super::{CHECK_INTERVAL, REREAD_INTERVAL, is_due};
 use crate::core::Core;
-use crate::core::command::PendingCall; use crate::core::store::keys::{NEVER_WRITTEN, REBUILDING, identity_key, key}; 
+use crate::core::command::PendingCall;
+use crate::core::store::keys::{NEVER_WRITTEN, REBUILDING, identity_key, key};
 use crate::store_client::{StoreOutcome, StoreRequest};
 
 /// Jobs that the leader compares with their keys at each check.
@@ -25,7 +26,10 @@
         // Restored while it was away: the revision shows it, unless others' changes make up for it first.
         let was_unreachable = std::mem::take(&mut self.store_integrity.was_unreachable);
         if was_unreachable && self.store_cache.loaded {
- self.call_store(PendingCall::CheckRevision, StoreRequest::Get(key(NEVER_WRITTEN))); 
+            self.call_store(
+                PendingCall::CheckRevision,
+                StoreRequest::Get(key(NEVER_WRITTEN)),
+            );
         }
         let last_check = self.store_integrity.last_check;
         if !self.store_cache.loaded || !is_due(last_check, CHECK_INTERVAL, now) {
@@ -54,7 +58,8 @@
         // Where there is no mark, its absence shows the revision. A store rolled back into its
         // rebuilding shows it again, and no watch tells of that.
         let unmarked = self.store_cache.rebuilding.is_none();
- let name = if unmarked {REBUILDING} else {NEVER_WRITTEN}; self.call_store(PendingCall::CheckRevision, StoreRequest::Get(key(name))); 
+        let name = if unmarked { REBUILDING } else { NEVER_WRITTEN };
+        self.call_store(PendingCall::CheckRevision, StoreRequest::Get(key(name)));
     }
 
     /// The answer to a check of the revision, beyond the revision itself.
--- a/src/core/store/read_barrier.rs
+++ b/src/core/store/read_barrier.rs
@@ -43,7 +43,10 @@
     pub(in crate::core) fn send_barrier(&mut self) {
         let new = std::mem::take(&mut self.barriers.queued);
         if !new.is_empty() {
- self.call_store(PendingCall::ReadBarrier(new), StoreRequest::Get(key(NEVER_WRITTEN))); 
+            self.call_store(
+                PendingCall::ReadBarrier(new),
+                StoreRequest::Get(key(NEVER_WRITTEN)),
+            );
         }
     }
 
--- a/src/core/store/writes.rs
+++ b/src/core/store/writes.rs
@@ -47,7 +47,8 @@
         let Some(Transaction { request, ops }) = self.build_transaction() else {
             return;
         };
- let store_request = StoreRequest::CompareAndSwap(request.clone()); let call = self.call_store(PendingCall::Write, store_request); 
+        let store_request = StoreRequest::CompareAndSwap(request.clone());
+        let call = self.call_store(PendingCall::Write, store_request);
         if let Some(leader) = &mut self.leader {
             leader.writes.in_flight = Some(InFlightWrite::new(request, ops, call, now));
         }
--- a/src/core/workers/relay.rs
+++ b/src/core/workers/relay.rs
@@ -104,7 +104,7 @@
     /// Processes the queued heartbeats here once this controller has become the leader. Returns those
     /// that were accepted and need a response.
     pub(in crate::core) fn drain_waiting_heartbeats(&mut self) -> Vec<(Ticket, MachineId)> {
- if !self.is_active_leader() || self.relay.queue.is_empty() {
+        if !self.is_active_leader() || self.relay.queue.is_empty() {
             return Vec::new();
         }
         let mut accepted = Vec::new();
