--- a/src/core/command.rs
+++ b/src/core/command.rs
@@ -8,8 +8,8 @@
 use crate::core::store::barrier_request::BarrierRequest;
 use crate::http::Response;
 use crate::job::MachineId;
+use crate::peer::cache_exchange::{CachePage, CacheRequest};
 use crate::peer::heartbeat_batch::{HeartbeatBatch, HeartbeatBatchResponse};
-use crate::peer::memory_exchange::{MemoryPage, MemoryRequest};
 use crate::peer::{PeerAnswer, PeerRequest};
 use crate::store_client::{StoreOutcome, StoreRequest};
 use crate::wire::{Condition, Heartbeat, Item, WatchEvent};
@@ -92,20 +92,20 @@
         revision: u64,
     },
     /// A peer's request for a part of this process's cached copy of the store.
-    MemoryRequest {
+    CacheRequest {
         /// Identifier of the request.
         ticket: Ticket,
         /// The requested part.
-        request: MemoryRequest,
+        request: CacheRequest,
     },
-    /// A peer's response to [`Effect::MemoryRequest`].
-    MemoryPage {
+    /// A peer's response to [`Effect::CacheRequest`].
+    CachePage {
         /// Name of the peer.
         peer: String,
         /// The requested part.
-        request: MemoryRequest,
+        request: CacheRequest,
         /// The response; `None` if there was none.
-        response: Option<Box<MemoryPage>>,
+        response: Option<Box<CachePage>>,
     },
     /// An operator's request to accept a store that has lost data as it is.
     AcceptIncompleteStore(Ticket),
@@ -198,12 +198,12 @@
         /// Time after which the request must not be sent.
         not_after: Instant,
     },
-    /// Request a part of a peer's cached copy of the store; the response comes back as [`Command::MemoryPage`].
-    MemoryRequest {
+    /// Request a part of a peer's cached copy of the store; the response comes back as [`Command::CachePage`].
+    CacheRequest {
         /// Name of the peer.
         peer: String,
         /// The requested part.
-        request: MemoryRequest,
+        request: CacheRequest,
     },
     /// Read the whole store again, and watch it from the new list on.
     RereadStore,
--- a/src/core/jobs/creation.rs
+++ b/src/core/jobs/creation.rs
@@ -60,7 +60,7 @@
 ) -> JobValue {
     match parts {
         None => JobValue::live(spec, submitted_ms),
-        Some(write) => JobValue::Parted {
+        Some(write) => JobValue::Multipart {
             parts: write.parts.len() as u32,
             generation: write.generation,
             submitted_ms,
--- a/src/core/jobs/job_reads.rs
+++ b/src/core/jobs/job_reads.rs
@@ -65,7 +65,7 @@
         if self.store_cache.jobs.contains_key(id.as_str()) {
             return self.known_job_key_missing(id, purpose);
         }
-        if self.existence_is_uncertain() {
+        if self.job_existence_is_uncertain() {
             // The job may have been accepted even so.
             let answer = Response::busy("whether it was accepted cannot be told yet", 3);
             return self.answer(ticket, answer);
--- a/src/core/jobs/lifecycle.rs
+++ b/src/core/jobs/lifecycle.rs
@@ -68,7 +68,7 @@
 
     /// Updates the leader's runs from the store cache: new jobs begin, finished ones end.
     pub(in crate::core) fn sync_job_runs(&mut self) {
-        let changed = std::mem::take(&mut self.store_cache.changed);
+        let changed = std::mem::take(&mut self.store_cache.changed_jobs);
         for id in changed {
             self.sync_job_run(&id);
         }
@@ -141,7 +141,7 @@
         let Some(job) = self.store_cache.jobs.get(id) else {
             return;
         };
-        if job.spec.dependencies.is_empty() || !self.store_cache.ready(id) {
+        if job.spec.dependencies.is_empty() || !self.store_cache.dependencies_met(id) {
             return;
         }
         let Some(run) = leader.job_runs.get_mut(id) else {
--- a/src/core/jobs/submissions.rs
+++ b/src/core/jobs/submissions.rs
@@ -125,7 +125,7 @@
     /// Accepts a job that has to be stored in parts.
     fn accept_large(&mut self, submission: Submission) {
         let id = submission.spec.id.to_string();
-        if self.store_cache.knows(&id) {
+        if self.store_cache.is_known_job(&id) {
             return self.read_job_key(id, ReadPurpose::Show(submission.ticket));
         }
         let text = String::from_utf8(to_json(&submission.spec)).unwrap_or_default();
@@ -251,7 +251,7 @@
                 continue;
             };
             let submission = &creation.submission;
-            if !self.store_cache.knows(&submission.spec.id) {
+            if !self.store_cache.is_known_job(&submission.spec.id) {
                 let check_at = now + CREATION_CHECK_INTERVAL;
                 self.unanswered_creations.push_back((check_at, call));
                 continue;
--- a/src/core/jobs/validation.rs
+++ b/src/core/jobs/validation.rs
@@ -68,7 +68,7 @@
     /// Returns a dependency of the job that, as far as this node knows, was never accepted.
     pub(in crate::core) fn unknown_dependency<'a>(&self, spec: &'a JobSpec) -> Option<&'a JobId> {
         let mut dependencies = spec.dependencies.iter();
-        dependencies.find(|id| !self.store_cache.knows(id))
+        dependencies.find(|id| !self.store_cache.is_known_job(id))
     }
 
     /// Returns the response with the reason why a submission was rejected permanently.
--- a/src/core/leadership/campaign.rs
+++ b/src/core/leadership/campaign.rs
@@ -156,7 +156,7 @@
         self.send_leadership_proof(&leader);
         self.leader = Some(leader);
         self.start_recovery();
-        self.store_cache.changed = self.store_cache.jobs.keys().cloned().collect();
+        self.store_cache.changed_jobs = self.store_cache.jobs.keys().cloned().collect();
         self.sync_job_runs();
         self.start_rebuild();
     }
--- a/src/core/leadership/store_events.rs
+++ b/src/core/leadership/store_events.rs
@@ -90,7 +90,7 @@
             (Some(l), true) if Some(l.key_version) == key_version => self.sync_job_runs(),
             (Some(_), _) => self.step_down("the leader key is no longer held by this process"),
             // A new leadership starts with all jobs, so changes of single jobs need not be kept.
-            (None, false) => self.store_cache.changed.clear(),
+            (None, false) => self.store_cache.changed_jobs.clear(),
         }
         self.resolve_write();
     }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -267,14 +267,12 @@
             Command::LeaseLost => self.lease_lost(),
             Command::StoreListed { items, revision } => self.store_listed(items, revision),
             Command::StoreChanged { events, revision } => self.store_changed(events, revision),
-            Command::MemoryRequest { ticket, request } => {
-                self.serve_memory_request(ticket, &request)
-            }
-            Command::MemoryPage {
+            Command::CacheRequest { ticket, request } => self.serve_cache_request(ticket, &request),
+            Command::CachePage {
                 peer,
                 request,
                 response,
-            } => self.memory_response(peer, &request, response),
+            } => self.handle_cache_response(peer, &request, response),
             Command::AcceptIncompleteStore(ticket) => self.accept_incomplete_store(ticket),
             Command::OfferSnapshot {
                 ticket,
@@ -342,7 +340,7 @@
 
     fn call_store(&mut self, pending: PendingCall, request: StoreRequest) -> CallId {
         let call = self.register_call(pending);
-        self.store_integrity.call(call);
+        self.store_integrity.record_call(call);
         self.effects.push(Effect::StoreCall { call, request });
         call
     }
--- a/src/core/scheduling/queue.rs
+++ b/src/core/scheduling/queue.rs
@@ -161,7 +161,7 @@
             let excludes_blocked = blocked_jobs == BlockedJobs::Excluded;
             let is_blocked = excludes_blocked && Self::blocked_by_recovery(leader, job);
             let has_work = run.ending.is_none() && !run.tasks.queued().is_empty();
-            if !has_work || is_blocked || !self.store_cache.ready(id) {
+            if !has_work || is_blocked || !self.store_cache.dependencies_met(id) {
                 continue;
             }
             if let Some(team) = run.team {
--- a/src/core/scheduling/quotas.rs
+++ b/src/core/scheduling/quotas.rs
@@ -91,7 +91,7 @@
             if let Some(job) = self.store_cache.jobs.get(id)
                 && job.version < leader.key_version
                 && let Some(team) = run.team
-                && self.store_cache.ready(id)
+                && self.store_cache.dependencies_met(id)
             {
                 let tasks = run.tasks.queued().len() as f64;
                 unobserved[team].add(&job.spec.resources.times(tasks));
@@ -141,7 +141,7 @@
         for (id, run) in &mut leader.job_runs {
             run.guaranteed = false;
             if let Some(job) = self.store_cache.jobs.get(id)
-                && self.store_cache.ready(id)
+                && self.store_cache.dependencies_met(id)
             {
                 jobs.push((job.submitted, id, job, run));
             }
--- a/src/core/simulation/faults.rs
+++ b/src/core/simulation/faults.rs
@@ -79,11 +79,11 @@
         let name = format!("n{i}");
         let unanswered = self
             .network
-            .memory_requests
+            .cache_requests
             .extract_if(.., |_, (a, to, _)| *a == i || *to == name);
         let unanswered: Vec<_> = unanswered.map(|(_, r)| r).collect();
         for (asker, peer, asked) in unanswered.into_iter().filter(|r| r.0 != i) {
-            self.nodes[asker].inbox.push(Command::MemoryPage {
+            self.nodes[asker].inbox.push(Command::CachePage {
                 peer,
                 request: asked,
                 response: None,
--- a/src/core/simulation/mixed_versions.rs
+++ b/src/core/simulation/mixed_versions.rs
@@ -117,7 +117,7 @@
         (JobOutcome::Cancelled, r#"{"end":"Cancelled"}"#),
     ] {
         assert_eq!(
-            serde_json::to_value(JobValue::Over {
+            serde_json::to_value(JobValue::Ended {
                 end,
                 residual_tasks: None
             })
@@ -125,7 +125,7 @@
             value(text)
         );
         let read: JobValue = serde_json::from_str(text).unwrap();
-        assert!(matches!(read, JobValue::Over { end: e, residual_tasks: None } if e == end));
+        assert!(matches!(read, JobValue::Ended { end: e, residual_tasks: None } if e == end));
     }
     // The term keeps its form, so that either version can lead after the other.
     assert_eq!(
@@ -156,7 +156,7 @@
     let mut store_cache = StoreCache::default();
     store_cache.put_job("wk-000412", serde_json::from_value(stored).unwrap(), 3);
     assert_eq!(*store_cache.jobs["wk-000412"].spec, spec);
-    assert!(!store_cache.ready(&"wk-000412".into()));
+    assert!(!store_cache.dependencies_met(&"wk-000412".into()));
     let parted = json!({"parts": 3, "stem": 7, "submitted_ms": 7});
     assert!(serde_json::from_value::<ProductionJob>(parted).is_err());
     // Passed on to it, the job is in a frame that it drops the connection for.
--- a/src/core/simulation/network.rs
+++ b/src/core/simulation/network.rs
@@ -7,8 +7,8 @@
 use crate::core::{CallId, Command, Effect, Ticket, UserAction, UserRequest};
 use crate::http::Response;
 use crate::job::MachineId;
+use crate::peer::cache_exchange::{self, CacheRequest};
 use crate::peer::heartbeat_batch;
-use crate::peer::memory_exchange::{self, MemoryRequest};
 use crate::peer::{self, PeerAnswer, PeerRequest};
 use crate::store_client::StoreRequest;
 use crate::wire::{CompareAndSwap, DirectCommands, Heartbeat, JobStatus};
@@ -25,7 +25,7 @@
     /// Heartbeat batches of controllers that serve workers: who sent them, their numbers, and when.
     pub(super) heartbeat_batches: BTreeMap<Ticket, (usize, u64, Instant)>,
     /// Requests between controllers for what they remember: who asked whom, and for what.
-    pub(super) memory_requests: BTreeMap<Ticket, (usize, String, MemoryRequest)>,
+    pub(super) cache_requests: BTreeMap<Ticket, (usize, String, CacheRequest)>,
     /// Answers that nobody has fetched yet.
     pub(super) answers: BTreeMap<Ticket, Response>,
     /// Duplicates of heartbeats: when each arrives, and at which controller.
@@ -102,10 +102,10 @@
                 number,
                 frame,
             } => self.send_batch(from, &peer, number, &frame),
-            Effect::MemoryRequest {
+            Effect::CacheRequest {
                 peer,
-                request: memory_request,
-            } => self.send_memory_request(from, peer, memory_request),
+                request: cache_request,
+            } => self.send_cache_request(from, peer, cache_request),
             Effect::StoreCall { call, request } => self.send_to_store(from, call, &request),
             Effect::CloudCall {
                 call,
@@ -135,13 +135,13 @@
         if answer.not_after.is_some_and(|t| self.now >= t) {
             return;
         }
-        if let Some((asker, peer, asked)) = self.network.memory_requests.remove(&ticket) {
+        if let Some((asker, peer, asked)) = self.network.cache_requests.remove(&ticket) {
             let (_, body) = peer::read_frame(&mut answer.body.as_slice()).unwrap();
-            let memory_page = memory_exchange::decode_memory_page(&body).unwrap();
-            self.nodes[asker].inbox.push(Command::MemoryPage {
+            let cache_page = cache_exchange::decode_cache_page(&body).unwrap();
+            self.nodes[asker].inbox.push(Command::CachePage {
                 peer,
                 request: asked,
-                response: Some(Box::new(memory_page)),
+                response: Some(Box::new(cache_page)),
             });
         } else if let Some((asker, number, _)) = self.network.heartbeat_batches.remove(&ticket) {
             // What cannot get through is as good as lost.
@@ -232,23 +232,23 @@
     }
 
     /// Asks another controller what it remembers.
-    fn send_memory_request(&mut self, from: usize, peer: String, memory_request: MemoryRequest) {
+    fn send_cache_request(&mut self, from: usize, peer: String, cache_request: CacheRequest) {
         let to = node_of(&peer);
         if !self.reaches(from, to) {
-            self.nodes[from].inbox.push(Command::MemoryPage {
+            self.nodes[from].inbox.push(Command::CachePage {
                 peer,
-                request: memory_request,
+                request: cache_request,
                 response: None,
             });
             return;
         }
         let ticket = self.new_ticket();
         self.network
-            .memory_requests
-            .insert(ticket, (from, peer, memory_request.clone()));
-        self.nodes[to].inbox.push(Command::MemoryRequest {
+            .cache_requests
+            .insert(ticket, (from, peer, cache_request.clone()));
+        self.nodes[to].inbox.push(Command::CacheRequest {
             ticket,
-            request: memory_request,
+            request: cache_request,
         });
     }
 
--- a/src/core/simulation/recorded_decisions.rs
+++ b/src/core/simulation/recorded_decisions.rs
@@ -25,7 +25,7 @@
 use crate::http::Response;
 use crate::job::{JobKind, JobSpec, Priority, sample};
 use crate::peer;
-use crate::peer::memory_exchange;
+use crate::peer::cache_exchange;
 use crate::policy::Policy;
 use crate::store_client::StoreRequest;
 use crate::wire::{MachineIds, to_json};
@@ -54,7 +54,7 @@
 const CLOUD_DELETE: u32 = 11;
 const DIRECT_COMMANDS: u32 = 12;
 const DIRECT_STATUS: u32 = 13;
-const MEMORY_REQUEST: u32 = 14;
+const CACHE_REQUEST: u32 = 14;
 const REREAD_STORE: u32 = 15;
 const RELEASE_LEASE: u32 = 16;
 const REPLACE_LEASE: u32 = 17;
@@ -137,14 +137,14 @@
                 request,
                 not_after,
             } => direct_content(*call, &addr.to_string(), request, self.millis(*not_after)),
-            Effect::MemoryRequest {
+            Effect::CacheRequest {
                 peer,
-                request: memory_request,
+                request: cache_request,
             } => {
                 json!([
-                    MEMORY_REQUEST,
+                    CACHE_REQUEST,
                     peer,
-                    text(&memory_exchange::encode_memory_request(memory_request))
+                    text(&cache_exchange::encode_cache_request(cache_request))
                 ])
             }
             Effect::RereadStore => json!([REREAD_STORE]),
--- a/src/core/simulation/scale.rs
+++ b/src/core/simulation/scale.rs
@@ -182,7 +182,7 @@
         let lead = simulation.nodes[next].core.leader.as_ref();
         let rebuild = lead.and_then(|l| l.rebuild.as_ref());
         if complete == 0
-            && rebuild.is_some_and(|r| r.complete_at.is_some() || r.started_at.is_some())
+            && rebuild.is_some_and(|r| r.complete_at.is_some() || r.starts_allowed_at.is_some())
         {
             complete = passed(&simulation);
             busy = simulation.nodes[next].busy.as_millis();
--- a/src/core/simulation/scenarios/size.rs
+++ b/src/core/simulation/scenarios/size.rs
@@ -309,7 +309,7 @@
     simulation.run(0.5);
     let at = simulation.nodes[leader].core.now.wall;
     let at = at.duration_since(SystemTime::UNIX_EPOCH).unwrap();
-    let later = JobValue::Over {
+    let later = JobValue::Ended {
         end: JobOutcome::Cancelled,
         residual_tasks: Some(ResidualTasks {
             team: "u".into(),
--- a/src/core/stats.rs
+++ b/src/core/stats.rs
@@ -109,7 +109,7 @@
             Command::User(_) => self.count(Work::UserRequest, 1),
             Command::HeartbeatBatch { .. }
             | Command::HeartbeatBatchResponse { .. }
-            | Command::MemoryRequest { .. } => self.count(Work::FrameIn, 1),
+            | Command::CacheRequest { .. } => self.count(Work::FrameIn, 1),
             Command::StoreChanged { events, .. } => self.count(Work::StoreEvent, events.len()),
             _ => {}
         }
@@ -123,7 +123,7 @@
             Effect::DirectCall { .. } => self.count(Work::DirectCall, 1),
             Effect::HeartbeatBatch { .. }
             | Effect::Forward { .. }
-            | Effect::MemoryRequest { .. } => self.count(Work::FrameOut, 1),
+            | Effect::CacheRequest { .. } => self.count(Work::FrameOut, 1),
             _ => {}
         }
     }
--- a/src/core/store/cache.rs
+++ b/src/core/store/cache.rs
@@ -11,8 +11,8 @@
 //! - `task_set`: sets of a job's tasks, stored as ranges.
 
 mod apply;
+mod exchange;
 mod loss;
-mod memory;
 mod stored;
 mod task_set;
 
@@ -97,7 +97,7 @@
     /// Those under keys of their own.
     pub single_key_machines: BTreeSet<MachineId>,
     /// Jobs that changed since the leader last took them in.
-    pub changed: BTreeSet<JobId>,
+    pub changed_jobs: BTreeSet<JobId>,
     /// Done ranges that were read before their job.
     orphaned_ranges: BTreeMap<(JobId, u32), String>,
     /// Keys of done ranges and parts of jobs that are over: the leader deletes them when there is room.
@@ -144,7 +144,7 @@
             versions,
             residual_tasks,
             residual_expired_before_ms: self.residual_expired_before_ms,
-            changed: before.keys().cloned().collect(),
+            changed_jobs: before.keys().cloned().collect(),
             loaded: true,
             revision,
             ..StoreCache::default()
@@ -154,19 +154,18 @@
         }
         for (id, job) in before {
             if let Some(known) = self.jobs.get_mut(&id) {
-                known.done.join(&job.done);
+                known.done.union_with(&job.done);
             } else if job.version > revision && !self.finished.contains_key(&id) {
                 let cancelled =
                     self.dependencies
-                        .add_job(&id, &job.spec.dependencies, &self.finished);
-                self.changed.extend(cancelled);
+.add_job(&id, &job.spec.dependencies, &self.finished); self.changed_jobs.extend(cancelled); 
                 self.jobs.insert(id, job);
             }
         }
     }
 
     /// This process wrote how a job ended.
-    pub fn end_written(
+    pub fn record_job_end(
         &mut self,
         id: &JobId,
         end: JobOutcome,
@@ -178,7 +177,7 @@
         }
         self.put_job(
             id,
-            JobValue::Over {
+            JobValue::Ended {
                 end,
                 residual_tasks,
             },
@@ -187,7 +186,7 @@
     }
 
     /// What of a job may be on machines, if it is cancelled now.
-    pub fn residual_of(&self, id: &JobId, now: SystemTime) -> Option<ResidualTasks> {
+    pub fn residual_tasks_of(&self, id: &JobId, now: SystemTime) -> Option<ResidualTasks> {
         let job = self.jobs.get(id)?;
         let at = now.duration_since(SystemTime::UNIX_EPOCH);
         Some(ResidualTasks {
@@ -242,12 +241,11 @@
     }
 
     /// Whether a job with this id was ever accepted, as far as is known here.
-    pub fn knows(&self, id: &str) -> bool {
-        self.jobs.contains_key(id) || self.finished.contains_key(id) || self.parts.is_incomplete(id)
+ pub fn is_known_job(&self, id: &str) -> bool {self.jobs.contains_key(id) || self.finished.contains_key(id) || self.parts.is_incomplete(id) 
     }
 
     /// Whether no dependency of a live job keeps it from starting.
-    pub fn ready(&self, id: &JobId) -> bool {
+    pub fn dependencies_met(&self, id: &JobId) -> bool {
         self.dependencies.unfinished_dependencies(id) == 0
             && self.dependencies.cancelled_dependency(id).is_none()
     }
--- a/src/core/store/cache/apply.rs
+++ b/src/core/store/cache/apply.rs
@@ -1,6 +1,6 @@
 //! The store's changes applied to the copy: one method per kind of key.
 
-use super::stored::is_over;
+use super::stored::is_ended;
 use super::{
     DoneValue, IdentityValue, JobRecord, JobValue, LeaderValue, MachineValue, PageValue,
     ResidualTasks, StoreCache, TaskSet, TermValue,
@@ -22,7 +22,7 @@
             return;
         }
         let kind = StoreKey::parse(key);
-        let ended = matches!(kind, Some(StoreKey::Job(_))) && is_over(&value);
+        let ended = matches!(kind, Some(StoreKey::Job(_))) && is_ended(&value);
         // How a job ended is never written again.
         if ended && is_enabled(Safeguard::VersionPruning) {
             self.versions.forget(key);
@@ -123,12 +123,11 @@
         if self.finished.contains_key(id) {
             self.garbage_keys.insert(key.into());
         }
-        self.join_parts(id);
+        self.assemble_parts(id);
     }
 
     /// Reads a job whose last part has come.
-    fn join_parts(&mut self, id: &JobId) {
-        if let Some((head, spec)) = self.parts.take_complete(id) {
+ fn assemble_parts(&mut self, id: &JobId) {if let Some((head, spec)) = self.parts.take_complete(id) {
             let value = JobValue::live(Box::new(spec), head.submitted_ms);
             self.put_job(id, value, head.version);
         }
@@ -137,12 +136,12 @@
     /// Applies a job key's value; version 0 if the store does not hold it and it comes from a controller's memory.
     pub fn put_job(&mut self, id: &str, value: JobValue, version: u64) {
         let id = JobId::from(id);
-        self.changed.insert(id.clone());
+        self.changed_jobs.insert(id.clone());
         if version > 0 {
-            self.note_stored_form(&id, matches!(value, JobValue::Over { .. }));
+            self.update_missing_from_store(&id, matches!(value, JobValue::Ended { .. }));
         }
         match value {
-            JobValue::Parted {
+            JobValue::Multipart {
                 parts: count,
                 generation,
                 submitted_ms,
@@ -155,12 +154,12 @@
                 };
                 self.put_parted_job(&id, head);
             }
-            JobValue::Over {
+            JobValue::Ended {
                 end,
                 residual_tasks,
             } => self.put_ended_job(id, end, residual_tasks),
             JobValue::Live { spec, submitted_ms }
-            | JobValue::Awaiting {
+            | JobValue::WithDependencies {
                 dependent: spec,
                 submitted_ms,
             } => self.put_live_job(id, *spec, submitted_ms, version),
@@ -168,8 +167,8 @@
     }
 
     /// Notes whether the store has what is remembered of a job, by the form in which it is stored.
-    fn note_stored_form(&mut self, id: &JobId, over: bool) {
-        if over || !self.finished.contains_key(id) {
+    fn update_missing_from_store(&mut self, id: &JobId, ended: bool) {
+        if ended || !self.finished.contains_key(id) {
             self.missing_from_store.remove(id);
         } else if !self.unconfirmed_ends.contains_key(id) {
             // Stored as live, and remembered as over: a store that has lost data, unless the end has
@@ -180,14 +179,11 @@
 
     /// Whether the job itself, or its end, has been read already: an event may repeat what a newer list
     /// has shown.
-    fn is_read(&self, id: &JobId) -> bool {
+    fn is_cached(&self, id: &JobId) -> bool {
         self.finished.contains_key(id) || self.jobs.contains_key(id)
     }
 
-    fn put_parted_job(&mut self, id: &JobId, head: MultipartHeader) {
-        if !self.is_read(id) {
-            self.parts.add_header(id, head);
-            self.join_parts(id);
+ fn put_parted_job(&mut self, id: &JobId, head: MultipartHeader) {if !self.is_cached(id) {self.parts.add_header(id, head); self.assemble_parts(id); 
         }
     }
 
@@ -199,9 +195,7 @@
         let job = self.jobs.remove(&id);
         let dependencies = job.as_ref().map_or(&[][..], |j| &j.spec.dependencies);
         // Its dependencies inherit no urgency from it any more.
-        self.changed.extend(dependencies.iter().cloned());
-        let dependents = self.dependencies.remove_job(&id, dependencies, end);
-        self.changed.extend(dependents);
+ self.changed_jobs.extend(dependencies.iter().cloned()); let dependents = self.dependencies.remove_job(&id, dependencies, end); self.changed_jobs.extend(dependents); 
         let stored_ranges = job.map(|j| j.stored_ranges).unwrap_or_default();
         let orphaned = self.take_orphaned_ranges(&id).into_iter();
         let bases = stored_ranges
@@ -214,7 +208,7 @@
     }
 
     fn put_live_job(&mut self, id: JobId, spec: JobSpec, submitted_ms: u64, version: u64) {
-        if self.is_read(&id) {
+        if self.is_cached(&id) {
             return;
         }
         let mut done = TaskSet::default();
@@ -224,8 +218,7 @@
         }
         let cancelled = self
             .dependencies
-            .add_job(&id, &spec.dependencies, &self.finished);
-        self.changed.extend(cancelled);
+.add_job(&id, &spec.dependencies, &self.finished); self.changed_jobs.extend(cancelled); 
         let record = JobRecord {
             submitted: SystemTime::UNIX_EPOCH + Duration::from_millis(submitted_ms),
             spec: Arc::new(spec),
@@ -269,7 +262,7 @@
         if let Some(job) = self.jobs.get_mut(&id) {
             let end = job.done.add_ranges(base, &ranges, job.spec.tasks);
             job.stored_ranges.insert(base, end);
-            self.changed.insert(id);
+            self.changed_jobs.insert(id);
         } else if self.finished.contains_key(&id) {
             self.garbage_keys.insert(done_key(&id, base));
         } else {
--- a/src/core/store/cache/memory.rs
+++ b/src/core/store/cache/exchange.rs
@@ -38,7 +38,7 @@
 
 /// What was new in what another controller, or a snapshot, remembers.
 #[derive(Debug, Default)]
-pub struct Remembered {
+pub struct MergeResult {
     /// Done tasks of live jobs, which the leader counts as it does those in heartbeats.
     pub done: Vec<(JobId, Vec<u32>)>,
     /// Machines that were not known here.
@@ -49,21 +49,21 @@
 
 impl StoreCache {
     /// Merges what other controllers remember and this one does not know.
-    pub fn remember(&mut self, items: Vec<(String, Value)>) -> Remembered {
-        let mut new = Remembered::default();
+    pub fn merge_items(&mut self, items: Vec<(String, Value)>) -> MergeResult {
+        let mut new = MergeResult::default();
         for (key, value) in items {
-            if let Err(error) = self.remember_item(&key, value, &mut new) {
+            if let Err(error) = self.merge_item(&key, value, &mut new) {
                 tracing::error!(key, %error, "unreadable value in another's memory");
             }
         }
         new
     }
 
-    fn remember_item(
+    fn merge_item(
         &mut self,
         key: &str,
         value: Value,
-        new: &mut Remembered,
+        new: &mut MergeResult,
     ) -> Result<(), serde_json::Error> {
         match StoreKey::parse(key) {
             Some(StoreKey::Term) => {
@@ -95,9 +95,9 @@
     fn merge_job(&mut self, id: &str, value: JobValue) -> bool {
         let job = JobId::from(id);
         let known = match &value {
-            JobValue::Over { .. } => self.finished.contains_key(&job),
-            JobValue::Parted { .. } => true,
-            _ => self.knows(id),
+            JobValue::Ended { .. } => self.finished.contains_key(&job),
+            JobValue::Multipart { .. } => true,
+            _ => self.is_known_job(id),
         };
         if known {
             return false;
@@ -131,7 +131,7 @@
 
     /// What this copy holds, as keys and values of the store in a fixed order, from after a key on
     /// and up to so many bytes; with whether there is more.
-    pub fn memory(&self, after: &str, max_bytes: usize) -> (Vec<(String, Value)>, bool) {
+    pub fn export_page(&self, after: &str, max_bytes: usize) -> (Vec<(String, Value)>, bool) {
         let mut page = PageBuilder {
             items: Vec::new(),
             bytes: 0,
@@ -219,7 +219,7 @@
     pub fn job_value(&self, id: &JobId) -> Option<JobValue> {
         if let Some(end) = self.finished.get(id) {
             let residual_tasks = self.residual_tasks.get(id).cloned();
-            return Some(JobValue::Over {
+            return Some(JobValue::Ended {
                 end: *end,
                 residual_tasks,
             });
--- a/src/core/store/cache/loss.rs
+++ b/src/core/store/cache/loss.rs
@@ -1,7 +1,7 @@
 //! Comparison of the stored data with this copy, to detect data loss, and the copy's repair after a loss.
 
 use super::StoreCache;
-use super::stored::is_over;
+use super::stored::is_ended;
 use crate::core::store::keys::{TERM, identity_key, job_key, key as stored_key};
 use crate::core::store::large_jobs::LargeJobParts;
 use crate::core::store::versions::KeyVersions;
@@ -55,14 +55,14 @@
     fn find_absent_end(&self, items: &[Item], revision: u64) -> Option<&JobId> {
         let written_at = |id: &JobId| self.unconfirmed_ends.get(id).copied().unwrap_or(0);
         let not_over =
-            |id: &JobId| find_item(items, &job_key(id)).is_none_or(|item| !is_over(&item.value));
+            |id: &JobId| find_item(items, &job_key(id)).is_none_or(|item| !is_ended(&item.value));
         let mut finished = self.finished.keys();
         finished.find(|id| !self.may_lack(id, written_at(id), revision) && not_over(id))
     }
 
     /// The first difference between the jobs' keys in a range and the copy, which must be as new as
     /// they are.
-    pub fn find_difference(
+    pub fn find_job_difference(
         &self,
         items: &[Item],
         after: &str,
@@ -72,10 +72,10 @@
         let job_id = |key: &str| JobId::from(key.strip_prefix(&prefix).unwrap_or(""));
         for item in items {
             let id = job_id(&item.key);
-            if !self.knows(&id) {
+            if !self.is_known_job(&id) {
                 return Some(format!("it has job {id}, which the watch has not shown"));
             }
-            if !is_over(&item.value)
+            if !is_ended(&item.value)
                 && self.finished.contains_key(&id)
                 && !self.unconfirmed_ends.contains_key(&id)
             {
@@ -89,8 +89,8 @@
         let ended = self.finished.range::<JobId, _>(range).map(|(id, _)| id);
         let expected = |id: &&JobId| !self.missing_from_store.contains(*id);
         let mut known = live.chain(ended).filter(expected);
-        let gone = known.find(|id| !stored.contains(*id))?;
-        Some(format!("it has forgotten job {gone}"))
+        let missing = known.find(|id| !stored.contains(*id))?;
+        Some(format!("it has forgotten job {missing}"))
     }
 
     /// The store has lost data: the copy stays, the stored values are merged into it, and what the copy
@@ -98,14 +98,19 @@
     pub fn merge_after_loss(&mut self, items: Vec<Item>, revision: u64) {
         let prefix = stored_key("j/");
         let stored: BTreeMap<JobId, bool> = (items.iter())
-            .filter_map(|i| Some((JobId::from(i.key.strip_prefix(&prefix)?), is_over(&i.value))))
+            .filter_map(|i| {
+                Some((
+                    JobId::from(i.key.strip_prefix(&prefix)?),
+                    is_ended(&i.value),
+                ))
+            })
             .collect();
         for job in self.jobs.values_mut() {
             // Older than whatever leads from now on: its tasks may be anywhere.
             job.version = 0;
             job.stored_ranges.clear();
         }
-        self.clear_stored(revision);
+        self.clear_store_metadata(revision);
         for item in items {
             self.put(&item.key, item.value, item.version);
         }
@@ -115,13 +120,14 @@
             .keys()
             .filter(|id| stored.get(*id) != Some(&true));
         self.missing_from_store = live.chain(ended).cloned().collect();
-        self.changed.extend(self.jobs.keys().cloned());
-        self.changed.extend(self.missing_from_store.iter().cloned());
+        self.changed_jobs.extend(self.jobs.keys().cloned());
+        self.changed_jobs
+            .extend(self.missing_from_store.iter().cloned());
         self.loaded = true;
     }
 
     /// Clears what is known of the store itself, but keeps the data that it held.
-    fn clear_stored(&mut self, revision: u64) {
+    fn clear_store_metadata(&mut self, revision: u64) {
         self.identity = None;
         self.first_term = None;
         self.expects_new_identity = false;
--- a/src/core/store/cache/stored.rs
+++ b/src/core/store/cache/stored.rs
@@ -61,29 +61,29 @@
     Live {
         /// As it was submitted.
         spec: Box<JobSpec>,
-        /// When it was accepted, in milliseconds since 1970.
+        /// Time at which the job was accepted, in milliseconds since the Unix epoch.
         submitted_ms: u64,
     },
     /// A live job with dependencies. Versions that do not know of this must not start it, and
     /// cannot: they read no job from it, and answer questions about it with 503, not with 404.
-    Awaiting {
+    WithDependencies {
         /// As it was submitted.
         dependent: Box<JobSpec>,
-        /// When it was accepted, in milliseconds since 1970.
+        /// Time at which the job was accepted, in milliseconds since the Unix epoch.
         submitted_ms: u64,
     },
     /// A live job, as long as that many parts under keys of their own.
-    Parted {
+    Multipart {
         /// How many parts it has.
         parts: u32,
         /// The writing of parts that it refers to.
         #[serde(rename = "stem")]
         generation: PartGeneration,
-        /// When it was accepted, in milliseconds since 1970.
+        /// Time at which the job was accepted, in milliseconds since the Unix epoch.
         submitted_ms: u64,
     },
     /// How a job ended; this is never written again.
-    Over {
+    Ended {
         /// Its outcome.
         end: JobOutcome,
         /// Tasks of a cancelled job that may still be on machines. Earlier versions neither write nor read this.
@@ -109,7 +109,7 @@
 }
 
 /// Whether a job's stored form says how it ended; only that of one that is over has an end.
-pub(in crate::core) fn is_over(value: &serde_json::Value) -> bool {
+pub(in crate::core) fn is_ended(value: &serde_json::Value) -> bool {
     JobOutcome::deserialize(&value["end"]).is_ok()
 }
 
@@ -119,7 +119,7 @@
         if spec.dependencies.is_empty() {
             JobValue::Live { spec, submitted_ms }
         } else {
-            JobValue::Awaiting {
+            JobValue::WithDependencies {
                 dependent: spec,
                 submitted_ms,
             }
--- a/src/core/store/cache/task_set.rs
+++ b/src/core/store/cache/task_set.rs
@@ -29,7 +29,7 @@
     }
 
     /// Adds all tasks of another set.
-    pub fn join(&mut self, other: &TaskSet) {
+    pub fn union_with(&mut self, other: &TaskSet) {
         if self.bits.len() < other.bits.len() {
             self.bits.resize(other.bits.len(), 0);
         }
--- a/src/core/store/cache/tests.rs
+++ b/src/core/store/cache/tests.rs
@@ -5,48 +5,48 @@
 /// Controllers are replaced one after the other: the earlier version must not lead once the
 /// machines are recorded in a form that it does not know.
 #[test]
-fn a_term_can_be_read_from_before_but_not_by_what_was_before() {
+fn a_term_of_an_earlier_version_is_readable_but_not_vice_versa() {
     #[derive(Deserialize)]
-    struct Before {
+    struct EarlierTermValue {
         #[allow(dead_code)]
         term: u64,
     }
-    let now = serde_json::to_value(TermValue { term: 7 }).unwrap();
-    assert!(serde_json::from_value::<Before>(now.clone()).is_err());
+    let stored = serde_json::to_value(TermValue { term: 7 }).unwrap();
+    assert!(serde_json::from_value::<EarlierTermValue>(stored.clone()).is_err());
     let read = |v| serde_json::from_value::<TermValue>(v).unwrap().term;
-    assert_eq!(read(now), 7);
+    assert_eq!(read(stored), 7);
     assert_eq!(read(serde_json::json!({"term": 6})), 6);
 }
 
 #[test]
-fn done_rows_survive_their_stored_form_in_pieces_of_any_size() {
-    let mut rows = TaskSet::default();
-    for r in [0, 1, 2, 3, 63, 64, 65, 127, 200, 5000] {
-        assert!(rows.insert(r));
-        assert!(!rows.insert(r));
+fn a_task_set_round_trips_through_ranges_of_any_size() {
+    let mut tasks = TaskSet::default();
+    for t in [0, 1, 2, 3, 63, 64, 65, 127, 200, 5000] {
+        assert!(tasks.insert(t));
+        assert!(!tasks.insert(t));
     }
-    assert_eq!(rows.ranges(0, 128), "0-3,63-65,127");
+    assert_eq!(tasks.ranges(0, 128), "0-3,63-65,127");
     for size in [1, 64, 100, 6000] {
         let mut back = TaskSet::default();
         for base in (0..6000).step_by(size) {
-            back.add_ranges(base, &rows.ranges(base, size as u32), 6000);
+            back.add_ranges(base, &tasks.ranges(base, size as u32), 6000);
         }
-        assert_eq!(back, rows);
+        assert_eq!(back, tasks);
     }
-    let mut odd = TaskSet::default();
-    odd.add_ranges(0, "x,3-1,,2-9999999999,4000000000,7-8", 8);
-    assert!(odd.contains(7) && odd.len() == 1);
+    let mut malformed = TaskSet::default();
+    malformed.add_ranges(0, "x,3-1,,2-9999999999,4000000000,7-8", 8);
+    assert!(malformed.contains(7) && malformed.len() == 1);
     let mut alternate = TaskSet::default();
-    (0..2048).step_by(2).for_each(|r| {
-        alternate.insert(r);
+    (0..2048).step_by(2).for_each(|t| {
+        alternate.insert(t);
     });
     assert!(alternate.ranges(0, 2048).len() < 6 * 1024);
 }
 
 /// Neither their number nor what else is cancelled makes a job forgotten of which something may be left.
 #[test]
-fn what_is_left_of_cancelled_jobs_is_known_until_its_time_is_over() {
-    let cancelled = |at_ms: u64| JobValue::Over {
+fn residual_tasks_of_cancelled_jobs_are_kept_until_they_expire() {
+    let cancelled = |at_ms: u64| JobValue::Ended {
         end: JobOutcome::Cancelled,
         residual_tasks: Some(ResidualTasks {
             team: "t".into(),
--- a/src/core/store/integrity.rs
+++ b/src/core/store/integrity.rs
@@ -15,16 +15,16 @@
 //! - `identity`: the store's names, the mark of an incomplete store, and who may campaign.
 //! - `terms`: terms that workers and controllers have seen, and the next one.
 //! - `checks`: periodic checks of identity, revision and jobs.
-//! - `memory_exchange`: what controllers ask each other about their copies.
+//! - `cache_exchange`: what controllers ask each other about their copies.
 
+mod cache_exchange;
 mod checks;
 mod data_loss;
 mod identity;
-mod memory_exchange;
 mod terms;
 
 use crate::core::CallId;
-use crate::peer::memory_exchange::MemoryPage;
+use crate::peer::cache_exchange::CachePage;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant, SystemTime};
 
@@ -52,7 +52,7 @@
 pub struct StoreIntegrity {
     /// The newest revision in an answer, and what it was when each call in flight was made.
     newest_revision: u64,
-    revision_when_asked: BTreeMap<CallId, u64>,
+    revision_at_call: BTreeMap<CallId, u64>,
     /// A loss that no leader has begun to rebuild yet.
     pub data_loss: Option<DataLoss>,
     /// The identity of the store that lost data last.
@@ -73,14 +73,14 @@
     /// When this process read the store for the first time, if that had an identity by then.
     first_read: Option<Instant>,
     /// The others' summaries of what they remember of an empty store, and when they were asked last.
-    peer_memories: BTreeMap<String, MemoryPage>,
-    memories_requested: Option<Instant>,
-    terms: TermEvidence,
+    peer_summaries: BTreeMap<String, CachePage>,
+    summaries_requested: Option<Instant>,
+    terms: ObservedTerms,
     reread: Reread,
     /// The mark of an incomplete store was there when the copy changed last.
     was_marked: bool,
     last_check: Option<Instant>,
-    check_identity_next: bool,
+    last_check_was_identity: bool,
     /// The service gave no answer for a while: it may have been restored meanwhile.
     was_unreachable: bool,
     /// The key of the last job that was compared with the store.
@@ -89,7 +89,7 @@
 
 /// Terms that were seen elsewhere than in the store.
 #[derive(Default)]
-struct TermEvidence {
+struct ObservedTerms {
     /// The newest that a worker has shown, or another controller knows; 0 for none.
     newest: u64,
     /// Since when the newest is known.
@@ -117,14 +117,14 @@
     }
 
     /// A call to the store is made: its answer may not show an older revision than known by now.
-    pub(in crate::core) fn call(&mut self, call: CallId) {
-        self.revision_when_asked.insert(call, self.newest_revision);
+    pub(in crate::core) fn record_call(&mut self, call: CallId) {
+        self.revision_at_call.insert(call, self.newest_revision);
     }
 
     /// Whether a peer has read the store, by its last summary.
     fn peer_has_read_store(&self, peer: &str) -> bool {
-        let memory = self.peer_memories.get(peer);
-        memory.is_some_and(|memory| memory.store_loaded)
+        let summary = self.peer_summaries.get(peer);
+        summary.is_some_and(|summary| summary.store_loaded)
     }
 }
 
--- a/src/core/store/integrity/memory_exchange.rs
+++ b/src/core/store/integrity/cache_exchange.rs
@@ -4,11 +4,11 @@
 use super::is_due;
 use crate::core::{Core, Effect, Ticket};
 use crate::http::Response;
-use crate::peer::memory_exchange::{MemoryPage, MemoryRequest, PAGE_BYTES, encode_memory_page};
+use crate::peer::cache_exchange::{CachePage, CacheRequest, PAGE_BYTES, encode_cache_page};
 use std::time::Duration;
 
 /// Between two requests to a controller for its summary of an empty store.
-const MEMORY_REQUEST_INTERVAL: Duration = Duration::from_millis(200);
+const SUMMARY_REQUEST_INTERVAL: Duration = Duration::from_millis(200);
 
 impl Core {
     /// Requests a summary from the controllers that, as far as is known, have not read the empty store.
@@ -16,63 +16,59 @@
         let now = self.now.mono;
         let integrity = &mut self.store_integrity;
         let undecided = integrity.empty_since.is_some() && integrity.data_loss.is_none();
-        if !undecided || !is_due(integrity.memories_requested, MEMORY_REQUEST_INTERVAL, now) {
+        if !undecided || !is_due(integrity.summaries_requested, SUMMARY_REQUEST_INTERVAL, now) {
             return;
         }
-        integrity.memories_requested = Some(now);
+        integrity.summaries_requested = Some(now);
         let peers = self.settings.peers.iter().map(|p| &p.name);
         for peer in peers.filter(|name| !integrity.peer_has_read_store(name)) {
-            let request = MemoryRequest {
+            let request = CacheRequest {
                 summary_only: true,
                 after: String::new(),
             };
             let peer = peer.clone();
-            self.effects.push(Effect::MemoryRequest { peer, request });
+            self.effects.push(Effect::CacheRequest { peer, request });
         }
     }
 
     /// Responds to another controller with a summary of this copy of the store, or with a page of it.
-    pub(in crate::core) fn serve_memory_request(
-        &mut self,
-        ticket: Ticket,
-        request: &MemoryRequest,
-    ) {
+    pub(in crate::core) fn serve_cache_request(&mut self, ticket: Ticket, request: &CacheRequest) {
         let cache = &self.store_cache;
-        let remembers = cache.term > 0 || !cache.jobs.is_empty() || !cache.finished.is_empty();
+        let has_state = cache.term > 0 || !cache.jobs.is_empty() || !cache.finished.is_empty();
         let (items, more) = if request.summary_only {
             (Vec::new(), false)
         } else {
-            cache.memory(&request.after, PAGE_BYTES)
+            cache.export_page(&request.after, PAGE_BYTES)
         };
         let items = items.into_iter().map(|(k, v)| (k, v.to_string()));
-        let page = MemoryPage {
+        let page = CachePage {
             store_loaded: cache.loaded,
             complete_stores: self.store_integrity.complete_stores.clone(),
-            remembers,
+            has_state,
             term: self.newest_term(),
             more,
             items: items.collect(),
         };
-        let body = encode_memory_page(&page);
+        let body = encode_cache_page(&page);
         self.answer(ticket, Response::new(200, body));
     }
 
     /// Processes another controller's response to a request for its copy of the store; `None` if there was none.
-    pub(in crate::core) fn memory_response(
+    pub(in crate::core) fn handle_cache_response(
         &mut self,
         peer: String,
-        request: &MemoryRequest,
-        response: Option<Box<MemoryPage>>,
+        request: &CacheRequest,
+        response: Option<Box<CachePage>>,
     ) {
         if response.is_some() {
             self.peer_reachable_at = self.now.mono;
         }
         match response {
             Some(summary) if request.summary_only => {
-                self.store_integrity.peer_memories.insert(peer, *summary);
+                self.store_integrity.peer_summaries.insert(peer, *summary);
             }
             None if request.summary_only => {}
-            response => self.take_memory_page(&peer, request, response),
+            response => self.handle_cache_page(&peer, request, response),
         }
     }
 }
--- a/src/core/store/integrity/checks.rs
+++ b/src/core/store/integrity/checks.rs
@@ -40,8 +40,8 @@
             self.audit(after, None);
         }
         self.store_integrity.last_check = Some(now);
-        let check_identity = !self.store_integrity.check_identity_next;
-        self.store_integrity.check_identity_next = check_identity;
+        let check_identity = !self.store_integrity.last_check_was_identity;
+        self.store_integrity.last_check_was_identity = check_identity;
         // The first check comes after a while: what was just read is what there is.
         if last_check.is_some() {
             self.check_identity_or_revision(check_identity);
@@ -119,7 +119,7 @@
         }
         let difference = self
             .store_cache
-            .find_difference(&items, &after, last.as_deref());
+            .find_job_difference(&items, &after, last.as_deref());
         if let Some(reason) = difference {
             if suspicion.as_ref() == Some(&reason) {
                 self.suspect_data_loss(&reason);
--- a/src/core/store/integrity/data_loss.rs
+++ b/src/core/store/integrity/data_loss.rs
@@ -41,7 +41,7 @@
 
     /// Answers show the revision; it never falls while the service keeps its data.
     pub(in crate::core) fn observe_revision(&mut self, call: CallId, outcome: &StoreOutcome) {
-        let asked = self.store_integrity.revision_when_asked.remove(&call);
+        let asked = self.store_integrity.revision_at_call.remove(&call);
         let (StoreOutcome::Committed { revision } | StoreOutcome::Missing { revision }) = outcome
         else {
             return;
@@ -73,7 +73,7 @@
             integrity.first_read.get_or_insert(now);
         }
         integrity.newest_revision = integrity.newest_revision.max(revision);
-        self.observe_emptiness();
+        self.update_empty_since();
     }
 
     fn has_missing_data(&self) -> bool {
@@ -90,14 +90,14 @@
         let before = self.store_cache.identity.as_ref().map(|(id, _)| id.clone());
         self.store_cache.merge_after_loss(items, revision);
         let integrity = &mut self.store_integrity;
-        integrity.revision_when_asked.clear();
+        integrity.revision_at_call.clear();
         integrity.newest_revision = revision;
         integrity.losses += 1;
         integrity.had_copy = true;
         if before.is_some() {
             integrity.lost_store = before;
         }
-        let loss = self.loss(reason);
+        let loss = self.new_data_loss(reason);
         if self.rebuild_has_begun(&loss) {
             self.store_integrity.data_loss = None;
         } else {
@@ -121,7 +121,7 @@
     }
 
     /// Notes since when the store has been empty, with nothing remembered here.
-    fn observe_emptiness(&mut self) {
+    fn update_empty_since(&mut self) {
         let now = self.now.mono;
         let empty = self.store_has_no_identity()
             && self.store_cache.term == 0
@@ -134,7 +134,7 @@
         }
     }
 
-    fn loss(&self, reason: String) -> DataLoss {
+    fn new_data_loss(&self, reason: String) -> DataLoss {
         DataLoss {
             since: self.now.mono,
             wall: self.now.wall,
@@ -147,7 +147,7 @@
     /// While a new store may yet prove to be an old one that was wiped, an unknown job is not called
     /// so: each worker sends a heartbeat within this time, with the term that it has seen. Nor does a controller
     /// that has just begun call it so, as the others may be about to notice a loss.
-    pub(in crate::core) fn existence_is_uncertain(&self) -> bool {
+    pub(in crate::core) fn job_existence_is_uncertain(&self) -> bool {
         let within =
             |since: Option<Instant>, window| since.is_some_and(|t| self.now.mono < t + window);
         let report_window = self.settings.heartbeat_interval * 5 / 2;
@@ -161,7 +161,7 @@
     /// A loss that shows in something else than the copy, which is as new as the loss.
     pub(super) fn declare_data_loss(&mut self, reason: String) {
         tracing::error!(reason, "the state service has lost data");
-        let loss = self.loss(reason);
+        let loss = self.new_data_loss(reason);
         let mark = self.store_cache.rebuilding.as_ref();
         let integrity = &mut self.store_integrity;
         integrity.losses += 1;
--- a/src/core/store/integrity/identity.rs
+++ b/src/core/store/integrity/identity.rs
@@ -12,7 +12,7 @@
 use std::time::SystemTime;
 
 /// How the keys and values are written.
-const FORMAT: u32 = 1;
+const FORMAT_VERSION: u32 = 1;
 /// Identities of complete stores that are kept, and handed over to other controllers.
 const MAX_STORE_IDENTITIES: usize = 32;
 
@@ -39,7 +39,7 @@
         if !self.store_has_no_identity() {
             self.store_integrity.empty_since = None;
         }
-        self.remember_identity();
+        self.record_identity();
         self.check_older_term();
         // The rebuilding that was under way when the loss was noticed here is over.
         if !marked
@@ -74,7 +74,7 @@
     }
 
     /// Notes the store's identity, and whether the store of that name was complete or is remembered here.
-    fn remember_identity(&mut self) {
+    fn record_identity(&mut self) {
         let Some((identity, _)) = &self.store_cache.identity else {
             return;
         };
@@ -105,14 +105,14 @@
         if self.store_cache.term_version > 0
             && self.store_integrity.terms.newest > self.store_cache.term
         {
-            self.follow_up_newer_term();
+            self.verify_newer_term();
             return false;
         }
         self.may_campaign_in_empty_store()
     }
 
     /// A term newer than the store's proves a loss once a full read, begun after it was seen, has not shown it.
-    fn follow_up_newer_term(&mut self) {
+    fn verify_newer_term(&mut self) {
         let (reread, terms) = (&self.store_integrity.reread, &self.store_integrity.terms);
         if reread.finished && reread.started > terms.newest_since {
             let term = terms.newest;
@@ -129,10 +129,10 @@
         let Some(since) = self.store_integrity.empty_since else {
             return true;
         };
-        let memories = &self.store_integrity.peer_memories;
-        if let Some((peer, memory)) = memories.iter().find(|(_, m)| m.remembers) {
+        let summaries = &self.store_integrity.peer_summaries;
+        if let Some((peer, summary)) = summaries.iter().find(|(_, m)| m.has_state) {
             let reason = format!("it is empty, and {peer} remembers it");
-            let (term, lost_store) = (memory.term, memory.complete_stores.last().cloned());
+            let (term, lost_store) = (summary.term, summary.complete_stores.last().cloned());
             self.store_integrity.observe_term(term, now);
             self.declare_data_loss(reason);
             self.store_integrity.lost_store = lost_store;
@@ -156,11 +156,11 @@
             return Vec::new();
         }
         let identity = format!("{:016x}{:x}", self.nonce, self.next_call);
-        let taken_for_new = self.store_has_no_identity() && loss.is_none();
+        let assumed_new = self.store_has_no_identity() && loss.is_none();
         let value = IdentityValue {
-            format: FORMAT,
+            format: FORMAT_VERSION,
             lost_store: loss.and(self.store_integrity.lost_store.clone()),
-            first_term: taken_for_new.then(|| self.next_term()),
+            first_term: assumed_new.then(|| self.next_term()),
         };
         let mut changes = vec![Change::put(identity_key(&identity), to_json_value(&value))];
         if let Some((old, _)) = known {
--- a/src/core/store/integrity/terms.rs
+++ b/src/core/store/integrity/terms.rs
@@ -71,7 +71,7 @@
 
     /// Whether a leader may have had this term: none is ahead of the time of day by more than clocks
     /// differ, and leaders that follow one another faster than seconds do.
-    pub(in crate::core) fn plausible_term(&self, term: u64) -> bool {
+    pub(in crate::core) fn is_plausible_term(&self, term: u64) -> bool {
         term <= self.seconds_since_epoch().saturating_add(MAX_TERM_LEAD_S)
     }
 
@@ -80,11 +80,11 @@
     /// has just started on a store that was rolled back cannot know of later terms. Two controllers with the
     /// same knowledge never choose the same term: each has its own residue modulo the number of controllers.
     pub(in crate::core) fn next_term(&self) -> u64 {
-        let least = (self.newest_term() + 1).max(self.seconds_since_epoch());
+        let minimum = (self.newest_term() + 1).max(self.seconds_since_epoch());
         let peers = self.settings.peers.iter().map(|p| p.name.as_str());
         let rank = peers.filter(|p| *p < self.settings.name.as_str()).count() as u64;
         let controllers = self.settings.peers.len() as u64 + 1;
-        let ahead = (rank + controllers - least % controllers) % controllers;
-        (least + ahead).min(MAX_TERM)
+        let offset = (rank + controllers - minimum % controllers) % controllers;
+        (minimum + offset).min(MAX_TERM)
     }
 }
--- a/src/core/store/rebuild.rs
+++ b/src/core/store/rebuild.rs
@@ -18,8 +18,8 @@
 
 mod held_tasks;
 mod machine_list;
-mod memories;
 mod operator;
+mod peer_copies;
 mod procedure;
 mod status;
 
@@ -29,7 +29,7 @@
 
 /// How far a controller has handed over its memory.
 #[derive(Clone, Debug, Default)]
-struct PeerMemory {
+struct PeerCopy {
     /// The key after which the next page starts.
     after: String,
     /// Asked, and not answered yet.
@@ -60,15 +60,15 @@
     /// Why it is known to have lost data, and when that was noticed (milliseconds since 1970).
     reason: String,
     since_ms: u64,
-    memories: BTreeMap<String, PeerMemory>,
+    peer_copies: BTreeMap<String, PeerCopy>,
     /// This controller, or one that handed over its memory, held a copy of the lost store.
     copy_available: bool,
     /// An operator accepts it as it is.
     settled: bool,
     /// A list of the cloud that has all machines that an earlier leader could know.
-    listed: bool,
+    machine_list_complete: bool,
     /// Machines that it showed as booting: they may be up by now.
-    booting: BTreeSet<MachineId>,
+    booting_machines: BTreeSet<MachineId>,
     /// Tasks on machines, of jobs that no controller remembers.
     held_tasks: BTreeMap<JobId, BTreeSet<HeldTask>>,
     /// Such tasks that have ended well.
@@ -79,26 +79,26 @@
     /// When all that is remembered was known.
     pub complete_at: Option<Instant>,
     /// When the first start of a task was allowed.
-    pub started_at: Option<Instant>,
+    pub starts_allowed_at: Option<Instant>,
 }
 
 impl Rebuild {
     /// All controllers have handed over their memory or have none, and one of them had a copy.
-    fn complete(&self) -> bool {
-        self.settled || (self.copy_available && self.memories.values().all(|m| m.passes > 0))
+    fn is_complete(&self) -> bool {
+        self.settled || (self.copy_available && self.peer_copies.values().all(|m| m.passes > 0))
     }
 
-    fn all_queried_twice(&self) -> bool {
-        self.settled || self.memories.values().all(|m| m.passes > 1)
+    fn all_read_twice(&self) -> bool {
+        self.settled || self.peer_copies.values().all(|m| m.passes > 1)
     }
 
     /// No task is held of jobs that no controller remembers.
-    fn holds_nothing(&self) -> bool {
+    fn has_no_held_tasks(&self) -> bool {
         self.held_tasks.is_empty() && self.held_results.is_empty()
     }
 
     /// A task of an unknown job is on this machine.
-    pub fn hold(&mut self, task: &TaskId, machine: &MachineId) {
+    pub fn hold_task(&mut self, task: &TaskId, machine: &MachineId) {
         let held = self.held_tasks.entry(task.job.clone()).or_default();
         held.insert(HeldTask {
             index: task.index,
@@ -107,7 +107,7 @@
     }
 
     /// The task is not on the machine any more.
-    pub fn remove_held(&mut self, task: &TaskId, machine: &MachineId) {
+    pub fn remove_held_task(&mut self, task: &TaskId, machine: &MachineId) {
         if let Some(held) = self.held_tasks.get_mut(&task.job) {
             held.remove(&HeldTask {
                 index: task.index,
@@ -120,7 +120,7 @@
     }
 
     /// A task of an unknown job has ended well.
-    pub fn record_result(&mut self, task: &TaskId) {
+    pub fn record_held_result(&mut self, task: &TaskId) {
         let results = self.held_results.entry(task.job.clone()).or_default();
         results.insert(task.index);
     }
--- a/src/core/store/rebuild/held_tasks.rs
+++ b/src/core/store/rebuild/held_tasks.rs
@@ -9,7 +9,7 @@
 
 impl LeaderState {
     /// Whether a task is of a job that may have been accepted all the same.
-    pub(in crate::core) fn may_be_of_lost_job(&self, known: bool) -> bool {
+    pub(in crate::core) fn may_belong_to_lost_job(&self, known: bool) -> bool {
         !known && self.rebuild.as_ref().is_some_and(|r| !r.settled)
     }
 }
@@ -17,7 +17,7 @@
 impl Core {
     /// A job has become known that tasks on machines are of.
     pub(in crate::core) fn adopt_job(&mut self, id: &JobId) {
-        if !self.store_cache.knows(id) {
+        if !self.store_cache.is_known_job(id) {
             return;
         }
         let Some(leader) = &mut self.leader else {
@@ -59,10 +59,10 @@
                 job: id.clone(),
                 index,
             };
-            let Some(holder) = leader.machines.get_mut(&machine) else {
+            let Some(task_machine) = leader.machines.get_mut(&machine) else {
                 continue;
             };
-            let Some(task) = holder.tasks.get_mut(&key) else {
+            let Some(task) = task_machine.tasks.get_mut(&key) else {
                 continue;
             };
             match (job, leader.job_runs.get_mut(id)) {
@@ -78,7 +78,7 @@
                 }
                 _ => {
                     task.stop(StopReason::Obsolete, self.now.mono);
-                    holder.needs_push = true;
+                    task_machine.needs_push = true;
                 }
             }
         }
@@ -88,13 +88,13 @@
     /// Held tasks are of some team, and nothing shows of which: they count towards each of them with
     /// all that their machines have.
     pub(in crate::core) fn held_resources(&self, leader: &LeaderState) -> Resources {
-        let mut room = Resources::default();
+        let mut total = Resources::default();
         let machines = leader.rebuild.iter().flat_map(Rebuild::held_machines);
         for m in machines.filter_map(|id| leader.machines.get(id)) {
             if let Some(t) = self.type_of(&m.machine_type) {
-                room.add(&t.room());
+                total.add(&t.room());
             }
         }
-        room
+        total
     }
 }
--- a/src/core/store/rebuild/machine_list.rs
+++ b/src/core/store/rebuild/machine_list.rs
@@ -19,7 +19,10 @@
         asked: Option<Instant>,
     ) -> bool {
         let from = leader.since + self.settings.machine_list_lag * 2 + LIST_MARGIN;
-        let waits = leader.rebuild.as_ref().is_some_and(|r| !r.listed);
+        let waits = leader
+            .rebuild
+            .as_ref()
+            .is_some_and(|r| !r.machine_list_complete);
         waits && self.now.mono >= from && asked.is_none_or(|t| t < from)
     }
 
@@ -41,12 +44,12 @@
         let Some(rebuild) = &mut leader.rebuild else {
             return;
         };
-        let first = !rebuild.listed;
-        rebuild.listed |= sent >= since + after;
+        let first = !rebuild.machine_list_complete;
+        rebuild.machine_list_complete |= sent >= since + after;
         if first {
-            rebuild.booting.extend(booting);
+            rebuild.booting_machines.extend(booting);
             for (id, value) in unknown {
-                leader.expect_machine(&id, &value, now);
+                leader.add_unresolved_machine(&id, &value, now);
             }
         }
     }
@@ -54,7 +57,12 @@
 
 impl LeaderState {
     /// A machine that may hold tasks and has no record here.
-    pub(super) fn expect_machine(&mut self, id: &MachineId, value: &MachineValue, now: Instant) {
+    pub(super) fn add_unresolved_machine(
+        &mut self,
+        id: &MachineId,
+        value: &MachineValue,
+        now: Instant,
+    ) {
         let since = self.since;
         let machine = self.machines.get_or_add(id, || {
             let mut machine = Machine::new(
--- a/src/core/store/rebuild/operator.rs
+++ b/src/core/store/rebuild/operator.rs
@@ -65,7 +65,7 @@
             let text = format!("a snapshot of {store}, and what lost data is {lost}");
             return self.answer(ticket, Response::error(409, &text));
         }
-        let new = self.join_memory(items);
+        let new = self.merge_peer_items(items);
         if let Some(rebuild) = self.leader.as_mut().and_then(|l| l.rebuild.as_mut()) {
             rebuild.snapshot_jobs += new;
             rebuild.copy_available |= last;
@@ -81,11 +81,11 @@
         for (job, tasks) in held {
             for HeldTask { index, machine } in tasks {
                 let job = job.clone();
-                if let Some(holder) = self.machines.get_mut(&machine)
-                    && let Some(task) = holder.tasks.get_mut(&TaskId { job, index })
+                if let Some(task_machine) = self.machines.get_mut(&machine)
+                    && let Some(task) = task_machine.tasks.get_mut(&TaskId { job, index })
                 {
                     task.stop(StopReason::Obsolete, now);
-                    holder.needs_push = true;
+                    task_machine.needs_push = true;
                 }
             }
         }
--- a/src/core/store/rebuild/memories.rs
+++ b/src/core/store/rebuild/peer_copies.rs
@@ -1,9 +1,9 @@
 //! Merges the memories of other controllers, and snapshots, of a store that lost data into this copy.
 
-use super::{PeerMemory, Rebuild};
+use super::{PeerCopy, Rebuild};
 use crate::core::{Core, Effect};
 use crate::job::{MachineId, TaskId};
-use crate::peer::memory_exchange::{MemoryPage, MemoryRequest};
+use crate::peer::cache_exchange::{CachePage, CacheRequest};
 use std::time::{Duration, Instant};
 
 /// After no answer, a controller is asked again.
@@ -14,7 +14,7 @@
 
 impl Core {
     /// Asks each controller for the next page of its memory, until it was read twice.
-    pub(super) fn request_memory_pages(&mut self) {
+    pub(super) fn request_cache_pages(&mut self) {
         let now = self.now.mono;
         let Some(rebuild) = self.rebuild_mut() else {
             return;
@@ -23,17 +23,17 @@
             return;
         }
         let mut requests = Vec::new();
-        for (peer, memory) in &mut rebuild.memories {
-            if !memory.request_is_due(now) {
+        for (peer, copy) in &mut rebuild.peer_copies {
+            if !copy.request_is_due(now) {
                 continue;
             }
-            memory.in_flight = true;
-            let request = MemoryRequest {
+            copy.in_flight = true;
+            let request = CacheRequest {
                 summary_only: false,
-                after: memory.after.clone(),
+                after: copy.after.clone(),
             };
             let peer = peer.clone();
-            requests.push(Effect::MemoryRequest { peer, request });
+            requests.push(Effect::CacheRequest { peer, request });
         }
         self.effects.extend(requests);
     }
@@ -43,25 +43,25 @@
     }
 
     /// A page of another controller's memory, or no answer.
-    pub(in crate::core) fn take_memory_page(
+    pub(in crate::core) fn handle_cache_page(
         &mut self,
         peer: &str,
-        asked: &MemoryRequest,
-        answer: Option<Box<MemoryPage>>,
+        asked: &CacheRequest,
+        answer: Option<Box<CachePage>>,
     ) {
         let now = self.now.mono;
-        let memory = self.rebuild_mut().and_then(|r| r.memories.get_mut(peer));
-        let Some(memory) = memory.filter(|m| m.in_flight && m.after == asked.after) else {
+        let copy = self.rebuild_mut().and_then(|r| r.peer_copies.get_mut(peer));
+        let Some(copy) = copy.filter(|m| m.in_flight && m.after == asked.after) else {
             return;
         };
-        memory.in_flight = false;
+        copy.in_flight = false;
         let Some(mut page) = answer else {
-            memory.retry_at = Some(now + RETRY_DELAY);
+            copy.retry_at = Some(now + RETRY_DELAY);
             return;
         };
-        memory.advance(&page, now);
+        copy.advance(&page, now);
         let items = std::mem::take(&mut page.items);
-        let jobs = self.join_memory(read_items(peer, items));
+        let jobs = self.merge_peer_items(read_items(peer, items));
         self.store_integrity.observe_term(page.term, now);
         if let Some(rebuild) = self.rebuild_mut() {
             rebuild.record_page(peer, &page, jobs);
@@ -70,8 +70,8 @@
     }
 
     /// Merges another controller's memory. Returns how many jobs, or ends of jobs, were new.
-    pub(super) fn join_memory(&mut self, items: Vec<(String, serde_json::Value)>) -> usize {
-        let new = self.store_cache.remember(items);
+    pub(super) fn merge_peer_items(&mut self, items: Vec<(String, serde_json::Value)>) -> usize {
+        let new = self.store_cache.merge_items(items);
         self.sync_job_runs();
         for (id, tasks) in new.done {
             for index in tasks {
@@ -80,13 +80,13 @@
             }
         }
         for id in new.machines {
-            self.expect_remembered_machine(&id);
+            self.add_machine_from_peer(&id);
         }
         new.jobs
     }
 
     /// Another controller remembers a machine that was not known here.
-    fn expect_remembered_machine(&mut self, id: &MachineId) {
+    fn add_machine_from_peer(&mut self, id: &MachineId) {
         let now = self.now.mono;
         let Some(value) = self.store_cache.machines.get(id).cloned() else {
             return;
@@ -98,12 +98,12 @@
             return;
         }
         tracing::info!(machine = %id, "machine known from another controller");
-        leader.expect_machine(id, &value, now);
+        leader.add_unresolved_machine(id, &value, now);
         leader.writes.records.add(id, value);
     }
 }
 
-impl PeerMemory {
+impl PeerCopy {
     fn request_is_due(&self, now: Instant) -> bool {
         let waits = self.retry_at.is_some_and(|at| now < at);
         let between_passes = self
@@ -113,7 +113,7 @@
     }
 
     /// A page has come: the next one follows, or a pass is complete.
-    fn advance(&mut self, page: &MemoryPage, now: Instant) {
+    fn advance(&mut self, page: &CachePage, now: Instant) {
         let last = page.items.last().map(|(key, _)| key.clone());
         match last.filter(|_| page.more) {
             Some(key) => self.after = key,
@@ -129,17 +129,17 @@
 
 impl Rebuild {
     /// Notes what a controller's page has brought, and whether it is of the store that lost data.
-    fn record_page(&mut self, peer: &str, page: &MemoryPage, new_jobs: usize) {
+    fn record_page(&mut self, peer: &str, page: &CachePage, new_jobs: usize) {
         let had_copy = match &self.lost_store {
             Some(lost) => page.complete_stores.contains(lost),
             // A controller that had just begun noticed the loss by what workers have seen, and knows no name:
             // whatever store the others remember is the one.
-            None => page.remembers,
+            None => page.has_state,
         };
-        if let Some(memory) = self.memories.get_mut(peer) {
-            memory.new_jobs += new_jobs;
-            memory.had_copy = had_copy;
-            self.copy_available |= had_copy && memory.passes > 0;
+        if let Some(copy) = self.peer_copies.get_mut(peer) {
+            copy.new_jobs += new_jobs;
+            copy.had_copy = had_copy;
+            self.copy_available |= had_copy && copy.passes > 0;
         }
     }
 }
--- a/src/core/store/rebuild/procedure.rs
+++ b/src/core/store/rebuild/procedure.rs
@@ -1,6 +1,6 @@
 //! The course of a rebuild: its begin, what waits for it, and its end.
 
-use super::{PeerMemory, Rebuild};
+use super::{PeerCopy, Rebuild};
 use crate::core::Core;
 use crate::core::leadership::state::LeaderState;
 use crate::core::machines::machine::lease_expiry;
@@ -13,7 +13,7 @@
             return;
         };
         let peers = self.settings.peers.iter();
-        let memories = peers.map(|p| (p.name.clone(), PeerMemory::default()));
+        let peer_copies = peers.map(|p| (p.name.clone(), PeerCopy::default()));
         let own_copy = match &mark.lost_store {
             Some(lost) => self.store_integrity.complete_stores.contains(lost),
             None => self.store_integrity.had_copy,
@@ -22,7 +22,7 @@
             lost_store: mark.lost_store.clone(),
             reason: mark.reason.clone(),
             since_ms: mark.since_ms,
-            memories: memories.collect(),
+            peer_copies: peer_copies.collect(),
             copy_available: own_copy,
             ..Rebuild::default()
         };
@@ -39,9 +39,9 @@
         // A leader that knew of no loss may have ordered machines to stop what is of no job: it may be of one
         // all the same, and must not be started elsewhere before it is gone.
         for machine in leader.machines.values() {
-            let unknown = |task: &&TaskId| !self.store_cache.knows(&task.job);
+            let unknown = |task: &&TaskId| !self.store_cache.is_known_job(&task.job);
             for task in machine.tasks.keys().filter(unknown) {
-                rebuild.hold(task, &machine.id);
+                rebuild.hold_task(task, &machine.id);
             }
         }
         leader.rebuild = Some(rebuild);
@@ -74,8 +74,7 @@
         let Some(leader) = &self.leader else {
             return false;
         };
-        let complete = |r: &Rebuild| r.complete() || self.worker_leases_expired(leader);
-        self.is_active_leader() && leader.rebuild.as_ref().is_some_and(complete)
+ let complete = |r: &Rebuild| r.is_complete() || self.worker_leases_expired(leader); self.is_active_leader() && leader.rebuild.as_ref().is_some_and(complete) 
     }
 
     /// Whether tasks may be started, as far as a loss of data is concerned.
@@ -84,8 +83,8 @@
             return true;
         };
         let up = |id: &MachineId| leader.machines.get(id).is_none_or(|m| m.incarnation > 0);
-        let all_resolved = leader.recovery.is_complete() && rebuild.booting.iter().all(up);
-        let all_known = rebuild.complete() && rebuild.listed && all_resolved;
+        let all_resolved = leader.recovery.is_complete() && rebuild.booting_machines.iter().all(up);
+        let all_known = rebuild.is_complete() && rebuild.machine_list_complete && all_resolved;
         all_known || self.worker_leases_expired(leader)
     }
 
@@ -99,9 +98,9 @@
         }
         let Some(leader) = &self.leader else { return };
         let may_start = self.may_start_tasks(leader);
-        self.note_first_start(may_start);
-        self.request_memory_pages();
-        self.note_completeness();
+        self.record_starts_allowed(may_start);
+        self.request_cache_pages();
+        self.record_completeness();
         self.update_rebuild_complete(may_start);
     }
 
@@ -116,16 +115,16 @@
     }
 
     /// Notes when tasks may be started for the first time.
-    fn note_first_start(&mut self, may_start: bool) {
+    fn record_starts_allowed(&mut self, may_start: bool) {
         let now = self.now.mono;
         let Some(leader) = &mut self.leader else {
             return;
         };
         if let Some(rebuild) = &mut leader.rebuild
             && may_start
-            && rebuild.started_at.is_none()
+            && rebuild.starts_allowed_at.is_none()
         {
-            rebuild.started_at = Some(now);
+            rebuild.starts_allowed_at = Some(now);
             leader.scheduler.request_plan();
             let took_ms = now.saturating_duration_since(leader.since).as_millis() as u64;
             tracing::warn!(term = leader.term, took_ms, "tasks may be started again");
@@ -133,13 +132,13 @@
     }
 
     /// Notes when all that controllers remember is known.
-    fn note_completeness(&mut self) {
+    fn record_completeness(&mut self) {
         let now = self.now.mono;
         let Some(leader) = &mut self.leader else {
             return;
         };
         if let Some(rebuild) = &mut leader.rebuild
-            && rebuild.complete()
+            && rebuild.is_complete()
             && rebuild.complete_at.is_none()
         {
             rebuild.complete_at = Some(now);
@@ -166,8 +165,8 @@
             && writes.progress.is_empty()
             && writes.ends.is_empty()
             && writes.records.all_written();
-        let all_known = rebuild.complete() && rebuild.all_queried_twice();
-        let nothing_held = rebuild.holds_nothing() || rebuild.settled;
+        let all_known = rebuild.is_complete() && rebuild.all_read_twice();
+        let nothing_held = rebuild.has_no_held_tasks() || rebuild.settled;
         leader.writes.rebuild_complete = all_known && may_start && nothing_held && all_written;
     }
 }
--- a/src/core/store/rebuild/status.rs
+++ b/src/core/store/rebuild/status.rs
@@ -1,6 +1,6 @@
 //! A rebuild for the status view and for monitoring.
 
-use super::{HeldTask, PeerMemory, Rebuild};
+use super::{HeldTask, PeerCopy, Rebuild};
 use crate::core::Core;
 use crate::core::leadership::state::LeaderState;
 use serde_json::{Value, json};
@@ -37,9 +37,9 @@
         json!({
             "lost": rebuild.reason, "of": rebuild.lost_store, "since_ms": rebuild.since_ms,
             "a_copy_is_known": rebuild.copy_available,
-            "complete": rebuild.complete(), "starts_wait": self.starts_wait_for(leader, rebuild),
+            "complete": rebuild.is_complete(), "starts_wait": self.starts_wait_for(leader, rebuild),
             "jobs_to_write": self.store_cache.missing_from_store.len(),
-            "memories": rebuild.memories.iter().map(memory_status).collect::<Vec<_>>(),
+            "memories": rebuild.peer_copies.iter().map(peer_copy_status).collect::<Vec<_>>(),
             "from_snapshots": rebuild.snapshot_jobs, "adopted": rebuild.adopted_jobs,
             "held_tasks": rebuild.held_task_count(),
             "held_results": rebuild.held_results.values().map(BTreeSet::len).sum::<usize>(),
@@ -51,9 +51,9 @@
     fn starts_wait_for(&self, leader: &LeaderState, rebuild: &Rebuild) -> Option<&'static str> {
         if self.may_start_tasks(leader) {
             None
-        } else if !rebuild.complete() {
+        } else if !rebuild.is_complete() {
             Some("for what other controllers remember")
-        } else if !rebuild.listed {
+        } else if !rebuild.machine_list_complete {
             Some("for a list of all machines")
         } else {
             Some("for machines that may hold tasks")
@@ -88,11 +88,11 @@
 }
 
 /// How far a controller has handed over its memory.
-fn memory_status((peer, memory): (&String, &PeerMemory)) -> Value {
-    let standing = match (memory.passes, memory.had_copy) {
+fn peer_copy_status((peer, copy): (&String, &PeerCopy)) -> Value {
+    let standing = match (copy.passes, copy.had_copy) {
         (0, _) => "not handed over yet",
         (_, true) => "handed over",
         (_, false) => "remembers nothing of it",
     };
-    json!({"node": peer, "standing": standing, "new_jobs": memory.new_jobs})
+    json!({"node": peer, "standing": standing, "new_jobs": copy.new_jobs})
 }
--- a/src/core/store/transaction.rs
+++ b/src/core/store/transaction.rs
@@ -129,10 +129,10 @@
                 continue;
             }
             let cancelled = end == JobOutcome::Cancelled;
-            let residual = self.store_cache.residual_of(id, self.now.wall);
+            let residual = self.store_cache.residual_tasks_of(id, self.now.wall);
             let residual_tasks = residual.filter(|_| cancelled);
             let op = WriteOp::End(id.clone(), end, residual_tasks.clone());
-            let value = to_json_value(&JobValue::Over {
+            let value = to_json_value(&JobValue::Ended {
                 end,
                 residual_tasks,
             });
@@ -210,7 +210,7 @@
         let value_bytes = self.settings.max_value_bytes / 16 * 15;
         match &value {
             JobValue::Live { spec, submitted_ms }
-            | JobValue::Awaiting {
+            | JobValue::WithDependencies {
                 dependent: spec,
                 submitted_ms,
             } if to_json(&value).len() > value_bytes => {
@@ -235,7 +235,7 @@
         let written = &self.leader.writes.missing_parts_written;
         let written = written.get(id).copied().unwrap_or(0);
         if written >= texts.len() {
-            let value = JobValue::Parted {
+            let value = JobValue::Multipart {
                 parts: texts.len() as u32,
                 generation,
                 submitted_ms,
@@ -306,7 +306,7 @@
             if self.is_quarantined(&key) || self.leader.writes.ends.contains_key(id) {
                 continue;
             }
-            let value = to_json_value(&JobValue::Over {
+            let value = to_json_value(&JobValue::Ended {
                 end,
                 residual_tasks: None,
             });
--- a/src/core/store/writes.rs
+++ b/src/core/store/writes.rs
@@ -287,7 +287,7 @@
                 leader.writes.ends.remove(&id);
                 leader.writes.cancelled_dependents.remove(&id);
                 self.store_cache
-                    .end_written(&id, end, residual_tasks, revision);
+                    .record_job_end(&id, end, residual_tasks, revision);
                 self.sync_job_runs();
             }
             WriteOp::Progress(id, tasks) => {
--- a/src/core/workers/commands.rs
+++ b/src/core/workers/commands.rs
@@ -120,9 +120,10 @@
         let ExitedTask { key, attempt, .. } = exited;
         let run = leader.job_runs.get(&key.job);
         let is_unpersisted = run.is_some_and(|run| run.unpersisted_done.contains(&key.index));
-        let may_be_of_lost_job = leader.may_be_of_lost_job(self.store_cache.knows(&key.job));
+        let may_belong_to_lost_job =
+            leader.may_belong_to_lost_job(self.store_cache.is_known_job(&key.job));
         let is_attempt_over = (machine.tasks.get(key)).is_none_or(|task| task.attempt != *attempt);
-        !is_unpersisted && !may_be_of_lost_job && is_attempt_over
+        !is_unpersisted && !may_belong_to_lost_job && is_attempt_over
     }
 
     /// Returns the time that a task has for a checkpoint when it is stopped: zero if it is obsolete or writes no
--- a/src/core/workers/heartbeats.rs
+++ b/src/core/workers/heartbeats.rs
@@ -123,7 +123,7 @@
             && id.bytes().all(|b| b.is_ascii_graphic() && b != b'/')
             && heartbeat.addr.parse::<SocketAddrV4>().is_ok()
             && heartbeat.incarnation > 0
-            && self.plausible_term(heartbeat.fencing_token >> TOKEN_EPOCH_BITS)
+            && self.is_plausible_term(heartbeat.fencing_token >> TOKEN_EPOCH_BITS)
     }
 
     /// Processes a heartbeat on the leader. `via` is the follower that relayed it, or `None` if the worker sent it
--- a/src/core/workers/heartbeats/task_transitions.rs
+++ b/src/core/workers/heartbeats/task_transitions.rs
@@ -129,11 +129,11 @@
         let Some(leader) = &mut self.leader else {
             return false;
         };
-        if !leader.may_be_of_lost_job(self.store_cache.knows(&key.job)) {
+        if !leader.may_belong_to_lost_job(self.store_cache.is_known_job(&key.job)) {
             return false;
         }
         if let Some(rebuild) = &mut leader.rebuild {
-            rebuild.hold(key, id);
+            rebuild.hold_task(key, id);
             tracing::warn!(task = %key, machine = %id, "task of unknown job held");
         }
         true
@@ -225,14 +225,14 @@
             return;
         };
         if leader.machines.get(id).is_none()
-            || !leader.may_be_of_lost_job(self.store_cache.knows(&key.job))
+            || !leader.may_belong_to_lost_job(self.store_cache.is_known_job(&key.job))
         {
             return;
         }
         if let Some(rebuild) = &mut leader.rebuild {
-            rebuild.remove_held(key, id);
+            rebuild.remove_held_task(key, id);
             if cause == ExitCause::Done {
-                rebuild.record_result(key);
+                rebuild.record_held_result(key);
             }
         }
     }
@@ -346,7 +346,7 @@
             };
             leader.scheduler.request_plan();
             if let Some(rebuild) = &mut leader.rebuild {
-                rebuild.remove_held(&key, id);
+                rebuild.remove_held_task(&key, id);
             }
             if let Some(run) = leader.job_runs.get_mut(&key.job)
                 && run.tasks.unassign(key.index, id)
--- a/src/peer/memory_exchange/tests.rs
+++ b/src/peer/cache_exchange/tests.rs
@@ -3,27 +3,27 @@
 /// What comes from the network is never believed beyond what is there.
 #[test]
 fn frames_of_memory_come_back_whole_and_cut_ones_not_at_all() {
-    let request = MemoryRequest {
+    let request = CacheRequest {
         summary_only: true,
         after: "burlusher/j/wk-000412".into(),
     };
-    let page = MemoryPage {
+    let page = CachePage {
         store_loaded: true,
         complete_stores: vec!["4e".into(), "4f".into()],
-        remembers: true,
+        has_state: true,
         term: 7,
         more: true,
         items: vec![("burlusher/j/wk-1".into(), "{}".repeat(40_000))],
     };
-    let (a, b) = (encode_memory_request(&request), encode_memory_page(&page));
+    let (a, b) = (encode_cache_request(&request), encode_cache_page(&page));
     let body = |f: &[u8]| crate::peer::read_frame(&mut &f[..]).unwrap().1;
-    assert_eq!(decode_memory_request(&body(&a)), Some(request));
-    assert_eq!(decode_memory_page(&body(&b)), Some(page));
+    assert_eq!(decode_cache_request(&body(&a)), Some(request));
+    assert_eq!(decode_cache_page(&body(&b)), Some(page));
     for n in 0..body(&a).len() {
-        assert_eq!(decode_memory_request(&body(&a)[..n]), None);
+        assert_eq!(decode_cache_request(&body(&a)[..n]), None);
     }
     for n in (0..body(&b).len()).step_by(997) {
-        assert_eq!(decode_memory_page(&body(&b)[..n]), None);
+        assert_eq!(decode_cache_page(&body(&b)[..n]), None);
     }
 }
 
@@ -34,19 +34,19 @@
 
 #[test]
 fn frames_have_the_bytes_that_earlier_versions_read() {
-    let request = MemoryRequest {
+    let request = CacheRequest {
         summary_only: true,
         after: "burlusher/j/wk-000412".into(),
     };
-    let page = MemoryPage {
+    let page = CachePage {
         store_loaded: true,
         complete_stores: vec!["4e".into(), "4f".into()],
-        remembers: true,
+        has_state: true,
         term: 7,
         more: true,
         items: vec![("burlusher/j/wk-1".into(), "{}".into())],
     };
     let hex = |frame: Vec<u8>| -> String { frame.iter().map(|b| format!("{b:02x}")).collect() };
-    assert_eq!(hex(encode_memory_request(&request)), REQUEST_FRAME);
-    assert_eq!(hex(encode_memory_page(&page)), PAGE_FRAME);
+    assert_eq!(hex(encode_cache_request(&request)), REQUEST_FRAME);
+    assert_eq!(hex(encode_cache_page(&page)), PAGE_FRAME);
 }
--- a/src/service/command_queue.rs
+++ b/src/service/command_queue.rs
@@ -27,7 +27,7 @@
     pub fn of(command: &Command) -> Lane {
         match command {
             Command::Heartbeat { .. } | Command::DirectOutcome { .. } => Lane::Heartbeat,
-            Command::Status(_) | Command::Metrics { .. } | Command::MemoryRequest { .. } => {
+            Command::Status(_) | Command::Metrics { .. } | Command::CacheRequest { .. } => {
                 Lane::Query
             }
             Command::User(request) if matches!(request.action, UserAction::Show(_)) => Lane::Query,
--- a/src/service/owner.rs
+++ b/src/service/owner.rs
@@ -142,8 +142,8 @@
                 peer,
                 request,
             } => self.send_to_peer(&peer, PeerCall::Forward { ticket, request }),
-            Effect::MemoryRequest { peer, request } => {
-                self.send_to_peer(&peer, PeerCall::Memory(request));
+            Effect::CacheRequest { peer, request } => {
+                self.send_to_peer(&peer, PeerCall::CachePage(request));
             }
             Effect::HeartbeatBatch {
                 peer,
--- a/src/service/peer_pool.rs
+++ b/src/service/peer_pool.rs
@@ -4,8 +4,8 @@
 use super::inbox::Inbox;
 use super::threads::ThreadPool;
 use crate::core::{Command, Ticket};
+use crate::peer::cache_exchange::{self, CachePage, CacheRequest};
 use crate::peer::heartbeat_batch;
-use crate::peer::memory_exchange::{self, MemoryPage, MemoryRequest};
 use crate::peer::{self, PeerRequest};
 use crate::settings::Peer;
 use std::collections::BTreeMap;
@@ -21,7 +21,7 @@
 /// Much less than the leader's lease is valid, so that a grant outlives a batch that is lost.
 const HEARTBEAT_BATCH_TIMEOUT: Duration = Duration::from_millis(1000);
 /// A controller needs a while to build a page, and only the request for the next page waits for it.
-const MEMORY_TIMEOUT: Duration = Duration::from_millis(1500);
+const CACHE_REQUEST_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// One request to a peer.
 pub(super) enum PeerCall {
@@ -31,7 +31,7 @@
         request: PeerRequest,
     },
     /// What the peer remembers of the state service's contents.
-    Memory(MemoryRequest),
+    CachePage(CacheRequest),
 }
 
 /// A batch of heartbeats for the leader.
@@ -83,10 +83,10 @@
                 response: logged(peer, response),
             }
         }
-        PeerCall::Memory(request) => {
-            let frame = memory_exchange::encode_memory_request(&request);
-            let response = connection.exchange(&frame, MEMORY_TIMEOUT, decode_memory_page);
-            Command::MemoryPage {
+        PeerCall::CachePage(request) => {
+            let frame = cache_exchange::encode_cache_request(&request);
+            let response = connection.exchange(&frame, CACHE_REQUEST_TIMEOUT, decode_cache_page);
+            Command::CachePage {
                 peer: peer.to_string(),
                 request,
                 response: logged(peer, response).map(Box::new),
@@ -95,9 +95,8 @@
     }
 }
 
-fn decode_memory_page(kind: u8, body: &[u8]) -> Option<MemoryPage> {
-    (kind == memory_exchange::KIND_MEMORY_PAGE)
-        .then(|| memory_exchange::decode_memory_page(body))?
+fn decode_cache_page(kind: u8, body: &[u8]) -> Option<CachePage> {
+    (kind == cache_exchange::KIND_CACHE_PAGE).then(|| cache_exchange::decode_cache_page(body))?
 }
 
 fn send_batch(
--- a/src/service/peer_server.rs
+++ b/src/service/peer_server.rs
@@ -4,8 +4,8 @@
 use super::threads::spawn;
 use crate::core::{Command, UserAction, UserRequest};
 use crate::http::Response;
+use crate::peer::cache_exchange;
 use crate::peer::heartbeat_batch;
-use crate::peer::memory_exchange;
 use crate::peer::{self, PeerAnswer, PeerRequest};
 use crate::wire::JobStatus;
 use std::io;
@@ -98,7 +98,7 @@
 fn handle(kind: u8, body: &[u8], inbox: &Inbox) -> io::Result<Option<Vec<u8>>> {
     match kind {
         heartbeat_batch::KIND_HEARTBEAT_BATCH => handle_heartbeat_batch(body, inbox),
-        memory_exchange::KIND_MEMORY_REQUEST => handle_memory_request(body, inbox),
+        cache_exchange::KIND_CACHE_REQUEST => handle_cache_request(body, inbox),
         _ => handle_user_request(kind, body, inbox),
     }
 }
@@ -111,9 +111,9 @@
     Ok((is_frame && !response.expired()).then_some(response.body))
 }
 
-fn handle_memory_request(body: &[u8], inbox: &Inbox) -> io::Result<Option<Vec<u8>>> {
-    let request = memory_exchange::decode_memory_request(body).ok_or(io::ErrorKind::InvalidData)?;
-    let response = inbox.request_and_wait(|ticket| Command::MemoryRequest { ticket, request });
+fn handle_cache_request(body: &[u8], inbox: &Inbox) -> io::Result<Option<Vec<u8>>> {
+    let request = cache_exchange::decode_cache_request(body).ok_or(io::ErrorKind::InvalidData)?;
+    let response = inbox.request_and_wait(|ticket| Command::CacheRequest { ticket, request });
     Ok((response.status == 200).then_some(response.body))
 }
 
--- a/src/snapshotter.rs
+++ b/src/snapshotter.rs
@@ -346,7 +346,7 @@
     let mut after = String::new();
     loop {
         // Large jobs are whole in it, whatever the parts in which they were stored.
-        let (items, more) = store_cache.memory(&after, PAGE_BYTES);
+        let (items, more) = store_cache.export_page(&after, PAGE_BYTES);
         if let Some((key, _)) = items.last() {
             after = key.clone();
         }
