--- a/src/core/store/cache.rs
+++ b/src/core/store/cache.rs
@@ -1,13 +1,14 @@
-//! This node's copy of what the state service holds, kept current by the watch. `keys` lists the keys.
+//! This controller's copy of the data in the state service, kept current by the watch. The module `keys` documents
+//! the keys.
 //!
-//! When the store has lost data, the copy outlives it: `merge_after_loss` keeps what is remembered and notes
-//! what of it the store does not hold. What others remember joins by the same rules (`remember`), which
-//! do not depend on order: ends are final, done tasks unite, a machine once known is known.
+//! After the store has lost data, `merge_after_loss` keeps the copied data and records which of it the store lacks.
+//! `merge_items` merges the copies of other controllers by the same rules, whose result does not depend on the order
+//! of merging: the end of a job is final, sets of done tasks are united, and a known machine stays known.
 //!
-//! - `apply`: a change of the store applied to the copy.
-//! - `loss`: whether the store contradicts the copy, and the copy of a store that lost data.
-//! - `memory`: the copy handed over to other controllers, and theirs joined.
-//! - `stored`: values as they are stored.
+//! - `apply`: application of the store's changes to the copy.
+//! - `loss`: comparison of the store with the copy, and the copy's state after a loss of data.
+//! - `exchange`: the copy's export to other controllers, and the merging of theirs.
+//! - `stored`: the stored form of each value.
 //! - `task_set`: sets of a job's tasks, stored as ranges.
 
 mod apply;
@@ -31,25 +32,26 @@
 };
 pub use task_set::TaskSet;
 
-/// A live job.
+/// A job that has not ended.
 #[derive(Clone, Debug)]
 pub struct JobRecord {
-    /// As it was submitted.
+    /// Specification as submitted.
     pub spec: Arc<JobSpec>,
-    /// When it was accepted.
+    /// Time at which the job was accepted.
     pub submitted: SystemTime,
-    /// The version of its key; 0 where the store has lost it.
+    /// Version of the job's key; 0 if the store has lost the key.
     pub version: u64,
-    /// Tasks that are done.
+    /// Tasks that have succeeded.
     pub done: TaskSet,
-    /// The ranges in which `done` is stored: their first tasks, and the task after the last one
-    /// that each of them has. An earlier version's ranges may reach further than ours.
+    /// Stored ranges of `done`: the first task of each range, with the task after the last done one in it. Ranges
+    /// written by an earlier version may be longer than those of this version.
     pub stored_ranges: BTreeMap<u32, u32>,
 }
 
 impl JobRecord {
-    /// First tasks of the ranges of this size that are to be written for these tasks to be on
-    /// record: theirs, and all that a stored range under one of these keys reaches over.
+    /// Returns the first tasks of the ranges, each of `size` tasks, that have to be written to persist `tasks`: the
+    /// ranges that contain them, and those that a longer stored range under one of the same keys extends over, as
+    /// writing the key replaces that range.
     pub fn ranges_to_write(&self, tasks: &BTreeSet<u32>, size: u32) -> BTreeSet<u32> {
         let mut bases: BTreeSet<u32> = tasks.iter().map(|task| task / size * size).collect();
         let mut unvisited: Vec<u32> = bases.iter().copied().collect();
@@ -67,70 +69,72 @@
     }
 }
 
-/// The copy of the store.
+/// Copy of the store.
 #[derive(Default)]
 pub struct StoreCache {
-    /// False until the first full list has been read.
+    /// Whether a full list of the store has been read.
     pub loaded: bool,
-    /// How new the copy is.
+    /// Revision of the store that the copy reflects.
     pub revision: u64,
-    /// The current leader, and the version of the leader key.
+    /// Current leader, and the version of the leader key.
     pub leader: Option<(LeaderValue, u64)>,
-    /// The newest term that is known of.
+    /// Newest known term, even if the store has lost it.
     pub term: u64,
-    /// The term that the store has, and the version of its key.
+    /// Term that the store holds.
     pub stored_term: u64,
-    /// 0 where the store has none.
+    /// Version of the term's key; 0 if the store holds no term.
     pub term_version: u64,
-    /// The machine types that the store has.
+    /// Machine types recorded in the store.
     pub machine_types: Vec<MachineType>,
-    /// Jobs that are not over.
+    /// Jobs that have not ended.
     pub jobs: BTreeMap<JobId, JobRecord>,
-    /// Finished jobs are never removed; little more than their ids is kept.
+    /// Outcomes of ended jobs, by job. Never removed; little more than the id of each is kept.
     pub finished: BTreeMap<JobId, JobOutcome>,
     /// Machines that may hold a task.
     pub machines: BTreeMap<MachineId, MachineValue>,
-    /// The dependencies among the live jobs.
+    /// Dependencies among the live jobs.
     pub dependencies: DependencyGraph,
-    /// Which of them are on which page.
+    /// Ids of the machines on each page, by page number.
     pub pages: BTreeMap<usize, BTreeSet<MachineId>>,
-    /// Those under keys of their own.
+    /// Machines recorded under keys of their own, as earlier versions did.
     pub single_key_machines: BTreeSet<MachineId>,
-    /// Jobs that changed since the leader last took them in.
+    /// Jobs that have changed since the leader last processed this set.
     pub changed_jobs: BTreeSet<JobId>,
-    /// Done ranges that were read before their job.
+    /// Ranges of done tasks that were read before the job they belong to.
     orphaned_ranges: BTreeMap<(JobId, u32), String>,
-    /// Keys of done ranges and parts of jobs that are over: the leader deletes them when there is room.
+    /// Keys of done ranges and of parts of ended jobs: the leader deletes them when a transaction has room.
     pub garbage_keys: BTreeSet<String>,
-    /// Jobs too large for one value.
+    /// Parts of jobs that are too large for one value.
     pub parts: LargeJobParts,
-    /// The identity of the store that this is a copy of, and the version of its key.
+    /// Identity of the store that this is a copy of, and the version of its key.
     pub identity: Option<(String, u64)>,
-    /// Its first term, if it was taken for new: a worker that has seen an earlier one proves it was not.
+    /// First term of the store, if its first leader found it empty and assumed that it was new. A worker that has seen
+    /// an earlier term proves that the assumption was wrong.
     pub first_term: Option<u64>,
-    /// It has another identity now, which a store is given only when it has lost data.
+    /// Whether the store was seen with another identity than `identity`. A store is given a new one only after it has
+    /// lost data.
     pub identity_changed: bool,
-    /// This process has noticed the loss itself, and the next identity is expected.
+    /// Whether this process has detected a loss of data itself, so that a new identity is no further sign of one.
     expects_new_identity: bool,
-    /// The mark of an incomplete store, and its version.
+    /// Mark of an incomplete store (`RebuildingValue`), and the version of its key.
     pub rebuilding: Option<(RebuildingValue, u64)>,
-    /// Jobs whose key is remembered here and not, or not so, in the store.
+    /// Jobs in this copy whose key the store lacks, or holds with an older state.
     pub missing_from_store: BTreeSet<JobId>,
-    /// Ends that this process wrote and the watch has not shown yet, with their revisions: a list
-    /// begun before them does not contradict them.
+    /// Ends of jobs that this process wrote and the watch has not delivered yet, with the revisions of the writes: a
+    /// list that was read at an earlier revision does not contradict them.
     unconfirmed_ends: BTreeMap<JobId, u64>,
-    /// Versions of keys, on which a leader's changes depend.
+    /// Versions of keys, on which a leader's changes are conditional.
     pub versions: KeyVersions,
-    /// What may still be on machines of jobs that were cancelled lately.
+    /// Tasks of recently cancelled jobs that may still be on machines.
     pub residual_tasks: BTreeMap<JobId, ResidualTasks>,
-    /// What was cancelled before (milliseconds since 1970) is on no machine any more.
+    /// Time, in milliseconds since the Unix epoch: tasks of jobs cancelled before it are no longer on any machine.
     residual_expired_before_ms: u64,
 }
 
 impl StoreCache {
-    /// Replaces everything, except that what is final stays final. A list may have been begun before
-    /// what this process wrote since, and does not know what it has yet to write: jobs newer than the
-    /// list stay, and so does what was done of all.
+    /// Replaces the copy by a full list of the store, but keeps the ends of jobs. The list may have been begun before
+    /// this process's latest writes, and lacks results that are not written yet: so jobs that are newer than the list
+    /// are kept too, and so are the done tasks of all jobs.
     pub fn reset(&mut self, items: Vec<Item>, revision: u64) {
         let finished = std::mem::take(&mut self.finished);
         let before = std::mem::take(&mut self.jobs);
@@ -164,7 +168,7 @@
         }
     }
 
-    /// This process wrote how a job ended.
+    /// Records that this process wrote the end of a job, at `revision`.
     pub fn record_job_end(
         &mut self,
         id: &JobId,
@@ -185,7 +189,7 @@
         );
     }
 
-    /// What of a job may be on machines, if it is cancelled now.
+    /// Returns the tasks of a live job that may be on machines when it is cancelled at `now`.
     pub fn residual_tasks_of(&self, id: &JobId, now: SystemTime) -> Option<ResidualTasks> {
         let job = self.jobs.get(id)?;
         let at = now.duration_since(SystemTime::UNIX_EPOCH);
@@ -197,14 +201,14 @@
         })
     }
 
-    /// What was cancelled before this moment is on no machine any more.
+    /// Forgets the tasks of jobs cancelled before `at_ms`: they are no longer on any machine.
     pub fn expire_residual_tasks(&mut self, at_ms: u64) {
         self.residual_expired_before_ms = at_ms;
         self.residual_tasks
             .retain(|_, residual| residual.cancelled_ms >= at_ms);
     }
 
-    /// The watch has shown these changes, up to this revision.
+    /// Applies changes that the watch has delivered; `revision` is that of the last one.
     pub fn apply(&mut self, events: Vec<WatchEvent>, revision: u64) {
         for event in events {
             if let Some(key) = event.put {
@@ -216,7 +220,7 @@
         self.advance_revision(revision);
     }
 
-    /// The copy is as new as this.
+    /// Records that the copy reflects the store up to `revision`.
     pub fn advance_revision(&mut self, revision: u64) {
         self.revision = self.revision.max(revision);
         let revision = self.revision;
@@ -224,13 +228,12 @@
         self.versions.drop_confirmed(revision);
     }
 
-    /// This process's changes were committed at this revision.
+    /// Records that changes of this process were committed at `revision`.
     pub fn record_write(&mut self, changes: &[Change], revision: u64) {
         self.versions.record_write(changes, revision, self.revision);
     }
 
-    /// How a job has ended, as far as that is durable: by its own end, or by that of a job that
-    /// it needs.
+    /// Returns the durable outcome of a job: its own, or `Cancelled` if a dependency was cancelled.
     pub fn outcome_of(&self, id: &str) -> Option<JobOutcome> {
         let own = self.finished.get(id).copied();
         own.or_else(|| {
@@ -240,11 +243,11 @@
         })
     }
 
-    /// Whether a job with this id was ever accepted, as far as is known here.
+    /// Returns whether a job with this id was ever accepted, as far as this process knows.
  pub fn is_known_job(&self, id: &str) -> bool {self.jobs.contains_key(id) || self.finished.contains_key(id) || self.parts.is_incomplete(id) 
     }
 
-    /// Whether no dependency of a live job keeps it from starting.
+    /// Returns whether all dependencies of a live job have ended, and none of them was cancelled.
     pub fn dependencies_met(&self, id: &JobId) -> bool {
         self.dependencies.unfinished_dependencies(id) == 0
             && self.dependencies.cancelled_dependency(id).is_none()
--- a/src/core/store/cache/apply.rs
+++ b/src/core/store/cache/apply.rs
@@ -1,4 +1,4 @@
-//! The store's changes applied to the copy: one method per kind of key.
+//! Application of the store's changes to the copy, with a method for each kind of key.
 
 use super::stored::is_ended;
 use super::{
@@ -16,14 +16,14 @@
 use std::time::{Duration, SystemTime};
 
 impl StoreCache {
-    /// The store holds this value under this key.
+    /// Applies a key's value in the store to the copy. An unreadable value is logged and ignored.
     pub(super) fn put(&mut self, key: &str, value: Value, version: u64) {
         if !key.starts_with(PREFIX) {
             return;
         }
         let kind = StoreKey::parse(key);
         let ended = matches!(kind, Some(StoreKey::Job(_))) && is_ended(&value);
-        // How a job ended is never written again.
+        // The key of an ended job is never written again, so its version is not needed.
         if ended && is_enabled(Safeguard::VersionPruning) {
             self.versions.forget(key);
         } else {
@@ -85,7 +85,7 @@
         }
     }
 
-    /// A store that has lost its terms does not bring back one that was used.
+    /// Applies the store's term. `term` never decreases, so that no term is used again after the store has lost data.
     fn put_term(&mut self, value: TermValue, version: u64) {
         if version > self.term_version {
             self.term = self.term.max(value.term);
@@ -94,7 +94,8 @@
         }
     }
 
-    /// Another identity than the one known is a sign of a loss, unless this process has noticed that itself.
+    /// Applies the store's identity. A new identity is a sign of a loss, unless this process has detected the loss
+    /// itself.
     fn put_identity(&mut self, id: &str, value: Value, version: u64) {
         let known = self.identity.as_ref();
         let same = known.is_some_and(|(known, _)| known == id);
@@ -126,14 +127,15 @@
         self.assemble_parts(id);
     }
 
-    /// Reads a job whose last part has come.
+    /// Adds a job that is stored in parts, once all parts have been read.
  fn assemble_parts(&mut self, id: &JobId) {if let Some((head, spec)) = self.parts.take_complete(id) {
             let value = JobValue::live(Box::new(spec), head.submitted_ms);
             self.put_job(id, value, head.version);
         }
     }
 
-    /// Applies a job key's value; version 0 if the store does not hold it and it comes from a controller's memory.
+    /// Applies the value of a job's key. Version 0 means that the value comes from another controller's copy or a
+    /// snapshot, not from the store.
     pub fn put_job(&mut self, id: &str, value: JobValue, version: u64) {
         let id = JobId::from(id);
         self.changed_jobs.insert(id.clone());
@@ -166,19 +168,20 @@
         }
     }
 
-    /// Notes whether the store has what is remembered of a job, by the form in which it is stored.
+    /// Updates whether the store lacks the state of a job that this copy has; `ended` tells whether the store holds the
+    /// job as ended.
     fn update_missing_from_store(&mut self, id: &JobId, ended: bool) {
         if ended || !self.finished.contains_key(id) {
             self.missing_from_store.remove(id);
         } else if !self.unconfirmed_ends.contains_key(id) {
-            // Stored as live, and remembered as over: a store that has lost data, unless the end has
-            // been written since by this process.
+            // The job has ended in this copy but not in the store. So the store has lost data, unless this process
+            // wrote the end and the watch has not delivered it yet.
             self.missing_from_store.insert(id.clone());
         }
     }
 
-    /// Whether the job itself, or its end, has been read already: an event may repeat what a newer list
-    /// has shown.
+    /// Returns whether the copy already has the job or its end. Events of the watch may repeat what a newer list
+    /// contained.
     fn is_cached(&self, id: &JobId) -> bool {
         self.finished.contains_key(id) || self.jobs.contains_key(id)
     }
@@ -194,7 +197,7 @@
         }
         let job = self.jobs.remove(&id);
         let dependencies = job.as_ref().map_or(&[][..], |j| &j.spec.dependencies);
-        // Its dependencies inherit no urgency from it any more.
+        // The job's dependencies no longer inherit its urgency.
  self.changed_jobs.extend(dependencies.iter().cloned()); let dependents = self.dependencies.remove_job(&id, dependencies, end); self.changed_jobs.extend(dependents); 
         let stored_ranges = job.map(|j| j.stored_ranges).unwrap_or_default();
         let orphaned = self.take_orphaned_ranges(&id).into_iter();
@@ -249,7 +252,7 @@
         };
         self.machines.extend(machines);
         for id in before.unwrap_or_default() {
-            // It may have moved to another page, whichever of the two was shown first.
+            // The machine may have moved to another page, whose change may have been delivered first.
             if !self.single_key_machines.contains(&id)
                 && !self.pages.values().any(|p| p.contains(&id))
             {
@@ -270,7 +273,7 @@
         }
     }
 
-    /// The store's key was deleted at this version.
+    /// Applies the deletion of a key at `version`.
     pub(super) fn delete(&mut self, key: &str, version: u64) {
         if !key.starts_with(PREFIX) {
             return;
@@ -306,7 +309,7 @@
         }
     }
 
-    /// The store is complete: the machines that it lists are all machines again.
+    /// Applies the deletion of the mark: the store is complete, so machines that it does not list are dropped.
     fn delete_incomplete_mark(&mut self) {
         self.rebuilding = None;
         let pages = self.pages.values().flatten();
--- a/src/core/store/cache/exchange.rs
+++ b/src/core/store/cache/exchange.rs
@@ -1,5 +1,5 @@
-//! A controller's memory of a store, handed over in pages, and the merging of others'. The rules do not depend on
-//! order: ends are final, done tasks unite, a machine once known is known.
+//! Export of the copy in pages, and merging of other controllers' copies and of snapshots. The result does not depend
+//! on the order of merging: the end of a job is final, sets of done tasks are united, and a known machine stays known.
 
 use super::{DoneValue, JobValue, MachineValue, PageValue, StoreCache, TaskSet, TermValue};
 use crate::core::store::keys::{
@@ -13,12 +13,12 @@
 use std::ops::Bound;
 use std::time::SystemTime;
 
-/// Machines in one page of a memory handed over.
+/// Number of machines in one exported item.
 const MACHINES_PER_PAGE: usize = 100;
-/// What separators and quotes take of a page, for each item.
+/// Bytes of a page for each item's separators and quotes.
 const ITEM_OVERHEAD_BYTES: usize = 8;
 
-/// A page of a memory in the making.
+/// Builder of one page of the exported copy.
 struct PageBuilder {
     items: Vec<(String, Value)>,
     bytes: usize,
@@ -26,7 +26,7 @@
 }
 
 impl PageBuilder {
-    /// Adds an item. Returns whether there is room for more.
+    /// Adds an item. Returns whether the page has room for more.
     fn add<T: Serialize>(&mut self, key: String, value: &T) -> bool {
         let text = to_json(value);
         self.bytes += key.len() + text.len() + ITEM_OVERHEAD_BYTES;
@@ -36,19 +36,19 @@
     }
 }
 
-/// What was new in what another controller, or a snapshot, remembers.
+/// Data that merging another controller's copy, or a snapshot, has added or found to be new.
 #[derive(Debug, Default)]
 pub struct MergeResult {
-    /// Done tasks of live jobs, which the leader counts as it does those in heartbeats.
+    /// Done tasks of live jobs. They are not merged: the leader processes them like results in heartbeats.
     pub done: Vec<(JobId, Vec<u32>)>,
-    /// Machines that were not known here.
+    /// Machines that this copy lacked.
     pub machines: Vec<MachineId>,
-    /// Jobs that were not known here, or not their ends.
+    /// Number of jobs, or ends of jobs, that this copy lacked.
     pub jobs: usize,
 }
 
 impl StoreCache {
-    /// Merges what other controllers remember and this one does not know.
+    /// Merges items of another controller's copy, or of a snapshot. Unreadable items are logged and ignored.
     pub fn merge_items(&mut self, items: Vec<(String, Value)>) -> MergeResult {
         let mut new = MergeResult::default();
         for (key, value) in items {
@@ -91,7 +91,7 @@
         Ok(())
     }
 
-    /// Returns whether any of it was new.
+    /// Merges a job. Returns whether the job, or its end, was new.
     fn merge_job(&mut self, id: &str, value: JobValue) -> bool {
         let job = JobId::from(id);
         let known = match &value {
@@ -107,7 +107,7 @@
         true
     }
 
-    /// Returns the machines that were not known.
+    /// Merges machines. Returns those that were new.
     fn merge_machines(&mut self, machines: BTreeMap<MachineId, MachineValue>) -> Vec<MachineId> {
         let mut new = Vec::new();
         for (id, machine) in machines {
@@ -119,7 +119,7 @@
         new
     }
 
-    /// Tasks of a live job that are done by these ranges, and not by this controller's copy.
+    /// Returns the tasks of a live job that are done according to `ranges` but not in this copy.
     fn new_done_tasks(&self, id: &str, base: u32, ranges: &str) -> Option<(JobId, Vec<u32>)> {
         let job = self.jobs.get(id)?;
         let mut done = TaskSet::default();
@@ -129,8 +129,8 @@
         (!tasks.is_empty()).then(|| (JobId::from(id), tasks))
     }
 
-    /// What this copy holds, as keys and values of the store in a fixed order, from after a key on
-    /// and up to so many bytes; with whether there is more.
+    /// Exports a page of this copy, as keys and values of the store in a fixed order: those after the key `after`,
+    /// until the page has `max_bytes`. Also returns whether more follow.
     pub fn export_page(&self, after: &str, max_bytes: usize) -> (Vec<(String, Value)>, bool) {
         let mut page = PageBuilder {
             items: Vec::new(),
@@ -141,7 +141,8 @@
         (page.items, !complete)
     }
 
-    /// Jobs come before their done tasks, which mean nothing without them. False: the page is full.
+    /// Fills a page. Returns false once the page is full. Jobs come before done tasks, which cannot be merged without
+    /// their job.
     fn fill(&self, after: &str, page: &mut PageBuilder) -> bool {
         let filled = match StoreKey::parse(after) {
             Some(StoreKey::MachinePage(n)) => self.fill_machines(n.saturating_add(1), page),
@@ -164,7 +165,7 @@
         self.fill_jobs(after, page) && self.fill_done("", page) && self.fill_machines(0, page)
     }
 
-    /// Jobs, live and ended, by id.
+    /// Adds live and ended jobs, by id. Returns false once the page is full.
     fn fill_jobs(&self, after: &str, page: &mut PageBuilder) -> bool {
         let from = (Bound::Excluded(after), Bound::Unbounded);
         let ended = self.finished.range::<str, _>(from);
@@ -188,7 +189,7 @@
         }
     }
 
-    /// Done tasks of live jobs.
+    /// Adds the done tasks of live jobs. Returns false once the page is full.
     fn fill_done(&self, after: &str, page: &mut PageBuilder) -> bool {
         let from = (Bound::Excluded(after), Bound::Unbounded);
         let jobs = self.jobs.range::<str, _>(from);
@@ -201,7 +202,7 @@
         true
     }
 
-    /// Machines, in pages of their own.
+    /// Adds machines, in pages numbered independently of the store's. Returns false once the page is full.
     fn fill_machines(&self, first_page: usize, page: &mut PageBuilder) -> bool {
         let machines: Vec<_> = self.machines.iter().collect();
         let pages = machines.chunks(MACHINES_PER_PAGE).enumerate();
@@ -215,7 +216,7 @@
         true
     }
 
-    /// What the job's key holds, or would hold.
+    /// Returns the value that a job's key in the store has, or should have. Jobs stored in parts are returned whole.
     pub fn job_value(&self, id: &JobId) -> Option<JobValue> {
         if let Some(end) = self.finished.get(id) {
             let residual_tasks = self.residual_tasks.get(id).cloned();
--- a/src/core/store/cache/loss.rs
+++ b/src/core/store/cache/loss.rs
@@ -1,4 +1,4 @@
-//! Comparison of the stored data with this copy, to detect data loss, and the copy's repair after a loss.
+//! Comparison of the stored data with this copy, to detect data loss, and the merging of both after a loss.
 
 use super::StoreCache;
 use super::stored::is_ended;
@@ -11,8 +11,9 @@
 use std::ops::Bound;
 
 impl StoreCache {
-    /// Why what is stored cannot be what this copy was made of, if so. A list that was begun before
-    /// this process's own newest writes does not hold them, and is no contradiction. Lists are ordered by key.
+    /// Returns the reason why a full list of the store contradicts this copy, if it does. The reason is stored in the
+    /// mark of an incomplete store. A list that was begun before this process's latest writes may lack them without
+    /// contradiction. The list must be ordered by key.
     pub fn find_contradiction(&self, items: &[Item], revision: u64) -> Option<String> {
         if revision < self.revision {
             let before = self.revision;
@@ -37,12 +38,12 @@
         Some(format!("it has forgotten how job {id} ended"))
     }
 
-    /// Whether a list of this revision may lack what was written to a job's key at another one.
+    /// Returns whether a list of `revision` may lack what was written to a job's key at revision `written_at`.
     fn may_lack(&self, id: &JobId, written_at: u64, revision: u64) -> bool {
         written_at > revision || self.missing_from_store.contains(id)
     }
 
-    /// A live job that has no key in the list.
+    /// Returns a live job whose key is missing from the list.
     fn find_absent_job(&self, items: &[Item], revision: u64) -> Option<&JobId> {
         let absent = |id: &JobId| find_item(items, &job_key(id)).is_none();
         let mut jobs = self.jobs.iter();
@@ -51,7 +52,7 @@
         Some(id)
     }
 
-    /// A job that is over here, and not in the list.
+    /// Returns a job that has ended in this copy but not in the list.
     fn find_absent_end(&self, items: &[Item], revision: u64) -> Option<&JobId> {
         let written_at = |id: &JobId| self.unconfirmed_ends.get(id).copied().unwrap_or(0);
         let not_over =
@@ -60,8 +61,8 @@
         finished.find(|id| !self.may_lack(id, written_at(id), revision) && not_over(id))
     }
 
-    /// The first difference between the jobs' keys in a range and the copy, which must be as new as
-    /// they are.
+    /// Returns the first difference between the copy and a page of the store's job keys: those after the key `after`,
+    /// up to `last` or the end. The copy must be at least as new as the page.
     pub fn find_job_difference(
         &self,
         items: &[Item],
@@ -73,13 +74,15 @@
         for item in items {
             let id = job_id(&item.key);
             if !self.is_known_job(&id) {
-                return Some(format!("it has job {id}, which the watch has not shown"));
+                return Some(format!(
+                    "it has job {id}, which the watch has not delivered"
+                ));
             }
             if !is_ended(&item.value)
                 && self.finished.contains_key(&id)
                 && !self.unconfirmed_ends.contains_key(&id)
             {
-                return Some(format!("it has forgotten how job {id} ended"));
+                return Some(format!("it lacks the end of job {id}"));
             }
         }
         let stored: BTreeSet<JobId> = items.iter().map(|item| job_id(&item.key)).collect();
@@ -90,11 +93,11 @@
         let expected = |id: &&JobId| !self.missing_from_store.contains(*id);
         let mut known = live.chain(ended).filter(expected);
         let missing = known.find(|id| !stored.contains(*id))?;
-        Some(format!("it has forgotten job {missing}"))
+        Some(format!("it lacks job {missing}"))
     }
 
-    /// The store has lost data: the copy stays, the stored values are merged into it, and what the copy
-    /// has beyond them is missing from the store. Versions are reset.
+    /// Merges a full list of a store that has lost data into the copy. Jobs and ends that only the copy has are
+    /// recorded as missing from the store. Versions of keys are reset.
     pub fn merge_after_loss(&mut self, items: Vec<Item>, revision: u64) {
         let prefix = stored_key("j/");
         let stored: BTreeMap<JobId, bool> = (items.iter())
@@ -106,7 +109,7 @@
             })
             .collect();
         for job in self.jobs.values_mut() {
-            // Older than whatever leads from now on: its tasks may be anywhere.
+            // Marks the job as older than any later leadership: its tasks may be on any machine.
             job.version = 0;
             job.stored_ranges.clear();
         }
@@ -126,7 +129,8 @@
         self.loaded = true;
     }
 
-    /// Clears what is known of the store itself, but keeps the data that it held.
+    /// Clears what is known about the store itself, such as its identity, versions and pages; jobs, terms and
+    /// machines stay.
     fn clear_store_metadata(&mut self, revision: u64) {
         self.identity = None;
         self.first_term = None;
@@ -145,14 +149,14 @@
         self.versions = KeyVersions::default();
     }
 
-    /// The store has lost data and has an identity all the same: it gets another one, so that no write
-    /// that was meant for what is lost can be applied.
+    /// Expects a new identity of the store, if it has one: the next leader replaces the identity of a store that has
+    /// lost data, so that no write intended for the store before the loss can be applied.
     pub fn expect_new_identity(&mut self) {
         self.expects_new_identity = self.identity.is_some();
     }
 }
 
-/// The item of a key in a list ordered by key.
+/// Returns the item of a key from a list ordered by key.
 fn find_item<'a>(items: &'a [Item], key: &str) -> Option<&'a Item> {
     let at = items.binary_search_by(|item| item.key.as_str().cmp(key));
     at.ok().map(|n| &items[n])
--- a/src/core/store/cache/stored.rs
+++ b/src/core/store/cache/stored.rs
@@ -1,120 +1,120 @@
-//! Values as they are stored, under the keys that `keys` lists.
+//! Stored forms of the values. The module `keys` documents their keys.
 
 use crate::core::store::keys::PartGeneration;
 use crate::job::{JobOutcome, JobSpec, MachineId, Resources};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Who leads.
+/// Current leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaderValue {
-    /// The controller's name.
+    /// Name of the controller.
     pub name: String,
-    /// Tells its process from an earlier one of the same name.
+    /// Random number that distinguishes the process from earlier ones of the same controller.
     #[serde(rename = "nonce")]
     pub process_nonce: u64,
-    /// The lease that the key is attached to.
+    /// Lease that the key is attached to.
     pub lease: u64,
 }
 
-/// What is written of a store once, under the key with its identity.
+/// Description of a store, written once under the key with its identity.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct IdentityValue {
-    /// The version of the forms in which keys and values are written.
+    /// Version of the format of keys and values.
     pub format: u32,
-    /// The identity of the store that it continues, where that one lost data.
+    /// Identity that the store had before it lost data; `None` if it has lost none, or the identity is unknown.
     #[serde(rename = "of")]
     pub lost_store: Option<String>,
-    /// Its first term, if it was empty and taken for new.
+    /// First term of the store, if its first leader found it empty and assumed that it was new.
     #[serde(default)]
     #[serde(rename = "first")]
     pub first_term: Option<u64>,
 }
 
-/// While this is in the store, what is absent from it may yet have been accepted.
+/// Mark of an incomplete store: while it is present, jobs that are absent from the store may have been accepted.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RebuildingValue {
-    /// The identity of the store that lost data, if it was known.
+    /// Identity of the store that lost data, if known.
     #[serde(rename = "of")]
     pub lost_store: Option<String>,
-    /// When that was noticed, in milliseconds since 1970.
+    /// Time at which the loss was detected, in milliseconds since the Unix epoch.
     pub since_ms: u64,
+    /// How the loss was detected.
     #[serde(rename = "why")]
-    /// How it was noticed.
     pub reason: String,
 }
 
-/// The newest term.
+/// Newest term.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct TermValue {
-    /// Earlier versions call it `term` and cannot read this: having seen it, they cannot raise
-    /// the term, so none of them leads again that would not know of the pages of machines.
+    /// Number of the term. Earlier versions name the field `term` and cannot read this form, so they cannot raise the
+    /// term and do not become leader again: they would not know the pages of machines.
     #[serde(rename = "era", alias = "term")]
     pub term: u64,
 }
 
-/// A job's stored form: all of it while it lives, how it ended afterwards.
+/// Stored form of a job: the whole job until it ends, its outcome afterwards.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum JobValue {
-    /// A live job without dependencies.
+    /// Live job without dependencies.
     Live {
-        /// As it was submitted.
+        /// Specification as submitted.
         spec: Box<JobSpec>,
         /// Time at which the job was accepted, in milliseconds since the Unix epoch.
         submitted_ms: u64,
     },
-    /// A live job with dependencies. Versions that do not know of this must not start it, and
-    /// cannot: they read no job from it, and answer questions about it with 503, not with 404.
+    /// Live job with dependencies. Versions that do not support dependencies must not start the job. They cannot
+    /// parse this form, and respond to queries about the job with 503, not with 404.
     WithDependencies {
-        /// As it was submitted.
+        /// Specification as submitted.
         dependent: Box<JobSpec>,
         /// Time at which the job was accepted, in milliseconds since the Unix epoch.
         submitted_ms: u64,
     },
-    /// A live job, as long as that many parts under keys of their own.
+    /// Live job that is stored in parts, under keys of their own.
     Multipart {
-        /// How many parts it has.
+        /// Number of parts.
         parts: u32,
-        /// The writing of parts that it refers to.
+        /// Generation of the parts that this value refers to.
         #[serde(rename = "stem")]
         generation: PartGeneration,
         /// Time at which the job was accepted, in milliseconds since the Unix epoch.
         submitted_ms: u64,
     },
-    /// How a job ended; this is never written again.
+    /// Ended job; the key is never written again.
     Ended {
-        /// Its outcome.
+        /// Outcome of the job.
         end: JobOutcome,
-        /// Tasks of a cancelled job that may still be on machines. Earlier versions neither write nor read this.
+        /// Tasks of a cancelled job that may still be on machines. Earlier versions neither write nor read this field.
         #[serde(rename = "left", default, skip_serializing_if = "Option::is_none")]
         residual_tasks: Option<ResidualTasks>,
     },
 }
 
-/// Tasks of a cancelled job that may still be on machines: it counts towards its team's limit until their leases
-/// have expired, also for a leader that never knew the job.
+/// Tasks of a cancelled job that may still be on machines. They count towards their team's limit until the workers'
+/// leases have expired. They are stored so that a later leader that has never seen the job counts them too.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ResidualTasks {
-    /// The team that the job is of.
+    /// Team of the job.
     pub team: String,
-    /// What each task takes.
+    /// Resources of each task.
     #[serde(rename = "needs")]
     pub resources: Resources,
-    /// How many were not done when the job's end was written.
+    /// Number of tasks that were not done when the job's end was written.
     pub tasks: u32,
-    /// When that was, in milliseconds since 1970.
+    /// Time of the cancellation, in milliseconds since the Unix epoch.
     #[serde(rename = "at_ms")]
     pub cancelled_ms: u64,
 }
 
-/// Whether a job's stored form says how it ended; only that of one that is over has an end.
+/// Returns whether the stored form of a job is that of an ended one, the only form with the field `end`.
 pub(in crate::core) fn is_ended(value: &serde_json::Value) -> bool {
     JobOutcome::deserialize(&value["end"]).is_ok()
 }
 
 impl JobValue {
-    /// The stored form of a live job that fits into one value.
+    /// Returns the stored form of a live job that fits into one value.
     pub fn live(spec: Box<JobSpec>, submitted_ms: u64) -> JobValue {
         if spec.dependencies.is_empty() {
             JobValue::Live { spec, submitted_ms }
@@ -127,31 +127,31 @@
     }
 }
 
-/// A machine that may hold a task.
+/// Machine that may hold a task.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineValue {
-    /// Where its worker listens.
+    /// Address on which the worker listens.
     pub addr: String,
-    /// The name of its machine type.
+    /// Name of the machine type.
     #[serde(rename = "kind")]
     pub machine_type: String,
-    /// The zone that it is in.
+    /// Zone of the machine.
     pub zone: String,
-    /// Whether the cloud may take it back at any time.
+    /// Whether the cloud may reclaim the machine at any time.
     pub spot: bool,
 }
 
-/// A page of machines.
+/// Page of machines.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PageValue {
-    /// The machines, by id.
+    /// Machines by id.
     pub machines: BTreeMap<MachineId, MachineValue>,
 }
 
-/// Done tasks of a job.
+/// Range of a job's done tasks.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct DoneValue {
-    /// Ranges, counted from the task in the key: "0-4,7".
+    /// Done tasks as ranges relative to the first task, which is in the key: "0-4,7".
     #[serde(rename = "rows")]
     pub tasks: String,
 }
--- a/src/core/store/cache/task_set.rs
+++ b/src/core/store/cache/task_set.rs
@@ -1,6 +1,6 @@
-//! A set of a job's tasks by index, stored as ranges.
+//! Set of task indices of a job, and its stored form as ranges.
 
-/// A set of a job's tasks, by index.
+/// Set of a job's tasks, by index.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TaskSet {
     bits: Vec<u64>,
@@ -8,13 +8,13 @@
 }
 
 impl TaskSet {
-    /// Whether a task is in the set.
+    /// Returns whether a task is in the set.
     pub fn contains(&self, task: u32) -> bool {
         let (word, bit) = (task as usize / 64, task % 64);
         self.bits.get(word).is_some_and(|x| x >> bit & 1 == 1)
     }
 
-    /// Adds a task; false if it was there already.
+    /// Adds a task. Returns false if it was in the set already.
     pub fn insert(&mut self, task: u32) -> bool {
         let (word, bit) = (task as usize / 64, task % 64);
         if self.contains(task) {
@@ -39,12 +39,12 @@
         self.count = self.bits.iter().map(|b| b.count_ones()).sum();
     }
 
-    /// How many tasks there are.
+    /// Returns the number of tasks in the set.
     pub fn len(&self) -> u32 {
         self.count
     }
 
-    /// The ranges within `base..base + size`, counted from `base`: "0-4,7".
+    /// Formats the tasks within `base..base + size` as ranges relative to `base`: "0-4,7".
     pub fn ranges(&self, base: u32, size: u32) -> String {
         let mut out = String::new();
         let mut task = base;
@@ -69,8 +69,8 @@
         out
     }
 
-    /// Adds what `ranges` wrote, and returns where it ends; tasks from `limit` on and unreadable parts
-    /// are passed over.
+    /// Adds the tasks of ranges formatted by `ranges`, except those from `limit` on; malformed ranges are ignored.
+    /// Returns the index after the last task in them, or `base` if there is none.
     pub fn add_ranges(&mut self, base: u32, text: &str, limit: u32) -> u32 {
         let mut end = base;
         for part in text.split(',') {
--- a/src/core/store/cache/tests.rs
+++ b/src/core/store/cache/tests.rs
@@ -2,8 +2,8 @@
 use crate::job::Resources;
 use serde::Deserialize;
 
-/// Controllers are replaced one after the other: the earlier version must not lead once the
-/// machines are recorded in a form that it does not know.
+/// During a rolling upgrade, a controller of an earlier version must not become leader once machines are recorded in a
+/// form that it does not know. It would if it could read the term that a newer version has written.
 #[test]
 fn a_term_of_an_earlier_version_is_readable_but_not_vice_versa() {
     #[derive(Deserialize)]
@@ -43,7 +43,8 @@
     assert!(alternate.ranges(0, 2048).len() < 6 * 1024);
 }
 
-/// Neither their number nor what else is cancelled makes a job forgotten of which something may be left.
+/// The residual tasks of a cancelled job count towards its team's limit, so only the passing of time may drop them:
+/// neither the number of cancelled jobs nor a new list of the store does.
 #[test]
 fn residual_tasks_of_cancelled_jobs_are_kept_until_they_expire() {
     let cancelled = |at_ms: u64| JobValue::Ended {
@@ -63,14 +64,14 @@
     assert_eq!(
         store_cache.residual_tasks.len(),
         7000,
-        "a thousand ended too long ago"
+        "1,000 jobs were cancelled before the expiry time"
     );
     store_cache.reset(Vec::new(), 9000);
     store_cache.put_job("wk-100000", cancelled(9999), 9001);
     assert_eq!(
         store_cache.residual_tasks.len(),
         7000,
-        "a list changes nothing of that"
+        "a full list of the store keeps residual tasks"
     );
     store_cache.expire_residual_tasks(16_500);
     assert_eq!(store_cache.residual_tasks.len(), 500);
--- a/src/core/store/integrity.rs
+++ b/src/core/store/integrity.rs
@@ -1,21 +1,21 @@
 //! Detection of data loss in the state service.
 //!
-//! A store has an identity, a random name that its first leader gives it. Each controller remembers
-//! that, the newest revision it has seen, and all that it read. Signs of a loss (a revision that went
-//! back, an identity that is gone, an unknown lease that should still be valid, a worker that has seen a
-//! newer term than ours) only make it read the store again: the decision compares what is stored
-//! with the copy. An outage, a watch that is too old, a restart, an older version as leader are no such signs.
+//! A store has an identity: a random name given by its first leader. Each controller keeps the identity, the newest
+//! revision it has seen, and a copy of the data. A sign of a loss (a revision that went back, a missing identity, an
+//! unknown lease that should still be valid, a worker that has seen a newer term than the store's) only makes the
+//! controller read the whole store again. A loss is then detected by comparing the store with the copy. An outage, a
+//! watch that is too old, a restart, or a leader of an older version are no signs of a loss.
 //!
-//! Having lost data, the store gets another identity with its next leader, on which all its writes
-//! depend: what was meant for the old one can't be applied to the new, whatever its revisions. And
-//! no controller leads it before the lease of any earlier leader has expired: that one's last renewal came
-//! before the loss, and the loss before it was noticed.
+//! After a loss, the next leader gives the store a new identity, and every write is conditional on it: so no write
+//! intended for the store before the loss can be applied, whatever the revisions are. No controller becomes leader
+//! before the lease of any earlier leader has expired: that lease was last renewed before the loss, so a full lease
+//! duration after the loss was detected is long enough.
 //!
-//! - `data_loss`: signs of a loss, and the verdict by a full read.
-//! - `identity`: the store's names, the mark of an incomplete store, and who may campaign.
-//! - `terms`: terms that workers and controllers have seen, and the next one.
+//! - `data_loss`: signs of a loss, and its detection by a full read.
+//! - `identity`: the store's identity, the mark of an incomplete store, and who may campaign.
+//! - `terms`: terms that workers and other controllers have seen, and the choice of the next term.
 //! - `checks`: periodic checks of identity, revision and jobs.
-//! - `cache_exchange`: what controllers ask each other about their copies.
+//! - `cache_exchange`: requests of the controllers for each other's copies.
 
 mod cache_exchange;
 mod checks;
@@ -28,87 +28,92 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant, SystemTime};
 
-/// Between two checks of whether the store is still the one it was.
+/// Interval between checks of the store's identity, revision and jobs.
 const CHECK_INTERVAL: Duration = Duration::from_secs(3);
-/// Between two full reads for a suspicion.
+/// Minimum interval between two full reads because of suspected data loss.
 const REREAD_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A loss of data that this process has noticed, until the store has a new identity.
+/// Loss of data that this process has detected; kept until a leader has begun to rebuild the store.
 #[derive(Clone, Debug)]
 pub struct DataLoss {
-    /// When it was noticed.
+    /// Time of detection.
     pub since: Instant,
-    /// The same by the time of day.
+    /// Wall-clock time of detection.
     pub wall: SystemTime,
-    /// How it showed, for logs and the status view.
+    /// How the loss was detected, for logs, the status view and the mark of an incomplete store.
     pub reason: String,
-    /// The store's identity when it was noticed, and whether it was marked as incomplete then.
+    /// Identity of the store at the time of detection.
     identity: Option<String>,
+    /// Whether the store was marked as incomplete at the time of detection.
     was_marked: bool,
 }
 
-/// What this process knows of the store beside its copy, and how it checks that the store has kept its data.
+/// State of the checks that the store has kept its data, and what this process knows of the store beyond its copy.
 #[derive(Default)]
 pub struct StoreIntegrity {
-    /// The newest revision in an answer, and what it was when each call in flight was made.
+    /// Newest revision in a response.
     newest_revision: u64,
+    /// Newest revision known when each call in flight was made.
     revision_at_call: BTreeMap<CallId, u64>,
-    /// A loss that no leader has begun to rebuild yet.
+    /// Loss after which no leader has begun to rebuild the store yet.
     pub data_loss: Option<DataLoss>,
-    /// The identity of the store that lost data last.
+    /// Identity that the store had before its last loss of data.
     pub lost_store: Option<String>,
-    /// Identities that the store has had as long as this process has known it: restored to one of them, it
-    /// has lost data once more.
+    /// Identities that the store has had since this process started. A store that goes back to one of them has lost
+    /// data again.
     known_identities: BTreeSet<String>,
-    /// Those under which it held all, or under which this process remembers all, the newest last.
+    /// Identities under which the store was complete, or whose data this process's copy has in full; newest last.
     pub complete_stores: Vec<String>,
-    /// This process itself held a copy when data were lost.
+    /// Whether this process had a copy of the store when data was lost.
     pub had_copy: bool,
-    /// Losses noticed by this process.
+    /// Number of losses that this process has detected.
     pub losses: u64,
-    /// Read empty, with nothing remembered here, since then.
+    /// Time since which the store has been empty, with no data in this process's copy either.
     empty_since: Option<Instant>,
-    /// When this process saw it empty for the first time.
+    /// Time at which this process first saw the store empty.
     first_seen_empty: Option<Instant>,
-    /// When this process read the store for the first time, if that had an identity by then.
+    /// Time of this process's first read of the store, if the store had an identity then.
     first_read: Option<Instant>,
-    /// The others' summaries of what they remember of an empty store, and when they were asked last.
+    /// Summaries of the other controllers' copies, by controller, requested while the store is empty.
     peer_summaries: BTreeMap<String, CachePage>,
+    /// Time of the last requests for summaries.
     summaries_requested: Option<Instant>,
     terms: ObservedTerms,
     reread: Reread,
-    /// The mark of an incomplete store was there when the copy changed last.
+    /// Whether the store was marked as incomplete at the last change of the copy.
     was_marked: bool,
     last_check: Option<Instant>,
+    /// Whether the last check was due for the identity; checks of identity and revision alternate.
     last_check_was_identity: bool,
-    /// The service gave no answer for a while: it may have been restored meanwhile.
+    /// Whether the service has been unreachable since the last check: it may have been restored to older data
+    /// meanwhile.
     was_unreachable: bool,
-    /// The key of the last job that was compared with the store.
+    /// Key of the last job that was compared with the store.
     audit_cursor: String,
 }
 
-/// Terms that were seen elsewhere than in the store.
+/// Terms observed outside the store.
 #[derive(Default)]
 struct ObservedTerms {
-    /// The newest that a worker has shown, or another controller knows; 0 for none.
+    /// Newest term that a worker has seen or another controller knows; 0 for none.
     newest: u64,
-    /// Since when the newest is known.
+    /// Time since which `newest` is known.
     newest_since: Option<Instant>,
-    /// The oldest that a worker has shown.
+    /// Oldest term in the workers' fencing tokens.
     oldest: Option<u64>,
 }
 
-/// The last full read for a suspicion.
+/// Last full read of the store because of suspected data loss.
 #[derive(Default)]
 struct Reread {
     started: Option<Instant>,
     finished: bool,
-    /// There was another sign since it was started.
+    /// Whether there was another sign of a loss since the read was started.
     suspected_again: bool,
 }
 
 impl StoreIntegrity {
-    /// Records that a worker or another controller has seen this term.
+    /// Records that a worker or another controller has seen `term`.
     pub(in crate::core) fn observe_term(&mut self, term: u64, now: Instant) {
         if term > self.terms.newest {
             self.terms.newest = term;
@@ -116,19 +121,19 @@
         }
     }
 
-    /// A call to the store is made: its answer may not show an older revision than known by now.
+    /// Records a call to the store: its response must not show an older revision than the newest one known now.
     pub(in crate::core) fn record_call(&mut self, call: CallId) {
         self.revision_at_call.insert(call, self.newest_revision);
     }
 
-    /// Whether a peer has read the store, by its last summary.
+    /// Returns whether a peer has read the store, according to its last summary.
     fn peer_has_read_store(&self, peer: &str) -> bool {
         let summary = self.peer_summaries.get(peer);
         summary.is_some_and(|summary| summary.store_loaded)
     }
 }
 
-/// Whether something that is done at most once in an interval is due.
+/// Returns whether an action is due that is done at most once per `interval`.
 fn is_due(last: Option<Instant>, interval: Duration, now: Instant) -> bool {
     last.is_none_or(|last| now >= last + interval)
 }
--- a/src/core/store/integrity/cache_exchange.rs
+++ b/src/core/store/integrity/cache_exchange.rs
@@ -1,4 +1,4 @@
-//! The controllers' requests for each other's copies of the store: summaries while the store is empty, and whole
+//! Requests of the controllers for each other's copies of the store: summaries while the store is empty, and whole
 //! copies for a rebuild.
 
 use super::is_due;
@@ -7,11 +7,11 @@
 use crate::peer::cache_exchange::{CachePage, CacheRequest, PAGE_BYTES, encode_cache_page};
 use std::time::Duration;
 
-/// Between two requests to a controller for its summary of an empty store.
+/// Interval between two requests to a controller for a summary while the store is empty.
 const SUMMARY_REQUEST_INTERVAL: Duration = Duration::from_millis(200);
 
 impl Core {
-    /// Requests a summary from the controllers that, as far as is known, have not read the empty store.
+    /// Requests a summary, while the store is empty, from each controller that is not known to have read the store.
     pub(super) fn request_peer_summaries(&mut self) {
         let now = self.now.mono;
         let integrity = &mut self.store_integrity;
@@ -53,7 +53,7 @@
         self.answer(ticket, Response::new(200, body));
     }
 
-    /// Processes another controller's response to a request for its copy of the store; `None` if there was none.
+    /// Processes another controller's response to a request for its copy of the store; `None` if it gave none.
     pub(in crate::core) fn handle_cache_response(
         &mut self,
         peer: String,
--- a/src/core/store/integrity/checks.rs
+++ b/src/core/store/integrity/checks.rs
@@ -1,4 +1,4 @@
-//! Periodic checks of whether the store is the one it was: its identity, its revision, and the keys of jobs.
+//! Periodic checks that the store has kept its data: its identity, its revision, and the keys of jobs.
 
 use super::{CHECK_INTERVAL, REREAD_INTERVAL, is_due};
 use crate::core::Core;
@@ -6,11 +6,11 @@
 use crate::core::store::keys::{NEVER_WRITTEN, REBUILDING, identity_key, key};
 use crate::store_client::{StoreOutcome, StoreRequest};
 
-/// Jobs that the leader compares with their keys at each check.
+/// Number of job keys that the leader compares with its copy at each check.
 const AUDIT_BATCH: usize = 100;
 
 impl Core {
-    /// Checks now and then whether the store is the one it was, and asks the others about an empty one.
+    /// Checks periodically that the store has kept its data, and asks the other controllers about an empty store.
     pub(in crate::core) fn check_store_integrity(&mut self) {
         let now = self.now.mono;
         self.request_peer_summaries();
@@ -23,7 +23,8 @@
             self.store_integrity.was_unreachable = true;
             return;
         }
-        // Restored while it was away: the revision shows it, unless others' changes make up for it first.
+        // If the service was restored to older data while unreachable, its revision is lower, unless other processes'
+        // changes have raised it again.
         let was_unreachable = std::mem::take(&mut self.store_integrity.was_unreachable);
         if was_unreachable && self.store_cache.loaded {
             self.call_store(
@@ -42,7 +43,7 @@
         self.store_integrity.last_check = Some(now);
         let check_identity = !self.store_integrity.last_check_was_identity;
         self.store_integrity.last_check_was_identity = check_identity;
-        // The first check comes after a while: what was just read is what there is.
+        // No check is due right after the first read of the store.
         if last_check.is_some() {
             self.check_identity_or_revision(check_identity);
         }
@@ -55,21 +56,21 @@
             self.call_store(PendingCall::CheckIdentity(version), StoreRequest::Get(key));
             return;
         }
-        // Where there is no mark, its absence shows the revision. A store rolled back into its
-        // rebuilding shows it again, and no watch tells of that.
+        // Reading an absent key returns the revision. While the store is not marked as incomplete, the mark's key is
+        // read: it reappears if the store is rolled back into a rebuild, which the watch does not report.
         let unmarked = self.store_cache.rebuilding.is_none();
         let name = if unmarked { REBUILDING } else { NEVER_WRITTEN };
         self.call_store(PendingCall::CheckRevision, StoreRequest::Get(key(name)));
     }
 
-    /// The answer to a check of the revision, beyond the revision itself.
+    /// Processes the response to a check of the revision, which may contain the mark of an incomplete store.
     pub(in crate::core) fn revision_checked(&mut self, outcome: StoreOutcome) {
         if matches!(outcome, StoreOutcome::Found(_)) && self.store_cache.rebuilding.is_none() {
-            self.suspect_data_loss("it is marked as incomplete, which the watch has not shown");
+            self.suspect_data_loss("it is marked as incomplete, which the watch has not delivered");
         }
     }
 
-    /// The answer to a check of the identity that had this version.
+    /// Processes the response to a check of the identity whose key had this version.
     pub(in crate::core) fn identity_checked(&mut self, version: u64, outcome: StoreOutcome) {
         let current = self.store_cache.identity.as_ref().map(|(_, v)| *v);
         if current != Some(version) {
@@ -84,9 +85,9 @@
         }
     }
 
-    /// Reads some jobs' keys from after this one on. What the watch shows may have a gap that no revision
-    /// shows, after a small loss that other changes have made up for; and single keys may be lost at
-    /// any time.
+    /// Reads a batch of job keys, those after the key `after`, to compare them with the copy. This finds losses that no
+    /// revision shows: a small rollback after which other changes have raised the revision again leaves a gap in the
+    /// watch, and single keys may be lost at any time.
     fn audit(&mut self, after: String, suspicion: Option<String>) {
         let request = StoreRequest::Page {
             prefix: key("j/"),
@@ -96,8 +97,8 @@
         self.call_store(PendingCall::AuditJobs { after, suspicion }, request);
     }
 
-    /// The copy may have changed after the keys were read, so only the same difference in a second read,
-    /// begun after the first was seen, is a sign of a loss.
+    /// Compares a batch of job keys with the copy. The copy may have changed after the keys were read, so only the same
+    /// difference in a second read, begun after the first one was compared, is a sign of a loss.
     pub(in crate::core) fn jobs_audited(
         &mut self,
         after: String,
@@ -113,7 +114,7 @@
             return;
         };
         let last = items.last().map(|i| i.key.clone()).filter(|_| more);
-        // What the watch has yet to show proves nothing.
+        // The copy cannot be compared until the watch has delivered all changes up to the page's revision.
         if self.store_cache.revision < revision {
             return;
         }
--- a/src/core/store/integrity/data_loss.rs
+++ b/src/core/store/integrity/data_loss.rs
@@ -1,4 +1,4 @@
-//! Signs that the store has lost data, the full read that they lead to, and the verdict.
+//! Signs that the store has lost data, the full read that they trigger, and the detection of a loss.
 
 use super::{CHECK_INTERVAL, DataLoss, REREAD_INTERVAL, is_due};
 use crate::core::leadership::lease::LEASE_TTL;
@@ -8,19 +8,20 @@
 use crate::wire::Item;
 use std::time::{Duration, Instant};
 
-/// A controller that starts on a store that was rolled back just before cannot see that data is missing. After this
-/// delay the other controllers have noticed, the former leader has stopped acting, and the store is marked.
+/// Time within which the other controllers have detected a loss, the former leader has stopped acting, and the store is
+/// marked as incomplete. A controller that starts just after the store was rolled back cannot see that data is missing.
 const LOSS_DETECTION_DELAY: Duration = CHECK_INTERVAL
     .saturating_add(LEASE_TTL)
     .saturating_add(Duration::from_secs(1));
 
 impl Core {
-    /// No state may be answered that is not in the store, or not final.
+    /// Returns whether the store may lack accepted data. While it does, only states that are stored and final may be
+    /// reported.
     pub(in crate::core) fn store_is_incomplete(&self) -> bool {
         self.store_integrity.data_loss.is_some() || self.store_cache.rebuilding.is_some()
     }
 
-    /// A sign that the store is not what it was: it is read as a whole.
+    /// Reads the whole store again after a sign of data loss, to compare it with the copy.
     pub(in crate::core) fn suspect_data_loss(&mut self, reason: &str) {
         let now = self.now.mono;
         if !self.store_cache.loaded {
@@ -28,7 +29,7 @@
         }
         let reread = &mut self.store_integrity.reread;
         if !is_due(reread.started, REREAD_INTERVAL, now) {
-            // A sign that comes soon after another one must not be lost.
+            // The store is read again later, so that this sign is not lost.
             reread.suspected_again = true;
             return;
         }
@@ -39,7 +40,7 @@
         self.effects.push(Effect::RereadStore);
     }
 
-    /// Answers show the revision; it never falls while the service keeps its data.
+    /// Checks the revision in a response: it never decreases while the service keeps its data.
     pub(in crate::core) fn observe_revision(&mut self, call: CallId, outcome: &StoreOutcome) {
         let asked = self.store_integrity.revision_at_call.remove(&call);
         let (StoreOutcome::Committed { revision } | StoreOutcome::Missing { revision }) = outcome
@@ -52,14 +53,14 @@
         self.store_integrity.newest_revision = self.store_integrity.newest_revision.max(*revision);
     }
 
-    /// What was read as a whole is compared with what is remembered.
+    /// Compares a full list of the store with the copy, and updates the copy.
     pub(in crate::core) fn reconcile_store_list(&mut self, items: Vec<Item>, revision: u64) {
         let now = self.now.mono;
         self.store_integrity.reread.finished = true;
         let first = !self.store_cache.loaded;
         match self.store_cache.find_contradiction(&items, revision) {
             Some(reason) => self.handle_contradiction(items, revision, reason),
-            // What the store has yet to get back is remembered until it has.
+            // Data that the store lacks is kept in the copy until it has been written back.
             None if self.has_missing_data() => {
                 self.store_cache.merge_after_loss(items, revision);
                 if self.store_integrity.data_loss.is_some() {
@@ -80,11 +81,12 @@
         self.store_is_incomplete() || !self.store_cache.missing_from_store.is_empty()
     }
 
-    /// A full read contradicts the copy: this process stops leading, and the copy keeps what the store has lost.
+    /// Handles a full list that contradicts the copy: this process stops leading, and the copy keeps what the store has
+    /// lost.
     fn handle_contradiction(&mut self, items: Vec<Item>, revision: u64, reason: String) {
         tracing::error!(reason, "the state service has lost data");
-        // Whatever number its lease has, another may have been given the same since. A leader
-        // key that was restored ends with its lease.
+        // The store may since have given this lease's id to another process. A leader key that was restored with the
+        // store expires with its lease.
         self.step_down("the state service has lost data");
         self.replace_lease();
         let before = self.store_cache.identity.as_ref().map(|(id, _)| id.clone());
@@ -114,13 +116,13 @@
         );
     }
 
-    /// Whether another controller noticed the loss earlier and has begun a rebuild.
+    /// Returns whether another controller detected the loss earlier and has begun a rebuild.
     fn rebuild_has_begun(&self, loss: &DataLoss) -> bool {
         let known = &self.store_integrity.known_identities;
         loss.was_marked && loss.identity.as_ref().is_some_and(|id| !known.contains(id))
     }
 
-    /// Notes since when the store has been empty, with nothing remembered here.
+    /// Updates the time since which the store has been empty, with no data in the copy either.
     fn update_empty_since(&mut self) {
         let now = self.now.mono;
         let empty = self.store_has_no_identity()
@@ -144,9 +146,10 @@
         }
     }
 
-    /// While a new store may yet prove to be an old one that was wiped, an unknown job is not called
-    /// so: each worker sends a heartbeat within this time, with the term that it has seen. Nor does a controller
-    /// that has just begun call it so, as the others may be about to notice a loss.
+    /// Returns whether a job unknown to this process may have been accepted, so that it must not be reported as
+    /// nonexistent. A store that seems new may be an old one that was wiped: each worker sends a heartbeat within
+    /// `report_window`, with the newest term that it has seen. And a controller that has just started does not know
+    /// whether the others are about to detect a loss.
     pub(in crate::core) fn job_existence_is_uncertain(&self) -> bool {
         let within =
             |since: Option<Instant>, window| since.is_some_and(|t| self.now.mono < t + window);
@@ -158,7 +161,8 @@
             || self.store_is_incomplete()
     }
 
-    /// A loss that shows in something else than the copy, which is as new as the loss.
+    /// Records a loss that was detected by other evidence than the copy, which was itself read after the loss. The
+    /// reason is stored in the mark of an incomplete store.
     pub(super) fn declare_data_loss(&mut self, reason: String) {
         tracing::error!(reason, "the state service has lost data");
         let loss = self.new_data_loss(reason);
@@ -171,7 +175,7 @@
         self.store_cache.expect_new_identity();
     }
 
-    /// Gives the lease back, but stands again: the next leader begins to rebuild.
+    /// Steps down and releases the lease, so that the store is rebuilt by the next leader, which may be this process.
     pub(in crate::core) fn resign_to_rebuild(&mut self) {
         self.step_down("the state service has lost data");
         self.release_lease();
--- a/src/core/store/integrity/identity.rs
+++ b/src/core/store/integrity/identity.rs
@@ -1,5 +1,5 @@
-//! The store's identity: which names it has had, who may lead an unnamed one or one that lost data, and the mark of
-//! an incomplete store.
+//! Identity of the store: which identities it has had, who may become leader of a store that has none or has lost
+//! data, and the mark of an incomplete store.
 
 use super::DataLoss;
 use crate::core::Core;
@@ -11,22 +11,22 @@
 use crate::wire::{Change, CompareAndSwap, Condition, to_json_value};
 use std::time::SystemTime;
 
-/// How the keys and values are written.
+/// Version of the format of keys and values.
 const FORMAT_VERSION: u32 = 1;
-/// Identities of complete stores that are kept, and handed over to other controllers.
+/// Maximum number of identities of complete stores that are kept, and sent to other controllers.
 const MAX_STORE_IDENTITIES: usize = 32;
 
 impl Core {
-    /// Neither an identity nor a term: a new store, or one that has lost both.
+    /// Returns whether the store has been read and holds neither an identity nor a term: it is new, or has lost both.
     pub(super) fn store_has_no_identity(&self) -> bool {
         self.store_cache.loaded
             && self.store_cache.identity.is_none()
             && self.store_cache.term_version == 0
     }
 
-    /// The store has been read, and may have a new identity.
+    /// Processes the store's identity and its mark, either of which may be new, after a change of the copy.
     pub(in crate::core) fn observe_identity(&mut self) {
-        // Another controller noticed a data loss that may affect this process's copy too.
+        // Another controller has detected a data loss, which this process's copy may not reflect yet.
         let marked = self.store_cache.rebuilding.is_some();
         if marked && !self.store_integrity.was_marked && self.store_integrity.data_loss.is_none() {
             self.suspect_data_loss("it is marked as incomplete");
@@ -41,7 +41,7 @@
         }
         self.record_identity();
         self.check_older_term();
-        // The rebuilding that was under way when the loss was noticed here is over.
+        // The rebuild that was in progress when this process detected the loss has finished.
         if !marked
             && let Some(loss) = &mut self.store_integrity.data_loss
             && std::mem::take(&mut loss.was_marked)
@@ -51,8 +51,8 @@
         }
     }
 
-    /// A data loss is over for this process once a leader has begun to rebuild the store under a new identity,
-    /// or has marked it under the identity it had.
+    /// Clears the detected data loss once the store is marked for a rebuild, under a new identity or under the one
+    /// that it had.
     fn compare_identity_with_loss(&mut self, marked: bool) {
         let integrity = &mut self.store_integrity;
         let (Some((identity, _)), Some(loss)) =
@@ -63,17 +63,17 @@
         let same = Some(identity) == loss.identity.as_ref();
         let begun = !same && !integrity.known_identities.contains(identity);
         if marked && (begun || (same && !loss.was_marked)) {
-            tracing::warn!(identity, "store goes on under a new leader");
+            tracing::warn!(identity, "store marked for rebuild");
             integrity.data_loss = None;
         } else if !same {
-            // Restored to an earlier state, or given an identity by a leader unaware of the loss.
+            // The store was restored to an earlier state, or a leader unaware of the loss gave it an identity.
             loss.identity = Some(identity.clone());
             loss.was_marked = marked;
             self.store_cache.expect_new_identity();
         }
     }
 
-    /// Notes the store's identity, and whether the store of that name was complete or is remembered here.
+    /// Records the store's identity, and whether the store is complete or this copy has all its data.
     fn record_identity(&mut self) {
         let Some((identity, _)) = &self.store_cache.identity else {
             return;
@@ -82,7 +82,7 @@
         if !integrity.known_identities.contains(identity) {
             integrity.known_identities.insert(identity.clone());
         }
-        // A store that is being rebuilt continues one of which all may be remembered here.
+        // This copy may have all the data of the store that is being rebuilt.
         let complete = match &self.store_cache.rebuilding {
             None => true,
             Some((mark, _)) => (mark.lost_store.as_ref())
@@ -96,12 +96,12 @@
         }
     }
 
-    /// Whether this process may try to lead, as far as the store is concerned.
+    /// Returns whether this process may campaign for leadership, as far as the state of the store allows.
     pub(in crate::core) fn may_campaign(&mut self) -> bool {
         if let Some(loss) = &self.store_integrity.data_loss {
             return self.now.mono >= loss.since + LEASE_TTL;
         }
-        // A term is in the store before any worker can have seen it.
+        // A term is stored before any worker can see it, so the store has lost one that is newer than its own.
         if self.store_cache.term_version > 0
             && self.store_integrity.terms.newest > self.store_cache.term
         {
@@ -111,7 +111,8 @@
         self.may_campaign_in_empty_store()
     }
 
-    /// A term newer than the store's proves a loss once a full read, begun after it was seen, has not shown it.
+    /// Declares a data loss if a full read, begun after the newer term was seen, has not shown that term; starts such a
+    /// read otherwise.
     fn verify_newer_term(&mut self) {
         let (reread, terms) = (&self.store_integrity.reread, &self.store_integrity.terms);
         if reread.finished && reread.started > terms.newest_since {
@@ -122,8 +123,9 @@
         }
     }
 
-    /// An empty store is new, or was wiped while no controller watched it. It is taken for new when all other
-    /// controllers have read it and remember nothing, or when the lease of any earlier leader has expired.
+    /// Returns whether this process may campaign, if the store is empty. An empty store is new, or was wiped while no
+    /// controller watched it. It is assumed to be new when all other controllers have read it and have no data of it,
+    /// or when the lease of any earlier leader has expired.
     fn may_campaign_in_empty_store(&mut self) -> bool {
         let now = self.now.mono;
         let Some(since) = self.store_integrity.empty_since else {
@@ -147,8 +149,8 @@
         peers.all(|p| self.store_integrity.peer_has_read_store(&p.name)) || now >= since + LEASE_TTL
     }
 
-    /// The changes to the store's identity in the transaction that begins a leadership: a first one for a new
-    /// store; another one, and the mark of an incomplete store, where data were lost.
+    /// Returns the changes to the store's identity in the transaction that begins a leadership: a first identity for
+    /// a new store, or a new identity and the mark of an incomplete store after a loss of data.
     pub(in crate::core) fn identity_changes(&self) -> Vec<Change> {
         let known = self.store_cache.identity.as_ref();
         let loss = self.store_integrity.data_loss.as_ref();
@@ -173,7 +175,7 @@
         changes
     }
 
-    /// Another controller leads and knows nothing of the loss: it sees by this mark that it has to
+    /// Marks the store as incomplete if another controller leads that does not know of the loss, so that it starts a
     /// rebuild.
     pub(super) fn mark_as_incomplete(&mut self) {
         let now = self.now.mono;
--- a/src/core/store/integrity/terms.rs
+++ b/src/core/store/integrity/terms.rs
@@ -1,20 +1,20 @@
-//! Terms that workers and other controllers have seen: one newer than the store's was given by a store that is no
-//! more. And the term of the next leadership.
+//! Terms that workers and other controllers have seen, and the choice of the next leadership's term. A term newer than
+//! the store's was assigned before the store lost data.
 
 use crate::core::Core;
 use crate::core::machines::machine::TOKEN_EPOCH_BITS;
 use std::time::SystemTime;
 
-/// The beginning of 2020, in seconds since 1970.
+/// Start of 2020, in seconds since the Unix epoch.
 const EPOCH_S: u64 = 1_577_836_800;
-/// An attempt's number has the term above 32 bits of its own.
+/// Largest term: an attempt's number holds the term above 32 bits of its own.
 const MAX_TERM: u64 = u32::MAX as u64;
-/// A term this far ahead of the time of day, in seconds, was assigned to no leader.
+/// Maximum number of seconds by which a plausible term is ahead of the wall clock: no leader was assigned a later one.
 const MAX_TERM_LEAD_S: u64 = 86_400;
 
 impl Core {
-    /// Every heartbeat shows the newest token that its worker has seen; a term newer than the store's
-    /// was given by a store that is no more.
+    /// Records the term of the newest fencing token that a worker has seen, which each heartbeat contains, and checks
+    /// for a data loss.
     pub(in crate::core) fn observe_fencing_token(&mut self, token: u64) {
         let term = token >> TOKEN_EPOCH_BITS;
         if term > 0 {
@@ -26,8 +26,8 @@
         self.check_older_term();
     }
 
-    /// The next leader can be elected only after this leader's lease has expired: a term newer than an acting
-    /// leader's own was assigned by a store whose data has been lost.
+    /// Declares a data loss if a term newer than that of this active leader was seen. The next leader can be elected
+    /// only after this leader's lease has expired, so the newer term was assigned before the store lost data.
     pub(in crate::core) fn check_newer_term(&mut self) {
         let Some(leader) = &self.leader else { return };
         let (ours, newest) = (leader.term, self.newest_term());
@@ -39,7 +39,7 @@
         }
     }
 
-    /// In a store that was taken for new, no worker can have seen a term before its first.
+    /// Declares a data loss if a worker has seen a term older than the first one of a store that was assumed to be new.
     pub(super) fn check_older_term(&mut self) {
         let (Some(first), Some(oldest)) = (
             self.store_cache.first_term,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The newest term that is known of.
+    /// Returns the newest known term.
     pub(super) fn newest_term(&self) -> u64 {
         self.store_cache.term.max(self.store_integrity.terms.newest)
     }
@@ -69,16 +69,16 @@
         since.unwrap_or_default().as_secs().saturating_sub(EPOCH_S)
     }
 
-    /// Whether a leader may have had this term: none is ahead of the time of day by more than clocks
-    /// differ, and leaders that follow one another faster than seconds do.
+    /// Returns whether a leader may have had this term. Terms are ahead of the wall clock by no more than the
+    /// difference between clocks, and the number of leaders in excess of one a second.
     pub(in crate::core) fn is_plausible_term(&self, term: u64) -> bool {
         term <= self.seconds_since_epoch().saturating_add(MAX_TERM_LEAD_S)
     }
 
-    /// The term of the next leadership: the seconds since 2020, or the newest term plus one if that is more.
-    /// Leaders change less than once a second, so no term is reused, whatever data is lost: a controller that
-    /// has just started on a store that was rolled back cannot know of later terms. Two controllers with the
-    /// same knowledge never choose the same term: each has its own residue modulo the number of controllers.
+    /// Returns the term of the next leadership: the seconds since 2020, or the newest known term plus one if that is
+    /// larger. Leaders change less than once a second, so no term is reused even after data loss, when a controller
+    /// that has just started on a rolled-back store cannot know of later terms. Controllers with the same knowledge
+    /// never choose the same term: each has its own residue modulo the number of controllers.
     pub(in crate::core) fn next_term(&self) -> u64 {
         let minimum = (self.newest_term() + 1).max(self.seconds_since_epoch());
         let peers = self.settings.peers.iter().map(|p| p.name.as_str());
--- a/src/core/store/mod.rs
+++ b/src/core/store/mod.rs
@@ -1,15 +1,14 @@
-//! The leader's and followers' view of the key-value store: its keys, this process's cache of them, the leader's
-//! durable writes, and what happens when the store loses data.
+//! Access to the key-value store ("state service"): its keys, this process's cache of their values, the leader's
+//! durable writes, and the handling of data loss in the store.
 //!
-//! Owns `StoreCache`, `StoreIntegrity`, `Rebuild` and `ReadBarriers`. Nothing else builds a transaction
-//! of the leader's.
+//! Owns `StoreCache`, `StoreIntegrity`, `Rebuild` and `ReadBarriers`. The leader's transactions are built only here.
 //!
 //! - `keys`, `versions`: keys and their versions; `cache`: the copy of the store, kept current by the watch.
-//! - `transaction`, `writes`, `commit`: the leader's next transaction, its way to the store, and whether one
-//!   without an answer was committed.
+//! - `transaction`, `writes`, `commit`: building the leader's next transaction, sending it, and finding out whether
+//!   one without a response was committed.
 //! - `machine_records`, `large_jobs`: values that are spread over several keys.
-//! - `read_barrier`: linearizable reads of what one key cannot answer.
-//! - `integrity`, `rebuild`: whether the store has kept its data, and how a leader brings back what it lost.
+//! - `read_barrier`: linearizable reads that need more than the value of one key.
+//! - `integrity`, `rebuild`: detection of data loss in the store, and restoration of the lost data by the leader.
 
 pub mod barrier_request;
 pub mod cache;
--- a/src/core/store/rebuild/held_tasks.rs
+++ b/src/core/store/rebuild/held_tasks.rs
@@ -1,4 +1,4 @@
-//! Tasks on machines whose jobs no controller remembers: they are adopted when their job becomes known.
+//! Tasks on machines whose jobs are in no controller's copy: they are adopted when their job becomes known.
 
 use super::{HeldTask, Rebuild};
 use crate::core::Core;
@@ -8,14 +8,15 @@
 use std::collections::BTreeSet;
 
 impl LeaderState {
-    /// Whether a task is of a job that may have been accepted all the same.
+    /// Returns whether a task may be of an accepted job that the store has lost; `known` tells whether its job is
+    /// known.
     pub(in crate::core) fn may_belong_to_lost_job(&self, known: bool) -> bool {
         !known && self.rebuild.as_ref().is_some_and(|r| !r.settled)
     }
 }
 
 impl Core {
-    /// A job has become known that tasks on machines are of.
+    /// Adopts the held tasks and results of a job, if it has become known.
     pub(in crate::core) fn adopt_job(&mut self, id: &JobId) {
         if !self.store_cache.is_known_job(id) {
             return;
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Takes over the held tasks that the job still needs, and stops the others. Returns those taken over.
+    /// Assigns to the job those held tasks that it still needs, and stops the others. Returns the assigned ones.
     fn adopt_held_tasks(
         &mut self,
         id: &JobId,
@@ -85,8 +86,8 @@
         adopted
     }
 
-    /// Held tasks are of some team, and nothing shows of which: they count towards each of them with
-    /// all that their machines have.
+    /// Returns the resources of held tasks, which count towards every team's limit, as their team is not known. Their
+    /// needs are not known either, so the whole capacity of their machines is counted.
     pub(in crate::core) fn held_resources(&self, leader: &LeaderState) -> Resources {
         let mut total = Resources::default();
         let machines = leader.rebuild.iter().flat_map(Rebuild::held_machines);
--- a/src/core/store/rebuild/machine_list.rs
+++ b/src/core/store/rebuild/machine_list.rs
@@ -1,4 +1,4 @@
-//! Machines that are in no record of this store: the cloud's machine list or another controller's memory shows them.
+//! Machines that are in no record of this store, but in the cloud's machine list or another controller's copy.
 
 use crate::core::Core;
 use crate::core::leadership::state::LeaderState;
@@ -7,12 +7,12 @@
 use crate::job::MachineId;
 use std::time::{Duration, Instant};
 
-/// Added to twice the lag of the cloud's list.
+/// Time added to twice the lag of the cloud's machine list.
 const LIST_MARGIN: Duration = Duration::from_millis(200);
 
 impl Core {
-    /// Whether starts wait for a list of the cloud that can be asked for now, the last one having been
-    /// asked for too early.
+    /// Returns whether the start of tasks waits for a machine list of the cloud that can be requested now; `asked` is
+    /// the time of the last request, which may have been too early.
     pub(in crate::core) fn machine_list_due(
         &self,
         leader: &LeaderState,
@@ -26,7 +26,7 @@
         waits && self.now.mono >= from && asked.is_none_or(|t| t < from)
     }
 
-    /// A list of the cloud was read while a store is being rebuilt: whatever it shows may hold tasks.
+    /// Processes a machine list of the cloud during a rebuild: every unrecorded machine in the list may have tasks.
     pub(in crate::core) fn observe_machine_list(
         &mut self,
         sent: Instant,
@@ -34,8 +34,8 @@
         booting: Vec<MachineId>,
     ) {
         let now = self.now.mono;
-        // The list shows a time at most twice its lag ago, and all that the lost store could have
-        // recorded was created before this leadership began.
+        // The list is at most twice its lag old, and every machine that the store may have recorded before the loss was
+        // created before this leadership began.
         let after = self.settings.machine_list_lag * 2 + LIST_MARGIN;
         let Some(leader) = &mut self.leader else {
             return;
@@ -56,7 +56,8 @@
 }
 
 impl LeaderState {
-    /// A machine that may hold tasks and has no record here.
+    /// Adds a machine that may have tasks and is in no record of this store, and schedules a probe of it unless it has
+    /// reported already.
     pub(super) fn add_unresolved_machine(
         &mut self,
         id: &MachineId,
@@ -78,7 +79,7 @@
         if machine.incarnation > 0 {
             return;
         }
-        // No controller other than this leader has answered it since then.
+        // No controller but this leader has renewed the worker's lease since then.
         machine.lease_renewed = since;
         let was_unresolved = std::mem::replace(&mut machine.unresolved, true);
         if !was_unresolved {
--- a/src/core/store/rebuild/operator.rs
+++ b/src/core/store/rebuild/operator.rs
@@ -11,13 +11,13 @@
 use std::time::Instant;
 
 impl Core {
-    /// The response to an operator's command, which only the leader can carry out.
+    /// Returns the response to an operator's command on a controller that is not the leader.
     fn not_the_leader(&self) -> Response {
         let leader = self.leader_name().unwrap_or("nobody");
         Response::error(409, &format!("not the leader; that is {leader}"))
     }
 
-    /// Accepts the store as it is: tasks of jobs that no controller remembers are stopped, and those jobs are
+    /// Accepts the store as it is: tasks of jobs that are in no controller's copy are stopped, and those jobs are
     /// unknown from now on.
     pub(in crate::core) fn accept_incomplete_store(&mut self, ticket: Ticket) {
         let now = self.now.mono;
@@ -44,8 +44,8 @@
         self.answer(ticket, Response::new(200, to_json(&body)));
     }
 
-    /// Merges a snapshot, or a page of one, like a peer's copy; `store` identifies the store of which it is a
-    /// snapshot, and `last` marks its last page.
+    /// Merges a page of a snapshot like a page of a peer's copy; `store` is the identity of the snapshot's store, and
+    /// `last` marks the snapshot's last page.
     pub(in crate::core) fn merge_snapshot(
         &mut self,
         ticket: Ticket,
@@ -62,7 +62,9 @@
             return self.answer(ticket, Response::error(409, text));
         };
         if let Some(lost) = rebuild.lost_store.as_deref().filter(|lost| *lost != store) {
-            let text = format!("a snapshot of {store}, and what lost data is {lost}");
+            let text = format!(
+                "this is a snapshot of store {store}, but the store that lost data is {lost}"
+            );
             return self.answer(ticket, Response::error(409, &text));
         }
         let new = self.merge_peer_items(items);
--- a/src/core/store/rebuild/peer_copies.rs
+++ b/src/core/store/rebuild/peer_copies.rs
@@ -1,4 +1,4 @@
-//! Merges the memories of other controllers, and snapshots, of a store that lost data into this copy.
+//! Merging of other controllers' copies, and of snapshots, of a store that lost data into this copy.
 
 use super::{PeerCopy, Rebuild};
 use crate::core::{Core, Effect};
@@ -6,14 +6,14 @@
 use crate::peer::cache_exchange::{CachePage, CacheRequest};
 use std::time::{Duration, Instant};
 
-/// After no answer, a controller is asked again.
+/// Delay before a controller that gave no response is asked again.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
-/// All are asked once more, so long after they were asked first: what was in flight to the lost
-/// store (its calls take 1.5 s at the most) is in their memory then.
+/// Delay between reading a controller's copy for the first and the second time. Calls to the store take at most 1.5 s,
+/// so by then the copy contains the changes that were in flight when the store lost data.
 const SECOND_PASS_DELAY: Duration = Duration::from_secs(2);
 
 impl Core {
-    /// Asks each controller for the next page of its memory, until it was read twice.
+    /// Requests the next page of each controller's copy, until the copy has been read twice.
     pub(super) fn request_cache_pages(&mut self) {
         let now = self.now.mono;
         let Some(rebuild) = self.rebuild_mut() else {
@@ -42,7 +42,7 @@
         self.leader.as_mut()?.rebuild.as_mut()
     }
 
-    /// A page of another controller's memory, or no answer.
+    /// Merges a page of another controller's copy; `None` if there was no response.
     pub(in crate::core) fn handle_cache_page(
         &mut self,
         peer: &str,
@@ -51,7 +51,7 @@
     ) {
         let now = self.now.mono;
         let copy = self.rebuild_mut().and_then(|r| r.peer_copies.get_mut(peer));
-        let Some(copy) = copy.filter(|m| m.in_flight && m.after == asked.after) else {
+        let Some(copy) = copy.filter(|c| c.in_flight && c.after == asked.after) else {
             return;
         };
         copy.in_flight = false;
@@ -69,7 +69,7 @@
         self.check_newer_term();
     }
 
-    /// Merges another controller's memory. Returns how many jobs, or ends of jobs, were new.
+    /// Merges items of another controller's copy, or of a snapshot. Returns how many jobs, or ends of jobs, were new.
     pub(super) fn merge_peer_items(&mut self, items: Vec<(String, serde_json::Value)>) -> usize {
         let new = self.store_cache.merge_items(items);
         self.sync_job_runs();
@@ -85,7 +85,7 @@
         new.jobs
     }
 
-    /// Another controller remembers a machine that was not known here.
+    /// Adds a machine that is known only from another controller's copy.
     fn add_machine_from_peer(&mut self, id: &MachineId) {
         let now = self.now.mono;
         let Some(value) = self.store_cache.machines.get(id).cloned() else {
@@ -112,12 +112,12 @@
         !self.in_flight && self.passes < 2 && !waits && !between_passes
     }
 
-    /// A page has come: the next one follows, or a pass is complete.
+    /// Advances to the next page, or completes a pass if this page is the last one.
     fn advance(&mut self, page: &CachePage, now: Instant) {
         let last = page.items.last().map(|(key, _)| key.clone());
         match last.filter(|_| page.more) {
             Some(key) => self.after = key,
-            // Also of one that has just begun, and remembers nothing.
+            // A controller that has just started, and has no copy, completes a pass too.
             None => {
                 self.after.clear();
                 self.passes += 1;
@@ -128,12 +128,13 @@
 }
 
 impl Rebuild {
-    /// Notes what a controller's page has brought, and whether it is of the store that lost data.
+    /// Records how many jobs were new in a page, and whether the page is of a copy of the store that lost data.
     fn record_page(&mut self, peer: &str, page: &CachePage, new_jobs: usize) {
         let had_copy = match &self.lost_store {
             Some(lost) => page.complete_stores.contains(lost),
-            // A controller that had just begun noticed the loss by what workers have seen, and knows no name:
-            // whatever store the others remember is the one.
+            // The loss was detected by a controller that had just started, from terms that workers had seen, so the
+            // identity of the lost store is unknown. Any copy that another controller has is assumed to be of that
+            // store.
             None => page.has_state,
         };
         if let Some(copy) = self.peer_copies.get_mut(peer) {
@@ -144,7 +145,7 @@
     }
 }
 
-/// The readable items of a page; the others are logged and passed over.
+/// Parses the items of a page; unreadable ones are logged and ignored.
 fn read_items(peer: &str, items: Vec<(String, String)>) -> Vec<(String, serde_json::Value)> {
     let read = items.into_iter().filter_map(|(key, text)| {
         let value = serde_json::from_str(&text);
--- a/src/core/store/rebuild/procedure.rs
+++ b/src/core/store/rebuild/procedure.rs
@@ -1,4 +1,4 @@
-//! The course of a rebuild: its begin, what waits for it, and its end.
+//! Course of a rebuild: its begin, the conditions for queries and task starts, and its end.
 
 use super::{PeerCopy, Rebuild};
 use crate::core::Core;
@@ -7,7 +7,8 @@
 use crate::job::{MachineId, TaskId};
 
 impl Core {
-    /// Called when a leadership begins, and when the mark appears.
+    /// Starts a rebuild if the store is marked as incomplete. Called when a leadership begins, and when the mark
+    /// appears.
     pub(in crate::core) fn start_rebuild(&mut self) {
         let Some((mark, _)) = &self.store_cache.rebuilding else {
             return;
@@ -36,8 +37,8 @@
             own_copy,
             "store rebuild started"
         );
-        // A leader that knew of no loss may have ordered machines to stop what is of no job: it may be of one
-        // all the same, and must not be started elsewhere before it is gone.
+        // Before it knew of the loss, this leader may have ordered machines to stop tasks of unknown jobs. Such a
+        // task may be of a lost job, and must not be started elsewhere until it has stopped.
         for machine in leader.machines.values() {
             let unknown = |task: &&TaskId| !self.store_cache.is_known_job(&task.job);
             for task in machine.tasks.keys().filter(unknown) {
@@ -49,7 +50,7 @@
         self.rewrite_progress();
     }
 
-    /// Done tasks are written again, whichever of them are stored.
+    /// Schedules all done tasks to be written again, whether or not they are stored.
     fn rewrite_progress(&mut self) {
         let Some(leader) = &mut self.leader else {
             return;
@@ -64,12 +65,13 @@
         }
     }
 
-    /// Until the workers' leases have expired, a machine unknown to all controllers may hold tasks.
+    /// Returns whether all workers' leases from before this leadership have expired. Until then, a machine that no
+    /// controller knows may have tasks.
     fn worker_leases_expired(&self, leader: &LeaderState) -> bool {
         self.now.mono > leader.since + lease_expiry(self.settings.worker_lease)
     }
 
-    /// Whether the leader may answer with states that are not final.
+    /// Returns whether the leader may report states that are not final.
     pub(in crate::core) fn may_report_state(&self) -> bool {
         let Some(leader) = &self.leader else {
             return false;
@@ -77,7 +79,7 @@
  let complete = |r: &Rebuild| r.is_complete() || self.worker_leases_expired(leader); self.is_active_leader() && leader.rebuild.as_ref().is_some_and(complete) 
     }
 
-    /// Whether tasks may be started, as far as a loss of data is concerned.
+    /// Returns whether a rebuild, if one is in progress, allows tasks to be started.
     pub(in crate::core) fn may_start_tasks(&self, leader: &LeaderState) -> bool {
         let Some(rebuild) = &leader.rebuild else {
             return true;
@@ -88,7 +90,7 @@
         all_known || self.worker_leases_expired(leader)
     }
 
-    /// Called in every step of an acting leader.
+    /// Advances the rebuild. Called in every step of an active leader.
     pub(in crate::core) fn advance_rebuild(&mut self) {
         if self.store_cache.rebuilding.is_none() {
             return self.finish_rebuild();
@@ -104,7 +106,7 @@
         self.update_rebuild_complete(may_start);
     }
 
-    /// The mark of an incomplete store is gone.
+    /// Ends the rebuild after the mark of an incomplete store was deleted.
     fn finish_rebuild(&mut self) {
         if let Some(leader) = &mut self.leader
             && leader.rebuild.take().is_some()
@@ -114,7 +116,7 @@
         }
     }
 
-    /// Notes when tasks may be started for the first time.
+    /// Records the time from which tasks may be started.
     fn record_starts_allowed(&mut self, may_start: bool) {
         let now = self.now.mono;
         let Some(leader) = &mut self.leader else {
@@ -131,7 +133,7 @@
         }
     }
 
-    /// Notes when all that controllers remember is known.
+    /// Records the time at which all copies had been merged.
     fn record_completeness(&mut self) {
         let now = self.now.mono;
         let Some(leader) = &mut self.leader else {
@@ -152,7 +154,7 @@
         }
     }
 
-    /// The mark may be deleted once all is known, written back, and nothing is held.
+    /// Updates whether the mark may be deleted: all copies are merged, all data is written back, and no task is held.
     fn update_rebuild_complete(&mut self, may_start: bool) {
         let Some(leader) = &mut self.leader else {
             return;
--- a/src/core/store/rebuild/status.rs
+++ b/src/core/store/rebuild/status.rs
@@ -1,4 +1,4 @@
-//! A rebuild for the status view and for monitoring.
+//! Status of a rebuild for the status view and for monitoring.
 
 use super::{HeldTask, PeerCopy, Rebuild};
 use crate::core::Core;
@@ -6,23 +6,23 @@
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
 
-/// Held tasks that one view shows; the rest is counted.
+/// Maximum number of held tasks and results that the status view lists.
 const MAX_LISTED_TASKS: usize = 100;
 
-/// What monitoring shows of losses of data.
+/// Metrics of data loss in the store.
 pub struct RebuildMetrics {
-    /// Losses of data that this process has noticed.
+    /// Number of losses of data that this process has detected.
     pub losses: f64,
     /// 1 while the store is incomplete.
     pub incomplete: f64,
-    /// Jobs remembered here that the store has lost.
+    /// Number of jobs in this process's copy that the store has lost.
     pub missing_jobs: f64,
-    /// Tasks on machines of jobs that no controller remembers.
+    /// Number of tasks on machines of jobs that are in no controller's copy.
     pub held_tasks: f64,
 }
 
 impl Core {
-    /// For the status view; null where the store is complete.
+    /// Returns the rebuild's part of the status view; null if the store is complete.
     pub(in crate::core) fn rebuild_status(&self) -> Value {
         if let Some(loss) = &self.store_integrity.data_loss {
             return json!({"lost": loss.reason, "waits": "for a new leader"});
@@ -47,7 +47,7 @@
         })
     }
 
-    /// What the start of tasks waits for, if anything.
+    /// Returns what the start of tasks waits for, if anything.
     fn starts_wait_for(&self, leader: &LeaderState, rebuild: &Rebuild) -> Option<&'static str> {
         if self.may_start_tasks(leader) {
             None
@@ -60,7 +60,7 @@
         }
     }
 
-    /// For monitoring.
+    /// Returns the metrics of data loss.
     pub(in crate::core) fn rebuild_metrics(&self) -> RebuildMetrics {
         let rebuild = self.leader.as_ref().and_then(|l| l.rebuild.as_ref());
         RebuildMetrics {
@@ -73,7 +73,7 @@
 }
 
 impl Rebuild {
-    /// Held tasks, then held results, as many as one view shows.
+    /// Returns lines for held tasks and then for held results, up to `MAX_LISTED_TASKS`.
     fn listed_held_tasks(&self) -> Vec<String> {
         let held = self.held_tasks.iter().flat_map(|(job, tasks)| {
             let line = move |task: &HeldTask| format!("{job}/{} on {}", task.index, task.machine);
@@ -87,7 +87,7 @@
     }
 }
 
-/// How far a controller has handed over its memory.
+/// Returns the progress of reading a controller's copy, for the status view.
 fn peer_copy_status((peer, copy): (&String, &PeerCopy)) -> Value {
     let standing = match (copy.passes, copy.had_copy) {
         (0, _) => "not handed over yet",
