--- a/src/core/store/cache.rs
+++ b/src/core/store/cache.rs
@@ -162,7 +162,8 @@
             } else if job.version > revision && !self.finished.contains_key(&id) {
                 let cancelled =
                     self.dependencies
-.add_job(&id, &job.spec.dependencies, &self.finished); self.changed_jobs.extend(cancelled); 
+                        .add_job(&id, &job.spec.dependencies, &self.finished);
+                self.changed_jobs.extend(cancelled);
                 self.jobs.insert(id, job);
             }
         }
@@ -244,7 +245,8 @@
     }
 
     /// Returns whether a job with this id was ever accepted, as far as this process knows.
- pub fn is_known_job(&self, id: &str) -> bool {self.jobs.contains_key(id) || self.finished.contains_key(id) || self.parts.is_incomplete(id) 
+    pub fn is_known_job(&self, id: &str) -> bool {
+        self.jobs.contains_key(id) || self.finished.contains_key(id) || self.parts.is_incomplete(id)
     }
 
     /// Returns whether all dependencies of a live job have ended, and none of them was cancelled.
--- a/src/core/store/cache/apply.rs
+++ b/src/core/store/cache/apply.rs
@@ -128,7 +128,8 @@
     }
 
     /// Adds a job that is stored in parts, once all parts have been read.
- fn assemble_parts(&mut self, id: &JobId) {if let Some((head, spec)) = self.parts.take_complete(id) {
+    fn assemble_parts(&mut self, id: &JobId) {
+        if let Some((head, spec)) = self.parts.take_complete(id) {
             let value = JobValue::live(Box::new(spec), head.submitted_ms);
             self.put_job(id, value, head.version);
         }
@@ -186,7 +187,10 @@
         self.finished.contains_key(id) || self.jobs.contains_key(id)
     }
 
- fn put_parted_job(&mut self, id: &JobId, head: MultipartHeader) {if !self.is_cached(id) {self.parts.add_header(id, head); self.assemble_parts(id); 
+    fn put_parted_job(&mut self, id: &JobId, head: MultipartHeader) {
+        if !self.is_cached(id) {
+            self.parts.add_header(id, head);
+            self.assemble_parts(id);
         }
     }
 
@@ -198,7 +202,9 @@
         let job = self.jobs.remove(&id);
         let dependencies = job.as_ref().map_or(&[][..], |j| &j.spec.dependencies);
         // The job's dependencies no longer inherit its urgency.
- self.changed_jobs.extend(dependencies.iter().cloned()); let dependents = self.dependencies.remove_job(&id, dependencies, end); self.changed_jobs.extend(dependents); 
+        self.changed_jobs.extend(dependencies.iter().cloned());
+        let dependents = self.dependencies.remove_job(&id, dependencies, end);
+        self.changed_jobs.extend(dependents);
         let stored_ranges = job.map(|j| j.stored_ranges).unwrap_or_default();
         let orphaned = self.take_orphaned_ranges(&id).into_iter();
         let bases = stored_ranges
@@ -221,7 +227,8 @@
         }
         let cancelled = self
             .dependencies
-.add_job(&id, &spec.dependencies, &self.finished); self.changed_jobs.extend(cancelled); 
+            .add_job(&id, &spec.dependencies, &self.finished);
+        self.changed_jobs.extend(cancelled);
         let record = JobRecord {
             submitted: SystemTime::UNIX_EPOCH + Duration::from_millis(submitted_ms),
             spec: Arc::new(spec),
--- a/src/core/store/integrity/data_loss.rs
+++ b/src/core/store/integrity/data_loss.rs
@@ -42,12 +42,12 @@
 
     /// Checks the revision in a response: it never decreases while the service keeps its data.
     pub(in crate::core) fn observe_revision(&mut self, call: CallId, outcome: &StoreOutcome) {
-        let asked = self.store_integrity.revision_at_call.remove(&call);
+        let newest_at_call = self.store_integrity.revision_at_call.remove(&call);
         let (StoreOutcome::Committed { revision } | StoreOutcome::Missing { revision }) = outcome
         else {
             return;
         };
-        if asked.is_some_and(|newest| *revision < newest) {
+        if newest_at_call.is_some_and(|newest| *revision < newest) {
             self.suspect_data_loss("its revision went back");
         }
         self.store_integrity.newest_revision = self.store_integrity.newest_revision.max(*revision);
--- a/src/core/store/rebuild/machine_list.rs
+++ b/src/core/store/rebuild/machine_list.rs
@@ -11,19 +11,19 @@
 const LIST_MARGIN: Duration = Duration::from_millis(200);
 
 impl Core {
-    /// Returns whether the start of tasks waits for a machine list of the cloud that can be requested now; `asked` is
-    /// the time of the last request, which may have been too early.
+    /// Returns whether the start of tasks waits for a machine list of the cloud that can be requested now. The last
+    /// request may have been too early.
     pub(in crate::core) fn machine_list_due(
         &self,
         leader: &LeaderState,
-        asked: Option<Instant>,
+        last_request: Option<Instant>,
     ) -> bool {
         let from = leader.since + self.settings.machine_list_lag * 2 + LIST_MARGIN;
         let waits = leader
             .rebuild
             .as_ref()
             .is_some_and(|r| !r.machine_list_complete);
-        waits && self.now.mono >= from && asked.is_none_or(|t| t < from)
+        waits && self.now.mono >= from && last_request.is_none_or(|t| t < from)
     }
 
     /// Processes a machine list of the cloud during a rebuild: every unrecorded machine in the list may have tasks.
--- a/src/core/store/rebuild/peer_copies.rs
+++ b/src/core/store/rebuild/peer_copies.rs
@@ -46,16 +46,16 @@
     pub(in crate::core) fn handle_cache_page(
         &mut self,
         peer: &str,
-        asked: &CacheRequest,
-        answer: Option<Box<CachePage>>,
+        request: &CacheRequest,
+        response: Option<Box<CachePage>>,
     ) {
         let now = self.now.mono;
         let copy = self.rebuild_mut().and_then(|r| r.peer_copies.get_mut(peer));
-        let Some(copy) = copy.filter(|c| c.in_flight && c.after == asked.after) else {
+        let Some(copy) = copy.filter(|c| c.in_flight && c.after == request.after) else {
             return;
         };
         copy.in_flight = false;
-        let Some(mut page) = answer else {
+        let Some(mut page) = response else {
             copy.retry_at = Some(now + RETRY_DELAY);
             return;
         };
--- a/src/core/store/rebuild/procedure.rs
+++ b/src/core/store/rebuild/procedure.rs
@@ -76,7 +76,8 @@
         let Some(leader) = &self.leader else {
             return false;
         };
- let complete = |r: &Rebuild| r.is_complete() || self.worker_leases_expired(leader); self.is_active_leader() && leader.rebuild.as_ref().is_some_and(complete) 
+        let complete = |r: &Rebuild| r.is_complete() || self.worker_leases_expired(leader);
+        self.is_active_leader() && leader.rebuild.as_ref().is_some_and(complete)
     }
 
     /// Returns whether a rebuild, if one is in progress, allows tasks to be started.
