--- a/src/core/store/cache/loss.rs
+++ b/src/core/store/cache/loss.rs
@@ -82,7 +82,7 @@
                 && self.finished.contains_key(&id)
                 && !self.unconfirmed_ends.contains_key(&id)
             {
-                return Some(format!("it lacks the end of job {id}"));
+                return Some(format!("it has forgotten how job {id} ended"));
             }
         }
         let stored: BTreeSet<JobId> = items.iter().map(|item| job_id(&item.key)).collect();
@@ -93,7 +93,7 @@
         let expected = |id: &&JobId| !self.missing_from_store.contains(*id);
         let mut known = live.chain(ended).filter(expected);
         let missing = known.find(|id| !stored.contains(*id))?;
-        Some(format!("it lacks job {missing}"))
+        Some(format!("it has forgotten job {missing}"))
     }
 
     /// Merges a full list of a store that has lost data into the copy. Jobs and ends that only the copy has are
