--- a/src/core/simulation/checker.rs
+++ b/src/core/simulation/checker.rs
@@ -17,11 +17,11 @@
     /// Jobs that were submitted, as they were submitted first.
     pub(super) specs: BTreeMap<String, JobSpec>,
     /// Final states that users received as answers, and when first.
-    pub(super) final_answers: BTreeMap<String, (JobState, Instant)>,
+    pub(super) reported_final_states: BTreeMap<String, (JobState, Instant)>,
     /// Jobs that some user received as accepted.
-    pub(super) announced_jobs: BTreeSet<String>,
+    pub(super) acknowledged_jobs: BTreeSet<String>,
     /// Controllers that remember all that the store held when it lost data, until it is whole again.
-    pub(super) complete_replicas: Option<BTreeSet<usize>>,
+    pub(super) complete_caches: Option<BTreeSet<usize>>,
     /// Keys of jobs that the store held then, and whether they were over.
     pub(super) jobs_to_restore: BTreeMap<String, bool>,
     /// Controllers that have not ended since the store lost data last.
@@ -49,9 +49,9 @@
         Checker {
             leaderships: BTreeMap::new(),
             specs: BTreeMap::new(),
-            final_answers: BTreeMap::new(),
-            announced_jobs: BTreeSet::new(),
-            complete_replicas: None,
+            reported_final_states: BTreeMap::new(),
+            acknowledged_jobs: BTreeSet::new(),
+            complete_caches: None,
             jobs_to_restore: BTreeMap::new(),
             survivors: (0..nodes).collect(),
             machines_with_lost_record: BTreeSet::new(),
@@ -73,7 +73,7 @@
 pub(super) const TEAM_LIMIT: f64 = 24.0;
 
 /// What is left of a machine.
-struct Room<'a> {
+struct FreeCapacity<'a> {
     worker: &'a Worker,
     cpus: f64,
     ram: f64,
@@ -86,12 +86,16 @@
     jobs: BTreeSet<&'a str>,
     /// CPUs by team.
     by_team: BTreeMap<&'a str, f64>,
-    room: Vec<Room<'a>>,
+    free: Vec<FreeCapacity<'a>>,
 }
 
 /// A task that starts is in a zone that its job allows, given the job's other tasks.
-fn check_zone(key: &TaskId, spec: &JobSpec, zone: &str, beside: &BTreeMap<TaskId, String>) {
-    let others = || beside.iter().filter(|(k, _)| k.job == key.job && *k != key);
+fn check_zone(key: &TaskId, spec: &JobSpec, zone: &str, sibling_zones: &BTreeMap<TaskId, String>) {
+    let others = || {
+        sibling_zones
+            .iter()
+            .filter(|(k, _)| k.job == key.job && *k != key)
+    };
     if spec.one_zone {
         let elsewhere = others().find(|(_, z)| *z != zone);
         assert!(
@@ -108,34 +112,37 @@
 
 impl Simulation {
     /// Checks an answer against everything that was answered before, and takes note of it.
-    pub(super) fn check_answer(
+    pub(super) fn check_response(
         &mut self,
         id: &str,
-        asked: Instant,
-        answer: Option<&Response>,
+        requested_at: Instant,
+        response: Option<&Response>,
     ) -> Option<JobState> {
-        let answer = answer?;
-        if answer.status == 404 && !self.checker.data_lost_for_good {
-            let announced = self.checker.announced_jobs.contains(id);
-            assert!(!announced, "{id} was forgotten");
+        let response = response?;
+        if response.status == 404 && !self.checker.data_lost_for_good {
+            let acknowledged = self.checker.acknowledged_jobs.contains(id);
+            assert!(!acknowledged, "{id} was forgotten");
         }
-        if !matches!(answer.status, 200 | 201) {
+        if !matches!(response.status, 200 | 201) {
             return None;
         }
-        let first_answer = self.checker.announced_jobs.insert(id.into());
-        let body: JobStatus = serde_json::from_slice(&answer.body).unwrap();
+        let first_response = self.checker.acknowledged_jobs.insert(id.into());
+        let body: JobStatus = serde_json::from_slice(&response.body).unwrap();
         let state = body.state;
         let is_final = matches!(state, JobState::Done | JobState::Cancelled);
-        self.check_against_final_answer(id, asked, state, is_final);
-        let first_final = is_final && !self.checker.final_answers.contains_key(id);
-        if self.query_after_answers && (first_answer || first_final) {
-            self.query_everywhere(id);
+        self.check_against_reported_state(id, requested_at, state, is_final);
+        let first_final = is_final && !self.checker.reported_final_states.contains_key(id);
+        if self.query_after_responses && (first_response || first_final) {
+            self.query_all_nodes(id);
         }
         if is_final {
             let first = (state, self.now);
-            self.checker.final_answers.entry(id.into()).or_insert(first);
+            self.checker
+                .reported_final_states
+                .entry(id.into())
+                .or_insert(first);
         } else if let Some(at) = self.dependency_cancelled_at(id) {
-            let late = self.now > at + self.setup.cancel;
+            let late = self.now > at + self.setup.cancellation_limit;
             assert!(
                 !late,
                 "{id} is said to live, though a job that it needs is cancelled"
@@ -151,20 +158,20 @@
 
     /// Two answers to questions asked side by side come in any order. What is asked after its user
     /// was given a final answer, and what is final, must be the same.
-    fn check_against_final_answer(
+    fn check_against_reported_state(
         &self,
         id: &str,
-        asked: Instant,
+        requested_at: Instant,
         state: JobState,
         is_final: bool,
     ) {
         if self.checker.data_lost_for_good {
             return;
         }
-        if let Some((before, at)) = self.checker.final_answers.get(id)
-            && (is_final || asked >= *at)
+        if let Some((reported, at)) = self.checker.reported_final_states.get(id)
+            && (is_final || requested_at >= *at)
         {
-            assert_eq!(*before, state, "{id}: said to be something else");
+            assert_eq!(*reported, state, "{id}: said to be something else");
         }
     }
 
@@ -173,7 +180,10 @@
         let first = self.checker.cancelled_at.entry(id.into());
         first.or_insert(self.now);
         let requests = &self.checker.cancellation_requests;
-        let asked = self.upstream(id).iter().any(|a| requests.contains(a));
+        let asked = self
+            .dependency_closure(id)
+            .iter()
+            .any(|a| requests.contains(a));
         assert!(asked, "{id} is said to be cancelled, and nobody asked");
     }
 
@@ -190,10 +200,10 @@
     /// A task starts only on a machine that is on record, so that a later leader knows of it.
     pub(super) fn check_recorded(&self, id: &MachineId) {
         // A store that has lost data may have lost this record as well.
-        let kept = self.checker.complete_replicas.is_none()
+        let kept = self.checker.complete_caches.is_none()
             && !self.checker.data_lost_for_good
             && !self.checker.machines_with_lost_record.contains(id);
-        if kept && !self.state.recorded().contains(id) {
+        if kept && !self.store.recorded().contains(id) {
             panic!("a task starts on {id}, which is not on record");
         }
     }
@@ -204,29 +214,29 @@
         &mut self,
         key: &TaskId,
         zone: &str,
-        beside: &BTreeMap<TaskId, String>,
+        sibling_zones: &BTreeMap<TaskId, String>,
     ) {
         if let Some(confirmed_at) = self.checker.cancelled_at.get(&*key.job) {
             self.counters.late_starts += 1;
             assert!(
-                self.now <= *confirmed_at + self.setup.cancel,
+                self.now <= *confirmed_at + self.setup.cancellation_limit,
                 "{key} of a cancelled job starts"
             );
         }
         let spec = &self.checker.specs[&*key.job];
-        for awaited in &spec.dependencies {
-            for index in 0..self.checker.specs[&**awaited].tasks {
-                let job = awaited.clone();
-                let before = TaskId { job, index };
-                let done = self.checker.completed.contains(&before);
-                assert!(done, "{key} starts before {before} is done");
+        for dependency in &spec.dependencies {
+            for index in 0..self.checker.specs[&**dependency].tasks {
+                let job = dependency.clone();
+                let required = TaskId { job, index };
+                let done = self.checker.completed.contains(&required);
+                assert!(done, "{key} starts before {required} is done");
             }
         }
-        check_zone(key, spec, zone, beside);
+        check_zone(key, spec, zone, sibling_zones);
     }
 
     /// A job and all that it needs.
-    pub(super) fn upstream(&self, id: &str) -> BTreeSet<String> {
+    pub(super) fn dependency_closure(&self, id: &str) -> BTreeSet<String> {
         let mut found = BTreeSet::new();
         let mut next = vec![id.to_string()];
         while let Some(id) = next.pop() {
@@ -240,7 +250,7 @@
 
     /// When the user of a job that this one needs, or its own, first received the answer that it is cancelled.
     pub(super) fn dependency_cancelled_at(&self, id: &str) -> Option<Instant> {
-        let all = self.upstream(id);
+        let all = self.dependency_closure(id);
         all.iter()
             .filter_map(|a| self.checker.cancelled_at.get(a))
             .min()
@@ -248,46 +258,46 @@
     }
 
     /// The store has an identity and no mark, and who leads it knows of no loss.
-    pub fn store_complete(&self) -> bool {
-        let marked = self.state.keys.contains_key("burlusher/rebuilding");
+    pub fn is_store_complete(&self) -> bool {
+        let marked = self.store.keys.contains_key("burlusher/rebuilding");
         let leader = self.leader().map(|n| &self.nodes[n].core);
         !marked && leader.is_some_and(|c| !c.store_is_incomplete())
     }
 
     /// Every leadership has a term that no other has. At the beginning of one, what was kept for it arrives.
     pub(super) fn check_terms(&mut self) {
-        let mut begun = false;
+        let mut new_leadership = false;
         for (i, node) in self.nodes.iter().enumerate().filter(|(_, n)| n.up) {
             let Some(lead) = &node.core.leader else {
                 continue;
             };
-            let this = (i, node.core.nonce, node.core.candidacy.leaderships());
+            let leadership = (i, node.core.nonce, node.core.candidacy.leaderships());
             let known = self.checker.leaderships.get(&lead.term);
-            begun |= known.is_none();
-            let other = known.filter(|k| **k != this);
+            new_leadership |= known.is_none();
+            let other = known.filter(|k| **k != leadership);
             assert!(
                 other.is_none(),
-                "two leaderships have term {}: {other:?} and {this:?}",
+                "two leaderships have term {}: {other:?} and {leadership:?}",
                 lead.term
             );
-            self.checker.leaderships.insert(lead.term, this);
+            self.checker.leaderships.insert(lead.term, leadership);
         }
-        if begun {
+        if new_leadership {
             self.replay_heartbeats();
         }
     }
 
     /// Once the store holds again what it had lost, no controller has to remember it any more.
-    pub(super) fn note_restored_jobs(&mut self) {
-        if self.checker.complete_replicas.is_none() {
+    pub(super) fn update_restored_jobs(&mut self) {
+        if self.checker.complete_caches.is_none() {
             return;
         }
         let restored = |(key, over): (&String, &bool)| {
-            let stored = self.state.keys.get(key);
+            let stored = self.store.keys.get(key);
             stored.is_some_and(|e| !over || e.value.get("end").is_some())
         };
         if self.checker.jobs_to_restore.iter().all(restored) {
-            self.checker.complete_replicas = None;
+            self.checker.complete_caches = None;
             self.checker.jobs_to_restore.clear();
         }
     }
@@ -309,11 +319,11 @@
             || !self.faults.store_delay.is_zero()
             || self.faults.hold_commands
             || self.faults.late_write_share > 0.0
-            || self.faults.lost_answer_share > 0.0
+            || self.faults.lost_response_share > 0.0
             || self.faults.late_command_share > 0.0
             || self.faults.replayed_heartbeat_share > 0.0
             || !self.faults.duplicate_delay.is_zero()
-            || !self.store_complete()
+            || !self.is_store_complete()
             || self.nodes.iter().any(node)
             || self.workers.values().any(worker)
     }
@@ -327,11 +337,11 @@
         if self.checker.data_lost_for_good || self.has_active_faults() {
             return self.checker.starving_since.clear();
         }
-        let could = self.jobs_that_could_start();
+        let startable = self.jobs_that_could_start();
         let now = self.now;
         let starving = &mut self.checker.starving_since;
-        starving.retain(|id, _| could.contains(id));
-        for id in could {
+        starving.retain(|id, _| startable.contains(id));
+        for id in startable {
             let since = *starving.entry(id.clone()).or_insert(now);
             assert!(
                 now < since + STARVATION_LIMIT,
@@ -343,7 +353,7 @@
     /// Jobs without a task anywhere for which a machine has room now.
     fn jobs_that_could_start(&self) -> BTreeSet<String> {
         let usage = self.usage();
-        let jobs = self.checker.announced_jobs.iter();
+        let jobs = self.checker.acknowledged_jobs.iter();
         jobs.filter(|id| self.could_start(id, &usage))
             .cloned()
             .collect()
@@ -353,7 +363,7 @@
         let Some(spec) = self.checker.specs.get(id) else {
             return false;
         };
-        let is_final = |id: &str| self.checker.final_answers.contains_key(id);
+        let is_final = |id: &str| self.checker.reported_final_states.contains_key(id);
         let over = is_final(id) || self.broken_jobs.contains(id);
         let ready = spec.dependencies.iter().all(|a| is_final(a));
         let used = usage.by_team.get(LIMITED_TEAM).copied().unwrap_or(0.0);
@@ -361,21 +371,25 @@
         if over || usage.jobs.contains(id) || !ready || !within || spec.job_kind == JobKind::Gang {
             return false;
         }
-        let fits = |room: &Room| {
-            spec.allows_type(&room.worker.kind)
-                && spec.allows_zone(&room.worker.zone)
-                && (spec.spot || !room.worker.spot)
-                && spec.resources.cpus <= room.cpus
-                && spec.resources.ram <= room.ram
+        let fits = |free: &FreeCapacity| {
+            spec.allows_type(&free.worker.machine_type)
+                && spec.allows_zone(&free.worker.zone)
+                && (spec.spot || !free.worker.spot)
+                && spec.resources.cpus <= free.cpus
+                && spec.resources.ram <= free.ram
         };
-        !self.all_completed(id) && usage.room.iter().any(fits)
+        !self.all_tasks_completed(id) && usage.free.iter().any(fits)
     }
 
     /// What is on the machines that are up.
     fn usage(&self) -> Usage<'_> {
         let mut usage = Usage::default();
         for worker in self.workers.values().filter(|m| m.up_at <= self.now) {
-            let Some(kind) = self.types.iter().find(|t| t.name == worker.kind) else {
+            let Some(kind) = self
+                .machine_types
+                .iter()
+                .find(|t| t.name == worker.machine_type)
+            else {
                 continue;
             };
             let (mut cpus, mut ram) = (kind.cpus, kind.ram);
@@ -385,15 +399,15 @@
                 *usage.by_team.entry(&spec.team).or_default() += spec.resources.cpus;
                 (cpus, ram) = (cpus - spec.resources.cpus, ram - spec.resources.ram);
             }
-            usage.room.push(Room { worker, cpus, ram });
+            usage.free.push(FreeCapacity { worker, cpus, ram });
         }
         usage
     }
 
     /// What must hold at every tick of what controllers and machines do.
-    pub(super) fn check(&self) {
-        let acts = |n: &&Node| n.up && !n.paused && n.core.is_active_leader();
-        let leaders = self.nodes.iter().filter(acts).count();
+    pub(super) fn check_invariants(&self) {
+        let is_acting = |n: &&Node| n.up && !n.paused && n.core.is_active_leader();
+        let leaders = self.nodes.iter().filter(is_acting).count();
         let one = leaders <= 1 || !is_enabled(Safeguard::LeaseValidity);
         assert!(one, "{leaders} leaders act at the same time");
         let mut at: BTreeMap<&TaskId, &MachineId> = BTreeMap::new();
@@ -402,11 +416,11 @@
             if self.now < worker.up_at {
                 continue;
             }
-            let mut room = 0.0;
+            let mut cpus = 0.0;
             for (key, t) in &worker.tasks {
-                let beyond = self.checker.data_lost_for_good
+                let excluded = self.checker.data_lost_for_good
                     && self.checker.machines_with_lost_record.contains(id);
-                if t.state == TaskState::Exited || beyond {
+                if t.state == TaskState::Exited || excluded {
                     continue;
                 }
                 if let Some(other) = at.insert(key, id) {
@@ -420,14 +434,17 @@
                     worker.zone
                 );
                 *used.entry(&spec.team).or_default() += spec.resources.cpus;
-                room += spec.resources.cpus;
+                cpus += spec.resources.cpus;
                 if let Some(since) = self.dependency_cancelled_at(&key.job) {
-                    let limit = since + self.setup.cancel;
+                    let limit = since + self.setup.cancellation_limit;
                     assert!(self.now <= limit, "{key} of a cancelled job is on {id}");
                 }
             }
-            let kind = self.types.iter().find(|t| t.name == worker.kind);
-            assert!(room <= kind.map_or(0.0, |t| t.cpus), "{id} holds too much");
+            let kind = self
+                .machine_types
+                .iter()
+                .find(|t| t.name == worker.machine_type);
+            assert!(cpus <= kind.map_or(0.0, |t| t.cpus), "{id} holds too much");
         }
         let t = used.get(LIMITED_TEAM).copied().unwrap_or(0.0);
         assert!(t <= TEAM_LIMIT, "team t uses {t}");
--- a/src/core/simulation/cloud.rs
+++ b/src/core/simulation/cloud.rs
@@ -12,14 +12,14 @@
             return CloudOutcome::Failed("503".into());
         }
         match request {
-            CloudRequest::Types => CloudOutcome::Types(self.types.clone()),
+            CloudRequest::Types => CloudOutcome::Types(self.machine_types.clone()),
             CloudRequest::List => CloudOutcome::Listed(
                 self.workers
                     .iter()
                     .map(|(id, worker)| ListedMachine {
                         id: id.clone(),
                         addr: Some("127.0.0.1:9000".into()),
-                        machine_type: worker.kind.clone(),
+                        machine_type: worker.machine_type.clone(),
                         zone: worker.zone.clone(),
                         spot: worker.spot,
                         state: if self.now < worker.up_at {
@@ -57,7 +57,7 @@
                     if let Some(worker) = self.workers.get_mut(&id) {
                         worker.spot = body.spot;
                         worker.up_at = self.now + self.boot_time;
-                        worker.lease_from = worker.up_at;
+                        worker.lease_start = worker.up_at;
                     }
                     ids.push(id);
                 }
@@ -66,7 +66,7 @@
                 }
                 self.provisioned_by_request
                     .insert(body.request_id, ids.clone());
-                if self.faults.scale_out_answers_lost {
+                if self.faults.scale_out_responses_lost {
                     return CloudOutcome::Failed("timeout".into());
                 }
                 CloudOutcome::Provisioned(ids)
@@ -74,7 +74,10 @@
             CloudRequest::Delete(names) => {
                 for id in &names {
                     if let Some(worker) = self.workers.remove(id) {
-                        *self.capacity.entry((worker.kind, worker.spot)).or_default() += 1;
+                        *self
+                            .capacity
+                            .entry((worker.machine_type, worker.spot))
+                            .or_default() += 1;
                     }
                 }
                 CloudOutcome::Deleted(names)
--- a/src/core/simulation/cluster.rs
+++ b/src/core/simulation/cluster.rs
@@ -5,7 +5,7 @@
 use super::faults::Faults;
 use super::network::Link;
 use super::network::Network;
-use super::store::{LIMITS, StateService};
+use super::store::{STORE_LIMITS, StateService};
 use super::worker::{LEASE, Worker};
 use crate::core::simulation::recorded_decisions::DecisionRecorder;
 use crate::core::{Command, Core, LEASE_TTL, LeadershipProof, Now, Ticket};
@@ -29,13 +29,13 @@
     /// Controllers.
     pub nodes: usize,
     /// The longest that tasks of a cancelled job may be left on machines.
-    pub cancel: Duration,
+    pub cancellation_limit: Duration,
 }
 
 /// What most tests use.
 pub const SETUP: Setup = Setup {
     nodes: 3,
-    cancel: Duration::from_secs(20),
+    cancellation_limit: Duration::from_secs(20),
 };
 
 /// The settings of a controller of that name.
@@ -55,7 +55,7 @@
             "objectives": [
                 {"kind": "wait", "class": "urgent", "within_s": 10.0, "share": 0.95}
             ],
-            "workers": {"report_s": 1.0, "lease_s": LEASE.as_secs_f64(), "cancel_s": setup.cancel.as_secs_f64()},
+            "workers": {"report_s": 1.0, "lease_s": LEASE.as_secs_f64(), "cancel_s": setup.cancellation_limit.as_secs_f64()},
             "state": {"rps": 100.0, "write_rps": 50.0, "value_kb": 8.0, "txn_ops": 16,
                       "next": {"write_rps": 35.0, "value_kb": 2.0, "txn_ops": 10}},
             "cloud": {"rps": 10.0, "list_lag_s": 1.0},
@@ -80,17 +80,17 @@
     /// It makes no step, while what is sent to it waits.
     pub paused: bool,
     /// Processor time that its steps took.
-    pub busy: Duration,
+    pub step_time: Duration,
     /// Direct calls that it made.
-    pub calls: u32,
+    pub direct_calls: u32,
     pub(super) inbox: Vec<Command>,
     pub(super) lease: Option<u64>,
     pub(super) leadership_proof: Option<LeadershipProof>,
     pub(super) next_renewal: Instant,
     /// A full read that the service has begun to answer: its answer is as old as that.
-    pub(super) reading: Option<(Vec<Item>, u64)>,
+    pub(super) pending_listing: Option<(Vec<Item>, u64)>,
     /// The revision after which its watch asks for changes, and when that was answered last.
-    pub(super) seen: Option<u64>,
+    pub(super) watch_revision: Option<u64>,
     pub(super) watch_answered_at: Instant,
     pub(super) restart_at: Option<Instant>,
 }
@@ -102,7 +102,7 @@
     pub now: Instant,
     pub(super) start: Instant,
     pub nodes: Vec<Node>,
-    pub(super) state: StateService,
+    pub(super) store: StateService,
     pub network: Network,
     pub faults: Faults,
     pub checker: Checker,
@@ -110,14 +110,14 @@
     /// Machines that exist, each with its worker.
     pub workers: BTreeMap<MachineId, Worker>,
     /// Machine types that the cloud offers.
-    pub types: Vec<MachineType>,
+    pub machine_types: Vec<MachineType>,
     /// How many machines of each type can still be provisioned, spot ones apart.
     pub capacity: BTreeMap<(String, bool), u32>,
     pub(super) provisioned_by_request: BTreeMap<String, Vec<MachineId>>,
     pub(super) next_machine: u32,
     pub(super) next_ticket: Ticket,
     /// Users ask every controller at once, and repeat the submission, as soon as a job is accepted or over.
-    pub query_after_answers: bool,
+    pub query_after_responses: bool,
     /// The policy of controllers that start from now on.
     pub policy: Arc<Policy>,
     /// Jobs whose tasks fail wherever they start.
@@ -157,8 +157,8 @@
             now,
             start: now,
             nodes: Vec::new(),
-            state: StateService {
-                limits: LIMITS,
+            store: StateService {
+                limits: STORE_LIMITS,
                 ..StateService::default()
             },
             network: Network::default(),
@@ -166,7 +166,7 @@
             checker: Checker::new(now, setup.nodes),
             counters: Counters::default(),
             workers: BTreeMap::new(),
-            types: vec![
+            machine_types: vec![
                 MachineType {
                     name: "small".into(),
                     cpus: 4.0,
@@ -200,7 +200,7 @@
             provisioned_by_request: BTreeMap::new(),
             next_machine: 1,
             next_ticket: 1,
-            query_after_answers: false,
+            query_after_responses: false,
             policy: Arc::new(policy),
             broken_jobs: BTreeSet::new(),
             boot_time: Duration::from_secs(2),
@@ -209,7 +209,7 @@
             rng: SmallRng::seed_from_u64(seed),
         };
         for i in 0..setup.nodes {
-            let node = simulation.fresh_node(i);
+            let node = simulation.new_node(i);
             simulation.nodes.push(node);
         }
         simulation
@@ -232,24 +232,24 @@
     }
 
     /// A controller that has just started.
-    pub(super) fn fresh_node(&mut self, i: usize) -> Node {
-        let s = Arc::new(settings(&format!("n{i}"), self.setup));
+    pub(super) fn new_node(&mut self, i: usize) -> Node {
+        let settings = Arc::new(settings(&format!("n{i}"), self.setup));
         let nonce = self.rng.random();
         Node {
-            core: Core::new(s, self.policy.clone(), nonce, self.clock()),
+            core: Core::new(settings, self.policy.clone(), nonce, self.clock()),
             up: true,
             store_link: Link::Good,
             peers_reachable: true,
             watch_delayed: false,
             paused: false,
-            busy: Duration::ZERO,
-            calls: 0,
+            step_time: Duration::ZERO,
+            direct_calls: 0,
             inbox: Vec::new(),
             lease: None,
             leadership_proof: None,
             next_renewal: self.now,
-            reading: None,
-            seen: None,
+            pending_listing: None,
+            watch_revision: None,
             watch_answered_at: self.now,
             restart_at: None,
         }
@@ -266,7 +266,7 @@
     }
 
     /// How many leaderships there were.
-    pub fn terms(&self) -> usize {
+    pub fn leadership_count(&self) -> usize {
         self.checker.leaderships.len()
     }
 
@@ -285,18 +285,18 @@
         self.workers.insert(
             id.clone(),
             Worker {
-                kind: kind.into(),
+                machine_type: kind.into(),
                 zone: zone.into(),
                 spot: false,
                 up_at: self.now,
                 incarnation: 1,
                 sequence: 0,
-                token: 0,
+                fencing_token: 0,
                 tasks: BTreeMap::new(),
-                lease_from: self.now,
+                lease_start: self.now,
                 next_heartbeat: self.now,
                 node,
-                waiting: None,
+                pending_heartbeat: None,
                 hung: false,
                 failing: false,
                 partitioned_from: BTreeSet::new(),
@@ -317,23 +317,23 @@
 
     /// Runs until a controller leads, and `settle_seconds` more; says which one leads then.
     pub fn run_until_leader(&mut self, settle_seconds: f64) -> usize {
-        self.until(10.0, "a leader", |simulation| simulation.leader().is_some());
+        self.run_until(10.0, "a leader", |simulation| simulation.leader().is_some());
         self.run(settle_seconds);
         self.leader().expect("it leads on")
     }
 
     /// Runs until a controller other than this one leads; says which. Fails after `seconds`.
     pub fn run_until_other_leader(&mut self, former: usize, seconds: f64) -> usize {
-        self.until(seconds, "another leader", |simulation| {
+        self.run_until(seconds, "another leader", |simulation| {
             simulation.leader().is_some_and(|l| l != former)
         });
         self.leader().expect("one was found")
     }
 
     /// Runs until `f` holds; fails after `seconds`.
-    pub fn until(&mut self, seconds: f64, what: &str, f: impl Fn(&Simulation) -> bool) {
+    pub fn run_until(&mut self, seconds: f64, what: &str, condition: impl Fn(&Simulation) -> bool) {
         let end = self.now + Duration::from_secs_f64(seconds);
-        while !f(self) {
+        while !condition(self) {
             assert!(self.now < end, "not within {seconds} s: {what}");
             self.tick();
         }
@@ -343,25 +343,25 @@
     /// rules are checked.
     pub fn tick(&mut self) {
         self.now += TICK;
-        self.state.expire(self.now);
+        self.store.expire(self.now);
         for i in 0..self.nodes.len() {
             self.restart_if_due(i);
-            self.keep_lease(i);
+            self.renew_lease(i);
             self.deliver_watch(i);
         }
         self.expire_batches();
         self.deliver_delayed();
         self.apply_delayed_transactions();
-        self.deliver_delayed_answers();
+        self.deliver_delayed_store_responses();
         self.advance_workers();
         for i in 0..self.nodes.len() {
             if self.nodes[i].up && !self.nodes[i].paused {
                 self.step_controller(i);
             }
         }
-        self.note_restored_jobs();
+        self.update_restored_jobs();
         self.check_terms();
-        self.check();
+        self.check_invariants();
         self.check_starvation();
     }
 
@@ -369,7 +369,7 @@
     fn restart_if_due(&mut self, i: usize) {
         if self.nodes[i].restart_at.is_some_and(|t| t <= self.now) {
             let (store_link, peers) = (self.nodes[i].store_link, self.nodes[i].peers_reachable);
-            self.nodes[i] = self.fresh_node(i);
+            self.nodes[i] = self.new_node(i);
             self.nodes[i].store_link = store_link;
             self.nodes[i].peers_reachable = peers;
         }
@@ -379,9 +379,9 @@
     fn step_controller(&mut self, i: usize) {
         let commands = std::mem::take(&mut self.nodes[i].inbox);
         let clock = self.clock();
-        let begun = Instant::now();
+        let started = Instant::now();
         let effects = self.nodes[i].core.step(clock, commands);
-        self.nodes[i].busy += begun.elapsed();
+        self.nodes[i].step_time += started.elapsed();
         if let Some(recorder) = &mut self.recorder {
             recorder.record(self.now, i, &effects);
         }
@@ -391,26 +391,26 @@
     }
 
     /// Renews a controller's lease at the state service, or takes one, every 600 ms.
-    pub(super) fn keep_lease(&mut self, i: usize) {
+    pub(super) fn renew_lease(&mut self, i: usize) {
         let now = self.now;
         let node = &mut self.nodes[i];
-        let served = !self.faults.store_outage && node.store_link.reads();
+        let served = !self.faults.store_outage && node.store_link.serves_reads();
         if !node.up || node.paused || now < node.next_renewal || !served {
             return;
         }
         node.next_renewal = now + Duration::from_millis(600);
         match node.lease {
-            Some(id) if self.state.leases.contains_key(&id) => {
-                self.state.leases.insert(id, now + LEASE_TTL);
-                let mut is_enabled = None;
+            Some(id) if self.store.leases.contains_key(&id) => {
+                self.store.leases.insert(id, now + LEASE_TTL);
+                let mut confirmed = None;
                 if let Some(leadership_proof) = &node.leadership_proof {
                     let txn = CompareAndSwap {
                         conditions: leadership_proof.conditions.clone(),
                         changes: Vec::new(),
                     };
                     let key_version = leadership_proof.key_version;
-                    if let StoreOutcome::Committed { .. } = self.state.txn(&txn) {
-                        is_enabled = Some(key_version);
+                    if let StoreOutcome::Committed { .. } = self.store.txn(&txn) {
+                        confirmed = Some(key_version);
                     } else {
                         node.inbox
                             .push(Command::LeadershipDisproved { key_version });
@@ -419,7 +419,7 @@
                 node.inbox.push(Command::LeaseRenewed {
                     lease: id,
                     sent: now,
-                    confirmed_key_version: is_enabled,
+                    confirmed_key_version: confirmed,
                 });
             }
             Some(_) => {
@@ -427,9 +427,9 @@
                 node.inbox.push(Command::LeaseLost);
             }
             None => {
-                self.state.next_lease += 1;
-                let id = self.state.next_lease;
-                self.state.leases.insert(id, now + LEASE_TTL);
+                self.store.next_lease += 1;
+                let id = self.store.next_lease;
+                self.store.leases.insert(id, now + LEASE_TTL);
                 node.lease = Some(id);
                 node.inbox.push(Command::LeaseRenewed {
                     lease: id,
@@ -443,27 +443,31 @@
     /// Delivers to a controller what has changed in the state service.
     pub(super) fn deliver_watch(&mut self, i: usize) {
         let node = &mut self.nodes[i];
-        if !node.up || self.faults.store_outage || !node.store_link.reads() || node.watch_delayed {
+        if !node.up
+            || self.faults.store_outage
+            || !node.store_link.serves_reads()
+            || node.watch_delayed
+        {
             return;
         }
-        let revision = self.state.revision;
-        match node.seen {
+        let revision = self.store.revision;
+        match node.watch_revision {
             None => {
-                let items = self.state.items();
+                let items = self.store.items();
                 node.inbox.push(Command::StoreListed { items, revision });
             }
             // After a loss of data, it may wait for a revision that the service has yet to come to.
             Some(seen) => {
-                let from = self.state.events.partition_point(|e| e.version <= seen);
-                let events = self.state.events[from..].to_vec();
-                let waits = self.now < node.watch_answered_at + Duration::from_secs(10);
-                if events.is_empty() && waits {
+                let from = self.store.events.partition_point(|e| e.version <= seen);
+                let events = self.store.events[from..].to_vec();
+                let poll_pending = self.now < node.watch_answered_at + Duration::from_secs(10);
+                if events.is_empty() && poll_pending {
                     return;
                 }
                 node.inbox.push(Command::StoreChanged { events, revision });
             }
         }
         node.watch_answered_at = self.now;
-        node.seen = Some(revision.max(node.seen.unwrap_or(0)));
+        node.watch_revision = Some(revision.max(node.watch_revision.unwrap_or(0)));
     }
 }
--- a/src/core/simulation/counters.rs
+++ b/src/core/simulation/counters.rs
@@ -12,17 +12,17 @@
     /// Tasks that workers started.
     pub starts: u32,
     /// Ended tasks that workers were commanded to forget.
-    pub clears: u32,
+    pub forget_commands: u32,
     /// Tasks that began to run, and commands to start them that were carried out, after their user
     /// received the answer that their job is cancelled.
     pub late_starts: u32,
-    /// Answers to transactions that were lost (`Faults::lost_answer_share`).
-    pub answers_lost: u32,
+    /// Answers to transactions that were lost (`Faults::lost_response_share`).
+    pub responses_lost: u32,
     /// Direct commands that were delayed (`Faults::late_command_share`).
     pub commands_delayed: u32,
     /// Heartbeats that were delivered when a leadership began (`Faults::replayed_heartbeat_share`).
     pub heartbeats_replayed: u32,
     /// Follow-up queries that were answered with a job's state
-    /// (`Simulation::query_after_answers`).
+    /// (`Simulation::query_after_responses`).
     pub follow_ups_answered: u32,
 }
--- a/src/core/simulation/disabled_guard.rs
+++ b/src/core/simulation/disabled_guard.rs
@@ -6,18 +6,22 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
 /// What a scenario fails with when a guard is taken out, if it does.
-pub fn failure_without(guard: Safeguard, scenario: impl FnOnce()) -> Option<String> {
-    DISABLED.set(Some(guard));
+pub fn failure_without(safeguard: Safeguard, scenario: impl FnOnce()) -> Option<String> {
+    DISABLED.set(Some(safeguard));
     let failure = catch_unwind(AssertUnwindSafe(scenario)).err();
     DISABLED.set(None);
     failure.and_then(message)
 }
 
 /// Fails unless a scenario breaks this rule when a guard is taken out.
-pub fn fails_without(guard: Safeguard, rule: &str, scenario: impl FnOnce()) {
-    let message = failure_without(guard, scenario);
-    let message = message.unwrap_or_else(|| panic!("{guard:?} is out, and nothing is found"));
-    assert!(message.contains(rule), "{guard:?} is out: {message}");
+pub fn fails_without(safeguard: Safeguard, expected: &str, scenario: impl FnOnce()) {
+    let message = failure_without(safeguard, scenario);
+    let message =
+        message.unwrap_or_else(|| panic!("{safeguard:?} is disabled, and no check failed"));
+    assert!(
+        message.contains(expected),
+        "{safeguard:?} is disabled, and the message is: {message}"
+    );
 }
 
 /// The message of a panic.
--- a/src/core/simulation/mixed_versions.rs
+++ b/src/core/simulation/mixed_versions.rs
@@ -2,7 +2,7 @@
 //! serve side by side, and each works on what the other wrote. The literals here were written by
 //! that version's own encoders.
 
-use crate::core::simulation::{LIMITS, NEXT_LIMITS, Simulation};
+use crate::core::simulation::{NEXT_STORE_LIMITS, STORE_LIMITS, Simulation};
 use crate::core::store::cache::{
     DoneValue, JobValue, LeaderValue, PageValue, StoreCache, TaskSet, TermValue,
 };
@@ -194,7 +194,7 @@
 ) -> Simulation {
     let mut simulation = Simulation::new(seed);
     simulation.capacity.clear();
-    simulation.put("burlusher/term", value(TERM));
+    simulation.external_put("burlusher/term", value(TERM));
     let ids: Vec<_> = (0..machines)
         .map(|_| simulation.add_machine("small", "a"))
         .collect();
@@ -202,15 +202,15 @@
         let machine =
             json!({"addr": "127.0.0.1:9000", "kind": "small", "zone": "a", "spot": false});
         let listed: BTreeMap<&str, &Value> = ids.iter().map(|id| (&**id, &machine)).collect();
-        simulation.put(&format!("burlusher/p/{n}"), json!({"machines": listed}));
+        simulation.external_put(&format!("burlusher/p/{n}"), json!({"machines": listed}));
     }
     if let Some((spec, done)) = job {
         simulation.register_job(spec);
-        simulation.put(
+        simulation.external_put(
             &format!("burlusher/j/{}", spec.id),
             json!({"spec": spec, "submitted_ms": 1_699_999_999_000_u64}),
         );
-        simulation.put(&format!("burlusher/d/{}/0", spec.id), json!({"rows": done}));
+        simulation.external_put(&format!("burlusher/d/{}/0", spec.id), json!({"rows": done}));
         let mut completed = TaskSet::default();
         completed.add_ranges(0, done, spec.tasks);
         let job = &spec.id;
@@ -228,7 +228,7 @@
 /// Rows that production, or a later leader, finds on record.
 fn is_recorded(simulation: &Simulation, id: &str) -> TaskSet {
     let mut completed = TaskSet::default();
-    for (key, v) in simulation.stored(&format!("burlusher/d/{id}/")) {
+    for (key, v) in simulation.stored_values(&format!("burlusher/d/{id}/")) {
         let base: u32 = key.rsplit('/').next().unwrap().parse().unwrap();
         completed.add_ranges(base, v["rows"].as_str().unwrap(), u32::MAX);
     }
@@ -245,7 +245,7 @@
         let all = is_recorded(&simulation, "wk-1");
         for tick in 0..1200 {
             if tick == 40 + lowered * 40 {
-                simulation.limit(NEXT_LIMITS);
+                simulation.set_store_limits(NEXT_STORE_LIMITS);
             }
             if tick == 130 + lowered * 20
                 && let Some(leader) = simulation.leader()
@@ -255,7 +255,7 @@
             simulation.tick();
             let now = is_recorded(&simulation, "wk-1");
             let over = simulation
-                .stored("burlusher/j/wk-1")
+                .stored_values("burlusher/j/wk-1")
                 .values()
                 .any(|v| v.get("end").is_some());
             let kept = |r: &u32| !all.contains(*r) || now.contains(*r);
@@ -264,17 +264,17 @@
                 "forgotten at tick {tick}"
             );
         }
-        simulation.until_done("wk-1", 30.0);
+        simulation.run_until_done("wk-1", 30.0);
         // The four that were missing, once each, but for a takeover.
         assert!(
             simulation.counters.starts <= 6,
             "{} starts",
             simulation.counters.starts
         );
-        assert_eq!(simulation.over_the_limit(), 0);
+        assert_eq!(simulation.transactions_over_limit(), 0);
         simulation.run(10.0);
         assert!(
-            simulation.stored("burlusher/d/").is_empty(),
+            simulation.stored_values("burlusher/d/").is_empty(),
             "pieces are cleared in the end"
         );
     }
@@ -296,7 +296,7 @@
         simulation.submit(leader, &big);
         for tick in 0..400 {
             if tick == lowered {
-                simulation.limit(NEXT_LIMITS);
+                simulation.set_store_limits(NEXT_STORE_LIMITS);
             }
             if tick == 20 {
                 // Some are gone, so each page has to be written.
@@ -311,7 +311,7 @@
                 simulation.kill(leader, Duration::from_secs(2));
             }
             simulation.tick();
-            let events = simulation.events(seen);
+            let events = simulation.watch_events(seen);
             seen += events.len();
             for e in &events {
                 moved += usize::from(e.put.as_ref().is_some_and(|k| k.contains("/p/")));
@@ -326,10 +326,10 @@
             }
         }
         assert!(moved >= 8, "the pages were rewritten");
-        let sizes = simulation.stored("burlusher/p/");
+        let sizes = simulation.stored_values("burlusher/p/");
         let largest = sizes.values().map(|v| v.to_string().len()).max();
-        assert!(largest <= Some(NEXT_LIMITS.0));
-        assert_eq!(simulation.over_the_limit(), 0);
+        assert!(largest <= Some(NEXT_STORE_LIMITS.0));
+        assert_eq!(simulation.transactions_over_limit(), 0);
     }
 }
 
@@ -337,7 +337,7 @@
 /// fits into no value.
 fn with_large_job(seed: u64) -> (Simulation, usize, crate::job::JobSpec) {
     let mut simulation = cluster_after_production(seed, 4, None);
-    simulation.limit(NEXT_LIMITS);
+    simulation.set_store_limits(NEXT_STORE_LIMITS);
     simulation.run(4.0);
     let leader = simulation.leader().unwrap();
     assert_eq!(simulation.submit(leader, &sample("wk-1", 1, 1.0, 20)), 201);
@@ -353,7 +353,7 @@
             .checker
             .completed
             .insert(crate::job::TaskId { job, index });
-        simulation.put(&format!("burlusher/j/{id}"), json!({"end": "Done"}));
+        simulation.external_put(&format!("burlusher/j/{id}"), json!({"end": "Done"}));
         large.dependencies.push(id.into());
     }
     large.dependencies.sort();
@@ -370,14 +370,14 @@
     let other = (leader + 1) % 3;
     simulation.set_peers_reachable(false);
     simulation.register_job(&large);
-    simulation.ask(
+    simulation.send_request(
         other,
         crate::core::UserAction::Submit(Box::new(large.clone())),
     );
     simulation.tick();
     simulation.tick();
-    assert!(!simulation.stored("burlusher/s/wk-2/").is_empty());
-    assert!(simulation.stored("burlusher/j/wk-2").is_empty());
+    assert!(!simulation.stored_values("burlusher/s/wk-2/").is_empty());
+    assert!(simulation.stored_values("burlusher/j/wk-2").is_empty());
     simulation.kill(other, Duration::from_secs(2));
     assert_eq!(simulation.show(leader, "wk-2").0, 404);
     // Without the leader and through it, the first time and repeated.
@@ -390,13 +390,13 @@
         (200, Some(JobState::Queued))
     );
     simulation.kill(leader, Duration::from_secs(2));
-    simulation.until_done("wk-2", 60.0);
+    simulation.run_until_done("wk-2", 60.0);
     simulation.run(70.0);
     assert!(
-        simulation.stored("burlusher/s/").is_empty(),
+        simulation.stored_values("burlusher/s/").is_empty(),
         "parts are cleared"
     );
-    assert_eq!(simulation.over_the_limit(), 0);
+    assert_eq!(simulation.transactions_over_limit(), 0);
     // More than can be written on a condition for each part is refused, and says so.
     let mut huge = sample("wk-3", 1, 1.0, 1);
     huge.image = "x".repeat(60_000);
@@ -409,34 +409,34 @@
 fn delayed_commit_without_parts_accepts_no_job() {
     let (mut whole, leader, large) = with_large_job(65);
     assert_eq!(whole.submit(leader, &large), 201);
-    let parts = whole.stored("burlusher/s/wk-2/").len();
+    let parts = whole.stored_values("burlusher/s/wk-2/").len();
     assert!(parts > 2);
     let (mut simulation, leader, large) = with_large_job(65);
     let other = (leader + 1) % 3;
     simulation.set_peers_reachable(false);
     simulation.register_job(&large);
-    simulation.ask(
+    simulation.send_request(
         other,
         crate::core::UserAction::Submit(Box::new(large.clone())),
     );
-    simulation.until(2.0, "all parts written", |simulation| {
-        simulation.stored("burlusher/s/wk-2/").len() == parts
+    simulation.run_until(2.0, "all parts written", |simulation| {
+        simulation.stored_values("burlusher/s/wk-2/").len() == parts
     });
     simulation.nodes[other].store_link = crate::core::simulation::Link::WritesHeld;
     simulation.run(80.0);
     assert!(
         !simulation.network.held_transactions.is_empty()
-            && simulation.stored("burlusher/s/").is_empty()
+            && simulation.stored_values("burlusher/s/").is_empty()
     );
     simulation.kill(other, Duration::from_secs(2));
-    simulation.release();
+    simulation.release_held();
     simulation.run(2.0);
-    assert!(simulation.stored("burlusher/j/wk-2").is_empty());
+    assert!(simulation.stored_values("burlusher/j/wk-2").is_empty());
     assert_eq!(simulation.show(leader, "wk-2").0, 404);
     // Asked for once more, it is accepted whole.
     assert_eq!(simulation.submit(leader, &large), 201);
     simulation.set_peers_reachable(true);
-    simulation.until_done("wk-2", 60.0);
+    simulation.run_until_done("wk-2", 60.0);
 }
 
 /// A service with still lower limits than announced refuses some of what is written: nothing is
@@ -446,15 +446,15 @@
     let mut simulation = cluster_after_production(63, 4, None);
     simulation.run(4.0);
     let leader = simulation.leader().unwrap();
-    simulation.limit((LIMITS.0, 2));
+    simulation.set_store_limits((STORE_LIMITS.0, 2));
     // All end at once, so that their ends go into one transaction.
     for n in 1..9 {
         let spec = sample(&format!("wk-{n}"), 2, 1.0, 3);
         simulation.register_job(&spec);
-        simulation.ask(leader, crate::core::UserAction::Submit(Box::new(spec)));
+        simulation.send_request(leader, crate::core::UserAction::Submit(Box::new(spec)));
     }
     for n in 1..9 {
-        simulation.until_done(&format!("wk-{n}"), 30.0);
+        simulation.run_until_done(&format!("wk-{n}"), 30.0);
     }
     for n in 11..19 {
         simulation.submit(leader, &sample(&format!("wk-{n}"), 2, 1.0, 60));
@@ -470,21 +470,21 @@
     assert_eq!(simulation.leader(), Some(leader));
     // Eight ends at once, then half as many, then two: not the same again and again.
     assert!(
-        simulation.over_the_limit() <= 4,
+        simulation.transactions_over_limit() <= 4,
         "{}",
-        simulation.over_the_limit()
+        simulation.transactions_over_limit()
     );
     // Pages of machines do not fit any more; what is known goes on.
-    simulation.limit((150, 2));
+    simulation.set_store_limits((150, 2));
     for _ in 0..3 {
         simulation.add_machine("small", "a");
     }
-    let refused = simulation.over_the_limit();
+    let refused = simulation.transactions_over_limit();
     simulation.run(20.0);
     assert_eq!(simulation.leader(), Some(leader));
     assert!(
-        simulation.over_the_limit() - refused < 10,
+        simulation.transactions_over_limit() - refused < 10,
         "{}",
-        simulation.over_the_limit()
+        simulation.transactions_over_limit()
     );
 }
--- a/src/core/simulation/mod.rs
+++ b/src/core/simulation/mod.rs
@@ -33,7 +33,7 @@
 //!     simulation.run(2.0);
 //!     simulation.kill(leader, Duration::from_secs(60));
 //!     simulation.run_until_other_leader(leader, 10.0);
-//!     simulation.until_done("wk-1", 60.0);
+//!     simulation.run_until_done("wk-1", 60.0);
 //!     assert_eq!(simulation.counters.starts, 4);
 //! }
 //! ```
@@ -61,5 +61,5 @@
 pub use cluster::{SETUP, Setup, Simulation, enable_log, settings};
 pub use disabled_guard::{fails_without, failure_without};
 pub use network::Link;
-pub use store::{Backup, LIMITS, NEXT_LIMITS};
+pub use store::{Backup, NEXT_STORE_LIMITS, STORE_LIMITS};
 pub use worker::{LEASE, Worker};
--- a/src/core/simulation/network.rs
+++ b/src/core/simulation/network.rs
@@ -27,7 +27,7 @@
     /// Requests between controllers for what they remember: who asked whom, and for what.
     pub(super) cache_requests: BTreeMap<Ticket, (usize, String, CacheRequest)>,
     /// Answers that nobody has fetched yet.
-    pub(super) answers: BTreeMap<Ticket, Response>,
+    pub(super) responses: BTreeMap<Ticket, Response>,
     /// Duplicates of heartbeats: when each arrives, and at which controller.
     pub(super) delayed_heartbeats: Vec<(Instant, usize, Heartbeat)>,
     /// Direct commands that are late or duplicates: when each arrives, and at which machine.
@@ -35,7 +35,7 @@
     /// Transactions that are carried out late.
     pub(super) delayed_transactions: Vec<(Instant, CompareAndSwap)>,
     /// Answers of the state service: when each arrives, and at which controller.
-    pub(super) delayed_answers: Vec<(Instant, usize, Command)>,
+    pub(super) delayed_store_responses: Vec<(Instant, usize, Command)>,
     /// Heartbeats that arrive everywhere when the next leadership begins.
     pub(super) heartbeats_to_replay: Vec<Heartbeat>,
     /// Questions asked because of an answer to somebody else.
@@ -56,7 +56,7 @@
     /// Requests are refused.
     Refused,
     /// Requests are carried out, answers are lost.
-    AnswersLost,
+    ResponsesLost,
     /// Requests are kept by the network and may be let through later.
     Held,
     /// Transactions are kept so, everything else goes through.
@@ -65,23 +65,23 @@
 
 impl Link {
     /// Whether reads and renewals go through.
-    pub(super) fn reads(self) -> bool {
+    pub(super) fn serves_reads(self) -> bool {
         matches!(self, Link::Good | Link::WritesHeld)
     }
 }
 
 /// The index of a controller, by its name.
-fn node_of(name: &str) -> usize {
+fn node_index(name: &str) -> usize {
     name[1..].parse().unwrap()
 }
 
 /// What a controller reads of another one's answer to a forwarded request.
-fn peer_answer(answer: &Response) -> PeerAnswer {
-    let body: Option<JobStatus> = serde_json::from_slice(&answer.body).ok();
+fn peer_answer(response: &Response) -> PeerAnswer {
+    let body: Option<JobStatus> = serde_json::from_slice(&response.body).ok();
     PeerAnswer {
-        status: answer.status,
+        status: response.status,
         state: body.as_ref().map(|b| b.state),
-        retry_after: answer.retry_after,
+        retry_after: response.retry_after,
         done: None,
         running: None,
     }
@@ -91,7 +91,7 @@
     /// Carries out what a step of controller `from` decided.
     pub(super) fn apply_effect(&mut self, from: usize, effect: Effect) {
         match effect {
-            Effect::Response { ticket, response } => self.deliver_answer(from, ticket, response),
+            Effect::Response { ticket, response } => self.deliver_response(from, ticket, response),
             Effect::Forward {
                 ticket,
                 peer,
@@ -101,7 +101,7 @@
                 peer,
                 number,
                 frame,
-            } => self.send_batch(from, &peer, number, &frame),
+            } => self.send_heartbeat_batch(from, &peer, number, &frame),
             Effect::CacheRequest {
                 peer,
                 request: cache_request,
@@ -113,10 +113,10 @@
                 not_after,
             } => self.send_to_cloud(from, call, request, not_after),
             Effect::DirectCall { call, request, .. } => self.send_to_worker(from, call, request),
-            Effect::RereadStore => self.nodes[from].seen = None,
+            Effect::RereadStore => self.nodes[from].watch_revision = None,
             Effect::ReleaseLease => {
                 if let Some(id) = self.nodes[from].lease.take() {
-                    self.state.leases.insert(id, self.now);
+                    self.store.leases.insert(id, self.now);
                 }
             }
             Effect::ReplaceLease => {
@@ -131,43 +131,46 @@
     }
 
     /// Hands an answer to whoever asked: another controller, a user, or whoever fetches it.
-    fn deliver_answer(&mut self, from: usize, ticket: Ticket, answer: Response) {
-        if answer.not_after.is_some_and(|t| self.now >= t) {
+    fn deliver_response(&mut self, from: usize, ticket: Ticket, response: Response) {
+        if response.not_after.is_some_and(|t| self.now >= t) {
             return;
         }
-        if let Some((asker, peer, asked)) = self.network.cache_requests.remove(&ticket) {
-            let (_, body) = peer::read_frame(&mut answer.body.as_slice()).unwrap();
+        if let Some((requester, peer, request)) = self.network.cache_requests.remove(&ticket) {
+            let (_, body) = peer::read_frame(&mut response.body.as_slice()).unwrap();
             let cache_page = cache_exchange::decode_cache_page(&body).unwrap();
-            self.nodes[asker].inbox.push(Command::CachePage {
+            self.nodes[requester].inbox.push(Command::CachePage {
                 peer,
-                request: asked,
+                request,
                 response: Some(Box::new(cache_page)),
             });
-        } else if let Some((asker, number, _)) = self.network.heartbeat_batches.remove(&ticket) {
+        } else if let Some((requester, number, _)) = self.network.heartbeat_batches.remove(&ticket)
+        {
             // What cannot get through is as good as lost.
-            let through = self.connected(asker, from);
-            let frame = peer::read_frame(&mut answer.body.as_slice()).ok();
+            let delivered = self.connected(requester, from);
+            let frame = peer::read_frame(&mut response.body.as_slice()).ok();
             let response =
                 frame.and_then(|(_, body)| heartbeat_batch::decode_batch_response(&body));
-            self.nodes[asker]
+            self.nodes[requester]
                 .inbox
                 .push(Command::HeartbeatBatchResponse {
                     number,
-                    response: response.filter(|_| through).map(Box::new),
+                    response: response.filter(|_| delivered).map(Box::new),
                 });
-        } else if let Some((asker, original)) = self.network.forwards.remove(&ticket) {
-            self.nodes[asker].inbox.push(Command::ForwardResponse {
+        } else if let Some((requester, original)) = self.network.forwards.remove(&ticket) {
+            self.nodes[requester].inbox.push(Command::ForwardResponse {
                 ticket: original,
                 peer: format!("n{from}"),
-                response: Some(peer_answer(&answer)),
+                response: Some(peer_answer(&response)),
             });
-        } else if let Some((id, asked)) = self.network.unawaited_cancellations.remove(&ticket) {
-            self.check_answer(&id, asked, Some(&answer));
-        } else if let Some((id, asked)) = self.network.follow_up_queries.remove(&ticket) {
-            let state = self.check_answer(&id, asked, Some(&answer));
+        } else if let Some((id, requested_at)) =
+            self.network.unawaited_cancellations.remove(&ticket)
+        {
+            self.check_response(&id, requested_at, Some(&response));
+        } else if let Some((id, requested_at)) = self.network.follow_up_queries.remove(&ticket) {
+            let state = self.check_response(&id, requested_at, Some(&response));
             self.counters.follow_ups_answered += u32::from(state.is_some());
         } else {
-            self.network.answers.insert(ticket, answer);
+            self.network.responses.insert(ticket, response);
         }
     }
 
@@ -177,14 +180,14 @@
     }
 
     /// Whether a controller can send something to another one, which has to be up for it.
-    fn reaches(&self, from: usize, to: usize) -> bool {
+    fn can_reach(&self, from: usize, to: usize) -> bool {
         self.nodes[to].up && self.connected(from, to)
     }
 
     /// Passes a user's request on to another controller.
     fn forward_request(&mut self, from: usize, ticket: Ticket, peer: String, request: PeerRequest) {
-        let to = node_of(&peer);
-        if !self.reaches(from, to) {
+        let to = node_index(&peer);
+        if !self.can_reach(from, to) {
             self.nodes[from].inbox.push(Command::ForwardResponse {
                 ticket,
                 peer,
@@ -192,11 +195,13 @@
             });
             return;
         }
-        let passed = self.new_ticket();
-        self.network.forwards.insert(passed, (from, ticket));
+        let forwarded_ticket = self.new_ticket();
+        self.network
+            .forwards
+            .insert(forwarded_ticket, (from, ticket));
         let received = self.now;
         self.nodes[to].inbox.push(Command::User(UserRequest {
-            ticket: passed,
+            ticket: forwarded_ticket,
             forwarded: true,
             tried: Vec::new(),
             received,
@@ -209,9 +214,9 @@
     }
 
     /// Hands a frame of a controller that serves workers to the leader.
-    fn send_batch(&mut self, from: usize, peer: &str, number: u64, frame: &[u8]) {
-        let to = node_of(peer);
-        if !self.reaches(from, to) {
+    fn send_heartbeat_batch(&mut self, from: usize, peer: &str, number: u64, frame: &[u8]) {
+        let to = node_index(peer);
+        if !self.can_reach(from, to) {
             self.nodes[from]
                 .inbox
                 .push(Command::HeartbeatBatchResponse {
@@ -233,8 +238,8 @@
 
     /// Asks another controller what it remembers.
     fn send_cache_request(&mut self, from: usize, peer: String, cache_request: CacheRequest) {
-        let to = node_of(&peer);
-        if !self.reaches(from, to) {
+        let to = node_index(&peer);
+        if !self.can_reach(from, to) {
             self.nodes[from].inbox.push(Command::CachePage {
                 peer,
                 request: cache_request,
@@ -254,19 +259,24 @@
 
     /// Calls the state service; the answer may come later.
     fn send_to_store(&mut self, from: usize, call: CallId, request: &StoreRequest) {
-        let lost = self.counters.answers_lost;
-        let outcome = self.call_state(from, request);
-        let answer = Command::StoreOutcome { call, outcome };
-        if self.counters.answers_lost > lost {
+        let lost = self.counters.responses_lost;
+        let outcome = self.call_store(from, request);
+        let command = Command::StoreOutcome { call, outcome };
+        if self.counters.responses_lost > lost {
             let at = self.now + STORE_TIMEOUT;
-            return self.network.delayed_answers.push((at, from, answer));
+            return self
+                .network
+                .delayed_store_responses
+                .push((at, from, command));
         }
         if self.faults.store_delay.is_zero() {
-            return self.nodes[from].inbox.push(answer);
+            return self.nodes[from].inbox.push(command);
         }
-        let part = self.rng.random_range(0.0..1.0);
-        let at = self.now + self.faults.store_delay.mul_f64(part);
-        self.network.delayed_answers.push((at, from, answer));
+        let fraction = self.rng.random_range(0.0..1.0);
+        let at = self.now + self.faults.store_delay.mul_f64(fraction);
+        self.network
+            .delayed_store_responses
+            .push((at, from, command));
     }
 
     /// Calls the cloud.
@@ -301,7 +311,7 @@
     }
 
     /// A heartbeat comes to a node late.
-    pub fn deliver(&mut self, node: usize, heartbeat: Heartbeat) {
+    pub fn deliver_heartbeat(&mut self, node: usize, heartbeat: Heartbeat) {
         let ticket = self.new_ticket();
         let heartbeat = Box::new(heartbeat);
         self.nodes[node]
@@ -311,13 +321,13 @@
 
     /// Drops heartbeat batches that nobody answered within a second, and answers their senders so.
     pub(super) fn expire_batches(&mut self) {
-        let late = self.now - Duration::from_secs(1);
-        for (_, (asker, number, _)) in self
+        let deadline = self.now - Duration::from_secs(1);
+        for (_, (requester, number, _)) in self
             .network
             .heartbeat_batches
-            .extract_if(.., |_, (_, _, at)| *at < late)
+            .extract_if(.., |_, (_, _, at)| *at < deadline)
         {
-            self.nodes[asker]
+            self.nodes[requester]
                 .inbox
                 .push(Command::HeartbeatBatchResponse {
                     number,
@@ -335,7 +345,7 @@
             .extract_if(.., |(at, ..)| *at <= now);
         for (_, node, heartbeat) in due.collect::<Vec<_>>() {
             if self.nodes[node].up {
-                self.deliver(node, heartbeat);
+                self.deliver_heartbeat(node, heartbeat);
             }
         }
         let due = self
@@ -348,17 +358,17 @@
                 .get(&id)
                 .is_some_and(|worker| !worker.hung && !worker.inbound_partitioned)
             {
-                self.direct(&id, &body);
+                self.execute_direct(&id, &body);
             }
         }
     }
 
     /// Answers of the state service whose time has come.
-    pub(super) fn deliver_delayed_answers(&mut self) {
+    pub(super) fn deliver_delayed_store_responses(&mut self) {
         let now = self.now;
-        let answers = &mut self.network.delayed_answers;
-        for (_, node, answer) in answers.extract_if(.., |(at, ..)| *at <= now) {
-            self.nodes[node].inbox.push(answer);
+        let responses = &mut self.network.delayed_store_responses;
+        for (_, node, command) in responses.extract_if(.., |(at, ..)| *at <= now) {
+            self.nodes[node].inbox.push(command);
         }
     }
 
@@ -380,22 +390,22 @@
             for node in 0..self.nodes.len() {
                 if self.nodes[node].up {
                     self.counters.heartbeats_replayed += 1;
-                    self.deliver(node, heartbeat.clone());
+                    self.deliver_heartbeat(node, heartbeat.clone());
                 }
             }
         }
     }
 
     /// Lets everything through that was held.
-    pub fn release(&mut self) {
+    pub fn release_held(&mut self) {
         let late = std::mem::take(&mut self.network.delayed_transactions);
         let late = late.into_iter().map(|(_, txn)| txn);
         for txn in late.chain(std::mem::take(&mut self.network.held_transactions)) {
-            self.state.txn(&txn);
+            self.store.txn(&txn);
         }
         for (id, body) in std::mem::take(&mut self.network.held_commands) {
             if self.workers.get(&id).is_some_and(|worker| !worker.hung) {
-                self.direct(&id, &body);
+                self.execute_direct(&id, &body);
             } else {
                 self.network.held_commands.push((id, body));
             }
--- a/src/core/simulation/randomized.rs
+++ b/src/core/simulation/randomized.rs
@@ -160,7 +160,7 @@
 fn any_link() -> impl Strategy<Value = Link> {
     prop_oneof![
         Just(Link::Refused),
-        Just(Link::AnswersLost),
+        Just(Link::ResponsesLost),
         Just(Link::Held),
         Just(Link::WritesHeld)
     ]
@@ -266,7 +266,7 @@
         let policy = Policy::parse("history", "delegate = true").unwrap();
         let mut simulation = Simulation::with_policy(seed, policy);
         simulation.add_machines("small", 6);
-        simulation.until(10.0, "a leader", |simulation| simulation.leader().is_some());
+        simulation.run_until(10.0, "a leader", |simulation| simulation.leader().is_some());
         simulation.run(2.0);
         let fetches = seed % 2 * (seed / 2 % 3);
         simulation.image_fetch_time = Duration::from_millis(fetches * 400);
@@ -304,7 +304,7 @@
     fn repeat_cancels(&mut self, node: usize) {
         let simulation = &mut self.simulation;
         self.unanswered_cancels
-            .retain(|id| simulation.final_answer(id).is_none());
+            .retain(|id| simulation.reported_final_state(id).is_none());
         for id in &self.unanswered_cancels {
             simulation.cancel_without_waiting(node, id);
         }
@@ -347,7 +347,7 @@
             UserFault::InvalidSubmissions => self.submit_invalid(),
             UserFault::ToggleQueriesAfterAnswers => {
                 let simulation = &mut self.simulation;
-                simulation.query_after_answers = !simulation.query_after_answers;
+                simulation.query_after_responses = !simulation.query_after_responses;
             }
         }
     }
@@ -357,7 +357,7 @@
             return;
         };
         let simulation = &mut self.simulation;
-        for (machine, _) in simulation.places(id).into_iter().take(machines) {
+        for (machine, _) in simulation.placements(id).into_iter().take(machines) {
             simulation.workers.get_mut(&machine).unwrap().hung = true;
         }
         let node = simulation.random(NODES);
@@ -372,7 +372,7 @@
         let simulation = &mut self.simulation;
         // Until its last task has ended on its machine, which no controller knows yet.
         for _ in 0..200 {
-            if simulation.all_completed(id) {
+            if simulation.all_tasks_completed(id) {
                 break;
             }
             simulation.tick();
@@ -432,7 +432,7 @@
         if simulation.checker.survivors.is_empty() {
             settle_all(simulation);
         }
-        simulation.until(90.0, "the store is whole", Simulation::store_complete);
+        simulation.run_until(90.0, "the store is whole", Simulation::is_store_complete);
         self.check_queries_answered(healed_at + Duration::from_secs(75));
         for node in 0..NODES {
             assert_ne!(
@@ -480,7 +480,7 @@
             match self.simulation.show(0, id) {
                 (200, Some(JobState::Done | JobState::Cancelled)) => {}
                 (200, state) if *kind == JobKind::Service => panic!("{id} is said to be {state:?}"),
-                (200, _) => self.simulation.until_done(id, 200.0),
+                (200, _) => self.simulation.run_until_done(id, 200.0),
                 (status, _) => panic!("{id} is answered with {status}"),
             }
         }
@@ -492,7 +492,7 @@
     for _ in 0..8 {
         simulation.run(5.0);
         for node in 0..NODES {
-            simulation.settle(node);
+            simulation.settle_rebuild(node);
         }
     }
 }
@@ -532,7 +532,7 @@
         }
         NodeFault::DeposeLeader => {
             if let Some(leader) = simulation.leader() {
-                simulation.depose(leader);
+                simulation.force_step_down(leader);
             }
         }
         NodeFault::DelayWatch { node, ms } => {
@@ -556,16 +556,16 @@
         StoreFault::Delay(ms) => simulation.faults.store_delay = Duration::from_millis(*ms),
         StoreFault::LoseData => {
             interrupt_store(simulation);
-            simulation.lose_state();
+            simulation.lose_store();
         }
         StoreFault::RestoreBackup => {
             interrupt_store(simulation);
             if let Some(backup) = backup {
-                simulation.restore(backup);
+                simulation.restore_backup(backup);
             }
         }
         StoreFault::LateWrites(percent) => simulation.faults.late_write_share = share(*percent),
-        StoreFault::LostAnswers(percent) => simulation.faults.lost_answer_share = share(*percent),
+        StoreFault::LostAnswers(percent) => simulation.faults.lost_response_share = share(*percent),
     }
 }
 
@@ -573,7 +573,7 @@
 /// away for a moment, as a service is that is restored.
 fn interrupt_store(simulation: &mut Simulation) {
     reconnect_controllers(simulation);
-    simulation.release();
+    simulation.release_held();
     simulation.run(0.5);
     simulation.set_store_links(Link::Refused);
     simulation.run(1.3);
@@ -602,7 +602,7 @@
         WorkerFault::Die(number) => {
             let id = simulation.workers.keys().nth(*number).cloned();
             if let Some(worker) = id.and_then(|id| simulation.workers.remove(&id)) {
-                let kind = (worker.kind, worker.spot);
+                let kind = (worker.machine_type, worker.spot);
                 *simulation.capacity.entry(kind).or_default() += 1;
             }
         }
@@ -658,11 +658,11 @@
     faults.cloud_down = false;
     faults.late_write_share = 0.0;
     faults.duplicate_delay = Duration::ZERO;
-    faults.lost_answer_share = 0.0;
+    faults.lost_response_share = 0.0;
     faults.late_command_share = 0.0;
     faults.replayed_heartbeat_share = 0.0;
-    simulation.query_after_answers = false;
-    simulation.release();
+    simulation.query_after_responses = false;
+    simulation.release_held();
 }
 
 fn run_schedule(seed: u64, steps: &[Step]) {
@@ -771,7 +771,7 @@
             step(LOSE_DATA, false, 50),
             step(Fault::ToggleCloud, false, 3225),
             step(
-                Fault::Store(StoreFault::Link(0, Link::AnswersLost)),
+                Fault::Store(StoreFault::Link(0, Link::ResponsesLost)),
                 true,
                 2875,
             ),
--- a/src/core/simulation/recorded_decisions.rs
+++ b/src/core/simulation/recorded_decisions.rs
@@ -20,7 +20,7 @@
 
 use crate::cloud_client::CloudRequest;
 use crate::core::simulation::scenarios::mixed_faults::inject_mixed_faults;
-use crate::core::simulation::{Link, NEXT_LIMITS, Simulation};
+use crate::core::simulation::{Link, NEXT_STORE_LIMITS, Simulation};
 use crate::core::{Effect, LeadershipProof};
 use crate::http::Response;
 use crate::job::{JobKind, JobSpec, Priority, sample};
@@ -288,7 +288,7 @@
     let mut simulation = Simulation::with_policy(case.seed, policy);
     simulation.recorder = Some(DecisionRecorder::new(simulation.now));
     simulation.add_machines("small", 4);
-    simulation.until(10.0, "a leader", |simulation| simulation.leader().is_some());
+    simulation.run_until(10.0, "a leader", |simulation| simulation.leader().is_some());
     simulation.run(2.0);
     schedule(&mut simulation, case.seed);
     let recorder = simulation.recorder.take().expect("it was set above");
@@ -402,9 +402,9 @@
     simulation.run(5.0);
     simulation.submit(1, &of_unlimited_team("wk-2", 60, Priority::Production));
     simulation.run(3.0);
-    simulation.limit(NEXT_LIMITS);
+    simulation.set_store_limits(NEXT_STORE_LIMITS);
     let mut large = of_unlimited_team("wk-3", 4, Priority::Normal);
-    large.image = "x".repeat(3 * NEXT_LIMITS.0);
+    large.image = "x".repeat(3 * NEXT_STORE_LIMITS.0);
     simulation.submit(2, &large);
     if let Some(leader) = simulation.leader() {
         simulation.kill(leader, Duration::from_secs(2));
@@ -464,20 +464,20 @@
     simulation.run(3.0);
     let backup = simulation.backup();
     simulation.submit(0, &sample("wk-20", 4, 1.0, 25));
-    simulation.lose_state();
+    simulation.lose_store();
     simulation.run(25.0);
     simulation.submit(1, &sample("wk-21", 4, 1.0, 25));
     simulation.cancel(2, "wk-9");
-    simulation.restore(&backup);
+    simulation.restore_backup(&backup);
     simulation.run(25.0);
-    simulation.lose_state();
+    simulation.lose_store();
     if let Some(leader) = simulation.leader() {
         simulation.kill(leader, Duration::from_secs(3));
     }
     simulation.run(30.0);
     for node in 0..3 {
-        simulation.settle(node);
-        simulation.offer(node, "another store", &backup);
+        simulation.settle_rebuild(node);
+        simulation.offer_snapshot(node, "another store", &backup);
     }
     simulation.cancel(0, "wk-2");
     simulation.run(20.0);
@@ -487,7 +487,7 @@
 fn faulty_network(simulation: &mut Simulation, _seed: u64) {
     simulation.faults.duplicate_delay = Duration::from_secs(4);
     simulation.faults.late_write_share = 0.1;
-    simulation.faults.lost_answer_share = 0.2;
+    simulation.faults.lost_response_share = 0.2;
     simulation.faults.late_command_share = 0.2;
     simulation.faults.replayed_heartbeat_share = 0.3;
     submit_all(simulation);
@@ -496,7 +496,7 @@
     simulation.cancel(1, "wk-9");
     simulation.run(5.0);
     simulation.faults.store_delay = Duration::ZERO;
-    for (n, link) in [Link::Refused, Link::Held, Link::AnswersLost]
+    for (n, link) in [Link::Refused, Link::Held, Link::ResponsesLost]
         .into_iter()
         .enumerate()
     {
@@ -504,7 +504,7 @@
         simulation.run(4.0);
         simulation.submit(n, &sample(&format!("wk-3{n}"), 3, 1.0, 6));
         simulation.nodes[n].store_link = Link::Good;
-        simulation.release();
+        simulation.release_held();
         simulation.nodes[n].peers_reachable = false;
         simulation.run(4.0);
         simulation.nodes[n].peers_reachable = true;
--- a/src/core/simulation/scale.rs
+++ b/src/core/simulation/scale.rs
@@ -48,7 +48,7 @@
             201
         );
     }
-    simulation.until(120.0, "all run", |simulation| {
+    simulation.run_until(120.0, "all run", |simulation| {
         simulation
             .workers
             .values()
@@ -66,11 +66,11 @@
     simulation.workers.get_mut(&dead).unwrap().hung = true;
     simulation.kill(leader, Duration::from_secs(600));
     let next = simulation.run_until_other_leader(leader, 10.0);
-    let (since, changes) = (simulation.now, simulation.changes());
-    simulation.nodes[next].busy = Duration::ZERO;
+    let (since, changes) = (simulation.now, simulation.change_count());
+    simulation.nodes[next].step_time = Duration::ZERO;
     let fresh = job("wk-999999", 4);
     simulation.register_job(&fresh);
-    simulation.ask(next, crate::core::UserAction::Submit(Box::new(fresh)));
+    simulation.send_request(next, crate::core::UserAction::Submit(Box::new(fresh)));
     let mut measurement = Measurement {
         known_ms: 0,
         start_ms: 0,
@@ -87,9 +87,9 @@
             .map_or(usize::MAX, |l| l.recovery.unresolved());
         if measurement.known_ms == 0 && unresolved * 100 <= machines {
             measurement.known_ms = passed;
-            measurement.leader_ms = simulation.nodes[next].busy.as_millis();
+            measurement.leader_ms = simulation.nodes[next].step_time.as_millis();
         }
-        if measurement.start_ms == 0 && !simulation.places("wk-999999").is_empty() {
+        if measurement.start_ms == 0 && !simulation.placements("wk-999999").is_empty() {
             measurement.start_ms = passed;
         }
         let running = || -> usize {
@@ -100,7 +100,7 @@
             measurement.restart_ms = passed;
         }
     }
-    measurement.changes = simulation.changes() - changes;
+    measurement.changes = simulation.change_count() - changes;
     measurement
 }
 
@@ -132,7 +132,7 @@
     for n in 0..jobs {
         let spec = job(&format!("wk-{n:06}"), 2);
         simulation.register_job(&spec);
-        simulation.ask(leader, crate::core::UserAction::Submit(Box::new(spec)));
+        simulation.send_request(leader, crate::core::UserAction::Submit(Box::new(spec)));
         if n % 50 == 49 {
             simulation.tick();
         }
@@ -144,23 +144,24 @@
             .map(|m| m.tasks.len())
             .sum::<usize>()
     };
-    simulation.until(120.0, "all run", |simulation| {
+    simulation.run_until(120.0, "all run", |simulation| {
         running(simulation) == (2 * jobs).min(4 * machines)
     });
     simulation.run(10.0);
     let starts = simulation.counters.starts;
-    simulation.lose_state();
+    simulation.lose_store();
     if !leader_lives {
         simulation.kill(leader, Duration::from_secs(600));
     }
     let since = simulation.now;
     let passed = |simulation: &Simulation| (simulation.now - since).as_millis();
-    simulation.until(15.0, "a leader again", |simulation| {
-        simulation.leader().is_some() && !simulation.stored("burlusher/rebuilding").is_empty()
+    simulation.run_until(15.0, "a leader again", |simulation| {
+        simulation.leader().is_some()
+            && !simulation.stored_values("burlusher/rebuilding").is_empty()
     });
     let leads = passed(&simulation);
     let next = simulation.leader().unwrap();
-    simulation.nodes[next].busy = Duration::ZERO;
+    simulation.nodes[next].step_time = Duration::ZERO;
     let mut complete = 0;
     let mut first = 0;
     let mut written = 0;
@@ -172,8 +173,8 @@
     let end = simulation.now + Duration::from_secs(1200);
     while complete * first * written == 0 {
         assert!(simulation.now < end, "{machines} machines take too long");
-        if first == 0 && simulation.places("wk-900000").is_empty() {
-            simulation.ask(
+        if first == 0 && simulation.placements("wk-900000").is_empty() {
+            simulation.send_request(
                 next,
                 crate::core::UserAction::Submit(Box::new(spec.clone())),
             );
@@ -185,9 +186,9 @@
             && rebuild.is_some_and(|r| r.complete_at.is_some() || r.starts_allowed_at.is_some())
         {
             complete = passed(&simulation);
-            busy = simulation.nodes[next].busy.as_millis();
+            busy = simulation.nodes[next].step_time.as_millis();
         }
-        if first == 0 && !simulation.places("wk-900000").is_empty() {
+        if first == 0 && !simulation.placements("wk-900000").is_empty() {
             first = passed(&simulation);
         }
         if written == 0
--- a/src/core/simulation/scenarios/bidding.rs
+++ b/src/core/simulation/scenarios/bidding.rs
@@ -30,7 +30,7 @@
     simulation.run(3.0);
     let provisioned = simulation.counters.provisioned;
     assert!(provisioned.0 == 2 && provisioned.1 >= 3, "{provisioned:?}");
-    simulation.until_done("wk-1", 40.0);
+    simulation.run_until_done("wk-1", 40.0);
     // Nothing depends on when this starts, and room comes: it waits for it.
     let mut idle = sample("wk-2", 6, 4.0, 8);
     idle.priority = Priority::Low;
@@ -44,7 +44,7 @@
 fn machines_provisioned_when_no_room_in_sight() {
     let (mut simulation, leader) = bidding_cluster(308, "haste = 0");
     simulation.submit(leader, &sample("wk-1", 5, 2.0, 5));
-    simulation.until_done("wk-1", 60.0);
+    simulation.run_until_done("wk-1", 60.0);
 }
 
 /// Work whose patience is the same for spot machines as for others had to bid for them, and went
@@ -58,7 +58,7 @@
     simulation.submit(leader, &plain);
     simulation.run(3.0);
     assert_eq!(simulation.counters.provisioned, (2, 0));
-    simulation.until_done("wk-1", 40.0);
+    simulation.run_until_done("wk-1", 40.0);
 }
 
 /// A zone's machines are taken and its markets refuse while jobs bid for them.
@@ -76,10 +76,13 @@
     };
     for id in lost(&simulation) {
         let m = simulation.workers.remove(&id).unwrap();
-        *simulation.capacity.entry((m.kind, m.spot)).or_default() += 1;
+        *simulation
+            .capacity
+            .entry((m.machine_type, m.spot))
+            .or_default() += 1;
     }
-    simulation.until_done("wk-1", 60.0);
-    simulation.until_done("wk-2", 60.0);
+    simulation.run_until_done("wk-1", 60.0);
+    simulation.run_until_done("wk-2", 60.0);
     assert!(lost(&simulation).is_empty());
 }
 
@@ -88,7 +91,7 @@
 #[test]
 fn unanswered_scale_out_found_by_next_leader() {
     let (mut simulation, leader) = bidding_cluster(303, "");
-    simulation.faults.scale_out_answers_lost = true;
+    simulation.faults.scale_out_responses_lost = true;
     simulation.submit(leader, &urgent("wk-1", 6));
     simulation.run(5.0);
     let unanswered = simulation.counters.provisioned;
@@ -97,14 +100,14 @@
         "{unanswered:?}"
     );
     simulation.kill(leader, Duration::from_secs(60));
-    simulation.faults.scale_out_answers_lost = false;
-    simulation.until_done("wk-1", 60.0);
+    simulation.faults.scale_out_responses_lost = false;
+    simulation.run_until_done("wk-1", 60.0);
     // Six tasks need six small machines at most, and the awards of one leader were not given again.
     assert!(
         simulation.counters.provisioned.0 + simulation.counters.provisioned.1
             <= unanswered.0 + unanswered.1 + 2
     );
-    simulation.until(200.0, "all machines returned", |simulation| {
+    simulation.run_until(200.0, "all machines returned", |simulation| {
         simulation.workers.is_empty()
     });
 }
@@ -117,7 +120,7 @@
     simulation.run(12.0);
     assert_eq!(simulation.counters.provisioned, (0, 0));
     simulation.faults.cloud_down = false;
-    simulation.until_done("wk-1", 40.0);
+    simulation.run_until_done("wk-1", 40.0);
     assert!(
         simulation.counters.provisioned.0 + simulation.counters.provisioned.1 <= 5,
         "{:?}",
@@ -135,8 +138,8 @@
         simulation.submit(leader, &urgent("wk-2", 2));
         simulation.run(kill_after);
         simulation.kill(leader, Duration::from_secs(5));
-        simulation.until_done("wk-1", 80.0);
-        simulation.until_done("wk-2", 80.0);
+        simulation.run_until_done("wk-1", 80.0);
+        simulation.run_until_done("wk-2", 80.0);
         assert_eq!(simulation.counters.starts, 4, "killed after {kill_after} s");
     }
 }
--- a/src/core/simulation/scenarios/cancellation.rs
+++ b/src/core/simulation/scenarios/cancellation.rs
@@ -15,7 +15,7 @@
     simulation.submit(leader, &sample("wk-1", 8, 2.0, 60));
     simulation.run(3.0);
     // Its end is committed, but the leader does not learn so.
-    simulation.nodes[leader].store_link = Link::AnswersLost;
+    simulation.nodes[leader].store_link = Link::ResponsesLost;
     let _ = simulation.cancel(leader, "wk-1");
     simulation.nodes[leader].store_link = Link::Refused;
     // The others read it from the state service and say so.
@@ -32,7 +32,7 @@
         (200, Some(JobState::Cancelled))
     );
     simulation.run(25.0);
-    assert!(simulation.places("wk-1").is_empty());
+    assert!(simulation.placements("wk-1").is_empty());
 }
 
 #[test]
@@ -52,10 +52,10 @@
     simulation.faults.hold_commands = false;
     simulation.run(4.0);
     // The simulation fails if these pushed the team over its limit or ran after the end.
-    simulation.release();
-    simulation.until_done("wk-2", 60.0);
+    simulation.release_held();
+    simulation.run_until_done("wk-2", 60.0);
     simulation.run(25.0);
-    assert!(simulation.places("wk-1").is_empty());
+    assert!(simulation.placements("wk-1").is_empty());
 }
 
 #[test]
@@ -67,7 +67,7 @@
         let (_, state) = simulation.cancel(follower(leader), "wk-1");
         assert_eq!(state, Some(JobState::Cancelled));
         simulation.run(25.0);
-        assert!(simulation.places("wk-1").is_empty());
+        assert!(simulation.placements("wk-1").is_empty());
         assert_eq!(simulation.show(leader, "wk-1").1, Some(JobState::Cancelled));
     }
 }
@@ -80,7 +80,7 @@
     for (n, early_ms) in (0..12).map(|n| (n, n * 100)) {
         for link in [
             Link::Good,
-            Link::AnswersLost,
+            Link::ResponsesLost,
             Link::Refused,
             Link::WritesHeld,
         ] {
@@ -88,12 +88,12 @@
             simulation.faults.store_delay = Duration::from_millis(n * 20);
             let spec = unlimited_job("wk-000001", 3, 4.0, 4);
             assert_eq!(simulation.submit(leader, &spec), 201);
-            simulation.until(9.0, "all run", |simulation| {
-                simulation.places("wk-000001").len() == 3
+            simulation.run_until(9.0, "all run", |simulation| {
+                simulation.placements("wk-000001").len() == 3
             });
             let ends =
                 simulation.now + Duration::from_millis(3500) + Duration::from_millis(early_ms);
-            simulation.until(6.0, "the end", |simulation| simulation.now >= ends);
+            simulation.run_until(6.0, "the end", |simulation| simulation.now >= ends);
             simulation.nodes[leader].store_link = link;
             for node in 0..3 {
                 simulation.cancel_without_waiting(node, "wk-000001");
@@ -101,7 +101,7 @@
             }
             simulation.run(1.0);
             simulation.nodes[leader].store_link = Link::Good;
-            simulation.release();
+            simulation.release_held();
             // The simulation fails at two different final answers, at `done` ahead of time, at a 404.
             let mut answered = None;
             for _ in 0..40 {
@@ -111,17 +111,17 @@
                     answered = answered.or(state.filter(|s| *s != JobState::Running));
                     assert!(matches!(simulation.submit(node, &spec), 0 | 200 | 503));
                 }
-                if simulation.final_answer("wk-000001").is_some() {
+                if simulation.reported_final_state("wk-000001").is_some() {
                     break;
                 }
             }
-            match simulation.final_answer("wk-000001") {
+            match simulation.reported_final_state("wk-000001") {
                 Some(JobState::Done) => outcomes[0] += 1,
                 Some(JobState::Cancelled) => outcomes[1] += 1,
                 other => panic!("said to be {other:?}"),
             }
             simulation.run(15.0);
-            assert!(simulation.places("wk-000001").is_empty());
+            assert!(simulation.placements("wk-000001").is_empty());
         }
     }
     let [done, cancelled] = outcomes;
@@ -142,15 +142,15 @@
             simulation.submit(leader, &unlimited_job(&id, 8, 4.0, 20)),
             201
         );
-        simulation.until(15.0, "it starts", |simulation| {
-            simulation.places(&id).len() == 8
+        simulation.run_until(15.0, "it starts", |simulation| {
+            simulation.placements(&id).len() == 8
         });
         // The leader learns late that the cancellation is durable; another controller tells its user.
         simulation.faults.store_delay = slow;
         simulation.nodes[leader].watch_delayed = true;
         simulation.run(f64::from(n) * 0.05);
         let begun = simulation.now;
-        while simulation.final_answer(&id).is_none() {
+        while simulation.reported_final_state(&id).is_none() {
             assert!(
                 simulation.now < begun + Duration::from_secs(8),
                 "{id} cannot be cancelled"
@@ -211,21 +211,22 @@
                     resumed += u32::from(!m.tasks.is_empty());
                 }
             }
-            simulation.release();
+            simulation.release_held();
             simulation.run(2.0);
             assert!(
                 hang > 20.0
                     || simulation.now
-                        < simulation.checker.cancelled_at["wk-000001"] + simulation.setup.cancel
+                        < simulation.checker.cancelled_at["wk-000001"]
+                            + simulation.setup.cancellation_limit
             );
-            let still_running = simulation.places("wk-000001");
+            let still_running = simulation.placements("wk-000001");
             // A new leader has yet to receive what it holds, but its lease ends all the same.
             assert!(
                 still_running.is_empty() || leader_ends,
                 "{hang} s: {still_running:?} goes on"
             );
             simulation.run(22.0);
-            assert!(simulation.places("wk-000001").is_empty());
+            assert!(simulation.placements("wk-000001").is_empty());
         }
     }
     assert!(resumed >= 12, "{resumed} machines went on with it");
@@ -236,7 +237,7 @@
     let mut least = u32::MAX;
     let setup = Setup {
         nodes: 3,
-        cancel: Duration::from_secs(6),
+        cancellation_limit: Duration::from_secs(6),
     };
     for cloud_down in [false, true] {
         let policy = Policy::parse("short", "delegate = true\nidle_keep = 600").unwrap();
@@ -253,7 +254,7 @@
         let cut = simulation.workers.values_mut().next().unwrap();
         cut.partitioned_from = (0..3).collect();
         let mut tries = 0;
-        while simulation.final_answer("wk-000001").is_none() {
+        while simulation.reported_final_state("wk-000001").is_none() {
             simulation.cancel_without_waiting(leader, "wk-000001");
             simulation.run(0.5);
             tries += 1;
@@ -270,7 +271,13 @@
     // Operators are warned of it.
     let warned = |cancel: u64| {
         let cancel = Duration::from_secs(cancel);
-        cancellation_warning(&settings("n0", Setup { nodes: 3, cancel }))
+        cancellation_warning(&settings(
+            "n0",
+            Setup {
+                nodes: 3,
+                cancellation_limit: cancel,
+            },
+        ))
     };
     assert!(warned(20).is_none());
     assert!(
@@ -294,7 +301,7 @@
 fn many_short_jobs() {
     let (mut simulation, leader) = eight_machines(1320);
     simulation.faults.store_delay = Duration::from_millis(700);
-    let before = simulation.changes();
+    let before = simulation.change_count();
     let id = |n: u32| format!("wk-{n:06}");
     let (mut n, mut cancelled) = (0, 0);
     let begun = simulation.now;
@@ -313,7 +320,7 @@
         if n % 40 == 0 {
             let over = |v: &serde_json::Value| v.get("end").is_some();
             let live = simulation
-                .stored("burlusher/")
+                .stored_values("burlusher/")
                 .into_values()
                 .filter(|v| !over(v));
             let live = live.count();
@@ -351,7 +358,7 @@
         assert!(over, "{} is {state:?}", id(n));
     }
     // Its creation, its end, and now and then what was done or a page of machines.
-    let changes = (simulation.changes() - before) as f64 / f64::from(n);
+    let changes = (simulation.change_count() - before) as f64 / f64::from(n);
     assert!(changes < 3.0, "{changes} changes a job");
 }
 
@@ -377,11 +384,11 @@
         simulation.submit(leader, &unlimited_job("wk-000002", 8, 4.0, 60)),
         201
     );
-    let calls: u32 = simulation.nodes.iter().map(|n| n.calls).sum();
-    simulation.until(12.0, "the second starts", |simulation| {
-        simulation.places("wk-000002").len() >= 6
+    let calls: u32 = simulation.nodes.iter().map(|n| n.direct_calls).sum();
+    simulation.run_until(12.0, "the second starts", |simulation| {
+        simulation.placements("wk-000002").len() >= 6
     });
-    let called = simulation.nodes.iter().map(|n| n.calls).sum::<u32>() - calls;
+    let called = simulation.nodes.iter().map(|n| n.direct_calls).sum::<u32>() - calls;
     assert!(called < 8 + 6, "they were started in answers");
     assert_eq!(simulation.cancel(leader, "wk-000002").0, 200);
     simulation.run(3.0);
--- a/src/core/simulation/scenarios/cancellation_at_handover.rs
+++ b/src/core/simulation/scenarios/cancellation_at_handover.rs
@@ -12,9 +12,9 @@
 /// that are partitioned or hang, and the leader is killed so long after that, or before it if negative.
 fn limits_at_a_change_of_leader(killed_after_ms: i64) {
     let (mut simulation, leader) = eight_machines(1300);
-    let terms = simulation.terms();
+    let terms = simulation.leadership_count();
     bring_teams_to_limits(&mut simulation, leader);
-    let machine_of = |simulation: &Simulation, id: &str| simulation.places(id)[0].0.clone();
+    let machine_of = |simulation: &Simulation, id: &str| simulation.placements(id)[0].0.clone();
     let partitioned = machine_of(&simulation, "wk-000001");
     let hung = machine_of(&simulation, "wk-000002");
     simulation.faults.cloud_down = true;
@@ -29,12 +29,12 @@
     if killed_after_ms >= 0 {
         simulation.kill(leader, Duration::from_secs(1));
     }
-    simulation.until(15.0, "another leadership", |simulation| {
-        simulation.leader().is_some() && simulation.terms() > terms
+    simulation.run_until(15.0, "another leadership", |simulation| {
+        simulation.leader().is_some() && simulation.leadership_count() > terms
     });
     submit_to_next_leader(&mut simulation);
     assert_eq!(
-        simulation.places("wk-000001").len(),
+        simulation.placements("wk-000001").len(),
         1,
         "it is there, unheard"
     );
@@ -45,7 +45,7 @@
     partitioned.partitioned_from.clear();
     simulation.faults.cloud_down = false;
     for n in 11..=17 {
-        simulation.until_done(&format!("wk-{n:06}"), 120.0);
+        simulation.run_until_done(&format!("wk-{n:06}"), 120.0);
     }
 }
 
@@ -64,7 +64,7 @@
     submit(unlimited_job("wk-000017", 2, 4.0, 5));
     simulation.run(1.0);
     assert!(
-        simulation.places("wk-000011").is_empty(),
+        simulation.placements("wk-000011").is_empty(),
         "its team is at its limit"
     );
 }
@@ -74,10 +74,10 @@
     let mut tries = 0;
     while cancelled
         .iter()
-        .any(|id| simulation.final_answer(id).is_none())
+        .any(|id| simulation.reported_final_state(id).is_none())
     {
         for id in cancelled {
-            if simulation.final_answer(id).is_none() {
+            if simulation.reported_final_state(id).is_none() {
                 let node = simulation.leader().unwrap_or(0);
                 simulation.cancel_without_waiting(node, id);
             }
@@ -200,7 +200,7 @@
     let setup = Setup {
         nodes: 3,
         // A worker's lease, the time for which a leader may act on its last proof, and a moment.
-        cancel: Duration::from_millis(13_700),
+        cancellation_limit: Duration::from_millis(13_700),
     };
     let policy = Policy::parse("handover", &policy).unwrap();
     let mut simulation = Simulation::with_setup(1310, policy, setup);
@@ -225,7 +225,7 @@
 fn cancel_due_jobs(simulation: &mut Simulation, tick: u32, elapsed: Duration) {
     for n in 0..HANDOVER_JOBS {
         let is_due = elapsed >= Duration::from_millis(400 * u64::from(n)) && tick % 4 == n % 4;
-        if is_due && simulation.final_answer(&job_id(n)).is_none() {
+        if is_due && simulation.reported_final_state(&job_id(n)).is_none() {
             let node = simulation.random(3);
             simulation.cancel_without_waiting(node, &job_id(n));
         }
@@ -238,7 +238,7 @@
     let confirmed_now = (0..HANDOVER_JOBS)
         .map(job_id)
         .filter(|id| confirmed_at.get(id) == Some(&simulation.now));
-    let running = confirmed_now.filter(|id| !simulation.places(id).is_empty());
+    let running = confirmed_now.filter(|id| !simulation.placements(id).is_empty());
     running.count() as u32
 }
 
@@ -248,13 +248,13 @@
     simulation.nodes[node].peers_reachable = true;
     simulation.heal_worker_partitions();
     simulation.faults.hold_commands = false;
-    simulation.release();
+    simulation.release_held();
 }
 
 fn cancel_remaining_jobs(simulation: &mut Simulation) {
     for id in (0..HANDOVER_JOBS).map(job_id) {
         let mut tries = 0;
-        while simulation.final_answer(&id).is_none() {
+        while simulation.reported_final_state(&id).is_none() {
             simulation.cancel(tries % 3, &id);
             tries += 1;
             assert!(tries < 60, "{id} cannot be cancelled");
@@ -305,7 +305,7 @@
             simulation.nodes[old].peers_reachable,
         ) = (Link::Held, false);
         let mut asked = 0;
-        while simulation.final_answer("wk-000001").is_none() {
+        while simulation.reported_final_state("wk-000001").is_none() {
             assert!(asked < 40, "nobody cancels it");
             // The old one would stop them at once, though it can confirm nothing.
             for node in (0..3).filter(|n| *n != old) {
@@ -315,7 +315,7 @@
             asked += 1;
         }
         assert_eq!(
-            simulation.places("wk-000001").len(),
+            simulation.placements("wk-000001").len(),
             8,
             "all are there when its user is told"
         );
@@ -326,7 +326,7 @@
             simulation.run(1.0);
         }
         simulation.run(10.0);
-        assert!(simulation.places("wk-000001").is_empty());
+        assert!(simulation.placements("wk-000001").is_empty());
     }
 }
 
@@ -354,7 +354,7 @@
     simulation.faults.cloud_down = true;
     assert_eq!(simulation.cancel(leader, "wk-000001").0, 200);
     (0..3).for_each(|n| simulation.kill(n, Duration::from_millis(300)));
-    simulation.until(8.0, "another leader", |simulation| {
+    simulation.run_until(8.0, "another leader", |simulation| {
         simulation.leader().is_some()
     });
     let next = simulation.leader().unwrap();
@@ -365,20 +365,20 @@
     simulation.run(1.0);
     // The simulation checks the limit; what is certain to be within it is not held up.
     assert_eq!(
-        simulation.places("wk-000001").len(),
+        simulation.placements("wk-000001").len(),
         5,
         "they are still there"
     );
-    assert_eq!(simulation.places("wk-000002").len(), 1);
+    assert_eq!(simulation.placements("wk-000002").len(), 1);
     // Their heartbeats arrive, and what they show is of no job that is known; they receive nothing.
     let token = simulation.nodes[next].core.leader.as_ref().unwrap().term << 20;
-    for (id, _) in simulation.places("wk-000001") {
+    for (id, _) in simulation.placements("wk-000001") {
         let body = DirectCommands {
             fencing_token: token,
             incarnation: simulation.workers[&id].incarnation,
             commands: Vec::new(),
         };
-        simulation.direct(&id, &body);
+        simulation.execute_direct(&id, &body);
         simulation.workers.get_mut(&id).unwrap().inbound_partitioned = true;
     }
     cut(&mut simulation, false);
@@ -387,5 +387,5 @@
         .workers
         .values_mut()
         .for_each(|m| m.inbound_partitioned = false);
-    simulation.until_done("wk-000002", 40.0);
+    simulation.run_until_done("wk-000002", 40.0);
 }
--- a/src/core/simulation/scenarios/cancellation_in_outage.rs
+++ b/src/core/simulation/scenarios/cancellation_in_outage.rs
@@ -70,7 +70,7 @@
 impl Round {
     /// Starts a round's jobs, and lets the workers send heartbeats to where the case has them.
     fn begin(simulation: &mut Simulation, case: Case, number: usize) -> Round {
-        simulation.until(40.0, "a leader", |simulation| simulation.leader().is_some());
+        simulation.run_until(40.0, "a leader", |simulation| simulation.leader().is_some());
         let old_leader = simulation.leader().unwrap();
         let heartbeat_target = match case.target {
             HeartbeatTarget::Leader => Some(old_leader),
@@ -105,8 +105,8 @@
                 simulation.run(1.0);
             }
         }
-        simulation.until(40.0, "all run", |simulation| {
-            (0..JOBS).all(|job| !simulation.places(&self.job_id(job)).is_empty())
+        simulation.run_until(40.0, "all run", |simulation| {
+            (0..JOBS).all(|job| !simulation.placements(&self.job_id(job)).is_empty())
         });
     }
 
@@ -145,7 +145,7 @@
             let cancel_at = self.after(job as f64 * CANCEL_INTERVAL);
             let is_due = simulation.now >= cancel_at && ticks % 4 == job % 4;
             let id = self.job_id(job);
-            if is_due && simulation.final_answer(&id).is_none() {
+            if is_due && simulation.reported_final_state(&id).is_none() {
                 let node = simulation.random(self.case.nodes);
                 simulation.cancel_without_waiting(node, &id);
             }
@@ -183,7 +183,7 @@
         let confirmed_now = (0..JOBS)
             .map(|job| self.job_id(job))
             .filter(|id| confirmed_at.get(id) == Some(&simulation.now));
-        let running = confirmed_now.filter(|id| !simulation.places(id).is_empty());
+        let running = confirmed_now.filter(|id| !simulation.placements(id).is_empty());
         running.count() as u32
     }
 
@@ -193,7 +193,7 @@
         for id in (0..JOBS).map(|job| self.job_id(job)) {
             let confirmed = simulation.checker.cancelled_at.contains_key(&id);
             assert!(
-                !confirmed || simulation.places(&id).is_empty(),
+                !confirmed || simulation.placements(&id).is_empty(),
                 "{id} is there"
             );
         }
@@ -212,7 +212,7 @@
     fn cancel_remaining_jobs(&self, simulation: &mut Simulation) {
         for id in (0..JOBS).map(|job| self.job_id(job)) {
             let mut tries = 0;
-            while simulation.final_answer(&id).is_none() {
+            while simulation.reported_final_state(&id).is_none() {
                 let node = simulation.random(self.case.nodes);
                 simulation.cancel(node, &id);
                 simulation.run(0.3);
@@ -229,13 +229,13 @@
     let policy = format!("delegate = {}\nidle_keep = 600", case.delegate);
     let setup = Setup {
         nodes: case.nodes,
-        cancel: CANCELLATION_LIMIT,
+        cancellation_limit: CANCELLATION_LIMIT,
     };
     let policy = Policy::parse("gap", &policy).unwrap();
     let mut simulation = Simulation::with_setup(seed, policy, setup);
     simulation.capacity.clear();
     simulation.add_machines("small", JOBS);
-    simulation.until(10.0, "a leader", |simulation| simulation.leader().is_some());
+    simulation.run_until(10.0, "a leader", |simulation| simulation.leader().is_some());
     simulation.run(4.0);
     let mut confirmed_early = 0;
     for number in 0..case.rounds {
--- a/src/core/simulation/scenarios/delegation.rs
+++ b/src/core/simulation/scenarios/delegation.rs
@@ -64,10 +64,10 @@
         simulation.submit(leader, &unlimited_job("wk-1", 40, 1.0, 3)),
         201
     );
-    simulation.until_done("wk-1", 20.0);
+    simulation.run_until_done("wk-1", 20.0);
     assert_eq!(simulation.counters.starts, 40);
     simulation.run(5.0);
-    assert_eq!(simulation.counters.clears, 40);
+    assert_eq!(simulation.counters.forget_commands, 40);
 }
 
 /// Plans are some time apart, and heartbeats were answered before the next one: each start took a call.
@@ -78,7 +78,7 @@
         simulation.submit(leader, &unlimited_job("wk-1", 300, 4.0, 2)),
         201
     );
-    simulation.until_done("wk-1", 90.0);
+    simulation.run_until_done("wk-1", 90.0);
     let stats = &simulation.nodes[leader].core.stats;
     let (in_responses, called) = (
         stats.total(Work::StartInResponse),
@@ -126,7 +126,7 @@
     let starts = simulation.counters.starts;
     simulation.kill(leader, Duration::from_secs(30));
     let next = simulation.run_until_other_leader(leader, 5.0);
-    simulation.until(1.0, "all machines known", |simulation| {
+    simulation.run_until(1.0, "all machines known", |simulation| {
         (simulation.nodes[next].core.leader.as_ref()).is_some_and(|l| l.recovery.is_complete())
     });
     simulation.run(5.0);
@@ -161,16 +161,16 @@
         .workers
         .values_mut()
         .for_each(|m| m.next_heartbeat = later);
-    simulation.until(8.0, "a leader", |simulation| simulation.leader().is_some());
+    simulation.run_until(8.0, "a leader", |simulation| simulation.leader().is_some());
     let leader = simulation.leader().unwrap();
-    simulation.until(3.0, "all machines known", |simulation| {
+    simulation.run_until(3.0, "all machines known", |simulation| {
         (simulation.nodes[leader].core.leader.as_ref()).is_some_and(|l| l.recovery.is_complete())
     });
     for n in 0..3 {
         assert!(
-            simulation.nodes[n].calls > 80,
+            simulation.nodes[n].direct_calls > 80,
             "{n}: {}",
-            simulation.nodes[n].calls
+            simulation.nodes[n].direct_calls
         );
     }
 }
@@ -190,7 +190,7 @@
     assert!(simulation.now - before < Duration::from_millis(300));
     simulation.run(1.0);
     simulation.nodes[leader].paused = false;
-    simulation.until_done("wk-1", 20.0);
+    simulation.run_until_done("wk-1", 20.0);
     assert_eq!(
         (simulation.workers.len(), simulation.counters.starts),
         (30, 4)
@@ -207,8 +207,8 @@
         let mut service = unlimited_job("wk-1", 4, 2.0, 0);
         service.job_kind = JobKind::Service;
         simulation.submit(leader, &service);
-        simulation.until(5.0, "replicas", |simulation| {
-            simulation.places("wk-1").len() == 4
+        simulation.run_until(5.0, "replicas", |simulation| {
+            simulation.placements("wk-1").len() == 4
         });
         move_workers_to(&mut simulation, other);
         simulation.run(5.0);
@@ -222,7 +222,7 @@
                 .grant()
                 .map(|g| g.expires_at)
         };
-        simulation.until(3.0, "a fresh grant", |simulation| {
+        simulation.run_until(3.0, "a fresh grant", |simulation| {
             grant(simulation).is_some_and(|t| t > simulation.now + Duration::from_millis(2500))
         });
         simulation.faults.cloud_down = true;
@@ -243,7 +243,7 @@
             simulation.add_machine("small", "a");
         }
         simulation.run(40.0);
-        assert_eq!(simulation.places("wk-1").len(), 4);
+        assert_eq!(simulation.placements("wk-1").len(), 4);
     }
 }
 
@@ -295,12 +295,12 @@
     simulation.run(10.0);
     simulation.submit(leader, &unlimited_job("wk-1", 30, 2.0, 20));
     simulation.run(2.0);
-    let dead = simulation.places("wk-1")[0].0.clone();
+    let dead = simulation.placements("wk-1")[0].0.clone();
     simulation.workers.get_mut(&dead).unwrap().hung = true;
-    simulation.until(6.0, "the machine is deleted", |simulation| {
+    simulation.run_until(6.0, "the machine is deleted", |simulation| {
         !simulation.workers.contains_key(&dead)
     });
-    simulation.until_done("wk-1", 40.0);
+    simulation.run_until_done("wk-1", 40.0);
 }
 
 #[test]
@@ -321,9 +321,9 @@
     simulation.submit(leader, &unlimited_job("wk-1", 48, 1.0, 4));
     simulation.run(1.2);
     assert_eq!(delegated(&simulation), 0);
-    simulation.until_done("wk-1", 30.0);
+    simulation.run_until_done("wk-1", 30.0);
     simulation.faults.hold_commands = false;
-    simulation.release();
+    simulation.release_held();
     simulation.run(8.0);
     assert!(delegated(&simulation) > 4);
     assert_eq!(simulation.counters.starts, 48);
@@ -339,7 +339,7 @@
     // Nothing is amiss until it has something to say, and cannot.
     simulation.submit(leader, &unlimited_job("wk-1", 120, 1.0, 3));
     simulation.run_until_other_leader(leader, 12.0);
-    simulation.until_done("wk-1", 30.0);
+    simulation.run_until_done("wk-1", 30.0);
     assert_eq!(simulation.workers.len(), 40);
 }
 
@@ -356,7 +356,7 @@
         } else {
             simulation.kill(other, Duration::from_secs(20));
         }
-        simulation.until_done("wk-1", 60.0);
+        simulation.run_until_done("wk-1", 60.0);
         assert_eq!(
             (simulation.workers.len(), simulation.counters.starts),
             (30, 30),
@@ -377,7 +377,7 @@
     simulation.run(0.6);
     move_workers_to(&mut simulation, other);
     simulation.run(10.0);
-    simulation.until_done("wk-1", 60.0);
+    simulation.run_until_done("wk-1", 60.0);
     assert_eq!(
         (simulation.workers.len(), simulation.counters.starts),
         (30, 30)
@@ -396,15 +396,15 @@
         simulation.kill(2, Duration::from_millis(200));
         let first = simulation.run_until_leader(4.0);
         simulation.submit(first, &unlimited_job("wk-1", 8, 2.0, 5));
-        simulation.until_done("wk-1", 30.0);
+        simulation.run_until_done("wk-1", 30.0);
         for n in 0..3 {
             simulation.kill(n, Duration::from_secs(4));
             simulation.run(3.0);
             let id = format!("wk-2{n}");
-            simulation.until(10.0, "a leader", |simulation| simulation.leader().is_some());
+            simulation.run_until(10.0, "a leader", |simulation| simulation.leader().is_some());
             let leader = simulation.leader().unwrap();
             simulation.submit(leader, &unlimited_job(&id, 8, 2.0, 5));
-            simulation.until_done(&id, 40.0);
+            simulation.run_until_done(&id, 40.0);
         }
         assert_eq!(
             (simulation.workers.len(), simulation.counters.starts),
--- a/src/core/simulation/scenarios/dependencies.rs
+++ b/src/core/simulation/scenarios/dependencies.rs
@@ -34,20 +34,20 @@
         simulation.submit(leader, &after("wk-1", &["wk-7", "wk-8"], 2, 2)),
         201
     );
-    simulation.until_done("wk-9", 20.0);
+    simulation.run_until_done("wk-9", 20.0);
     simulation.kill(leader, Duration::from_secs(3));
     simulation.run(1.0);
     for node in [follower(leader), follower(leader + 1)] {
         assert_eq!(simulation.show(node, "wk-1").1, Some(JobState::Queued));
     }
-    simulation.until_done("wk-1", 40.0);
+    simulation.run_until_done("wk-1", 40.0);
     // What names jobs that are over long since starts at once.
     let leader = simulation.leader().unwrap();
     assert_eq!(
         simulation.submit(leader, &after("wk-2", &["wk-1", "wk-9"], 1, 2)),
         201
     );
-    simulation.until_done("wk-2", 6.0);
+    simulation.run_until_done("wk-2", 6.0);
 }
 
 /// Node by node and without a leader: the same answers to submissions that name other jobs.
@@ -58,7 +58,7 @@
     service.job_kind = JobKind::Service;
     assert_eq!(simulation.submit(leader, &service), 201);
     assert_eq!(simulation.submit(leader, &sample("wk-51", 1, 1.0, 2)), 201);
-    simulation.until_done("wk-51", 10.0);
+    simulation.run_until_done("wk-51", 10.0);
     let mut n = 100;
     for alone in [false, true] {
         simulation.set_peers_reachable(!alone);
@@ -106,15 +106,15 @@
                 &after(&format!("wk-{n}"), &[&format!("wk-{}", n - 1)], 1, 5),
             );
         }
-        let changes = simulation.changes();
+        let changes = simulation.change_count();
         assert_eq!(
             simulation.cancel(follower(leader), who).1,
             Some(JobState::Cancelled)
         );
         // The leader dies with hardly any of the other ends written.
         simulation.kill(leader, Duration::from_secs(30));
-        assert!(simulation.changes() - changes < 40);
-        simulation.until(10.0, "another leader", |simulation| {
+        assert!(simulation.change_count() - changes < 40);
+        simulation.run_until(10.0, "another leader", |simulation| {
             simulation.leader().is_some()
         });
         for n in [2, 4, 33, 59] {
@@ -134,11 +134,11 @@
         assert_eq!(simulation.show(new, "wk-99").1, Some(JobState::Cancelled));
         if who == "wk-2" {
             // Its sister and what both need go on.
-            simulation.until_done("wk-3", 60.0);
+            simulation.run_until_done("wk-3", 60.0);
         }
         simulation.run(10.0);
         assert_eq!(simulation.show(new, "wk-4").1, Some(JobState::Cancelled));
-        let live = simulation.stored("burlusher/j/");
+        let live = simulation.stored_values("burlusher/j/");
         let over = live.values().filter(|v| v.get("end").is_some()).count();
         assert_eq!(over, 60, "their own ends are written as well");
     }
@@ -154,7 +154,7 @@
     simulation.submit(leader, &after("wk-3", &["wk-2"], 1, 5));
     simulation.run(2.0);
     // The end is committed, but the leader does not learn so.
-    simulation.nodes[leader].store_link = Link::AnswersLost;
+    simulation.nodes[leader].store_link = Link::ResponsesLost;
     simulation.cancel_without_waiting(leader, "wk-1");
     simulation.run(0.2);
     simulation.set_peers_reachable(false);
@@ -185,7 +185,7 @@
     simulation.run(0.2);
     // The end is written now, and the leader is the last to receive it.
     simulation.nodes[leader].watch_delayed = true;
-    simulation.release();
+    simulation.release_held();
     simulation.run(0.1);
     assert_eq!(simulation.show(other, "wk-3").1, Some(JobState::Cancelled));
     assert!(simulation.nodes[leader].core.is_active_leader());
@@ -203,7 +203,7 @@
     simulation.run(1.0);
     simulation.nodes[late].watch_delayed = true;
     // Committed, and nothing more is written: the leader does not learn so.
-    simulation.nodes[leader].store_link = Link::AnswersLost;
+    simulation.nodes[leader].store_link = Link::ResponsesLost;
     simulation.cancel_without_waiting(leader, "wk-1");
     simulation.run(0.2);
     simulation.set_peers_reachable(false);
@@ -236,7 +236,7 @@
         for (id, dependencies) in [("wk-3", ["wk-1"]), ("wk-4", ["wk-2"])] {
             let spec = after(id, &dependencies, 1, 2);
             simulation.register_job(&spec);
-            simulation.ask(other, UserAction::Submit(Box::new(spec)));
+            simulation.send_request(other, UserAction::Submit(Box::new(spec)));
         }
         for _ in 0..delay {
             simulation.tick();
@@ -256,7 +256,7 @@
             simulation.tick();
         }
         assert_eq!(simulation.cancel(leader, "wk-1").1, Some(JobState::Done));
-        simulation.until_done("wk-3", 20.0);
+        simulation.run_until_done("wk-3", 20.0);
     }
 }
 
@@ -275,11 +275,11 @@
     low.priority = Priority::Low;
     simulation.submit(leader, &low);
     simulation.run(2.0);
-    assert_eq!(simulation.places("wk-3").len(), 15);
+    assert_eq!(simulation.placements("wk-3").len(), 15);
     simulation.run(20.0);
     assert_eq!(
         (
-            simulation.places("wk-3").len(),
+            simulation.placements("wk-3").len(),
             simulation.counters.provisioned
         ),
         (15, (0, 0))
@@ -293,8 +293,8 @@
     others.priority = Priority::High;
     simulation.submit(leader, &others);
     simulation.submit(leader, &next);
-    simulation.until(12.0, "the guarantee is met first", |simulation| {
-        simulation.places("wk-5").len() == 8
+    simulation.run_until(12.0, "the guarantee is met first", |simulation| {
+        simulation.placements("wk-5").len() == 8
     });
 }
 
@@ -336,6 +336,6 @@
         last
     });
     // Ahead of the sixteen that came before it and that would all start first.
-    simulation.until_done("wk-4", 60.0);
+    simulation.run_until_done("wk-4", 60.0);
     assert_ne!(simulation.show(leader, "wk-8").1, Some(JobState::Done));
 }
--- a/src/core/simulation/scenarios/late_commands.rs
+++ b/src/core/simulation/scenarios/late_commands.rs
@@ -32,15 +32,15 @@
     for id in &commanded {
         simulation.partition_worker(id);
     }
-    let terms = simulation.terms();
+    let terms = simulation.leadership_count();
     if deposed {
         simulation.nodes[leader].store_link = Link::Refused;
         simulation.nodes[leader].peers_reachable = false;
     } else {
         simulation.kill(leader, Duration::from_secs(30));
     }
-    simulation.until(10.0, "another leader", |simulation| {
-        simulation.terms() > terms
+    simulation.run_until(10.0, "another leader", |simulation| {
+        simulation.leadership_count() > terms
     });
     simulation.faults.hold_commands = false;
     simulation.run(after_s);
@@ -48,7 +48,7 @@
     let arrived = held.iter().filter(|(id, _)| commanded.contains(id)).count();
     assert!(arrived > 0, "nothing arrives late");
     for (id, body) in held {
-        simulation.direct(&id, &body);
+        simulation.execute_direct(&id, &body);
     }
     simulation.run(1.0);
     (
@@ -57,7 +57,7 @@
     ) = (Link::Good, true);
     simulation.heal_worker_partitions();
     simulation.faults.cloud_down = false;
-    simulation.until_done("wk-000001", 120.0);
+    simulation.run_until_done("wk-000001", 120.0);
 }
 
 #[test]
@@ -77,7 +77,7 @@
 fn late_commands_through_takeovers_start_nothing_twice() {
     let (mut simulation, _) = eight_machines(1230);
     for n in 0..12u32 {
-        simulation.until(15.0, "a leader", |simulation| simulation.leader().is_some());
+        simulation.run_until(15.0, "a leader", |simulation| simulation.leader().is_some());
         let leader = simulation.leader().unwrap();
         simulation.faults.late_command_share = 0.5;
         let id = format!("wk-{:06}", n + 1);
@@ -100,8 +100,8 @@
     simulation.run(20.0);
     for n in 0..12u32 {
         let id = format!("wk-{:06}", n + 1);
-        if simulation.final_answer(&id).is_none() {
-            simulation.until_done(&id, 90.0);
+        if simulation.reported_final_state(&id).is_none() {
+            simulation.run_until_done(&id, 90.0);
         }
     }
 }
@@ -116,16 +116,19 @@
         simulation.submit(leader, &unlimited_job("wk-000001", 8, 4.0, 2)),
         201
     );
-    simulation.until_done("wk-000001", 20.0);
+    simulation.run_until_done("wk-000001", 20.0);
     simulation.run(15.0);
     let cleared = simulation.workers.values().all(|m| m.tasks.is_empty());
-    assert!(cleared && simulation.counters.clears >= 8, "all is cleared");
+    assert!(
+        cleared && simulation.counters.forget_commands >= 8,
+        "all is cleared"
+    );
     let copies = simulation.delayed_command_copies();
     let starts = |o: &TaskCommand| matches!(o, TaskCommand::Start { .. });
     assert!(copies.iter().any(|(_, b)| b.commands.iter().any(starts)));
     let before = simulation.counters.starts;
     for (id, body) in copies {
-        simulation.direct(&id, &body);
+        simulation.execute_direct(&id, &body);
     }
     assert_eq!(simulation.counters.starts, before);
 }
@@ -138,11 +141,11 @@
     simulation.run(1.5);
     simulation.faults.hold_commands = false;
     assert!(!simulation.network.held_commands.is_empty());
-    simulation.until_done("wk-1", 40.0);
+    simulation.run_until_done("wk-1", 40.0);
     simulation.run(3.0);
     let starts = simulation.counters.starts;
     // They come when the tasks are long done and cleared.
-    simulation.release();
+    simulation.release_held();
     simulation.run(3.0);
     assert_eq!(simulation.counters.starts, starts);
 }
@@ -169,13 +172,16 @@
     simulation.cancel_without_waiting(leader, "wk-000002");
     simulation.run(2.0);
     assert_eq!(
-        simulation.final_answer("wk-000002"),
+        simulation.reported_final_state("wk-000002"),
         Some(JobState::Cancelled)
     );
     simulation.faults.hold_commands = false;
-    simulation.release();
+    simulation.release_held();
     simulation.run(2.0);
-    assert!(simulation.places("wk-000002").is_empty());
-    simulation.until_done("wk-000001", 30.0);
-    assert_eq!((simulation.leader(), simulation.terms()), (Some(leader), 1));
+    assert!(simulation.placements("wk-000002").is_empty());
+    simulation.run_until_done("wk-000001", 30.0);
+    assert_eq!(
+        (simulation.leader(), simulation.leadership_count()),
+        (Some(leader), 1)
+    );
 }
--- a/src/core/simulation/scenarios/late_writes.rs
+++ b/src/core/simulation/scenarios/late_writes.rs
@@ -22,7 +22,7 @@
 }
 
 fn is_recorded(simulation: &Simulation, id: &MachineId) -> bool {
-    let pages = simulation.stored("burlusher/p/").into_values();
+    let pages = simulation.stored_values("burlusher/p/").into_values();
     let mut listed = pages.filter_map(|p| p.get("machines")?.as_object().cloned());
     listed.any(|m| m.contains_key(&**id))
 }
@@ -38,7 +38,7 @@
     let last = simulation.add_machine("small", "a");
     simulation.run(3.0);
     assert!(is_recorded(&simulation, &last));
-    simulation.release();
+    simulation.release_held();
     simulation.run(0.5);
     assert!(is_recorded(&simulation, &last), "forgotten");
     // It cannot be reached while leaders change, nor deleted, and its task is not started elsewhere.
@@ -50,13 +50,13 @@
     simulation.run(2.0);
     assert!(
         simulation
-            .places("wk-000001")
+            .placements("wk-000001")
             .iter()
             .any(|(m, _)| *m == last)
     );
     simulation.partition_worker(&last);
     simulation.kill(leader, Duration::from_secs(30));
-    simulation.until(8.0, "another leader", |simulation| {
+    simulation.run_until(8.0, "another leader", |simulation| {
         simulation.leader().is_some()
     });
     simulation.add_machine("small", "b");
@@ -67,7 +67,7 @@
         .unwrap()
         .partitioned_from
         .clear();
-    simulation.until_done("wk-000001", 80.0);
+    simulation.run_until_done("wk-000001", 80.0);
 }
 
 /// The first copy of a done range came after a longer one: the next leader ran tasks again whose results had
@@ -83,10 +83,10 @@
     simulation.run(5.0);
     hold_write(&mut simulation, leader, |simulation| simulation.run(2.0));
     simulation.run(3.5);
-    simulation.release();
+    simulation.release_held();
     // Whoever leads next has only what is on record.
     (0..3).for_each(|n| simulation.kill(n, Duration::from_secs(1)));
-    simulation.until_done("wk-000001", 40.0);
+    simulation.run_until_done("wk-000001", 40.0);
     assert_eq!(
         simulation.counters.starts, 24,
         "something is done once more"
@@ -109,16 +109,16 @@
         !simulation.network.held_transactions.is_empty(),
         "nothing is under way"
     );
-    simulation.release();
+    simulation.release_held();
     simulation.nodes[leader].store_link = Link::Good;
-    simulation.until_done("wk-000001", 6.0);
+    simulation.run_until_done("wk-000001", 6.0);
     assert_eq!(simulation.leader(), Some(leader));
     // With a third of all transactions carried out late, work goes on, and no leader gives up for it.
     simulation.faults.late_write_share = 0.35;
     for n in 2..8 {
         let id = format!("wk-{n:06}");
         simulation.submit_until_accepted(leader, &unlimited_job(&id, 6, 2.0, 2), 1.0);
-        simulation.until_done(&id, 40.0);
+        simulation.run_until_done(&id, 40.0);
         assert_eq!(simulation.leader(), Some(leader));
     }
 }
@@ -133,9 +133,9 @@
     let _ = simulation.cancel(leader, "wk-1");
     simulation.run_until_other_leader(leader, 10.0);
     assert!(!simulation.network.held_transactions.is_empty());
-    simulation.release();
+    simulation.release_held();
     simulation.nodes[leader].store_link = Link::Good;
-    simulation.until_done("wk-1", 60.0);
+    simulation.run_until_done("wk-1", 60.0);
 }
 
 /// Machines that are up within a moment are given work while writes lag, and the leader ends: each is on
@@ -153,11 +153,11 @@
         simulation.faults.late_write_share,
         simulation.faults.store_delay,
     ) = (late_writes, slow);
-    simulation.until(20.0, "machines are provisioned", |simulation| {
+    simulation.run_until(20.0, "machines are provisioned", |simulation| {
         simulation.workers.len() >= 3
     });
     simulation.run(0.5 + ends_after as f64 * 0.1);
-    let placed = simulation.places("wk-000001").len() as u32;
+    let placed = simulation.placements("wk-000001").len() as u32;
     // Those that have tasks reach nobody, and the cloud tells nothing.
     simulation.faults.cloud_down = true;
     let busy = simulation
@@ -166,19 +166,19 @@
         .filter(|m| !m.tasks.is_empty());
     busy.for_each(|m| m.partitioned_from = (0..3).collect());
     simulation.kill(leader, Duration::from_secs(30));
-    let terms = simulation.terms();
-    simulation.until(30.0, "another leader", |simulation| {
-        simulation.terms() > terms
+    let terms = simulation.leadership_count();
+    simulation.run_until(30.0, "another leader", |simulation| {
+        simulation.leadership_count() > terms
     });
     (
         simulation.faults.late_write_share,
         simulation.faults.store_delay,
     ) = (0.0, Duration::ZERO);
     simulation.run(6.0);
-    simulation.release();
+    simulation.release_held();
     simulation.heal_worker_partitions();
     simulation.faults.cloud_down = false;
-    simulation.until_done("wk-000001", 120.0);
+    simulation.run_until_done("wk-000001", 120.0);
     placed
 }
 
--- a/src/core/simulation/scenarios/leadership.rs
+++ b/src/core/simulation/scenarios/leadership.rs
@@ -10,12 +10,12 @@
     let (mut simulation, leader) = four_machines(15);
     simulation.submit(leader, &sample("wk-1", 8, 2.0, 9));
     simulation.submit(leader, &sample("wk-2", 4, 2.0, 3));
-    simulation.until_done("wk-2", 40.0);
+    simulation.run_until_done("wk-2", 40.0);
     for i in 0..3 {
         simulation.kill(i, Duration::from_secs(2));
     }
-    simulation.until(12.0, "a leader", |simulation| simulation.leader().is_some());
-    simulation.until_done("wk-1", 40.0);
+    simulation.run_until(12.0, "a leader", |simulation| simulation.leader().is_some());
+    simulation.run_until_done("wk-1", 40.0);
     assert_eq!(simulation.show(0, "wk-2").1, Some(JobState::Done));
     assert_eq!(simulation.counters.starts, 12);
 }
@@ -26,22 +26,22 @@
     simulation.faults.cloud_down = true;
     simulation.submit(leader, &sample("wk-1", 7, 2.0, 40));
     simulation.run(2.0);
-    let id = simulation.places("wk-1")[0].0.clone();
+    let id = simulation.placements("wk-1")[0].0.clone();
     // The machine keeps its tasks but cannot reach the nodes that are left.
     simulation.partition_worker(&id);
     simulation.kill(leader, Duration::from_secs(100));
-    simulation.until(8.0, "a new leader", |simulation| {
+    simulation.run_until(8.0, "a new leader", |simulation| {
         simulation.leader().is_some()
     });
     let new = simulation.leader().unwrap();
     assert_eq!(simulation.submit(new, &sample("wk-2", 1, 2.0, 2)), 201);
     simulation.run(3.0);
     // The old job's tasks are where they were; the new job does not wait for the silent machine.
-    assert_eq!(simulation.places("wk-1").len(), 7);
+    assert_eq!(simulation.placements("wk-1").len(), 7);
     assert_eq!(simulation.counters.starts, 8);
     assert_eq!(simulation.show(new, "wk-2").1, Some(JobState::Done));
     // Once its lease has run out, and not before, its tasks start anew.
-    simulation.until_done("wk-1", 120.0);
+    simulation.run_until_done("wk-1", 120.0);
 }
 
 #[test]
@@ -55,7 +55,7 @@
     simulation.run_until_other_leader(leader, 15.0);
     // The silence of all is a cut, not the loss of each.
     assert_eq!(simulation.workers.len(), machines);
-    simulation.until_done("wk-1", 40.0);
+    simulation.run_until_done("wk-1", 40.0);
 }
 
 /// A leader that lost its workers deleted a third of them for their silence, one by one, before it
@@ -69,7 +69,7 @@
         m.partitioned_from.insert(leader);
     }
     simulation.run_until_other_leader(leader, 3.0);
-    simulation.until_done("wk-1", 20.0);
+    simulation.run_until_done("wk-1", 20.0);
     assert_eq!(simulation.workers.len(), 1000);
 }
 
@@ -82,15 +82,15 @@
     simulation.submit(leader, &sample("wk-1", 8, 2.0, 60));
     simulation.submit(leader, &sample("wk-2", 4, 1.0, 60));
     simulation.run(2.0);
-    let id = simulation.places("wk-1")[0].0.clone();
+    let id = simulation.placements("wk-1")[0].0.clone();
     let mut others: Vec<_> = simulation.workers.keys().cloned().collect();
     others.retain(|other| *other != id);
     simulation.workers.get_mut(&id).unwrap().hung = true;
     simulation.kill(leader, Duration::from_secs(60));
-    simulation.until(8.0, "a new leader", |simulation| {
+    simulation.run_until(8.0, "a new leader", |simulation| {
         simulation.leader().is_some()
     });
-    simulation.until(4.0, "the dead machine's deletion", |simulation| {
+    simulation.run_until(4.0, "the dead machine's deletion", |simulation| {
         !simulation.workers.contains_key(&id)
     });
     // The others, which answered, are all there.
@@ -108,7 +108,7 @@
     simulation.workers.clear();
     simulation.run(20.0);
     simulation.faults.cloud_down = false;
-    simulation.until_done("wk-1", 120.0);
+    simulation.run_until_done("wk-1", 120.0);
 }
 
 /// All controllers are away for longer than a lease, with work waiting, running and cancelled before.
@@ -130,10 +130,10 @@
     simulation.run(13.5);
     assert!(simulation.leader().is_none());
     assert!(
-        simulation.places("wk-000001").is_empty(),
+        simulation.placements("wk-000001").is_empty(),
         "their leases have run out"
     );
-    simulation.until_done("wk-000001", 60.0);
+    simulation.run_until_done("wk-000001", 60.0);
     let mut tries = 0;
     while simulation.cancel(1, "wk-000002").1 != Some(JobState::Cancelled) {
         tries += 1;
@@ -152,7 +152,7 @@
     let mut ended = 0;
     let mut accepted = Vec::new();
     for n in 0..10u64 {
-        simulation.until(15.0, "a leader", |simulation| simulation.leader().is_some());
+        simulation.run_until(15.0, "a leader", |simulation| simulation.leader().is_some());
         let leader = simulation.leader().unwrap();
         if n == 0 {
             assert_eq!(simulation.submit(leader, &apart), 201);
@@ -187,7 +187,7 @@
         let (status, state) = simulation.show(0, id);
         assert_eq!(status, 200, "{id}");
         if !matches!(state, Some(JobState::Cancelled | JobState::Done)) {
-            simulation.until_done(id, 120.0);
+            simulation.run_until_done(id, 120.0);
         }
     }
 }
@@ -207,9 +207,9 @@
         simulation.run(0.3);
     }
     // Not longer than the lease.
-    simulation.until(4.0, "a leader", |simulation| simulation.leader().is_some());
+    simulation.run_until(4.0, "a leader", |simulation| simulation.leader().is_some());
     (0..3).for_each(|n| simulation.kill(n, Duration::from_millis(100)));
-    simulation.until(4.5, "a leader", |simulation| simulation.leader().is_some());
-    simulation.until_done("wk-000001", 40.0);
+    simulation.run_until(4.5, "a leader", |simulation| simulation.leader().is_some());
+    simulation.run_until_done("wk-000001", 40.0);
     assert_eq!(simulation.counters.starts, starts);
 }
--- a/src/core/simulation/scenarios/loss_of_store.rs
+++ b/src/core/simulation/scenarios/loss_of_store.rs
@@ -35,9 +35,10 @@
     for n in 0..3 {
         simulation.kill(n, Duration::from_secs(1));
     }
-    simulation.lose_state();
-    simulation.until(15.0, "a leader again", |simulation| {
-        simulation.leader().is_some() && !simulation.stored("burlusher/rebuilding").is_empty()
+    simulation.lose_store();
+    simulation.run_until(15.0, "a leader again", |simulation| {
+        simulation.leader().is_some()
+            && !simulation.stored_values("burlusher/rebuilding").is_empty()
     });
     simulation.run(8.0);
     simulation.leader().unwrap()
@@ -45,7 +46,7 @@
 
 /// Once whole, the store has every job, and nothing of it was started a second time.
 fn assert_rebuilt(simulation: &mut Simulation, starts: u32) {
-    simulation.until(60.0, "the store is whole", Simulation::store_complete);
+    simulation.run_until(60.0, "the store is whole", Simulation::is_store_complete);
     assert_eq!(simulation.counters.starts, starts, "needless restarts");
 }
 
@@ -55,24 +56,24 @@
     assert_eq!(simulation.submit(leader, &long("wk-1")), 201);
     assert_eq!(simulation.submit(0, &sample("wk-2", 2, 2.0, 1)), 201);
     assert_eq!(simulation.submit(1, &long("wk-3")), 201);
-    simulation.until_done("wk-2", 20.0);
+    simulation.run_until_done("wk-2", 20.0);
     assert_eq!(simulation.cancel(1, "wk-3").1, Some(JobState::Cancelled));
     simulation.run(3.0);
     let (starts, before) = (
         simulation.counters.starts,
-        simulation.stored("burlusher/i/"),
+        simulation.stored_values("burlusher/i/"),
     );
-    simulation.lose_state();
+    simulation.lose_store();
     let lost = simulation.now;
-    simulation.until(12.0, "a leader again", |simulation| {
-        simulation.leader().is_some() && !simulation.stored("burlusher/i/").is_empty()
+    simulation.run_until(12.0, "a leader again", |simulation| {
+        simulation.leader().is_some() && !simulation.stored_values("burlusher/i/").is_empty()
     });
     assert!(
         simulation.now > lost + crate::core::LEASE_TTL,
         "nobody leads before earlier words have run out"
     );
     assert_ne!(
-        simulation.stored("burlusher/i/"),
+        simulation.stored_values("burlusher/i/"),
         before,
         "it goes by another name"
     );
@@ -86,8 +87,8 @@
         assert_eq!(simulation.show(node, "wk-1").1, Some(JobState::Running));
         assert_eq!(simulation.show(node, "wk-999").0, 404);
     }
-    assert_eq!(simulation.stored("burlusher/j/").len(), 3);
-    simulation.until_done("wk-1", 90.0);
+    assert_eq!(simulation.stored_values("burlusher/j/").len(), 3);
+    simulation.run_until_done("wk-1", 90.0);
     assert_eq!(simulation.counters.starts, starts);
 }
 
@@ -97,17 +98,28 @@
     let (mut simulation, leader) = six_machines(901);
     simulation.kill(leader, Duration::from_secs(1));
     simulation.run(10.0);
-    let newest = simulation.workers.values().map(|m| m.token).max().unwrap() >> 20;
-    simulation.lose_state();
-    simulation.until(20.0, "a leader again", |simulation| {
-        simulation.leader().is_some() && !simulation.stored("burlusher/term").is_empty()
+    let newest = simulation
+        .workers
+        .values()
+        .map(|m| m.fencing_token)
+        .max()
+        .unwrap()
+        >> 20;
+    simulation.lose_store();
+    simulation.run_until(20.0, "a leader again", |simulation| {
+        simulation.leader().is_some() && !simulation.stored_values("burlusher/term").is_empty()
     });
-    let term = simulation.stored("burlusher/term").values().next().unwrap()["era"].as_u64();
+    let term = simulation
+        .stored_values("burlusher/term")
+        .values()
+        .next()
+        .unwrap()["era"]
+        .as_u64();
     assert!(term > Some(newest), "{term:?} after {newest}");
     // What is submitted then runs.
     simulation.run(3.0);
     assert_eq!(simulation.submit(0, &sample("wk-1", 4, 2.0, 2)), 201);
-    simulation.until_done("wk-1", 60.0);
+    simulation.run_until_done("wk-1", 60.0);
 }
 
 #[test]
@@ -118,20 +130,20 @@
     let backup = simulation.backup();
     assert_eq!(simulation.submit(0, &long("wk-2")), 201);
     assert_eq!(simulation.submit(0, &sample("wk-3", 2, 2.0, 1)), 201);
-    simulation.until_done("wk-3", 20.0);
+    simulation.run_until_done("wk-3", 20.0);
     assert_eq!(
         simulation.cancel(leader, "wk-1").1,
         Some(JobState::Cancelled)
     );
     simulation.run(3.0);
     let starts = simulation.counters.starts;
-    simulation.restore(&backup);
+    simulation.restore_backup(&backup);
     simulation.run(1.0);
     assert_rebuilt(&mut simulation, starts);
     assert_eq!(simulation.show(0, "wk-1"), (200, Some(JobState::Cancelled)));
     assert_eq!(simulation.show(1, "wk-3"), (200, Some(JobState::Done)));
     assert_eq!(simulation.show(2, "wk-2").1, Some(JobState::Running));
-    simulation.until_done("wk-2", 90.0);
+    simulation.run_until_done("wk-2", 90.0);
 }
 
 /// A write of the lost store's leader, held up by the network, would put pages back that no longer
@@ -145,16 +157,16 @@
     let other = (leader + 1) % 3;
     simulation.cancel_without_waiting(leader, "wk-1");
     simulation.run(1.0);
-    simulation.lose_state();
+    simulation.lose_store();
     simulation.nodes[leader].store_link = Link::Good;
     simulation.run(6.0);
-    simulation.until(60.0, "the store is whole", Simulation::store_complete);
+    simulation.run_until(60.0, "the store is whole", Simulation::is_store_complete);
     // The held write ends the job: its user received no such answer.
     let held = simulation.network.held_transactions.len();
     assert!(held > 0);
-    let before = simulation.stored("burlusher/j/");
-    simulation.release();
-    assert_eq!(simulation.stored("burlusher/j/"), before);
+    let before = simulation.stored_values("burlusher/j/");
+    simulation.release_held();
+    assert_eq!(simulation.stored_values("burlusher/j/"), before);
     assert_eq!(simulation.show(other, "wk-1").1, Some(JobState::Running));
 }
 
@@ -164,12 +176,12 @@
     let (mut simulation, leader) = six_machines(904);
     simulation.submit(leader, &long("wk-1"));
     simulation.submit(leader, &sample("wk-2", 2, 2.0, 1));
-    simulation.until_done("wk-2", 20.0);
+    simulation.run_until_done("wk-2", 20.0);
     simulation.run(2.0);
     let starts = simulation.counters.starts;
-    simulation.lose_state();
+    simulation.lose_store();
     simulation.kill(leader, Duration::from_secs(15));
-    simulation.until(10.0, "a leader again", |simulation| {
+    simulation.run_until(10.0, "a leader again", |simulation| {
         simulation.leader().is_some()
     });
     simulation.run(3.0);
@@ -181,7 +193,7 @@
     assert_rebuilt(&mut simulation, starts);
     assert_eq!(simulation.show(other, "wk-999").0, 404);
     assert_eq!(simulation.submit(other, &sample("wk-4", 1, 2.0, 1)), 201);
-    simulation.until_done("wk-1", 90.0);
+    simulation.run_until_done("wk-1", 90.0);
 }
 
 /// With one controller that stays away, questions of what is unknown are put off for as long; but
@@ -191,27 +203,27 @@
     let (mut simulation, leader) = six_machines(905);
     simulation.submit(leader, &long("wk-1"));
     simulation.run(2.0);
-    simulation.lose_state();
+    simulation.lose_store();
     simulation.kill(leader, Duration::from_secs(500));
-    simulation.until(10.0, "a leader again", |simulation| {
+    simulation.run_until(10.0, "a leader again", |simulation| {
         simulation.leader().is_some()
     });
     simulation.run(13.0);
     let other = simulation.leader().unwrap();
     assert_eq!(simulation.show(other, "wk-1").1, Some(JobState::Running));
     assert_eq!(simulation.submit(other, &sample("wk-2", 1, 2.0, 1)), 201);
-    simulation.until(20.0, "it runs", |simulation| {
+    simulation.run_until(20.0, "it runs", |simulation| {
         simulation.counters.starts >= 5
     });
     assert_eq!(simulation.show(other, "wk-999").0, 503);
     // An operator who knows that it will not come back says so.
     assert_eq!(
-        simulation.settle((other + 1) % 3),
+        simulation.settle_rebuild((other + 1) % 3),
         409,
         "only the leader can"
     );
-    assert_eq!(simulation.settle(other), 200);
-    simulation.until(20.0, "the store is whole", Simulation::store_complete);
+    assert_eq!(simulation.settle_rebuild(other), 200);
+    simulation.run_until(20.0, "the store is whole", Simulation::is_store_complete);
     assert_eq!(simulation.show(other, "wk-999").0, 404);
 }
 
@@ -226,7 +238,7 @@
     let starts = simulation.counters.starts;
     assert_eq!(starts, 6);
     let backup = simulation.backup();
-    let store = simulation.stored("burlusher/i/");
+    let store = simulation.stored_values("burlusher/i/");
     let store = store
         .keys()
         .next()
@@ -243,7 +255,7 @@
     assert_eq!(view["rebuild"]["held_results"], 2, "{view}");
     // The next leader learns the same from the workers: results are not cleared.
     simulation.kill(leader, Duration::from_secs(1));
-    simulation.until(10.0, "the next leader", |simulation| {
+    simulation.run_until(10.0, "the next leader", |simulation| {
         simulation.leader().is_some()
     });
     simulation.run(3.0);
@@ -259,11 +271,11 @@
     assert_eq!(simulation.submit(leader, &long("wk-1")), 201);
     simulation.run(2.0);
     assert_eq!(simulation.show(leader, "wk-1").1, Some(JobState::Running));
-    assert_eq!(simulation.offer(leader, &store, &backup), 200);
+    assert_eq!(simulation.offer_snapshot(leader, &store, &backup), 200);
     simulation.run(3.0);
     assert_eq!(simulation.show(leader, "wk-2"), (200, Some(JobState::Done)));
-    simulation.until(30.0, "the store is whole", Simulation::store_complete);
-    simulation.until_done("wk-1", 90.0);
+    simulation.run_until(30.0, "the store is whole", Simulation::is_store_complete);
+    simulation.run_until_done("wk-1", 90.0);
     assert_eq!(
         simulation.counters.starts,
         starts + 2,
@@ -279,12 +291,12 @@
     simulation.submit(leader, &long("wk-1"));
     simulation.run(2.5);
     let leader = restart_all_on_empty_store(&mut simulation);
-    assert_eq!(simulation.places("wk-1").len(), 4);
-    assert_eq!(simulation.settle(leader), 200);
-    simulation.until(20.0, "they are gone", |simulation| {
-        simulation.places("wk-1").is_empty()
+    assert_eq!(simulation.placements("wk-1").len(), 4);
+    assert_eq!(simulation.settle_rebuild(leader), 200);
+    simulation.run_until(20.0, "they are gone", |simulation| {
+        simulation.placements("wk-1").is_empty()
     });
-    simulation.until(30.0, "the store is whole", Simulation::store_complete);
+    simulation.run_until(30.0, "the store is whole", Simulation::is_store_complete);
 }
 
 /// A machine recorded just before the loss, by a leader that is gone, is on nobody's record; it has
@@ -305,7 +317,7 @@
     simulation.capacity.clear();
     simulation.run(8.0);
     simulation.submit(leader, &sample("wk-1", 6, 1.0, 60));
-    simulation.until(5.0, "four of them run", |simulation| {
+    simulation.run_until(5.0, "four of them run", |simulation| {
         simulation.counters.starts == 4
     });
     simulation.run(1.0);
@@ -313,11 +325,11 @@
         simulation.nodes[n].watch_delayed = true;
     }
     let id = simulation.add_machine("small", "a");
-    simulation.until(5.0, "the others run there", |simulation| {
+    simulation.run_until(5.0, "the others run there", |simulation| {
         simulation.workers[&id].tasks.len() == 2
     });
     simulation.faults.cloud_down = !cloud;
-    simulation.lose_state();
+    simulation.lose_store();
     simulation.kill(leader, Duration::from_secs(back_s));
     for n in 0..3 {
         simulation.nodes[n].watch_delayed = false;
@@ -325,7 +337,7 @@
     simulation.workers.get_mut(&id).unwrap().hung = true;
     // There is room for them elsewhere.
     simulation.add_machine("small", "b");
-    simulation.until(12.0, "a leader again", |simulation| {
+    simulation.run_until(12.0, "a leader again", |simulation| {
         simulation.leader().is_some()
     });
     simulation.run(5.0);
@@ -345,19 +357,19 @@
     let (mut simulation, leader) = six_machines(909);
     simulation.submit(leader, &long("wk-1"));
     simulation.submit(leader, &sample("wk-2", 2, 2.0, 1));
-    simulation.until_done("wk-2", 20.0);
+    simulation.run_until_done("wk-2", 20.0);
     simulation.run(2.0);
     let starts = simulation.counters.starts;
-    simulation.lose_state();
+    simulation.lose_store();
     simulation.run(4.0);
     let backup = simulation.backup();
-    simulation.lose_state();
+    simulation.lose_store();
     simulation.run(4.5);
-    simulation.restore(&backup);
+    simulation.restore_backup(&backup);
     simulation.run(1.0);
     assert_rebuilt(&mut simulation, starts);
     assert_eq!(simulation.show(0, "wk-2"), (200, Some(JobState::Done)));
-    simulation.until_done("wk-1", 90.0);
+    simulation.run_until_done("wk-1", 90.0);
 }
 
 /// The second one comes while the first has just been noticed.
@@ -368,12 +380,12 @@
         simulation.submit(leader, &long("wk-1"));
         simulation.run(2.0);
         let starts = simulation.counters.starts;
-        simulation.lose_state();
+        simulation.lose_store();
         simulation.run(pause);
-        simulation.lose_state();
+        simulation.lose_store();
         simulation.run(6.0);
         assert_rebuilt(&mut simulation, starts);
-        simulation.until_done("wk-1", 90.0);
+        simulation.run_until_done("wk-1", 90.0);
     }
 }
 
@@ -388,14 +400,14 @@
     // Nothing else tells it: its reads lag, and its writes are held up.
     simulation.nodes[leader].watch_delayed = true;
     simulation.nodes[leader].store_link = Link::WritesHeld;
-    simulation.lose_state();
+    simulation.lose_store();
     simulation.reissue_lease_id(leader);
     simulation.run_until_other_leader(leader, 12.0);
     simulation.run(3.0);
     simulation.nodes[leader].watch_delayed = false;
     simulation.nodes[leader].store_link = Link::Good;
     assert_rebuilt(&mut simulation, starts);
-    simulation.until_done("wk-1", 90.0);
+    simulation.run_until_done("wk-1", 90.0);
 }
 
 /// The leader receives nothing from the state service any more and acts until its leadership proof
@@ -406,7 +418,7 @@
     simulation.submit(leader, &long("wk-1"));
     simulation.run(2.0);
     let starts = simulation.counters.starts;
-    simulation.lose_state();
+    simulation.lose_store();
     simulation.nodes[leader].store_link = Link::Refused;
     // The simulation fails if two act at the same time.
     simulation.run_until_other_leader(leader, 12.0);
@@ -422,14 +434,14 @@
     let backup = simulation.backup();
     simulation.kill(leader, Duration::from_millis(300));
     simulation.run(0.6);
-    simulation.lose_state();
+    simulation.lose_store();
     // All take new leases, with numbers from the beginning.
     simulation.run(1.0);
-    simulation.restore(&backup);
-    simulation.until(20.0, "a leader again", |simulation| {
+    simulation.restore_backup(&backup);
+    simulation.run_until(20.0, "a leader again", |simulation| {
         simulation.leader().is_some()
     });
-    simulation.until(60.0, "the store is whole", Simulation::store_complete);
+    simulation.run_until(60.0, "the store is whole", Simulation::is_store_complete);
 }
 
 /// Two controllers begin anew in the empty store, reach nobody who remembers, and take it for new. The
@@ -447,13 +459,13 @@
     }
     simulation.nodes[third].watch_delayed = true;
     simulation.nodes[third].peers_reachable = false;
-    simulation.lose_state();
+    simulation.lose_store();
     simulation.run_until_other_leader(third, 15.0);
     simulation.nodes[third].watch_delayed = false;
     simulation.nodes[third].peers_reachable = true;
     simulation.run(6.0);
-    simulation.until(60.0, "the store is whole", Simulation::store_complete);
-    assert_eq!(simulation.stored("burlusher/j/").len(), 1);
+    simulation.run_until(60.0, "the store is whole", Simulation::is_store_complete);
+    assert_eq!(simulation.stored_values("burlusher/j/").len(), 1);
     assert_eq!(simulation.show(leader, "wk-1").0, 200);
 }
 
@@ -463,7 +475,7 @@
     let (mut simulation, leader) = six_machines(910);
     simulation.submit(leader, &long("wk-1"));
     simulation.run(3.0);
-    let name = simulation.stored("burlusher/i/");
+    let name = simulation.stored_values("burlusher/i/");
     simulation.pause_leases(true);
     simulation.set_store_links(Link::Refused);
     simulation.run(8.0);
@@ -476,8 +488,8 @@
         simulation.kill(n, Duration::from_secs(1));
         simulation.run(6.0);
     }
-    assert_eq!(simulation.stored("burlusher/i/"), name);
-    assert!(simulation.stored("burlusher/rebuilding").is_empty());
+    assert_eq!(simulation.stored_values("burlusher/i/"), name);
+    assert!(simulation.stored_values("burlusher/rebuilding").is_empty());
     let losses: u64 = (0..3)
         .map(|n| simulation.nodes[n].core.store_integrity.losses)
         .sum();
@@ -492,24 +504,24 @@
     simulation.submit(leader, &long("wk-1"));
     simulation.submit(leader, &sample("wk-2", 2, 2.0, 1));
     let live = simulation
-        .stored("burlusher/j/wk-2")
+        .stored_values("burlusher/j/wk-2")
         .into_values()
         .next()
         .unwrap();
-    simulation.until_done("wk-2", 20.0);
+    simulation.run_until_done("wk-2", 20.0);
     simulation.run(3.0);
     let starts = simulation.counters.starts;
     simulation.lose_keys("burlusher/j/wk-1");
     simulation.run(12.0);
     assert_rebuilt(&mut simulation, starts);
-    assert_eq!(simulation.stored("burlusher/j/wk-1").len(), 1);
+    assert_eq!(simulation.stored_values("burlusher/j/wk-1").len(), 1);
     // An old value of the other comes back, without an event of the watch.
     simulation.overwrite_value("burlusher/j/wk-2", live);
     simulation.run(12.0);
     assert_rebuilt(&mut simulation, starts);
     assert!(
         simulation
-            .stored("burlusher/j/wk-2")
+            .stored_values("burlusher/j/wk-2")
             .values()
             .all(|v| v.get("end").is_some())
     );
@@ -527,7 +539,7 @@
     simulation.force_relisting(leader);
     simulation.run(8.0);
     assert_rebuilt(&mut simulation, starts);
-    assert_eq!(simulation.stored("burlusher/j/").len(), 1);
+    assert_eq!(simulation.stored_values("burlusher/j/").len(), 1);
 }
 
 /// The leader key came back with a restored store and its lease did not: it stayed for ever, and nobody
@@ -539,11 +551,11 @@
     simulation.run(3.0);
     let starts = simulation.counters.starts;
     simulation.kill(leader, Duration::from_secs(60));
-    simulation.forget_leases();
+    simulation.drop_leases();
     simulation.run(8.0);
     assert_eq!(simulation.leader(), None);
-    simulation.until(30.0, "a leader", |simulation| simulation.leader().is_some());
-    simulation.until_done("wk-1", 120.0);
+    simulation.run_until(30.0, "a leader", |simulation| simulation.leader().is_some());
+    simulation.run_until_done("wk-1", 120.0);
     assert_eq!(simulation.counters.starts, starts);
 }
 
@@ -564,7 +576,7 @@
         201
     );
     simulation.run(1.0);
-    assert_eq!(simulation.places("wk-000002").len(), 6);
+    assert_eq!(simulation.placements("wk-000002").len(), 6);
     let (done, starts) = (
         simulation.checker.completed.len(),
         simulation.counters.starts,
@@ -576,8 +588,8 @@
         simulation.counters.starts, starts,
         "nothing is started again"
     );
-    simulation.until_done("wk-000001", 10.0);
-    simulation.until_done("wk-000002", 20.0);
+    simulation.run_until_done("wk-000001", 10.0);
+    simulation.run_until_done("wk-000002", 20.0);
     assert_eq!(simulation.counters.starts, starts);
 }
 
@@ -587,7 +599,7 @@
 fn late_audit_repeated_before_it_counts() {
     let (mut simulation, leader) = six_machines(32);
     assert_eq!(simulation.submit(leader, &sample("wk-1", 2, 1.0, 2)), 201);
-    let stored = simulation.stored("burlusher/j/");
+    let stored = simulation.stored_values("burlusher/j/");
     let page = |revision| StoreOutcome::Page {
         items: (stored.iter())
             .map(|(key, value)| Item {
@@ -600,7 +612,7 @@
         more: false,
         revision,
     };
-    simulation.until_done("wk-1", 10.0);
+    simulation.run_until_done("wk-1", 10.0);
     let core = &mut simulation.nodes[leader].core;
     core.effects.clear();
     core.jobs_audited(String::new(), None, page(1));
@@ -632,7 +644,7 @@
     assert_eq!(simulation.submit(leader, &spec), 201);
     simulation.kill(other, Duration::from_millis(300));
     simulation.run(0.2);
-    simulation.restore(&before);
+    simulation.restore_backup(&before);
     // The others have not noticed yet, and nobody but this one can be asked.
     for node in (0..3).filter(|n| *n != other) {
         (
@@ -656,8 +668,8 @@
     }
     assert_eq!(answered, 4);
     simulation.heal_controllers();
-    simulation.until(60.0, "the store is whole", Simulation::store_complete);
-    simulation.until_done("wk-000001", 90.0);
+    simulation.run_until(60.0, "the store is whole", Simulation::is_store_complete);
+    simulation.run_until_done("wk-000001", 90.0);
 }
 
 #[test]
--- a/src/core/simulation/scenarios/lost_answers.rs
+++ b/src/core/simulation/scenarios/lost_answers.rs
@@ -10,8 +10,8 @@
 
 /// Jobs come and are cancelled, one every half second, while this share of answers is lost; users look closely.
 fn lose_answers(simulation: &mut Simulation, share: f64, rounds: u32) {
-    simulation.faults.lost_answer_share = share;
-    simulation.query_after_answers = true;
+    simulation.faults.lost_response_share = share;
+    simulation.query_after_responses = true;
     for n in 0..rounds {
         let id = format!("wk-{:06}", n + 1);
         let node = n as usize % 3;
@@ -28,13 +28,13 @@
         }
         simulation.run(0.3);
     }
-    simulation.faults.lost_answer_share = 0.0;
-    simulation.query_after_answers = false;
+    simulation.faults.lost_response_share = 0.0;
+    simulation.query_after_responses = false;
     for n in 0..rounds {
         let id = format!("wk-{:06}", n + 1);
         let over = |s| matches!(s, Some(JobState::Done | JobState::Cancelled));
-        if !over(simulation.final_answer(&id)) && !over(simulation.show(0, &id).1) {
-            simulation.until_done(&id, 60.0);
+        if !over(simulation.reported_final_state(&id)) && !over(simulation.show(0, &id).1) {
+            simulation.run_until_done(&id, 60.0);
         }
     }
 }
@@ -46,16 +46,20 @@
         let (mut simulation, leader) = eight_machines(1100 + seed);
         lose_answers(&mut simulation, 0.6, 60);
         assert!(
-            simulation.counters.answers_lost > 40,
+            simulation.counters.responses_lost > 40,
             "{} answers lost",
-            simulation.counters.answers_lost
+            simulation.counters.responses_lost
         );
         assert!(
             simulation.counters.follow_ups_answered > 100,
             "{} looks",
             simulation.counters.follow_ups_answered
         );
-        assert_eq!(simulation.terms(), 1, "a leader resigned for its own write");
+        assert_eq!(
+            simulation.leadership_count(),
+            1,
+            "a leader resigned for its own write"
+        );
         assert_eq!(simulation.leader(), Some(leader));
     }
 }
@@ -80,27 +84,27 @@
     );
     simulation.run(2.0);
     for round in 0..3 {
-        let terms = simulation.terms();
+        let terms = simulation.leadership_count();
         simulation.nodes[leader].store_link = link;
-        simulation.depose(leader);
+        simulation.force_step_down(leader);
         simulation.run(1.0);
         simulation.nodes[leader].store_link = Link::Good;
-        simulation.release();
-        simulation.until(10.0, "a leader", |simulation| simulation.leader().is_some());
+        simulation.release_held();
+        simulation.run_until(10.0, "a leader", |simulation| simulation.leader().is_some());
         assert!(
-            simulation.terms() > terms,
+            simulation.leadership_count() > terms,
             "round {round}: in a term of its own"
         );
         simulation.run(2.0);
     }
-    simulation.until_done("wk-000001", 90.0);
+    simulation.run_until_done("wk-000001", 90.0);
     assert_eq!(simulation.counters.starts, 8, "nothing is started twice");
     simulation
 }
 
 #[test]
 fn every_leadership_has_own_term() {
-    for link in [Link::Good, Link::AnswersLost, Link::WritesHeld] {
+    for link in [Link::Good, Link::ResponsesLost, Link::WritesHeld] {
         step_down_with_the_key_standing(link);
     }
     fails_without(Safeguard::UniqueTerm, "two leaderships have term", || {
@@ -114,7 +118,7 @@
     for n in 0..3 {
         simulation.nodes[n].watch_delayed = n != leader;
     }
-    simulation.query_after_answers = true;
+    simulation.query_after_responses = true;
     for n in 0..4 {
         let id = format!("wk-{:06}", n + 1);
         assert_eq!(
@@ -125,14 +129,17 @@
         if n % 2 == 0 {
             simulation.cancel(leader, &id);
         } else {
-            simulation.until(20.0, "it is done", |simulation| {
-                simulation.all_completed(&id)
+            simulation.run_until(20.0, "it is done", |simulation| {
+                simulation.all_tasks_completed(&id)
             });
             simulation.run(1.5);
             simulation.show(leader, &id);
         }
         simulation.run(0.5);
-        assert!(simulation.final_answer(&id).is_some(), "{id} is not over");
+        assert!(
+            simulation.reported_final_state(&id).is_some(),
+            "{id} is not over"
+        );
     }
     assert!(
         simulation.counters.follow_ups_answered > 30,
@@ -161,22 +168,22 @@
     simulation.run(1.0);
     // Somebody else has written the key of the job's end, and the leader's copy does not show it yet.
     let key = "burlusher/j/wk-000001";
-    let value = simulation.stored(key)[key].clone();
+    let value = simulation.stored_values(key)[key].clone();
     simulation.nodes[leader].watch_delayed = true;
-    simulation.put(key, value);
+    simulation.external_put(key, value);
     simulation.cancel_without_waiting(leader, "wk-000001");
     simulation.run(0.5);
     assert!(
-        simulation.final_answer("wk-000001").is_none(),
+        simulation.reported_final_state("wk-000001").is_none(),
         "told of what is not durable"
     );
     simulation.nodes[leader].watch_delayed = false;
     simulation.run(1.0);
     assert_eq!(
-        simulation.final_answer("wk-000001"),
+        simulation.reported_final_state("wk-000001"),
         Some(JobState::Cancelled)
     );
-    let end = simulation.stored(key)[key].clone();
+    let end = simulation.stored_values(key)[key].clone();
     assert_eq!(end["end"], "Cancelled");
 }
 
@@ -194,8 +201,8 @@
 #[test]
 fn submission_with_lost_answer_accepted_once_seen() {
     let (mut simulation, leader) = eight_machines(1120);
-    simulation.faults.lost_answer_share = 1.0;
-    simulation.faults.lost_answer_prefix = "burlusher/j/";
+    simulation.faults.lost_response_share = 1.0;
+    simulation.faults.lost_response_prefix = "burlusher/j/";
     for node in 0..3 {
         let id = format!("wk-{:06}", node + 1);
         let asked = simulation.now;
@@ -209,11 +216,11 @@
             simulation.now - asked
         );
     }
-    assert_eq!(simulation.counters.answers_lost, 3);
-    simulation.faults.lost_answer_share = 0.0;
+    assert_eq!(simulation.counters.responses_lost, 3);
+    simulation.faults.lost_response_share = 0.0;
     assert_eq!(simulation.leader(), Some(leader));
     for node in 0..3 {
-        simulation.until_done(&format!("wk-{:06}", node + 1), 20.0);
+        simulation.run_until_done(&format!("wk-{:06}", node + 1), 20.0);
     }
 }
 
--- a/src/core/simulation/scenarios/machine_failures.rs
+++ b/src/core/simulation/scenarios/machine_failures.rs
@@ -12,23 +12,23 @@
     simulation.faults.cloud_down = true; // It cannot be deleted either.
     simulation.submit(leader, &sample("wk-1", 8, 2.0, 8));
     simulation.run(2.0);
-    let id = simulation.places("wk-1")[0].0.clone();
+    let id = simulation.placements("wk-1")[0].0.clone();
     simulation.workers.get_mut(&id).unwrap().hung = true;
     simulation.run(7.0);
     // Within its lease nothing of it is started elsewhere, and it goes on with what it has.
     simulation.workers.get_mut(&id).unwrap().hung = false;
-    simulation.release();
-    simulation.until_done("wk-1", 40.0);
+    simulation.release_held();
+    simulation.run_until_done("wk-1", 40.0);
     assert_eq!(simulation.counters.starts, 8);
 
     simulation.submit(leader, &sample("wk-2", 8, 2.0, 20));
     simulation.run(2.0);
-    let id = simulation.places("wk-2")[0].0.clone();
+    let id = simulation.placements("wk-2")[0].0.clone();
     simulation.workers.get_mut(&id).unwrap().hung = true;
     simulation.run(16.0);
     simulation.workers.get_mut(&id).unwrap().hung = false;
-    simulation.release();
-    simulation.until_done("wk-2", 80.0);
+    simulation.release_held();
+    simulation.run_until_done("wk-2", 80.0);
 }
 
 #[test]
@@ -36,12 +36,12 @@
     let (mut simulation, leader) = four_machines(11);
     simulation.submit(leader, &sample("wk-1", 8, 2.0, 30));
     simulation.run(2.0);
-    let id = simulation.places("wk-1")[0].0.clone();
+    let id = simulation.placements("wk-1")[0].0.clone();
     simulation.workers.get_mut(&id).unwrap().hung = true;
     simulation.run(5.0);
     // Sooner than its lease of 10 s.
     assert!(!simulation.workers.contains_key(&id));
-    simulation.until_done("wk-1", 60.0);
+    simulation.run_until_done("wk-1", 60.0);
 }
 
 #[test]
@@ -69,7 +69,7 @@
         simulation.run(4.0);
     }
     for n in 2..8 {
-        simulation.until_done(&format!("wk-{n}"), 60.0);
+        simulation.run_until_done(&format!("wk-{n}"), 60.0);
     }
     assert!(!simulation.workers.contains_key(&id));
 }
@@ -81,13 +81,13 @@
     simulation.capacity.clear();
     simulation.submit(leader, &sample("wk-1", 1, 2.0, 3));
     simulation.run(0.5);
-    let id = simulation.places("wk-1")[0].0.clone();
-    simulation.until_done("wk-1", 20.0);
+    let id = simulation.placements("wk-1")[0].0.clone();
+    simulation.run_until_done("wk-1", 20.0);
     // The same image is there and nowhere else, so the next one would go there too.
     simulation.workers.get_mut(&id).unwrap().failing = true;
     simulation.submit(leader, &sample("wk-2", 1, 2.0, 3));
     simulation.run(30.0);
-    simulation.until_done("wk-2", 20.0);
+    simulation.run_until_done("wk-2", 20.0);
     let failed =
         |m: &crate::core::simulation::Worker| m.tasks.keys().filter(|k| &*k.job == "wk-2").count();
     assert!(simulation.workers.contains_key(&id) && failed(&simulation.workers[&id]) <= 1);
@@ -107,7 +107,7 @@
         simulation.submit(leader, &unlimited_job("wk-000001", 1, 4.0, 5)),
         201
     );
-    simulation.until(200.0, "it has failed five times", |simulation| {
+    simulation.run_until(200.0, "it has failed five times", |simulation| {
         simulation.counters.starts >= 5
     });
     simulation.run(1.5);
@@ -115,7 +115,7 @@
         simulation.submit(leader, &unlimited_job("wk-000002", 1, 4.0, 3)),
         201
     );
-    simulation.until_done("wk-000002", 120.0);
+    simulation.run_until_done("wk-000002", 120.0);
 }
 
 #[test]
--- a/src/core/simulation/scenarios/mixed_faults.rs
+++ b/src/core/simulation/scenarios/mixed_faults.rs
@@ -3,7 +3,7 @@
 use super::bidding::bidding_cluster;
 use super::delegation::policy;
 use super::four_machines;
-use crate::core::simulation::{Link, NEXT_LIMITS, Simulation};
+use crate::core::simulation::{Link, NEXT_STORE_LIMITS, Simulation};
 use crate::job::{TaskId, sample};
 use crate::wire::JobState;
 use std::time::Duration;
@@ -21,7 +21,7 @@
     let mut jobs = UserJobs::default();
     for round in 0..40 {
         if round == 20 {
-            simulation.limit(NEXT_LIMITS);
+            simulation.set_store_limits(NEXT_STORE_LIMITS);
         }
         inject_random_fault(simulation, round);
         submit_random_job(simulation, &mut jobs, format!("wk-{seed}{round:03}"));
@@ -48,7 +48,7 @@
             let node = simulation.random(3);
             let links = [
                 Link::Refused,
-                Link::AnswersLost,
+                Link::ResponsesLost,
                 Link::Held,
                 Link::WritesHeld,
                 Link::Good,
@@ -56,7 +56,7 @@
             simulation.nodes[node].store_link = links[simulation.random(5)];
         }
         4 => {
-            let link = [Link::Refused, Link::AnswersLost][simulation.random(2)];
+            let link = [Link::Refused, Link::ResponsesLost][simulation.random(2)];
             simulation.set_store_links(link);
         }
         5 | 6 => {
@@ -77,7 +77,7 @@
             let number = random_worker(simulation);
             let id = simulation.workers.keys().nth(number).cloned();
             if let Some(worker) = id.and_then(|id| simulation.workers.remove(&id)) {
-                let kind = (worker.kind, worker.spot);
+                let kind = (worker.machine_type, worker.spot);
                 *simulation.capacity.entry(kind).or_default() += 1;
             }
         }
@@ -88,7 +88,7 @@
         _ => {
             simulation.set_store_links(Link::Good);
             heal_workers(simulation);
-            simulation.release();
+            simulation.release_held();
         }
     }
 }
@@ -151,7 +151,7 @@
     simulation.faults.hold_commands = false;
     simulation.heal_controllers();
     heal_workers(simulation);
-    simulation.release();
+    simulation.release_held();
     simulation.run(15.0);
 }
 
@@ -162,10 +162,10 @@
             assert_eq!(simulation.show(node, id).1, Some(JobState::Cancelled));
         } else if simulation.show(node, id).1 != Some(JobState::Cancelled) {
             // A cancellation without an answer may have been carried out.
-            simulation.until_done(id, 400.0);
+            simulation.run_until_done(id, 400.0);
         }
     }
-    assert_eq!(simulation.over_the_limit(), 0);
+    assert_eq!(simulation.transactions_over_limit(), 0);
     let is_accepted = |t: &TaskId| jobs.accepted.iter().any(|id| **id == *t.job);
     assert!(simulation.checker.completed.iter().any(is_accepted));
 }
@@ -196,7 +196,7 @@
     for seed in 600..630 {
         let mut simulation = Simulation::with_policy(seed, policy(true));
         simulation.add_machines("small", 4);
-        simulation.until(10.0, "a leader", |simulation| simulation.leader().is_some());
+        simulation.run_until(10.0, "a leader", |simulation| simulation.leader().is_some());
         simulation.run(2.0);
         inject_mixed_faults(&mut simulation, seed);
     }
--- a/src/core/simulation/scenarios/old_heartbeats.rs
+++ b/src/core/simulation/scenarios/old_heartbeats.rs
@@ -35,7 +35,7 @@
         201
     );
     simulation.run(0.3);
-    assert_eq!(simulation.places("wk-000002").len(), 5);
+    assert_eq!(simulation.placements("wk-000002").len(), 5);
     // Their heartbeats do not arrive from now on, and they can't be asked or deleted.
     simulation.faults.cloud_down = true;
     for id in &idle {
@@ -43,9 +43,9 @@
     }
     simulation.kill(leader, Duration::from_secs(30));
     simulation.replay_at_next_leadership(old);
-    let terms = simulation.terms();
-    simulation.until(8.0, "another leader", |simulation| {
-        simulation.terms() > terms
+    let terms = simulation.leadership_count();
+    simulation.run_until(8.0, "another leader", |simulation| {
+        simulation.leadership_count() > terms
     });
     simulation.add_machine("small", "a");
     simulation.add_machine("small", "b");
@@ -60,7 +60,7 @@
     );
     simulation.heal_worker_partitions();
     simulation.faults.cloud_down = false;
-    simulation.until_done("wk-000002", 120.0);
+    simulation.run_until_done("wk-000002", 120.0);
 }
 
 #[test]
@@ -80,7 +80,7 @@
     let (mut simulation, _) = eight_machines(1210);
     let mut delivered = 0;
     for n in 0..6u32 {
-        simulation.until(15.0, "a leader", |simulation| simulation.leader().is_some());
+        simulation.run_until(15.0, "a leader", |simulation| simulation.leader().is_some());
         let leader = simulation.leader().unwrap();
         simulation.faults.replayed_heartbeat_share = 0.5;
         let id = format!("wk-{:06}", n + 1);
@@ -106,7 +106,7 @@
         delivered = simulation.counters.heartbeats_replayed;
     }
     for n in 0..6 {
-        simulation.until_done(&format!("wk-{:06}", n + 1), 90.0);
+        simulation.run_until_done(&format!("wk-{:06}", n + 1), 90.0);
     }
 }
 
@@ -134,7 +134,7 @@
         let (status, state) = simulation.show(0, id);
         assert_eq!(status, 200);
         if state != Some(JobState::Cancelled) {
-            simulation.until_done(id, 60.0);
+            simulation.run_until_done(id, 60.0);
         }
     }
     // All of them have come, and nothing is started for them.
@@ -153,30 +153,30 @@
         201
     );
     simulation.run(3.0);
-    let (id, _) = simulation.places("wk-000001")[0].clone();
+    let (id, _) = simulation.placements("wk-000001")[0].clone();
     let copy = simulation.heartbeat_of(&id);
     simulation.workers.remove(&id);
-    simulation.until(40.0, "it starts elsewhere", |simulation| {
-        simulation.places("wk-000001").len() == 1
+    simulation.run_until(40.0, "it starts elsewhere", |simulation| {
+        simulation.placements("wk-000001").len() == 1
     });
     simulation.run(20.0);
     simulation.kill(leader, Duration::from_secs(3));
-    simulation.until(10.0, "another leader", |simulation| {
+    simulation.run_until(10.0, "another leader", |simulation| {
         simulation.leader().is_some()
     });
     let next = simulation.leader().unwrap();
     // It comes before the next heartbeat of the machine that has the task now.
-    simulation.deliver(next, copy.clone());
+    simulation.deliver_heartbeat(next, copy.clone());
     simulation.run(0.2);
     let lead = simulation.nodes[next].core.leader.as_ref().unwrap();
     assert!(lead.machines.get(&id).is_none());
     simulation.run(5.0);
-    simulation.deliver(next, copy);
+    simulation.deliver_heartbeat(next, copy);
     simulation.run(5.0);
     let lead = simulation.nodes[next].core.leader.as_ref().unwrap();
     assert!(lead.machines.get(&id).is_none());
     assert_eq!(simulation.counters.starts, 2);
-    simulation.until_done("wk-000001", 70.0);
+    simulation.run_until_done("wk-000001", 70.0);
 }
 
 /// Empty and counting from one, its heartbeats were taken for old ones until it was given up.
@@ -189,10 +189,10 @@
             201
         );
         simulation.run(3.0);
-        let (id, _) = simulation.places("wk-000001")[0].clone();
+        let (id, _) = simulation.placements("wk-000001")[0].clone();
         let copy = simulation.heartbeat_of(&id);
         simulation.reboot(&id, from_one);
-        simulation.deliver(leader, copy);
+        simulation.deliver_heartbeat(leader, copy);
         let before = simulation.counters.starts;
         simulation.run(6.0);
         assert_eq!(
@@ -200,7 +200,7 @@
             before + 1,
             "its task starts again, once"
         );
-        simulation.until_done("wk-000001", 30.0);
+        simulation.run_until_done("wk-000001", 30.0);
         assert_eq!(
             machines_in_zone(&simulation, "a").len() + machines_in_zone(&simulation, "b").len(),
             8
@@ -218,21 +218,21 @@
         201
     );
     simulation.run(3.0);
-    let (first, _) = simulation.places("wk-000001")[0].clone();
+    let (first, _) = simulation.placements("wk-000001")[0].clone();
     let copy = simulation.heartbeat_of(&first);
     simulation.reboot(&first, false);
     simulation.run(3.0);
-    let (second, _) = simulation.places("wk-000001")[0].clone();
+    let (second, _) = simulation.placements("wk-000001")[0].clone();
     assert_ne!(first, second);
     simulation.faults.cloud_down = true;
     simulation.partition_worker(&first);
     simulation.partition_worker(&second);
     simulation.kill(leader, Duration::from_secs(30));
-    simulation.until(8.0, "another leader", |simulation| {
+    simulation.run_until(8.0, "another leader", |simulation| {
         simulation.leader().is_some()
     });
     let next = simulation.leader().unwrap();
-    simulation.deliver(next, copy);
+    simulation.deliver_heartbeat(next, copy);
     simulation.run(0.5);
     simulation
         .workers
@@ -247,7 +247,7 @@
         .unwrap()
         .partitioned_from
         .clear();
-    simulation.until_done("wk-000001", 60.0);
+    simulation.run_until_done("wk-000001", 60.0);
     assert_eq!(simulation.counters.starts, 2, "started once more");
 }
 
@@ -266,7 +266,7 @@
         let mut heartbeat = simulation.heartbeat_of(&id);
         (heartbeat.fencing_token, heartbeat.incarnation) = (u64::MAX, 1_000_000);
         heartbeat.tasks.clear();
-        simulation.deliver(node, heartbeat);
+        simulation.deliver_heartbeat(node, heartbeat);
         simulation.run(0.5);
     }
     let lead = simulation.nodes[leader].core.leader.as_ref().unwrap();
@@ -277,7 +277,7 @@
             .iter()
             .all(|n| !n.core.store_is_incomplete())
     );
-    simulation.until_done("wk-000001", 12.0);
+    simulation.run_until_done("wk-000001", 12.0);
     assert_eq!(
         (simulation.leader(), simulation.counters.starts),
         (Some(leader), 4)
@@ -307,12 +307,17 @@
         201
     );
     simulation.run(2.0);
-    assert!(simulation.places("wk-000001").iter().any(|(m, _)| *m == id));
+    assert!(
+        simulation
+            .placements("wk-000001")
+            .iter()
+            .any(|(m, _)| *m == id)
+    );
     for copy in [same_incarnation, earlier_incarnation] {
-        simulation.deliver(leader, copy);
+        simulation.deliver_heartbeat(leader, copy);
         simulation.run(2.0);
     }
-    simulation.until_done("wk-000001", 40.0);
+    simulation.run_until_done("wk-000001", 40.0);
     assert_eq!(simulation.counters.starts, 7);
 }
 
@@ -329,7 +334,7 @@
     there.for_each(|m| m.inbound_partitioned = true);
     simulation.faults.cloud_down = true;
     simulation.kill(leader, Duration::from_secs(60));
-    simulation.until(8.0, "another leader", |simulation| {
+    simulation.run_until(8.0, "another leader", |simulation| {
         simulation.leader().is_some()
     });
     let next = simulation.leader().unwrap();
@@ -337,7 +342,7 @@
     // Shortly before the lease has run out that its last answer may have given it, it begins anew.
     let lead = simulation.nodes[next].core.leader.as_ref().unwrap();
     let answered = lead.machines.get(&id).unwrap().lease_renewed;
-    simulation.until(15.0, "its lease", |simulation| {
+    simulation.run_until(15.0, "its lease", |simulation| {
         simulation.now > answered + Duration::from_secs(11)
     });
     simulation.reboot(&id, false);
@@ -353,10 +358,15 @@
         201
     );
     simulation.run(0.2);
-    assert!(simulation.places("wk-000001").iter().any(|(m, _)| *m == id));
+    assert!(
+        simulation
+            .placements("wk-000001")
+            .iter()
+            .any(|(m, _)| *m == id)
+    );
     simulation.add_machine("small", "b");
     simulation.run(7.0);
-    simulation.until_done("wk-000001", 40.0);
+    simulation.run_until_done("wk-000001", 40.0);
     assert_eq!(simulation.counters.starts, 5);
 }
 
@@ -368,7 +378,7 @@
     simulation.faults.cloud_down = true;
     simulation.submit(leader, &sample("wk-1", 6, 2.0, 60));
     simulation.run(2.0);
-    let id = simulation.places("wk-1")[0].0.clone();
+    let id = simulation.placements("wk-1")[0].0.clone();
     simulation.workers.get_mut(&id).unwrap().hung = true;
     simulation.run(1.0);
     let held = simulation.heartbeat_of(&id);
@@ -379,7 +389,7 @@
         lead.machines.get(&id).map_or(0, |m| m.tasks.len())
     };
     assert!(there > 0 && placed(&simulation) == 0);
-    simulation.deliver(leader, held);
+    simulation.deliver_heartbeat(leader, held);
     simulation.run(0.2);
     assert_eq!(placed(&simulation), 0);
 }
--- a/src/core/simulation/scenarios/outages.rs
+++ b/src/core/simulation/scenarios/outages.rs
@@ -20,7 +20,7 @@
         assert_eq!(simulation.show(node, "wk-999").0, 503);
     }
     simulation.set_store_links(Link::Good);
-    simulation.until_done("wk-1", 20.0);
+    simulation.run_until_done("wk-1", 20.0);
     assert_eq!(simulation.counters.starts, 4);
 }
 
@@ -30,14 +30,14 @@
     let other = follower(leader);
     simulation.nodes[other].store_link = Link::Refused;
     assert_eq!(simulation.submit(other, &sample("wk-1", 2, 2.0, 3)), 201);
-    simulation.until_done("wk-1", 20.0);
+    simulation.run_until_done("wk-1", 20.0);
     assert_eq!(simulation.show(other, "wk-1").1, Some(JobState::Done));
     simulation.nodes[other].store_link = Link::Good;
 
     simulation.nodes[leader].store_link = Link::Refused;
     simulation.run_until_other_leader(leader, 8.0);
     assert_eq!(simulation.submit(other, &sample("wk-2", 2, 2.0, 3)), 201);
-    simulation.until_done("wk-2", 20.0);
+    simulation.run_until_done("wk-2", 20.0);
 }
 
 /// After an outage of the state service the leader has its lease still; it resigned at once, for it
@@ -52,7 +52,7 @@
     assert_eq!(simulation.leader(), None);
     simulation.set_store_links(Link::Good);
     simulation.pause_leases(false);
-    simulation.until(2.0, "the same leader", |simulation| {
+    simulation.run_until(2.0, "the same leader", |simulation| {
         simulation.leader() == Some(leader)
     });
     for _ in 0..100 {
@@ -61,5 +61,5 @@
     }
     assert_eq!(simulation.workers.len(), 1000);
     simulation.submit(leader, &sample("wk-1", 4, 2.0, 3));
-    simulation.until_done("wk-1", 6.0);
+    simulation.run_until_done("wk-1", 6.0);
 }
--- a/src/core/simulation/scenarios/partitions.rs
+++ b/src/core/simulation/scenarios/partitions.rs
@@ -33,18 +33,18 @@
         machines_in_zone(&simulation, "b").iter().all(unconfirmed),
         "a new session says so"
     );
-    simulation.until_done("wk-000001", 40.0);
+    simulation.run_until_done("wk-000001", 40.0);
     // Work that comes now is not tried there for long.
-    let calls: u32 = simulation.nodes.iter().map(|n| n.calls).sum();
+    let calls: u32 = simulation.nodes.iter().map(|n| n.direct_calls).sum();
     for n in 2..8 {
         let id = format!("wk-{n:06}");
         assert_eq!(
             simulation.submit(leader, &unlimited_job(&id, 4, 2.0, 2)),
             201
         );
-        simulation.until_done(&id, 9.0);
+        simulation.run_until_done(&id, 9.0);
     }
-    let calls = simulation.nodes.iter().map(|n| n.calls).sum::<u32>() - calls;
+    let calls = simulation.nodes.iter().map(|n| n.direct_calls).sum::<u32>() - calls;
     assert!(calls < 150, "{calls} calls");
     assert_eq!(
         machines_in_zone(&simulation, "b").len(),
@@ -58,7 +58,7 @@
         201
     );
     simulation.run(3.0);
-    let places = simulation.places("wk-000009");
+    let places = simulation.placements("wk-000009");
     let used = places
         .iter()
         .filter(|(m, _)| simulation.workers[m].zone == "b");
@@ -74,7 +74,7 @@
         simulation.submit(leader, &unlimited_job("wk-000001", 8, 4.0, 1)),
         201
     );
-    simulation.until_done("wk-000001", 8.0);
+    simulation.run_until_done("wk-000001", 8.0);
     assert_eq!(simulation.counters.starts, 8);
 }
 
@@ -90,7 +90,7 @@
     simulation.run(2.0);
     partition_inbound(&mut simulation, "b", true);
     simulation.kill(leader, Duration::from_secs(30));
-    simulation.until(10.0, "another leader", |simulation| {
+    simulation.run_until(10.0, "another leader", |simulation| {
         simulation.leader().is_some()
     });
     // What was answered as cancelled during it stays so.
@@ -102,7 +102,7 @@
     simulation.run(1.0);
     let answer = simulation.cancel(next, "wk-000002");
     assert_eq!(answer, (200, Some(JobState::Cancelled)));
-    simulation.until_done("wk-000001", 50.0);
+    simulation.run_until_done("wk-000001", 50.0);
     assert!(
         machines_in_zone(&simulation, "b").len() >= 4,
         "a zone is not given up for it"
@@ -134,7 +134,7 @@
             503
         );
         assert!(simulation.now - asked < Duration::from_millis(500));
-        simulation.until(10.0, "another leads, and hears all", |simulation| {
+        simulation.run_until(10.0, "another leads, and hears all", |simulation| {
             simulation.leader().is_some_and(|l| l != alone)
                 && simulation.workers.values().all(|m| m.node != alone)
         });
@@ -143,8 +143,8 @@
             simulation.nodes[alone].store_link,
             simulation.nodes[alone].peers_reachable,
         ) = (Link::Good, true);
-        simulation.release();
-        simulation.until_done("wk-000001", 40.0);
+        simulation.release_held();
+        simulation.run_until_done("wk-000001", 40.0);
         assert_eq!(
             simulation.counters.starts, starts,
             "nothing is started again"
@@ -177,7 +177,7 @@
     simulation.run(3.0);
     let silent = partition_outbound(&mut simulation, 2, true);
     simulation.faults.cloud_down = true;
-    let calls = simulation.nodes[leader].calls;
+    let calls = simulation.nodes[leader].direct_calls;
     // The leader tells them something now and then, and they answer.
     for n in 3..7 {
         let id = format!("wk-{n:06}");
@@ -191,12 +191,12 @@
     assert_eq!(simulation.cancel(leader, "wk-000002").0, 200);
     simulation.run(0.5);
     assert!(
-        simulation.places("wk-000002").is_empty(),
+        simulation.placements("wk-000002").is_empty(),
         "stopped by a call"
     );
-    assert!(simulation.nodes[leader].calls > calls);
+    assert!(simulation.nodes[leader].direct_calls > calls);
     let there = |simulation: &Simulation, id: &str| {
-        let places = simulation.places(id);
+        let places = simulation.placements(id);
         places.iter().filter(|(m, _)| silent.contains(m)).count()
     };
     let lived: usize = (3..7)
@@ -224,7 +224,7 @@
     simulation.run(20.0);
     partition_outbound(&mut simulation, 2, false);
     simulation.faults.cloud_down = false;
-    simulation.until_done("wk-000001", 150.0);
+    simulation.run_until_done("wk-000001", 150.0);
 }
 
 #[test]
@@ -262,7 +262,7 @@
             simulation.run(0.5);
         }
         let there = |simulation: &Simulation| {
-            let places = simulation.places("wk-000001");
+            let places = simulation.placements("wk-000001");
             places
                 .iter()
                 .filter(|(m, _)| simulation.workers[m].zone == "b")
@@ -276,8 +276,8 @@
             simulation.nodes[inside].peers_reachable,
         ) = (Link::Good, true);
         simulation.heal_worker_partitions();
-        simulation.release();
-        simulation.until_done("wk-000001", 120.0);
+        simulation.release_held();
+        simulation.run_until_done("wk-000001", 120.0);
         for node in 0..3 {
             assert_eq!(
                 simulation.show(node, "wk-000002").1,
@@ -306,7 +306,7 @@
         assert_eq!(simulation.submit(leader, &spec), 201);
         simulation.run(0.2);
         let there = simulation
-            .places(&id)
+            .placements(&id)
             .iter()
             .filter(|(m, _)| silent.contains(m))
             .count();
@@ -351,8 +351,8 @@
     }
     simulation.nodes[leader].store_link = Link::Good;
     simulation.nodes[leader].peers_reachable = true;
-    simulation.release();
-    simulation.until_done("wk-1", 90.0);
+    simulation.release_held();
+    simulation.run_until_done("wk-1", 90.0);
 }
 
 /// Cut off one way: a new leader's calls come to nothing, while the workers' heartbeats arrive. Machines
@@ -368,6 +368,6 @@
     simulation.run(6.0);
     assert_eq!(simulation.workers.len(), 4);
     simulation.faults.hold_commands = false;
-    simulation.until_done("wk-1", 40.0);
+    simulation.run_until_done("wk-1", 40.0);
     assert_eq!(simulation.counters.starts, 8);
 }
--- a/src/core/simulation/scenarios/provisioning.rs
+++ b/src/core/simulation/scenarios/provisioning.rs
@@ -11,10 +11,10 @@
     simulation.run(3.0);
     assert_eq!(simulation.submit(0, &sample("wk-1", 6, 4.0, 20)), 201);
     // Patience is 30 s for work without goals.
-    simulation.until_done("wk-1", 120.0);
+    simulation.run_until_done("wk-1", 120.0);
     assert!(simulation.workers.len() >= 6);
     assert!(simulation.workers.values().all(|m| !m.spot));
-    simulation.until(120.0, "all machines returned", |simulation| {
+    simulation.run_until(120.0, "all machines returned", |simulation| {
         simulation.workers.is_empty()
     });
 }
@@ -33,9 +33,9 @@
     usual.priority = Priority::Normal;
     assert_eq!(simulation.submit(0, &usual), 201);
     // Three batches one after the other on the two spot machines that there are.
-    simulation.until_done("wk-1", 150.0);
+    simulation.run_until_done("wk-1", 150.0);
     assert_eq!(simulation.counters.provisioned, (2, 1));
-    simulation.until_done("wk-2", 150.0);
+    simulation.run_until_done("wk-2", 150.0);
 }
 
 /// Spot machines stood unrented beside a thousand waiting tasks, as the queue would be through
@@ -53,7 +53,7 @@
         simulation.submit(leader, &next);
         simulation.run(4.0);
         assert_eq!(simulation.counters.provisioned, provisioned);
-        simulation.until_done("wk-2", 60.0);
+        simulation.run_until_done("wk-2", 60.0);
     }
 }
 
@@ -77,7 +77,7 @@
         simulation.run(3.0);
         assert_eq!(simulation.counters.provisioned.1, provisioned);
         simulation.heal_worker_partitions();
-        simulation.until_done("wk-2", 120.0);
+        simulation.run_until_done("wk-2", 120.0);
     }
 }
 
@@ -103,7 +103,7 @@
         simulation.counters.cloud_calls - before
     );
     simulation.faults.cloud_down = false;
-    simulation.until(15.0, "renting goes on", |simulation| {
+    simulation.run_until(15.0, "renting goes on", |simulation| {
         simulation.workers.len() > 100
     });
 }
--- a/src/core/simulation/scenarios/scheduling.rs
+++ b/src/core/simulation/scenarios/scheduling.rs
@@ -15,14 +15,14 @@
     spec.spread = true;
     simulation.submit(leader, &spec);
     simulation.run(4.0);
-    assert_eq!(simulation.places("wk-1").len(), 3);
-    let id = simulation.places("wk-1")[0].0.clone();
+    assert_eq!(simulation.placements("wk-1").len(), 3);
+    let id = simulation.placements("wk-1")[0].0.clone();
     simulation.workers.get_mut(&id).unwrap().hung = true;
     simulation.run(14.0);
-    assert_eq!(simulation.places("wk-1").len(), 3);
+    assert_eq!(simulation.placements("wk-1").len(), 3);
     assert_eq!(simulation.cancel(leader, "wk-1").0, 200);
     simulation.run(5.0);
-    assert!(simulation.places("wk-1").is_empty());
+    assert!(simulation.placements("wk-1").is_empty());
 }
 
 #[test]
@@ -36,9 +36,9 @@
     assert_eq!(simulation.submit(leader, &gang), 201);
     simulation.run(2.0);
     // Three machines are free, but four are needed.
-    assert!(simulation.places("wk-1").is_empty());
-    simulation.until(10.0, "all four start", |simulation| {
-        simulation.places("wk-1").len() == 4
+    assert!(simulation.placements("wk-1").is_empty());
+    simulation.run_until(10.0, "all four start", |simulation| {
+        simulation.placements("wk-1").len() == 4
     });
     let attempts: std::collections::BTreeSet<u64> = simulation
         .workers
@@ -49,12 +49,12 @@
         .collect();
     assert_eq!(attempts.len(), 1);
     simulation.run(2.0);
-    let id = simulation.places("wk-1")[0].0.clone();
+    let id = simulation.placements("wk-1")[0].0.clone();
     simulation.workers.remove(&id);
     simulation.run(15.0);
-    assert!(simulation.places("wk-1").is_empty());
+    assert!(simulation.placements("wk-1").is_empty());
     simulation.add_machine("small", "a");
-    simulation.until_done("wk-1", 60.0);
+    simulation.run_until_done("wk-1", 60.0);
 }
 
 #[test]
@@ -80,15 +80,15 @@
     own.team = "u".into();
     let begun = simulation.now;
     simulation.submit(leader, &own);
-    simulation.until_done("wk-3", 25.0);
+    simulation.run_until_done("wk-3", 25.0);
     assert!(simulation.now - begun < Duration::from_secs(15));
     for _ in 0..6 {
         feed(&mut simulation, "t", 4);
         simulation.run(2.0);
     }
-    simulation.until_done("wk-1", 60.0);
+    simulation.run_until_done("wk-1", 60.0);
     // Quiet time.
-    simulation.until_done("wk-2", 60.0);
+    simulation.run_until_done("wk-2", 60.0);
 }
 
 /// Found on the first days at a larger scale: each step rebuilt what it knew of every machine and task, and
@@ -108,7 +108,7 @@
     // All but one of two thousand places are taken, by tasks that end later than this scenario.
     simulation.submit(leader, &long_job("wk-1", 1999, 600));
     simulation.run(6.0);
-    assert_eq!(simulation.places("wk-1").len(), 1999);
+    assert_eq!(simulation.placements("wk-1").len(), 1999);
 
     // A planning and a provisioning step a second at least, and nothing to do: machines that report
     // nothing new are not looked at.
@@ -122,7 +122,7 @@
     let before = looked(&simulation);
     simulation.submit(leader, &long_job("wk-2", 1, 600));
     simulation.run(1.0);
-    assert_eq!(simulation.places("wk-2").len(), 1);
+    assert_eq!(simulation.placements("wk-2").len(), 1);
     let spent = looked(&simulation) - before;
     assert!(spent < 100, "{spent} for one task");
 
@@ -144,19 +144,19 @@
     let lead = simulation.nodes[leader].core.leader.as_ref().unwrap();
     assert!(lead.machines.values().all(|m| m.recorded));
     assert!(
-        simulation.changes() < 100,
+        simulation.change_count() < 100,
         "{} changes",
-        simulation.changes()
+        simulation.change_count()
     );
     // The next leader knows them all, and receives heartbeats of them all.
     simulation.kill(leader, Duration::from_secs(60));
-    simulation.until(10.0, "another leader", |simulation| {
+    simulation.run_until(10.0, "another leader", |simulation| {
         simulation.leader().is_some()
     });
     let leader = simulation.leader().unwrap();
     let lead = simulation.nodes[leader].core.leader.as_ref().unwrap();
     assert_eq!(lead.machines.values().count(), 1000);
-    simulation.until(5.0, "all machines known", |simulation| {
+    simulation.run_until(5.0, "all machines known", |simulation| {
         let lead = simulation.nodes[leader].core.leader.as_ref();
         lead.is_some_and(|l| l.recovery.is_complete())
     });
@@ -180,7 +180,15 @@
         }
         simulation.run(3.0);
         let hit: Vec<MachineId> = (1..4)
-            .filter_map(|n| Some(simulation.places(&format!("wk-{n:06}")).first()?.0.clone()))
+            .filter_map(|n| {
+                Some(
+                    simulation
+                        .placements(&format!("wk-{n:06}"))
+                        .first()?
+                        .0
+                        .clone(),
+                )
+            })
             .collect();
         assert!(!hit.is_empty());
         for (n, id) in hit.iter().enumerate() {
@@ -203,7 +211,7 @@
         simulation.faults.cloud_down = false;
         simulation.heal_worker_partitions();
         for n in 1..4 {
-            simulation.until_done(&format!("wk-{n:06}"), 120.0);
+            simulation.run_until_done(&format!("wk-{n:06}"), 120.0);
         }
     }
 }
@@ -217,7 +225,7 @@
     simulation.capacity.clear();
     simulation.add_machines("small", 3);
     // At two and a half times the price for twice the room: dear to work that has no aim.
-    simulation.types[1].price = 9.0;
+    simulation.machine_types[1].price = 9.0;
     simulation.add_machine("large", "a");
     let leader = simulation.run_until_leader(4.0);
     let mut wide = unlimited_job("wk-900001", 2, 4.0, 20);
@@ -237,7 +245,10 @@
         }
         simulation.run(1.8);
     }
-    assert!(!simulation.places("wk-900002").is_empty() || simulation.any_completed("wk-900002"));
+    assert!(
+        !simulation.placements("wk-900002").is_empty()
+            || simulation.any_task_completed("wk-900002")
+    );
 }
 
 #[test]
@@ -262,11 +273,11 @@
     spec.one_zone = true;
     assert_eq!(simulation.submit(leader, &spec), 201);
     simulation.run(1.0);
-    assert_eq!(simulation.places("wk-000001")[0].0, first);
+    assert_eq!(simulation.placements("wk-000001")[0].0, first);
     let other = simulation.add_machine("small", "a");
     simulation.run(2.0);
     assert_eq!(
-        simulation.places("wk-000001").len(),
+        simulation.placements("wk-000001").len(),
         1,
         "there is no room in its zone"
     );
@@ -279,7 +290,7 @@
     run.tasks.assign(index, &first);
     lead.scheduler.plan_at_once();
     simulation.run(0.3);
-    simulation.until_done("wk-000001", 60.0);
+    simulation.run_until_done("wk-000001", 60.0);
 }
 
 #[test]
@@ -308,8 +319,8 @@
             assert_eq!(simulation.submit(leader, &low), 201);
             submitted = Some(simulation.now);
         }
-        let begun =
-            !simulation.places("wk-900001").is_empty() || simulation.any_completed("wk-900001");
+        let begun = !simulation.placements("wk-900001").is_empty()
+            || simulation.any_task_completed("wk-900001");
         if let Some(at) = submitted {
             let waited = simulation.now - at;
             assert!(
@@ -345,7 +356,7 @@
             assert_eq!(simulation.submit(leader, &large), 201);
         }
         simulation.run(2.0);
-        if !simulation.places("wk-000001").is_empty() {
+        if !simulation.placements("wk-000001").is_empty() {
             break;
         }
     }
--- a/src/core/simulation/scenarios/size.rs
+++ b/src/core/simulation/scenarios/size.rs
@@ -130,7 +130,7 @@
         };
         let machines: BTreeMap<_, _> = page.iter().map(|id| (id.clone(), value(id))).collect();
         let page = serde_json::to_value(PageValue { machines }).unwrap();
-        simulation.put(&format!("burlusher/p/{n}"), page);
+        simulation.external_put(&format!("burlusher/p/{n}"), page);
     }
     for node in &mut simulation.nodes {
         node.core.settings = large((*node.core.settings).clone());
@@ -145,7 +145,7 @@
     let mut simulation = recorded(Policy::parse("size", "delegate = false").unwrap());
     let unreachable = simulation.workers.values_mut().skip(RESPONSIVE);
     unreachable.for_each(|m| m.outbound_partitioned = true);
-    simulation.until(10.0, "a leader", |simulation| simulation.leader().is_some());
+    simulation.run_until(10.0, "a leader", |simulation| simulation.leader().is_some());
     let leader = simulation.leader().unwrap();
     let unresolved = |simulation: &Simulation| {
         simulation.nodes[leader]
@@ -177,7 +177,7 @@
         rounds <= MACHINES.div_ceil(MAX_DIRECT_CALLS) + 5,
         "{rounds}"
     );
-    let calls = simulation.nodes[leader].calls as usize;
+    let calls = simulation.nodes[leader].direct_calls as usize;
     assert!(
         (MACHINES - RESPONSIVE..=MACHINES).contains(&calls),
         "{calls}"
@@ -187,7 +187,7 @@
 /// All controllers end, and all workers come to one of those that follow, which leads then, or doesn't.
 fn heartbeats_after_an_end_of_all(leads: bool) {
     let mut simulation = recorded(Policy::parse("size", "delegate = true").unwrap());
-    simulation.until(10.0, "a leader", |simulation| simulation.leader().is_some());
+    simulation.run_until(10.0, "a leader", |simulation| simulation.leader().is_some());
     simulation.run(2.0);
     for node in 0..3 {
         simulation.kill(node, Duration::from_millis(500));
@@ -203,14 +203,14 @@
         node.core.candidacy.delay_until(later);
     }
     for m in simulation.workers.values_mut() {
-        (m.node, m.waiting, m.next_heartbeat) = (0, None, now);
+        (m.node, m.pending_heartbeat, m.next_heartbeat) = (0, None, now);
     }
     simulation.run(0.1);
     assert_eq!(simulation.nodes[0].core.relay.waiting(), MACHINES);
-    simulation.until(10.0, "a leader", |simulation| simulation.leader().is_some());
+    simulation.run_until(10.0, "a leader", |simulation| simulation.leader().is_some());
     let leader = simulation.leader().unwrap();
     assert_eq!(leader == 0, leads);
-    simulation.until(2.0, "all machines are known", |simulation| {
+    simulation.run_until(2.0, "all machines are known", |simulation| {
         let lead = simulation.nodes[leader].core.leader.as_ref();
         lead.is_some_and(|l| l.recovery.is_complete())
     });
@@ -301,7 +301,7 @@
         assert_eq!(simulation.submit(leader, &sample(&id, 1, 4.0, 100)), 201);
     }
     simulation.run(3.0);
-    let (held, _) = simulation.places("wk-000001")[0].clone();
+    let (held, _) = simulation.placements("wk-000001")[0].clone();
     simulation.faults.cloud_down = true;
     simulation.partition_worker(&held);
     simulation.run(0.5);
@@ -323,12 +323,12 @@
     };
     let later = serde_json::to_value(later).unwrap();
     for n in 0..MACHINES {
-        simulation.put(&format!("burlusher/j/wk-{:06}", 100_000 + n), later.clone());
+        simulation.external_put(&format!("burlusher/j/wk-{:06}", 100_000 + n), later.clone());
     }
-    let terms = simulation.terms();
+    let terms = simulation.leadership_count();
     simulation.kill(leader, Duration::from_secs(1));
-    simulation.until(15.0, "another leadership", |simulation| {
-        simulation.leader().is_some() && simulation.terms() > terms
+    simulation.run_until(15.0, "another leadership", |simulation| {
+        simulation.leader().is_some() && simulation.leadership_count() > terms
     });
     let next = simulation.leader().unwrap();
     assert_eq!(
@@ -340,11 +340,11 @@
         201
     );
     assert!(
-        !simulation.places("wk-000001").is_empty(),
+        !simulation.placements("wk-000001").is_empty(),
         "it is there, unheard"
     );
     simulation.run(3.0);
     simulation.heal_worker_partitions();
     simulation.faults.cloud_down = false;
-    simulation.until_done("wk-000011", 60.0);
+    simulation.run_until_done("wk-000011", 60.0);
 }
