--- a/src/core/simulation/scenarios/submissions.rs
+++ b/src/core/simulation/scenarios/submissions.rs
@@ -14,7 +14,7 @@
         simulation.submit(follower(leader), &sample("wk-1", 6, 2.0, 5)),
         201
     );
-    simulation.until_done("wk-1", 30.0);
+    simulation.run_until_done("wk-1", 30.0);
     for node in 0..3 {
         assert_eq!(simulation.show(node, "wk-1"), (200, Some(JobState::Done)));
         assert_eq!(simulation.show(node, "wk-999").0, 404);
@@ -23,7 +23,7 @@
     }
     assert_eq!(simulation.counters.starts, 6);
     simulation.run(5.0);
-    assert_eq!(simulation.counters.clears, 6);
+    assert_eq!(simulation.counters.forget_commands, 6);
 }
 
 #[test]
@@ -51,15 +51,15 @@
 fn leader_death_after_commit_leaves_accepted_job() {
     let (mut simulation, leader) = four_machines(3);
     // The creation is carried out, but its answer never comes; then the leader dies.
-    simulation.nodes[leader].store_link = Link::AnswersLost;
+    simulation.nodes[leader].store_link = Link::ResponsesLost;
     simulation.submit(leader, &sample("wk-1", 4, 2.0, 4));
     simulation.kill(leader, Duration::from_secs(60));
     let other = follower(leader);
-    simulation.until(10.0, "a new leader", |simulation| {
+    simulation.run_until(10.0, "a new leader", |simulation| {
         simulation.leader().is_some()
     });
     assert_eq!(simulation.submit(other, &sample("wk-1", 4, 2.0, 4)), 200);
-    simulation.until_done("wk-1", 30.0);
+    simulation.run_until_done("wk-1", 30.0);
 }
 
 /// The leader loses the state service: until another one leads, and after, the node that lost it
@@ -76,7 +76,7 @@
         );
     }
     for n in 1..6 {
-        simulation.until_done(&format!("wk-{n}"), 30.0);
+        simulation.run_until_done(&format!("wk-{n}"), 30.0);
     }
 }
 
@@ -92,7 +92,7 @@
     assert_eq!(simulation.cancel(other, "wk-1").0, 503);
     // The leader learns of it from the state service and runs it.
     simulation.run(2.0);
-    assert_eq!(simulation.places("wk-1").len(), 2);
+    assert_eq!(simulation.placements("wk-1").len(), 2);
     assert_eq!(simulation.cancel(leader, "wk-1").0, 200);
 }
 
@@ -107,7 +107,7 @@
     let other = follower(leader);
     // A repeated submission is no question, even where it takes a read beside many of them.
     for _ in 0..200 {
-        simulation.ask(other, UserAction::Show("wk-9".into()));
+        simulation.send_request(other, UserAction::Show("wk-9".into()));
     }
     assert_eq!(simulation.submit(other, &sample("wk-1", 2, 2.0, 30)), 200);
     let asked = simulation.query_burst(other, "wk-1", 200);
@@ -150,7 +150,7 @@
     let over = unlimited_job("wk-000002", 2, 1.0, 1);
     assert_eq!(simulation.submit(leader, &running), 201);
     assert_eq!(simulation.submit(leader, &over), 201);
-    simulation.until_done("wk-000002", 20.0);
+    simulation.run_until_done("wk-000002", 20.0);
     let never: Vec<JobSpec> = [
         |j: &mut JobSpec| j.team = "nobody".into(),
         |j: &mut JobSpec| j.resources.cpus = 8.5,
@@ -209,5 +209,5 @@
         }
     }
     simulation.set_store_outage(false);
-    simulation.until_done("wk-000001", 200.0);
+    simulation.run_until_done("wk-000001", 200.0);
 }
--- a/src/core/simulation/store.rs
+++ b/src/core/simulation/store.rs
@@ -21,30 +21,30 @@
 }
 
 /// Bytes of a value, and changes of a transaction.
-pub type Limits = (usize, usize);
+pub type StoreLimits = (usize, usize);
 
 /// Today's limits.
-pub const LIMITS: Limits = (8192, 16);
+pub const STORE_LIMITS: StoreLimits = (8192, 16);
 
 /// Limits that are announced for later.
-pub const NEXT_LIMITS: Limits = (2048, 10);
+pub const NEXT_STORE_LIMITS: StoreLimits = (2048, 10);
 
 /// The state service itself.
 #[derive(Clone, Default)]
 pub(super) struct StateService {
-    pub(super) limits: Limits,
+    pub(super) limits: StoreLimits,
     pub(super) keys: BTreeMap<String, Entry>,
     pub(super) revision: u64,
     pub(super) events: Vec<WatchEvent>,
     pub(super) leases: BTreeMap<u64, Instant>,
     pub(super) next_lease: u64,
     /// Transactions over the limits.
-    pub(super) refused: u32,
+    pub(super) over_limit: u32,
 }
 
 impl StateService {
     /// Deletes a key, and notifies watchers.
-    pub(super) fn drop_key(&mut self, key: &str) {
+    pub(super) fn delete_key(&mut self, key: &str) {
         if self.keys.remove(key).is_some() {
             self.events.push(WatchEvent {
                 put: None,
@@ -58,13 +58,13 @@
 
     /// Ends leases that have run out, with the keys that depend on them.
     pub(super) fn expire(&mut self, now: Instant) {
-        let over: Vec<u64> = self
+        let expired: Vec<u64> = self
             .leases
             .iter()
             .filter(|(_, end)| **end <= now)
             .map(|(id, _)| *id)
             .collect();
-        for id in over {
+        for id in expired {
             self.leases.remove(&id);
             self.revision += 1;
             let keys: Vec<String> = self
@@ -74,7 +74,7 @@
                 .map(|(k, _)| k.clone())
                 .collect();
             for key in keys {
-                self.drop_key(&key);
+                self.delete_key(&key);
             }
         }
     }
@@ -151,7 +151,7 @@
             || txn.conditions.len() > 4 * ops
             || txn.changes.iter().any(too_large)
         {
-            self.refused += 1;
+            self.over_limit += 1;
             return StoreOutcome::Invalid("400 over the limit".into());
         }
         let failed: Vec<String> = txn
@@ -193,7 +193,7 @@
                     });
                     self.keys.insert(key.clone(), e);
                 }
-                Change::Delete { key } => self.drop_key(key),
+                Change::Delete { key } => self.delete_key(key),
             }
         }
         StoreOutcome::Committed {
@@ -207,7 +207,7 @@
 
 impl Simulation {
     /// What a controller's request comes to, with its link and the faults that are set.
-    pub(super) fn call_state(&mut self, i: usize, request: &StoreRequest) -> StoreOutcome {
+    pub(super) fn call_store(&mut self, i: usize, request: &StoreRequest) -> StoreOutcome {
         if let (StoreRequest::CompareAndSwap(txn), Link::Good) = (request, self.nodes[i].store_link)
             && !self.faults.store_outage
             && self.faults.late_write_share > 0.0
@@ -224,18 +224,18 @@
         let link = self.nodes[i].store_link;
         match link {
             Link::Good if self.loses_answer(request) => {
-                self.counters.answers_lost += 1;
-                self.state.perform(request);
+                self.counters.responses_lost += 1;
+                self.store.perform(request);
                 StoreOutcome::Unknown("timeout".into())
             }
-            Link::Good => self.state.perform(request),
+            Link::Good => self.store.perform(request),
             Link::Refused => StoreOutcome::Refused("503".into()),
-            Link::AnswersLost => {
-                self.state.perform(request);
+            Link::ResponsesLost => {
+                self.store.perform(request);
                 StoreOutcome::Unknown("timeout".into())
             }
             Link::WritesHeld if !matches!(request, StoreRequest::CompareAndSwap(_)) => {
-                self.state.perform(request)
+                self.store.perform(request)
             }
             Link::Held | Link::WritesHeld => {
                 if let StoreRequest::CompareAndSwap(txn) = request {
@@ -251,10 +251,10 @@
         let StoreRequest::CompareAndSwap(txn) = request else {
             return false;
         };
-        let chosen = |c: &Change| c.key().starts_with(self.faults.lost_answer_prefix);
-        self.faults.lost_answer_share > 0.0
-            && txn.changes.iter().any(chosen)
-            && self.rng.random_bool(self.faults.lost_answer_share)
+        let selected = |c: &Change| c.key().starts_with(self.faults.lost_response_prefix);
+        self.faults.lost_response_share > 0.0
+            && txn.changes.iter().any(selected)
+            && self.rng.random_bool(self.faults.lost_response_share)
     }
 
     /// Transactions whose time has come.
@@ -268,54 +268,54 @@
             .delayed_transactions
             .extract_if(.., |(at, _)| *at <= now);
         for (_, txn) in due.collect::<Vec<_>>() {
-            self.state.txn(&txn);
+            self.store.txn(&txn);
         }
     }
 
     /// From now on the state service has these limits.
-    pub fn limit(&mut self, limits: Limits) {
-        self.state.limits = limits;
+    pub fn set_store_limits(&mut self, limits: StoreLimits) {
+        self.store.limits = limits;
     }
 
     /// How many transactions were over the limits.
-    pub fn over_the_limit(&self) -> u32 {
-        self.state.refused
+    pub fn transactions_over_limit(&self) -> u32 {
+        self.store.over_limit
     }
 
     /// What another process wrote to the state service.
-    pub fn put(&mut self, key: &str, value: serde_json::Value) {
+    pub fn external_put(&mut self, key: &str, value: serde_json::Value) {
         let change = Change::Put {
             key: key.into(),
             value,
             lease: None,
         };
-        let limits = std::mem::replace(&mut self.state.limits, (usize::MAX, 1));
-        self.state.txn(&CompareAndSwap {
+        let limits = std::mem::replace(&mut self.store.limits, (usize::MAX, 1));
+        self.store.txn(&CompareAndSwap {
             conditions: Vec::new(),
             changes: vec![change],
         });
-        self.state.limits = limits;
+        self.store.limits = limits;
     }
 
     /// Changes as watchers receive them, from this index on.
-    pub fn events(&self, from: usize) -> Vec<WatchEvent> {
-        self.state.events[from..].to_vec()
+    pub fn watch_events(&self, from: usize) -> Vec<WatchEvent> {
+        self.store.events[from..].to_vec()
     }
 
     /// What is stored under keys that begin so.
-    pub fn stored(&self, prefix: &str) -> BTreeMap<String, serde_json::Value> {
-        let keys = self.state.keys.iter();
+    pub fn stored_values(&self, prefix: &str) -> BTreeMap<String, serde_json::Value> {
+        let keys = self.store.keys.iter();
         let found = keys.filter(|(k, _)| k.starts_with(prefix));
         found.map(|(k, e)| (k.clone(), e.value.clone())).collect()
     }
 
     /// Keys of the state service that were put or deleted so far.
-    pub fn changes(&self) -> usize {
-        self.state.events.len()
+    pub fn change_count(&self) -> usize {
+        self.store.events.len()
     }
 
     /// What the state service holds now, to be restored later.
     pub fn backup(&self) -> Backup {
-        Backup(self.state.clone())
+        Backup(self.store.clone())
     }
 }
--- a/src/core/simulation/users.rs
+++ b/src/core/simulation/users.rs
@@ -10,7 +10,7 @@
 
 impl Simulation {
     /// Asks a controller; the answer is fetched by this ticket.
-    pub fn ask(&mut self, node: usize, action: UserAction) -> Ticket {
+    pub fn send_request(&mut self, node: usize, action: UserAction) -> Ticket {
         let ticket = self.new_ticket();
         let received = self.now;
         if self.nodes[node].up {
@@ -26,12 +26,12 @@
     }
 
     /// Asks one node and waits up to 3 s for its answer.
-    pub(super) fn request(&mut self, node: usize, action: UserAction) -> Option<Response> {
-        let ticket = self.ask(node, action);
+    pub(super) fn request_and_wait(&mut self, node: usize, action: UserAction) -> Option<Response> {
+        let ticket = self.send_request(node, action);
         for _ in 0..60 {
             self.tick();
-            if let Some(a) = self.network.answers.remove(&ticket) {
-                return Some(a);
+            if let Some(response) = self.network.responses.remove(&ticket) {
+                return Some(response);
             }
         }
         None
@@ -40,17 +40,17 @@
     /// Submits a job and waits up to 3 s; the answer's status, 0 if there is none.
     pub fn submit(&mut self, node: usize, spec: &JobSpec) -> u16 {
         // A repetition may carry anything; the job is what it was.
-        let known = self.checker.specs.contains_key(&*spec.id);
-        if !known {
+        let resubmitted = self.checker.specs.contains_key(&*spec.id);
+        if !resubmitted {
             self.checker.specs.insert(spec.id.to_string(), spec.clone());
         }
-        let asked = self.now;
-        let answer = self.request(node, UserAction::Submit(Box::new(spec.clone())));
-        let status = answer.as_ref().map_or(0, |a| a.status);
-        if !known && status == 422 {
+        let requested_at = self.now;
+        let response = self.request_and_wait(node, UserAction::Submit(Box::new(spec.clone())));
+        let status = response.as_ref().map_or(0, |a| a.status);
+        if !resubmitted && status == 422 {
             self.checker.specs.remove(&*spec.id);
         }
-        self.check_answer(&spec.id, asked, answer.as_ref());
+        self.check_response(&spec.id, requested_at, response.as_ref());
         status
     }
 
@@ -61,65 +61,71 @@
         }
     }
 
-    /// So many questions in one step; the answers' statuses.
+    /// So many actions in one step; the answers' statuses.
     pub fn query_burst(&mut self, node: usize, id: &str, n: u32) -> Vec<u16> {
-        let ask = |_| self.ask(node, UserAction::Show(id.into()));
-        let tickets: Vec<Ticket> = (0..n).map(ask).collect();
+        let send = |_| self.send_request(node, UserAction::Show(id.into()));
+        let tickets: Vec<Ticket> = (0..n).map(send).collect();
         self.run(2.0);
-        let answers = tickets
+        let responses = tickets
             .iter()
-            .filter_map(|t| self.network.answers.remove(t));
-        answers.map(|a| a.status).collect()
+            .filter_map(|t| self.network.responses.remove(t));
+        responses.map(|a| a.status).collect()
     }
 
     /// A submission is repeated, and its answer not waited for.
     pub fn submit_without_waiting(&mut self, node: usize, spec: &JobSpec) {
-        self.ask(node, UserAction::Submit(Box::new(spec.clone())));
+        self.send_request(node, UserAction::Submit(Box::new(spec.clone())));
     }
 
     /// Asks for a job's state and waits up to 3 s; the answer's status, 0 if there is none, and the state.
     pub fn show(&mut self, node: usize, id: &str) -> (u16, Option<JobState>) {
-        let asked = self.now;
-        let answer = self.request(node, UserAction::Show(id.into()));
-        let state = self.check_answer(id, asked, answer.as_ref());
-        (answer.map_or(0, |a| a.status), state)
+        let requested_at = self.now;
+        let response = self.request_and_wait(node, UserAction::Show(id.into()));
+        let state = self.check_response(id, requested_at, response.as_ref());
+        (response.map_or(0, |a| a.status), state)
     }
 
     /// Asks to cancel a job and waits up to 3 s; as `show`.
     pub fn cancel(&mut self, node: usize, id: &str) -> (u16, Option<JobState>) {
         self.checker.cancellation_requests.insert(id.into());
-        let asked = self.now;
-        let answer = self.request(node, UserAction::Cancel(id.into()));
-        let state = self.check_answer(id, asked, answer.as_ref());
-        (answer.map_or(0, |a| a.status), state)
+        let requested_at = self.now;
+        let response = self.request_and_wait(node, UserAction::Cancel(id.into()));
+        let state = self.check_response(id, requested_at, response.as_ref());
+        (response.map_or(0, |a| a.status), state)
     }
 
     /// Asks to cancel a job, and does not wait for the answer.
     pub fn cancel_without_waiting(&mut self, node: usize, id: &str) {
         self.checker.cancellation_requests.insert(id.into());
-        let ticket = self.ask(node, UserAction::Cancel(id.into()));
+        let ticket = self.send_request(node, UserAction::Cancel(id.into()));
         self.network
             .unawaited_cancellations
             .insert(ticket, (id.into(), self.now));
     }
 
     /// The final state that its user received, if any.
-    pub fn final_answer(&self, id: &str) -> Option<JobState> {
-        self.checker.final_answers.get(id).map(|(state, _)| *state)
+    pub fn reported_final_state(&self, id: &str) -> Option<JobState> {
+        self.checker
+            .reported_final_states
+            .get(id)
+            .map(|(state, _)| *state)
     }
 
     /// An operator's command to a node to settle what remains of a lost store; the answer's status.
-    pub fn settle(&mut self, node: usize) -> u16 {
+    pub fn settle_rebuild(&mut self, node: usize) -> u16 {
         let ticket = self.new_ticket();
         self.nodes[node]
             .inbox
             .push(Command::AcceptIncompleteStore(ticket));
         self.run(0.2);
-        self.network.answers.remove(&ticket).map_or(0, |a| a.status)
+        self.network
+            .responses
+            .remove(&ticket)
+            .map_or(0, |a| a.status)
     }
 
     /// A snapshot is offered to a node; the answer's status.
-    pub fn offer(&mut self, node: usize, store: &str, backup: &Backup) -> u16 {
+    pub fn offer_snapshot(&mut self, node: usize, store: &str, backup: &Backup) -> u16 {
         let items = backup.0.keys.iter();
         let items = items.map(|(k, e)| (k.clone(), e.value.clone()));
         let ticket = self.new_ticket();
@@ -130,7 +136,10 @@
             items: items.collect(),
         });
         self.run(0.2);
-        self.network.answers.remove(&ticket).map_or(0, |a| a.status)
+        self.network
+            .responses
+            .remove(&ticket)
+            .map_or(0, |a| a.status)
     }
 
     /// A status view of a node.
@@ -138,8 +147,8 @@
         let ticket = self.new_ticket();
         self.nodes[node].inbox.push(Command::Status(ticket));
         self.run(0.1);
-        let answer = self.network.answers.remove(&ticket);
-        answer.map_or(serde_json::Value::Null, |a| {
+        let response = self.network.responses.remove(&ticket);
+        response.map_or(serde_json::Value::Null, |a| {
             serde_json::from_slice(&a.body).unwrap()
         })
     }
@@ -151,7 +160,7 @@
     }
 
     /// Asks any controller for a job until it is done; fails after so many seconds.
-    pub fn until_done(&mut self, id: &str, seconds: f64) {
+    pub fn run_until_done(&mut self, id: &str, seconds: f64) {
         let end = self.now + Duration::from_secs_f64(seconds);
         loop {
             let node = self.random(self.nodes.len());
@@ -164,12 +173,12 @@
     }
 
     /// Some task of a job has ended with a result.
-    pub fn any_completed(&self, id: &str) -> bool {
+    pub fn any_task_completed(&self, id: &str) -> bool {
         self.checker.completed.iter().any(|key| &*key.job == id)
     }
 
     /// All tasks of an array have ended with a result.
-    pub fn all_completed(&self, id: &str) -> bool {
+    pub fn all_tasks_completed(&self, id: &str) -> bool {
         let spec = &self.checker.specs[id];
         (0..spec.tasks).all(|index| {
             let job = spec.id.clone();
@@ -178,17 +187,17 @@
     }
 
     /// Asks every controller about a job at once, and repeats its submission.
-    pub(super) fn query_everywhere(&mut self, id: &str) {
+    pub(super) fn query_all_nodes(&mut self, id: &str) {
         for node in 0..self.nodes.len() {
-            let mut questions = vec![UserAction::Show(id.into())];
-            questions.extend(
+            let mut actions = vec![UserAction::Show(id.into())];
+            actions.extend(
                 self.checker
                     .specs
                     .get(id)
                     .map(|s| UserAction::Submit(Box::new(s.clone()))),
             );
-            for action in questions {
-                let ticket = self.ask(node, action);
+            for action in actions {
+                let ticket = self.send_request(node, action);
                 self.network
                     .follow_up_queries
                     .insert(ticket, (id.into(), self.now));
--- a/src/core/simulation/worker.rs
+++ b/src/core/simulation/worker.rs
@@ -21,7 +21,7 @@
 /// A worker sends a heartbeat within this time after a change.
 const CHANGE_HEARTBEAT_DELAY: Duration = Duration::from_millis(200);
 /// A worker turns to another controller after this long without an answer.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(4);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// A heartbeat that waits for its answer.
 #[derive(Clone, Copy)]
@@ -38,16 +38,16 @@
     /// Which start of the task this is.
     pub attempt: u64,
     pub state: TaskState,
-    pub why: Option<ExitCause>,
+    pub cause: Option<ExitCause>,
     /// When it ends with a result; a service does not.
-    pub ends: Option<Instant>,
+    pub ends_at: Option<Instant>,
     /// When it has its image.
-    pub runs: Instant,
+    pub runs_at: Instant,
 }
 
 /// A machine and the worker on it.
 pub struct Worker {
-    pub kind: String,
+    pub machine_type: String,
     pub zone: String,
     pub spot: bool,
     /// When its machine has booted.
@@ -57,15 +57,15 @@
     /// Rises with each heartbeat.
     pub sequence: u64,
     /// The newest token that it was shown.
-    pub token: u64,
+    pub fencing_token: u64,
     pub tasks: BTreeMap<TaskId, WorkerTask>,
     /// When the last heartbeat was sent that was answered.
-    pub lease_from: Instant,
+    pub lease_start: Instant,
     pub next_heartbeat: Instant,
     /// The controller that it sends heartbeats to.
     pub node: usize,
     /// The heartbeat that it has sent and that has no answer yet.
-    pub(super) waiting: Option<HeartbeatExchange>,
+    pub(super) pending_heartbeat: Option<HeartbeatExchange>,
     /// It executes nothing and says nothing.
     pub hung: bool,
     /// It fails every task.
@@ -79,8 +79,8 @@
 }
 
 /// The node that an answer refers a worker to.
-pub(super) fn redirect_target(answer: &Response) -> Option<usize> {
-    let body: serde_json::Value = serde_json::from_slice(&answer.body).ok()?;
+pub(super) fn redirect_target(response: &Response) -> Option<usize> {
+    let body: serde_json::Value = serde_json::from_slice(&response.body).ok()?;
     let name = body.get("foreman")?.as_str()?;
     name.strip_prefix('n')?.parse().ok()
 }
@@ -92,12 +92,12 @@
         Heartbeat {
             machine: id.clone(),
             addr: "127.0.0.1:9000".into(),
-            machine_type: self.kind.clone(),
+            machine_type: self.machine_type.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
             incarnation: self.incarnation,
             sequence: self.sequence,
-            fencing_token: self.token,
+            fencing_token: self.fencing_token,
             reclaim_in_s: None,
             tasks: self
                 .tasks
@@ -106,7 +106,7 @@
                     task: k.to_string(),
                     attempt: t.attempt,
                     state: t.state,
-                    cause: t.why,
+                    cause: t.cause,
                     checkpointed: None,
                 })
                 .collect(),
@@ -116,17 +116,17 @@
     /// Its lease may have expired: then its tasks are gone, and it begins another incarnation. A machine
     /// that hangs may resume within its lease.
     fn expire_lease(&mut self, now: Instant) {
-        if now > self.lease_from + LEASE {
+        if now > self.lease_start + LEASE {
             self.tasks.clear();
             self.incarnation += 1;
             self.sequence = 0;
-            self.lease_from = now;
-            self.waiting = None;
+            self.lease_start = now;
+            self.pending_heartbeat = None;
         }
     }
 
     /// It sends heartbeats to another controller from now on.
-    fn turn_to_next(&mut self, nodes: usize) {
+    fn switch_node(&mut self, nodes: usize) {
         self.node = (self.node + 1) % nodes;
     }
 }
@@ -139,10 +139,10 @@
 
     /// Carries out a controller's commands, and checks each start against the rules.
     pub(super) fn execute(&mut self, id: &MachineId, commands: &[TaskCommand]) {
-        let mut beside = self.zones_of_tasks(commands);
+        let mut sibling_zones = self.zones_of_tasks(commands);
         if commands
             .iter()
-            .any(|o| matches!(o, TaskCommand::Start { .. }))
+            .any(|c| matches!(c, TaskCommand::Start { .. }))
         {
             self.check_recorded(id);
         }
@@ -152,7 +152,12 @@
         for command in commands {
             match command {
                 TaskCommand::Start { task, attempt } => {
-                    self.start_task(id, parse_task_id(task).unwrap(), *attempt, &mut beside);
+                    self.start_task(
+                        id,
+                        parse_task_id(task).unwrap(),
+                        *attempt,
+                        &mut sibling_zones,
+                    );
                 }
                 TaskCommand::Stop { task, attempt, .. } => {
                     self.stop_task(id, &parse_task_id(task).unwrap(), *attempt);
@@ -174,7 +179,7 @@
             let job = parse_task_id(task).unwrap().job;
             let spec = &self.checker.specs[&*job];
             if spec.one_zone || spec.spread {
-                for (machine, key) in self.places(&job) {
+                for (machine, key) in self.placements(&job) {
                     zones.insert(key, self.workers[&machine].zone.clone());
                 }
             }
@@ -187,34 +192,34 @@
         id: &MachineId,
         key: TaskId,
         attempt: u64,
-        beside: &mut BTreeMap<TaskId, String>,
+        sibling_zones: &mut BTreeMap<TaskId, String>,
     ) {
         let worker = &self.workers[id];
-        let known = worker.tasks.get(&key);
-        if known.is_some_and(|t| t.attempt == attempt) {
+        let current = worker.tasks.get(&key);
+        if current.is_some_and(|t| t.attempt == attempt) {
             return;
         }
         let zone = worker.zone.clone();
         self.counters.starts += 1;
-        self.check_start(&key, &zone, beside);
+        self.check_start(&key, &zone, sibling_zones);
         let worker = &self.workers[id];
         let spec = &self.checker.specs[&*key.job];
-        let runs = self.now + self.image_fetch_time;
+        let runs_at = self.now + self.image_fetch_time;
         let mut task = WorkerTask {
             attempt,
             state: TaskState::Running,
-            why: None,
-            ends: (spec.job_kind != JobKind::Service).then(|| runs + spec.estimate),
-            runs,
+            cause: None,
+            ends_at: (spec.job_kind != JobKind::Service).then(|| runs_at + spec.estimate),
+            runs_at,
         };
         if !self.image_fetch_time.is_zero() {
             task.state = TaskState::Fetching;
         }
         if worker.failing || self.broken_jobs.contains(&*key.job) {
-            (task.state, task.why) = (TaskState::Exited, Some(ExitCause::Error));
+            (task.state, task.cause) = (TaskState::Exited, Some(ExitCause::Error));
         }
         if spec.one_zone || spec.spread {
-            beside.insert(key.clone(), zone);
+            sibling_zones.insert(key.clone(), zone);
         }
         let worker = self.workers.get_mut(id).expect("it was found above");
         worker.tasks.insert(key, task);
@@ -226,7 +231,7 @@
             && task.attempt == attempt
             && task.state != TaskState::Exited
         {
-            (task.state, task.why) = (TaskState::Exited, Some(ExitCause::Stopped));
+            (task.state, task.cause) = (TaskState::Exited, Some(ExitCause::Stopped));
         }
     }
 
@@ -234,7 +239,7 @@
         let worker = self.workers.get_mut(id).expect("the commands are its own");
         let ended = |t: &WorkerTask| t.attempt == attempt && t.state == TaskState::Exited;
         if worker.tasks.get(key).is_some_and(ended) {
-            self.counters.clears += 1;
+            self.counters.forget_commands += 1;
             worker.tasks.remove(key);
         }
     }
@@ -255,7 +260,7 @@
             }
             self.advance_tasks(&id);
             let worker = &self.workers[&id];
-            if let Some(exchange) = worker.waiting {
+            if let Some(exchange) = worker.pending_heartbeat {
                 self.await_heartbeat_response(&id, exchange);
             } else if self.now >= worker.next_heartbeat {
                 self.send_heartbeat(&id);
@@ -268,14 +273,14 @@
         let worker = self.workers.get_mut(id).expect("the worker exists");
         let mut changed = false;
         for (key, task) in &mut worker.tasks {
-            if task.state == TaskState::Fetching && task.runs <= now {
+            if task.state == TaskState::Fetching && task.runs_at <= now {
                 task.state = TaskState::Running;
                 let late = self.checker.cancelled_at.contains_key(&*key.job);
                 self.counters.late_starts += u32::from(late);
                 changed = true;
             }
-            if task.state == TaskState::Running && task.ends.is_some_and(|e| e <= now) {
-                (task.state, task.why) = (TaskState::Exited, Some(ExitCause::Done));
+            if task.state == TaskState::Running && task.ends_at.is_some_and(|e| e <= now) {
+                (task.state, task.cause) = (TaskState::Exited, Some(ExitCause::Done));
                 self.checker.completed.insert(key.clone());
                 changed = true;
             }
@@ -289,34 +294,34 @@
     fn await_heartbeat_response(&mut self, id: &MachineId, exchange: HeartbeatExchange) {
         let nodes = self.setup.nodes;
         let worker = self.workers.get_mut(id).expect("the worker exists");
-        let Some(answer) = self.network.answers.remove(&exchange.ticket) else {
-            if self.now > exchange.sent + ANSWER_TIMEOUT {
-                worker.waiting = None;
-                worker.turn_to_next(nodes);
+        let Some(response) = self.network.responses.remove(&exchange.ticket) else {
+            if self.now > exchange.sent + RESPONSE_TIMEOUT {
+                worker.pending_heartbeat = None;
+                worker.switch_node(nodes);
             }
             return;
         };
-        worker.waiting = None;
+        worker.pending_heartbeat = None;
         if worker.partitioned_from.contains(&exchange.node) || worker.inbound_partitioned {
             return;
         }
-        let response: Option<HeartbeatResponse> = serde_json::from_slice(&answer.body).ok();
-        match (answer.status, response) {
+        let body: Option<HeartbeatResponse> = serde_json::from_slice(&response.body).ok();
+        match (response.status, body) {
             (200, Some(a))
-                if a.fencing_token >= worker.token
+                if a.fencing_token >= worker.fencing_token
                     && exchange.incarnation == worker.incarnation =>
             {
-                worker.token = a.fencing_token;
-                worker.lease_from = exchange.sent;
+                worker.fencing_token = a.fencing_token;
+                worker.lease_start = exchange.sent;
                 self.execute(id, &a.commands);
             }
             (200, _) => {}
-            _ => match redirect_target(&answer) {
+            _ => match redirect_target(&response) {
                 Some(other) if other != worker.node => {
                     worker.node = other;
                     worker.next_heartbeat = self.now + TICK * 4;
                 }
-                _ => worker.turn_to_next(nodes),
+                _ => worker.switch_node(nodes),
             },
         }
     }
@@ -330,12 +335,12 @@
             || worker.partitioned_from.contains(&node)
             || worker.outbound_partitioned
         {
-            return worker.turn_to_next(self.setup.nodes);
+            return worker.switch_node(self.setup.nodes);
         }
         let heartbeat = Box::new(worker.heartbeat(id));
         let incarnation = worker.incarnation;
         if !self.faults.duplicate_delay.is_zero() {
-            let at = now + self.duplicate_after();
+            let at = now + self.random_duplicate_delay();
             let to = self.rng.random_range(0..self.setup.nodes);
             let copy = (*heartbeat).clone();
             self.network.delayed_heartbeats.push((at, to, copy));
@@ -353,30 +358,35 @@
             sent: now,
         };
         let worker = self.workers.get_mut(id).expect("the worker exists");
-        worker.waiting = Some(exchange);
+        worker.pending_heartbeat = Some(exchange);
         self.nodes[node]
             .inbox
             .push(Command::Heartbeat { ticket, heartbeat });
     }
 
     /// How much later a duplicate arrives.
-    fn duplicate_after(&mut self) -> Duration {
+    fn random_duplicate_delay(&mut self) -> Duration {
         let part = self.rng.random_range(0.1..1.0);
         self.faults.duplicate_delay.mul_f64(part)
     }
 
     /// Executes direct commands as a worker does.
-    pub fn direct(&mut self, id: &MachineId, body: &DirectCommands) -> Option<DirectOutcome> {
+    pub fn execute_direct(
+        &mut self,
+        id: &MachineId,
+        body: &DirectCommands,
+    ) -> Option<DirectOutcome> {
         let worker = self.workers.get_mut(id)?;
-        let fits = body.fencing_token >= worker.token && body.incarnation == worker.incarnation;
-        if fits {
-            worker.token = body.fencing_token;
+        let accepted =
+            body.fencing_token >= worker.fencing_token && body.incarnation == worker.incarnation;
+        if accepted {
+            worker.fencing_token = body.fencing_token;
             self.execute(id, &body.commands);
         }
         let worker = self.workers.get_mut(id)?;
         Some(DirectOutcome::Heartbeat {
             heartbeat: Box::new(worker.heartbeat(id)),
-            executed: fits,
+            executed: accepted,
         })
     }
 
@@ -388,7 +398,7 @@
         request: DirectRequest,
     ) -> DirectOutcome {
         let unknown = DirectOutcome::Unknown("timeout".into());
-        self.nodes[i].calls += 1;
+        self.nodes[i].direct_calls += 1;
         let Some(worker) = self.workers.get(id) else {
             return DirectOutcome::NotSent("no route".into());
         };
@@ -405,7 +415,7 @@
         }
         let held = worker.hung || worker.partitioned_from.contains(&i);
         if !self.faults.duplicate_delay.is_zero() {
-            let at = self.now + self.duplicate_after();
+            let at = self.now + self.random_duplicate_delay();
             self.network
                 .delayed_commands
                 .push((at, id.clone(), body.clone()));
@@ -423,7 +433,7 @@
             self.network.held_commands.push((id.clone(), body));
             return unknown;
         }
-        self.direct(id, &body).unwrap_or(unknown)
+        self.execute_direct(id, &body).unwrap_or(unknown)
     }
 
     /// A machine is back within a moment, empty, and counts from one; or goes on counting.
@@ -431,13 +441,13 @@
         let now = self.now;
         if let Some(worker) = self.workers.get_mut(id) {
             worker.tasks.clear();
-            worker.waiting = None;
-            (worker.lease_from, worker.next_heartbeat) = (now, now + TICK * 4);
+            worker.pending_heartbeat = None;
+            (worker.lease_start, worker.next_heartbeat) = (now, now + TICK * 4);
             if from_one {
                 // What was under way to it ends with its connections.
                 self.network.held_commands.retain(|(to, _)| to != id);
                 self.network.delayed_commands.retain(|(_, to, _)| to != id);
-                (worker.incarnation, worker.sequence, worker.token) = (1, 0, 0);
+                (worker.incarnation, worker.sequence, worker.fencing_token) = (1, 0, 0);
             } else {
                 worker.incarnation += 1;
             }
@@ -445,15 +455,15 @@
     }
 
     /// Where tasks of a job are that have not ended.
-    pub fn places(&self, id: &str) -> Vec<(MachineId, TaskId)> {
-        let mut out = Vec::new();
+    pub fn placements(&self, id: &str) -> Vec<(MachineId, TaskId)> {
+        let mut found = Vec::new();
         for (m, worker) in &self.workers {
             for (key, t) in &worker.tasks {
                 if &*key.job == id && t.state != TaskState::Exited {
-                    out.push((m.clone(), key.clone()));
+                    found.push((m.clone(), key.clone()));
                 }
             }
         }
-        out
+        found
     }
 }
