--- a/src/core/simulation/checker.rs
+++ b/src/core/simulation/checker.rs
@@ -200,10 +200,10 @@
     /// A task starts only on a machine that is on record, so that a later leader knows of it.
     pub(super) fn check_recorded(&self, id: &MachineId) {
         // A store that has lost data may have lost this record as well.
-        let kept = self.checker.complete_caches.is_none()
+        let must_be_recorded = self.checker.complete_caches.is_none()
             && !self.checker.data_lost_for_good
             && !self.checker.machines_with_lost_record.contains(id);
-        if kept && !self.store.recorded().contains(id) {
+        if must_be_recorded && !self.store.recorded_machines().contains(id) {
             panic!("a task starts on {id}, which is not on record");
         }
     }
@@ -250,8 +250,8 @@
 
     /// When the user of a job that this one needs, or its own, first received the answer that it is cancelled.
     pub(super) fn dependency_cancelled_at(&self, id: &str) -> Option<Instant> {
-        let all = self.dependency_closure(id);
-        all.iter()
+        let jobs = self.dependency_closure(id);
+        jobs.iter()
             .filter_map(|a| self.checker.cancelled_at.get(a))
             .min()
             .copied()
@@ -259,9 +259,9 @@
 
     /// The store has an identity and no mark, and who leads it knows of no loss.
     pub fn is_store_complete(&self) -> bool {
-        let marked = self.store.keys.contains_key("burlusher/rebuilding");
+        let rebuilding = self.store.keys.contains_key("burlusher/rebuilding");
         let leader = self.leader().map(|n| &self.nodes[n].core);
-        !marked && leader.is_some_and(|c| !c.store_is_incomplete())
+        !rebuilding && leader.is_some_and(|c| !c.store_is_incomplete())
     }
 
     /// Every leadership has a term that no other has. At the beginning of one, what was kept for it arrives.
@@ -272,9 +272,9 @@
                 continue;
             };
             let leadership = (i, node.core.nonce, node.core.candidacy.leaderships());
-            let known = self.checker.leaderships.get(&lead.term);
-            new_leadership |= known.is_none();
-            let other = known.filter(|k| **k != leadership);
+            let recorded = self.checker.leaderships.get(&lead.term);
+            new_leadership |= recorded.is_none();
+            let other = recorded.filter(|k| **k != leadership);
             assert!(
                 other.is_none(),
                 "two leaderships have term {}: {other:?} and {leadership:?}",
@@ -292,9 +292,9 @@
         if self.checker.complete_caches.is_none() {
             return;
         }
-        let restored = |(key, over): (&String, &bool)| {
+        let restored = |(key, ended): (&String, &bool)| {
             let stored = self.store.keys.get(key);
-            stored.is_some_and(|e| !over || e.value.get("end").is_some())
+            stored.is_some_and(|e| !ended || e.value.get("end").is_some())
         };
         if self.checker.jobs_to_restore.iter().all(restored) {
             self.checker.complete_caches = None;
@@ -304,10 +304,10 @@
 
     /// Something is not as it should be in quiet times.
     pub(super) fn has_active_faults(&self) -> bool {
-        let node = |n: &Node| {
+        let is_node_faulty = |n: &Node| {
             !n.up || n.paused || n.store_link != Link::Good || !n.peers_reachable || n.watch_delayed
         };
-        let worker = |m: &Worker| {
+        let is_worker_faulty = |m: &Worker| {
             m.hung
                 || m.inbound_partitioned
                 || m.outbound_partitioned
@@ -324,8 +324,8 @@
             || self.faults.replayed_heartbeat_share > 0.0
             || !self.faults.duplicate_delay.is_zero()
             || !self.is_store_complete()
-            || self.nodes.iter().any(node)
-            || self.workers.values().any(worker)
+            || self.nodes.iter().any(is_node_faulty)
+            || self.workers.values().any(is_worker_faulty)
     }
 
     /// In quiet times no job waits for long while a machine that fits has room and its team is under its limit.
@@ -364,11 +364,16 @@
             return false;
         };
         let is_final = |id: &str| self.checker.reported_final_states.contains_key(id);
-        let over = is_final(id) || self.broken_jobs.contains(id);
+        let excluded = is_final(id) || self.broken_jobs.contains(id);
         let ready = spec.dependencies.iter().all(|a| is_final(a));
         let used = usage.by_team.get(LIMITED_TEAM).copied().unwrap_or(0.0);
         let within = spec.team != LIMITED_TEAM || used + spec.resources.cpus <= TEAM_LIMIT;
-        if over || usage.jobs.contains(id) || !ready || !within || spec.job_kind == JobKind::Gang {
+        if excluded
+            || usage.jobs.contains(id)
+            || !ready
+            || !within
+            || spec.job_kind == JobKind::Gang
+        {
             return false;
         }
         let fits = |free: &FreeCapacity| {
@@ -408,9 +413,9 @@
     pub(super) fn check_invariants(&self) {
         let is_acting = |n: &&Node| n.up && !n.paused && n.core.is_active_leader();
         let leaders = self.nodes.iter().filter(is_acting).count();
-        let one = leaders <= 1 || !is_enabled(Safeguard::LeaseValidity);
-        assert!(one, "{leaders} leaders act at the same time");
-        let mut at: BTreeMap<&TaskId, &MachineId> = BTreeMap::new();
+        let at_most_one = leaders <= 1 || !is_enabled(Safeguard::LeaseValidity);
+        assert!(at_most_one, "{leaders} leaders act at the same time");
+        let mut locations: BTreeMap<&TaskId, &MachineId> = BTreeMap::new();
         let mut used: BTreeMap<&str, f64> = BTreeMap::new();
         for (id, worker) in &self.workers {
             if self.now < worker.up_at {
@@ -423,7 +428,7 @@
                 if t.state == TaskState::Exited || excluded {
                     continue;
                 }
-                if let Some(other) = at.insert(key, id) {
+                if let Some(other) = locations.insert(key, id) {
                     panic!("{key} is on {other} and on {id}");
                 }
                 let spec = &self.checker.specs[&*key.job];
@@ -446,7 +451,7 @@
                 .find(|t| t.name == worker.machine_type);
             assert!(cpus <= kind.map_or(0.0, |t| t.cpus), "{id} holds too much");
         }
-        let t = used.get(LIMITED_TEAM).copied().unwrap_or(0.0);
-        assert!(t <= TEAM_LIMIT, "team t uses {t}");
+        let limited_team = used.get(LIMITED_TEAM).copied().unwrap_or(0.0);
+        assert!(limited_team <= TEAM_LIMIT, "team t uses {limited_team}");
     }
 }
--- a/src/core/simulation/cluster.rs
+++ b/src/core/simulation/cluster.rs
@@ -55,7 +55,8 @@
             "objectives": [
                 {"kind": "wait", "class": "urgent", "within_s": 10.0, "share": 0.95}
             ],
-            "workers": {"report_s": 1.0, "lease_s": LEASE.as_secs_f64(), "cancel_s": setup.cancellation_limit.as_secs_f64()},
+            "workers": {"report_s": 1.0, "lease_s": LEASE.as_secs_f64(),
+                        "cancel_s": setup.cancellation_limit.as_secs_f64()},
             "state": {"rps": 100.0, "write_rps": 50.0, "value_kb": 8.0, "txn_ops": 16,
                       "next": {"write_rps": 35.0, "value_kb": 2.0, "txn_ops": 10}},
             "cloud": {"rps": 10.0, "list_lag_s": 1.0},
@@ -457,8 +458,8 @@
                 node.inbox.push(Command::StoreListed { items, revision });
             }
             // After a loss of data, it may wait for a revision that the service has yet to come to.
-            Some(seen) => {
-                let from = self.store.events.partition_point(|e| e.version <= seen);
+            Some(watched) => {
+                let from = self.store.events.partition_point(|e| e.version <= watched);
                 let events = self.store.events[from..].to_vec();
                 let poll_pending = self.now < node.watch_answered_at + Duration::from_secs(10);
                 if events.is_empty() && poll_pending {
--- a/src/core/simulation/counters.rs
+++ b/src/core/simulation/counters.rs
@@ -12,7 +12,7 @@
     /// Tasks that workers started.
     pub starts: u32,
     /// Ended tasks that workers were commanded to forget.
-    pub forget_commands: u32,
+    pub tasks_forgotten: u32,
     /// Tasks that began to run, and commands to start them that were carried out, after their user
     /// received the answer that their job is cancelled.
     pub late_starts: u32,
--- a/src/core/simulation/faults.rs
+++ b/src/core/simulation/faults.rs
@@ -133,10 +133,10 @@
             let ended = e.value.get("end").is_some();
             *self.checker.jobs_to_restore.entry(key.clone()).or_default() |= ended;
         }
-        let current = |n: &Node| {
+        let up_to_date = |n: &Node| {
             n.up && n.core.store_cache.loaded && n.watch_revision >= Some(self.store.revision)
         };
-        let up = (0..self.nodes.len()).filter(|i| current(&self.nodes[*i]));
+        let up = (0..self.nodes.len()).filter(|i| up_to_date(&self.nodes[*i]));
         let leads = |n: &Node| n.up && n.core.is_active_leader() && !n.core.store_is_incomplete();
         if self.nodes.iter().any(leads) && !self.store.keys.contains_key("burlusher/rebuilding") {
             self.checker.survivors = up.clone().collect();
@@ -145,10 +145,10 @@
             Some(caches) => caches.retain(|i| self.nodes[*i].up),
             None => self.checker.complete_caches = Some(up.collect()),
         }
-        let before = self.store.recorded();
+        let before = self.store.recorded_machines();
         self.checker
             .machines_with_lost_record
-            .extend(&before - &backup.0.recorded());
+            .extend(&before - &backup.0.recorded_machines());
         let no_cache_left = self
             .checker
             .complete_caches
--- a/src/core/simulation/scenarios/delegation.rs
+++ b/src/core/simulation/scenarios/delegation.rs
@@ -67,7 +67,7 @@
     simulation.run_until_done("wk-1", 20.0);
     assert_eq!(simulation.counters.starts, 40);
     simulation.run(5.0);
-    assert_eq!(simulation.counters.forget_commands, 40);
+    assert_eq!(simulation.counters.tasks_forgotten, 40);
 }
 
 /// Plans are some time apart, and heartbeats were answered before the next one: each start took a call.
--- a/src/core/simulation/scenarios/late_commands.rs
+++ b/src/core/simulation/scenarios/late_commands.rs
@@ -120,7 +120,7 @@
     simulation.run(15.0);
     let cleared = simulation.workers.values().all(|m| m.tasks.is_empty());
     assert!(
-        cleared && simulation.counters.forget_commands >= 8,
+        cleared && simulation.counters.tasks_forgotten >= 8,
         "all is cleared"
     );
     let copies = simulation.delayed_command_copies();
--- a/src/core/simulation/scenarios/submissions.rs
+++ b/src/core/simulation/scenarios/submissions.rs
@@ -23,7 +23,7 @@
     }
     assert_eq!(simulation.counters.starts, 6);
     simulation.run(5.0);
-    assert_eq!(simulation.counters.forget_commands, 6);
+    assert_eq!(simulation.counters.tasks_forgotten, 6);
 }
 
 #[test]
--- a/src/core/simulation/store.rs
+++ b/src/core/simulation/store.rs
@@ -80,7 +80,7 @@
     }
 
     /// The machines that are on record.
-    pub(super) fn recorded(&self) -> BTreeSet<MachineId> {
+    pub(super) fn recorded_machines(&self) -> BTreeSet<MachineId> {
         let pages = self
             .keys
             .iter()
--- a/src/core/simulation/worker.rs
+++ b/src/core/simulation/worker.rs
@@ -239,7 +239,7 @@
         let worker = self.workers.get_mut(id).expect("the commands are its own");
         let ended = |t: &WorkerTask| t.attempt == attempt && t.state == TaskState::Exited;
         if worker.tasks.get(key).is_some_and(ended) {
-            self.counters.forget_commands += 1;
+            self.counters.tasks_forgotten += 1;
             worker.tasks.remove(key);
         }
     }
@@ -366,8 +366,8 @@
 
     /// How much later a duplicate arrives.
     fn random_duplicate_delay(&mut self) -> Duration {
-        let part = self.rng.random_range(0.1..1.0);
-        self.faults.duplicate_delay.mul_f64(part)
+        let fraction = self.rng.random_range(0.1..1.0);
+        self.faults.duplicate_delay.mul_f64(fraction)
     }
 
     /// Executes direct commands as a worker does.
