--- a/src/core/simulation/checker.rs
+++ b/src/core/simulation/checker.rs
@@ -1,4 +1,4 @@
-//! The rules that are checked at every tick and at every answer.
+//! The invariants that are checked at every tick and at every response.
 
 use super::cluster::{Node, Simulation};
 use super::network::Link;
@@ -10,37 +10,40 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// The answers that users received and what has happened, as far as the rules depend on it.
+/// Responses that users received and the history of the run, as far as the invariants depend on them.
 pub struct Checker {
-    /// Who began a leadership in each term: the controller, its process, and which of its leaderships.
+    /// Leadership in each term: the controller, the nonce of its process, and the number of the
+    /// leadership within that process.
     pub(super) leaderships: BTreeMap<u64, (usize, u64, u64)>,
-    /// Jobs that were submitted, as they were submitted first.
+    /// Submitted jobs, each with the specification of its first submission.
     pub(super) specs: BTreeMap<String, JobSpec>,
-    /// Final states that users received as answers, and when first.
+    /// Final states that users received in responses, and when they first received them.
     pub(super) reported_final_states: BTreeMap<String, (JobState, Instant)>,
-    /// Jobs that some user received as accepted.
+    /// Jobs that a response to some user has shown as accepted.
     pub(super) acknowledged_jobs: BTreeSet<String>,
-    /// Controllers that remember all that the store held when it lost data, until it is whole again.
+    /// Controllers whose cached copy holds everything that the store held when it lost data; `None`
+    /// while the store lacks nothing.
     pub(super) complete_caches: Option<BTreeSet<usize>>,
-    /// Keys of jobs that the store held then, and whether they were over.
+    /// Keys of the jobs that the store held when it lost data, and whether the jobs had ended.
     pub(super) jobs_to_restore: BTreeMap<String, bool>,
-    /// Controllers that have not ended since the store lost data last.
+    /// Controllers that have not been killed since the last data loss of the store.
     pub survivors: BTreeSet<usize>,
-    /// Machines whose record the store has lost. If nobody remembers them either, what they hold may be
-    /// started once more, whatever is done: a list of the cloud comes too late to tell of all.
+    /// Machines whose record the store has lost. If no controller has them cached either, their tasks
+    /// may be started a second time, and nothing can prevent it: a machine list from the cloud comes
+    /// too late to name them all.
     pub(super) machines_with_lost_record: BTreeSet<MachineId>,
-    /// All controllers that remembered lost data have ended: answers given before may be
+    /// All controllers that had the lost data cached have been killed: earlier responses may be
     /// contradicted.
     pub data_lost_for_good: bool,
-    /// Jobs whose users asked to cancel them.
+    /// Jobs that users asked to cancel.
     pub(super) cancellation_requests: BTreeSet<String>,
-    /// When users first received the answer that a job is cancelled.
+    /// When users first received the response that a job is cancelled.
     pub cancelled_at: BTreeMap<String, Instant>,
-    /// Since when jobs wait though a machine has room for them.
+    /// Time since which each job has waited although a machine has capacity for it.
     pub(super) starving_since: BTreeMap<String, Instant>,
-    /// When jobs that wait were looked for last.
+    /// Time of the last check for starving jobs.
     pub(super) last_starvation_check: Instant,
-    /// Tasks that ended with a result.
+    /// Tasks that ran to completion.
     pub completed: BTreeSet<TaskId>,
 }
 
@@ -65,31 +68,32 @@
     }
 }
 
-/// How long a job may wait while a machine that fits has room and no fault is active.
+/// Longest time for which a job may wait while a suitable machine has capacity and no fault is active.
 pub(super) const STARVATION_LIMIT: Duration = Duration::from_secs(90);
 
-/// The team that may use no more than `TEAM_LIMIT` CPUs.
+/// Team that may use no more than `TEAM_LIMIT` CPUs.
 pub(super) const LIMITED_TEAM: &str = "t";
 pub(super) const TEAM_LIMIT: f64 = 24.0;
 
-/// What is left of a machine.
+/// Unused capacity of a machine.
 struct FreeCapacity<'a> {
     worker: &'a Worker,
     cpus: f64,
     ram: f64,
 }
 
-/// What is used on the machines that are up, and what is left of them.
+/// Used and free capacity of the machines that are up.
 #[derive(Default)]
 struct Usage<'a> {
-    /// Jobs that have a task somewhere.
+    /// Jobs that have an unfinished task on some machine.
     jobs: BTreeSet<&'a str>,
-    /// CPUs by team.
+    /// CPUs in use by each team.
     by_team: BTreeMap<&'a str, f64>,
     free: Vec<FreeCapacity<'a>>,
 }
 
-/// A task that starts is in a zone that its job allows, given the job's other tasks.
+/// Checks that a starting task is in a zone that its job allows, given the zones of the job's other
+/// tasks.
 fn check_zone(key: &TaskId, spec: &JobSpec, zone: &str, sibling_zones: &BTreeMap<TaskId, String>) {
     let others = || {
         sibling_zones
@@ -106,12 +110,12 @@
     let here = others().filter(|(_, z)| *z == zone).count() as u32;
     assert!(
         here < spec.max_tasks_per_zone(),
-        "{key} starts in {zone}, as too many of its job do"
+        "{key} starts in {zone}, where too many tasks of its job are"
     );
 }
 
 impl Simulation {
-    /// Checks an answer against everything that was answered before, and takes note of it.
+    /// Checks a response against all earlier responses, and records it.
     pub(super) fn check_response(
         &mut self,
         id: &str,
@@ -145,7 +149,7 @@
             let late = self.now > at + self.setup.cancellation_limit;
             assert!(
                 !late,
-                "{id} is said to live, though a job that it needs is cancelled"
+                "{id} is reported as not ended, but a dependency of it is cancelled"
             );
         }
         match state {
@@ -156,8 +160,9 @@
         Some(state)
     }
 
-    /// Two answers to questions asked side by side come in any order. What is asked after its user
-    /// was given a final answer, and what is final, must be the same.
+    /// Checks that a response agrees with the final state that was reported for the job. Responses to
+    /// concurrent requests arrive in any order, so only two kinds must agree: those to requests sent
+    /// after the final state was received, and those that report a final state themselves.
     fn check_against_reported_state(
         &self,
         id: &str,
@@ -171,11 +176,14 @@
         if let Some((reported, at)) = self.checker.reported_final_states.get(id)
             && (is_final || requested_at >= *at)
         {
-            assert_eq!(*reported, state, "{id}: said to be something else");
+            assert_eq!(
+                *reported, state,
+                "{id}: said to be in another state than reported before"
+            );
         }
     }
 
-    /// A job that is said to be cancelled, or one that it needs, was asked to be.
+    /// Checks that a user asked to cancel a job that is reported cancelled, or one of its dependencies.
     fn check_cancelled(&mut self, id: &str) {
         let first = self.checker.cancelled_at.entry(id.into());
         first.or_insert(self.now);
@@ -184,10 +192,13 @@
             .dependency_closure(id)
             .iter()
             .any(|a| requests.contains(a));
-        assert!(asked, "{id} is said to be cancelled, and nobody asked");
+        assert!(
+            asked,
+            "{id} is said to be cancelled, but no user asked to cancel it"
+        );
     }
 
-    /// All tasks of a job that is said to be done have ended with a result.
+    /// Checks that all tasks of a job that is reported done have run to completion.
     fn check_done(&self, id: &str) {
         let spec = &self.checker.specs[id];
         for index in 0..spec.tasks {
@@ -197,9 +208,10 @@
         }
     }
 
-    /// A task starts only on a machine that is on record, so that a later leader knows of it.
+    /// Checks that a machine on which a task starts is recorded in the store, so that a later leader
+    /// knows of it.
     pub(super) fn check_recorded(&self, id: &MachineId) {
-        // A store that has lost data may have lost this record as well.
+        // A store that has lost data may have lost this machine's record too.
         let must_be_recorded = self.checker.complete_caches.is_none()
             && !self.checker.data_lost_for_good
             && !self.checker.machines_with_lost_record.contains(id);
@@ -208,8 +220,8 @@
         }
     }
 
-    /// A task that starts is of no job that was cancelled too long ago, what its job awaits is done,
-    /// and it is in a zone that its job allows.
+    /// Checks a starting task: its job was not confirmed as cancelled longer ago than the cancellation
+    /// limit, the dependencies of its job are done, and its zone is one that its job allows.
     pub(super) fn check_start(
         &mut self,
         key: &TaskId,
@@ -235,7 +247,7 @@
         check_zone(key, spec, zone, sibling_zones);
     }
 
-    /// A job and all that it needs.
+    /// Returns a job and its direct and indirect dependencies.
     pub(super) fn dependency_closure(&self, id: &str) -> BTreeSet<String> {
         let mut found = BTreeSet::new();
         let mut next = vec![id.to_string()];
@@ -248,7 +260,8 @@
         found
     }
 
-    /// When the user of a job that this one needs, or its own, first received the answer that it is cancelled.
+    /// Returns when a user first received the response that this job or one of its dependencies is
+    /// cancelled.
     pub(super) fn dependency_cancelled_at(&self, id: &str) -> Option<Instant> {
         let jobs = self.dependency_closure(id);
         jobs.iter()
@@ -257,14 +270,16 @@
             .copied()
     }
 
-    /// The store has an identity and no mark, and who leads it knows of no loss.
+    /// Returns whether the store has no marker of a rebuild, and a leader exists that knows of no data
+    /// loss.
     pub fn is_store_complete(&self) -> bool {
         let rebuilding = self.store.keys.contains_key("burlusher/rebuilding");
         let leader = self.leader().map(|n| &self.nodes[n].core);
         !rebuilding && leader.is_some_and(|c| !c.store_is_incomplete())
     }
 
-    /// Every leadership has a term that no other has. At the beginning of one, what was kept for it arrives.
+    /// Checks that no two leaderships share a term. When one begins, delivers the heartbeats that were
+    /// kept to be replayed at that moment.
     pub(super) fn check_terms(&mut self) {
         let mut new_leadership = false;
         for (i, node) in self.nodes.iter().enumerate().filter(|(_, n)| n.up) {
@@ -287,7 +302,8 @@
         }
     }
 
-    /// Once the store holds again what it had lost, no controller has to remember it any more.
+    /// Ends the tracking of a data loss once the store holds all lost jobs again: the cached copies of
+    /// the controllers are no longer needed then.
     pub(super) fn update_restored_jobs(&mut self) {
         if self.checker.complete_caches.is_none() {
             return;
@@ -302,7 +318,8 @@
         }
     }
 
-    /// Something is not as it should be in quiet times.
+    /// Returns whether an injected fault is active, the store is incomplete, or no controller leads. Jobs
+    /// are not checked for starvation meanwhile.
     pub(super) fn has_active_faults(&self) -> bool {
         let is_node_faulty = |n: &Node| {
             !n.up || n.paused || n.store_link != Link::Good || !n.peers_reachable || n.watch_delayed
@@ -328,7 +345,8 @@
             || self.workers.values().any(is_worker_faulty)
     }
 
-    /// In quiet times no job waits for long while a machine that fits has room and its team is under its limit.
+    /// Checks that, without active faults, no job waits for long while a suitable machine has capacity
+    /// and the job's team is under its limit.
     pub(super) fn check_starvation(&mut self) {
         if self.now < self.checker.last_starvation_check + Duration::from_secs(1) {
             return;
@@ -345,12 +363,12 @@
             let since = *starving.entry(id.clone()).or_insert(now);
             assert!(
                 now < since + STARVATION_LIMIT,
-                "{id} waits for 90 s while a machine has room"
+                "{id} waits for 90 s while a machine has capacity for it"
             );
         }
     }
 
-    /// Jobs without a task anywhere for which a machine has room now.
+    /// Returns the jobs that have no task on any machine and for which a machine has capacity now.
     fn jobs_that_could_start(&self) -> BTreeSet<String> {
         let usage = self.usage();
         let jobs = self.checker.acknowledged_jobs.iter();
@@ -359,6 +377,8 @@
             .collect()
     }
 
+    /// Returns whether a job is waiting and a machine has capacity for one of its tasks. Gangs are left
+    /// out: they need capacity for all of their tasks at once.
     fn could_start(&self, id: &str, usage: &Usage) -> bool {
         let Some(spec) = self.checker.specs.get(id) else {
             return false;
@@ -386,7 +406,7 @@
         !self.all_tasks_completed(id) && usage.free.iter().any(fits)
     }
 
-    /// What is on the machines that are up.
+    /// Returns the used and free capacity of the machines that are up.
     fn usage(&self) -> Usage<'_> {
         let mut usage = Usage::default();
         for worker in self.workers.values().filter(|m| m.up_at <= self.now) {
@@ -409,12 +429,12 @@
         usage
     }
 
-    /// What must hold at every tick of what controllers and machines do.
+    /// Checks the invariants on leaders, tasks and machines that hold at every tick.
     pub(super) fn check_invariants(&self) {
         let is_acting = |n: &&Node| n.up && !n.paused && n.core.is_active_leader();
         let leaders = self.nodes.iter().filter(is_acting).count();
         let at_most_one = leaders <= 1 || !is_enabled(Safeguard::LeaseValidity);
-        assert!(at_most_one, "{leaders} leaders act at the same time");
+        assert!(at_most_one, "{leaders} leaders are active at the same time");
         let mut locations: BTreeMap<&TaskId, &MachineId> = BTreeMap::new();
         let mut used: BTreeMap<&str, f64> = BTreeMap::new();
         for (id, worker) in &self.workers {
@@ -449,7 +469,10 @@
                 .machine_types
                 .iter()
                 .find(|t| t.name == worker.machine_type);
-            assert!(cpus <= kind.map_or(0.0, |t| t.cpus), "{id} holds too much");
+            assert!(
+                cpus <= kind.map_or(0.0, |t| t.cpus),
+                "{id} runs tasks that need more CPUs than it has"
+            );
         }
         let limited_team = used.get(LIMITED_TEAM).copied().unwrap_or(0.0);
         assert!(limited_team <= TEAM_LIMIT, "team t uses {limited_team}");
--- a/src/core/simulation/cloud.rs
+++ b/src/core/simulation/cloud.rs
@@ -5,7 +5,7 @@
 use crate::wire::{ListedMachine, ListedState};
 
 impl Simulation {
-    /// What a call to the cloud comes to.
+    /// Performs a call to the cloud and returns its outcome, subject to the injected faults.
     pub(super) fn call_cloud(&mut self, request: CloudRequest) -> CloudOutcome {
         self.counters.cloud_calls += 1;
         if self.faults.cloud_down {
--- a/src/core/simulation/cluster.rs
+++ b/src/core/simulation/cluster.rs
@@ -1,4 +1,4 @@
-//! The simulated cluster: its controllers, and how time passes.
+//! The simulated cluster: its controllers and its virtual clock.
 
 use super::checker::{Checker, LIMITED_TEAM, TEAM_LIMIT};
 use super::counters::Counters;
@@ -20,25 +20,25 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime};
 
-/// How much time passes between two steps of a controller.
+/// Virtual time between two steps of a controller.
 pub const TICK: Duration = Duration::from_millis(50);
 
-/// How many controllers there are, and what a cancellation may take.
+/// Size of the cluster, and the time limit of cancellations.
 #[derive(Clone, Copy, Debug)]
 pub struct Setup {
-    /// Controllers.
+    /// Number of controllers.
     pub nodes: usize,
-    /// The longest that tasks of a cancelled job may be left on machines.
+    /// Longest time for which tasks of a cancelled job may remain on machines.
     pub cancellation_limit: Duration,
 }
 
-/// What most tests use.
+/// Setup that most tests use.
 pub const SETUP: Setup = Setup {
     nodes: 3,
     cancellation_limit: Duration::from_secs(20),
 };
 
-/// The settings of a controller of that name.
+/// Returns the settings of the controller with this name.
 pub fn settings(name: &str, setup: Setup) -> Settings {
     let peers: Vec<serde_json::Value> = (0..setup.nodes)
         .map(|n| format!("n{n}"))
@@ -68,35 +68,37 @@
 
 /// A simulated controller and its connections.
 pub struct Node {
-    /// What is tested.
+    /// Code under test.
     pub core: Core,
-    /// Its process runs.
+    /// Whether the process runs.
     pub up: bool,
-    /// How its calls to the state service go.
+    /// State of the connection to the state service.
     pub store_link: Link,
-    /// It and the other controllers reach one another.
+    /// Whether this controller and the others can reach one another.
     pub peers_reachable: bool,
-    /// Nothing of its watch of the state service reaches it.
+    /// Whether changes from the watch of the state service are held back.
     pub watch_delayed: bool,
-    /// It makes no step, while what is sent to it waits.
+    /// Whether the process is paused: it takes no step, and its inbox fills up.
     pub paused: bool,
-    /// Processor time that its steps took.
+    /// Real time that the steps took.
     pub step_time: Duration,
-    /// Direct calls that it made.
+    /// Number of direct calls to workers.
     pub direct_calls: u32,
     pub(super) inbox: Vec<Command>,
     pub(super) lease: Option<u64>,
     pub(super) leadership_proof: Option<LeadershipProof>,
     pub(super) next_renewal: Instant,
-    /// A full read that the service has begun to answer: its answer is as old as that.
+    /// Response to a full read of the store that is under way: the items and the revision as of the
+    /// beginning of the read.
     pub(super) pending_listing: Option<(Vec<Item>, u64)>,
-    /// The revision after which its watch asks for changes, and when that was answered last.
+    /// Revision after which the watch requests changes; `None` before a full read.
     pub(super) watch_revision: Option<u64>,
+    /// Time of the last response to the watch.
     pub(super) watch_answered_at: Instant,
     pub(super) restart_at: Option<Instant>,
 }
 
-/// The cluster, everything around it, and what is known of the run so far.
+/// The cluster, the components that it interacts with, and the history of the run.
 pub struct Simulation {
     pub setup: Setup,
     /// Virtual time.
@@ -110,29 +112,31 @@
     pub counters: Counters,
     /// Machines that exist, each with its worker.
     pub workers: BTreeMap<MachineId, Worker>,
-    /// Machine types that the cloud offers.
+    /// Machine types offered by the cloud.
     pub machine_types: Vec<MachineType>,
-    /// How many machines of each type can still be provisioned, spot ones apart.
+    /// Number of machines that can still be provisioned, by machine type and whether they are spot
+    /// machines.
     pub capacity: BTreeMap<(String, bool), u32>,
     pub(super) provisioned_by_request: BTreeMap<String, Vec<MachineId>>,
     pub(super) next_machine: u32,
     pub(super) next_ticket: Ticket,
-    /// Users ask every controller at once, and repeat the submission, as soon as a job is accepted or over.
+    /// Whether, as soon as a response first reports a job as accepted or ended, users query every
+    /// controller for the job and repeat the submission.
     pub query_after_responses: bool,
-    /// The policy of controllers that start from now on.
+    /// Policy of controllers that start from now on.
     pub policy: Arc<Policy>,
-    /// Jobs whose tasks fail wherever they start.
+    /// Jobs whose tasks fail on every machine.
     pub broken_jobs: BTreeSet<String>,
-    /// How long a provisioned machine takes until it is up.
+    /// Time that a provisioned machine takes to boot.
     pub boot_time: Duration,
-    /// How long a machine fetches the image of each task.
+    /// Time that a machine takes to fetch the image of each task.
     pub image_fetch_time: Duration,
-    /// Takes in what the controllers decide, where a test asks for it.
+    /// Recorder of the controllers' decisions, if a test sets one.
     pub recorder: Option<DecisionRecorder>,
     pub(super) rng: SmallRng,
 }
 
-/// With `LOG_LEVEL` set, the log of a scenario is printed.
+/// Prints the log of a scenario if `LOG_LEVEL` is set.
 pub fn enable_log() {
     if let Ok(level) = std::env::var("LOG_LEVEL") {
         let _ = crate::logging::start(crate::logging::LogFormat::Text, Some(&level));
@@ -140,17 +144,17 @@
 }
 
 impl Simulation {
-    /// Three controllers with the built-in policy; no machine is provisioned yet.
+    /// Creates a cluster of three controllers with the built-in policy and without machines.
     pub fn new(seed: u64) -> Simulation {
         Simulation::with_policy(seed, Policy::built_in())
     }
 
-    /// The same with another policy.
+    /// Creates a cluster of three controllers with this policy and without machines.
     pub fn with_policy(seed: u64, policy: Policy) -> Simulation {
         Simulation::with_setup(seed, policy, SETUP)
     }
 
-    /// The same with another setup as well.
+    /// Creates a cluster with this policy and setup and without machines.
     pub fn with_setup(seed: u64, policy: Policy, setup: Setup) -> Simulation {
         let now = Instant::now();
         let mut simulation = Simulation {
@@ -216,14 +220,14 @@
         simulation
     }
 
-    /// A number that no request had before.
+    /// Returns a ticket that identifies a new request.
     pub(super) fn new_ticket(&mut self) -> Ticket {
         let ticket = self.next_ticket;
         self.next_ticket += 1;
         ticket
     }
 
-    /// What a controller's clocks show now.
+    /// Returns the current readings of a controller's clocks.
     pub(super) fn clock(&self) -> Now {
         let wall = Duration::from_secs(1_700_000_000) + (self.now - self.start);
         Now {
@@ -232,7 +236,7 @@
         }
     }
 
-    /// A controller that has just started.
+    /// Creates a controller that has just started.
     pub(super) fn new_node(&mut self, i: usize) -> Node {
         let settings = Arc::new(settings(&format!("n{i}"), self.setup));
         let nonce = self.rng.random();
@@ -256,29 +260,30 @@
         }
     }
 
-    /// A number below `n`.
+    /// Returns a random number below `n`.
     pub fn random(&mut self, n: usize) -> usize {
         self.rng.random_range(0..n)
     }
 
-    /// The controller that leads now.
+    /// Returns the controller that leads now.
     pub fn leader(&self) -> Option<usize> {
         (0..self.nodes.len()).find(|i| self.nodes[*i].up && self.nodes[*i].core.is_active_leader())
     }
 
-    /// How many leaderships there were.
+    /// Returns the number of leaderships so far.
     pub fn leadership_count(&self) -> usize {
         self.checker.leaderships.len()
     }
 
-    /// Adds so many machines that were there before, alternately in zones a and b.
+    /// Adds `count` machines that the cluster did not provision and that are up, alternately in zones a
+    /// and b.
     pub fn add_machines(&mut self, kind: &str, count: usize) {
         for n in 0..count {
             self.add_machine(kind, ["a", "b"][n % 2]);
         }
     }
 
-    /// Adds a machine that was there before.
+    /// Adds a machine that the cluster did not provision and that is up.
     pub fn add_machine(&mut self, kind: &str, zone: &str) -> MachineId {
         let id: MachineId = format!("i-{:06}", self.next_machine).into();
         self.next_machine += 1;
@@ -308,7 +313,7 @@
         id
     }
 
-    /// Lets so many seconds pass.
+    /// Advances the virtual time by this many seconds.
     pub fn run(&mut self, seconds: f64) {
         let ticks = (seconds / TICK.as_secs_f64()).round() as u32;
         for _ in 0..ticks {
@@ -316,32 +321,36 @@
         }
     }
 
-    /// Runs until a controller leads, and `settle_seconds` more; says which one leads then.
+    /// Runs until a controller leads, and `settle_seconds` more; returns the leader at the end. Fails if
+    /// there is no leader within 10 s.
     pub fn run_until_leader(&mut self, settle_seconds: f64) -> usize {
         self.run_until(10.0, "a leader", |simulation| simulation.leader().is_some());
         self.run(settle_seconds);
-        self.leader().expect("it leads on")
+        self.leader().expect("a controller still leads")
     }
 
-    /// Runs until a controller other than this one leads; says which. Fails after `seconds`.
+    /// Runs until a controller other than `former` leads, and returns it. Fails after `seconds`.
     pub fn run_until_other_leader(&mut self, former: usize, seconds: f64) -> usize {
         self.run_until(seconds, "another leader", |simulation| {
             simulation.leader().is_some_and(|l| l != former)
         });
-        self.leader().expect("one was found")
+        self.leader().expect("a leader was found above")
     }
 
-    /// Runs until `f` holds; fails after `seconds`.
+    /// Runs until `condition` holds. Fails after `seconds`; `what` describes the condition in the message.
     pub fn run_until(&mut self, seconds: f64, what: &str, condition: impl Fn(&Simulation) -> bool) {
         let end = self.now + Duration::from_secs_f64(seconds);
         while !condition(self) {
-            assert!(self.now < end, "not within {seconds} s: {what}");
+            assert!(
+                self.now < end,
+                "condition not met within {seconds} s: {what}"
+            );
             self.tick();
         }
     }
 
-    /// Lets a tick of virtual time pass: what is due arrives, workers and controllers go on, and the
-    /// rules are checked.
+    /// Advances the virtual time by one tick: delivers due messages, advances workers and controllers,
+    /// and checks the invariants.
     pub fn tick(&mut self) {
         self.now += TICK;
         self.store.expire(self.now);
@@ -366,7 +375,7 @@
         self.check_starvation();
     }
 
-    /// Starts a controller again whose time has come.
+    /// Restarts a killed controller if its restart time has come.
     fn restart_if_due(&mut self, i: usize) {
         if self.nodes[i].restart_at.is_some_and(|t| t <= self.now) {
             let (store_link, peers) = (self.nodes[i].store_link, self.nodes[i].peers_reachable);
@@ -376,7 +385,7 @@
         }
     }
 
-    /// Hands a controller what has arrived, and carries out what it decides.
+    /// Passes the commands in its inbox to a controller, and applies the effects that it returns.
     fn step_controller(&mut self, i: usize) {
         let commands = std::mem::take(&mut self.nodes[i].inbox);
         let clock = self.clock();
@@ -391,7 +400,7 @@
         }
     }
 
-    /// Renews a controller's lease at the state service, or takes one, every 600 ms.
+    /// Renews a controller's lease at the state service, or acquires one, every 600 ms.
     pub(super) fn renew_lease(&mut self, i: usize) {
         let now = self.now;
         let node = &mut self.nodes[i];
@@ -441,7 +450,8 @@
         }
     }
 
-    /// Delivers to a controller what has changed in the state service.
+    /// Delivers the changes in the state service to a controller's watch, or all items if the watch
+    /// needs a full read.
     pub(super) fn deliver_watch(&mut self, i: usize) {
         let node = &mut self.nodes[i];
         if !node.up
@@ -457,7 +467,8 @@
                 let items = self.store.items();
                 node.inbox.push(Command::StoreListed { items, revision });
             }
-            // After a loss of data, it may wait for a revision that the service has yet to come to.
+            // After a data loss, the store may be at an earlier revision than the one that the watch
+            // waits for. An empty response after 10 s shows the controller the present revision.
             Some(watched) => {
                 let from = self.store.events.partition_point(|e| e.version <= watched);
                 let events = self.store.events[from..].to_vec();
--- a/src/core/simulation/counters.rs
+++ b/src/core/simulation/counters.rs
@@ -1,9 +1,9 @@
-//! What tests count.
+//! Event counts that tests assert on.
 
-/// How often something happened since the simulation began.
+/// Numbers of events since the simulation began.
 #[derive(Default)]
 pub struct Counters {
-    /// Machines that were provisioned: spot ones, and ordinary ones.
+    /// Provisioned machines: (spot, on-demand).
     pub provisioned: (u32, u32),
     /// Calls to the cloud.
     pub cloud_calls: u32,
@@ -11,16 +11,17 @@
     pub heartbeats: u32,
     /// Tasks that workers started.
     pub starts: u32,
-    /// Ended tasks that workers were commanded to forget.
+    /// Ended tasks that workers removed on command.
     pub tasks_forgotten: u32,
-    /// Tasks that began to run, and commands to start them that were carried out, after their user
-    /// received the answer that their job is cancelled.
+    /// Tasks that began to run, and start commands that were carried out, after a user received the
+    /// response that the job is cancelled.
     pub late_starts: u32,
-    /// Answers to transactions that were lost (`Faults::lost_response_share`).
+    /// Transaction responses that were lost (`Faults::lost_response_share`).
     pub responses_lost: u32,
     /// Direct commands that were delayed (`Faults::late_command_share`).
     pub commands_delayed: u32,
-    /// Heartbeats that were delivered when a leadership began (`Faults::replayed_heartbeat_share`).
+    /// Copies of heartbeats that were delivered when a leadership began
+    /// (`Faults::replayed_heartbeat_share`).
     pub heartbeats_replayed: u32,
     /// Follow-up queries that were answered with a job's state
     /// (`Simulation::query_after_responses`).
--- a/src/core/simulation/disabled_guard.rs
+++ b/src/core/simulation/disabled_guard.rs
@@ -1,11 +1,11 @@
-//! Scenarios played with a guard taken out of the program, to show that the rule which it keeps is
-//! checked.
+//! Runs scenarios with one safeguard of the program disabled, to show that the simulation checks the
+//! invariant which the safeguard upholds.
 
 use crate::fault_injection::{DISABLED, Safeguard};
 use std::any::Any;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// What a scenario fails with when a guard is taken out, if it does.
+/// Runs a scenario with a safeguard disabled; returns the panic message if the scenario fails.
 pub fn failure_without(safeguard: Safeguard, scenario: impl FnOnce()) -> Option<String> {
     DISABLED.set(Some(safeguard));
     let failure = catch_unwind(AssertUnwindSafe(scenario)).err();
@@ -13,7 +13,8 @@
     failure.and_then(message)
 }
 
-/// Fails unless a scenario breaks this rule when a guard is taken out.
+/// Runs a scenario with a safeguard disabled; panics unless it fails with a message that contains
+/// `expected`.
 pub fn fails_without(safeguard: Safeguard, expected: &str, scenario: impl FnOnce()) {
     let message = failure_without(safeguard, scenario);
     let message =
@@ -24,7 +25,7 @@
     );
 }
 
-/// The message of a panic.
+/// Returns the message of a panic.
 fn message(panic: Box<dyn Any + Send>) -> Option<String> {
     let text = panic.downcast_ref::<&str>().map(|s| s.to_string());
     text.or_else(|| panic.downcast::<String>().ok().map(|s| *s))
--- a/src/core/simulation/faults.rs
+++ b/src/core/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! Faults that a test injects: settings that last until it ends them, and events that it causes by a call.
+//! Fault injection: settings that last until the test resets them, and methods that cause a single event.
 
 use super::cluster::{Node, Simulation};
 use super::network::Link;
@@ -9,33 +9,33 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Faults that last until a test ends them.
+/// Faults that last until the test resets them.
 pub struct Faults {
-    /// Heartbeats and direct commands arrive once more up to this much later, heartbeats at any
-    /// controller.
+    /// Longest delay of a duplicate. If it is not zero, heartbeats and direct commands arrive a second
+    /// time after up to this delay, heartbeats at a random controller.
     pub duplicate_delay: Duration,
-    /// This share of transactions gets no answer and is carried out 2 to 12 s later.
+    /// Share of transactions that get no response and are carried out 2 to 12 s later.
     pub late_write_share: f64,
-    /// This share of transactions is carried out at once, and its answer lost.
+    /// Share of transactions that are carried out at once and whose response is lost.
     pub lost_response_share: f64,
-    /// Only answers to transactions are lost that change a key with this prefix.
+    /// Prefix of keys: responses are lost only for transactions that change a key with this prefix.
     pub lost_response_prefix: &'static str,
-    /// This share of direct commands gets no answer and is carried out 2 to 16 s later, once.
+    /// Share of direct commands that get no response and are carried out once, 2 to 16 s later.
     pub late_command_share: f64,
-    /// Copies of this share of heartbeats reach every controller when the next leadership begins.
+    /// Share of heartbeats of which a copy reaches every controller when the next leadership begins.
     pub replayed_heartbeat_share: f64,
-    /// Direct commands are held until `Simulation::release`.
+    /// Whether direct commands are held until `Simulation::release_held`.
     pub hold_commands: bool,
-    /// The cloud answers every call with an error.
+    /// Whether the cloud answers every call with an error.
     pub cloud_down: bool,
-    /// Scale-outs are carried out, and their answers lost.
+    /// Whether scale-outs are carried out and their responses lost.
     pub scale_out_responses_lost: bool,
     /// Zones in which no machine can be provisioned.
     pub zones_without_capacity: BTreeSet<String>,
-    /// The state service serves nobody; no lease runs out, and each has its full time again
-    /// afterwards (`Simulation::set_store_outage`).
+    /// Whether the state service refuses all calls. No lease expires meanwhile, and each has its full
+    /// TTL again afterwards (`Simulation::set_store_outage`).
     pub store_outage: bool,
-    /// The state service answers up to this much later.
+    /// Longest delay of responses of the state service.
     pub store_delay: Duration,
 }
 
@@ -59,7 +59,7 @@
 }
 
 impl Simulation {
-    /// A controller ends, and starts again after this time.
+    /// Kills a controller, which restarts after this time.
     pub fn kill(&mut self, i: usize, restart_after: Duration) {
         self.checker.survivors.remove(&i);
         if let Some(caches) = &mut self.checker.complete_caches {
@@ -93,7 +93,7 @@
         }
     }
 
-    /// A leader takes its key for gone, though it stands.
+    /// Makes a leader step down by telling it that its leader key is gone, although the key still exists.
     pub fn force_step_down(&mut self, node: usize) {
         if let Some(lead) = &self.nodes[node].core.leader {
             let key_version = lead.key_version;
@@ -103,13 +103,13 @@
         }
     }
 
-    /// The state service serves nobody from now on, or everybody again.
+    /// Begins or ends an outage of the state service, during which it refuses all calls.
     pub fn set_store_outage(&mut self, outage: bool) {
         self.faults.store_outage = outage;
         self.pause_leases(outage);
     }
 
-    /// During an outage no lease runs out, and after it each has its full time again.
+    /// Stops the expiry of leases, or resumes it with the full TTL for each.
     pub fn pause_leases(&mut self, paused: bool) {
         let far = Duration::from_secs(86_400);
         for end in self.store.leases.values_mut() {
@@ -117,7 +117,7 @@
         }
     }
 
-    /// The state service loses everything, and no controller is notified.
+    /// Makes the state service lose all its data. No controller is notified.
     pub fn lose_store(&mut self) {
         self.restore_backup(&Backup(StateService {
             limits: self.store.limits,
@@ -125,7 +125,7 @@
         }));
     }
 
-    /// It goes on from what it held once. Leases that ran then have their full time again.
+    /// Resets the state service to a backup. The leases in the backup have their full TTL again.
     pub fn restore_backup(&mut self, backup: &Backup) {
         let jobs = self.store.keys.iter();
         let jobs = jobs.filter(|(k, _)| k.starts_with("burlusher/j/"));
@@ -162,24 +162,25 @@
         }
     }
 
-    /// Only what is under these keys is lost.
+    /// Removes the keys with this prefix without notifying watchers.
     pub fn lose_keys(&mut self, prefix: &str) {
         self.store.keys.retain(|k, _| !k.starts_with(prefix));
     }
 
-    /// A key's value is an older one again.
+    /// Replaces a key's value without changing its version or notifying watchers, as if an older value
+    /// were back.
     pub fn overwrite_value(&mut self, key: &str, value: serde_json::Value) {
         if let Some(e) = self.store.keys.get_mut(key) {
             e.value = value;
         }
     }
 
-    /// The store forgets all leases, and keeps the keys that hang on them.
+    /// Makes the store lose all leases and keep the keys that are attached to them.
     pub fn drop_leases(&mut self) {
         self.store.leases.clear();
     }
 
-    /// A lease number that was in use is given again, to somebody who renews it.
+    /// Reissues the lease ID of a controller to another client, which keeps renewing it.
     pub fn reissue_lease_id(&mut self, node: usize) {
         if let Some(id) = self.nodes[node].lease {
             let far = Duration::from_secs(86_400);
@@ -187,19 +188,19 @@
         }
     }
 
-    /// A node's watch is too old, and it reads all there is.
+    /// Makes a controller read the whole store again, as when the revision of its watch is too old.
     pub fn force_relisting(&mut self, node: usize) {
         self.nodes[node].watch_revision = None;
     }
 
-    /// A node reads all there is, and the answer is long under way: until `finish_listing`, nothing else
-    /// reaches its copy.
+    /// Begins a full read of the store by a controller whose response is delayed: its cached copy gets
+    /// no other update until `finish_listing`.
     pub fn begin_listing(&mut self, node: usize) {
         self.nodes[node].pending_listing = Some((self.store.items(), self.store.revision));
         self.nodes[node].watch_delayed = true;
     }
 
-    /// The answer to `begin_listing` arrives.
+    /// Delivers the response to `begin_listing`.
     pub fn finish_listing(&mut self, node: usize) {
         let n = &mut self.nodes[node];
         if let Some((items, revision)) = n.pending_listing.take() {
@@ -208,34 +209,34 @@
         }
     }
 
-    /// A worker and all controllers cannot talk to one another.
+    /// Partitions a worker from all controllers, in both directions.
     pub fn partition_worker(&mut self, id: &MachineId) {
         let worker = self.workers.get_mut(id).expect("the worker exists");
         worker.partitioned_from = (0..self.nodes.len()).collect();
     }
 
-    /// Every worker can talk to every controller again.
+    /// Removes the partitions between workers and controllers.
     pub fn heal_worker_partitions(&mut self) {
         for worker in self.workers.values_mut() {
             worker.partitioned_from.clear();
         }
     }
 
-    /// How the calls of all controllers to the state service go from now on.
+    /// Sets the state of all controllers' connections to the state service.
     pub fn set_store_links(&mut self, link: Link) {
         for node in &mut self.nodes {
             node.store_link = link;
         }
     }
 
-    /// Whether controllers reach one another from now on.
+    /// Sets whether controllers can reach one another.
     pub fn set_peers_reachable(&mut self, reachable: bool) {
         for node in &mut self.nodes {
             node.peers_reachable = reachable;
         }
     }
 
-    /// All controllers reach the state service and one another again.
+    /// Restores the connections of all controllers to the state service and to one another.
     pub fn heal_controllers(&mut self) {
         self.set_store_links(Link::Good);
         self.set_peers_reachable(true);
--- a/src/core/simulation/mod.rs
+++ b/src/core/simulation/mod.rs
@@ -1,29 +1,29 @@
-//! A cluster in memory and in virtual time, and the tests that play failures in it.
+//! A simulated cluster in memory and virtual time, and the tests that inject failures into it.
 //!
 //! [`Simulation`] drives the real [`Core`](crate::core::Core) of each controller: it hands commands to
-//! `Core::step`, carries out the effects that it returns against a simulated state service, cloud and
-//! workers, and delivers the answers over a network that may lose, delay or repeat them. Everything
-//! random comes from one seeded generator, so that a seed always leads to the same run. At every tick
-//! and at every answer the rules are checked (`checker`): no task on two machines, no team over its
-//! limit, nothing of a cancelled job left after its time, no answer that contradicts an earlier one,
-//! no task ahead of a job that it depends on, no two leaderships with the same term, no job left
-//! waiting beside a machine with room.
+//! `Core::step`, applies the returned effects to a simulated state service, cloud and workers, and
+//! delivers the responses over a network that may lose, delay or duplicate them. All randomness comes
+//! from one seeded generator, so a seed always leads to the same run. The invariants (`checker`) are
+//! checked at every tick and at every response: no task runs on two machines, no team exceeds its
+//! limit, no task of a cancelled job is left after the time limit, no response contradicts an earlier
+//! one, no task starts before the jobs that it depends on are done, no two leaderships have the same
+//! term, and no job waits for long while a machine has capacity for it.
 //!
-//! - `cluster`: the controllers and the passing of time; `store`, `cloud`, `worker`, `users`: the
-//!   parties around them; `network`: what lies between them.
-//! - `faults`: what a test can do to them; `checker`: the rules; `counters`: what tests count.
-//! - `disabled_guard`: scenarios played with a guard taken out of the program.
-//! - `scenarios`: tests by subject, each with its own course of events.
-//! - `randomized`: random schedules of faults, shrunk to the fewest steps that break a rule.
+//! - `cluster`: the controllers and the virtual clock; `store`, `cloud`, `worker`, `users`: the
+//!   components that they interact with; `network`: message delivery between them.
+//! - `faults`: fault injection; `checker`: the invariants; `counters`: event counts for assertions.
+//! - `disabled_guard`: runs scenarios with one safeguard of the program disabled.
+//! - `scenarios`: tests by subject, each with its own sequence of events.
+//! - `randomized`: random fault schedules, shrunk to the fewest steps that violate an invariant.
 //! - `mixed_versions`: upgrades from the version in production.
-//! - `recorded_decisions`: a guard for changes that should not change decisions.
-//! - `scale`: measurements of takeovers and losses against the size of the cluster.
+//! - `recorded_decisions`: regression tests for changes that should not change decisions.
+//! - `scale`: measurements of takeovers and data losses against the size of the cluster.
 //!
 //! # Writing a scenario
 //!
 //! Put the test into the file of its subject under `scenarios`, and name it by setting and
-//! expectation. Start a cluster by one of the functions in `scenarios`, which return it with its
-//! leader; submit jobs, inject faults, let time pass, and assert what must come of it:
+//! expectation. Start a cluster with one of the functions in `scenarios`, which return it with its
+//! leader; submit jobs, inject faults, advance the time, and assert the expected outcome:
 //!
 //! ```text
 //! #[test]
@@ -38,8 +38,8 @@
 //! }
 //! ```
 //!
-//! The rules need no assertion. Where a scenario guards one of them, show that it would find the
-//! mistake: [`fails_without`] plays it again with that guard taken out of the program.
+//! The invariants need no assertion. Where a scenario tests one of them, show that it would detect a
+//! violation: [`fails_without`] runs it again with the safeguard for that invariant disabled.
 //! `LOG_LEVEL=info` prints the log of scenarios that call [`enable_log`].
 
 mod checker;
--- a/src/core/simulation/network.rs
+++ b/src/core/simulation/network.rs
@@ -1,4 +1,4 @@
-//! What lies between the parties: links, deliveries, copies and what is held up.
+//! The simulated network: links, message delivery, duplicates, and delayed or held messages.
 
 use super::cluster::Simulation;
 use super::store::STORE_TIMEOUT;
@@ -17,65 +17,69 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Messages on their way, and those that are kept for later.
+/// Messages in flight, and messages that are delayed or held.
 #[derive(Default)]
 pub struct Network {
-    /// Requests of users that one controller passed on to another: who did, and its own ticket.
+    /// User requests that one controller forwarded to another: the forwarding controller, and its own
+    /// ticket of the request.
     pub(super) forwards: BTreeMap<Ticket, (usize, Ticket)>,
-    /// Heartbeat batches of controllers that serve workers: who sent them, their numbers, and when.
+    /// Heartbeat batches from delegates to the leader: the sender, the number of the batch, and when it
+    /// was sent.
     pub(super) heartbeat_batches: BTreeMap<Ticket, (usize, u64, Instant)>,
-    /// Requests between controllers for what they remember: who asked whom, and for what.
+    /// Requests between controllers for pages of their cached copies: the requester, the name of the
+    /// other controller, and the request.
     pub(super) cache_requests: BTreeMap<Ticket, (usize, String, CacheRequest)>,
-    /// Answers that nobody has fetched yet.
+    /// Responses that have not been fetched yet.
     pub(super) responses: BTreeMap<Ticket, Response>,
-    /// Duplicates of heartbeats: when each arrives, and at which controller.
+    /// Duplicate heartbeats: when each arrives, and at which controller.
     pub(super) delayed_heartbeats: Vec<(Instant, usize, Heartbeat)>,
-    /// Direct commands that are late or duplicates: when each arrives, and at which machine.
+    /// Delayed or duplicate direct commands: when each arrives, and at which machine.
     pub(super) delayed_commands: Vec<(Instant, MachineId, DirectCommands)>,
-    /// Transactions that are carried out late.
+    /// Delayed transactions, and when each is carried out.
     pub(super) delayed_transactions: Vec<(Instant, CompareAndSwap)>,
-    /// Answers of the state service: when each arrives, and at which controller.
+    /// Delayed responses of the state service: when each arrives, and at which controller.
     pub(super) delayed_store_responses: Vec<(Instant, usize, Command)>,
-    /// Heartbeats that arrive everywhere when the next leadership begins.
+    /// Heartbeats that are delivered to every controller when the next leadership begins.
     pub(super) heartbeats_to_replay: Vec<Heartbeat>,
-    /// Questions asked because of an answer to somebody else.
+    /// Follow-up queries after a response to another user (`Simulation::query_after_responses`): the job,
+    /// and when the query was sent.
     pub(super) follow_up_queries: BTreeMap<Ticket, (String, Instant)>,
-    /// Cancellations whose answers nobody waits for, and what they were about.
+    /// Cancellations whose responses no user waits for: the job, and when the request was sent.
     pub(super) unawaited_cancellations: BTreeMap<Ticket, (String, Instant)>,
-    /// Transactions that are held until `Simulation::release`.
+    /// Transactions that are held until `Simulation::release_held`.
     pub held_transactions: Vec<CompareAndSwap>,
-    /// Direct commands that are held until then.
+    /// Direct commands that are held until `Simulation::release_held`.
     pub held_commands: Vec<(MachineId, DirectCommands)>,
 }
 
-/// How a controller's calls to the state service go.
+/// State of a controller's connection to the state service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Link {
-    /// Requests are carried out and answered.
+    /// Requests are carried out, and their responses arrive.
     Good,
     /// Requests are refused.
     Refused,
-    /// Requests are carried out, answers are lost.
+    /// Requests are carried out, and their responses are lost.
     ResponsesLost,
-    /// Requests are kept by the network and may be let through later.
+    /// Requests get no response. Transactions are held by the network and may be delivered later.
     Held,
-    /// Transactions are kept so, everything else goes through.
+    /// Transactions are held as with `Held`; all other requests are served.
     WritesHeld,
 }
 
 impl Link {
-    /// Whether reads and renewals go through.
+    /// Returns whether reads and lease renewals are served.
     pub(super) fn serves_reads(self) -> bool {
         matches!(self, Link::Good | Link::WritesHeld)
     }
 }
 
-/// The index of a controller, by its name.
+/// Returns the index of the controller with this name.
 fn node_index(name: &str) -> usize {
     name[1..].parse().unwrap()
 }
 
-/// What a controller reads of another one's answer to a forwarded request.
+/// Converts the response to a forwarded request into the form that the forwarding controller receives.
 fn peer_answer(response: &Response) -> PeerAnswer {
     let body: Option<JobStatus> = serde_json::from_slice(&response.body).ok();
     PeerAnswer {
@@ -88,7 +92,7 @@
 }
 
 impl Simulation {
-    /// Carries out what a step of controller `from` decided.
+    /// Applies an effect that a step of controller `from` returned.
     pub(super) fn apply_effect(&mut self, from: usize, effect: Effect) {
         match effect {
             Effect::Response { ticket, response } => self.deliver_response(from, ticket, response),
@@ -130,7 +134,8 @@
         }
     }
 
-    /// Hands an answer to whoever asked: another controller, a user, or whoever fetches it.
+    /// Delivers a response to the requester: another controller, or a user. A response without a waiting
+    /// requester is kept until it is fetched by its ticket.
     fn deliver_response(&mut self, from: usize, ticket: Ticket, response: Response) {
         if response.not_after.is_some_and(|t| self.now >= t) {
             return;
@@ -145,7 +150,7 @@
             });
         } else if let Some((requester, number, _)) = self.network.heartbeat_batches.remove(&ticket)
         {
-            // What cannot get through is as good as lost.
+            // A response that cannot be delivered counts as lost.
             let delivered = self.connected(requester, from);
             let frame = peer::read_frame(&mut response.body.as_slice()).ok();
             let response =
@@ -174,17 +179,17 @@
         }
     }
 
-    /// Whether two controllers can talk to one another.
+    /// Returns whether the network connects two controllers.
     fn connected(&self, one: usize, other: usize) -> bool {
         self.nodes[one].peers_reachable && self.nodes[other].peers_reachable
     }
 
-    /// Whether a controller can send something to another one, which has to be up for it.
+    /// Returns whether a controller can send a message to another one, which must be up to receive it.
     fn can_reach(&self, from: usize, to: usize) -> bool {
         self.nodes[to].up && self.connected(from, to)
     }
 
-    /// Passes a user's request on to another controller.
+    /// Forwards a user's request to another controller.
     fn forward_request(&mut self, from: usize, ticket: Ticket, peer: String, request: PeerRequest) {
         let to = node_index(&peer);
         if !self.can_reach(from, to) {
@@ -213,7 +218,7 @@
         }));
     }
 
-    /// Hands a frame of a controller that serves workers to the leader.
+    /// Delivers a heartbeat batch of a delegate to the leader.
     fn send_heartbeat_batch(&mut self, from: usize, peer: &str, number: u64, frame: &[u8]) {
         let to = node_index(peer);
         if !self.can_reach(from, to) {
@@ -236,7 +241,7 @@
             .push(Command::HeartbeatBatch { ticket, batch });
     }
 
-    /// Asks another controller what it remembers.
+    /// Sends a request for a page of another controller's cached copy of the store.
     fn send_cache_request(&mut self, from: usize, peer: String, cache_request: CacheRequest) {
         let to = node_index(&peer);
         if !self.can_reach(from, to) {
@@ -257,7 +262,7 @@
         });
     }
 
-    /// Calls the state service; the answer may come later.
+    /// Calls the state service. The response may be delayed.
     fn send_to_store(&mut self, from: usize, call: CallId, request: &StoreRequest) {
         let lost = self.counters.responses_lost;
         let outcome = self.call_store(from, request);
@@ -299,7 +304,8 @@
 
     /// Calls a worker directly.
     fn send_to_worker(&mut self, from: usize, call: CallId, request: DirectRequest) {
-        // All workers share an address here; the call's machine is the core's own note.
+        // All simulated workers share one address, so the machine is taken from the pending calls of
+        // the core.
         let id = match self.nodes[from].core.pending.get(&call) {
             Some(PendingCall::DirectCall(id) | PendingCall::TokenProbe(id)) => id.clone(),
             _ => return,
@@ -310,7 +316,7 @@
             .push(Command::DirectOutcome { call, outcome });
     }
 
-    /// A heartbeat comes to a node late.
+    /// Delivers a heartbeat to a controller, for example a delayed or duplicate one.
     pub fn deliver_heartbeat(&mut self, node: usize, heartbeat: Heartbeat) {
         let ticket = self.new_ticket();
         let heartbeat = Box::new(heartbeat);
@@ -319,7 +325,7 @@
             .push(Command::Heartbeat { ticket, heartbeat });
     }
 
-    /// Drops heartbeat batches that nobody answered within a second, and answers their senders so.
+    /// Drops heartbeat batches that got no response within a second, and reports that to their senders.
     pub(super) fn expire_batches(&mut self) {
         let deadline = self.now - Duration::from_secs(1);
         for (_, (requester, number, _)) in self
@@ -336,7 +342,7 @@
         }
     }
 
-    /// Copies whose time has come.
+    /// Delivers the heartbeats and direct commands whose delay is over.
     pub(super) fn deliver_delayed(&mut self) {
         let now = self.now;
         let due = self
@@ -363,7 +369,7 @@
         }
     }
 
-    /// Answers of the state service whose time has come.
+    /// Delivers the responses of the state service whose delay is over.
     pub(super) fn deliver_delayed_store_responses(&mut self) {
         let now = self.now;
         let responses = &mut self.network.delayed_store_responses;
@@ -372,19 +378,19 @@
         }
     }
 
-    /// Copies of heartbeats arrive at every controller.
+    /// Keeps heartbeats to be delivered to every controller when the next leadership begins.
     pub fn replay_at_next_leadership(&mut self, heartbeats: Vec<Heartbeat>) {
         self.network.heartbeats_to_replay.extend(heartbeats);
     }
 
-    /// Commands of which copies are under way.
+    /// Returns copies of the direct commands that are under way with a delay.
     pub fn delayed_command_copies(&self) -> Vec<(MachineId, DirectCommands)> {
         let all = self.network.delayed_commands.iter();
         all.map(|(_, id, body)| (id.clone(), body.clone()))
             .collect()
     }
 
-    /// What was kept for the beginning of a leadership arrives at every controller.
+    /// Delivers the heartbeats kept for the beginning of a leadership to every controller.
     pub(super) fn replay_heartbeats(&mut self) {
         for heartbeat in std::mem::take(&mut self.network.heartbeats_to_replay) {
             for node in 0..self.nodes.len() {
@@ -396,7 +402,7 @@
         }
     }
 
-    /// Lets everything through that was held.
+    /// Delivers all held messages and delayed transactions. Direct commands to hung workers stay held.
     pub fn release_held(&mut self) {
         let late = std::mem::take(&mut self.network.delayed_transactions);
         let late = late.into_iter().map(|(_, txn)| txn);
--- a/src/core/simulation/store.rs
+++ b/src/core/simulation/store.rs
@@ -1,4 +1,4 @@
-//! The simulated state service, and how controllers reach it.
+//! The simulated state service, and the calls of controllers to it.
 
 use super::cluster::Simulation;
 use super::network::Link;
@@ -9,10 +9,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// A client of the state service takes an answer for lost after this.
+/// Time after which a client of the state service gives up waiting for a response.
 pub(super) const STORE_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// A key's value.
+/// Value of a key, with its version and lease.
 #[derive(Clone)]
 pub(super) struct Entry {
     pub(super) value: serde_json::Value,
@@ -20,16 +20,16 @@
     pub(super) lease: Option<u64>,
 }
 
-/// Bytes of a value, and changes of a transaction.
+/// Limits of the state service: bytes of a value, and changes in a transaction.
 pub type StoreLimits = (usize, usize);
 
-/// Today's limits.
+/// Limits in force at present.
 pub const STORE_LIMITS: StoreLimits = (8192, 16);
 
-/// Limits that are announced for later.
+/// Limits that the state service has announced for a later time.
 pub const NEXT_STORE_LIMITS: StoreLimits = (2048, 10);
 
-/// The state service itself.
+/// The simulated state service.
 #[derive(Clone, Default)]
 pub(super) struct StateService {
     pub(super) limits: StoreLimits,
@@ -38,7 +38,7 @@
     pub(super) events: Vec<WatchEvent>,
     pub(super) leases: BTreeMap<u64, Instant>,
     pub(super) next_lease: u64,
-    /// Transactions over the limits.
+    /// Number of transactions that were rejected for exceeding the limits.
     pub(super) over_limit: u32,
 }
 
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Ends leases that have run out, with the keys that depend on them.
+    /// Removes expired leases and the keys attached to them.
     pub(super) fn expire(&mut self, now: Instant) {
         let expired: Vec<u64> = self
             .leases
@@ -79,7 +79,7 @@
         }
     }
 
-    /// The machines that are on record.
+    /// Returns the machines that are recorded in the store.
     pub(super) fn recorded_machines(&self) -> BTreeSet<MachineId> {
         let pages = self
             .keys
@@ -90,7 +90,7 @@
             .collect()
     }
 
-    /// All that is under our prefix.
+    /// Returns all items under the scheduler's prefix.
     pub(super) fn items(&self) -> Vec<Item> {
         let keys = self.keys.iter().filter(|(k, _)| k.starts_with(PREFIX));
         let item = |(k, e): (&String, &Entry)| Item {
@@ -102,7 +102,7 @@
         keys.map(item).collect()
     }
 
-    /// Answers a request.
+    /// Performs a request and returns its outcome.
     pub(super) fn perform(&mut self, request: &StoreRequest) -> StoreOutcome {
         match request {
             StoreRequest::CheckLease(id) => StoreOutcome::LeaseAlive(self.leases.contains_key(id)),
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Carries a transaction out, if it is within the limits and its conditions hold.
+    /// Applies a transaction if it is within the limits and its conditions hold.
     pub(super) fn txn(&mut self, txn: &CompareAndSwap) -> StoreOutcome {
         let (bytes, ops) = self.limits;
         let too_large = |c: &Change| match c {
@@ -202,11 +202,12 @@
     }
 }
 
-/// What the state service held once.
+/// A copy of the contents of the state service at some time.
 pub struct Backup(pub(super) StateService);
 
 impl Simulation {
-    /// What a controller's request comes to, with its link and the faults that are set.
+    /// Performs a controller's request and returns the outcome that it sees, subject to its link and the
+    /// injected faults.
     pub(super) fn call_store(&mut self, i: usize, request: &StoreRequest) -> StoreOutcome {
         if let (StoreRequest::CompareAndSwap(txn), Link::Good) = (request, self.nodes[i].store_link)
             && !self.faults.store_outage
@@ -246,7 +247,7 @@
         }
     }
 
-    /// Whether the answer to this request is to be lost.
+    /// Decides at random whether the response to this request is lost.
     pub(super) fn loses_answer(&mut self, request: &StoreRequest) -> bool {
         let StoreRequest::CompareAndSwap(txn) = request else {
             return false;
@@ -257,7 +258,7 @@
             && self.rng.random_bool(self.faults.lost_response_share)
     }
 
-    /// Transactions whose time has come.
+    /// Applies the transactions whose delay is over. During an outage they stay delayed.
     pub(super) fn apply_delayed_transactions(&mut self) {
         let now = self.now;
         if self.faults.store_outage {
@@ -272,17 +273,17 @@
         }
     }
 
-    /// From now on the state service has these limits.
+    /// Sets the limits of the state service.
     pub fn set_store_limits(&mut self, limits: StoreLimits) {
         self.store.limits = limits;
     }
 
-    /// How many transactions were over the limits.
+    /// Returns the number of transactions that were rejected for exceeding the limits.
     pub fn transactions_over_limit(&self) -> u32 {
         self.store.over_limit
     }
 
-    /// What another process wrote to the state service.
+    /// Writes a value to the state service as another process would, regardless of the limits.
     pub fn external_put(&mut self, key: &str, value: serde_json::Value) {
         let change = Change::Put {
             key: key.into(),
@@ -297,24 +298,24 @@
         self.store.limits = limits;
     }
 
-    /// Changes as watchers receive them, from this index on.
+    /// Returns the changes that watchers receive, from this index on.
     pub fn watch_events(&self, from: usize) -> Vec<WatchEvent> {
         self.store.events[from..].to_vec()
     }
 
-    /// What is stored under keys that begin so.
+    /// Returns the values of all keys with this prefix.
     pub fn stored_values(&self, prefix: &str) -> BTreeMap<String, serde_json::Value> {
         let keys = self.store.keys.iter();
         let found = keys.filter(|(k, _)| k.starts_with(prefix));
         found.map(|(k, e)| (k.clone(), e.value.clone())).collect()
     }
 
-    /// Keys of the state service that were put or deleted so far.
+    /// Returns the number of puts and deletions of keys so far.
     pub fn change_count(&self) -> usize {
         self.store.events.len()
     }
 
-    /// What the state service holds now, to be restored later.
+    /// Returns a copy of the contents of the state service, to be restored later.
     pub fn backup(&self) -> Backup {
         Backup(self.store.clone())
     }
--- a/src/core/simulation/users.rs
+++ b/src/core/simulation/users.rs
@@ -1,4 +1,4 @@
-//! Users and operators: what they ask of controllers, with and without waiting for the answer.
+//! Users and operators: their requests to controllers, with and without waiting for the response.
 
 use super::cluster::Simulation;
 use super::store::Backup;
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 impl Simulation {
-    /// Asks a controller; the answer is fetched by this ticket.
+    /// Sends a request to a controller, and returns the ticket under which the response can be fetched.
     pub fn send_request(&mut self, node: usize, action: UserAction) -> Ticket {
         let ticket = self.new_ticket();
         let received = self.now;
@@ -25,7 +25,7 @@
         ticket
     }
 
-    /// Asks one node and waits up to 3 s for its answer.
+    /// Sends a request to a controller and waits up to 3 s for the response.
     pub(super) fn request_and_wait(&mut self, node: usize, action: UserAction) -> Option<Response> {
         let ticket = self.send_request(node, action);
         for _ in 0..60 {
@@ -37,9 +37,9 @@
         None
     }
 
-    /// Submits a job and waits up to 3 s; the answer's status, 0 if there is none.
+    /// Submits a job and waits up to 3 s for the response. Returns its status, 0 if there is none.
     pub fn submit(&mut self, node: usize, spec: &JobSpec) -> u16 {
-        // A repetition may carry anything; the job is what it was.
+        // A repeated submission may have another specification; the job keeps its first one.
         let resubmitted = self.checker.specs.contains_key(&*spec.id);
         if !resubmitted {
             self.checker.specs.insert(spec.id.to_string(), spec.clone());
@@ -54,14 +54,15 @@
         status
     }
 
-    /// Submits a job again and again, so many seconds apart, until it is accepted.
+    /// Submits a job repeatedly, with this pause between attempts, until it is accepted.
     pub fn submit_until_accepted(&mut self, node: usize, spec: &JobSpec, pause_seconds: f64) {
         while !matches!(self.submit(node, spec), 200 | 201) {
             self.run(pause_seconds);
         }
     }
 
-    /// So many actions in one step; the answers' statuses.
+    /// Sends `n` queries for a job within one step, and returns the statuses of the responses that arrive
+    /// within 2 s.
     pub fn query_burst(&mut self, node: usize, id: &str, n: u32) -> Vec<u16> {
         let send = |_| self.send_request(node, UserAction::Show(id.into()));
         let tickets: Vec<Ticket> = (0..n).map(send).collect();
@@ -72,12 +73,14 @@
         responses.map(|a| a.status).collect()
     }
 
-    /// A submission is repeated, and its answer not waited for.
+    /// Submits a job without waiting for the response. The job must be known to the checker
+    /// (`register_job`).
     pub fn submit_without_waiting(&mut self, node: usize, spec: &JobSpec) {
         self.send_request(node, UserAction::Submit(Box::new(spec.clone())));
     }
 
-    /// Asks for a job's state and waits up to 3 s; the answer's status, 0 if there is none, and the state.
+    /// Queries a job's state and waits up to 3 s for the response. Returns its status, 0 if there is
+    /// none, and the state.
     pub fn show(&mut self, node: usize, id: &str) -> (u16, Option<JobState>) {
         let requested_at = self.now;
         let response = self.request_and_wait(node, UserAction::Show(id.into()));
@@ -85,7 +88,8 @@
         (response.map_or(0, |a| a.status), state)
     }
 
-    /// Asks to cancel a job and waits up to 3 s; as `show`.
+    /// Requests the cancellation of a job and waits up to 3 s for the response. Returns the same as
+    /// `show`.
     pub fn cancel(&mut self, node: usize, id: &str) -> (u16, Option<JobState>) {
         self.checker.cancellation_requests.insert(id.into());
         let requested_at = self.now;
@@ -94,7 +98,7 @@
         (response.map_or(0, |a| a.status), state)
     }
 
-    /// Asks to cancel a job, and does not wait for the answer.
+    /// Requests the cancellation of a job without waiting for the response.
     pub fn cancel_without_waiting(&mut self, node: usize, id: &str) {
         self.checker.cancellation_requests.insert(id.into());
         let ticket = self.send_request(node, UserAction::Cancel(id.into()));
@@ -103,7 +107,7 @@
             .insert(ticket, (id.into(), self.now));
     }
 
-    /// The final state that its user received, if any.
+    /// Returns the final state that users received for a job, if any.
     pub fn reported_final_state(&self, id: &str) -> Option<JobState> {
         self.checker
             .reported_final_states
@@ -111,7 +115,8 @@
             .map(|(state, _)| *state)
     }
 
-    /// An operator's command to a node to settle what remains of a lost store; the answer's status.
+    /// Sends an operator's command to a controller to accept a store that has lost data as it is. Returns
+    /// the status of the response.
     pub fn settle_rebuild(&mut self, node: usize) -> u16 {
         let ticket = self.new_ticket();
         self.nodes[node]
@@ -124,7 +129,7 @@
             .map_or(0, |a| a.status)
     }
 
-    /// A snapshot is offered to a node; the answer's status.
+    /// Offers a snapshot to a controller for the rebuild of the store. Returns the status of the response.
     pub fn offer_snapshot(&mut self, node: usize, store: &str, backup: &Backup) -> u16 {
         let items = backup.0.keys.iter();
         let items = items.map(|(k, e)| (k.clone(), e.value.clone()));
@@ -142,7 +147,7 @@
             .map_or(0, |a| a.status)
     }
 
-    /// A status view of a node.
+    /// Returns the status view of a controller.
     pub fn status(&mut self, node: usize) -> serde_json::Value {
         let ticket = self.new_ticket();
         self.nodes[node].inbox.push(Command::Status(ticket));
@@ -153,13 +158,13 @@
         })
     }
 
-    /// Takes note of a job that is in the store without a submission, or that is submitted without
-    /// waiting for the answer.
+    /// Registers a job with the checker: one that is in the store without a submission, or that is
+    /// submitted without waiting for the response.
     pub fn register_job(&mut self, spec: &JobSpec) {
         self.checker.specs.insert(spec.id.to_string(), spec.clone());
     }
 
-    /// Asks any controller for a job until it is done; fails after so many seconds.
+    /// Queries random controllers for a job until it is done. Fails after this many seconds.
     pub fn run_until_done(&mut self, id: &str, seconds: f64) {
         let end = self.now + Duration::from_secs_f64(seconds);
         loop {
@@ -172,12 +177,12 @@
         }
     }
 
-    /// Some task of a job has ended with a result.
+    /// Returns whether any task of a job has run to completion.
     pub fn any_task_completed(&self, id: &str) -> bool {
         self.checker.completed.iter().any(|key| &*key.job == id)
     }
 
-    /// All tasks of an array have ended with a result.
+    /// Returns whether all tasks of a job have run to completion.
     pub fn all_tasks_completed(&self, id: &str) -> bool {
         let spec = &self.checker.specs[id];
         (0..spec.tasks).all(|index| {
@@ -186,7 +191,8 @@
         })
     }
 
-    /// Asks every controller about a job at once, and repeats its submission.
+    /// Queries every controller for a job at once, and repeats its submission at each of them. The
+    /// responses are checked when they arrive.
     pub(super) fn query_all_nodes(&mut self, id: &str) {
         for node in 0..self.nodes.len() {
             let mut actions = vec![UserAction::Show(id.into())];
--- a/src/core/simulation/worker.rs
+++ b/src/core/simulation/worker.rs
@@ -13,17 +13,17 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// A worker's lease.
+/// Duration of a worker's lease.
 pub const LEASE: Duration = Duration::from_secs(10);
 
-/// How often a worker sends a heartbeat.
+/// Interval between the heartbeats of a worker.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
-/// A worker sends a heartbeat within this time after a change.
+/// Longest time between a change on a worker and its next heartbeat.
 const CHANGE_HEARTBEAT_DELAY: Duration = Duration::from_millis(200);
-/// A worker turns to another controller after this long without an answer.
+/// Time without a response after which a worker switches to another controller.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// A heartbeat that waits for its answer.
+/// A heartbeat that was sent and awaits its response.
 #[derive(Clone, Copy)]
 pub(super) struct HeartbeatExchange {
     pub(super) node: usize,
@@ -35,13 +35,13 @@
 /// A task on a worker.
 #[derive(Clone, Debug)]
 pub struct WorkerTask {
-    /// Which start of the task this is.
+    /// Number of the attempt to run the task.
     pub attempt: u64,
     pub state: TaskState,
     pub cause: Option<ExitCause>,
-    /// When it ends with a result; a service does not.
+    /// When the task completes; `None` for a service, which runs until it is stopped.
     pub ends_at: Option<Instant>,
-    /// When it has its image.
+    /// When the image has been fetched and the task begins to run.
     pub runs_at: Instant,
 }
 
@@ -50,35 +50,36 @@
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
-    /// When its machine has booted.
+    /// When the machine has booted.
     pub up_at: Instant,
-    /// Rises each time that it loses its tasks.
+    /// Counter that increases each time the worker loses its tasks. A reboot may reset it to 1.
     pub incarnation: u64,
-    /// Rises with each heartbeat.
+    /// Sequence number of the last heartbeat.
     pub sequence: u64,
-    /// The newest token that it was shown.
+    /// Highest fencing token received.
     pub fencing_token: u64,
     pub tasks: BTreeMap<TaskId, WorkerTask>,
-    /// When the last heartbeat was sent that was answered.
+    /// Start of the lease: when the last heartbeat that got a response was sent.
     pub lease_start: Instant,
     pub next_heartbeat: Instant,
-    /// The controller that it sends heartbeats to.
+    /// Controller that receives the heartbeats.
     pub node: usize,
-    /// The heartbeat that it has sent and that has no answer yet.
+    /// Heartbeat that has no response yet.
     pub(super) pending_heartbeat: Option<HeartbeatExchange>,
-    /// It executes nothing and says nothing.
+    /// Whether the machine hangs: it executes no commands and sends no heartbeats.
     pub hung: bool,
-    /// It fails every task.
+    /// Whether every task started on this machine fails.
     pub failing: bool,
-    /// Nodes it cannot talk to, in either direction.
+    /// Controllers that the worker cannot communicate with, in either direction.
     pub partitioned_from: BTreeSet<usize>,
-    /// Its heartbeats arrive; answers and commands do not reach it.
+    /// Whether inbound messages are lost: heartbeats arrive at controllers, but responses and commands do
+    /// not reach the worker.
     pub inbound_partitioned: bool,
-    /// It can open no connection to any controller; direct commands reach it.
+    /// Whether the worker can open no connection to any controller, while direct commands reach it.
     pub outbound_partitioned: bool,
 }
 
-/// The node that an answer refers a worker to.
+/// Returns the controller that a response redirects a worker to, if any.
 pub(super) fn redirect_target(response: &Response) -> Option<usize> {
     let body: serde_json::Value = serde_json::from_slice(&response.body).ok()?;
     let name = body.get("foreman")?.as_str()?;
@@ -86,7 +87,7 @@
 }
 
 impl Worker {
-    /// Its next heartbeat.
+    /// Creates the next heartbeat.
     fn heartbeat(&mut self, id: &MachineId) -> Heartbeat {
         self.sequence += 1;
         Heartbeat {
@@ -113,8 +114,8 @@
         }
     }
 
-    /// Its lease may have expired: then its tasks are gone, and it begins another incarnation. A machine
-    /// that hangs may resume within its lease.
+    /// Removes all tasks and begins a new incarnation if the lease has expired. Hung machines are
+    /// included: one that resumes within its lease keeps its tasks.
     fn expire_lease(&mut self, now: Instant) {
         if now > self.lease_start + LEASE {
             self.tasks.clear();
@@ -125,19 +126,19 @@
         }
     }
 
-    /// It sends heartbeats to another controller from now on.
+    /// Switches to the next controller for heartbeats.
     fn switch_node(&mut self, nodes: usize) {
         self.node = (self.node + 1) % nodes;
     }
 }
 
 impl Simulation {
-    /// A machine's heartbeat as of now, for the network to hold.
+    /// Creates a machine's next heartbeat without sending it, for a test to deliver later.
     pub fn heartbeat_of(&mut self, id: &MachineId) -> Heartbeat {
         self.workers.get_mut(id).unwrap().heartbeat(id)
     }
 
-    /// Carries out a controller's commands, and checks each start against the rules.
+    /// Executes a controller's commands, and checks the invariants for each start.
     pub(super) fn execute(&mut self, id: &MachineId, commands: &[TaskCommand]) {
         let mut sibling_zones = self.zones_of_tasks(commands);
         if commands
@@ -169,7 +170,8 @@
         }
     }
 
-    /// Where the tasks of jobs are that are started now and bound in their choice of zones.
+    /// Returns the zones of the present tasks of all jobs that these commands start tasks of and that
+    /// restrict the zones of their tasks relative to one another.
     fn zones_of_tasks(&self, commands: &[TaskCommand]) -> BTreeMap<TaskId, String> {
         let mut zones = BTreeMap::new();
         for command in commands {
@@ -221,7 +223,10 @@
         if spec.one_zone || spec.spread {
             sibling_zones.insert(key.clone(), zone);
         }
-        let worker = self.workers.get_mut(id).expect("it was found above");
+        let worker = self
+            .workers
+            .get_mut(id)
+            .expect("the worker was found above");
         worker.tasks.insert(key, task);
     }
 
@@ -236,7 +241,10 @@
     }
 
     fn forget_task(&mut self, id: &MachineId, key: &TaskId, attempt: u64) {
-        let worker = self.workers.get_mut(id).expect("the commands are its own");
+        let worker = self
+            .workers
+            .get_mut(id)
+            .expect("commands are executed on existing workers only");
         let ended = |t: &WorkerTask| t.attempt == attempt && t.state == TaskState::Exited;
         if worker.tasks.get(key).is_some_and(ended) {
             self.counters.tasks_forgotten += 1;
@@ -244,7 +252,7 @@
         }
     }
 
-    /// Lets each worker go on by a tick: its tasks, its lease, its heartbeats.
+    /// Advances the tasks, lease and heartbeats of each worker by one tick.
     pub(super) fn advance_workers(&mut self) {
         let ids: Vec<MachineId> = self.workers.keys().cloned().collect();
         for id in ids {
@@ -290,7 +298,7 @@
         }
     }
 
-    /// Takes in the answer to a heartbeat, or turns to another controller if there is none for long.
+    /// Processes the response to a heartbeat, or switches to another controller after `RESPONSE_TIMEOUT`.
     fn await_heartbeat_response(&mut self, id: &MachineId, exchange: HeartbeatExchange) {
         let nodes = self.setup.nodes;
         let worker = self.workers.get_mut(id).expect("the worker exists");
@@ -364,13 +372,14 @@
             .push(Command::Heartbeat { ticket, heartbeat });
     }
 
-    /// How much later a duplicate arrives.
+    /// Returns a random delay for a duplicate message.
     fn random_duplicate_delay(&mut self) -> Duration {
         let fraction = self.rng.random_range(0.1..1.0);
         self.faults.duplicate_delay.mul_f64(fraction)
     }
 
-    /// Executes direct commands as a worker does.
+    /// Executes direct commands as a worker does: only with a current fencing token and for its present
+    /// incarnation.
     pub fn execute_direct(
         &mut self,
         id: &MachineId,
@@ -390,7 +399,8 @@
         })
     }
 
-    /// What a controller's direct call comes to, with the faults that are set.
+    /// Performs a controller's direct call and returns the outcome that it sees, subject to the injected
+    /// faults.
     pub(super) fn call_worker(
         &mut self,
         i: usize,
@@ -436,7 +446,8 @@
         self.execute_direct(id, &body).unwrap_or(unknown)
     }
 
-    /// A machine is back within a moment, empty, and counts from one; or goes on counting.
+    /// Reboots a machine, which is back after 200 ms without tasks. With `from_one`, its incarnation and
+    /// its other counters start from their first values; otherwise it begins the next incarnation.
     pub fn reboot(&mut self, id: &MachineId, from_one: bool) {
         let now = self.now;
         if let Some(worker) = self.workers.get_mut(id) {
@@ -444,7 +455,7 @@
             worker.pending_heartbeat = None;
             (worker.lease_start, worker.next_heartbeat) = (now, now + TICK * 4);
             if from_one {
-                // What was under way to it ends with its connections.
+                // Commands in flight are lost, as its connections end.
                 self.network.held_commands.retain(|(to, _)| to != id);
                 self.network.delayed_commands.retain(|(_, to, _)| to != id);
                 (worker.incarnation, worker.sequence, worker.fencing_token) = (1, 0, 0);
@@ -454,7 +465,7 @@
         }
     }
 
-    /// Where tasks of a job are that have not ended.
+    /// Returns the tasks of a job that have not ended, each with its machine.
     pub fn placements(&self, id: &str) -> Vec<(MachineId, TaskId)> {
         let mut found = Vec::new();
         for (m, worker) in &self.workers {
