--- a/crates/standin/src/cloud.rs
+++ b/crates/standin/src/cloud.rs
@@ -7,7 +7,7 @@
 use burlusher::job::Resources;
 use burlusher::wire::{
     ListedMachine, ListedState, MachineIds, MachineListPage, MachineType, MachineTypeList,
-    PATH_DELETE, PATH_MACHINES, PATH_TYPES, ScaleOutRequest, to_json,
+    PATH_DELETE_MACHINES, PATH_MACHINE_TYPES, PATH_MACHINES, ScaleOutRequest, to_json,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
@@ -167,7 +167,7 @@
         }
         let path = r.path.split('?').next().unwrap_or("");
         match (r.method.as_str(), path) {
-            ("GET", PATH_TYPES) => {
+            ("GET", PATH_MACHINE_TYPES) => {
                 let types = self.types.clone();
                 Response::new(200, to_json(&MachineTypeList { types }))
             }
@@ -200,7 +200,7 @@
                     }),
                 )
             }
-            ("POST", PATH_DELETE) => match serde_json::from_slice::<MachineIds>(&r.body) {
+            ("POST", PATH_DELETE_MACHINES) => match serde_json::from_slice::<MachineIds>(&r.body) {
                 Ok(names) => {
                     for id in &names.machines {
                         self.take_away(&mut c, id);
--- a/crates/standin/src/users.rs
+++ b/crates/standin/src/users.rs
@@ -6,7 +6,7 @@
 use crate::worker::ClusterState;
 use burlusher::http::Client;
 use burlusher::job::{JobKind, JobSpec, Priority, Resources};
-use burlusher::wire::{JOB_PREFIX, JobState, JobStatus, PATH_JOBS, submission};
+use burlusher::wire::{JOB_PREFIX, JobState, JobStatus, PATH_JOBS, encode_submission};
 use hdrhistogram::Histogram;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -158,7 +158,7 @@
             tasks: u64::from(job.spec.tasks),
             at: Instant::now(),
         };
-        let body = submission(&job.spec);
+        let body = encode_submission(&job.spec);
         self.publish(&submitted, job);
         if let Some(next) = self.submit(n, &submitted, &body, until) {
             self.poll(next, &submitted, until);
--- a/src/cli/call.rs
+++ b/src/cli/call.rs
@@ -1,7 +1,7 @@
 //! Calls to a controller.
 
 use super::args::NodeArgs;
-use super::error::{CommandError, about};
+use super::error::{CommandError, with_subject};
 use burlusher::http::Client;
 use std::time::Duration;
 
@@ -19,12 +19,12 @@
     let mut client = Client::new(node.node, CONNECT_TIMEOUT);
     let response = client
         .call(method, path, body, TIMEOUT)
-        .map_err(about(node.node))?;
+        .map_err(with_subject(node.node))?;
     let text = String::from_utf8_lossy(&response.body).into_owned();
     if response.status < 300 {
         Ok(text)
     } else {
         let error = format!("{} {text}", response.status);
-        Err(about(node.node)(error).into())
+        Err(with_subject(node.node)(error).into())
     }
 }
--- a/src/cli/error.rs
+++ b/src/cli/error.rs
@@ -15,7 +15,7 @@
 }
 
 /// Adds the subject to an error.
-pub fn about<E: Into<CommandError>>(subject: impl Display) -> impl FnOnce(E) -> WithSubject {
+pub fn with_subject<E: Into<CommandError>>(subject: impl Display) -> impl FnOnce(E) -> WithSubject {
     move |error| WithSubject {
         subject: subject.to_string(),
         source: error.into(),
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -15,7 +15,7 @@
 use burlusher::snapshotter::Snapshotter;
 use burlusher::{core, service, status_view, wire};
 use call::call;
-use error::about;
+use error::with_subject;
 use std::io::Read;
 use std::path::Path;
 
@@ -93,7 +93,7 @@
     start_log(log_format)?;
     let settings = Settings::load(config)?;
     let mut snapshotter =
-        Snapshotter::open(settings.store_addr, dir).map_err(about(dir.display()))?;
+        Snapshotter::open(settings.store_addr, dir).map_err(with_subject(dir.display()))?;
     snapshotter.run()
 }
 
@@ -127,8 +127,8 @@
         std::io::stdin().read_to_end(&mut text)?;
         text
     } else {
-        std::fs::read(file).map_err(about(file.display()))?
+        std::fs::read(file).map_err(with_subject(file.display()))?
     };
-    wire::parse_submission(&body).map_err(about(file.display()))?;
+    wire::parse_submission(&body).map_err(with_subject(file.display()))?;
     Ok(body)
 }
--- a/src/cli/snapshot.rs
+++ b/src/cli/snapshot.rs
@@ -2,7 +2,7 @@
 
 use super::args::{ArchiveArgs, LineArgs, NodeArgs, SnapshotCommand};
 use super::call::call;
-use super::error::{CommandError, about};
+use super::error::{CommandError, with_subject};
 use burlusher::settings::Settings;
 use burlusher::snapshotter::{self, Snapshotter};
 use burlusher::{http, wire};
@@ -75,7 +75,7 @@
 }
 
 fn open(archive: &ArchiveArgs) -> Result<Archive, CommandError> {
-    Ok(Archive::existing(&archive.dir).map_err(about(archive.dir.display()))?)
+    Ok(Archive::existing(&archive.dir).map_err(with_subject(archive.dir.display()))?)
 }
 
 fn all_lines(archive: &ArchiveArgs) -> Result<Vec<Value>, CommandError> {
@@ -91,8 +91,8 @@
         None => opened.list().map(snapshotter::best),
     };
     let dir = archive.dir.display();
-    let found = found.map_err(about(&dir))?;
-    found.ok_or_else(|| about(&dir)("no such line").into())
+    let found = found.map_err(with_subject(&dir))?;
+    found.ok_or_else(|| with_subject(&dir)("no such line").into())
 }
 
 /// One line of an archive, as it is shown.
--- a/src/cloud_client.rs
+++ b/src/cloud_client.rs
@@ -3,8 +3,8 @@
 use crate::http::{CallError, Client};
 use crate::job::MachineId;
 use crate::wire::{
-    ListedMachine, MachineIds, MachineListPage, MachineType, MachineTypeList, PATH_DELETE,
-    PATH_MACHINES, PATH_TYPES, ScaleOutRequest, to_json,
+    ListedMachine, MachineIds, MachineListPage, MachineType, MachineTypeList, PATH_DELETE_MACHINES,
+    PATH_MACHINE_TYPES, PATH_MACHINES, ScaleOutRequest, to_json,
 };
 use serde::de::DeserializeOwned;
 use std::net::SocketAddrV4;
@@ -105,7 +105,7 @@
     }
 
     fn types(&mut self) -> Result<Vec<MachineType>, CloudError> {
-        let body = self.call("GET", PATH_TYPES, b"")?;
+        let body = self.call("GET", PATH_MACHINE_TYPES, b"")?;
         let mut types = parse::<MachineTypeList>(&body)?.types;
         types.retain(has_valid_figures);
         Ok(types)
@@ -136,7 +136,7 @@
     fn delete(&mut self, machines: &[MachineId]) -> Result<Vec<MachineId>, CloudError> {
         let machines = machines.to_vec();
         let request = MachineIds { machines };
-        self.call("POST", PATH_DELETE, &to_json(&request))?;
+        self.call("POST", PATH_DELETE_MACHINES, &to_json(&request))?;
         Ok(request.machines)
     }
 
@@ -158,14 +158,14 @@
 }
 
 /// Whether all amounts are finite and none is negative.
-fn has_valid_figures(kind: &MachineType) -> bool {
+fn has_valid_figures(machine_type: &MachineType) -> bool {
     [
-        kind.cpus,
-        kind.gpus,
-        kind.ram,
-        kind.price,
-        kind.boot_s,
-        kind.fetch_gb_per_s,
+        machine_type.cpus,
+        machine_type.gpus,
+        machine_type.ram,
+        machine_type.price,
+        machine_type.boot_s,
+        machine_type.fetch_gb_per_s,
     ]
     .iter()
     .all(|figure| figure.is_finite() && *figure >= 0.0)
--- a/src/core/jobs/validation.rs
+++ b/src/core/jobs/validation.rs
@@ -44,7 +44,7 @@
         };
         let zone_offered = |zone: &String| zones.is_empty() || zones.contains(zone);
         spec.allows_type(&machine_type.name)
-            && spec.resources.fits(&machine_type.room())
+            && spec.resources.fits(&machine_type.capacity())
             && spec.zone.as_ref().is_none_or(zone_offered)
     }
 
--- a/src/core/scheduling/bidding.rs
+++ b/src/core/scheduling/bidding.rs
@@ -70,7 +70,7 @@
         "finished" if is_of_class => Some(on_finish(remaining_s)),
         "deadline" if is_of_class && facts.has_deadline => {
             let total_s = facts.deadline_left + facts.wait;
-            let grace_s = (objective.times - 1.0) * total_s;
+            let grace_s = (objective.deadline_factor - 1.0) * total_s;
             Some(on_finish(facts.deadline_left + grace_s))
         }
         _ => None,
--- a/src/core/scheduling/quotas.rs
+++ b/src/core/scheduling/quotas.rs
@@ -123,7 +123,7 @@
                     ram: f64::INFINITY,
                 };
             };
-            capacity.add(&machine_type.room());
+            capacity.add(&machine_type.capacity());
         }
         capacity
     }
--- a/src/core/scheduling/scaling.rs
+++ b/src/core/scheduling/scaling.rs
@@ -205,7 +205,7 @@
                 let machine_type = self.type_of(&request.machine_type)?;
                 Some(BootingNodes {
                     offer: Offer::new(&request.machine_type, &request.zone, request.spot),
-                    capacity: machine_type.room(),
+                    capacity: machine_type.capacity(),
                     count: request.count,
                     ready_in: Duration::from_secs_f64(machine_type.boot_s.min(MAX_TIME_S)),
                 })
--- a/src/core/scheduling/snapshot.rs
+++ b/src/core/scheduling/snapshot.rs
@@ -55,7 +55,7 @@
         machine: &Machine,
     ) -> Option<Node> {
         let machine_type = self.type_of(&machine.machine_type)?;
-        let capacity = machine_type.room();
+        let capacity = machine_type.capacity();
         let mut free = capacity;
         for placement in machine.tasks.values() {
             free.sub(&placement.resources);
--- a/src/core/scheduling/summary.rs
+++ b/src/core/scheduling/summary.rs
@@ -37,7 +37,7 @@
             }
             let mut types = self.machine_types.iter();
             if let Some(machine_type) = types.find(|t| t.name == machine.machine_type) {
-                capacity.add(&machine_type.room());
+                capacity.add(&machine_type.capacity());
             }
         }
         let queued: usize = leader
--- a/src/core/store/rebuild/held_tasks.rs
+++ b/src/core/store/rebuild/held_tasks.rs
@@ -93,7 +93,7 @@
         let machines = leader.rebuild.iter().flat_map(Rebuild::held_machines);
         for m in machines.filter_map(|id| leader.machines.get(id)) {
             if let Some(t) = self.type_of(&m.machine_type) {
-                total.add(&t.room());
+                total.add(&t.capacity());
             }
         }
         total
--- a/src/core/workers/heartbeats/task_transitions.rs
+++ b/src/core/workers/heartbeats/task_transitions.rs
@@ -116,7 +116,7 @@
             (residual.resources, Some(residual.team.as_str()))
         } else {
             // An unknown task may use all of the machine's resources.
-            let all = machine_type.map_or(Resources::default(), |t| t.room());
+            let all = machine_type.map_or(Resources::default(), |t| t.capacity());
             (all, None)
         };
         let team = team.and_then(|t| self.settings.team_index(t));
--- a/src/job.rs
+++ b/src/job.rs
@@ -74,10 +74,10 @@
 
 impl Resources {
     /// Whether this much fits into `room`.
-    pub fn fits(&self, room: &Resources) -> bool {
-        self.cpus <= room.cpus + EPSILON
-            && self.gpus <= room.gpus + EPSILON
-            && self.ram <= room.ram + EPSILON
+    pub fn fits(&self, available: &Resources) -> bool {
+        self.cpus <= available.cpus + EPSILON
+            && self.gpus <= available.gpus + EPSILON
+            && self.ram <= available.ram + EPSILON
     }
 
     /// Adds an amount.
@@ -104,33 +104,33 @@
     }
 
     /// The largest of this amount's shares of a machine's CPUs, GPUs and memory.
-    pub fn dominant_share(&self, whole: &Resources) -> f64 {
-        let share = |amount: f64, whole: f64| {
+    pub fn dominant_share(&self, capacity: &Resources) -> f64 {
+        let share = |amount: f64, capacity: f64| {
             if amount <= 0.0 {
                 0.0
-            } else if whole <= 0.0 {
+            } else if capacity <= 0.0 {
                 f64::INFINITY
             } else {
-                amount / whole
+                amount / capacity
             }
         };
-        share(self.cpus, whole.cpus)
-            .max(share(self.gpus, whole.gpus))
-            .max(share(self.ram, whole.ram))
+        share(self.cpus, capacity.cpus)
+            .max(share(self.gpus, capacity.gpus))
+            .max(share(self.ram, capacity.ram))
     }
 
     /// How many tasks of this size go into `room`.
-    pub fn count_in(&self, room: &Resources) -> u32 {
-        let count = |amount: f64, room: f64| {
+    pub fn count_in(&self, available: &Resources) -> u32 {
+        let count = |amount: f64, available: f64| {
             if amount <= 0.0 {
                 f64::INFINITY
             } else {
-                ((room + EPSILON) / amount).floor().max(0.0)
+                ((available + EPSILON) / amount).floor().max(0.0)
             }
         };
-        let least = count(self.cpus, room.cpus)
-            .min(count(self.gpus, room.gpus))
-            .min(count(self.ram, room.ram));
+        let least = count(self.cpus, available.cpus)
+            .min(count(self.gpus, available.gpus))
+            .min(count(self.ram, available.ram));
         least.min(MAX_TASK_COUNT) as u32
     }
 }
--- a/src/planning/autoscaler.rs
+++ b/src/planning/autoscaler.rs
@@ -30,7 +30,7 @@
 pub fn overpriced_offers(types: &[MachineType], spec: &JobSpec, max_ratio: f64) -> Vec<Offer> {
     let mut offers: Vec<(f64, Offer)> = Vec::new();
     for machine_type in types.iter().filter(|t| spec.allows_type(&t.name)) {
-        let fit = spec.resources.count_in(&machine_type.room());
+        let fit = spec.resources.count_in(&machine_type.capacity());
         if fit == 0 {
             continue;
         }
@@ -177,7 +177,7 @@
         if let Some(machine_type) = types.iter().find(|t| t.name == offer.machine_type) {
             all.push(BootingNodes {
                 offer: offer.clone(),
-                capacity: machine_type.room(),
+                capacity: machine_type.capacity(),
                 count: *count,
                 ready_in: Duration::from_secs_f64(machine_type.boot_s.min(MAX_BOOT_S)),
             });
@@ -249,7 +249,7 @@
     let spec = &demand.spec;
     let mut offers = Vec::new();
     for machine_type in market.types.iter().filter(|t| spec.allows_type(&t.name)) {
-        let fit = spec.resources.count_in(&machine_type.room());
+        let fit = spec.resources.count_in(&machine_type.capacity());
         if fit == 0 {
             continue;
         }
--- a/src/planning/bids.rs
+++ b/src/planning/bids.rs
@@ -52,7 +52,7 @@
 pub fn nominal_cost(types: &[MachineType], spec: &JobSpec, runtime: Duration) -> f64 {
     let mut lowest = f64::INFINITY;
     for machine_type in types.iter().filter(|t| spec.allows_type(&t.name)) {
-        let fit = spec.resources.count_in(&machine_type.room());
+        let fit = spec.resources.count_in(&machine_type.capacity());
         let mut zones = machine_type.zones.iter();
         if fit == 0 || !zones.any(|zone| spec.allows_zone(zone)) {
             continue;
@@ -243,7 +243,7 @@
 ) -> Option<MachineFit> {
     let mut types = types.iter();
     let machine_type = types.find(|t| t.name == batch.offer.machine_type)?;
-    let fit = demand.spec.resources.count_in(&machine_type.room());
+    let fit = demand.spec.resources.count_in(&machine_type.capacity());
     if fit == 0 || !demand.accepts(&batch.offer) {
         return None;
     }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -65,7 +65,7 @@
     /// The part of the class that should meet it; `None` where the file does not set it.
     pub share: Option<f64>,
     /// Of a deadline: how many times as long counts.
-    pub times: f64,
+    pub deadline_factor: f64,
 }
 
 /// The settings of one controller.
@@ -144,7 +144,7 @@
             host_name,
             zone,
             public_addr,
-            back,
+            peer_listen,
             peers,
             services,
             params,
@@ -153,17 +153,17 @@
         let peers = parse_peers(peers)?;
         let objectives = parse_objectives(params.objectives)?;
         let max_transaction_changes = parse_transaction_limit(&params.state)?;
-        let max_sockets = parse_sockets(&params.quota)?;
+        let max_sockets = parse_max_sockets(&params.quota)?;
         if host_name.is_empty() {
             return Err(SettingsError::field("host_name", Reason::Empty));
         }
         let (workers, state) = (params.workers, params.state);
-        let next = state.next.unwrap_or_default();
+        let announced = state.announced.unwrap_or_default();
         let worker_seconds = |name: &str, value: f64, min: f64, max: f64| {
             seconds(&format!("params.workers.{name}"), value, min, max)
         };
         let listen = address("public_addr", &public_addr)?;
-        let peer_listen = address("back", &back)?;
+        let peer_listen = address("back", &peer_listen)?;
         let cloud_addr = address("services.cloud", &services.cloud)?;
         let store_addr = address("services.state", &services.state)?;
         Ok(Settings {
@@ -190,9 +190,9 @@
                 0.5,
                 SECONDS_PER_DAY,
             )?,
-            store_rps: lower_limit("rps", state.rps, next.rps)?,
-            store_write_rps: lower_limit("write_rps", state.write_rps, next.write_rps)?,
-            max_value_bytes: parse_value_bytes(state.value_kb, &next)?,
+            store_rps: lower_limit("rps", state.rps, announced.rps)?,
+            store_write_rps: lower_limit("write_rps", state.write_rps, announced.write_rps)?,
+            max_value_bytes: parse_max_value_bytes(state.value_kb, &announced)?,
             max_transaction_changes,
             cloud_rps: positive("params.cloud.rps", params.cloud.rps)?,
             machine_list_lag: seconds(
@@ -260,7 +260,7 @@
             kind: objective.kind,
             class: objective.class,
             share: objective.share.filter(|s| (0.0..=1.0).contains(s)),
-            times: (objective.times)
+            deadline_factor: (objective.times)
                 .filter(|t| t.is_finite() && *t > 0.0)
                 .unwrap_or(1.0),
         })
@@ -270,7 +270,7 @@
 
 /// The smaller one of the limit in force and the one announced.
 fn parse_transaction_limit(state: &RawState) -> Result<usize, SettingsError> {
-    let announced = state.next.as_ref().and_then(|next| next.txn_ops);
+    let announced = state.announced.as_ref().and_then(|limits| limits.txn_ops);
     let in_force = ("params.state.txn_ops", Some(state.txn_ops));
     for (field, changes) in [in_force, ("params.state.next.txn_ops", announced)] {
         if changes.is_some_and(|n| n < MIN_TRANSACTION_CHANGES) {
@@ -281,8 +281,8 @@
     Ok(state.txn_ops.min(announced.unwrap_or(usize::MAX)))
 }
 
-fn parse_value_bytes(value_kb: f64, next: &RawLimits) -> Result<usize, SettingsError> {
-    Ok((lower_limit("value_kb", value_kb, next.value_kb)? * BYTES_PER_KB) as usize)
+fn parse_max_value_bytes(value_kb: f64, announced: &RawLimits) -> Result<usize, SettingsError> {
+    Ok((lower_limit("value_kb", value_kb, announced.value_kb)? * BYTES_PER_KB) as usize)
 }
 
 /// The smaller one of a limit of the state service in force and the one announced, both checked.
@@ -297,7 +297,7 @@
     }
 }
 
-fn parse_sockets(quota: &RawQuota) -> Result<usize, SettingsError> {
+fn parse_max_sockets(quota: &RawQuota) -> Result<usize, SettingsError> {
     positive("params.quota.cores", quota.cores)?;
     if quota.fd_limit < MIN_SOCKETS {
         let (value, min) = (quota.fd_limit as f64, MIN_SOCKETS as f64);
--- a/src/settings/raw.rs
+++ b/src/settings/raw.rs
@@ -7,7 +7,8 @@
     pub(super) host_name: String,
     pub(super) zone: String,
     pub(super) public_addr: String,
-    pub(super) back: String,
+    #[serde(rename = "back")]
+    pub(super) peer_listen: String,
     #[serde(default)]
     pub(super) peers: Vec<RawPeer>,
     pub(super) services: RawServices,
@@ -80,8 +81,8 @@
     pub(super) write_rps: f64,
     pub(super) value_kb: f64,
     pub(super) txn_ops: usize,
-    #[serde(default)]
-    pub(super) next: Option<RawLimits>,
+    #[serde(rename = "next", default)]
+    pub(super) announced: Option<RawLimits>,
 }
 
 /// Limits that the state service will have one day; those left out stay as they are.
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn with(quota: &str) -> Result<Settings, String> {
+fn parse_with(quota: &str) -> Result<Settings, String> {
     let text = format!(
         r#"{{"host_name": "n0", "zone": "a", "public_addr": "127.0.0.1:1", "back": "127.0.0.1:2",
             "services": {{"cloud": "127.0.0.1:4", "state": "127.0.0.1:5"}}, "new": 1,
@@ -14,9 +14,9 @@
 
 #[test]
 fn a_quota_is_taken_as_it_is_by_default_or_refused_with_its_field() {
-    let s = with("").unwrap();
+    let s = parse_with("").unwrap();
     assert_eq!((s.memory_mb, s.max_sockets), (256.0, 1024));
-    let s = with(r#", "quota": {"mem_mb": 98, "other": [1]}"#).unwrap();
+    let s = parse_with(r#", "quota": {"mem_mb": 98, "other": [1]}"#).unwrap();
     assert_eq!((s.memory_mb, s.max_sockets), (98.0, 1024));
     for (quota, field) in [
         (r#""mem_mb": 0"#, "mem_mb"),
@@ -26,20 +26,20 @@
         (r#""fd_limit": -1"#, "fd_limit"),
         (r#""fd_limit": 20"#, "fd_limit"),
     ] {
-        let error = with(&format!(r#", "quota": {{{quota}}}"#)).unwrap_err();
+        let error = parse_with(&format!(r#", "quota": {{{quota}}}"#)).unwrap_err();
         assert!(
             error.starts_with(&format!("params.quota.{field}: ")),
             "{error}"
         );
     }
-    let error = with(r#", "quota": {"mem_mb": "much"}"#).unwrap_err();
+    let error = parse_with(r#", "quota": {"mem_mb": "much"}"#).unwrap_err();
     assert!(error.contains("much") && error.contains("line"), "{error}");
-    assert!(with(r#", "quota": {"mem_mb": 1e999}"#).is_err());
+    assert!(parse_with(r#", "quota": {"mem_mb": 1e999}"#).is_err());
 }
 
 #[test]
 fn an_error_states_the_field_and_the_reason() {
-    let error = |quota: &str| with(&format!(r#", "quota": {{{quota}}}"#)).unwrap_err();
+    let error = |quota: &str| parse_with(&format!(r#", "quota": {{{quota}}}"#)).unwrap_err();
     assert_eq!(
         error(r#""mem_mb": 8"#),
         "params.quota.mem_mb: 8 is too little, at least 32 are needed"
--- a/src/store_client.rs
+++ b/src/store_client.rs
@@ -162,7 +162,7 @@
                 prefix,
                 after,
                 limit,
-            } => self.outcome_page(prefix, after, *limit),
+            } => self.read_page(prefix, after, *limit),
             StoreRequest::CheckLease(lease) => self.renew(*lease).map(StoreOutcome::LeaseAlive),
         };
         result.unwrap_or_else(StoreOutcome::from)
@@ -175,7 +175,7 @@
             404 => Ok(StoreOutcome::Missing {
                 revision: parse::<CompareAndSwapResponse>(&response.body)?.revision,
             }),
-            _ => Err(error_of(&response)),
+            _ => Err(error_from_response(&response)),
         }
     }
 
@@ -197,17 +197,17 @@
                     revision: conflict.revision,
                 })
             }
-            _ => Err(error_of(&response)),
+            _ => Err(error_from_response(&response)),
         }
     }
 
-    fn outcome_page(
+    fn read_page(
         &mut self,
         prefix: &str,
         after: &str,
         limit: usize,
     ) -> Result<StoreOutcome, StoreError> {
-        let page = self.page(prefix, after, limit, TIMEOUT)?;
+        let page = self.fetch_page(prefix, after, limit, TIMEOUT)?;
         Ok(StoreOutcome::Page {
             items: page.items,
             more: page.more,
@@ -215,7 +215,7 @@
         })
     }
 
-    fn page(
+    fn fetch_page(
         &mut self,
         prefix: &str,
         after: &str,
@@ -231,7 +231,7 @@
         let response = self.read(&path, timeout)?;
         match response.status {
             200 => parse(&response.body),
-            _ => Err(error_of(&response)),
+            _ => Err(error_from_response(&response)),
         }
     }
 
@@ -246,7 +246,7 @@
         let response = (self.http).call_idempotent("POST", "/leases", &body, TIMEOUT)?;
         match response.status {
             200 => Ok(parse::<LeaseResponse>(&response.body)?.lease),
-            _ => Err(error_of(&response)),
+            _ => Err(error_from_response(&response)),
         }
     }
 
@@ -260,7 +260,7 @@
         match response.status {
             200 => Ok(true),
             404 => Ok(false),
-            _ => Err(error_of(&response)),
+            _ => Err(error_from_response(&response)),
         }
     }
 
@@ -281,7 +281,7 @@
         let mut first_revision = None;
         loop {
             let after = items.last().map_or(String::new(), |item| item.key.clone());
-            let page = self.page(PREFIX, &after, LIST_PAGE_ITEMS, LIST_TIMEOUT)?;
+            let page = self.fetch_page(PREFIX, &after, LIST_PAGE_ITEMS, LIST_TIMEOUT)?;
             // A watch from there on brings changes made while the pages are read once more.
             let revision = *first_revision.get_or_insert(page.revision);
             let is_last = !page.more || page.items.is_empty();
@@ -306,7 +306,7 @@
                 Ok(WatchResult::Changes { events, revision })
             }
             410 => Ok(WatchResult::TooOld),
-            _ => Err(error_of(&response)),
+            _ => Err(error_from_response(&response)),
         }
     }
 
@@ -320,7 +320,7 @@
 }
 
 /// The error that a status other than the expected ones stands for.
-fn error_of(response: &ClientResponse) -> StoreError {
+fn error_from_response(response: &ClientResponse) -> StoreError {
     let status = response.status;
     let text = response.body_excerpt(MAX_ERROR_BYTES);
     match status {
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -17,7 +17,7 @@
     LeaseResponse, WatchEvent, WatchResponse,
 };
 pub use submission::{
-    JOB_PREFIX, SubmissionError, is_job_id, parse_submission, submission, submitted_id,
+    JOB_PREFIX, SubmissionError, encode_submission, is_job_id, parse_submission, submitted_id,
 };
 pub use worker::{
     DirectCommands, ExitCause, Heartbeat, HeartbeatResponse, Redirect, TaskCommand, TaskState,
@@ -46,11 +46,11 @@
 /// On a worker: direct commands.
 pub const PATH_COMMANDS: &str = "/do";
 /// On the cloud: machine types.
-pub const PATH_TYPES: &str = "/flavors";
+pub const PATH_MACHINE_TYPES: &str = "/flavors";
 /// On the cloud: the list of machines, and requests for more.
 pub const PATH_MACHINES: &str = "/hosts";
 /// On the cloud: deletes machines.
-pub const PATH_DELETE: &str = "/hosts/delete";
+pub const PATH_DELETE_MACHINES: &str = "/hosts/delete";
 
 /// A page of a snapshot that is offered to a controller.
 #[derive(Clone, Debug, Serialize, Deserialize)]
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -40,7 +40,7 @@
 
 impl MachineType {
     /// The resources of a machine for tasks.
-    pub fn room(&self) -> Resources {
+    pub fn capacity(&self) -> Resources {
         Resources {
             cpus: self.cpus,
             gpus: self.gpus,
--- a/src/wire/submission.rs
+++ b/src/wire/submission.rs
@@ -45,50 +45,69 @@
 /// A submission with the protocol's names.
 #[derive(Deserialize, Serialize)]
 struct SubmissionBody {
-    name_id: String,
-    crop: String,
-    steward: String,
-    shape: Shape,
-    rank: Rank,
-    rows: u64,
+    #[serde(rename = "name_id")]
+    id: String,
+    #[serde(rename = "crop")]
+    class: String,
+    #[serde(rename = "steward")]
+    team: String,
+    #[serde(rename = "shape")]
+    job_kind: WireJobKind,
+    #[serde(rename = "rank")]
+    priority: WirePriority,
+    #[serde(rename = "rows")]
+    tasks: u64,
     cpus: f64,
-    accelerators: f64,
-    ram_gb: f64,
-    seedstock: String,
-    size_gb: f64,
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    breeds: Option<Vec<String>>,
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    parcel: Option<String>,
-    together: bool,
-    scatter: bool,
-    gleanable: bool,
-    reckon_s: f64,
-    harvest_s: f64,
-    bale_s: f64,
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    due_s: Option<f64>,
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    awaits: Option<BTreeSet<String>>,
+    #[serde(rename = "accelerators")]
+    gpus: f64,
+    #[serde(rename = "ram_gb")]
+    ram: f64,
+    #[serde(rename = "seedstock")]
+    image: String,
+    #[serde(rename = "size_gb")]
+    image_gb: f64,
+    #[serde(rename = "breeds", default, skip_serializing_if = "Option::is_none")]
+    machine_types: Option<Vec<String>>,
+    #[serde(rename = "parcel", default, skip_serializing_if = "Option::is_none")]
+    zone: Option<String>,
+    #[serde(rename = "together")]
+    one_zone: bool,
+    #[serde(rename = "scatter")]
+    spread: bool,
+    #[serde(rename = "gleanable")]
+    spot: bool,
+    #[serde(rename = "reckon_s")]
+    estimate_s: f64,
+    #[serde(rename = "harvest_s")]
+    checkpoint_interval_s: f64,
+    #[serde(rename = "bale_s")]
+    checkpoint_duration_s: f64,
+    #[serde(rename = "due_s", default, skip_serializing_if = "Option::is_none")]
+    deadline_s: Option<f64>,
+    #[serde(rename = "awaits", default, skip_serializing_if = "Option::is_none")]
+    dependencies: Option<BTreeSet<String>>,
 }
 
 /// A kind of jobs by the protocol's name. Read from a string only: an object with the name as its
 /// only key would pass for an enum otherwise.
 #[derive(Deserialize, Serialize, Clone, Copy)]
 #[serde(rename_all = "lowercase", try_from = "String")]
-enum Shape {
+enum WireJobKind {
     Array,
     Service,
-    Ensemble,
+    #[serde(rename = "ensemble")]
+    Gang,
 }
 
-/// A priority by the protocol's name. Read from a string only, as `Shape`.
+/// A priority by the protocol's name. Read from a string only, as `WireJobKind`.
 #[derive(Deserialize, Serialize, Clone, Copy)]
 #[serde(rename_all = "lowercase", try_from = "String")]
-enum Rank {
+enum WirePriority {
     Production,
-    Urgent,
-    Standard,
+    #[serde(rename = "urgent")]
+    High,
+    #[serde(rename = "standard")]
+    Normal,
     Low,
 }
 
@@ -100,14 +119,14 @@
     name: String,
 }
 
-impl TryFrom<String> for Shape {
+impl TryFrom<String> for WireJobKind {
     type Error = UnknownName;
 
-    fn try_from(name: String) -> Result<Shape, UnknownName> {
+    fn try_from(name: String) -> Result<WireJobKind, UnknownName> {
         match name.as_str() {
-            "array" => Ok(Shape::Array),
-            "service" => Ok(Shape::Service),
-            "ensemble" => Ok(Shape::Ensemble),
+            "array" => Ok(WireJobKind::Array),
+            "service" => Ok(WireJobKind::Service),
+            "ensemble" => Ok(WireJobKind::Gang),
             _ => Err(UnknownName {
                 field: "shape",
                 name,
@@ -116,15 +135,15 @@
     }
 }
 
-impl TryFrom<String> for Rank {
+impl TryFrom<String> for WirePriority {
     type Error = UnknownName;
 
-    fn try_from(name: String) -> Result<Rank, UnknownName> {
+    fn try_from(name: String) -> Result<WirePriority, UnknownName> {
         match name.as_str() {
-            "production" => Ok(Rank::Production),
-            "urgent" => Ok(Rank::Urgent),
-            "standard" => Ok(Rank::Standard),
-            "low" => Ok(Rank::Low),
+            "production" => Ok(WirePriority::Production),
+            "urgent" => Ok(WirePriority::High),
+            "standard" => Ok(WirePriority::Normal),
+            "low" => Ok(WirePriority::Low),
             _ => Err(UnknownName {
                 field: "rank",
                 name,
@@ -133,44 +152,44 @@
     }
 }
 
-impl From<Shape> for JobKind {
-    fn from(shape: Shape) -> JobKind {
-        match shape {
-            Shape::Array => JobKind::Array,
-            Shape::Service => JobKind::Service,
-            Shape::Ensemble => JobKind::Gang,
+impl From<WireJobKind> for JobKind {
+    fn from(kind: WireJobKind) -> JobKind {
+        match kind {
+            WireJobKind::Array => JobKind::Array,
+            WireJobKind::Service => JobKind::Service,
+            WireJobKind::Gang => JobKind::Gang,
         }
     }
 }
 
-impl From<JobKind> for Shape {
-    fn from(kind: JobKind) -> Shape {
+impl From<JobKind> for WireJobKind {
+    fn from(kind: JobKind) -> WireJobKind {
         match kind {
-            JobKind::Array => Shape::Array,
-            JobKind::Service => Shape::Service,
-            JobKind::Gang => Shape::Ensemble,
+            JobKind::Array => WireJobKind::Array,
+            JobKind::Service => WireJobKind::Service,
+            JobKind::Gang => WireJobKind::Gang,
         }
     }
 }
 
-impl From<Rank> for Priority {
-    fn from(rank: Rank) -> Priority {
-        match rank {
-            Rank::Production => Priority::Production,
-            Rank::Urgent => Priority::High,
-            Rank::Standard => Priority::Normal,
-            Rank::Low => Priority::Low,
+impl From<WirePriority> for Priority {
+    fn from(priority: WirePriority) -> Priority {
+        match priority {
+            WirePriority::Production => Priority::Production,
+            WirePriority::High => Priority::High,
+            WirePriority::Normal => Priority::Normal,
+            WirePriority::Low => Priority::Low,
         }
     }
 }
 
-impl From<Priority> for Rank {
-    fn from(priority: Priority) -> Rank {
+impl From<Priority> for WirePriority {
+    fn from(priority: Priority) -> WirePriority {
         match priority {
-            Priority::Production => Rank::Production,
-            Priority::High => Rank::Urgent,
-            Priority::Normal => Rank::Standard,
-            Priority::Low => Rank::Low,
+            Priority::Production => WirePriority::Production,
+            Priority::High => WirePriority::High,
+            Priority::Normal => WirePriority::Normal,
+            Priority::Low => WirePriority::Low,
         }
     }
 }
@@ -194,7 +213,7 @@
     }
     let submission: SubmissionBody = serde_json::from_slice(body)?;
     submission.check_ids()?;
-    if submission.rows == 0 || submission.rows > MAX_TASKS {
+    if submission.tasks == 0 || submission.tasks > MAX_TASKS {
         return Err(SubmissionError::TaskCount);
     }
     submission.check_amounts()?;
@@ -204,10 +223,10 @@
 
 impl SubmissionBody {
     fn check_ids(&self) -> Result<(), SubmissionError> {
-        if !is_job_id(&self.name_id) {
+        if !is_job_id(&self.id) {
             return Err(SubmissionError::JobId);
         }
-        let mut dependencies = self.awaits.iter().flatten();
+        let mut dependencies = self.dependencies.iter().flatten();
         match dependencies.find(|id| !is_job_id(id)) {
             Some(id) => Err(SubmissionError::Dependency(id.clone())),
             None => Ok(()),
@@ -217,13 +236,13 @@
     fn check_amounts(&self) -> Result<(), SubmissionError> {
         let amounts = [
             ("cpus", self.cpus),
-            ("accelerators", self.accelerators),
-            ("ram_gb", self.ram_gb),
-            ("size_gb", self.size_gb),
-            ("reckon_s", self.reckon_s),
-            ("harvest_s", self.harvest_s),
-            ("bale_s", self.bale_s),
-            ("due_s", self.due_s.unwrap_or(0.0)),
+            ("accelerators", self.gpus),
+            ("ram_gb", self.ram),
+            ("size_gb", self.image_gb),
+            ("reckon_s", self.estimate_s),
+            ("harvest_s", self.checkpoint_interval_s),
+            ("bale_s", self.checkpoint_duration_s),
+            ("due_s", self.deadline_s.unwrap_or(0.0)),
         ];
         match (amounts.iter()).find(|(_, amount)| !(0.0..=MAX_AMOUNT).contains(amount)) {
             Some((field, _)) => Err(SubmissionError::Amount(field)),
@@ -232,10 +251,10 @@
     }
 
     fn check_names(&self) -> Result<(), SubmissionError> {
-        let mut names = [&self.crop, &self.steward, &self.seedstock]
+        let mut names = [&self.class, &self.team, &self.image]
             .into_iter()
-            .chain(&self.parcel)
-            .chain(self.breeds.iter().flatten());
+            .chain(&self.zone)
+            .chain(self.machine_types.iter().flatten());
         if names.all(|name| (1..=MAX_NAME_BYTES).contains(&name.len())) {
             Ok(())
         } else {
@@ -245,61 +264,61 @@
 
     /// What it says, once it has been checked.
     fn into_spec(self) -> JobSpec {
-        let dependencies = self.awaits.unwrap_or_default();
+        let dependencies = self.dependencies.unwrap_or_default();
         JobSpec {
-            id: self.name_id.into(),
-            class: self.crop,
-            team: self.steward,
-            job_kind: self.shape.into(),
-            priority: self.rank.into(),
-            tasks: self.rows as u32,
+            id: self.id.into(),
+            class: self.class,
+            team: self.team,
+            job_kind: self.job_kind.into(),
+            priority: self.priority.into(),
+            tasks: self.tasks as u32,
             resources: Resources {
                 cpus: self.cpus,
-                gpus: self.accelerators,
-                ram: self.ram_gb,
+                gpus: self.gpus,
+                ram: self.ram,
             },
-            image: self.seedstock,
-            image_gb: self.size_gb,
-            machine_types: self.breeds,
-            zone: self.parcel,
-            one_zone: self.together,
-            spread: self.scatter,
-            spot: self.gleanable,
-            estimate: Duration::from_secs_f64(self.reckon_s),
-            checkpoint_interval: Duration::from_secs_f64(self.harvest_s),
-            checkpoint_duration: Duration::from_secs_f64(self.bale_s),
-            deadline: self.due_s.map(Duration::from_secs_f64),
+            image: self.image,
+            image_gb: self.image_gb,
+            machine_types: self.machine_types,
+            zone: self.zone,
+            one_zone: self.one_zone,
+            spread: self.spread,
+            spot: self.spot,
+            estimate: Duration::from_secs_f64(self.estimate_s),
+            checkpoint_interval: Duration::from_secs_f64(self.checkpoint_interval_s),
+            checkpoint_duration: Duration::from_secs_f64(self.checkpoint_duration_s),
+            deadline: self.deadline_s.map(Duration::from_secs_f64),
             dependencies: dependencies.into_iter().map(JobId::from).collect(),
         }
     }
 }
 
 /// A submission as users send it.
-pub fn submission(spec: &JobSpec) -> Vec<u8> {
+pub fn encode_submission(spec: &JobSpec) -> Vec<u8> {
     let dependencies: BTreeSet<String> =
         spec.dependencies.iter().map(ToString::to_string).collect();
     to_json(&SubmissionBody {
-        name_id: spec.id.to_string(),
-        crop: spec.class.clone(),
-        steward: spec.team.clone(),
-        shape: spec.job_kind.into(),
-        rank: spec.priority.into(),
-        rows: u64::from(spec.tasks),
+        id: spec.id.to_string(),
+        class: spec.class.clone(),
+        team: spec.team.clone(),
+        job_kind: spec.job_kind.into(),
+        priority: spec.priority.into(),
+        tasks: u64::from(spec.tasks),
         cpus: spec.resources.cpus,
-        accelerators: spec.resources.gpus,
-        ram_gb: spec.resources.ram,
-        seedstock: spec.image.clone(),
-        size_gb: spec.image_gb,
-        breeds: spec.machine_types.clone(),
-        parcel: spec.zone.clone(),
-        together: spec.one_zone,
-        scatter: spec.spread,
-        gleanable: spec.spot,
-        reckon_s: spec.estimate.as_secs_f64(),
-        harvest_s: spec.checkpoint_interval.as_secs_f64(),
-        bale_s: spec.checkpoint_duration.as_secs_f64(),
-        due_s: spec.deadline.map(|deadline| deadline.as_secs_f64()),
-        awaits: (!dependencies.is_empty()).then_some(dependencies),
+        gpus: spec.resources.gpus,
+        ram: spec.resources.ram,
+        image: spec.image.clone(),
+        image_gb: spec.image_gb,
+        machine_types: spec.machine_types.clone(),
+        zone: spec.zone.clone(),
+        one_zone: spec.one_zone,
+        spread: spec.spread,
+        spot: spec.spot,
+        estimate_s: spec.estimate.as_secs_f64(),
+        checkpoint_interval_s: spec.checkpoint_interval.as_secs_f64(),
+        checkpoint_duration_s: spec.checkpoint_duration.as_secs_f64(),
+        deadline_s: spec.deadline.map(|deadline| deadline.as_secs_f64()),
+        dependencies: (!dependencies.is_empty()).then_some(dependencies),
     })
 }
 
--- a/src/wire/tests.rs
+++ b/src/wire/tests.rs
@@ -15,7 +15,7 @@
 #[test]
 fn a_submission_is_read_and_written_again() {
     let spec = parse_submission(&body(|_| ())).unwrap();
-    assert_eq!(parse_submission(&submission(&spec)).unwrap(), spec);
+    assert_eq!(parse_submission(&encode_submission(&spec)).unwrap(), spec);
     assert_eq!((spec.tasks, spec.priority), (16, Priority::High));
     assert_eq!(spec.deadline, Some(Duration::from_secs(900)));
 }
--- a/src/worker_client.rs
+++ b/src/worker_client.rs
@@ -80,12 +80,12 @@
 
 fn send(http: &mut Client, commands: &DirectCommands) -> DirectOutcome {
     match http.call("POST", PATH_COMMANDS, &to_json(commands), TIMEOUT) {
-        Ok(response) => outcome_of(&response),
+        Ok(response) => outcome_from_response(&response),
         Err(error) => DirectOutcome::from(error),
     }
 }
 
-fn outcome_of(response: &ClientResponse) -> DirectOutcome {
+fn outcome_from_response(response: &ClientResponse) -> DirectOutcome {
     let heartbeat = serde_json::from_slice::<Heartbeat>(&response.body);
     match (response.status, heartbeat) {
         (status @ (200 | 409), Ok(heartbeat)) => DirectOutcome::Heartbeat {
