--- a/src/cli/args.rs
+++ b/src/cli/args.rs
@@ -94,7 +94,7 @@
         #[command(flatten)]
         archive: ArchiveArgs,
         #[command(flatten)]
-        line: LineArgs,
+        timeline: TimelineArgs,
     },
     /// Read every line to its end; the exit code is 1 if anything in it is at fault.
     Verify {
@@ -114,7 +114,7 @@
         #[command(flatten)]
         archive: ArchiveArgs,
         #[command(flatten)]
-        line: LineArgs,
+        timeline: TimelineArgs,
         #[command(flatten)]
         node: NodeArgs,
     },
@@ -141,10 +141,10 @@
 }
 
 #[derive(Args)]
-pub struct LineArgs {
+pub struct TimelineArgs {
     /// The line's name or number, or the identity of its store; the newest that is whole if none is named.
-    #[arg(long, value_name = "NAME")]
-    pub line: Option<String>,
+    #[arg(long = "line", value_name = "NAME")]
+    pub name: Option<String>,
 }
 
 #[derive(Args)]
--- a/src/cli/snapshot.rs
+++ b/src/cli/snapshot.rs
@@ -1,6 +1,6 @@
 //! Commands about an archive of snapshots.
 
-use super::args::{ArchiveArgs, LineArgs, NodeArgs, SnapshotCommand};
+use super::args::{ArchiveArgs, NodeArgs, SnapshotCommand, TimelineArgs};
 use super::call::call;
 use super::error::{CommandError, with_subject};
 use burlusher::settings::Settings;
@@ -16,34 +16,34 @@
 pub fn run(command: SnapshotCommand) -> Result<(), CommandError> {
     match command {
         SnapshotCommand::List { archive } => {
-            print(&archive, &all_lines(&archive)?);
+            print(&archive, &all_timelines(&archive)?);
             Ok(())
         }
-        SnapshotCommand::Show { archive, line } => show(&archive, &line),
+        SnapshotCommand::Show { archive, timeline } => show(&archive, &timeline),
         SnapshotCommand::Verify { archive } => verify(&archive),
         SnapshotCommand::Take { archive, config } => take(&archive.dir, &config),
         SnapshotCommand::Restore {
             archive,
-            line,
+            timeline,
             node,
-        } => restore(&archive, &line, &node),
+        } => restore(&archive, &timeline, &node),
     }
 }
 
-fn show(archive: &ArchiveArgs, line: &LineArgs) -> Result<(), CommandError> {
-    let line = line_view(&find_line(archive, line)?, true);
-    print(archive, std::slice::from_ref(&line));
+fn show(archive: &ArchiveArgs, timeline: &TimelineArgs) -> Result<(), CommandError> {
+    let view = timeline_view(&find_timeline(archive, timeline)?, true);
+    print(archive, std::slice::from_ref(&view));
     if !archive.json {
-        let live = line["live"].as_array().into_iter().flatten();
+        let live = view["live"].as_array().into_iter().flatten();
         live.for_each(|id| println!("live {}", id.as_str().unwrap_or("-")));
     }
     Ok(())
 }
 
 fn verify(archive: &ArchiveArgs) -> Result<(), CommandError> {
-    let lines = all_lines(archive)?;
-    print(archive, &lines);
-    let faults = lines.iter().filter_map(|line| line["faults"].as_array());
+    let views = all_timelines(archive)?;
+    print(archive, &views);
+    let faults = views.iter().filter_map(|view| view["faults"].as_array());
     match faults.map(Vec::len).sum::<usize>() {
         0 => Ok(()),
         count => Err(format!("{count} faults").into()),
@@ -58,8 +58,12 @@
 }
 
 /// Offers a line to the leader, page by page.
-fn restore(archive: &ArchiveArgs, line: &LineArgs, node: &NodeArgs) -> Result<(), CommandError> {
-    let listed = find_line(archive, line)?;
+fn restore(
+    archive: &ArchiveArgs,
+    timeline: &TimelineArgs,
+    node: &NodeArgs,
+) -> Result<(), CommandError> {
+    let listed = find_timeline(archive, timeline)?;
     let mut new_jobs = 0;
     for page in &snapshotter::pages(&listed)? {
         let body = wire::to_json(page);
@@ -78,15 +82,21 @@
     Ok(Archive::existing(&archive.dir).map_err(with_subject(archive.dir.display()))?)
 }
 
-fn all_lines(archive: &ArchiveArgs) -> Result<Vec<Value>, CommandError> {
-    let lines = open(archive)?.list()?;
-    Ok(lines.iter().map(|line| line_view(line, false)).collect())
+fn all_timelines(archive: &ArchiveArgs) -> Result<Vec<Value>, CommandError> {
+    let timelines = open(archive)?.list()?;
+    Ok(timelines
+        .iter()
+        .map(|listed| timeline_view(listed, false))
+        .collect())
 }
 
 /// The line that the arguments name, or the newest whole one.
-fn find_line(archive: &ArchiveArgs, line: &LineArgs) -> Result<ArchivedTimeline, CommandError> {
+fn find_timeline(
+    archive: &ArchiveArgs,
+    timeline: &TimelineArgs,
+) -> Result<ArchivedTimeline, CommandError> {
     let opened = open(archive)?;
-    let found = match &line.line {
+    let found = match &timeline.name {
         Some(name) => opened.find(name),
         None => opened.list().map(snapshotter::best),
     };
@@ -96,18 +106,18 @@
 }
 
 /// One line of an archive, as it is shown.
-fn line_view(listed: &ArchivedTimeline, with_jobs: bool) -> Value {
+fn timeline_view(listed: &ArchivedTimeline, with_jobs: bool) -> Value {
     let faults =
         |found: &[RecordFault]| found.iter().map(RecordFault::to_string).collect::<Vec<_>>();
     match &listed.timeline {
-        Ok(line) => {
-            let summary = snapshotter::summary(&line.image);
+        Ok(timeline) => {
+            let summary = snapshotter::summary(&timeline.image);
             let mut view = json!({
-                "line": listed.name, "store": line.header.store, "revision": line.image.revision,
-                "base_ms": line.header.at_ms, "newest_ms": line.newest_ms, "bytes": line.bytes,
-                "changes": line.changes, "jobs_live": summary.live.len(),
+                "line": listed.name, "store": timeline.header.store, "revision": timeline.image.revision,
+                "base_ms": timeline.header.at_ms, "newest_ms": timeline.newest_ms, "bytes": timeline.bytes,
+                "changes": timeline.changes, "jobs_live": summary.live.len(),
                 "jobs_ended": summary.ended, "machines": summary.machines, "term": summary.term,
-                "faults": faults(&line.faults),
+                "faults": faults(&timeline.faults),
             });
             if with_jobs {
                 view["live"] = summary.live.into();
@@ -118,42 +128,42 @@
     }
 }
 
-fn print(archive: &ArchiveArgs, lines: &[Value]) {
+fn print(archive: &ArchiveArgs, views: &[Value]) {
     if archive.json {
-        println!("{}", Value::from(lines));
+        println!("{}", Value::from(views));
     } else {
-        print!("{}", table(lines));
+        print!("{}", table(views));
     }
 }
 
-fn table(lines: &[Value]) -> String {
+fn table(views: &[Value]) -> String {
     let mut text = format!(
         "{:<26} {:>10} {:>8} {:>8} {:>8} {:>9}  newest change (s ago), faults\n",
         "line", "revision", "live", "ended", "machines", "bytes"
     );
     let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     let now_ms = now.unwrap_or_default().as_millis() as u64;
-    for line in lines {
-        text.push_str(&table_row(line, now_ms));
+    for view in views {
+        text.push_str(&table_row(view, now_ms));
     }
     text
 }
 
-fn table_row(line: &Value, now_ms: u64) -> String {
-    let age = line["newest_ms"].as_u64().map_or("-".into(), |at_ms| {
+fn table_row(view: &Value, now_ms: u64) -> String {
+    let age = view["newest_ms"].as_u64().map_or("-".into(), |at_ms| {
         format!("{:.1}", now_ms.saturating_sub(at_ms) as f64 / 1000.0)
     });
     let number = |name: &str| {
-        let number = line[name].as_u64();
+        let number = view[name].as_u64();
         number.map_or("-".into(), |number| number.to_string())
     };
-    let faults = match line["faults"].as_array().map_or(0, Vec::len) {
+    let faults = match view["faults"].as_array().map_or(0, Vec::len) {
         0 => "none".into(),
-        count => format!("{count}: {}", line["faults"][0]),
+        count => format!("{count}: {}", view["faults"][0]),
     };
     format!(
         "{:<26} {:>10} {:>8} {:>8} {:>8} {:>9}  {age}, {faults}\n",
-        line["line"].as_str().unwrap_or("-"),
+        view["line"].as_str().unwrap_or("-"),
         number("revision"),
         number("jobs_live"),
         number("jobs_ended"),
