--- a/src/cli/args.rs
+++ b/src/cli/args.rs
@@ -25,14 +25,14 @@
     Serve {
         #[command(flatten)]
         files: ConfigArgs,
-        /// How the log is written.
+        /// Format of the log.
         #[arg(long, value_enum, default_value_t = LogFormat::Text)]
         log_format: LogFormat,
-        /// Keep what the state service holds in this folder, and remember what is in it.
+        /// Archive the contents of the state service in this folder, and load what the folder holds at the start.
         #[arg(long, value_name = "DIR")]
         snapshots: Option<PathBuf>,
     },
-    /// Follow the state service and keep what it holds in a folder, until killed.
+    /// Watch the state service and archive its contents in a folder, until killed.
     Archive {
         /// The settings file of any controller (JSON): where the state service is.
         #[arg(long, value_name = "FILE")]
@@ -42,12 +42,12 @@
         #[arg(long, value_enum, default_value_t = LogFormat::Text)]
         log_format: LogFormat,
     },
-    /// Look at what an archive holds, add to it, or offer it to a service that rebuilds.
+    /// Inspect an archive, add a snapshot to it, or restore the state service from it.
     Snapshot {
         #[command(subcommand)]
         command: SnapshotCommand,
     },
-    /// Decide on a state service that has lost data.
+    /// Control the rebuild of a state service that has lost data.
     Rebuild {
         #[command(subcommand)]
         command: RebuildCommand,
@@ -84,24 +84,24 @@
 
 #[derive(Subcommand)]
 pub enum SnapshotCommand {
-    /// All lines of the archive: one for each store that was followed.
+    /// List all lines (timelines) of the archive: one for each store that was watched.
     List {
         #[command(flatten)]
         archive: ArchiveArgs,
     },
-    /// What a line holds.
+    /// Show what a line contains.
     Show {
         #[command(flatten)]
         archive: ArchiveArgs,
         #[command(flatten)]
         timeline: TimelineArgs,
     },
-    /// Read every line to its end; the exit code is 1 if anything in it is at fault.
+    /// Read every line completely; the exit code is 1 if any record is damaged.
     Verify {
         #[command(flatten)]
         archive: ArchiveArgs,
     },
-    /// Read the state service once and write down what it holds.
+    /// Take one snapshot of the state service.
     Take {
         #[command(flatten)]
         archive: ArchiveArgs,
@@ -109,7 +109,7 @@
         #[arg(long, value_name = "FILE")]
         config: PathBuf,
     },
-    /// Offer a line to the controller that leads, while it rebuilds the state service.
+    /// Upload a line to the leader while it rebuilds the state service.
     Restore {
         #[command(flatten)]
         archive: ArchiveArgs,
@@ -122,8 +122,8 @@
 
 #[derive(Subcommand)]
 pub enum RebuildCommand {
-    /// Take the state service as it is: tasks of jobs that nobody remembers are stopped, and what is
-    /// not known is unknown from then on. Cannot be undone.
+    /// End the rebuild with the data recovered so far: tasks of jobs that are not recovered are stopped,
+    /// and data that is not recovered is lost. Cannot be undone.
     Settle {
         #[command(flatten)]
         node: NodeArgs,
@@ -135,14 +135,14 @@
     /// The archive's folder.
     #[arg(long, value_name = "DIR")]
     pub dir: PathBuf,
-    /// As JSON.
+    /// Print JSON.
     #[arg(long)]
     pub json: bool,
 }
 
 #[derive(Args)]
 pub struct TimelineArgs {
-    /// The line's name or number, or the identity of its store; the newest that is whole if none is named.
+    /// The line's name or number, or the identity of its store; by default the newest complete one.
     #[arg(long = "line", value_name = "NAME")]
     pub name: Option<String>,
 }
@@ -152,7 +152,7 @@
     /// The platform's settings file (JSON).
     #[arg(long, value_name = "FILE")]
     pub config: PathBuf,
-    /// Operators' own policy; entries it leaves out keep their built-in values.
+    /// The operators' policy; entries left out keep their built-in values.
     #[arg(long, value_name = "FILE")]
     pub policy: Option<PathBuf>,
 }
--- a/src/cli/call.rs
+++ b/src/cli/call.rs
@@ -1,4 +1,4 @@
-//! Calls to a controller.
+//! HTTP calls to a controller.
 
 use super::args::NodeArgs;
 use super::error::{CommandError, with_subject};
--- a/src/cli/error.rs
+++ b/src/cli/error.rs
@@ -3,10 +3,10 @@
 use std::error::Error;
 use std::fmt::Display;
 
-/// An error that ends the program. `main` prints it with its causes.
+/// An error that ends the program; `main` prints it with its causes.
 pub type CommandError = Box<dyn Error + Send + Sync>;
 
-/// Adds to an error what it is about: a file or an address.
+/// An error with its subject, such as a file or an address.
 #[derive(Debug, thiserror::Error)]
 #[error("{subject}")]
 pub struct WithSubject {
@@ -14,7 +14,7 @@
     source: CommandError,
 }
 
-/// Adds the subject to an error.
+/// Returns a function that adds the subject to an error, for use with `map_err`.
 pub fn with_subject<E: Into<CommandError>>(subject: impl Display) -> impl FnOnce(E) -> WithSubject {
     move |error| WithSubject {
         subject: subject.to_string(),
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The commands of the command line; what they do is in the library.
+//! The commands of the command line, as thin wrappers around the library.
 
 mod args;
 mod call;
@@ -19,7 +19,7 @@
 use std::io::Read;
 use std::path::Path;
 
-/// Runs one command.
+/// Runs the command given on the command line.
 pub fn run(cli: Cli) -> Result<(), CommandError> {
     let job_path = |id: &str| format!("{}/{id}", wire::PATH_JOBS);
     match cli.command {
@@ -100,14 +100,14 @@
 fn check(files: &ConfigArgs) -> Result<(), CommandError> {
     let (settings, policy) = load(files)?;
     println!(
-        "settings: {} in {}, {} peers, {} teams: good",
+        "settings: {} in {}, {} peers, {} teams: valid",
         settings.name,
         settings.zone,
         settings.peers.len(),
         settings.teams.len(),
     );
     println!(
-        "by its quota of {} MB and {} sockets it serves {} connections at a time, and accepts {} tasks of unfinished jobs",
+        "with its quota of {} MB and {} sockets the controller serves {} connections at a time and accepts {} tasks of unfinished jobs",
         settings.memory_mb,
         settings.max_sockets,
         service::max_connections(&settings),
@@ -120,7 +120,7 @@
     Ok(())
 }
 
-/// Reads a submission from a file, or from standard input for "-", and checks it.
+/// Reads a submission from a file, or from standard input for "-", and validates it.
 fn read_submission(file: &Path) -> Result<Vec<u8>, CommandError> {
     let body = if file.as_os_str() == "-" {
         let mut text = Vec::new();
--- a/src/cli/snapshot.rs
+++ b/src/cli/snapshot.rs
@@ -1,4 +1,4 @@
-//! Commands about an archive of snapshots.
+//! Commands for an archive of snapshots.
 
 use super::args::{ArchiveArgs, NodeArgs, SnapshotCommand, TimelineArgs};
 use super::call::call;
@@ -12,7 +12,7 @@
 use std::path::Path;
 use std::time::SystemTime;
 
-/// Runs one command.
+/// Runs one of the snapshot commands.
 pub fn run(command: SnapshotCommand) -> Result<(), CommandError> {
     match command {
         SnapshotCommand::List { archive } => {
@@ -57,7 +57,7 @@
     Ok(())
 }
 
-/// Offers a line to the leader, page by page.
+/// Uploads a timeline to the leader, page by page.
 fn restore(
     archive: &ArchiveArgs,
     timeline: &TimelineArgs,
@@ -68,7 +68,7 @@
     for page in &snapshotter::pages(&listed)? {
         let body = wire::to_json(page);
         if body.len() > http::MAX_BODY {
-            return Err("a job in it is too large for this way: start a controller with --snapshots and this folder".into());
+            return Err("the snapshot contains a job that is too large for an upload; start a controller with --snapshots and this folder instead".into());
         }
         let response = call(node, "POST", wire::PATH_SNAPSHOT, &body)?;
         let response: Value = serde_json::from_str(&response)?;
@@ -90,7 +90,7 @@
         .collect())
 }
 
-/// The line that the arguments name, or the newest whole one.
+/// Returns the timeline named by the arguments, or else the newest complete one.
 fn find_timeline(
     archive: &ArchiveArgs,
     timeline: &TimelineArgs,
@@ -105,7 +105,7 @@
     found.ok_or_else(|| with_subject(&dir)("no such line").into())
 }
 
-/// One line of an archive, as it is shown.
+/// Returns the JSON description of one timeline of an archive.
 fn timeline_view(listed: &ArchivedTimeline, with_jobs: bool) -> Value {
     let faults =
         |found: &[RecordFault]| found.iter().map(RecordFault::to_string).collect::<Vec<_>>();
--- a/src/cloud_client.rs
+++ b/src/cloud_client.rs
@@ -1,4 +1,4 @@
-//! The client of the cloud, which provisions and deletes machines.
+//! Client of the cloud's API, which provisions and deletes machines.
 
 use crate::http::{CallError, Client};
 use crate::job::MachineId;
@@ -12,46 +12,46 @@
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
 const TIMEOUT: Duration = Duration::from_millis(3000);
-/// Of an answer that reports an error, so many bytes are looked at.
+/// Number of bytes of an error response that are read for the message.
 const MAX_ERROR_BYTES: usize = 200;
-/// Most names that one deletion may carry.
+/// Maximum number of machines in one deletion request.
 pub const MAX_DELETED_PER_CALL: usize = 100;
-/// Machines on one page of the list.
+/// Number of machines requested per page of the list.
 pub const MACHINES_PER_PAGE: usize = 500;
 
-/// A request of `core` to the cloud.
+/// A request from `core` to the cloud.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CloudRequest {
-    /// The machine types on offer.
+    /// Lists the machine types that the cloud offers.
     Types,
-    /// All machines of ours.
+    /// Lists all machines of this cluster.
     List,
-    /// More machines of one type.
+    /// Provisions machines of one type.
     ScaleOut(ScaleOutRequest),
-    /// Deletes machines, `MAX_DELETED_PER_CALL` at the most.
+    /// Deletes at most `MAX_DELETED_PER_CALL` machines.
     Delete(Vec<MachineId>),
 }
 
-/// What became of a request.
+/// Outcome of a request.
 #[derive(Clone, Debug)]
 pub enum CloudOutcome {
-    /// The machine types on offer, without those whose figures make no sense.
+    /// The machine types that the cloud offers, without those that have invalid amounts.
     Types(Vec<MachineType>),
-    /// All machines of ours.
+    /// All machines of this cluster.
     Listed(Vec<ListedMachine>),
     /// The machines that were provisioned.
     Provisioned(Vec<MachineId>),
-    /// The cloud has no machine of the type and zone at present.
+    /// The cloud has no capacity for the type in the zone at present.
     NoCapacity,
     /// The machines whose deletion was accepted.
     Deleted(Vec<MachineId>),
-    /// The request itself is at fault.
+    /// The request is invalid.
     Invalid(String),
-    /// Not done, or not known to be: the same request may be repeated.
+    /// The request failed or its outcome is unknown; it may be repeated.
     Failed(String),
 }
 
-/// How a request failed.
+/// Reason why a request failed.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 enum CloudError {
     #[error("no capacity")]
@@ -84,14 +84,14 @@
 }
 
 impl CloudClient {
-    /// A client of the cloud at this address; connects with the first call.
+    /// Creates a client of the cloud at this address; it connects with the first call.
     pub fn new(addr: SocketAddrV4) -> CloudClient {
         CloudClient {
             http: Client::new(addr, CONNECT_TIMEOUT),
         }
     }
 
-    /// Carries out one request of `core`.
+    /// Performs one request from `core`.
     pub fn perform(&mut self, request: &CloudRequest) -> CloudOutcome {
         let result = match request {
             CloudRequest::Types => self.types().map(CloudOutcome::Types),
@@ -107,7 +107,7 @@
     fn types(&mut self) -> Result<Vec<MachineType>, CloudError> {
         let body = self.call("GET", PATH_MACHINE_TYPES, b"")?;
         let mut types = parse::<MachineTypeList>(&body)?.types;
-        types.retain(has_valid_figures);
+        types.retain(has_valid_amounts);
         Ok(types)
     }
 
@@ -127,7 +127,7 @@
         }
     }
 
-    /// The request's id makes a repetition harmless.
+    /// Provisions machines. The request's id makes the call idempotent.
     fn scale_out(&mut self, request: &ScaleOutRequest) -> Result<Vec<MachineId>, CloudError> {
         let body = self.call("POST", PATH_MACHINES, &to_json(request))?;
         Ok(parse::<MachineIds>(&body)?.machines)
@@ -140,7 +140,8 @@
         Ok(request.machines)
     }
 
-    /// Returns the body of an answer with status 200. All requests to the cloud are idempotent.
+    /// Sends a request and returns the body of a response with status 200. All requests to the cloud
+    /// are idempotent, so the HTTP client may repeat them.
     fn call(&mut self, method: &str, path: &str, body: &[u8]) -> Result<Vec<u8>, CloudError> {
         let response = self.http.call_idempotent(method, path, body, TIMEOUT)?;
         let text = response.body_excerpt(MAX_ERROR_BYTES);
@@ -154,11 +155,11 @@
 }
 
 fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, CloudError> {
-    serde_json::from_slice(body).map_err(|e| CloudError::Failed(format!("malformed answer: {e}")))
+    serde_json::from_slice(body).map_err(|e| CloudError::Failed(format!("malformed response: {e}")))
 }
 
-/// Whether all amounts are finite and none is negative.
-fn has_valid_figures(machine_type: &MachineType) -> bool {
+/// Returns whether all amounts are finite and none is negative.
+fn has_valid_amounts(machine_type: &MachineType) -> bool {
     [
         machine_type.cpus,
         machine_type.gpus,
@@ -168,5 +169,5 @@
         machine_type.fetch_gb_per_s,
     ]
     .iter()
-    .all(|figure| figure.is_finite() && *figure >= 0.0)
+    .all(|amount| amount.is_finite() && *amount >= 0.0)
 }
--- a/src/job.rs
+++ b/src/job.rs
@@ -1,21 +1,23 @@
-//! Jobs, their tasks and what these need, apart from the form in which any interface carries them.
+//! The domain types of jobs and tasks: ids, resources and job specifications.
+//!
+//! They do not depend on the form in which any interface transmits them.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A job's id, as its user has chosen it.
+/// A job's id, chosen by the user.
 pub type JobId = Arc<str>;
-/// A machine's id, as the cloud has given it.
+/// A machine's id, assigned by the cloud.
 pub type MachineId = Arc<str>;
 
 /// One task of a job.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TaskId {
-    /// The job.
+    /// Id of the job.
     pub job: JobId,
-    /// The task's index in the job, from 0.
+    /// Index of the task in the job, from 0.
     pub index: u32,
 }
 
@@ -25,41 +27,41 @@
     }
 }
 
-/// How the tasks of a job belong together.
+/// Execution model of a job's tasks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobKind {
     /// Independent tasks, each of which runs to completion.
     Array,
     /// Replicas that run until the job is cancelled.
     Service,
-    /// Tasks that only run together: all start at once, and start again all at once.
+    /// Tasks that run only together: all of them start at once, and are restarted at once.
     Gang,
 }
 
-/// How important a job is; the derived order puts the highest priority first.
+/// Priority of a job; the derived order puts the highest priority first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Priority {
-    /// Above all others.
+    /// Higher than all others.
     Production,
-    /// Above the ordinary one.
+    /// Higher than `Normal`.
     High,
-    /// The ordinary priority.
+    /// The default level.
     Normal,
-    /// Below all others, which may preempt it.
+    /// Lower than all others; any of them may preempt a job of this priority.
     Low,
 }
 
 impl Priority {
-    /// The priority's place from the highest, which is 0.
+    /// Returns the priority as a number: 0 for the highest.
     pub fn level(self) -> u8 {
         self as u8
     }
 }
 
-/// What one task needs of its machine, or what a machine has.
+/// Amounts of resources: what a task requests, or what a machine has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Resources {
-    /// CPUs, or parts of one.
+    /// CPUs, possibly fractional.
     pub cpus: f64,
     /// GPUs.
     pub gpus: f64,
@@ -67,34 +69,34 @@
     pub ram: f64,
 }
 
-/// Amounts are decimal numbers; sums of them may miss a whole by a rounding error of this size.
+/// Tolerance when amounts are compared: sums of floating-point amounts carry rounding errors.
 pub const EPSILON: f64 = 1e-6;
-/// No more tasks than this are counted on one machine.
+/// Upper limit of `Resources::count_in`, which is unbounded for a task that requests nothing.
 const MAX_TASK_COUNT: f64 = 1e6;
 
 impl Resources {
-    /// Whether this much fits into `room`.
+    /// Returns whether these resources fit into `available`.
     pub fn fits(&self, available: &Resources) -> bool {
         self.cpus <= available.cpus + EPSILON
             && self.gpus <= available.gpus + EPSILON
             && self.ram <= available.ram + EPSILON
     }
 
-    /// Adds an amount.
+    /// Adds `other` to each amount.
     pub fn add(&mut self, other: &Resources) {
         self.cpus += other.cpus;
         self.gpus += other.gpus;
         self.ram += other.ram;
     }
 
-    /// Subtracts an amount; the result may be negative.
+    /// Subtracts `other` from each amount; the results may be negative.
     pub fn sub(&mut self, other: &Resources) {
         self.cpus -= other.cpus;
         self.gpus -= other.gpus;
         self.ram -= other.ram;
     }
 
-    /// This much, `factor` times.
+    /// Returns all amounts multiplied by `factor`.
     pub fn times(&self, factor: f64) -> Resources {
         Resources {
             cpus: self.cpus * factor,
@@ -103,7 +105,8 @@
         }
     }
 
-    /// The largest of this amount's shares of a machine's CPUs, GPUs and memory.
+    /// Returns the dominant share: the largest of the fractions of `capacity`'s CPUs, GPUs and memory
+    /// that these resources take.
     pub fn dominant_share(&self, capacity: &Resources) -> f64 {
         let share = |amount: f64, capacity: f64| {
             if amount <= 0.0 {
@@ -119,7 +122,7 @@
             .max(share(self.ram, capacity.ram))
     }
 
-    /// How many tasks of this size go into `room`.
+    /// Returns how many tasks that request these resources fit into `available`.
     pub fn count_in(&self, available: &Resources) -> u32 {
         let count = |amount: f64, available: f64| {
             if amount <= 0.0 {
@@ -135,62 +138,62 @@
     }
 }
 
-/// A job as its user describes it.
+/// Specification of a job, as submitted by the user.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Its id.
+    /// The job's id.
     pub id: JobId,
-    /// The class of alike jobs that it belongs to, by which run times and objectives are kept.
+    /// Class of similar jobs; run-time statistics and objectives are kept for each class.
     pub class: String,
-    /// The team that it counts toward.
+    /// The team whose quota the job counts against.
     pub team: String,
-    /// How its tasks belong together.
+    /// Execution model of the job's tasks.
     #[serde(rename = "kind")]
     pub job_kind: JobKind,
-    /// How important it is.
+    /// Priority of the job.
     #[serde(rename = "rank")]
     pub priority: Priority,
-    /// How many tasks it has.
+    /// Number of tasks.
     pub tasks: u32,
-    /// What each task needs.
+    /// Resources that each task requests.
     #[serde(rename = "needs")]
     pub resources: Resources,
-    /// The name of the image that its tasks run.
+    /// Name of the image that the tasks run.
     pub image: String,
-    /// The image's size in GB.
+    /// Size of the image, in GB.
     pub image_gb: f64,
-    /// The only machine types it may run on; `None` for any.
+    /// Machine types that the job may run on; `None` for any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "types")]
     pub machine_types: Option<Vec<String>>,
-    /// The only zone it may run in; `None` for any.
+    /// The only zone that the job may run in; `None` for any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// All of its tasks run in the same zone.
+    /// Whether all tasks have to run in the same zone.
     pub one_zone: bool,
-    /// No zone runs more than half of its tasks.
+    /// Whether the tasks have to be spread over zones: no zone runs more than half of them.
     pub spread: bool,
-    /// It may run on spot machines.
+    /// Whether the job may run on spot machines.
     pub spot: bool,
-    /// Its user's estimate of a task's run time; zero for a service.
+    /// The user's estimate of a task's run time; zero for a service.
     pub estimate: Duration,
-    /// How often a task saves its progress; zero if it cannot.
+    /// Interval between the checkpoints of a task; zero if the task writes none.
     #[serde(rename = "checkpoint")]
     pub checkpoint_interval: Duration,
-    /// How long a checkpoint takes.
+    /// Time that a task needs to write a checkpoint.
     #[serde(rename = "save")]
     pub checkpoint_duration: Duration,
-    /// When it should be done, from its submission.
+    /// Time from the submission by which the job should be done.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub deadline: Option<Duration>,
-    /// Jobs that have to be done before any of its tasks starts; sorted, each once.
+    /// Jobs that have to be done before any task of this one starts; sorted, without duplicates.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[serde(rename = "awaits")]
     pub dependencies: Vec<JobId>,
 }
 
 impl JobSpec {
-    /// How many tasks may be in one zone.
+    /// Returns the maximum number of tasks in one zone.
     pub fn max_tasks_per_zone(&self) -> u32 {
         if self.spread {
             self.tasks.div_ceil(2)
@@ -199,28 +202,28 @@
         }
     }
 
-    /// Whether it may run on machines of this type.
+    /// Returns whether the job may run on machines of this type.
     pub fn allows_type(&self, name: &str) -> bool {
         let allowed = self.machine_types.as_ref();
         allowed.is_none_or(|types| types.iter().any(|allowed| allowed == name))
     }
 
-    /// Whether it may run in this zone.
+    /// Returns whether the job may run in this zone.
     pub fn allows_zone(&self, zone: &str) -> bool {
         self.zone.as_deref().is_none_or(|allowed| allowed == zone)
     }
 }
 
-/// How a job ended.
+/// Outcome of a job that has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobOutcome {
-    /// All of its tasks are done.
+    /// All tasks are done.
     Done,
-    /// Its user has cancelled it, or a job that it depends on.
+    /// The user has cancelled the job, or a job that it depends on.
     Cancelled,
 }
 
-/// A plain array job for tests: its id, tasks, CPUs for each, and estimate in seconds.
+/// Returns an array job for tests; `cpus` are requested by each task, `seconds` is the estimate.
 #[cfg(test)]
 pub fn sample(id: &str, tasks: u32, cpus: f64, seconds: u64) -> JobSpec {
     JobSpec {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,7 +1,7 @@
-//! The platform's settings file: read, checked, and turned into the standard library's types.
+//! Reads and validates the platform's settings file and converts its values to types of the standard
+//! library.
 //!
-//! Only this module knows the names of the file's fields; the rest of the program uses the terms of
-//! the field.
+//! The names of the file's fields are the platform's, and occur only in this module.
 
 mod check;
 mod error;
@@ -15,15 +15,16 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// A process that has just started holds this much, and a little to work with.
+/// Minimum memory quota: what a process uses right after its start, and a small working set.
 const MIN_MEMORY_MB: f64 = 32.0;
+/// Minimum limit of open sockets and files.
 const MIN_SOCKETS: i64 = 96;
-/// Changes of the smallest transaction with which jobs can be kept.
+/// Number of changes in the smallest transaction that can store a job.
 const MIN_TRANSACTION_CHANGES: usize = 4;
 const BYTES_PER_KB: f64 = 1024.0;
 const SECONDS_PER_HOUR: f64 = 3600.0;
 const SECONDS_PER_DAY: f64 = 86400.0;
-/// Longest time that an objective may state, in seconds.
+/// Maximum threshold of an objective, in seconds.
 const MAX_OBJECTIVE_SECONDS: f64 = 1e7;
 
 /// Another controller.
@@ -33,12 +34,12 @@
     pub name: String,
     /// The zone it is in.
     pub zone: String,
-    /// Where it serves the other controllers.
+    /// Address on which it serves the other controllers.
     pub addr: SocketAddrV4,
 }
 
-/// A team's quota: what it always gets, and its limit. 0 in the file means no limit, which is `None`
-/// here.
+/// A team's quota: guaranteed resources and limits. A limit of 0 in the file means no limit, and is
+/// `None` here.
 #[derive(Clone, Debug)]
 pub struct Team {
     /// The team's name.
@@ -47,24 +48,25 @@
     pub cpus: f64,
     /// Guaranteed GPUs.
     pub gpus: f64,
-    /// Most CPUs.
+    /// Maximum number of CPUs; `None` for no limit.
     pub cpus_max: Option<f64>,
-    /// Most GPUs.
+    /// Maximum number of GPUs; `None` for no limit.
     pub gpus_max: Option<f64>,
 }
 
-/// A service-level objective that the users state for a class of jobs.
+/// A service-level objective that the users have defined for a class of jobs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Objective {
-    /// What is measured, such as the time to a job's start.
+    /// Measured quantity, such as the time until a job starts.
     pub kind: String,
-    /// The class of jobs.
+    /// Class of jobs that the objective applies to.
     pub class: String,
-    /// The time that a job of the class should keep to.
+    /// Maximum time for a job of the class.
     pub threshold: Option<Duration>,
-    /// The part of the class that should meet it; `None` where the file does not set it.
+    /// Fraction of the class's jobs that should meet the threshold; `None` if the file does not set it.
     pub share: Option<f64>,
-    /// Of a deadline: how many times as long counts.
+    /// Factor on the deadline, for objectives about deadlines: a job that takes up to this many times
+    /// as long still meets the objective.
     pub deadline_factor: f64,
 }
 
@@ -81,49 +83,49 @@
     pub peer_listen: SocketAddrV4,
     /// The other controllers.
     pub peers: Vec<Peer>,
-    /// Address of the cloud's interface.
+    /// Address of the cloud's API.
     pub cloud_addr: SocketAddrV4,
     /// Address of the state service.
     pub store_addr: SocketAddrV4,
     /// Zones in which machines may be provisioned.
     pub zones: Vec<String>,
-    /// All teams, one at least.
+    /// All teams, at least one.
     pub teams: Vec<Team>,
     /// The users' service-level objectives.
     pub objectives: Vec<Objective>,
-    /// How often a worker sends a heartbeat that has nothing new, give or take a quarter.
+    /// Interval between the heartbeats of a worker without changes; it varies by up to a quarter.
     pub heartbeat_interval: Duration,
-    /// A worker whose last answered heartbeat was sent longer ago stops all its tasks and begins its
-    /// next incarnation.
+    /// Lease of a worker: if its last answered heartbeat was sent longer ago than this, the worker
+    /// stops all its tasks and begins its next incarnation.
     pub worker_lease: Duration,
-    /// All tasks of a cancelled job must have ended after this.
+    /// Time from a job's cancellation by which all its tasks must have ended.
     pub cancellation_deadline: Duration,
-    /// Requests a second that the state service takes from all controllers together.
+    /// Maximum requests per second to the state service, from all controllers together.
     ///
-    /// Of its limits in force and those announced, the smaller ones count, since the announced ones
-    /// come into force without notice. This holds for the three limits below too.
+    /// This is the smaller one of the limit in force and the one announced, as an announced limit
+    /// comes into force without notice. The same holds for the three limits below.
     pub store_rps: f64,
-    /// Changes a second that the state service takes from all controllers together.
+    /// Maximum changes per second to the state service, from all controllers together.
     pub store_write_rps: f64,
-    /// Largest value that the state service keeps, in bytes.
+    /// Maximum size of a value in the state service, in bytes.
     pub max_value_bytes: usize,
-    /// Most changes of one transaction.
+    /// Maximum number of changes in one transaction.
     pub max_transaction_changes: usize,
-    /// Requests a second that the cloud takes.
+    /// Maximum requests per second to the cloud.
     pub cloud_rps: f64,
-    /// How old the cloud's list of machines may be.
+    /// Maximum lag of the cloud's list of machines behind their actual state.
     pub machine_list_lag: Duration,
-    /// Memory that the process may use.
+    /// Memory that the process may use, in MB.
     pub memory_mb: f64,
-    /// Sockets and files that the process may have open.
+    /// Maximum number of sockets and files that the process may have open.
     pub max_sockets: usize,
 }
 
 impl Settings {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
-    /// The file cannot be read, or its contents are at fault.
+    /// The file cannot be read, or its contents are invalid.
     pub fn load(path: &Path) -> Result<Settings, SettingsError> {
         let text = std::fs::read_to_string(path).map_err(|source| SettingsError::Read {
             path: path.to_path_buf(),
@@ -135,10 +137,10 @@
         })
     }
 
-    /// Checks the JSON text of a settings file.
+    /// Parses and validates the JSON text of a settings file.
     ///
     /// # Errors
-    /// The first fault that is found, with its field.
+    /// The first invalid field that is found, with the reason.
     pub fn parse(text: &str) -> Result<Settings, SettingsError> {
         let RawFile {
             host_name,
@@ -206,12 +208,12 @@
         })
     }
 
-    /// The place of a team in `teams`.
+    /// Returns the index of the team with this name in `teams`.
     pub fn team_index(&self, name: &str) -> Option<usize> {
         self.teams.iter().position(|team| team.name == name)
     }
 
-    /// The team of this name.
+    /// Returns the team with this name.
     pub fn team(&self, name: &str) -> Option<&Team> {
         self.team_index(name).map(|index| &self.teams[index])
     }
@@ -268,7 +270,7 @@
     objectives.into_iter().map(parse).collect()
 }
 
-/// The smaller one of the limit in force and the one announced.
+/// Returns the smaller one of the limit in force and the announced one.
 fn parse_transaction_limit(state: &RawState) -> Result<usize, SettingsError> {
     let announced = state.announced.as_ref().and_then(|limits| limits.txn_ops);
     let in_force = ("params.state.txn_ops", Some(state.txn_ops));
@@ -285,7 +287,7 @@
     Ok((lower_limit("value_kb", value_kb, announced.value_kb)? * BYTES_PER_KB) as usize)
 }
 
-/// The smaller one of a limit of the state service in force and the one announced, both checked.
+/// Validates a limit of the state service, in force and as announced, and returns the smaller one.
 fn lower_limit(name: &str, in_force: f64, announced: Option<f64>) -> Result<f64, SettingsError> {
     let in_force = positive(&format!("params.state.{name}"), in_force)?;
     match announced {
--- a/src/settings/check.rs
+++ b/src/settings/check.rs
@@ -1,16 +1,16 @@
-//! Checks of single values. All return the value in the form in which it is used.
+//! Validation of single values. Each function returns the value, converted to the type in use.
 
 use super::error::{Reason, SettingsError};
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// An IPv4 address with a port.
+/// Parses an IPv4 address with a port.
 pub(super) fn address(field: &str, text: &str) -> Result<SocketAddrV4, SettingsError> {
     text.parse()
         .map_err(|_| SettingsError::field(field, Reason::NotAnAddress(text.to_string())))
 }
 
-/// Seconds within bounds, both included.
+/// Validates a number of seconds against bounds, both inclusive.
 pub(super) fn seconds(
     field: &str,
     value: f64,
@@ -25,7 +25,7 @@
     }
 }
 
-/// A finite amount above zero.
+/// Checks that an amount is finite and above zero.
 pub(super) fn positive(field: &str, value: f64) -> Result<f64, SettingsError> {
     if value.is_finite() && value > 0.0 {
         Ok(value)
@@ -34,7 +34,7 @@
     }
 }
 
-/// A finite amount, zero or above.
+/// Checks that an amount is finite and not negative.
 pub(super) fn not_negative(field: &str, value: f64) -> Result<f64, SettingsError> {
     if value.is_finite() && value >= 0.0 {
         Ok(value)
@@ -43,7 +43,7 @@
     }
 }
 
-/// A finite amount of `min` or more.
+/// Checks that an amount is finite, positive, and not less than `min`.
 pub(super) fn at_least(field: &str, value: f64, min: f64) -> Result<f64, SettingsError> {
     let value = positive(field, value)?;
     if value < min {
--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -1,36 +1,36 @@
-//! What can be wrong with a settings file.
+//! Errors of the settings file.
 
 use std::io;
 use std::path::PathBuf;
 
-/// Why settings cannot be used.
+/// Reason why a settings file cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The file cannot be read.
     #[error("{}", path.display())]
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
         /// The operating system's error.
         source: io::Error,
     },
-    /// The file's contents are at fault.
+    /// The file's contents are invalid.
     #[error("{}", path.display())]
     Contents {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong in it.
+        /// The error in the contents.
         source: Box<SettingsError>,
     },
-    /// Not JSON, a field is missing, or one has another type.
+    /// The text is not JSON, a field is missing, or a field has the wrong type.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// The value of a field cannot be used.
+    /// The value of a field is invalid.
     #[error("{field}: {reason}")]
     Field {
-        /// Its place in the file, names separated by dots.
+        /// Path of the field in the file, separated by dots.
         field: String,
-        /// What is wrong with the value.
+        /// Why the value is invalid.
         reason: Reason,
     },
 }
@@ -42,13 +42,13 @@
     }
 }
 
-/// What is wrong with a field's value.
+/// Why the value of a field is invalid.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Reason {
-    /// Not "a.b.c.d:port".
+    /// The text does not have the form "a.b.c.d:port".
     #[error("\"{0}\" is not an IPv4 address with a port")]
     NotAnAddress(String),
-    /// A time beyond its bounds, all in seconds.
+    /// A duration is out of bounds; all values in seconds.
     #[error("{value} is not between {min} and {max} seconds")]
     OutOfRange {
         /// The value.
@@ -58,13 +58,13 @@
         /// The largest value allowed.
         max: f64,
     },
-    /// Zero, negative, or not a number.
+    /// A number is zero, negative, or not finite.
     #[error("{0} must be above 0")]
     NotPositive(f64),
-    /// Negative, or not a number.
+    /// A number is negative or not finite.
     #[error("{0} must not be negative")]
     Negative(f64),
-    /// Less than a controller needs.
+    /// A quota is less than a controller needs.
     #[error("{value} is too little, at least {min} are needed")]
     TooLittle {
         /// The value.
@@ -72,13 +72,13 @@
         /// The smallest value allowed.
         min: f64,
     },
-    /// Fewer changes in a transaction than the smallest one of ours has.
+    /// The limit of changes in a transaction is below the smallest transaction of a controller.
     #[error("at least {0} are needed")]
     TooFew(usize),
-    /// There are no teams.
+    /// The list of teams is empty.
     #[error("at least one team is needed")]
     NoTeam,
-    /// An empty text.
+    /// A text is empty.
     #[error("must not be empty")]
     Empty,
 }
--- a/src/settings/raw.rs
+++ b/src/settings/raw.rs
@@ -1,4 +1,4 @@
-//! The settings file as it is written: names and units of the platform. Unknown fields are ignored.
+//! The settings file as deserialised, in the platform's names and units. Unknown fields are ignored.
 
 use serde::Deserialize;
 
@@ -85,7 +85,7 @@
     pub(super) announced: Option<RawLimits>,
 }
 
-/// Limits that the state service will have one day; those left out stay as they are.
+/// Limits that the state service has announced for the future; a limit left out does not change.
 #[derive(Deserialize, Default)]
 pub(super) struct RawLimits {
     pub(super) rps: Option<f64>,
@@ -100,7 +100,8 @@
     pub(super) list_lag_s: f64,
 }
 
-/// What the process may use. Without it in the file, the process has the machine to itself.
+/// Resource limits of the process. A file without a quota means that the process has the machine to
+/// itself; the defaults apply then.
 #[derive(Deserialize)]
 #[serde(default)]
 pub(super) struct RawQuota {
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_quota_is_taken_as_it_is_by_default_or_refused_with_its_field() {
+fn a_quota_has_defaults_and_is_rejected_with_its_field_if_invalid() {
     let s = parse_with("").unwrap();
     assert_eq!((s.memory_mb, s.max_sockets), (256.0, 1024));
     let s = parse_with(r#", "quota": {"mem_mb": 98, "other": [1]}"#).unwrap();
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn an_error_in_a_file_has_the_file_and_the_cause() {
+fn an_error_names_the_file_and_has_the_cause_as_its_source() {
     use std::error::Error;
     let error = Settings::load(Path::new("/nonexistent/settings.json")).unwrap_err();
     assert_eq!(error.to_string(), "/nonexistent/settings.json");
--- a/src/status_view.rs
+++ b/src/status_view.rs
@@ -1,19 +1,19 @@
-//! The status view as a page of text for a terminal.
+//! Renders the status view as text for a terminal.
 //!
-//! It is read as JSON of any form, so that the command also shows the view of a controller of another
-//! version: what is missing appears as "-".
+//! The view is read as untyped JSON, so that the command also shows the view of a controller of another
+//! version: missing values appear as "-".
 
 use serde_json::Value;
 use std::fmt::Write;
 
-/// Renders what `GET /api/status` returns.
+/// Renders the response to `GET /api/status`.
 pub fn render(view: &Value) -> String {
     let mut page = Page::default();
     if is_true(&view["leads"]) {
         render_leader(&mut page, view);
     } else {
         page.line(format!(
-            "{} does not lead; the leader is {}. UserAction there for jobs and machines.",
+            "{} does not lead; the leader is {}. Ask the leader for jobs and machines.",
             text(&view["node"]),
             text(&view["leader"])
         ));
@@ -102,7 +102,7 @@
             text(&cleared["tasks_not_worth_a_machine"])
         ));
     } else {
-        page.line("\nMARKETS (nothing bids)");
+        page.line("\nMARKETS (no bids)");
     }
     for market in list(bidding, "markets") {
         render_market(page, market);
@@ -111,7 +111,7 @@
 
 fn render_market(page: &mut Page, market: &Value) {
     let closed = match market["shut"].as_str() {
-        Some(reason) => format!("; not asked: {reason}"),
+        Some(reason) => format!("; no requests: {reason}"),
         None => String::new(),
     };
     page.line(format!(
@@ -164,8 +164,8 @@
     ));
 }
 
-/// A state service that has lost data: what its rebuilding waits for, and what an operator may have
-/// to decide.
+/// Renders the rebuild of a state service that has lost data: what the rebuild waits for, and what an
+/// operator may have to decide.
 fn render_rebuild(page: &mut Page, rebuild: &Value) {
     page.line(format!(
         "\nTHE STATE SERVICE HAS LOST DATA: {}",
@@ -176,7 +176,7 @@
         return;
     }
     page.line(format!(
-        "all that is remembered is known: {}; starts wait: {}; {} jobs to write back, {} brought by snapshots",
+        "all cached state recovered: {}; starts wait: {}; {} jobs to write back, {} from snapshots",
         text(&rebuild["complete"]),
         text(&rebuild["starts_wait"]),
         text(&rebuild["jobs_to_write"]),
@@ -190,7 +190,7 @@
         ));
     }
     page.line(format!(
-        "of jobs that nobody remembers: {} tasks on machines, {} results",
+        "of jobs that are not recovered: {} tasks on machines, {} results",
         text(&rebuild["held_tasks"]),
         text(&rebuild["held_results"])
     ));
--- a/src/status_view/tests.rs
+++ b/src/status_view/tests.rs
@@ -1,9 +1,10 @@
 use super::*;
 use serde_json::json;
 
-/// What is held and what starts wait for is what an operator decides by.
+/// Operators decide about a rebuild by the held tasks and by what task starts wait for, so the page has
+/// to show both.
 #[test]
-fn a_loss_of_data_is_shown_with_what_is_held() {
+fn a_rebuild_is_shown_with_its_held_tasks() {
     let view = json!({"node": "n0", "leads": true, "term": 3, "rebuild": {
         "lost": "its revision went back from 9 to 0", "complete": false, "jobs_to_write": 4,
         "starts_wait": "for a list of all machines", "held_tasks": 1, "held_results": 0,
@@ -22,9 +23,10 @@
     assert!(follower.contains("knows more"), "{follower}");
 }
 
-/// The operators' page promised these lines, and only the JSON had them.
+/// The operators' documentation describes these values, which the page once left out although the JSON
+/// had them.
 #[test]
-fn members_and_whom_a_machine_reports_to_are_shown() {
+fn members_and_the_controller_that_a_machine_reports_to_are_shown() {
     let member = json!({"node": "n1", "zone": "a", "standing": "suspect", "workers": 7,
         "takes_reports": true, "granted": true});
     let view = json!({
--- a/src/store_client.rs
+++ b/src/store_client.rs
@@ -1,5 +1,5 @@
-//! The client of the state service, a consensus-backed key-value store: single requests, the lease,
-//! and the watch.
+//! Client of the state service, a consensus-backed key-value store: reads, transactions, leases and
+//! the watch.
 
 use crate::http::{CallError, Client, ClientResponse};
 use crate::wire::{
@@ -10,92 +10,93 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// All of burlusher's keys begin with this.
+/// Prefix of all keys of burlusher.
 pub const PREFIX: &str = "burlusher/";
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 const TIMEOUT: Duration = Duration::from_millis(1500);
-/// Less than the others': a renewal without an answer is to be repeated before the lease expires.
+/// Timeout of a lease renewal. Shorter than the others, so that a renewal without a response can be
+/// repeated before the lease expires.
 const RENEWAL_TIMEOUT: Duration = Duration::from_millis(900);
-/// For one page of a whole list.
+/// Timeout of one page when all items are listed.
 const LIST_TIMEOUT: Duration = Duration::from_millis(3000);
 const LIST_PAGE_ITEMS: usize = 500;
-/// A watch is given up this long after the state service should have answered it.
+/// Time beyond a watch's waiting time after which the watch is given up.
 const WATCH_MARGIN: Duration = Duration::from_secs(3);
-/// Of an answer that reports an error, so many bytes go into ours.
+/// Number of bytes of an error response that are copied into the error message.
 const MAX_ERROR_BYTES: usize = 200;
 
-/// A request of `core` to the state service.
+/// A request from `core` to the state service.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoreRequest {
     /// Reads one key.
     Get(String),
     /// Applies all changes, or none if a condition does not hold.
     CompareAndSwap(CompareAndSwap),
-    /// Reads some items under a prefix.
+    /// Reads a page of the items under a prefix.
     Page {
-        /// The prefix of their keys.
+        /// Prefix of the keys.
         prefix: String,
-        /// Only keys after this one; empty for all.
+        /// Key after which the page begins; empty for the first page.
         after: String,
-        /// How many items at the most.
+        /// Maximum number of items.
         limit: usize,
     },
-    /// Whether a lease, somebody else's, has not expired: asked by renewing it, as there is no other
-    /// way.
+    /// Checks whether the lease of another process is still alive. The check renews the lease, as the
+    /// state service offers no other way.
     CheckLease(u64),
 }
 
-/// What became of a request.
+/// Outcome of a request.
 #[derive(Clone, Debug)]
 pub enum StoreOutcome {
     /// The item that was read.
     Found(Item),
     /// A page of items.
     Page {
-        /// In the order of their keys.
+        /// Items, sorted by key.
         items: Vec<Item>,
-        /// Whether there are items after these.
+        /// Whether more pages follow.
         more: bool,
-        /// The page is no older than this revision.
+        /// Store revision that the page is at least as new as.
         revision: u64,
     },
-    /// Whether a lease runs; one that does not is not known any more.
+    /// Whether the lease is alive; the state service no longer knows an expired one.
     LeaseAlive(bool),
     /// The key does not exist.
     Missing {
-        /// As of this revision.
+        /// Store revision at which the key did not exist.
         revision: u64,
     },
     /// All changes were applied.
     Committed {
-        /// The revision that has them.
+        /// Store revision that contains the changes.
         revision: u64,
     },
     /// A condition failed: nothing was changed.
     Conflict {
         /// Keys of the conditions that did not hold.
         failed: Vec<String>,
-        /// As of this revision.
+        /// Store revision at which the conditions were checked.
         revision: u64,
     },
-    /// Refused for now; it was not executed.
+    /// The request was refused for now and was not executed.
     Refused(String),
-    /// Refused for good: the request itself is at fault.
+    /// The request is invalid; a repetition would be refused too.
     Invalid(String),
-    /// No answer: it may have been executed, or may yet be.
+    /// There was no response: the request may have been executed, or may still be.
     Unknown(String),
 }
 
-/// How a request failed.
+/// Reason why a request failed.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum StoreError {
-    /// Refused for now; it was not executed.
+    /// The request was refused for now and was not executed.
     #[error("refused: {0}")]
     Refused(String),
-    /// Refused for good: the request itself is at fault.
+    /// The request is invalid; a repetition would be refused too.
     #[error("invalid request: {0}")]
     Invalid(String),
-    /// No answer: it may have been executed, or may yet be.
+    /// There was no response: the request may have been executed, or may still be.
     #[error("no answer: {0}")]
     Unknown(String),
 }
@@ -119,24 +120,24 @@
     }
 }
 
-/// All items under our prefix.
+/// All items under `PREFIX`.
 pub struct Listing {
-    /// In the order of their keys.
+    /// Items, sorted by key.
     pub items: Vec<Item>,
-    /// The list is no older than this; items may be newer.
+    /// Store revision that the list is at least as new as; single items may be newer.
     pub revision: u64,
 }
 
-/// What a watch brought.
+/// Result of a watch.
 pub enum WatchResult {
-    /// Changes, none if the time was over.
+    /// Changes; none if the waiting time ended without any.
     Changes {
-        /// In the order in which they were made.
+        /// Changes, in the order in which they were made.
         events: Vec<WatchEvent>,
-        /// The revision to watch from next.
+        /// Revision from which to watch next.
         revision: u64,
     },
-    /// The revision to watch from is too old: the store has to be listed again.
+    /// The requested revision is too old: the store has to be listed again.
     TooOld,
 }
 
@@ -146,14 +147,14 @@
 }
 
 impl StoreClient {
-    /// A client of the state service at this address; connects with the first call.
+    /// Creates a client of the state service at this address; it connects with the first call.
     pub fn new(addr: SocketAddrV4) -> StoreClient {
         StoreClient {
             http: Client::new(addr, CONNECT_TIMEOUT),
         }
     }
 
-    /// Carries out one request of `core`.
+    /// Performs one request from `core`.
     pub fn perform(&mut self, request: &StoreRequest) -> StoreOutcome {
         let result = match request {
             StoreRequest::Get(key) => self.get(key),
@@ -179,7 +180,8 @@
         }
     }
 
-    /// Never repeated by itself: the outcome of the first try may be unknown.
+    /// Sends a transaction. It is never repeated here, as the outcome of the first attempt may be
+    /// unknown.
     fn compare_and_swap(
         &mut self,
         transaction: &CompareAndSwap,
@@ -238,7 +240,7 @@
     /// Requests a new lease that expires after `ttl` unless it is renewed; returns its id.
     ///
     /// # Errors
-    /// The request was refused or got no readable answer.
+    /// The request was refused or got no readable response.
     pub fn grant(&mut self, ttl: Duration) -> Result<u64, StoreError> {
         let body = to_json(&LeaseRequest {
             ttl_ms: ttl.as_millis() as u64,
@@ -250,10 +252,10 @@
         }
     }
 
-    /// Renews a lease; `Ok(false)` when it has expired.
+    /// Renews a lease; returns `Ok(false)` if it has expired.
     ///
     /// # Errors
-    /// The request was refused or got no readable answer.
+    /// The request was refused or got no readable response.
     pub fn renew(&mut self, lease: u64) -> Result<bool, StoreError> {
         let path = format!("/leases/{lease}/renew");
         let response = (self.http).call_idempotent("POST", &path, b"", RENEWAL_TIMEOUT)?;
@@ -264,7 +266,7 @@
         }
     }
 
-    /// Ends a lease. If that fails, it expires by itself.
+    /// Revokes a lease. If that fails, the lease ends when it expires.
     pub fn revoke(&mut self, lease: u64) {
         let path = format!("/leases/{lease}");
         if let Err(error) = self.http.call_idempotent("DELETE", &path, b"", TIMEOUT) {
@@ -272,17 +274,18 @@
         }
     }
 
-    /// Reads all items under our prefix, page by page.
+    /// Reads all items under `PREFIX`, page by page.
     ///
     /// # Errors
-    /// A page was refused or got no readable answer.
+    /// A page was refused or got no readable response.
     pub fn list(&mut self) -> Result<Listing, StoreError> {
         let mut items: Vec<Item> = Vec::new();
         let mut first_revision = None;
         loop {
             let after = items.last().map_or(String::new(), |item| item.key.clone());
             let page = self.fetch_page(PREFIX, &after, LIST_PAGE_ITEMS, LIST_TIMEOUT)?;
-            // A watch from there on brings changes made while the pages are read once more.
+            // The revision of the first page: a watch from there repeats the changes made while the
+            // other pages are read, and so misses none.
             let revision = *first_revision.get_or_insert(page.revision);
             let is_last = !page.more || page.items.is_empty();
             items.extend(page.items);
@@ -295,7 +298,7 @@
     /// Waits up to `wait` for changes after the revision `since`.
     ///
     /// # Errors
-    /// The request was refused or got no readable answer.
+    /// The request was refused or got no readable response.
     pub fn watch(&mut self, since: u64, wait: Duration) -> Result<WatchResult, StoreError> {
         let wait_ms = wait.as_millis();
         let path = format!("/changes?under={PREFIX}&since={since}&wait_ms={wait_ms}");
@@ -316,10 +319,11 @@
 }
 
 fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, StoreError> {
-    serde_json::from_slice(body).map_err(|e| StoreError::Unknown(format!("malformed answer: {e}")))
+    serde_json::from_slice(body)
+        .map_err(|e| StoreError::Unknown(format!("malformed response: {e}")))
 }
 
-/// The error that a status other than the expected ones stands for.
+/// Returns the error for a response with an unexpected status.
 fn error_from_response(response: &ClientResponse) -> StoreError {
     let status = response.status;
     let text = response.body_excerpt(MAX_ERROR_BYTES);
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,7 +1,7 @@
-//! The JSON forms of the protocols with users, workers, the cloud and the state service.
+//! The JSON messages of the protocols with users, workers, the cloud and the state service.
 //!
-//! Only here do the protocols' own names stand; everything else uses the terms of the field. A Rust
-//! name differs from the one on the wire wherever `serde(rename)` says so.
+//! The protocols' names for messages and fields occur only in this module; where a Rust name differs,
+//! `serde(rename)` gives the name on the wire.
 
 mod cloud;
 mod store;
@@ -27,35 +27,36 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// Users: jobs. A job's id follows after a slash.
+/// Path for users: jobs. A slash and the job's id follow for a single job.
 pub const PATH_JOBS: &str = "/api/jobs";
-/// Users: cancels a job, after its id and a slash.
+/// Last part of a path for users: cancels the job whose id precedes it.
 pub const PATH_CANCEL: &str = "withdraw";
-/// Operators: the status view.
+/// Path for operators: the status view.
 pub const PATH_STATUS: &str = "/api/status";
-/// Operators: settles on the state service as it is, while it is rebuilt after a loss of data.
+/// Path for operators: ends the rebuild of the state service after a loss of data, with the data that
+/// has been recovered so far.
 pub const PATH_SETTLE: &str = "/api/rebuild/settle";
-/// Operators: offers pages of a snapshot, while the state service is rebuilt.
+/// Path for operators: uploads pages of a snapshot while the state service is rebuilt.
 pub const PATH_SNAPSHOT: &str = "/api/rebuild/memory";
-/// Monitoring: metrics.
+/// Path for monitoring: metrics.
 pub const PATH_METRICS: &str = "/metrics";
-/// The platform: whether the controller is ready.
+/// Path for the platform: whether the controller is ready.
 pub const PATH_READY: &str = "/ready";
-/// Workers: heartbeats.
+/// Path for workers: heartbeats.
 pub const PATH_HEARTBEAT: &str = "/hello";
-/// On a worker: direct commands.
+/// Path on a worker: direct commands.
 pub const PATH_COMMANDS: &str = "/do";
-/// On the cloud: machine types.
+/// Path on the cloud: machine types.
 pub const PATH_MACHINE_TYPES: &str = "/flavors";
-/// On the cloud: the list of machines, and requests for more.
+/// Path on the cloud: the list of machines, and requests to provision more.
 pub const PATH_MACHINES: &str = "/hosts";
-/// On the cloud: deletes machines.
+/// Path on the cloud: deletes machines.
 pub const PATH_DELETE_MACHINES: &str = "/hosts/delete";
 
-/// A page of a snapshot that is offered to a controller.
+/// A page of a snapshot that is uploaded to a controller.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct SnapshotPage {
-    /// The identity of the store that the snapshot is of.
+    /// Identity of the store that the snapshot was taken of.
     pub store: String,
     /// Whether this is the last page.
     pub last: bool,
@@ -66,33 +67,33 @@
 /// A job's state, as shown to users.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobState {
-    /// None of its tasks runs.
+    /// No task runs.
     #[serde(rename = "pending")]
     Queued,
-    /// Some of its tasks run.
+    /// Some tasks run.
     #[serde(rename = "running")]
     Running,
     /// All tasks have a result.
     #[serde(rename = "done")]
     Done,
-    /// It was cancelled.
+    /// The job was cancelled.
     #[serde(rename = "withdrawn")]
     Cancelled,
 }
 
-/// The answer to all three calls about a job.
+/// Response to the requests that submit, show or cancel a job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobStatus {
     /// The job's id.
     #[serde(rename = "name_id")]
     pub id: String,
-    /// Its state.
+    /// State of the job.
     #[serde(rename = "standing")]
     pub state: JobState,
-    /// How many tasks have a result.
+    /// Number of tasks that have a result.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub done: Option<u32>,
-    /// How many tasks run.
+    /// Number of tasks that run.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub running: Option<u32>,
 }
@@ -102,17 +103,17 @@
     error: &'a str,
 }
 
-/// The body of a response that reports an error.
+/// Returns the body of a response that reports an error.
 pub fn error_body(text: &str) -> Vec<u8> {
     to_json(&ErrorBody { error: text })
 }
 
-/// Serialises one of this module's own types, which cannot fail.
+/// Serialises one of this module's types, which cannot fail.
 pub fn to_json<T: Serialize>(value: &T) -> Vec<u8> {
     serde_json::to_vec(value).unwrap_or_default()
 }
 
-/// One of this program's own types as a JSON value, to be stored under a key; this cannot fail.
+/// Converts one of this program's types to a JSON value for the state service, which cannot fail.
 pub fn to_json_value<T: Serialize>(x: &T) -> serde_json::Value {
     serde_json::to_value(x).unwrap_or(serde_json::Value::Null)
 }
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -1,12 +1,12 @@
-//! The interface of the cloud, which provisions machines.
+//! Messages of the cloud's API, which provisions and deletes machines.
 
 use crate::job::{MachineId, Resources};
 use serde::{Deserialize, Serialize};
 
-/// A type of machine on offer.
+/// A machine type that the cloud offers.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct MachineType {
-    /// Its name.
+    /// Name of the type.
     #[serde(rename = "label")]
     pub name: String,
     /// CPUs of a machine.
@@ -18,28 +18,28 @@
     /// Memory of a machine, in GB.
     #[serde(rename = "ram_gb", default)]
     pub ram: f64,
-    /// Disk for images, in GB.
+    /// Disk space for cached images, in GB.
     #[serde(rename = "local_gb", default)]
     pub cache_gb: f64,
-    /// How fast a machine fetches images, in GB a second.
+    /// Rate at which a machine fetches images, in GB per second.
     #[serde(default)]
     pub fetch_gb_per_s: f64,
     /// Price of an on-demand machine, per hour.
     #[serde(rename = "rate")]
     pub price: f64,
-    /// Present price of a spot machine, per hour; `None` where there are none.
+    /// Current price of a spot machine, per hour; `None` if the type has none.
     #[serde(rename = "low_price", default)]
     pub spot_price: Option<f64>,
-    /// Nominal seconds until the worker of a new machine sends heartbeats.
+    /// Nominal time, in seconds, until the worker of a new machine sends heartbeats.
     #[serde(rename = "startup_s", default)]
     pub boot_s: f64,
-    /// Zones in which it is offered.
+    /// Zones in which the type is offered.
     #[serde(rename = "parcels", default)]
     pub zones: Vec<String>,
 }
 
 impl MachineType {
-    /// The resources of a machine for tasks.
+    /// Returns the resources that a machine of this type has for tasks.
     pub fn capacity(&self) -> Resources {
         Resources {
             cpus: self.cpus,
@@ -49,7 +49,7 @@
     }
 }
 
-/// The machine types on offer.
+/// The list of machine types that the cloud offers.
 #[derive(Deserialize, Serialize)]
 pub struct MachineTypeList {
     /// All types.
@@ -57,27 +57,27 @@
     pub types: Vec<MachineType>,
 }
 
-/// A request for more machines.
+/// A request to provision machines.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct ScaleOutRequest {
-    /// Makes the request idempotent: repeated with this id, it gets the same answer and provisions
-    /// nothing. Ids are never used again.
+    /// Idempotency key: a repeated request with the same id gets the same response and provisions
+    /// nothing. Ids are never reused.
     #[serde(rename = "hire")]
     pub request_id: String,
-    /// The type's name.
+    /// Name of the machine type.
     #[serde(rename = "breed")]
     pub machine_type: String,
-    /// Where the machines are to be.
+    /// Zone of the machines.
     #[serde(rename = "parcel")]
     pub zone: String,
-    /// Whether they may be preempted by the cloud.
+    /// Whether to request spot machines, which the cloud may preempt.
     #[serde(rename = "gleanable")]
     pub spot: bool,
-    /// How many machines.
+    /// Number of machines.
     pub count: u32,
 }
 
-/// Ids of machines: those that were provisioned, or are to be deleted.
+/// Ids of machines that were provisioned, or that are to be deleted.
 #[derive(Deserialize, Serialize, Clone, Debug)]
 pub struct MachineIds {
     /// The ids.
@@ -85,16 +85,16 @@
     pub machines: Vec<MachineId>,
 }
 
-/// A machine's state, as the cloud knows it.
+/// State of a machine in the cloud's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub enum ListedState {
-    /// It has been provisioned and does not work yet.
+    /// The machine has been provisioned and is booting.
     #[serde(rename = "starting")]
     Booting,
-    /// It works.
+    /// The machine is up.
     #[serde(rename = "running")]
     Running,
-    /// It has failed; it costs nothing and stays in the list until it is deleted.
+    /// The machine has failed; it costs nothing and stays in the list until it is deleted.
     #[serde(rename = "failed")]
     Failed,
 }
@@ -102,36 +102,36 @@
 /// A machine in the cloud's list.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct ListedMachine {
-    /// The machine's id.
+    /// Id of the machine.
     #[serde(rename = "name_id")]
     pub id: MachineId,
-    /// Its worker's address, once it works.
+    /// Address of the machine's worker, once the machine is up.
     #[serde(rename = "endpoint", default)]
     pub addr: Option<String>,
-    /// The type's name.
+    /// Name of the machine type.
     #[serde(rename = "breed")]
     pub machine_type: String,
-    /// Where it is.
+    /// Zone of the machine.
     #[serde(rename = "parcel")]
     pub zone: String,
-    /// Whether the cloud may preempt it.
+    /// Whether the machine is a spot machine, which the cloud may preempt.
     #[serde(rename = "gleanable", default)]
     pub spot: bool,
-    /// Its state.
+    /// State of the machine.
     #[serde(rename = "standing")]
     pub state: ListedState,
-    /// Seconds since it was provisioned.
+    /// Seconds since the machine was provisioned.
     #[serde(default)]
     pub age_s: f64,
 }
 
-/// A page of the cloud's list.
+/// A page of the cloud's list of machines.
 #[derive(Deserialize, Serialize)]
 pub struct MachineListPage {
-    /// In the order of their ids.
+    /// Machines, sorted by id.
     #[serde(rename = "drones")]
     pub machines: Vec<ListedMachine>,
-    /// Whether there are machines after these.
+    /// Whether more pages follow.
     #[serde(default)]
     pub more: bool,
 }
--- a/src/wire/store.rs
+++ b/src/wire/store.rs
@@ -1,4 +1,4 @@
-//! The interface of the state service.
+//! Messages of the state service's API.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -6,16 +6,16 @@
 /// A key with its value.
 #[derive(Deserialize, Serialize, Clone, Debug)]
 pub struct Item {
-    /// The key; left out where the request names it.
+    /// The key; omitted in the response to a read of a single key.
     #[serde(default)]
     pub key: String,
     /// The value.
     #[serde(rename = "data")]
     pub value: Value,
-    /// The revision of its last change.
+    /// Store revision of the key's last change.
     #[serde(rename = "stamp")]
     pub version: u64,
-    /// The lease with which the key is deleted.
+    /// Lease that the key is attached to: the key is deleted when the lease ends.
     #[serde(rename = "tenancy", default, skip_serializing_if = "Option::is_none")]
     pub lease: Option<u64>,
 }
@@ -23,22 +23,22 @@
 /// A page of keys and values.
 #[derive(Deserialize, Serialize)]
 pub struct KeyValuePage {
-    /// In the order of their keys.
+    /// Items, sorted by key.
     pub items: Vec<Item>,
-    /// Whether there are keys after these.
+    /// Whether more pages follow.
     #[serde(default)]
     pub more: bool,
-    /// The revision of the store that the page is no older than.
+    /// Store revision that the page is at least as new as.
     #[serde(rename = "ledger")]
     pub revision: u64,
 }
 
-/// A key's version as a condition for a compare-and-swap.
+/// A condition of a compare-and-swap: the expected version of a key.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct Condition {
     /// The key.
     pub key: String,
-    /// The version it has to have; 0 if it must not exist.
+    /// Expected version of the key; 0 if the key must not exist.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
@@ -52,10 +52,10 @@
         /// The key.
         #[serde(rename = "put")]
         key: String,
-        /// Its value.
+        /// The value.
         #[serde(rename = "data")]
         value: Value,
-        /// The lease with which it is deleted.
+        /// Lease that the key is attached to.
         #[serde(rename = "tenancy", skip_serializing_if = "Option::is_none", default)]
         lease: Option<u64>,
     },
@@ -68,7 +68,7 @@
 }
 
 impl Change {
-    /// Sets a key that hangs on no lease.
+    /// Returns a change that sets a key without a lease.
     pub fn put(key: String, value: Value) -> Change {
         Change::Put {
             key,
@@ -77,7 +77,7 @@
         }
     }
 
-    /// The key that is changed.
+    /// Returns the key that is changed.
     pub fn key(&self) -> &str {
         match self {
             Change::Put { key, .. } | Change::Delete { key } => key,
@@ -85,21 +85,21 @@
     }
 }
 
-/// Changes that are applied together if all conditions hold, or not at all.
+/// A transaction: all changes are applied if all conditions hold, and none otherwise.
 #[derive(Serialize, Deserialize, Clone, Debug, Default, PartialEq)]
 pub struct CompareAndSwap {
-    /// Versions of keys.
+    /// Expected versions of keys.
     #[serde(rename = "if")]
     pub conditions: Vec<Condition>,
-    /// In the order in which they are applied.
+    /// Changes, in the order in which they are applied.
     #[serde(rename = "apply")]
     pub changes: Vec<Change>,
 }
 
-/// The answer to a compare-and-swap, and to a read of a key that does not exist.
+/// Response to a compare-and-swap, and to a read of a key that does not exist.
 #[derive(Deserialize, Serialize, Default)]
 pub struct CompareAndSwapResponse {
-    /// The revision of the store.
+    /// Revision of the store.
     #[serde(rename = "ledger", default)]
     pub revision: u64,
     /// Keys of the conditions that do not hold.
@@ -110,45 +110,45 @@
 /// A request for a lease.
 #[derive(Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// Milliseconds after which it expires unless it is renewed.
+    /// Time in milliseconds after which the lease expires unless it is renewed.
     pub ttl_ms: u64,
 }
 
-/// A lease that was granted.
+/// Response to a request for a lease that was granted.
 #[derive(Serialize, Deserialize)]
 pub struct LeaseResponse {
-    /// Its id.
+    /// Id of the lease.
     #[serde(rename = "tenancy")]
     pub lease: u64,
 }
 
-/// One change that a watch brings.
+/// One change reported by a watch.
 #[derive(Deserialize, Serialize, Clone, Debug)]
 pub struct WatchEvent {
-    /// The key, if it was set.
+    /// The key, if the change sets it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub put: Option<String>,
-    /// The key, if it was deleted.
+    /// The key, if the change deletes it.
     #[serde(rename = "drop", default, skip_serializing_if = "Option::is_none")]
     pub delete: Option<String>,
-    /// Its value, if it was set.
+    /// The value, if the key was set.
     #[serde(rename = "data", default)]
     pub value: Value,
-    /// The revision of the change.
+    /// Store revision of the change.
     #[serde(rename = "stamp", default)]
     pub version: u64,
-    /// The lease with which it is deleted.
+    /// Lease that the key is attached to.
     #[serde(rename = "tenancy", default, skip_serializing_if = "Option::is_none")]
     pub lease: Option<u64>,
 }
 
-/// The answer to a watch.
+/// Response to a watch.
 #[derive(Deserialize, Serialize)]
 pub struct WatchResponse {
-    /// The revision to watch from next.
+    /// Revision from which to watch next.
     #[serde(rename = "ledger")]
     pub revision: u64,
-    /// In the order in which the changes were made.
+    /// Changes, in the order in which they were made.
     #[serde(rename = "news", default)]
     pub events: Vec<WatchEvent>,
 }
--- a/src/wire/submission.rs
+++ b/src/wire/submission.rs
@@ -1,4 +1,4 @@
-//! Submissions of jobs: parsed, checked, and turned into the scheduler's terms.
+//! Parses and validates job submissions and converts them to job specifications.
 
 use super::to_json;
 use crate::job::{JobId, JobKind, JobSpec, Priority, Resources};
@@ -7,31 +7,31 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// All ids of jobs begin with this; digits follow.
+/// Prefix of all job ids; digits follow it.
 pub const JOB_PREFIX: &str = "wk-";
-/// Most tasks of one job.
+/// Maximum number of tasks of one job.
 pub(super) const MAX_TASKS: u64 = 100_000;
-/// No amount or duration that a user may state is larger than this.
+/// Maximum of every amount and duration (in seconds) in a submission.
 const MAX_AMOUNT: f64 = 1e9;
 const MAX_NAME_BYTES: usize = 200;
 const MAX_ID_DIGITS: usize = 32;
 
-/// Why a submission cannot be accepted. The text is for the user.
+/// Reason why a submission is rejected. The text is shown to the user.
 #[derive(Debug, thiserror::Error)]
 pub enum SubmissionError {
-    /// The body is something else than an object.
+    /// The body is not a JSON object.
     #[error("not a JSON object")]
     NotAnObject,
-    /// Not JSON, a field is missing, or one has another type.
+    /// The body is not JSON, a field is missing, or a field has the wrong type.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// The job's id has another form.
+    /// The job's id is malformed.
     #[error("name_id: not a job id")]
     JobId,
-    /// An id of a job that this one depends on has another form.
+    /// The id of a dependency is malformed.
     #[error("awaits: {0:?} is not a job id")]
     Dependency(String),
-    /// No tasks, or too many.
+    /// The job has no tasks, or too many.
     #[error("rows: must be 1 to {MAX_TASKS}")]
     TaskCount,
     /// An amount is negative, too large or not a number.
@@ -42,7 +42,7 @@
     Name,
 }
 
-/// A submission with the protocol's names.
+/// A submission as transmitted.
 #[derive(Deserialize, Serialize)]
 struct SubmissionBody {
     #[serde(rename = "name_id")]
@@ -88,8 +88,8 @@
     dependencies: Option<BTreeSet<String>>,
 }
 
-/// A kind of jobs by the protocol's name. Read from a string only: an object with the name as its
-/// only key would pass for an enum otherwise.
+/// A job kind as transmitted. Deserialised from a string only: serde would otherwise also accept an
+/// object with the name as its only key.
 #[derive(Deserialize, Serialize, Clone, Copy)]
 #[serde(rename_all = "lowercase", try_from = "String")]
 enum WireJobKind {
@@ -99,7 +99,7 @@
     Gang,
 }
 
-/// A priority by the protocol's name. Read from a string only, as `WireJobKind`.
+/// A priority as transmitted. Deserialised from a string only, like `WireJobKind`.
 #[derive(Deserialize, Serialize, Clone, Copy)]
 #[serde(rename_all = "lowercase", try_from = "String")]
 enum WirePriority {
@@ -111,7 +111,7 @@
     Low,
 }
 
-/// A name that the protocol does not have.
+/// Error for a name that the protocol does not define.
 #[derive(Debug, thiserror::Error)]
 #[error("{field}: {name:?} is not known")]
 struct UnknownName {
@@ -194,19 +194,19 @@
     }
 }
 
-/// Whether `id` has the form of a job's id: the prefix and digits.
+/// Returns whether `id` has the form of a job id: the prefix and digits.
 pub fn is_job_id(id: &str) -> bool {
     id.strip_prefix(JOB_PREFIX).is_some_and(|digits| {
         (1..=MAX_ID_DIGITS).contains(&digits.len()) && digits.bytes().all(|b| b.is_ascii_digit())
     })
 }
 
-/// Reads and checks a submission.
+/// Parses and validates a submission.
 ///
 /// # Errors
-/// The first fault that is found; its text is for the user.
+/// The first problem that is found; its text is shown to the user.
 pub fn parse_submission(body: &[u8]) -> Result<JobSpec, SubmissionError> {
-    // A list of values in the fields' order would pass for an object.
+    // serde would also accept an array of the values in the order of the fields.
     let first = body.iter().find(|b| !b.is_ascii_whitespace());
     if first != Some(&b'{') {
         return Err(SubmissionError::NotAnObject);
@@ -262,7 +262,7 @@
         }
     }
 
-    /// What it says, once it has been checked.
+    /// Converts a validated submission to a job specification.
     fn into_spec(self) -> JobSpec {
         let dependencies = self.dependencies.unwrap_or_default();
         JobSpec {
@@ -293,7 +293,7 @@
     }
 }
 
-/// A submission as users send it.
+/// Encodes a submission as users send it.
 pub fn encode_submission(spec: &JobSpec) -> Vec<u8> {
     let dependencies: BTreeSet<String> =
         spec.dependencies.iter().map(ToString::to_string).collect();
@@ -322,7 +322,7 @@
     })
 }
 
-/// The id in a submission that is otherwise unreadable, if it has one.
+/// Returns the job id of a submission that is otherwise invalid, if it has a valid one.
 pub fn submitted_id(body: &[u8]) -> Option<String> {
     let submission: Value = serde_json::from_slice(body).ok()?;
     let id = submission.get("name_id")?.as_str()?;
--- a/src/wire/tests.rs
+++ b/src/wire/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_submission_is_read_and_written_again() {
+fn a_submission_is_unchanged_after_encoding_and_parsing() {
     let spec = parse_submission(&body(|_| ())).unwrap();
     assert_eq!(parse_submission(&encode_submission(&spec)).unwrap(), spec);
     assert_eq!((spec.tasks, spec.priority), (16, Priority::High));
@@ -21,8 +21,8 @@
 }
 
 #[test]
-fn a_submission_with_a_fault_in_a_field_is_refused() {
-    let faults: &[(&str, Value)] = &[
+fn a_submission_with_an_invalid_field_is_rejected() {
+    let invalid: &[(&str, Value)] = &[
         ("name_id", "wk-".into()),
         ("name_id", "job-7".into()),
         ("name_id", "wk-12/3".into()),
@@ -45,14 +45,14 @@
         ("awaits", serde_json::json!(["wk-1", "wk-"])),
         ("awaits", serde_json::json!(["wk-1/0"])),
     ];
-    for (field, value) in faults {
+    for (field, value) in invalid {
         let bad = body(|v| v[field] = value.clone());
         assert!(parse_submission(&bad).is_err(), "{field} = {value}");
     }
 }
 
 #[test]
-fn a_submission_without_a_required_field_is_refused() {
+fn a_submission_without_a_required_field_is_rejected() {
     let whole: Value = serde_json::from_slice(&body(|_| ())).unwrap();
     let fields = whole.as_object().unwrap();
     let may_be_null = ["breeds", "parcel", "due_s", "new_field"];
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_submission_with_an_amount_out_of_range_is_refused() {
+fn a_submission_with_an_amount_out_of_range_is_rejected() {
     for amount in [
         "cpus",
         "accelerators",
@@ -104,9 +104,10 @@
     }
 }
 
-/// Values in the fields' order, and an object for a name, passed.
+/// serde accepts an array of values for a struct, and an object with one key for an enum, unless the
+/// parser excludes both.
 #[test]
-fn a_submission_of_another_form_is_refused() {
+fn a_submission_of_another_json_type_is_rejected() {
     let whole: Value = serde_json::from_slice(&body(|_| ())).unwrap();
     let fields = whole.as_object().unwrap();
     let values: Vec<&Value> = [
--- a/src/worker_client.rs
+++ b/src/worker_client.rs
@@ -1,43 +1,43 @@
-//! The client of a worker's own address: commands that the leader sends without waiting for the
-//! worker's next heartbeat.
+//! Client of a worker's address: commands that the leader sends without waiting for the worker's next
+//! heartbeat.
 
 use crate::http::{CallError, Client, ClientResponse};
 use crate::wire::{DirectCommands, Heartbeat, PATH_COMMANDS, to_json};
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// Threads that make direct calls, and so how many of them are made at a time.
+/// Number of threads that make direct calls, and so the maximum number of concurrent calls.
 pub const CALL_THREADS: usize = 24;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 const TIMEOUT: Duration = Duration::from_millis(1500);
 /// The incarnation that most workers are in.
 const FIRST_INCARNATION: u64 = 1;
 
-/// A request of `core` to a worker.
+/// A request from `core` to a worker.
 #[derive(Clone, Debug)]
 pub enum DirectRequest {
-    /// Commands about tasks.
+    /// Sends commands for tasks.
     Commands(DirectCommands),
-    /// Asks for a heartbeat, and shows the worker a fencing token at once.
+    /// Requests a heartbeat, and makes the worker record a fencing token.
     Status {
-        /// The leader's fencing token.
+        /// Fencing token of the leader.
         token: u64,
     },
 }
 
-/// What became of a request.
+/// Outcome of a request.
 #[derive(Clone, Debug)]
 pub enum DirectOutcome {
-    /// The worker answered.
+    /// The worker responded.
     Heartbeat {
-        /// Its status after the commands.
+        /// Status of the worker after the commands.
         heartbeat: Box<Heartbeat>,
-        /// False if it refused all commands.
+        /// Whether the commands were executed; false if the worker refused all of them.
         executed: bool,
     },
-    /// The request was not sent, so it has no effect.
+    /// The request was not sent or was rejected as malformed, so it has no effect.
     NotSent(String),
-    /// The commands may have been executed, or may be at any later time.
+    /// The commands may have been executed, or may be executed at any later time.
     Unknown(String),
 }
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// Sends one request to a worker on a connection of its own.
+/// Sends one request to a worker on a new connection.
 pub fn perform(addr: SocketAddrV4, request: &DirectRequest) -> DirectOutcome {
     let mut http = Client::new(addr, CONNECT_TIMEOUT);
     match request {
@@ -59,8 +59,9 @@
     }
 }
 
-/// An empty list of commands has no effect but the token's. A worker in another incarnation than the
-/// one that is named refuses it, with a heartbeat that says which it is in.
+/// Sends an empty list of commands, whose only effect is that the worker records the token. A worker in
+/// another incarnation refuses the list with a heartbeat that contains its incarnation; the request is
+/// then repeated with that one.
 fn request_status(http: &mut Client, fencing_token: u64) -> DirectOutcome {
     let no_commands = |incarnation| DirectCommands {
         fencing_token,
@@ -92,7 +93,7 @@
             heartbeat: Box::new(heartbeat),
             executed: status == 200,
         },
-        (400, _) => DirectOutcome::NotSent("refused as malformed".into()),
+        (400, _) => DirectOutcome::NotSent("rejected as malformed".into()),
         (status, Err(error)) => DirectOutcome::Unknown(format!("status {status}: {error}")),
         (status, Ok(_)) => DirectOutcome::Unknown(format!("status {status}")),
     }
