--- a/src/core/simulation/scenarios/size.rs
+++ b/src/core/simulation/scenarios/size.rs
@@ -236,7 +236,7 @@
         outcome: RelayedOutcome::Commands {
             fencing_token: 1 << 20,
             commands: Vec::new(),
-            steady: true,
+            cacheable: true,
         },
     };
     HeartbeatBatchResponse {
--- a/src/core/workers/delegation.rs
+++ b/src/core/workers/delegation.rs
@@ -188,12 +188,12 @@
             .heartbeat_response(machine)
             .ok_or_else(|| Response::busy("this machine is gone", 30))?;
         *frame_bytes += heartbeat_batch::response_size(&response.commands);
-        let steady = response.commands.is_empty()
+        let cacheable = response.commands.is_empty()
             && (self.leader.as_mut()).is_some_and(|l| l.delegate_machine(machine, from));
         Ok(RelayedOutcome::Commands {
             fencing_token: response.fencing_token,
             commands: response.commands,
-            steady,
+            cacheable,
         })
     }
 }
--- a/src/core/workers/delegation/delegations.rs
+++ b/src/core/workers/delegation/delegations.rs
@@ -206,7 +206,7 @@
         let sent = self.revocations.iter().filter(|(_, at)| at.is_some());
         let unsent = self.revocations.iter().filter(|(_, at)| at.is_none());
         let mut revoked: Vec<MachineId> = sent.chain(unsent).map(|(id, _)| id.clone()).collect();
-        revoked.truncate(heartbeat_batch::names_that_fit(&revoked));
+        revoked.truncate(heartbeat_batch::count_fitting_names(&revoked));
         revoked.sort_unstable();
         for id in &revoked {
             if let Some(first_sent) = self.revocations.get_mut(id) {
--- a/src/core/workers/delegation/tests.rs
+++ b/src/core/workers/delegation/tests.rs
@@ -60,7 +60,7 @@
         outcome: RelayedOutcome::Commands {
             fencing_token: 1,
             commands: commands.clone(),
-            steady: false,
+            cacheable: false,
         },
     };
     let response = HeartbeatBatchResponse {
--- a/src/core/workers/relay.rs
+++ b/src/core/workers/relay.rs
@@ -297,9 +297,9 @@
             RelayedOutcome::Commands {
                 fencing_token,
                 commands,
-                steady,
+                cacheable,
             } => {
-                let cached_token = steady.then_some(fencing_token);
+                let cached_token = cacheable.then_some(fencing_token);
                 self.relay.record_worker(queued, cached_token);
                 // The response must be sent before the leader's leadership expires and before the worker stops
                 // waiting.
--- a/src/core/workers/relay/state.rs
+++ b/src/core/workers/relay/state.rs
@@ -88,7 +88,7 @@
 impl TokenProbes {
     /// Takes as many of the workers that did not respond as fit into the next frame.
     fn take_unanswered_for_frame(&mut self) -> Vec<MachineId> {
-        let count = heartbeat_batch::names_that_fit(&self.unanswered);
+        let count = heartbeat_batch::count_fitting_names(&self.unanswered);
         self.unanswered.drain(..count).collect()
     }
 }
@@ -407,7 +407,7 @@
         }
         let workers = self.recent_workers(recent, now);
         let mut served: Vec<MachineId> = workers.map(|(id, _)| id.clone()).collect();
-        served.truncate(heartbeat_batch::names_that_fit(&served));
+        served.truncate(heartbeat_batch::count_fitting_names(&served));
         served
     }
 
--- a/src/peer/forwarding.rs
+++ b/src/peer/forwarding.rs
@@ -20,7 +20,7 @@
 const KIND_SUBMIT_DEPENDENT: u8 = 5;
 
 /// No number.
-const NONE: u32 = u32::MAX;
+const ABSENT: u32 = u32::MAX;
 
 /// The job states that an answer may tell, from 1 on; 0 is none.
 const JOB_STATES: [JobState; 4] = [
@@ -116,7 +116,7 @@
 
 /// The frame of an answer.
 pub fn encode_answer(answer: &PeerAnswer) -> Vec<u8> {
-    let number = |n: Option<u32>| U32::new(n.unwrap_or(NONE));
+    let number = |n: Option<u32>| U32::new(n.unwrap_or(ABSENT));
     let body = AnswerBody {
         status: U16::new(answer.status),
         state: answer
@@ -136,7 +136,7 @@
         return None;
     }
     let answer = AnswerBody::ref_from_bytes(body).ok()?;
-    let number = |n: U32| (n.get() != NONE).then_some(n.get());
+    let number = |n: U32| (n.get() != ABSENT).then_some(n.get());
     let state = match answer.state {
         0 => None,
         n => Some(frame::value_at(&JOB_STATES, n - 1)?),
--- a/src/peer/forwarding/tests.rs
+++ b/src/peer/forwarding/tests.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 #[test]
-fn frames_come_back_as_they_went_and_malformed_ones_are_refused() {
+fn frames_round_trip_and_malformed_ones_are_rejected() {
     let spec = JobSpec {
         id: "wk-000001".into(),
         class: "Besançon".into(),
--- a/src/peer/heartbeat_batch.rs
+++ b/src/peer/heartbeat_batch.rs
@@ -13,7 +13,8 @@
 mod response;
 
 pub use request::{
-    answered_heartbeat_size, decode_batch, encode_batch, encoded_heartbeat_size, names_that_fit,
+    answered_heartbeat_size, count_fitting_names, decode_batch, encode_batch,
+    encoded_heartbeat_size,
 };
 pub use response::{decode_batch_response, encode_batch_response, response_size};
 
@@ -37,9 +38,9 @@
 pub const MAX_NAMES_BYTES: usize = 100 * 1024;
 
 /// No reclaim notice, or no time to retry after.
-const NONE: u32 = u32::MAX;
+const ABSENT: u32 = u32::MAX;
 /// Seconds up to which a span is encoded.
-const MAX_SPAN_S: f64 = 1e6;
+const MAX_DURATION_S: f64 = 1e6;
 
 /// A batch from a controller that serves workers.
 #[derive(Clone, Debug, Default)]
@@ -150,7 +151,7 @@
         commands: Vec<TaskCommand>,
         /// The machine is delegated: until that is revoked, a heartbeat that says the same may be
         /// answered with this token and no commands.
-        steady: bool,
+        cacheable: bool,
     },
     /// The heartbeat was not taken in.
     Refused {
@@ -161,15 +162,15 @@
     },
 }
 
-fn millis(span: Duration) -> U32 {
-    U32::new(u32::try_from(span.as_millis()).unwrap_or(NONE - 1))
+fn millis(duration: Duration) -> U32 {
+    U32::new(u32::try_from(duration.as_millis()).unwrap_or(ABSENT - 1))
 }
 
 fn millis_of_seconds(seconds: f64) -> U32 {
-    millis(Duration::from_secs_f64(seconds.clamp(0.0, MAX_SPAN_S)))
+    millis(Duration::from_secs_f64(seconds.clamp(0.0, MAX_DURATION_S)))
 }
 
-fn span(millis: U32) -> Duration {
+fn duration(millis: U32) -> Duration {
     Duration::from_millis(u64::from(millis.get()))
 }
 
--- a/src/peer/heartbeat_batch/request.rs
+++ b/src/peer/heartbeat_batch/request.rs
@@ -1,8 +1,8 @@
 //! The layout of a `HeartbeatBatch` in a frame.
 
 use super::{
-    AnsweredHeartbeat, HeartbeatBatch, KIND_HEARTBEAT_BATCH, MAX_NAMES_BYTES, NONE,
-    RelayedHeartbeat, millis, millis_of_seconds, span,
+    ABSENT, AnsweredHeartbeat, HeartbeatBatch, KIND_HEARTBEAT_BATCH, MAX_NAMES_BYTES,
+    RelayedHeartbeat, duration, millis, millis_of_seconds,
 };
 use crate::job::MachineId;
 use crate::peer::frame::{FrameReader, FrameWriter, index_of, length, value_at};
@@ -86,7 +86,7 @@
 }
 
 /// How many of these machines, the first ones, a list of names in a frame takes.
-pub fn names_that_fit<'a>(machines: impl IntoIterator<Item = &'a MachineId>) -> usize {
+pub fn count_fitting_names<'a>(machines: impl IntoIterator<Item = &'a MachineId>) -> usize {
     let mut size = 0;
     let fits = |machine: &&MachineId| {
         size += name_size(machine);
@@ -153,7 +153,7 @@
         incarnation: U64::new(heartbeat.incarnation),
         sequence: U64::new(heartbeat.sequence),
         fencing_token: U64::new(heartbeat.fencing_token),
-        reclaim_in_ms: reclaim_in_s.map_or(U32::new(NONE), millis_of_seconds),
+        reclaim_in_ms: reclaim_in_s.map_or(U32::new(ABSENT), millis_of_seconds),
         tasks: length(heartbeat.tasks.len()),
         spot: u8::from(heartbeat.spot),
     });
@@ -209,7 +209,7 @@
     Some(AnsweredHeartbeat {
         incarnation: header.incarnation.get(),
         sequence: header.sequence.get(),
-        age: span(header.age_ms),
+        age: duration(header.age_ms),
         machine: decode_name(body)?,
     })
 }
@@ -226,7 +226,7 @@
         incarnation: header.incarnation.get(),
         sequence: header.sequence.get(),
         fencing_token: header.fencing_token.get(),
-        reclaim_in_s: (reclaim_in.get() != NONE).then(|| span(reclaim_in).as_secs_f64()),
+        reclaim_in_s: (reclaim_in.get() != ABSENT).then(|| duration(reclaim_in).as_secs_f64()),
         tasks: body.list(header.tasks, decode_task_status)?,
     };
     Some(RelayedHeartbeat {
--- a/src/peer/heartbeat_batch/response.rs
+++ b/src/peer/heartbeat_batch/response.rs
@@ -2,8 +2,8 @@
 
 use super::request::decode_name;
 use super::{
-    HeartbeatBatchResponse, KIND_HEARTBEAT_BATCH_RESPONSE, MemberStatus, NONE, RelayedOutcome,
-    RelayedResponse, millis, millis_of_seconds, span,
+    ABSENT, HeartbeatBatchResponse, KIND_HEARTBEAT_BATCH_RESPONSE, MemberStatus, RelayedOutcome,
+    RelayedResponse, duration, millis, millis_of_seconds,
 };
 use crate::peer::frame::{FrameReader, FrameWriter, length};
 use crate::wire::TaskCommand;
@@ -37,7 +37,7 @@
     id: U64,
     fencing_token: U64,
     status: U16,
-    steady: u8,
+    cacheable: u8,
     retry_after: U32,
     commands: U32,
 }
@@ -114,14 +114,14 @@
         RelayedOutcome::Commands {
             fencing_token,
             commands,
-            steady,
+            cacheable,
         } => {
             out.fixed(&RelayedResponseHeader {
                 id,
                 fencing_token: U64::new(*fencing_token),
                 status: U16::new(STATUS_OK),
-                steady: u8::from(*steady),
-                retry_after: U32::new(NONE),
+                cacheable: u8::from(*cacheable),
+                retry_after: U32::new(ABSENT),
                 commands: length(commands.len()),
             });
             for command in commands {
@@ -135,8 +135,8 @@
             id,
             fencing_token: U64::new(0),
             status: U16::new(*status),
-            steady: 0,
-            retry_after: U32::new(retry_after.unwrap_or(NONE)),
+            cacheable: 0,
+            retry_after: U32::new(retry_after.unwrap_or(ABSENT)),
             commands: length(0),
         }),
     }
@@ -167,7 +167,7 @@
     let response = HeartbeatBatchResponse {
         number: header.number.get(),
         term: header.term.get(),
-        grant: span(header.grant_ms),
+        grant: duration(header.grant_ms),
         refused: header.refused != 0,
         revoked: body.list(header.revoked, decode_name)?,
         responses: body.list(header.responses, decode_relayed_response)?,
@@ -188,11 +188,11 @@
         STATUS_OK => RelayedOutcome::Commands {
             fencing_token: header.fencing_token.get(),
             commands,
-            steady: header.steady != 0,
+            cacheable: header.cacheable != 0,
         },
         status => RelayedOutcome::Refused {
             status,
-            retry_after: (retry_after != NONE).then_some(retry_after),
+            retry_after: (retry_after != ABSENT).then_some(retry_after),
         },
     };
     Some(RelayedResponse {
@@ -210,7 +210,7 @@
         VERB_STOP => Some(TaskCommand::Stop {
             task,
             attempt,
-            grace: span(header.grace_ms).as_secs_f64(),
+            grace: duration(header.grace_ms).as_secs_f64(),
         }),
         VERB_FORGET => Some(TaskCommand::Forget { task, attempt }),
         _ => None,
@@ -227,7 +227,7 @@
     Some(MemberStatus {
         capabilities: header.capabilities.get(),
         load: header.load.get(),
-        age: span(header.age_ms),
+        age: duration(header.age_ms),
         name: body.text()?.to_string(),
     })
 }
--- a/src/peer/heartbeat_batch/tests.rs
+++ b/src/peer/heartbeat_batch/tests.rs
@@ -74,7 +74,7 @@
                 outcome: RelayedOutcome::Commands {
                     fencing_token: 77,
                     commands: vec![command(1.5)],
-                    steady: true,
+                    cacheable: true,
                 },
             },
             RelayedResponse {
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn frames_come_back_as_they_went_and_cut_ones_are_refused() {
+fn frames_round_trip_and_truncated_ones_are_rejected() {
     let batch = batch();
     let bytes = body(&encode_batch(&batch));
     let back = decode_batch(&bytes).unwrap();
@@ -132,12 +132,12 @@
 /// As many of 6,000 machines as a list of names takes.
 fn names() -> Vec<MachineId> {
     let mut names: Vec<MachineId> = (0..6000).map(machine).collect();
-    names.truncate(names_that_fit(&names));
+    names.truncate(count_fitting_names(&names));
     names
 }
 
 #[test]
-fn the_sizes_of_entries_are_those_that_they_take_in_a_frame() {
+fn computed_sizes_of_entries_match_the_encoded_frame() {
     let empty = body(&encode_batch(&HeartbeatBatch::default())).len();
     let batch = HeartbeatBatch {
         served: vec![machine(1)],
@@ -163,7 +163,7 @@
             outcome: RelayedOutcome::Commands {
                 fencing_token: 1,
                 commands,
-                steady: false,
+                cacheable: false,
             },
         }],
         ..HeartbeatBatchResponse::default()
@@ -172,14 +172,14 @@
 }
 
 #[test]
-fn the_fullest_frame_of_a_controller_with_6000_workers_can_be_read() {
+fn the_largest_frame_of_a_controller_with_6000_workers_can_be_decoded() {
     let answered = |number| AnsweredHeartbeat {
         machine: machine(number),
         incarnation: 1,
         sequence: u64::MAX,
         age: Duration::from_secs(1),
     };
-    let most_answered = MAX_ANSWERED_BYTES / answered_heartbeat_size(&machine(0)) + 1;
+    let max_answered = MAX_ANSWERED_BYTES / answered_heartbeat_size(&machine(0)) + 1;
     // A report as long as a request may be takes no more than that in a frame.
     let status = TaskStatus {
         task: "wk-000001/7".into(),
@@ -208,7 +208,7 @@
         from: "n1".into(),
         served: names(),
         unanswered_probes: names(),
-        answered: (0..most_answered).map(answered).collect(),
+        answered: (0..max_answered).map(answered).collect(),
         heartbeats: vec![heartbeat(crate::http::MAX_BODY / status_bytes)],
         ..HeartbeatBatch::default()
     };
