--- a/src/job.rs
+++ b/src/job.rs
@@ -1,6 +1,6 @@
 //! The domain types of jobs and tasks: ids, resources and job specifications.
 //!
-//! They do not depend on the form in which any interface transmits them.
+//! The types are independent of the forms in which the interfaces transmit them.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
--- a/src/peer/forwarding.rs
+++ b/src/peer/forwarding.rs
@@ -1,4 +1,4 @@
-//! Requests of users that a follower forwards to the leader, and the leader's answers.
+//! User requests that a follower forwards to the leader, and the leader's answers.
 
 mod job_spec;
 
@@ -13,16 +13,16 @@
 const KIND_SHOW: u8 = 2;
 const KIND_CANCEL: u8 = 3;
 const KIND_ANSWER: u8 = 4;
-/// A job with dependencies: the count and the ids of these, then what `KIND_SUBMIT` has. It has a
-/// kind of its own so that versions that do not know of this drop the connection: the node then
-/// accepts the job itself, and they never take it for one that can start. All else stays byte for
-/// byte what they read.
+/// Submission of a job with dependencies: their count and ids, then the body of `KIND_SUBMIT`. It is a
+/// separate kind so that versions without dependencies close the connection, rather than take the job
+/// for one that can start; the sender then accepts the job itself. All other frames stay byte for byte
+/// as those versions read them.
 const KIND_SUBMIT_DEPENDENT: u8 = 5;
 
-/// No number.
+/// Encoding of a number that is absent.
 const ABSENT: u32 = u32::MAX;
 
-/// The job states that an answer may tell, from 1 on; 0 is none.
+/// Job states in the order of their encoding, which starts at 1; 0 means no state.
 const JOB_STATES: [JobState; 4] = [
     JobState::Queued,
     JobState::Running,
@@ -30,29 +30,29 @@
     JobState::Cancelled,
 ];
 
-/// A user's request, for the leader.
+/// A user's request, forwarded to the leader.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PeerRequest {
-    /// Submit this job.
+    /// Submits this job.
     Submit(Box<JobSpec>),
-    /// Tell the state of the job with this id.
+    /// Requests the state of the job with this id.
     Show(String),
-    /// Cancel the job with this id.
+    /// Cancels the job with this id.
     Cancel(String),
 }
 
-/// The leader's answer, as far as the follower needs it.
+/// The parts of the leader's answer that the follower needs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PeerAnswer {
-    /// The HTTP status to answer the user with.
+    /// HTTP status of the response to the user.
     pub status: u16,
-    /// Of the job, if there is one.
+    /// State of the job, if there is one.
     pub state: Option<JobState>,
     /// Seconds after which the user may retry.
     pub retry_after: Option<u32>,
-    /// Tasks that are done.
+    /// Number of tasks that are done.
     pub done: Option<u32>,
-    /// Tasks that run.
+    /// Number of tasks that run.
     pub running: Option<u32>,
 }
 
@@ -60,7 +60,7 @@
 #[repr(C)]
 struct AnswerBody {
     status: U16,
-    /// 0 where there is no state to tell.
+    /// 0 for no state.
     state: u8,
     reserved: u8,
     retry_after: U32,
@@ -68,7 +68,7 @@
     running: U32,
 }
 
-/// The frame of a request.
+/// Encodes a request as a frame.
 pub fn encode_request(request: &PeerRequest) -> Vec<u8> {
     let mut body = FrameWriter::default();
     let kind = match request {
@@ -92,7 +92,7 @@
     body.finish(kind)
 }
 
-/// The request in a frame of this kind; `None` if it is malformed or of another kind.
+/// Decodes a request from the body of a frame; `None` if it is malformed or of another kind.
 pub fn decode_request(kind: u8, body: &[u8]) -> Option<PeerRequest> {
     match kind {
         KIND_SUBMIT => {
@@ -114,7 +114,7 @@
     is_job_id(id).then(|| id.to_string())
 }
 
-/// The frame of an answer.
+/// Encodes an answer as a frame.
 pub fn encode_answer(answer: &PeerAnswer) -> Vec<u8> {
     let number = |n: Option<u32>| U32::new(n.unwrap_or(ABSENT));
     let body = AnswerBody {
@@ -130,7 +130,7 @@
     frame::encode_frame(KIND_ANSWER, body.as_bytes())
 }
 
-/// The answer in a frame of this kind; `None` if it is malformed or of another kind.
+/// Decodes an answer from the body of a frame; `None` if it is malformed or of another kind.
 pub fn decode_answer(kind: u8, body: &[u8]) -> Option<PeerAnswer> {
     if kind != KIND_ANSWER {
         return None;
--- a/src/peer/forwarding/job_spec.rs
+++ b/src/peer/forwarding/job_spec.rs
@@ -1,5 +1,5 @@
-//! The layout of a job's specification in a frame: a part of fixed size, the lengths of the machine
-//! types' names, then all texts in the order in which their lengths are listed.
+//! Layout of a job specification in a frame: a header of fixed size, the lengths of the machine types'
+//! names, then all texts in the order of their lengths.
 
 use crate::job::{JobId, JobKind, JobSpec, Priority, Resources};
 use crate::peer::frame::{FrameReader, FrameWriter, index_of, length, value_at};
@@ -8,7 +8,7 @@
 use zerocopy::byteorder::little_endian::{F64, U32, U64};
 use zerocopy::{FromBytes, Immutable, IntoBytes, KnownLayout, Unaligned};
 
-/// The length of a text, or of a list, that is not there.
+/// Encoded length of a text or a list that is absent.
 const ABSENT: u32 = u32::MAX;
 const NO_DEADLINE: u64 = u64::MAX;
 
@@ -87,7 +87,7 @@
     }
 }
 
-/// Writes a job's specification but for its dependencies.
+/// Writes a job specification without its dependencies.
 pub(super) fn encode_spec(spec: &JobSpec, out: &mut FrameWriter) {
     out.fixed(&header(spec));
     let machine_types = spec.machine_types.as_deref().unwrap_or_default();
@@ -103,7 +103,7 @@
     }
 }
 
-/// Reads what `encode_spec` wrote; `None` if it is malformed or no valid job.
+/// Reads a job specification written by `encode_spec`; `None` if it is malformed or invalid.
 pub(super) fn decode_spec(mut body: FrameReader) -> Option<JobSpec> {
     let header: &JobSpecHeader = body.fixed()?;
     let type_lengths = match header.machine_types.get() {
@@ -154,14 +154,14 @@
     })
 }
 
-/// Whether there are tasks, and the amounts are finite and not negative.
+/// Returns whether there is at least one task, and all amounts are finite and not negative.
 fn has_valid_numbers(header: &JobSpecHeader) -> bool {
     let amounts = [header.cpus, header.gpus, header.ram, header.image_gb];
     let is_valid = |amount: &F64| amount.get().is_finite() && amount.get() >= 0.0;
     header.tasks.get() > 0 && amounts.iter().all(is_valid)
 }
 
-/// Writes a job's specification after its dependencies.
+/// Writes a job's dependencies, followed by its specification.
 pub(super) fn encode_dependent_spec(spec: &JobSpec, out: &mut FrameWriter) {
     out.fixed(&length(spec.dependencies.len()));
     for id in &spec.dependencies {
@@ -170,7 +170,7 @@
     encode_spec(spec, out);
 }
 
-/// Reads what `encode_dependent_spec` wrote; `None` if it is malformed or no valid job.
+/// Reads a job specification written by `encode_dependent_spec`; `None` if it is malformed or invalid.
 pub(super) fn decode_dependent_spec(mut body: FrameReader) -> Option<JobSpec> {
     let count = *body.fixed::<U32>()?;
     let dependencies = body.list(count, |b| {
--- a/src/peer/forwarding/tests.rs
+++ b/src/peer/forwarding/tests.rs
@@ -50,7 +50,7 @@
             assert!(read_frame(&mut &bytes[..cut]).is_err());
         }
         for cut in 0..body.len().saturating_sub(1) {
-            // Cut bodies are refused or, for an id, are another id; they never panic.
+            // A truncated body is rejected or, if it is an id, decodes as another id; it never panics.
             let got = decode_request(kind, &body[..cut]);
             assert!(![KIND_SUBMIT, KIND_SUBMIT_DEPENDENT].contains(&kind) || got.is_none());
         }
--- a/src/peer/frame.rs
+++ b/src/peer/frame.rs
@@ -1,5 +1,5 @@
-//! Frames: a header, then a body of the length that the header states and of the layout that its
-//! kind implies. Numbers are little-endian.
+//! Frames: a header, followed by a body. The header contains the length of the body and its kind, which
+//! determines the layout of the body. Numbers are little-endian.
 
 use std::io::{self, Read, Write};
 use zerocopy::byteorder::little_endian::{U16, U32};
@@ -7,8 +7,8 @@
 
 const MAGIC: u32 = 0x6275_726c;
 const VERSION: u8 = 1;
-/// Bytes of a body, at most. Larger than any submission that the public interface accepts, and than
-/// what one controller tells another at a time.
+/// Maximum size of a body, in bytes. Larger than any submission that the public interface accepts, and
+/// than any message that one controller sends another.
 const MAX_BODY_BYTES: usize = 640 * 1024;
 
 #[derive(FromBytes, IntoBytes, Immutable, KnownLayout, Unaligned)]
@@ -21,11 +21,11 @@
     body_length: U32,
 }
 
-/// Reads one frame: its kind and its body.
+/// Reads one frame; returns its kind and its body.
 ///
 /// # Errors
-/// Those of the stream, and `InvalidData` for a malformed header, upon which the connection is to
-/// be dropped.
+/// Those of the stream, and `InvalidData` for a malformed header; the caller then has to close the
+/// connection.
 pub fn read_frame(stream: &mut impl Read) -> io::Result<(u8, Vec<u8>)> {
     let mut header = [0u8; size_of::<FrameHeader>()];
     stream.read_exact(&mut header)?;
@@ -39,7 +39,7 @@
     Ok((header.kind, body))
 }
 
-/// Writes one frame, header included.
+/// Writes one encoded frame, which includes its header.
 ///
 /// # Errors
 /// Those of the stream.
@@ -47,7 +47,7 @@
     stream.write_all(frame)
 }
 
-/// The frame of this kind with this body.
+/// Encodes a frame of this kind with this body.
 pub(super) fn encode_frame(kind: u8, body: &[u8]) -> Vec<u8> {
     let header = FrameHeader {
         magic: U32::new(MAGIC),
@@ -61,49 +61,49 @@
     frame
 }
 
-/// The length of a list or a text, as it stands in a frame.
+/// Converts the length of a list or a text to its form in a frame.
 pub(super) fn length(length: usize) -> U32 {
     U32::new(length as u32)
 }
 
-/// Writes the body of a frame.
+/// Writer for the body of a frame.
 #[derive(Default)]
 pub(super) struct FrameWriter {
     body: Vec<u8>,
 }
 
 impl FrameWriter {
-    /// A part of fixed size.
+    /// Writes a part of fixed size.
     pub fn fixed(&mut self, part: &(impl IntoBytes + Immutable)) {
         self.bytes(part.as_bytes());
     }
 
-    /// Bytes whose length the reader knows.
+    /// Writes bytes whose length the reader knows.
     pub fn bytes(&mut self, bytes: &[u8]) {
         self.body.extend_from_slice(bytes);
     }
 
-    /// A name with its length before it. Names are far shorter than the length allows; a longer
-    /// text is cut, and is then unknown.
+    /// Writes a name, preceded by its length. Names are far shorter than the length field allows; a
+    /// longer text is truncated, and then matches no known name.
     pub fn text(&mut self, text: &str) {
         let bytes = &text.as_bytes()[..text.len().min(usize::from(u16::MAX))];
         self.fixed(&U16::new(bytes.len() as u16));
         self.bytes(bytes);
     }
 
-    /// A text that may be longer than a name, with its length before it.
+    /// Writes a text that may be longer than a name, preceded by its length.
     pub fn long_text(&mut self, text: &str) {
         self.fixed(&length(text.len()));
         self.bytes(text.as_bytes());
     }
 
-    /// The frame of this kind with what was written.
+    /// Returns a frame of this kind with the body that was written.
     pub fn finish(self, kind: u8) -> Vec<u8> {
         encode_frame(kind, &self.body)
     }
 }
 
-/// Reads the body of a frame. Each read is `None` if the body ends before, or is malformed.
+/// Reader for the body of a frame. Each read returns `None` if the body is too short or malformed.
 pub(super) struct FrameReader<'a> {
     rest: &'a [u8],
 }
@@ -113,7 +113,7 @@
         FrameReader { rest: body }
     }
 
-    /// A part of fixed size.
+    /// Reads a part of fixed size.
     pub fn fixed<T>(&mut self) -> Option<&'a T>
     where
         T: FromBytes + KnownLayout + Immutable + Unaligned,
@@ -123,18 +123,18 @@
         Some(part)
     }
 
-    /// A text of this many bytes.
+    /// Reads a text of this many bytes.
     pub fn text_of(&mut self, length: U32) -> Option<&'a str> {
         self.utf8(length.get() as usize)
     }
 
-    /// A name with its length before it.
+    /// Reads a name, preceded by its length.
     pub fn text(&mut self) -> Option<&'a str> {
         let length = self.fixed::<U16>()?.get();
         self.utf8(usize::from(length))
     }
 
-    /// A text that may be longer than a name, with its length before it.
+    /// Reads a text that may be longer than a name, preceded by its length.
     pub fn long_text(&mut self) -> Option<&'a str> {
         let length = self.fixed::<U32>()?;
         self.text_of(*length)
@@ -146,8 +146,8 @@
         std::str::from_utf8(text).ok()
     }
 
-    /// A list of as many items as stated. No memory is reserved for items before they are there, as
-    /// what is stated may be wrong.
+    /// Reads a list of `length` items. No memory is reserved in advance, as the length comes from the
+    /// network and may be wrong.
     pub fn list<T>(
         &mut self,
         length: U32,
@@ -160,13 +160,13 @@
         Some(items)
     }
 
-    /// The message that was read, if nothing follows it.
+    /// Returns the message that was read, if the body has no trailing bytes.
     pub fn finish<T>(self, message: T) -> Option<T> {
         self.rest.is_empty().then_some(message)
     }
 }
 
-/// The byte that stands for a value of an enum: its index among all values.
+/// Returns the byte that encodes a value of an enum: its index among all values.
 pub(super) fn index_of<T: PartialEq>(values: &[T], value: &T) -> u8 {
     values
         .iter()
@@ -174,7 +174,7 @@
         .unwrap_or(values.len()) as u8
 }
 
-/// The value of an enum that a byte stands for.
+/// Returns the value of an enum that a byte encodes.
 pub(super) fn value_at<T: Copy>(values: &[T], index: u8) -> Option<T> {
     values.get(usize::from(index)).copied()
 }
--- a/src/peer/heartbeat_batch.rs
+++ b/src/peer/heartbeat_batch.rs
@@ -1,13 +1,13 @@
-//! Heartbeats that a controller serving workers relays to the leader, and the leader's answers:
-//! frames of a fixed layout, like the others of `peer` and on the same port. One is in flight at a
-//! time between two controllers; what comes up meanwhile goes together in the next one.
+//! Batches of heartbeats that a controller serving workers relays to the leader, and the leader's
+//! responses. One batch at a time is in flight between two controllers; heartbeats that arrive
+//! meanwhile are sent together in the next one.
 //!
-//! A body is a part of fixed size, followed by lists, whose lengths it states; each text in them has
-//! its length before it. Versions that do not know these kinds drop the connection, and are left
-//! alone.
+//! A body consists of a header of fixed size, which contains the lengths of the lists, and of the lists;
+//! each text in them is preceded by its length. A version that does not know these kinds of frame closes
+//! the connection, and is sent no more of them.
 //!
-//! - `request`: the layout of the batch.
-//! - `response`: the layout of the leader's answer.
+//! - `request`: layout of the batch.
+//! - `response`: layout of the response.
 
 mod request;
 mod response;
@@ -23,23 +23,23 @@
 use std::time::Duration;
 use zerocopy::byteorder::little_endian::U32;
 
-/// The kind of frame that holds a `HeartbeatBatch`.
+/// Kind of the frame with a `HeartbeatBatch`.
 pub const KIND_HEARTBEAT_BATCH: u8 = 6;
-/// The kind of frame that holds a `HeartbeatBatchResponse`.
+/// Kind of the frame with a `HeartbeatBatchResponse`.
 pub const KIND_HEARTBEAT_BATCH_RESPONSE: u8 = 7;
 
-/// Bytes of heartbeats up to which a body is filled; the rest goes into the next frame.
+/// Size, in bytes, up to which a body is filled with heartbeats; the rest goes into the next frame.
 pub const TARGET_BODY_BYTES: usize = 56 * 1024;
-/// Bytes that the list of answered heartbeats takes in a frame. Together with the heartbeats, or
-/// with the responses to them, the other lists stay under what a frame may have; what does not fit
-/// follows in the next frames.
+/// Maximum size of the list of answered heartbeats in a frame, in bytes. With this limit and
+/// `MAX_NAMES_BYTES`, the lists and the heartbeats (or the responses to them) together stay below the
+/// maximum size of a frame; entries beyond the limits follow in the next frames.
 pub const MAX_ANSWERED_BYTES: usize = 300 * 1024;
-/// Bytes that a list of machines' names takes in a frame.
+/// Maximum size of a list of machine names in a frame, in bytes.
 pub const MAX_NAMES_BYTES: usize = 100 * 1024;
 
-/// No reclaim notice, or no time to retry after.
+/// Encoding of an absent number: no reclaim notice, or no time after which to retry.
 const ABSENT: u32 = u32::MAX;
-/// Seconds up to which a span is encoded.
+/// Maximum duration that is encoded, in seconds; longer ones are truncated to it.
 const MAX_DURATION_S: f64 = 1e6;
 
 /// A batch from a controller that serves workers.
@@ -47,115 +47,118 @@
 pub struct HeartbeatBatch {
     /// The controller's name.
     pub from: String,
-    /// Tells this process from an earlier one of the same name.
+    /// Incarnation of the controller: distinguishes this process from earlier ones with the same name.
     pub incarnation: u64,
-    /// Rises with each batch of a process.
+    /// Number of the batch, which increases with each batch of a process.
     pub number: u64,
-    /// The newest answer that it has taken in: the delegations that this one revoked have ended.
+    /// Number of the newest response that the controller has processed: the delegations that this
+    /// response revoked have ended.
     pub acknowledged: u64,
-    /// The bits of its `Capabilities`.
+    /// Bits of the controller's `Capabilities`.
     pub capabilities: u32,
-    /// Workers that it serves.
+    /// Number of workers that the controller serves.
     pub load: u32,
-    /// Workers that it has yet to show the fencing token to.
+    /// Number of workers that the controller has yet to probe with the fencing token.
     pub pending_probes: u32,
-    /// The term in which it last had a grant.
+    /// Term in which the controller last had a grant.
     pub term: u64,
-    /// Machines that it serves and will show the fencing token to; listed when a term begins.
+    /// Machines that the controller serves and will probe with the fencing token; listed when a term
+    /// begins.
     pub served: Vec<MachineId>,
-    /// Machines that gave no answer when they were shown the fencing token.
+    /// Machines that did not answer a probe with the fencing token.
     pub unanswered_probes: Vec<MachineId>,
-    /// Machines whose heartbeats it answered itself.
+    /// Heartbeats that the controller answered itself.
     pub answered: Vec<AnsweredHeartbeat>,
-    /// Heartbeats for the leader to take in.
+    /// Heartbeats for the leader to process.
     pub heartbeats: Vec<RelayedHeartbeat>,
 }
 
 /// A heartbeat that a controller answered itself, under a grant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AnsweredHeartbeat {
-    /// The machine that sent it.
+    /// Machine that sent the heartbeat.
     pub machine: MachineId,
-    /// Of the worker.
+    /// Incarnation of the worker.
     pub incarnation: u64,
-    /// Of the heartbeat.
+    /// Sequence number of the heartbeat.
     pub sequence: u64,
-    /// How long ago the heartbeat came.
+    /// Time since the heartbeat was received.
     pub age: Duration,
 }
 
-/// A heartbeat that the leader is to take in.
+/// A heartbeat that the leader has to process.
 #[derive(Clone, Debug)]
 pub struct RelayedHeartbeat {
-    /// Identifies the heartbeat in the response; 0: the answer to a probe, which wants none.
+    /// Identifies the heartbeat in the response. 0 marks the answer to a probe, which gets no response.
     pub id: u64,
-    /// The heartbeat as it came.
+    /// The heartbeat as received.
     pub heartbeat: Box<Heartbeat>,
 }
 
-/// The leader's answer to a batch.
+/// The leader's response to a batch.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HeartbeatBatchResponse {
-    /// Of the batch that it answers.
+    /// Number of the batch.
     pub number: u64,
-    /// The leader's.
+    /// Term of the leader.
     pub term: u64,
-    /// How long the leader is still proven to lead, from when it worked on the batch; zero: no
-    /// grant.
+    /// Duration of the grant: how long the leader is still certain to lead, from the time at which it
+    /// processed the batch. Zero means no grant.
     pub grant: Duration,
-    /// The leader takes no batches at all: this controller redirects its workers to it.
+    /// Whether the leader accepts no batches at all: the controller then redirects its workers to the
+    /// leader.
     pub refused: bool,
-    /// Machines whose delegation is revoked: their heartbeats are not to be answered from memory any
-    /// more.
+    /// Machines whose delegation is revoked: the controller no longer answers their heartbeats with a
+    /// cached response.
     pub revoked: Vec<MachineId>,
-    /// The responses to the heartbeats.
+    /// Responses to the heartbeats.
     pub responses: Vec<RelayedResponse>,
-    /// Workers to show the fencing token to, and their addresses.
+    /// Workers to probe with the fencing token, and their addresses.
     pub probes: Vec<(MachineId, String)>,
-    /// So many workers are to be sent to that controller.
+    /// Controllers to which workers are to be redirected, with the number of workers.
     pub reassignments: Vec<(String, u32)>,
-    /// What the leader knows of the other controllers.
+    /// Status of the other controllers, as known to the leader.
     pub members: Vec<MemberStatus>,
 }
 
-/// What the leader knows of a controller.
+/// Status of a controller, as known to the leader.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberStatus {
     /// The controller's name.
     pub name: String,
-    /// The bits of its `Capabilities`.
+    /// Bits of the controller's `Capabilities`.
     pub capabilities: u32,
-    /// Workers that it serves.
+    /// Number of workers that the controller serves.
     pub load: u32,
-    /// How long ago the leader had contact with it.
+    /// Time since the leader's last contact with the controller.
     pub age: Duration,
 }
 
 /// The response to one heartbeat.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RelayedResponse {
-    /// Of the heartbeat in the batch.
+    /// Id of the heartbeat in the batch.
     pub id: u64,
-    /// What to answer the worker.
+    /// Outcome to send to the worker.
     pub outcome: RelayedOutcome,
 }
 
-/// What to answer a worker.
+/// Outcome of a relayed heartbeat, to be sent to the worker.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RelayedOutcome {
-    /// The heartbeat was taken in.
+    /// The leader has processed the heartbeat.
     Commands {
-        /// The token to answer with.
+        /// Fencing token of the response.
         fencing_token: u64,
-        /// The commands for the worker.
+        /// Commands for the worker.
         commands: Vec<TaskCommand>,
-        /// The machine is delegated: until that is revoked, a heartbeat that says the same may be
-        /// answered with this token and no commands.
+        /// Whether the machine is delegated: until the delegation is revoked, the controller may answer
+        /// an unchanged heartbeat with this token and no commands.
         cacheable: bool,
     },
-    /// The heartbeat was not taken in.
+    /// The leader has not processed the heartbeat.
     Refused {
-        /// The HTTP status to answer with.
+        /// HTTP status of the response.
         status: u16,
         /// Seconds after which the worker may retry.
         retry_after: Option<u32>,
--- a/src/peer/heartbeat_batch/request.rs
+++ b/src/peer/heartbeat_batch/request.rs
@@ -1,4 +1,4 @@
-//! The layout of a `HeartbeatBatch` in a frame.
+//! Layout of a `HeartbeatBatch` in a frame.
 
 use super::{
     ABSENT, AnsweredHeartbeat, HeartbeatBatch, KIND_HEARTBEAT_BATCH, MAX_NAMES_BYTES,
@@ -27,7 +27,8 @@
     ExitCause::Other,
 ];
 const NO_EXIT_CAUSE: u8 = u8::MAX;
-/// The worker did not say whether there is a checkpoint; 0 and 1 are no and yes.
+/// Encoding for a task whose status does not contain whether the checkpoint was written; 0 means no
+/// and 1 means yes.
 const CHECKPOINT_UNKNOWN: u8 = 2;
 
 #[derive(FromBytes, IntoBytes, Immutable, KnownLayout, Unaligned)]
@@ -75,17 +76,17 @@
     checkpointed: u8,
 }
 
-/// The bytes that a machine's name takes in a frame.
+/// Returns the size of a machine's name in a frame, in bytes.
 pub(super) fn name_size(machine: &MachineId) -> usize {
     size_of::<U16>() + machine.len()
 }
 
-/// The bytes that an answered heartbeat of this machine takes in a frame.
+/// Returns the size of an answered heartbeat of this machine in a frame, in bytes.
 pub fn answered_heartbeat_size(machine: &MachineId) -> usize {
     size_of::<AnsweredHeartbeatHeader>() + name_size(machine)
 }
 
-/// How many of these machines, the first ones, a list of names in a frame takes.
+/// Returns how many of these machines, counted from the first, fit into a list of names in a frame.
 pub fn count_fitting_names<'a>(machines: impl IntoIterator<Item = &'a MachineId>) -> usize {
     let mut size = 0;
     let fits = |machine: &&MachineId| {
@@ -95,7 +96,7 @@
     machines.into_iter().take_while(fits).count()
 }
 
-/// Roughly the bytes that a heartbeat takes in a frame.
+/// Returns the approximate size of a heartbeat in a frame, in bytes.
 pub fn encoded_heartbeat_size(heartbeat: &Heartbeat) -> usize {
     const FIXED_BYTES: usize = 64;
     const TASK_BYTES: usize = 13;
@@ -111,7 +112,7 @@
         + tasks.map(|t| t.task.len() + TASK_BYTES).sum::<usize>()
 }
 
-/// The frame of a batch.
+/// Encodes a batch as a frame.
 pub fn encode_batch(batch: &HeartbeatBatch) -> Vec<u8> {
     let mut out = FrameWriter::default();
     out.fixed(&HeartbeatBatchHeader {
@@ -178,7 +179,7 @@
     out.text(&status.task);
 }
 
-/// The batch in the body of a frame; `None` if it is malformed.
+/// Decodes a batch from the body of a frame; `None` if it is malformed.
 pub fn decode_batch(body: &[u8]) -> Option<HeartbeatBatch> {
     let mut body = FrameReader::new(body);
     let header: &HeartbeatBatchHeader = body.fixed()?;
@@ -199,7 +200,7 @@
     body.finish(batch)
 }
 
-/// A machine's name in a list.
+/// Reads a machine's name in a list.
 pub(super) fn decode_name(body: &mut FrameReader) -> Option<MachineId> {
     body.text().map(MachineId::from)
 }
--- a/src/peer/heartbeat_batch/response.rs
+++ b/src/peer/heartbeat_batch/response.rs
@@ -1,4 +1,4 @@
-//! The layout of a `HeartbeatBatchResponse` in a frame.
+//! Layout of a `HeartbeatBatchResponse` in a frame.
 
 use super::request::decode_name;
 use super::{
@@ -10,7 +10,7 @@
 use zerocopy::byteorder::little_endian::{U16, U32, U64};
 use zerocopy::{FromBytes, Immutable, IntoBytes, KnownLayout, Unaligned};
 
-/// The status of a response with commands; any other is a refusal's.
+/// Status of a response with commands; any other status is that of a refusal.
 const STATUS_OK: u16 = 200;
 
 const VERB_START: u8 = 0;
@@ -58,7 +58,7 @@
     age_ms: U32,
 }
 
-/// The bytes that the response to a heartbeat takes in a frame.
+/// Returns the size of the response to a heartbeat in a frame, in bytes.
 pub fn response_size(commands: &[TaskCommand]) -> usize {
     let command_size = |command: &TaskCommand| {
         let (TaskCommand::Start { task, .. }
@@ -69,7 +69,7 @@
     size_of::<RelayedResponseHeader>() + commands.iter().map(command_size).sum::<usize>()
 }
 
-/// The frame of a response.
+/// Encodes a response as a frame.
 pub fn encode_batch_response(response: &HeartbeatBatchResponse) -> Vec<u8> {
     let mut out = FrameWriter::default();
     out.fixed(&HeartbeatBatchResponseHeader {
@@ -160,7 +160,7 @@
     out.text(task);
 }
 
-/// The response in the body of a frame; `None` if it is malformed.
+/// Decodes a response from the body of a frame; `None` if it is malformed.
 pub fn decode_batch_response(body: &[u8]) -> Option<HeartbeatBatchResponse> {
     let mut body = FrameReader::new(body);
     let header: &HeartbeatBatchResponseHeader = body.fixed()?;
--- a/src/peer/heartbeat_batch/tests.rs
+++ b/src/peer/heartbeat_batch/tests.rs
@@ -7,7 +7,7 @@
     crate::peer::read_frame(&mut &frame[..]).unwrap().1
 }
 
-/// A batch with one of everything.
+/// Returns a batch with at least one entry in each list.
 fn batch() -> HeartbeatBatch {
     let status = |state, why, saved| TaskStatus {
         task: "wk-000001/7".into(),
@@ -55,7 +55,7 @@
     }
 }
 
-/// A response with one of everything.
+/// Returns a response with at least one entry in each list.
 fn response() -> HeartbeatBatchResponse {
     let command = |grace| TaskCommand::Stop {
         task: "wk-000001/7".into(),
@@ -101,7 +101,7 @@
     let batch = batch();
     let bytes = body(&encode_batch(&batch));
     let back = decode_batch(&bytes).unwrap();
-    // `Heartbeat` has no equality of its own.
+    // `Heartbeat` does not implement `PartialEq`.
     assert_eq!(format!("{back:?}"), format!("{batch:?}"));
     assert!((0..bytes.len()).all(|cut| decode_batch(&bytes[..cut]).is_none()));
     let response = response();
@@ -110,7 +110,7 @@
     assert!((0..bytes.len()).all(|cut| decode_batch_response(&bytes[..cut]).is_none()));
 }
 
-/// The frames of `batch` and `response`, packed by hand from the layout that earlier versions read.
+/// The frames of `batch` and `response`, encoded by hand in the layout that earlier versions read.
 const BATCH_FRAME: &str = "6c72756201060000eb0000000500000000000000060000000000000004000000000000000900000000000000010000002c0100000c0000000100000001000000010000000100000002006e310800692d3030303030310800692d30303030303301000000000000000c00000000000000fa0000000800692d30303030303203000000000000000200000000000000630000000000000000000000000100004c1d000002000000010800692d3030303030310d0031302e302e302e313a3930303002006738010061fcffffffffffffff02ff020b00776b2d3030303030312f37fcffffffffffffff0402000b00776b2d3030303030312f37";
 const RESPONSE_FRAME: &str = "6c72756201070000b400000006000000000000000900000000000000600900000001000000020000000100000001000000010000000800692d30303030303203000000000000004d00000000000000c80001ffffffff01000000010400000000000000dc0500000b00776b2d3030303030312f3704000000000000000000000000000000f701001e000000000000000800692d3030303030390d0031302e302e302e393a393030301400000002006e3201000000070000002c01000002006e32";
 
@@ -124,12 +124,12 @@
     assert_eq!(hex(&encode_batch_response(&response())), RESPONSE_FRAME);
 }
 
-/// A name as long as some clouds give.
+/// Returns a machine name as long as those of some clouds.
 fn machine(number: usize) -> MachineId {
     format!("instance-0123456789abcdef-0123456-{number:06}").into()
 }
 
-/// As many of 6,000 machines as a list of names takes.
+/// Returns as many of 6,000 machine names as fit into a list of names.
 fn names() -> Vec<MachineId> {
     let mut names: Vec<MachineId> = (0..6000).map(machine).collect();
     names.truncate(count_fitting_names(&names));
@@ -180,7 +180,7 @@
         age: Duration::from_secs(1),
     };
     let max_answered = MAX_ANSWERED_BYTES / answered_heartbeat_size(&machine(0)) + 1;
-    // A report as long as a request may be takes no more than that in a frame.
+    // A heartbeat in an HTTP request of the maximum size takes no more than that size in a frame.
     let status = TaskStatus {
         task: "wk-000001/7".into(),
         attempt: 1,
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -1,12 +1,12 @@
-//! The protocol between controllers: frames of a fixed layout, read in place with `zerocopy`.
+//! The protocol between controllers: frames with a fixed layout, decoded in place with `zerocopy`.
 //!
-//! - `frame`: the header that all frames have, and reading and writing bodies.
-//! - `forwarding`: a follower forwards a user's request to the leader and relays its answer.
-//! - `heartbeat_batch`: a controller that serves workers exchanges their heartbeats and the leader's
-//!   answers with it.
-//! - `cache_exchange`: controllers ask what others remember of the store.
+//! - `frame`: the common header of all frames, and the reader and writer of bodies.
+//! - `forwarding`: a follower forwards a user's request to the leader and relays the answer.
+//! - `heartbeat_batch`: a controller that serves workers relays their heartbeats to the leader, which
+//!   responds with commands for the workers.
+//! - `cache_exchange`: controllers request each other's cached copies of the store.
 //!
-//! All share one port. Versions that do not know a kind of frame drop the connection.
+//! All of them share one port. A version that does not know a kind of frame closes the connection.
 
 pub mod cache_exchange;
 mod forwarding;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -102,7 +102,7 @@
     pub cancellation_deadline: Duration,
     /// Maximum requests per second to the state service, from all controllers together.
     ///
-    /// This is the smaller one of the limit in force and the one announced, as an announced limit
+    /// The value is the smaller one of the limit in force and the one announced, as an announced limit
     /// comes into force without notice. The same holds for the three limits below.
     pub store_rps: f64,
     /// Maximum changes per second to the state service, from all controllers together.
--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -30,7 +30,7 @@
     Field {
         /// Path of the field in the file, separated by dots.
         field: String,
-        /// Why the value is invalid.
+        /// Reason why the value is invalid.
         reason: Reason,
     },
 }
@@ -42,7 +42,7 @@
     }
 }
 
-/// Why the value of a field is invalid.
+/// Reason why the value of a field is invalid.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Reason {
     /// The text does not have the form "a.b.c.d:port".
