--- a/src/peer/cache_exchange.rs
+++ b/src/peer/cache_exchange.rs
@@ -1,43 +1,44 @@
-//! What controllers ask of each other's memory when the state service does not hold what they
-//! remember: frames of a fixed layout, like the others of `peer` and on the same port. Versions that
-//! do not know these kinds drop the connection, which counts as no answer.
+//! Requests of controllers for each other's cached copies of the store, for use when the state service
+//! lacks data that they have cached. A version that does not know these kinds of frame closes the
+//! connection, which counts as no response.
 
 use super::frame::{FrameReader, FrameWriter, length};
 use zerocopy::byteorder::little_endian::{U32, U64};
 use zerocopy::{FromBytes, Immutable, IntoBytes, KnownLayout, Unaligned};
 
-/// The kind of frame that holds a `CacheRequest`.
+/// Kind of the frame with a `CacheRequest`.
 pub const KIND_CACHE_REQUEST: u8 = 8;
-/// The kind of frame that holds a `CachePage`.
+/// Kind of the frame with a `CachePage`.
 pub const KIND_CACHE_PAGE: u8 = 9;
 
-/// Bytes up to which a page of a memory is filled: a few of them hold thousands of jobs, and one
-/// takes a controller well under its share's hundredth part of a second.
+/// Size, in bytes, up to which a page is filled. A few pages of this size hold thousands of jobs, and
+/// one takes well under 10 ms of the controller's CPU share.
 pub const PAGE_BYTES: usize = 192 * 1024;
 
-/// Asks for what a controller remembers, from after a key on.
+/// Request for a page of a controller's copy of the store.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CacheRequest {
-    /// No items are wanted: only what it knows of the store.
+    /// Whether only the summary is requested, without items.
     pub summary_only: bool,
-    /// The key after which the page begins; empty for the first page.
+    /// Key after which the page begins; empty for the first page.
     pub after: String,
 }
 
-/// A page of what a controller remembers.
+/// A page of a controller's copy of the store, with a summary of the copy.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CachePage {
-    /// It has read the store at least once.
+    /// Whether the controller has read the store at least once.
     pub store_loaded: bool,
-    /// The stores of which it remembers all, as one continued another; the newest last.
+    /// Identities of the stores of which the controller has a complete copy, each the successor of the
+    /// one before it; the newest is last.
     pub complete_stores: Vec<String>,
-    /// It remembers a term, or jobs: more than an empty store tells.
+    /// Whether the copy contains a term or jobs, and so more than an empty store.
     pub has_state: bool,
-    /// The newest term that it knows of, be it from a worker's token.
+    /// Newest term that the controller knows of, also from a worker's fencing token.
     pub term: u64,
-    /// There is more after the last item's key.
+    /// Whether more items follow after the last item's key.
     pub more: bool,
-    /// Keys and values (JSON) as the state service would hold them.
+    /// Keys and values (JSON), in the form in which the state service stores them.
     pub items: Vec<(String, String)>,
 }
 
@@ -58,7 +59,7 @@
     items: U32,
 }
 
-/// The frame of a request.
+/// Encodes a request as a frame.
 pub fn encode_cache_request(request: &CacheRequest) -> Vec<u8> {
     let mut out = FrameWriter::default();
     out.fixed(&CacheRequestHeader {
@@ -68,7 +69,7 @@
     out.finish(KIND_CACHE_REQUEST)
 }
 
-/// The request in the body of a frame; `None` if it is malformed.
+/// Decodes a request from the body of a frame; `None` if it is malformed.
 pub fn decode_cache_request(body: &[u8]) -> Option<CacheRequest> {
     let mut body = FrameReader::new(body);
     let header: &CacheRequestHeader = body.fixed()?;
@@ -79,7 +80,7 @@
     body.finish(request)
 }
 
-/// The frame of a page.
+/// Encodes a page as a frame.
 pub fn encode_cache_page(page: &CachePage) -> Vec<u8> {
     let mut out = FrameWriter::default();
     out.fixed(&CachePageHeader {
@@ -100,7 +101,7 @@
     out.finish(KIND_CACHE_PAGE)
 }
 
-/// The page in the body of a frame; `None` if it is malformed.
+/// Decodes a page from the body of a frame; `None` if it is malformed.
 pub fn decode_cache_page(body: &[u8]) -> Option<CachePage> {
     let mut body = FrameReader::new(body);
     let header: &CachePageHeader = body.fixed()?;
--- a/src/peer/cache_exchange/tests.rs
+++ b/src/peer/cache_exchange/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-/// What comes from the network is never believed beyond what is there.
+/// Lengths in a frame come from the network: a body shorter than they say must not be decoded.
 #[test]
-fn frames_of_memory_come_back_whole_and_cut_ones_not_at_all() {
+fn frames_round_trip_and_truncated_ones_are_rejected() {
     let request = CacheRequest {
         summary_only: true,
         after: "burlusher/j/wk-000412".into(),
@@ -27,7 +27,8 @@
     }
 }
 
-/// The frames below, packed by hand from the layout that earlier versions read.
+/// The frames of the request and the page in the test below, encoded by hand in the layout that earlier
+/// versions read.
 const REQUEST_FRAME: &str =
     "6c72756201080000180000000115006275726c75736865722f6a2f776b2d303030343132";
 const PAGE_FRAME: &str = "6c727562010900003300000007000000000000000101010200000001000000020034650200346610006275726c75736865722f6a2f776b2d31020000007b7d";
