--- a/crates/market/src/arrivals.rs
+++ b/crates/market/src/arrivals.rs
@@ -33,9 +33,9 @@
 
 impl DecayingRate {
     fn advance(&mut self, seconds: f64, decay_s: f64) {
-        let kept = (-seconds / decay_s).exp();
-        self.jobs *= kept;
-        self.seconds = self.seconds * kept + decay_s * (1.0 - kept);
+        let decay = (-seconds / decay_s).exp();
+        self.jobs *= decay;
+        self.seconds = self.seconds * decay + decay_s * (1.0 - decay);
     }
 
     fn per_second(&self) -> f64 {
@@ -83,8 +83,8 @@
         }
         let baseline = self.baseline.per_second();
         let span = self.recent.seconds.max(1.0);
-        let chance = SURGE_DEVIATIONS * (baseline * span).sqrt() / span;
-        (self.recent.per_second() - baseline - chance).max(0.0)
+        let noise = SURGE_DEVIATIONS * (baseline * span).sqrt() / span;
+        (self.recent.per_second() - baseline - noise).max(0.0)
     }
 
     /// Mean number of a job's tasks, and a task's mean run time.
--- a/crates/market/src/arrivals/tests.rs
+++ b/crates/market/src/arrivals/tests.rs
@@ -1,21 +1,21 @@
 use super::*;
 
 #[test]
-fn a_burst_is_seen_within_seconds_and_forgotten_soon_after() {
+fn a_burst_is_detected_within_seconds_and_decays_soon_after() {
     let t0 = Instant::now();
     let at = |s: f64| t0 + Duration::from_secs_f64(s);
-    let mut d = ArrivalEstimate::new(t0);
-    assert_eq!(d.surge(at(0.0)), 0.0);
+    let mut estimate = ArrivalEstimate::new(t0);
+    assert_eq!(estimate.surge(at(0.0)), 0.0);
     for i in 0..120 {
-        d.record(at(f64::from(i) * 2.0), 100, Duration::from_secs(10));
+        estimate.record(at(f64::from(i) * 2.0), 100, Duration::from_secs(10));
     }
-    assert_eq!(d.surge(at(240.0)), 0.0, "as many as ever");
+    assert_eq!(estimate.surge(at(240.0)), 0.0, "as many as ever");
     for i in 0..30 {
-        d.record(at(240.0 + f64::from(i) * 0.5), 100, Duration::from_secs(10));
+        estimate.record(at(240.0 + f64::from(i) * 0.5), 100, Duration::from_secs(10));
     }
     // Four times as many for a quarter of a minute: most of what is beyond the usual is seen.
-    let burst = d.surge(at(255.0));
+    let burst = estimate.surge(at(255.0));
     assert!((0.5..1.5).contains(&burst), "{burst}");
-    assert_eq!(d.surge(at(300.0)), 0.0);
-    assert_eq!(d.mean_size(), (100.0, Duration::from_secs(10)));
+    assert_eq!(estimate.surge(at(300.0)), 0.0);
+    assert_eq!(estimate.mean_size(), (100.0, Duration::from_secs(10)));
 }
--- a/crates/market/src/clearing.rs
+++ b/crates/market/src/clearing.rs
@@ -18,7 +18,7 @@
 use crate::Offer;
 use crate::delay_cost::DelayCost;
 use crate::zone_balance::ZoneBalance;
-use columns::{Column, ColumnFit, STAY_PARTS};
+use columns::{Column, ColumnFit, LIFETIME_SEGMENTS};
 use siphasher::sip::SipHasher13;
 use std::hash::Hasher;
 use std::time::Duration;
@@ -142,8 +142,8 @@
 
 /// The program that clearing would solve, for measuring other ways to solve it.
 pub fn build_program(bids: &[Bid], batches: &[OfferBatch], balance: &ZoneBalance) -> LinearProgram {
-    let bids = similar_bids::bounded(bids);
-    let columns = columns::columns(batches, balance);
+    let bids = similar_bids::limit_count(bids);
+    let columns = columns::build_columns(batches, balance);
     let fits = columns::column_fits(&bids, batches, &columns);
     Clearing::new(&bids, batches, &columns, &fits)
         .build_program()
@@ -163,12 +163,12 @@
     balance: &ZoneBalance,
     solver: Solver,
 ) -> ClearingResult {
-    let bids = similar_bids::bounded(bids);
-    let columns = columns::columns(batches, balance);
+    let bids = similar_bids::limit_count(bids);
+    let columns = columns::build_columns(batches, balance);
     let fits = columns::column_fits(&bids, batches, &columns);
     let mut clearing = Clearing::new(&bids, batches, &columns, &fits);
     let mut method = Method::Greedy;
-    let variables = fits.iter().flatten().flatten().count() * STAY_PARTS + columns.len();
+    let variables = fits.iter().flatten().flatten().count() * LIFETIME_SEGMENTS + columns.len();
     let try_program = solver == Solver::ProgramThenGreedy && variables <= MAX_VARIABLES;
     if try_program && clearing.solve_program() {
         method = Method::LinearProgram;
--- a/crates/market/src/clearing/greedy.rs
+++ b/crates/market/src/clearing/greedy.rs
@@ -1,12 +1,12 @@
 //! Greedy clearing: the best machine first, until none is worth its money.
 
-use super::columns::{PART_ENDS, STAY_PARTS};
+use super::columns::{LIFETIME_SEGMENTS, SEGMENT_ENDS};
 use super::{Clearing, EPSILON};
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BinaryHeap};
 
 /// No more machines than this are added at once.
-const MAX_ALIKE: f64 = 1e6;
+const MAX_MACHINES_AT_ONCE: f64 = 1e6;
 
 /// What one machine of a column would serve at best.
 struct MachineFill {
@@ -22,7 +22,7 @@
     /// What a task saves for each second of a machine.
     rate: f64,
     bid: usize,
-    part: usize,
+    segment: usize,
 }
 
 /// A column and what it saves for each unit of its cost, at most.
@@ -76,9 +76,11 @@
                 continue;
             }
             let served = fill.served.iter();
-            let alike = served.map(|(bid, tasks)| (self.remaining[*bid] / tasks).floor());
-            let alike = alike.fold(f64::INFINITY, f64::min).clamp(1.0, MAX_ALIKE);
-            let count = (alike as u32).min(self.available[column.batch]);
+            let repeats = served.map(|(bid, tasks)| (self.remaining[*bid] / tasks).floor());
+            let repeats = repeats
+                .fold(f64::INFINITY, f64::min)
+                .clamp(1.0, MAX_MACHINES_AT_ONCE);
+            let count = (repeats as u32).min(self.available[column.batch]);
             self.add_machines(column, count);
             self.saved += fill.saved * f64::from(count);
             for (bid, tasks) in fill.served {
@@ -93,26 +95,26 @@
     fn best_fill(&self, index: usize) -> MachineFill {
         let column = &self.columns[index];
         let fits = &self.fits[index];
-        let mut room = PART_ENDS.map(|end| column.stay_s * end);
+        let mut capacity = SEGMENT_ENDS.map(|end| column.lifetime_s * end);
         let mut saved = 0.0;
         let mut served: BTreeMap<usize, f64> = BTreeMap::new();
-        for FillOption { bid, part, .. } in self.fill_options(index) {
+        for FillOption { bid, segment, .. } in self.fill_options(index) {
             let Some(fit) = fits[bid] else { continue };
-            let machine_seconds = fit.machine_seconds[part];
-            let already = served.get(&bid).copied().unwrap_or(0.0);
-            let room_for = room
+            let machine_seconds = fit.machine_seconds[segment];
+            let already_served = served.get(&bid).copied().unwrap_or(0.0);
+            let limits = capacity
                 .iter()
                 .zip(machine_seconds)
-                .skip(part)
-                .map(|(room, seconds)| room / seconds.max(EPSILON));
-            let tasks = room_for.fold(self.remaining[bid] - already, f64::min);
+                .skip(segment)
+                .map(|(capacity, seconds)| capacity / seconds.max(EPSILON));
+            let tasks = limits.fold(self.remaining[bid] - already_served, f64::min);
             if tasks <= EPSILON {
                 continue;
             }
-            for (room, seconds) in room.iter_mut().zip(machine_seconds).skip(part) {
-                *room -= tasks * seconds;
+            for (capacity, seconds) in capacity.iter_mut().zip(machine_seconds).skip(segment) {
+                *capacity -= tasks * seconds;
             }
-            saved += tasks * fit.value[part];
+            saved += tasks * fit.value[segment];
             *served.entry(bid).or_default() += tasks;
         }
         MachineFill {
@@ -129,19 +131,19 @@
             let Some(fit) = fit.filter(|_| self.remaining[bid] > EPSILON) else {
                 continue;
             };
-            for (part, value) in fit.value.iter().enumerate() {
+            for (segment, value) in fit.value.iter().enumerate() {
                 if *value > EPSILON {
                     options.push(FillOption {
-                        rate: value / fit.machine_seconds[part][STAY_PARTS - 1],
+                        rate: value / fit.machine_seconds[segment][LIFETIME_SEGMENTS - 1],
                         bid,
-                        part,
+                        segment,
                     });
                 }
             }
         }
         options.sort_by(|a, b| {
             let by_rate = b.rate.total_cmp(&a.rate);
-            by_rate.then((a.bid, a.part).cmp(&(b.bid, b.part)))
+            by_rate.then((a.bid, a.segment).cmp(&(b.bid, b.segment)))
         });
         options
     }
--- a/crates/market/src/clearing/linear_program.rs
+++ b/crates/market/src/clearing/linear_program.rs
@@ -1,6 +1,6 @@
 //! The linear program of a clearing, solved by the simplex method and rounded to whole machines.
 
-use super::columns::{PART_ENDS, STAY_PARTS};
+use super::columns::{LIFETIME_SEGMENTS, SEGMENT_ENDS};
 use super::{Clearing, EPSILON};
 use microlp::{ComparisonOp, OptimizationDirection, Problem, SolveOptions, Variable};
 use std::collections::BTreeMap;
@@ -8,7 +8,7 @@
 /// As many machines as this are as good as any number.
 const MAX_MACHINES: u32 = 1_000_000;
 /// What is a rounding error below a whole machine is a whole one.
-const ROUNDING: f64 = 1e-6;
+const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 /// One side of a constraint: variables with their coefficients.
 type Terms = Vec<(usize, f64)>;
@@ -109,17 +109,17 @@
     fn add_column(&self, program: &mut LinearProgram, index: usize) -> ColumnVariables {
         let column = &self.columns[index];
         let machines = program.add_variable(-column.cost, self.available_machines(column.batch));
-        let mut room: [Terms; STAY_PARTS] = Default::default();
+        let mut capacity: [Terms; LIFETIME_SEGMENTS] = Default::default();
         let mut served = Vec::new();
         for (bid, fit) in self.fits[index].iter().enumerate() {
             let Some(fit) = fit else { continue };
-            for (part, value) in fit.value.iter().enumerate() {
+            for (segment, value) in fit.value.iter().enumerate() {
                 if *value <= EPSILON {
                     continue;
                 }
                 let variable = program.add_variable(*value, self.remaining[bid]);
-                let machine_seconds = fit.machine_seconds[part];
-                for (terms, seconds) in room.iter_mut().zip(machine_seconds).skip(part) {
+                let machine_seconds = fit.machine_seconds[segment];
+                for (terms, seconds) in capacity.iter_mut().zip(machine_seconds).skip(segment) {
                     terms.push((variable, seconds));
                 }
                 served.push(ServedVariable {
@@ -130,8 +130,8 @@
             }
         }
         // Room in seconds of a machine, until the end of each part.
-        for (mut terms, end) in room.into_iter().zip(PART_ENDS) {
-            terms.push((machines, -column.stay_s * end));
+        for (mut terms, end) in capacity.into_iter().zip(SEGMENT_ENDS) {
+            terms.push((machines, -column.lifetime_s * end));
             program.constraints.push((terms, 0.0));
         }
         ColumnVariables {
@@ -158,16 +158,16 @@
 
     fn apply_solution(&mut self, variables: &ColumnVariables, values: &[f64]) {
         let wanted = values[variables.machines];
-        let whole = (wanted + ROUNDING).floor();
+        let whole = (wanted + ROUNDING_TOLERANCE).floor();
         if whole < 1.0 {
             return;
         }
-        let kept = (whole / wanted).min(1.0);
+        let scale = (whole / wanted).min(1.0);
         let column = &self.columns[variables.column];
         let count = (whole as u32).min(self.available[column.batch]);
         self.add_machines(column, count);
         for served in &variables.served {
-            let tasks = (values[served.variable] * kept).clamp(0.0, self.remaining[served.bid]);
+            let tasks = (values[served.variable] * scale).clamp(0.0, self.remaining[served.bid]);
             self.remaining[served.bid] -= tasks;
             self.saved += served.value * tasks;
         }
--- a/crates/market/src/clearing/similar_bids.rs
+++ b/crates/market/src/clearing/similar_bids.rs
@@ -45,7 +45,7 @@
 }
 
 /// The bids themselves, or merged where there are too many.
-pub(super) fn bounded(bids: &[Bid]) -> Cow<'_, [Bid]> {
+pub(super) fn limit_count(bids: &[Bid]) -> Cow<'_, [Bid]> {
     if bids.len() > MAX_BIDS {
         Cow::Owned(merge(bids))
     } else {
@@ -54,13 +54,13 @@
 }
 
 /// Similar bids as one, for which the largest of them stands.
-struct Merged {
+struct MergedBid {
     bid: Bid,
     largest: f64,
 }
 
 fn merge(bids: &[Bid]) -> Vec<Bid> {
-    let mut merged: BTreeMap<SimilarityKey, Merged> = BTreeMap::new();
+    let mut merged: BTreeMap<SimilarityKey, MergedBid> = BTreeMap::new();
     for bid in bids.iter().filter(|bid| bid.tasks > 0.0) {
         match merged.get_mut(&SimilarityKey::of(bid)) {
             Some(kept) => {
@@ -72,7 +72,7 @@
                 kept.bid.tasks = tasks;
             }
             None => {
-                let first = Merged {
+                let first = MergedBid {
                     bid: bid.clone(),
                     largest: bid.tasks,
                 };
--- a/crates/market/src/clearing/tests.rs
+++ b/crates/market/src/clearing/tests.rs
@@ -52,66 +52,70 @@
         .collect()
 }
 
-fn anywhere() -> ZoneBalance {
+fn no_zone_limit() -> ZoneBalance {
     ZoneBalance::new(["a", "b"], 1.0)
 }
 
 #[test]
-fn a_dear_market_is_paid_for_only_by_what_loses_more_by_waiting() {
+fn an_expensive_market_is_used_only_where_waiting_costs_more() {
     let batches = [batch("k", "a", false, 1.0), batch("k", "a", true, 0.3)];
     let late = [bid(30.0, 120.0, 50.0, 50.0, 2)];
-    let c = clear(&late, &batches, &anywhere());
+    let c = clear(&late, &batches, &no_zone_limit());
     assert!(c.saved > c.cost && c.method == Method::LinearProgram);
     let got = counts(&c, &batches);
     assert!(got[&batches[1].offer] >= 5 && !got.contains_key(&batches[0].offer));
     // The cheap one refuses: the dear one is worth it as well, and for little it is not.
     let mut refused = batches.clone();
     refused[1].available = 0;
-    let c = clear(&late, &refused, &anywhere());
+    let c = clear(&late, &refused, &no_zone_limit());
     assert!(counts(&c, &batches)[&batches[0].offer] >= 5);
     let little = [bid(30.0, 120.0, 50.0, 2.0, 2)];
-    let c = clear(&little, &refused, &anywhere());
+    let c = clear(&little, &refused, &no_zone_limit());
     assert_eq!((c.method, c.unserved), (Method::Nothing, 30.0));
     // A price that moves by a third between two steps moves the choice.
     let both = [batch("k", "a", false, 1.0), batch("l", "a", false, 1.1)];
-    let first = clear(&late, &both, &anywhere());
+    let first = clear(&late, &both, &no_zone_limit());
     let mut moved = both.clone();
     moved[0].price = 1.33;
-    let then = clear(&late, &moved, &anywhere());
+    let then = clear(&late, &moved, &no_zone_limit());
     assert!(counts(&first, &both).contains_key(&both[0].offer));
     assert!(!counts(&then, &both).contains_key(&both[0].offer));
 }
 
 #[test]
-fn work_without_worth_or_in_time_anyway_gets_nothing() {
+fn bids_that_gain_nothing_get_no_machines() {
     let batches = [batch("k", "a", false, 0.01)];
-    let mut nil = bid(50.0, 500.0, 50.0, 0.0, 1);
-    nil.delay_cost = DelayCost::default();
+    let mut no_delay_cost = bid(50.0, 500.0, 50.0, 0.0, 1);
+    no_delay_cost.delay_cost = DelayCost::default();
     let in_time = bid(50.0, 20.0, 90.0, 1e6, 1);
     // No machine can be there before it is too late.
-    let lost = bid(50.0, 100.0, 3.0, 1e6, 1);
-    let c = clear(&[nil, in_time, lost], &batches, &anywhere());
+    let unavoidably_late = bid(50.0, 100.0, 3.0, 1e6, 1);
+    let c = clear(
+        &[no_delay_cost, in_time, unavoidably_late],
+        &batches,
+        &no_zone_limit(),
+    );
     assert_eq!((c.method, c.awards.len()), (Method::Nothing, 0));
-    let nothing = clear(&[], &batches, &anywhere());
-    assert!(nothing.awards.is_empty() && clear(&[], &[], &anywhere()).awards.is_empty());
+    let nothing = clear(&[], &batches, &no_zone_limit());
+    assert!(nothing.awards.is_empty() && clear(&[], &[], &no_zone_limit()).awards.is_empty());
 }
 
 #[test]
-fn where_there_is_too_little_for_all_the_dearest_losses_are_spared_first() {
+fn scarce_machines_go_to_the_bids_with_the_highest_loss() {
     let mut batches = [batch("k", "a", false, 0.5)];
     batches[0].available = 4;
     let urgent = bid(8.0, 200.0, 60.0, 500.0, 1);
     let slow = bid(400.0, 200.0, 60.0, 40.0, 1);
-    let c = clear(&[slow.clone(), urgent], &batches, &anywhere());
+    let c = clear(&[slow.clone(), urgent], &batches, &no_zone_limit());
     assert_eq!(c.awards, [Award { batch: 0, count: 4 }]);
     assert!(c.saved > 8.0 * 400.0, "{}", c.saved);
     // Without the urgent ones, the slow ones get the machines: no bid starves.
-    let c = clear(&[slow], &batches, &anywhere());
+    let c = clear(&[slow], &batches, &no_zone_limit());
     assert_eq!(c.awards, [Award { batch: 0, count: 4 }]);
 }
 
 #[test]
-fn an_exact_tie_is_settled_alike_by_every_process_whatever_the_order() {
+fn ties_are_broken_independently_of_the_order_of_batches() {
     let batches = vec![
         batch("k", "a", false, 1.0),
         batch("k", "b", false, 1.0),
@@ -122,19 +126,19 @@
         bid(7.0, 120.0, 50.0, 50.0, 4),
         bid(7.0, 120.0, 50.0, 50.0, 4),
     ];
-    let here = counts(&clear(&bids, &batches, &anywhere()), &batches);
-    let turned: Vec<OfferBatch> = batches.iter().rev().cloned().collect();
-    let there = counts(&clear(&bids, &turned, &anywhere()), &turned);
-    assert_eq!(here, there);
-    let kinds: Vec<&String> = here.keys().map(|o| &o.machine_type).collect();
-    assert!(kinds.windows(2).all(|k| k[0] == k[1]), "{here:?}");
+    let forward_counts = counts(&clear(&bids, &batches, &no_zone_limit()), &batches);
+    let reversed: Vec<OfferBatch> = batches.iter().rev().cloned().collect();
+    let reversed_counts = counts(&clear(&bids, &reversed, &no_zone_limit()), &reversed);
+    assert_eq!(forward_counts, reversed_counts);
+    let kinds: Vec<&String> = forward_counts.keys().map(|o| &o.machine_type).collect();
+    assert!(kinds.windows(2).all(|k| k[0] == k[1]), "{forward_counts:?}");
     // Of the same kind and price, zones share the provisioned machines.
-    let by_zone: Vec<u32> = here.values().copied().collect();
+    let by_zone: Vec<u32> = forward_counts.values().copied().collect();
     assert!(by_zone.len() == 2 && by_zone[0].abs_diff(by_zone[1]) <= 1);
 }
 
 #[test]
-fn a_zone_beyond_its_share_is_paid_less_for_and_one_without_another_still_served() {
+fn an_overfull_zone_is_avoided_unless_it_is_the_only_one() {
     let mut batches = vec![batch("k", "a", false, 1.0), batch("k", "b", false, 1.05)];
     let late = [bid(30.0, 120.0, 50.0, 500.0, 2)];
     let mut balance = ZoneBalance::new(["a", "b"], 0.1);
@@ -149,18 +153,18 @@
 }
 
 #[test]
-fn whatever_is_asked_awards_stay_within_what_is_likely_and_save_more_than_they_cost() {
+fn awards_of_random_input_stay_within_availability_and_save_more_than_they_cost() {
     for seed in 0..60 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let batches: Vec<OfferBatch> = (0..rng.random_range(1..12))
             .map(|i| {
                 let zone = if i % 2 == 0 { "a" } else { "b" };
-                let mut l = batch(&format!("k{}", i / 4), zone, i % 3 == 0, 1.0);
-                l.price = rng.random_range(0.1..6.0);
-                l.available = rng.random_range(0..40);
-                l.ready_in = s(rng.random_range(0.0..60.0));
-                l.loss_rate = rng.random_range(0.0..0.01);
-                l
+                let mut offer_batch = batch(&format!("k{}", i / 4), zone, i % 3 == 0, 1.0);
+                offer_batch.price = rng.random_range(0.1..6.0);
+                offer_batch.available = rng.random_range(0..40);
+                offer_batch.ready_in = s(rng.random_range(0.0..60.0));
+                offer_batch.loss_rate = rng.random_range(0.0..0.01);
+                offer_batch
             })
             .collect();
         let bids: Vec<Bid> = (0..rng.random_range(0..200))
@@ -171,9 +175,9 @@
                 let tasks = f64::from(rng.random_range(0..300u32));
                 let mut b = bid(tasks, after, by, loss, batches.len());
                 b.runtime = s(rng.random_range(0.1..400.0));
-                for c in &mut b.machine_fits {
+                for fit in &mut b.machine_fits {
                     let tasks_per_machine = rng.random_range(0..17u32);
-                    *c = (tasks_per_machine > 0).then_some(MachineFit {
+                    *fit = (tasks_per_machine > 0).then_some(MachineFit {
                         tasks_per_machine,
                         fetch: s(rng.random_range(0.0..20.0)),
                     });
@@ -182,8 +186,8 @@
             })
             .collect();
         for c in [
-            clear(&bids, &batches, &anywhere()),
-            clear_greedy(&bids, &batches, &anywhere()),
+            clear(&bids, &batches, &no_zone_limit()),
+            clear_greedy(&bids, &batches, &no_zone_limit()),
         ] {
             for a in &c.awards {
                 assert!(a.count <= batches[a.batch].available, "seed {seed}");
@@ -196,7 +200,7 @@
 
 /// The linear program's value before machines are whole is what nothing can beat.
 #[test]
-fn the_greedy_way_stays_near_the_bound_that_the_program_gives() {
+fn greedy_clearing_stays_near_the_bound_of_the_linear_program() {
     let (mut saved, mut bound) = (0.0, 0.0);
     for seed in 0..12 {
         let mut rng = SmallRng::seed_from_u64(seed);
@@ -206,10 +210,10 @@
                 let (size, ready) = kinds[i / 4];
                 let price = size * if i % 2 == 0 { 0.033 } else { 0.085 };
                 let zone = if i % 4 < 2 { "a" } else { "b" };
-                let mut l = batch(&format!("k{}", i / 4), zone, i % 2 == 0, price);
-                (l.machine_size, l.ready_in) = (size, s(ready));
-                l.available = if i % 2 == 0 { 5 } else { 200 };
-                l
+                let mut offer_batch = batch(&format!("k{}", i / 4), zone, i % 2 == 0, price);
+                (offer_batch.machine_size, offer_batch.ready_in) = (size, s(ready));
+                offer_batch.available = if i % 2 == 0 { 5 } else { 200 };
+                offer_batch
             })
             .collect();
         let bids: Vec<Bid> = (0..8)
@@ -219,9 +223,9 @@
                 let after = rng.random_range(30.0..240.0);
                 let mut b = bid(60.0, after, rng.random_range(20.0..120.0), loss, 12);
                 b.runtime = s(run);
-                for (c, l) in b.machine_fits.iter_mut().zip(&batches) {
-                    let tasks_per_machine = (l.machine_size / 4.0) as u32;
-                    *c = Some(MachineFit {
+                for (fit, offer_batch) in b.machine_fits.iter_mut().zip(&batches) {
+                    let tasks_per_machine = (offer_batch.machine_size / 4.0) as u32;
+                    *fit = Some(MachineFit {
                         tasks_per_machine,
                         fetch: s(3.0),
                     });
@@ -229,10 +233,10 @@
                 b
             })
             .collect();
-        let program = build_program(&bids, &batches, &anywhere());
+        let program = build_program(&bids, &batches, &no_zone_limit());
         let x = program.solve().unwrap();
         bound += program.gains.iter().zip(x).map(|(g, x)| g * x).sum::<f64>();
-        let c = clear_greedy(&bids, &batches, &anywhere());
+        let c = clear_greedy(&bids, &batches, &no_zone_limit());
         saved += c.saved - c.cost;
     }
     assert!(
--- a/crates/market/src/delay_cost.rs
+++ b/crates/market/src/delay_cost.rs
@@ -7,7 +7,7 @@
 const RELATIVE_UNCERTAINTY: f64 = 0.25;
 const MIN_UNCERTAINTY_S: f64 = 2.0;
 /// The most that one missed task weighs.
-const MAX_WEIGHT: f64 = 200.0;
+const MAX_OBJECTIVE_WEIGHT: f64 = 200.0;
 
 /// An objective that can still be met: the task has to start in time, or the loss is there.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -86,7 +86,7 @@
     if !(0.0..=1.0).contains(&share) || share == 0.0 {
         return 1.0;
     }
-    (1.0 / (1.0 - share).max(1.0 / MAX_WEIGHT)).max(1.0)
+    (1.0 / (1.0 - share).max(1.0 / MAX_OBJECTIVE_WEIGHT)).max(1.0)
 }
 
 /// What missing an objective of this share costs a task, where a task costs `nominal_cost` at
--- a/crates/market/src/delay_cost/tests.rs
+++ b/crates/market/src/delay_cost/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn a_later_start_never_costs_less_and_a_missed_aim_costs_no_more() {
+fn loss_never_falls_with_delay_and_a_missed_objective_is_charged_once() {
     let objectives = vec![
         ServiceLevelObjective {
             start_within: s(60.0),
@@ -23,18 +23,21 @@
             miss_cost: -1.0,
         },
     ];
-    let w = DelayCost::new(objectives, 0.01);
-    let losses: Vec<f64> = (0..200).map(|i| w.loss(s(f64::from(i)))).collect();
+    let cost = DelayCost::new(objectives, 0.01);
+    let losses: Vec<f64> = (0..200).map(|i| cost.loss(s(f64::from(i)))).collect();
     assert!(losses.windows(2).all(|p| p[0] <= p[1]));
-    assert_eq!(w.loss(Duration::ZERO), 0.0);
-    assert!((w.loss(s(20.0)) - 5.2).abs() < 1e-9, "half of it is lost");
-    assert!((w.gain(s(300.0), s(100.0)) - 2.0).abs() < 1e-9);
+    assert_eq!(cost.loss(Duration::ZERO), 0.0);
+    assert!(
+        (cost.loss(s(20.0)) - 5.2).abs() < 1e-9,
+        "half of it is lost"
+    );
+    assert!((cost.gain(s(300.0), s(100.0)) - 2.0).abs() < 1e-9);
     assert!(DelayCost::new(Vec::new(), f64::NAN).is_zero());
 }
 
 /// Where run times are unsure, starting late may still do, and a little late is a little lost.
 #[test]
-fn an_unsure_aim_is_lost_bit_by_bit() {
+fn loss_rises_gradually_when_the_run_time_is_uncertain() {
     let objective = |uncertainty: f64| ServiceLevelObjective {
         start_within: s(20.0),
         uncertainty: s(uncertainty),
@@ -50,7 +53,7 @@
 }
 
 #[test]
-fn a_tighter_share_makes_a_miss_dearer() {
+fn a_higher_objective_share_raises_the_cost_of_a_miss() {
     assert!((objective_weight(0.975) - 40.0).abs() < 1e-9);
     assert!((objective_weight(0.85) - 1.0 / 0.15).abs() < 1e-9);
     // What settings may hold beside shares must not make work priceless.
--- a/crates/market/src/estimates.rs
+++ b/crates/market/src/estimates.rs
@@ -14,7 +14,7 @@
 const INITIAL_BACKOFF: Duration = Duration::from_secs(4);
 const MAX_BACKOFF: Duration = Duration::from_secs(12);
 /// If it refuses again within this time after the backoff, the backoff doubles.
-const REFUSAL_MEMORY: Duration = Duration::from_secs(30);
+const REFUSAL_RETENTION: Duration = Duration::from_secs(30);
 /// After a refusal a market is asked for no more than what it last gave and a few: it mostly has
 /// as many as were given back. The allowance doubles with every answer in full.
 const PROBE_MACHINES: u32 = 8;
@@ -46,12 +46,12 @@
 }
 
 impl Refusal {
-    fn is_in_force(&self, now: Instant) -> bool {
+    fn is_active(&self, now: Instant) -> bool {
         now < self.until
     }
 
-    fn is_remembered(&self, now: Instant) -> bool {
-        now < self.until + REFUSAL_MEMORY
+    fn is_recent(&self, now: Instant) -> bool {
+        now < self.until + REFUSAL_RETENTION
     }
 }
 
@@ -67,9 +67,9 @@
     fn decay(&mut self, now: Instant) {
         if let Some(updated) = self.updated {
             let passed = now.saturating_duration_since(updated).as_secs_f64();
-            let kept = 0.5f64.powf(passed / LOSS_HALF_LIFE.as_secs_f64());
-            self.lost *= kept;
-            self.machine_seconds *= kept;
+            let decay = 0.5f64.powf(passed / LOSS_HALF_LIFE.as_secs_f64());
+            self.lost *= decay;
+            self.machine_seconds *= decay;
         }
         self.updated = Some(now);
     }
@@ -133,14 +133,14 @@
             estimate.allowance = allowance.map(|a| a.saturating_mul(2).max(PROBE_MACHINES));
             if estimate
                 .refusal
-                .is_some_and(|r| now > r.until + REFUSAL_MEMORY)
+                .is_some_and(|r| now > r.until + REFUSAL_RETENTION)
             {
                 estimate.refusal = None;
                 estimate.allowance = None;
             }
             return;
         }
-        let repeated = estimate.refusal.filter(|r| r.is_remembered(now));
+        let repeated = estimate.refusal.filter(|r| r.is_recent(now));
         let backoff = repeated.map_or(INITIAL_BACKOFF, |r| (r.backoff * 2).min(MAX_BACKOFF));
         estimate.refusal = Some(Refusal {
             until: now + backoff,
@@ -200,7 +200,7 @@
         let loss_rate =
             estimate.map_or(LossRate::default().per_second(), |e| e.losses.per_second());
         let refusal = estimate.and_then(|e| e.refusal);
-        let refused = refusal.is_some_and(|r| r.is_in_force(now));
+        let refused = refusal.is_some_and(|r| r.is_active(now));
         let closed_reason = self
             .closed_zones
             .get(&offer.zone)
@@ -208,7 +208,7 @@
             .or(refused.then_some("refused a short while ago"));
         let allowance = estimate
             .and_then(|e| e.allowance)
-            .filter(|_| refusal.is_some_and(|r| r.is_remembered(now)));
+            .filter(|_| refusal.is_some_and(|r| r.is_recent(now)));
         MarketForecast {
             available: match closed_reason {
                 Some(_) => 0,
@@ -222,7 +222,7 @@
     /// Markets that are left alone now, since they refused.
     pub fn refused(&self, now: Instant) -> impl Iterator<Item = &Offer> {
         let is_refused =
-            move |estimate: &OfferEstimate| estimate.refusal.is_some_and(|r| r.is_in_force(now));
+            move |estimate: &OfferEstimate| estimate.refusal.is_some_and(|r| r.is_active(now));
         let offers = self.offers.iter();
         offers
             .filter(move |(_, estimate)| is_refused(estimate))
--- a/crates/market/src/zone_balance.rs
+++ b/crates/market/src/zone_balance.rs
@@ -54,12 +54,12 @@
     /// How many times its price a machine in this zone counts for.
     pub fn price_factor(&self, zone: &str) -> f64 {
         let equal = self.equal_share();
-        let room = 1.0 - equal - self.tolerance;
-        if room <= 0.0 {
+        let range = 1.0 - equal - self.tolerance;
+        if range <= 0.0 {
             return 1.0;
         }
         let excess = (self.share(zone) - equal - self.tolerance).max(0.0);
-        1.0 + (MAX_PRICE_FACTOR - 1.0) * (excess / room).min(1.0)
+        1.0 + (MAX_PRICE_FACTOR - 1.0) * (excess / range).min(1.0)
     }
 }
 
--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -19,13 +19,13 @@
     }
 
     /// Adds a text, with its length, so that no two sequences of texts run into one another.
-    pub fn text(&mut self, text: &str) {
+    pub fn write_str(&mut self, text: &str) {
         self.0.write_usize(text.len());
         self.0.write(text.as_bytes());
     }
 
     /// Adds a number.
-    pub fn number(&mut self, number: u64) {
+    pub fn write_u64(&mut self, number: u64) {
         self.0.write_u64(number);
     }
 
--- a/crates/membership/src/digest/tests.rs
+++ b/crates/membership/src/digest/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 
 #[test]
-fn texts_do_not_run_into_one_another() {
+fn text_boundaries_change_the_digest() {
     let of = |texts: &[&str]| {
         let mut d = Digester::new(7);
-        texts.iter().for_each(|t| d.text(t));
+        texts.iter().for_each(|t| d.write_str(t));
         d.finish()
     };
     assert_eq!(of(&["ab", "c"]), of(&["ab", "c"]));
--- a/crates/membership/src/grant/tests.rs
+++ b/crates/membership/src/grant/tests.rs
@@ -7,7 +7,7 @@
 /// The way of an answer may take any time: counting from the receipt would let a borrower speak
 /// for a leader that has been succeeded.
 #[test]
-fn a_grant_ends_before_the_leaders_word_however_long_the_answer_took() {
+fn a_grant_expires_before_the_leadership_however_late_the_response() {
     let t = Instant::now();
     let leader_until = t + ms(2600);
     for (sent, worked) in [(0, 0), (0, 900), (100, 2500), (0, 2599)] {
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn requests_that_were_held_up_are_known_and_a_new_process_begins_anew() {
+fn stale_requests_are_rejected_and_a_new_incarnation_restarts_the_numbering() {
     let t = Instant::now();
     let mut issued = IssuedGrant::new(1, 5, t);
     assert_eq!(issued.accept_request(1, 5, t + ms(1)), RequestOrder::Stale);
--- a/crates/membership/src/share.rs
+++ b/crates/membership/src/share.rs
@@ -42,7 +42,7 @@
 /// No worker is moved for a surplus of fewer workers than this.
 const MIN_SURPLUS: f64 = 6.0;
 /// A controller takes more workers from this far below its share on.
-const MIN_ROOM: f64 = 1.0;
+const MIN_DEFICIT: f64 = 1.0;
 
 /// A controller and how far its load is from its share, in workers.
 type Deviation<'a> = (f64, &'a Server);
@@ -54,14 +54,14 @@
     let mut moves = Vec::new();
     for (surplus, from) in overloaded {
         let mut surplus = surplus as u32;
-        for (room, to) in &mut underloaded {
-            let count = surplus.min(*room as u32).min(remaining);
+        for (deficit, to) in &mut underloaded {
+            let count = surplus.min(*deficit as u32).min(remaining);
             if count == 0 {
                 continue;
             }
             surplus -= count;
             remaining -= count;
-            *room -= f64::from(count);
+            *deficit -= f64::from(count);
             moves.push(Move {
                 from: from.name.clone(),
                 to: to.name.clone(),
@@ -72,7 +72,7 @@
     moves
 }
 
-/// The controllers well above their share with their surplus, and those below with their room; the
+/// The controllers well above their share with their surplus, and those below with their deficit; the
 /// largest first, ties by name.
 fn deviations(servers: &[Server]) -> (Vec<Deviation<'_>>, Vec<Deviation<'_>>) {
     let mut overloaded = Vec::new();
@@ -87,7 +87,7 @@
         let deviation = f64::from(server.load) - share;
         if deviation > (share * TOLERANCE).max(MIN_SURPLUS) {
             overloaded.push((deviation, server));
-        } else if deviation < -MIN_ROOM {
+        } else if deviation < -MIN_DEFICIT {
             underloaded.push((-deviation, server));
         }
     }
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -13,7 +13,7 @@
     pub const SERVES_WORKERS: Capabilities = Capabilities(1);
 
     /// Whether all of these are among them.
-    pub fn has(self, other: Capabilities) -> bool {
+    pub fn contains(self, other: Capabilities) -> bool {
         self.0 & other.0 == other.0
     }
 }
@@ -49,7 +49,7 @@
 }
 
 impl Member {
-    fn in_zone(zone: String) -> Member {
+    fn new(zone: String) -> Member {
         Member {
             zone,
             incarnation: 0,
@@ -86,7 +86,7 @@
         let members = others.into_iter();
         MembershipView {
             members: members
-                .map(|(name, zone)| (name, Member::in_zone(zone)))
+                .map(|(name, zone)| (name, Member::new(zone)))
                 .collect(),
             timeouts,
         }
--- a/crates/membership/src/view/tests.rs
+++ b/crates/membership/src/view/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn suspicion_comes_before_loss_and_what_others_hear_holds_it_back() {
+fn a_member_is_suspect_before_lost_and_contact_by_others_keeps_it_suspect() {
     let timeouts = FailureDetectorTimeouts {
         suspect_after: ms(1200),
         lost_after: ms(4000),
@@ -32,6 +32,6 @@
             .get("n2")
             .unwrap()
             .capabilities
-            .has(Capabilities::SERVES_WORKERS)
+            .contains(Capabilities::SERVES_WORKERS)
     );
 }
--- a/crates/snapshot/src/archive.rs
+++ b/crates/snapshot/src/archive.rs
@@ -3,7 +3,7 @@
 //! kept of the one before is never written over.
 
 use crate::image::Image;
-use crate::record::Key;
+use crate::record::ArchiveKey;
 use crate::timeline::{self, RecordFault, Timeline, TimelineError, Writer};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
@@ -15,7 +15,7 @@
 /// A folder of timelines.
 pub struct Archive {
     dir: PathBuf,
-    key: Key,
+    key: ArchiveKey,
 }
 
 /// A timeline's folder, and what can be read of it.
@@ -46,7 +46,7 @@
         std::fs::create_dir_all(dir)?;
         let path = dir.join(KEY_FILE);
         if !path.exists() {
-            let key: Key = rand::random();
+            let key: ArchiveKey = rand::random();
             let mut part = tempfile::Builder::new().prefix("part-").tempfile_in(dir)?;
             part.write_all(&key)?;
             part.as_file().sync_all()?;
@@ -57,13 +57,13 @@
                 Err(e) => return Err(e.error),
             }
         }
-        Archive::existing(dir)
+        Archive::open_existing(dir)
     }
 
     /// Opens a folder that must be there.
-    pub fn existing(dir: &Path) -> io::Result<Archive> {
+    pub fn open_existing(dir: &Path) -> io::Result<Archive> {
         let bytes = std::fs::read(dir.join(KEY_FILE))?;
-        let key = Key::try_from(bytes.as_slice()).map_err(|_| {
+        let key = ArchiveKey::try_from(bytes.as_slice()).map_err(|_| {
             io::Error::new(io::ErrorKind::InvalidData, "its key is not 32 bytes long")
         })?;
         Ok(Archive {
@@ -88,13 +88,17 @@
     }
 
     /// Begins a new timeline for a store.
-    pub fn begin(&self, store: &str, image: &Image) -> io::Result<Writer> {
+    pub fn create_timeline(&self, store: &str, image: &Image) -> io::Result<Writer> {
         let folders = self.folders()?;
         let number = folders.last().map_or(1, |newest| newest.number + 1);
         // Identities are letters and digits; whatever else one has is not for a file's name.
-        let plain: String = store.chars().filter(char::is_ascii_alphanumeric).collect();
-        let plain = if plain.is_empty() { "unnamed" } else { &plain };
-        let dir = self.dir.join(format!("{number:04}-{plain}"));
+        let sanitized: String = store.chars().filter(char::is_ascii_alphanumeric).collect();
+        let sanitized = if sanitized.is_empty() {
+            "unnamed"
+        } else {
+            &sanitized
+        };
+        let dir = self.dir.join(format!("{number:04}-{sanitized}"));
         let writer = Writer::begin(&dir, self.key, store, image)?;
         std::fs::File::open(&self.dir)?.sync_all()?;
         let excess = (folders.len() + 1).saturating_sub(KEPT_TIMELINES);
@@ -108,20 +112,23 @@
     pub fn resume(&self, image: &Image, store: &str) -> io::Result<Writer> {
         match self.folders()?.last() {
             Some(newest) => Writer::begin(&self.dir.join(&newest.name), self.key, store, image),
-            None => self.begin(store, image),
+            None => self.create_timeline(store, image),
         }
     }
 
     /// Reads every timeline, the newest last.
     pub fn list(&self) -> io::Result<Vec<ArchivedTimeline>> {
         let folders = self.folders()?;
-        folders.iter().map(|folder| self.read(folder)).collect()
+        folders
+            .iter()
+            .map(|folder| self.read_timeline(folder))
+            .collect()
     }
 
     /// The newest timeline that has a base; `None` if there is none.
     pub fn newest(&self) -> io::Result<Option<ArchivedTimeline>> {
         for folder in self.folders()?.iter().rev() {
-            let archived = self.read(folder)?;
+            let archived = self.read_timeline(folder)?;
             if archived.timeline.is_ok() {
                 return Ok(Some(archived));
             }
@@ -137,10 +144,10 @@
             folder.name == which || folder.number.to_string() == which || folder.store() == which
         };
         let found = folders.iter().rev().find(matches);
-        found.map(|folder| self.read(folder)).transpose()
+        found.map(|folder| self.read_timeline(folder)).transpose()
     }
 
-    fn read(&self, folder: &FolderName) -> io::Result<ArchivedTimeline> {
+    fn read_timeline(&self, folder: &FolderName) -> io::Result<ArchivedTimeline> {
         let timeline = match timeline::read(&self.dir.join(&folder.name), &self.key) {
             Ok(timeline) => Ok(timeline),
             Err(TimelineError::NoBase(faults)) => Err(faults),
--- a/crates/snapshot/src/archive/tests.rs
+++ b/crates/snapshot/src/archive/tests.rs
@@ -2,7 +2,7 @@
 use crate::image::{Change, Entry};
 
 #[test]
-fn each_store_has_a_timeline_of_its_own_and_the_oldest_go() {
+fn each_store_gets_its_own_timeline_and_the_oldest_are_removed() {
     let dir = tempfile::tempdir().unwrap();
     let archive = Archive::open(dir.path()).unwrap();
     assert!(archive.newest().unwrap().is_none());
@@ -19,10 +19,10 @@
             }],
             n + 1,
         );
-        archive.begin(&format!("s{n}"), &image).unwrap();
+        archive.create_timeline(&format!("s{n}"), &image).unwrap();
     }
     // Opened again, with the same key.
-    let archive = Archive::existing(dir.path()).unwrap();
+    let archive = Archive::open_existing(dir.path()).unwrap();
     let all = archive.list().unwrap();
     assert_eq!((all.len(), &*all[0].name), (KEPT_TIMELINES, "0003-s2"));
     let timeline = archive.newest().unwrap().unwrap().timeline.unwrap();
@@ -35,5 +35,5 @@
         assert_eq!(timeline.header.store, "s4");
     }
     assert!(archive.find("s0").unwrap().is_none());
-    assert!(Archive::existing(&dir.path().join("none")).is_err());
+    assert!(Archive::open_existing(&dir.path().join("none")).is_err());
 }
--- a/crates/snapshot/src/codec.rs
+++ b/crates/snapshot/src/codec.rs
@@ -11,21 +11,21 @@
 pub(crate) struct Encoder(Vec<u8>);
 
 impl Encoder {
-    pub(crate) fn number(&mut self, number: u64) {
+    pub(crate) fn write_u64(&mut self, number: u64) {
         self.0.extend_from_slice(&number.to_le_bytes());
     }
 
-    pub(crate) fn text(&mut self, text: &str) {
+    pub(crate) fn write_str(&mut self, text: &str) {
         let length = text.len() as u32;
         self.0.extend_from_slice(&length.to_le_bytes());
         self.0.extend_from_slice(text.as_bytes());
     }
 
     /// A key with its entry; without one, its deletion.
-    pub(crate) fn change(&mut self, key: &str, entry: Option<&Entry>) {
-        self.number(entry.map_or(DELETED, |entry| entry.version));
-        self.text(key);
-        self.text(entry.map_or("", |entry| &entry.value));
+    pub(crate) fn write_change(&mut self, key: &str, entry: Option<&Entry>) {
+        self.write_u64(entry.map_or(DELETED, |entry| entry.version));
+        self.write_str(key);
+        self.write_str(entry.map_or("", |entry| &entry.value));
     }
 
     pub(crate) fn bytes(&self) -> &[u8] {
@@ -57,23 +57,23 @@
         self.0.is_empty()
     }
 
-    pub(crate) fn number(&mut self) -> Option<u64> {
+    pub(crate) fn read_u64(&mut self) -> Option<u64> {
         let (number, rest) = self.0.split_first_chunk::<8>()?;
         self.0 = rest;
         Some(u64::from_le_bytes(*number))
     }
 
-    pub(crate) fn text(&mut self) -> Option<String> {
+    pub(crate) fn read_string(&mut self) -> Option<String> {
         let (length, rest) = self.0.split_first_chunk::<4>()?;
         let (text, rest) = rest.split_at_checked(u32::from_le_bytes(*length) as usize)?;
         self.0 = rest;
         String::from_utf8(text.to_vec()).ok()
     }
 
-    pub(crate) fn change(&mut self) -> Option<Change> {
-        let version = self.number()?;
-        let key = self.text()?;
-        let value = self.text()?;
+    pub(crate) fn read_change(&mut self) -> Option<Change> {
+        let version = self.read_u64()?;
+        let key = self.read_string()?;
+        let value = self.read_string()?;
         let entry = (version != DELETED).then_some(Entry { version, value });
         Some(Change { key, entry })
     }
--- a/crates/snapshot/src/image.rs
+++ b/crates/snapshot/src/image.rs
@@ -50,7 +50,7 @@
     }
 
     /// Bytes of keys and values.
-    pub fn bytes(&self) -> usize {
+    pub fn size_bytes(&self) -> usize {
         let sizes = self
             .items
             .iter()
--- a/crates/snapshot/src/record.rs
+++ b/crates/snapshot/src/record.rs
@@ -11,7 +11,7 @@
 /// No record unpacks to more bytes, whatever its header says.
 pub const MAX_RECORD_BYTES: usize = 1 << 20;
 /// Nor is one longer when packed: what cannot be compressed grows a little.
-const MAX_PACKED_BYTES: usize = MAX_RECORD_BYTES + MAX_RECORD_BYTES / 16;
+const MAX_COMPRESSED_BYTES: usize = MAX_RECORD_BYTES + MAX_RECORD_BYTES / 16;
 
 /// What a record holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -45,9 +45,9 @@
     kind: u8,
     reserved: [u8; 3],
     /// Length of the bytes before compression.
-    raw: U32,
+    raw_length: U32,
     /// Length of the compressed bytes, which follow.
-    packed: U32,
+    compressed_length: U32,
     /// Over the packed bytes.
     crc: U32,
     /// Over the record before, the kind, and the packed bytes.
@@ -55,16 +55,16 @@
 }
 
 /// The archive's key.
-pub type Key = [u8; 32];
+pub type ArchiveKey = [u8; 32];
 /// Where in its file's chain a record stands: the hash of the one before it.
 pub type ChainHash = [u8; 16];
 
 /// The start of a file's chain, by its name: records of one file do not pass for another's.
-pub fn first_link(key: &Key, file: &str) -> ChainHash {
-    truncated(blake3::keyed_hash(key, file.as_bytes()))
+pub fn initial_hash(key: &ArchiveKey, file: &str) -> ChainHash {
+    truncate_hash(blake3::keyed_hash(key, file.as_bytes()))
 }
 
-fn truncated(hash: blake3::Hash) -> ChainHash {
+fn truncate_hash(hash: blake3::Hash) -> ChainHash {
     let mut chain = ChainHash::default();
     let length = chain.len();
     chain.copy_from_slice(&hash.as_bytes()[..length]);
@@ -72,37 +72,43 @@
 }
 
 /// The hash of a record, given that of the one before it.
-fn next_link(key: &Key, before: &ChainHash, kind: u8, raw: u32, packed: &[u8]) -> ChainHash {
+fn next_hash(
+    key: &ArchiveKey,
+    previous: &ChainHash,
+    kind: u8,
+    raw_length: u32,
+    compressed: &[u8],
+) -> ChainHash {
     let mut hasher = blake3::Hasher::new_keyed(key);
     hasher
-        .update(before)
+        .update(previous)
         .update(&[kind])
-        .update(&raw.to_le_bytes())
-        .update(packed);
-    truncated(hasher.finalize())
+        .update(&raw_length.to_le_bytes())
+        .update(compressed);
+    truncate_hash(hasher.finalize())
 }
 
 /// Writes a record; gives its length in the file.
 pub fn write(
     out: &mut impl Write,
-    key: &Key,
+    key: &ArchiveKey,
     chain: &mut ChainHash,
     kind: RecordKind,
     raw: &[u8],
 ) -> io::Result<usize> {
-    let packed = lz4_flex::block::compress(raw);
-    *chain = next_link(key, chain, kind as u8, raw.len() as u32, &packed);
+    let compressed = lz4_flex::block::compress(raw);
+    *chain = next_hash(key, chain, kind as u8, raw.len() as u32, &compressed);
     let header = Header {
         magic: U32::new(MAGIC),
         kind: kind as u8,
         reserved: [0; 3],
-        raw: U32::new(raw.len() as u32),
-        packed: U32::new(packed.len() as u32),
-        crc: U32::new(crc32fast::hash(&packed)),
+        raw_length: U32::new(raw.len() as u32),
+        compressed_length: U32::new(compressed.len() as u32),
+        crc: U32::new(crc32fast::hash(&compressed)),
         chain: *chain,
     };
     let mut bytes = header.as_bytes().to_vec();
-    bytes.extend_from_slice(&packed);
+    bytes.extend_from_slice(&compressed);
     // In one piece: a record is torn in one place at the most.
     out.write_all(&bytes)?;
     Ok(bytes.len())
@@ -119,7 +125,7 @@
     Damaged(&'static str),
     /// Whole, but not written here, or not in this place.
     #[error("a record was not written in this place with this key")]
-    Foreign,
+    NotAuthentic,
 }
 
 /// Why a record cannot be read.
@@ -136,29 +142,35 @@
 /// Reads the next record, and moves the chain on; `None` at the end of the file.
 pub fn read(
     input: &mut impl Read,
-    key: &Key,
+    key: &ArchiveKey,
     chain: &mut ChainHash,
 ) -> Result<Option<(RecordKind, Vec<u8>)>, ReadError> {
     let mut header = [0; size_of::<Header>()];
-    match fill(input, &mut header)? {
+    match read_full(input, &mut header)? {
         0 => return Ok(None),
         n if n < header.len() => return Err(Fault::Torn.into()),
         _ => {}
     }
     let header = Header::ref_from_bytes(&header).map_err(|_| Fault::Damaged("header"))?;
     let kind = check_header(header)?;
-    let mut packed = vec![0; header.packed.get() as usize];
-    if fill(input, &mut packed)? < packed.len() {
+    let mut compressed = vec![0; header.compressed_length.get() as usize];
+    if read_full(input, &mut compressed)? < compressed.len() {
         return Err(Fault::Torn.into());
     }
-    if crc32fast::hash(&packed) != header.crc.get() {
+    if crc32fast::hash(&compressed) != header.crc.get() {
         return Err(Fault::Damaged("checksum").into());
     }
-    let next = next_link(key, chain, header.kind, header.raw.get(), &packed);
+    let next = next_hash(
+        key,
+        chain,
+        header.kind,
+        header.raw_length.get(),
+        &compressed,
+    );
     if next != header.chain || header.reserved != [0; 3] {
-        return Err(Fault::Foreign.into());
+        return Err(Fault::NotAuthentic.into());
     }
-    let raw = lz4_flex::block::decompress(&packed, header.raw.get() as usize)
+    let raw = lz4_flex::block::decompress(&compressed, header.raw_length.get() as usize)
         .map_err(|_| Fault::Damaged("compression"))?;
     *chain = next;
     Ok(Some((kind, raw)))
@@ -170,15 +182,18 @@
         return Err(Fault::Damaged("mark"));
     }
     let kind = RecordKind::from_byte(header.kind).ok_or(Fault::Damaged("kind"))?;
-    let (raw, packed) = (header.raw.get() as usize, header.packed.get() as usize);
-    if raw > MAX_RECORD_BYTES || packed > MAX_PACKED_BYTES {
+    let (raw, compressed) = (
+        header.raw_length.get() as usize,
+        header.compressed_length.get() as usize,
+    );
+    if raw > MAX_RECORD_BYTES || compressed > MAX_COMPRESSED_BYTES {
         return Err(Fault::Damaged("length"));
     }
     Ok(kind)
 }
 
 /// Reads until the buffer is full or the file ends; gives how much.
-fn fill(input: &mut impl Read, buffer: &mut [u8]) -> io::Result<usize> {
+fn read_full(input: &mut impl Read, buffer: &mut [u8]) -> io::Result<usize> {
     let mut n = 0;
     while n < buffer.len() {
         match input.read(&mut buffer[n..]) {
--- a/crates/snapshot/src/timeline/reader.rs
+++ b/crates/snapshot/src/timeline/reader.rs
@@ -3,7 +3,7 @@
 use super::{BaseHeader, RecordFault, Timeline, TimelineError, base_name, log_name, pair_numbers};
 use crate::codec::Decoder;
 use crate::image::{Change, Image};
-use crate::record::{self, ChainHash, Fault, Key, ReadError, RecordKind, first_link};
+use crate::record::{self, ArchiveKey, ChainHash, Fault, ReadError, RecordKind, initial_hash};
 use std::fs::File;
 use std::io::{self, BufReader};
 use std::path::Path;
@@ -12,7 +12,7 @@
 const BAD_CONTENT: Fault = Fault::Damaged("content");
 
 /// Reads the newest pair whose base is whole, as far as its log is.
-pub fn read(dir: &Path, key: &Key) -> Result<Timeline, TimelineError> {
+pub fn read(dir: &Path, key: &ArchiveKey) -> Result<Timeline, TimelineError> {
     let mut faults = Vec::new();
     for number in pair_numbers(dir)?.into_iter().rev() {
         match read_base(dir, key, number) {
@@ -46,16 +46,16 @@
 struct RecordReader<'a> {
     input: BufReader<File>,
     name: String,
-    key: &'a Key,
+    key: &'a ArchiveKey,
     chain: ChainHash,
     offset: u64,
 }
 
 impl<'a> RecordReader<'a> {
-    fn open(dir: &Path, key: &'a Key, name: String) -> io::Result<RecordReader<'a>> {
+    fn open(dir: &Path, key: &'a ArchiveKey, name: String) -> io::Result<RecordReader<'a>> {
         Ok(RecordReader {
             input: BufReader::new(File::open(dir.join(&name))?),
-            chain: first_link(key, &name),
+            chain: initial_hash(key, &name),
             name,
             key,
             offset: 0,
@@ -108,7 +108,7 @@
 }
 
 /// Reads a base; the timeline has no changes and no faults yet.
-fn read_base(dir: &Path, key: &Key, number: u64) -> Result<Timeline, FileError> {
+fn read_base(dir: &Path, key: &ArchiveKey, number: u64) -> Result<Timeline, FileError> {
     let mut reader = RecordReader::open(dir, key, base_name(number))?;
     let mut header = None;
     let mut image = Image::default();
@@ -127,7 +127,7 @@
                 }
             }
             Some((RecordKind::End, raw)) => {
-                let is_whole = Decoder::new(&raw).number() == Some(image.items.len() as u64);
+                let is_whole = Decoder::new(&raw).read_u64() == Some(image.items.len() as u64);
                 let Some(header) = header.filter(|_| is_whole) else {
                     return reader.fail(BAD_CONTENT);
                 };
@@ -140,7 +140,7 @@
                     faults: Vec::new(),
                 });
             }
-            Some((RecordKind::Changes, _)) => return reader.fail(Fault::Foreign),
+            Some((RecordKind::Changes, _)) => return reader.fail(Fault::NotAuthentic),
             None => return reader.fail(Fault::Torn),
         }
     }
@@ -149,23 +149,23 @@
 fn decode_header(raw: &[u8]) -> Option<BaseHeader> {
     let mut raw = Decoder::new(raw);
     Some(BaseHeader {
-        revision: raw.number()?,
-        at_ms: raw.number()?,
-        store: raw.text()?,
+        revision: raw.read_u64()?,
+        at_ms: raw.read_u64()?,
+        store: raw.read_string()?,
     })
 }
 
 fn decode_items(raw: &[u8], image: &mut Image) -> Option<()> {
     let mut raw = Decoder::new(raw);
     while !raw.is_at_end() {
-        let Change { key, entry } = raw.change()?;
+        let Change { key, entry } = raw.read_change()?;
         image.items.insert(key, entry?);
     }
     Some(())
 }
 
 /// Applies the log of a base as far as it is whole; what is not is among the timeline's faults.
-fn read_log(dir: &Path, key: &Key, number: u64, timeline: &mut Timeline) -> io::Result<()> {
+fn read_log(dir: &Path, key: &ArchiveKey, number: u64, timeline: &mut Timeline) -> io::Result<()> {
     let mut reader = match RecordReader::open(dir, key, log_name(number)) {
         Ok(reader) => reader,
         Err(e) if e.kind() == io::ErrorKind::NotFound => {
@@ -193,13 +193,13 @@
 fn apply_log(reader: &mut RecordReader, timeline: &mut Timeline) -> Result<(), FileError> {
     while let Some((kind, raw)) = reader.next()? {
         if kind != RecordKind::Changes {
-            return reader.fail(Fault::Foreign);
+            return reader.fail(Fault::NotAuthentic);
         }
         let mut raw = Decoder::new(&raw);
-        let (Some(revision), Some(at_ms)) = (raw.number(), raw.number()) else {
+        let (Some(revision), Some(at_ms)) = (raw.read_u64(), raw.read_u64()) else {
             return reader.fail(BAD_CONTENT);
         };
-        let changes: Vec<Change> = std::iter::from_fn(|| raw.change()).collect();
+        let changes: Vec<Change> = std::iter::from_fn(|| raw.read_change()).collect();
         timeline.changes += changes.len();
         timeline.newest_ms = timeline.newest_ms.max(at_ms);
         timeline.image.apply(changes, revision);
--- a/crates/snapshot/src/timeline/tests.rs
+++ b/crates/snapshot/src/timeline/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 use crate::image::{Change, Entry};
-use crate::record::Key;
+use crate::record::ArchiveKey;
 use proptest::prelude::*;
 use std::fs::File;
 
-const KEY: Key = [7; 32];
+const KEY: ArchiveKey = [7; 32];
 
 fn put(key: &str, version: u64, value: &str) -> Change {
     let value = value.to_string();
@@ -14,7 +14,7 @@
     }
 }
 
-fn drop_key(key: &str) -> Change {
+fn delete(key: &str) -> Change {
     Change {
         key: key.into(),
         entry: None,
@@ -22,28 +22,28 @@
 }
 
 /// A small timeline: two items, then four changes in three records.
-fn small(dir: &Path) -> Vec<Image> {
+fn write_small_timeline(dir: &Path) -> Vec<Image> {
     let mut image = Image::default();
     image.apply(vec![put("a", 1, "{}"), put("b", 2, "[1,2]")], 2);
-    let mut seen = vec![image.clone()];
+    let mut images = vec![image.clone()];
     let mut w = Writer::begin(dir, KEY, "s", &image).unwrap();
     let steps = [
         (vec![put("c", 3, "3")], 3),
-        (vec![drop_key("a"), put("b", 4, "{\"x\":4}")], 4),
+        (vec![delete("a"), put("b", 4, "{\"x\":4}")], 4),
         (vec![put("d", 5, "\"five\"")], 5),
     ];
     for (changes, revision) in steps {
         w.append(&changes, revision).unwrap();
         image.apply(changes, revision);
-        seen.push(image.clone());
+        images.push(image.clone());
     }
     w.sync().unwrap();
-    seen
+    images
 }
 
 /// The pages of 6,000 machines, in one answer to an archiver that was delayed.
 #[test]
-fn a_log_of_many_long_values_told_at_once_can_be_read() {
+fn a_log_of_many_long_values_in_one_response_can_be_read() {
     let dir = tempfile::tempdir().unwrap();
     let mut image = Image::default();
     image.apply(vec![put("a", 1, "{}")], 1);
@@ -61,27 +61,27 @@
 /// The writer may be ended at any byte: what was written before is read, and the result shows that more
 /// was to come.
 #[test]
-fn a_log_cut_at_any_byte_is_read_as_far_as_it_goes() {
+fn a_log_truncated_at_any_byte_is_read_up_to_the_last_whole_record() {
     let dir = tempfile::tempdir().unwrap();
-    let seen = small(dir.path());
+    let images = write_small_timeline(dir.path());
     let log = dir.path().join("000001.log");
     let whole = std::fs::read(&log).unwrap();
     let mut revisions = std::collections::BTreeSet::new();
     for n in 0..=whole.len() {
         std::fs::write(&log, &whole[..n]).unwrap();
         let timeline = read(dir.path(), &KEY).unwrap();
-        assert!(seen.contains(&timeline.image), "cut at {n}");
-        let between = timeline.faults.first().map(|f| f.fault.clone());
-        assert!(matches!(between, None | Some(Fault::Torn)), "{between:?}");
+        assert!(images.contains(&timeline.image), "cut at {n}");
+        let fault = timeline.faults.first().map(|f| f.fault.clone());
+        assert!(matches!(fault, None | Some(Fault::Torn)), "{fault:?}");
         revisions.insert(timeline.image.revision);
     }
     assert_eq!(revisions, [2, 3, 4, 5].into());
 }
 
 #[test]
-fn a_flipped_bit_in_any_byte_is_found_and_nothing_wrong_is_read() {
+fn a_flipped_bit_in_any_byte_is_detected_and_no_wrong_data_is_read() {
     let dir = tempfile::tempdir().unwrap();
-    let seen = small(dir.path());
+    let images = write_small_timeline(dir.path());
     for name in ["000001.base", "000001.log"] {
         let file = dir.path().join(name);
         let whole = std::fs::read(&file).unwrap();
@@ -92,7 +92,7 @@
             match read(dir.path(), &KEY) {
                 Ok(timeline) => {
                     assert_eq!(timeline.faults.len(), 1, "{name} byte {n}");
-                    assert!(seen.contains(&timeline.image), "{name} byte {n}");
+                    assert!(images.contains(&timeline.image), "{name} byte {n}");
                 }
                 Err(TimelineError::NoBase(faults)) => {
                     assert_eq!((name, faults.len()), ("000001.base", 1));
@@ -107,9 +107,9 @@
 
 /// Records moved, taken out or written with another key are whole, and yet not the timeline's.
 #[test]
-fn a_log_put_together_by_another_hand_is_not_believed() {
+fn a_log_written_with_another_key_is_rejected() {
     let dir = tempfile::tempdir().unwrap();
-    small(dir.path());
+    write_small_timeline(dir.path());
     let other = tempfile::tempdir().unwrap();
     let mut w = Writer::begin(other.path(), [8; 32], "s", &Image::default()).unwrap();
     w.append(&[put("a", 9, "9")], 9).unwrap();
@@ -117,14 +117,14 @@
     std::fs::write(dir.path().join("000001.log"), forged).unwrap();
     let timeline = read(dir.path(), &KEY).unwrap();
     assert_eq!(timeline.image.revision, 2);
-    assert_eq!(timeline.faults[0].fault, Fault::Foreign);
+    assert_eq!(timeline.faults[0].fault, Fault::NotAuthentic);
 }
 
 #[test]
 fn a_damaged_base_falls_back_to_the_pair_before_it() {
     let dir = tempfile::tempdir().unwrap();
-    let seen = small(dir.path());
-    let last = seen.last().unwrap();
+    let images = write_small_timeline(dir.path());
+    let last = images.last().unwrap();
     Writer::begin(dir.path(), KEY, "s", last).unwrap();
     let base = dir.path().join("000002.base");
     let mut bytes = std::fs::read(&base).unwrap();
@@ -144,7 +144,7 @@
     #![proptest_config(ProptestConfig { cases: 64, failure_persistence: None, ..ProptestConfig::default() })]
     /// Whatever is put, deleted and compacted, what is read is what was there.
     #[test]
-    fn what_is_read_is_what_was_written(
+    fn reading_returns_what_was_written(
         steps in proptest::collection::vec((0..20u8, proptest::option::of("[a-z]{0,40}"), any::<bool>()), 1..60)
     ) {
         let dir = tempfile::tempdir().unwrap();
@@ -155,7 +155,7 @@
             let key = format!("k/{key}");
             let change = match value {
                 Some(v) => put(&key, revision, &v),
-                None => drop_key(&key),
+                None => delete(&key),
             };
             w.append(std::slice::from_ref(&change), revision).unwrap();
             image.apply(vec![change], revision);
--- a/crates/snapshot/src/timeline/writer.rs
+++ b/crates/snapshot/src/timeline/writer.rs
@@ -3,7 +3,7 @@
 use super::{base_name, log_name, pair_numbers};
 use crate::codec::Encoder;
 use crate::image::{Change, Image};
-use crate::record::{self, ChainHash, Key, RecordKind, first_link};
+use crate::record::{self, ArchiveKey, ChainHash, RecordKind, initial_hash};
 use std::fs::File;
 use std::io::{self, BufWriter, Write};
 use std::path::{Path, PathBuf};
@@ -21,7 +21,7 @@
 /// A timeline that is being written.
 pub struct Writer {
     dir: PathBuf,
-    key: Key,
+    key: ArchiveKey,
     store: String,
     log: File,
     chain: ChainHash,
@@ -32,7 +32,7 @@
 
 impl Writer {
     /// Begins a pair with what the store holds; the ones before the last are removed.
-    pub fn begin(dir: &Path, key: Key, store: &str, image: &Image) -> io::Result<Writer> {
+    pub fn begin(dir: &Path, key: ArchiveKey, store: &str, image: &Image) -> io::Result<Writer> {
         std::fs::create_dir_all(dir)?;
         let number = pair_numbers(dir)?.last().map_or(1, |newest| newest + 1);
         let (base, log) = (base_name(number), log_name(number));
@@ -49,7 +49,7 @@
             key,
             store: store.into(),
             log: log_file,
-            chain: first_link(&key, &log),
+            chain: initial_hash(&key, &log),
             base_bytes,
             log_bytes: 0,
             unsynced: false,
@@ -83,7 +83,7 @@
     }
 
     /// Whether a new base would make the timeline shorter.
-    pub fn is_long(&self) -> bool {
+    pub fn needs_compaction(&self) -> bool {
         self.log_bytes > MIN_COMPACTED_LOG.max(self.base_bytes)
     }
 
@@ -109,12 +109,12 @@
 /// A record of the first of these changes, and how many it holds: as many as can be read back.
 fn next_record(changes: &[Change], revision: u64) -> (Encoder, usize) {
     let mut encoded = Encoder::default();
-    encoded.number(revision);
-    encoded.number(now_ms());
+    encoded.write_u64(revision);
+    encoded.write_u64(now_ms());
     let mut count = 0;
     for change in changes.iter().take(CHANGES_IN_RECORD) {
         let length = encoded.len();
-        encoded.change(&change.key, change.entry.as_ref());
+        encoded.write_change(&change.key, change.entry.as_ref());
         if encoded.len() > record::MAX_RECORD_BYTES && count > 0 {
             encoded.truncate(length);
             break;
@@ -127,26 +127,26 @@
 /// Writes a base; gives its length in the file.
 fn write_base(
     out: impl Write,
-    key: &Key,
+    key: &ArchiveKey,
     name: &str,
     store: &str,
     image: &Image,
 ) -> io::Result<usize> {
     let mut file = BufWriter::new(out);
-    let mut chain = first_link(key, name);
+    let mut chain = initial_hash(key, name);
     let mut bytes = 0;
     let mut put = |kind, encoded: &Encoder| -> io::Result<()> {
         bytes += record::write(&mut file, key, &mut chain, kind, encoded.bytes())?;
         Ok(())
     };
     let mut header = Encoder::default();
-    header.number(image.revision);
-    header.number(now_ms());
-    header.text(store);
+    header.write_u64(image.revision);
+    header.write_u64(now_ms());
+    header.write_str(store);
     put(RecordKind::Header, &header)?;
     let mut items = Encoder::default();
     for (item_key, entry) in &image.items {
-        items.change(item_key, Some(entry));
+        items.write_change(item_key, Some(entry));
         if items.len() >= BASE_RECORD_BYTES {
             put(RecordKind::Items, &std::mem::take(&mut items))?;
         }
@@ -155,7 +155,7 @@
         put(RecordKind::Items, &items)?;
     }
     let mut end = Encoder::default();
-    end.number(image.items.len() as u64);
+    end.write_u64(image.items.len() as u64);
     put(RecordKind::End, &end)?;
     file.flush()?;
     Ok(bytes)
--- a/src/cli/snapshot.rs
+++ b/src/cli/snapshot.rs
@@ -52,7 +52,7 @@
 
 fn take(dir: &Path, config: &Path) -> Result<(), CommandError> {
     let settings = Settings::load(config)?;
-    let revision = Snapshotter::open(settings.store_addr, dir)?.take()?;
+    let revision = Snapshotter::open(settings.store_addr, dir)?.take_snapshot()?;
     println!("{}", json!({"revision": revision}));
     Ok(())
 }
@@ -65,7 +65,7 @@
 ) -> Result<(), CommandError> {
     let listed = find_timeline(archive, timeline)?;
     let mut new_jobs = 0;
-    for page in &snapshotter::pages(&listed)? {
+    for page in &snapshotter::snapshot_pages(&listed)? {
         let body = wire::to_json(page);
         if body.len() > http::MAX_BODY {
             return Err("the snapshot contains a job that is too large for an upload; start a controller with --snapshots and this folder instead".into());
@@ -79,7 +79,7 @@
 }
 
 fn open(archive: &ArchiveArgs) -> Result<Archive, CommandError> {
-    Ok(Archive::existing(&archive.dir).map_err(with_subject(archive.dir.display()))?)
+ Ok(Archive::open_existing(&archive.dir).map_err(with_subject(archive.dir.display()))?) 
 }
 
 fn all_timelines(archive: &ArchiveArgs) -> Result<Vec<Value>, CommandError> {
@@ -98,7 +98,7 @@
     let opened = open(archive)?;
     let found = match &timeline.name {
         Some(name) => opened.find(name),
-        None => opened.list().map(snapshotter::best),
+        None => opened.list().map(snapshotter::select_timeline),
     };
     let dir = archive.dir.display();
     let found = found.map_err(with_subject(&dir))?;
--- a/src/core/monitoring/metrics.rs
+++ b/src/core/monitoring/metrics.rs
@@ -139,7 +139,7 @@
             members.map(|(name, m)| {
                 (
                     name,
-                    bool_value(m.capabilities.has(Capabilities::SERVES_WORKERS)),
+                    bool_value(m.capabilities.contains(Capabilities::SERVES_WORKERS)),
                 )
             }),
         );
--- a/src/core/workers/delegation/members.rs
+++ b/src/core/workers/delegation/members.rs
@@ -64,7 +64,7 @@
                 "zone": member.zone,
                 "standing": state_label(self.members.state(name, now)),
                 "workers": member.load,
-                "takes_reports": member.capabilities.has(Capabilities::SERVES_WORKERS),
+                "takes_reports": member.capabilities.contains(Capabilities::SERVES_WORKERS),
                 "granted": granted(name),
             })
         });
--- a/src/core/workers/delegation/rebalancing.rs
+++ b/src/core/workers/delegation/rebalancing.rs
@@ -94,7 +94,7 @@
     fn can_serve_workers(&self, name: &str) -> bool {
         let member = self.members.get(name);
         self.members.state(name, self.now.mono) == MemberState::Alive
-            && member.is_some_and(|m| m.capabilities.has(Capabilities::SERVES_WORKERS))
+            && member.is_some_and(|m| m.capabilities.contains(Capabilities::SERVES_WORKERS))
     }
 
     /// Returns, for each controller, the number of workers whose newest heartbeat came through it recently.
--- a/src/core/workers/relay/state.rs
+++ b/src/core/workers/relay/state.rs
@@ -206,13 +206,13 @@
     /// Returns a digest of everything in a heartbeat to which the leader might respond with commands.
     fn digest(&self, heartbeat: &Heartbeat) -> Digest {
         let mut digester = Digester::new(self.incarnation);
-        digester.text(&heartbeat.addr);
+        digester.write_str(&heartbeat.addr);
         let reclaimed = heartbeat.reclaim_in_s.is_some();
-        digester.number(u64::from(heartbeat.spot) + 2 * u64::from(reclaimed));
+        digester.write_u64(u64::from(heartbeat.spot) + 2 * u64::from(reclaimed));
         for status in &heartbeat.tasks {
-            digester.text(&status.task);
-            digester.number(status.attempt);
-            digester.number(status.state as u64);
+            digester.write_str(&status.task);
+            digester.write_u64(status.attempt);
+            digester.write_u64(status.state as u64);
         }
         digester.finish()
     }
--- a/src/snapshotter.rs
+++ b/src/snapshotter.rs
@@ -2,7 +2,7 @@
 //!
 //! It leads nothing and serves nobody: a process of its own (`burlusher archive`), or a thread of a
 //! controller that has a folder for it (`burlusher serve --snapshots`). A store that has lost data
-//! gets another line in the archive, so that what was kept before is there when it is needed.
+//! gets another timeline in the archive, so that what was kept before is there when it is needed.
 
 use crate::core::StoreCache;
 use crate::store_client::{
@@ -22,14 +22,14 @@
 /// Changes are on disk so long after they came, at the latest but for the disk's own time.
 const SYNC_INTERVAL: Duration = Duration::from_millis(200);
 /// Changes that come close together are written together.
-const GATHER_CHANGES: Duration = Duration::from_millis(50);
-const RETRY_PAUSE: Duration = Duration::from_millis(500);
+const BATCHING_DELAY: Duration = Duration::from_millis(50);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 /// Bytes of items in one request that offers a snapshot.
 const PAGE_BYTES: usize = 48 * 1024;
 /// Keys under our prefix: the store's identity, jobs, and the mark of a store that is rebuilt.
 const IDENTITY_KEYS: &str = "i/";
 const JOB_KEYS: &str = "j/";
-const REBUILD_MARK: &str = "rebuilding";
+const REBUILD_MARKER: &str = "rebuilding";
 
 /// Writes what the state service holds into an archive, with each change.
 pub struct Snapshotter {
@@ -58,7 +58,7 @@
     (image.items.iter()).filter_map(move |(key, entry)| Some((key.strip_prefix(&prefix)?, entry)))
 }
 
-fn entry(value: &serde_json::Value, version: u64) -> Entry {
+fn entry_of(value: &serde_json::Value, version: u64) -> Entry {
     let value = value.to_string();
     Entry { version, value }
 }
@@ -67,7 +67,7 @@
     let mut image = Image::default();
     let change = |item: &Item| Change {
         key: item.key.clone(),
-        entry: Some(entry(&item.value, item.version)),
+        entry: Some(entry_of(&item.value, item.version)),
     };
     image.apply(items.iter().map(change).collect(), revision);
     image
@@ -77,7 +77,7 @@
     match event.put {
         Some(key) => Some(Change {
             key,
-            entry: Some(entry(&event.value, event.version)),
+            entry: Some(entry_of(&event.value, event.version)),
         }),
         None => Some(Change {
             key: event.delete?,
@@ -94,7 +94,7 @@
 
 /// Whether the store that holds `now` can be the one that held `before`, at a later time. Jobs are
 /// never deleted from a store.
-fn continues(before: &Image, now: &Image) -> bool {
+fn is_continuation(before: &Image, now: &Image) -> bool {
     let mut jobs = keys_under(before, JOB_KEYS);
     now.revision >= before.revision
         && jobs.all(|(job, _)| now.items.contains_key(&format!("{PREFIX}{JOB_KEYS}{job}")))
@@ -121,10 +121,10 @@
     /// Follows the store for the rest of the process's life; after an error it starts again.
     pub fn run(&mut self) -> ! {
         loop {
-            if let Err(error) = self.follow() {
+            if let Err(error) = self.follow_once() {
                 tracing::warn!(%error, "snapshot failed");
                 self.writer = None;
-                std::thread::sleep(RETRY_PAUSE);
+                std::thread::sleep(RETRY_DELAY);
             }
         }
     }
@@ -133,7 +133,7 @@
     ///
     /// # Errors
     /// The state service gives no answer or holds nothing, or the archive cannot be written.
-    pub fn take(&mut self) -> io::Result<u64> {
+    pub fn take_snapshot(&mut self) -> io::Result<u64> {
         let Listing { items, revision } = self.client.list().map_err(io_error)?;
         if items.is_empty() {
             let text = "the state service holds nothing yet";
@@ -144,23 +144,24 @@
         let newest = self
             .archive
             .newest()?
-            .and_then(|listed| listed.timeline.ok());
-        let is_same_store =
-            newest.is_some_and(|line| line.header.store == store && continues(&line.image, &image));
+            .and_then(|archived| archived.timeline.ok());
+        let is_same_store = newest.is_some_and(|timeline| {
+            timeline.header.store == store && is_continuation(&timeline.image, &image)
+        });
         let writer = if is_same_store {
             self.archive.resume(&image, &store)?
         } else {
             tracing::info!(store, revision, "snapshot of another store started");
-            self.archive.begin(&store, &image)?
+            self.archive.create_timeline(&store, &image)?
         };
         (self.image, self.store, self.writer) = (image, store, Some(writer));
         Ok(revision)
     }
 
     /// Lists the store, or watches it once and writes the changes.
-    fn follow(&mut self) -> io::Result<()> {
+    fn follow_once(&mut self) -> io::Result<()> {
         if self.writer.is_none() {
-            self.take()?;
+            self.take_snapshot()?;
             return Ok(());
         }
         let Some((revision, events)) = self.watch()? else {
@@ -169,15 +170,15 @@
         };
         let changes: Vec<Change> = events.into_iter().filter_map(change_of).collect();
         let has_changes = !changes.is_empty();
-        self.write(changes, revision)?;
+        self.write_changes(changes, revision)?;
         if identity(&self.image) != self.store {
             // It is another store now: what is kept of the old one stays as it is.
             self.writer = None;
             return Ok(());
         }
-        self.check_identity();
+        self.check_identity_exists();
         if has_changes {
-            std::thread::sleep(GATHER_CHANGES);
+            std::thread::sleep(BATCHING_DELAY);
         }
         Ok(())
     }
@@ -199,7 +200,7 @@
         }
     }
 
-    fn write(&mut self, changes: Vec<Change>, revision: u64) -> io::Result<()> {
+    fn write_changes(&mut self, changes: Vec<Change>, revision: u64) -> io::Result<()> {
         let Some(writer) = &mut self.writer else {
             return Ok(());
         };
@@ -209,14 +210,14 @@
             writer.sync()?;
             self.synced_at = Instant::now();
         }
-        if writer.is_long() {
+        if writer.needs_compaction() {
             writer.compact(&self.image)?;
         }
         Ok(())
     }
 
     /// A watch on a store that exists no more brings nothing; its identity would be missing.
-    fn check_identity(&mut self) {
+    fn check_identity_exists(&mut self) {
         if self.identity_checked_at.elapsed() < MAX_WATCH_WAIT || self.store.is_empty() {
             return;
         }
@@ -237,55 +238,59 @@
 /// # Errors
 /// The folder cannot be read or created.
 pub fn newest_snapshot(dir: &Path) -> io::Result<Option<Snapshot>> {
-    let Some(listed) = best(Archive::open(dir)?.list()?) else {
+    let Some(archived) = select_timeline(Archive::open(dir)?.list()?) else {
         return Ok(None);
     };
-    let Ok(line) = listed.timeline else {
+    let Ok(timeline) = archived.timeline else {
         return Ok(None);
     };
-    for fault in &line.faults {
-        tracing::warn!(snapshot = listed.name, %fault, "snapshot damaged");
+    for fault in &timeline.faults {
+        tracing::warn!(snapshot = archived.name, %fault, "snapshot damaged");
     }
-    let revision = line.image.revision;
-    let keys = line.image.items.len();
-    tracing::info!(snapshot = listed.name, keys, revision, "snapshot read");
-    let items = items(&line.image);
+    let revision = timeline.image.revision;
+    let keys = timeline.image.items.len();
+    tracing::info!(snapshot = archived.name, keys, revision, "snapshot read");
+    let items = store_items(&timeline.image);
     Ok(Some(Snapshot { items, revision }))
 }
 
-/// Whether a line can be read and has keys under a prefix of ours.
-fn has_keys(listed: &ArchivedTimeline, keys: &str) -> bool {
-    let line = listed.timeline.as_ref();
-    line.is_ok_and(|line| keys_under(&line.image, keys).next().is_some())
+/// Whether a timeline can be read and has keys under a prefix of ours.
+fn has_keys_under(archived: &ArchivedTimeline, keys: &str) -> bool {
+    let timeline = archived.timeline.as_ref();
+    timeline.is_ok_and(|timeline| keys_under(&timeline.image, keys).next().is_some())
 }
 
 /// Whether it is of a store that was empty and taken for new.
-fn is_of_new_store(listed: &ArchivedTimeline) -> bool {
+fn is_of_new_store(archived: &ArchivedTimeline) -> bool {
     let was_first = |(_, entry): (&str, &Entry)| {
         let value = serde_json::from_str::<serde_json::Value>(&entry.value);
         value.is_ok_and(|value| !value["first"].is_null())
     };
-    let line = listed.timeline.as_ref();
-    line.is_ok_and(|line| keys_under(&line.image, IDENTITY_KEYS).any(was_first))
+    let timeline = archived.timeline.as_ref();
+    timeline.is_ok_and(|timeline| keys_under(&timeline.image, IDENTITY_KEYS).any(was_first))
 }
 
-/// The newest line that has a whole store; where there is none, the newest that can be read.
-pub fn best(mut lines: Vec<ArchivedTimeline>) -> Option<ArchivedTimeline> {
+/// The newest timeline that has a whole store; where there is none, the newest that can be read.
+pub fn select_timeline(mut timelines: Vec<ArchivedTimeline>) -> Option<ArchivedTimeline> {
     // A store that is being rebuilt, or has no identity yet, has less than the one before it; nor
     // has one everything that began as new after there had been another.
-    let is_whole = |listed: &ArchivedTimeline| {
-        has_keys(listed, IDENTITY_KEYS)
-            && !has_keys(listed, REBUILD_MARK)
-            && !is_of_new_store(listed)
+    let is_whole = |archived: &ArchivedTimeline| {
+        has_keys_under(archived, IDENTITY_KEYS)
+            && !has_keys_under(archived, REBUILD_MARKER)
+            && !is_of_new_store(archived)
     };
-    let chosen = (lines.iter().rposition(is_whole))
-        .or_else(|| lines.iter().position(|l| has_keys(l, IDENTITY_KEYS)))
-        .or_else(|| lines.iter().rposition(|l| l.timeline.is_ok()));
-    chosen.map(|index| lines.swap_remove(index))
+    let chosen = (timelines.iter().rposition(is_whole))
+        .or_else(|| {
+            timelines
+                .iter()
+                .position(|l| has_keys_under(l, IDENTITY_KEYS))
+        })
+        .or_else(|| timelines.iter().rposition(|l| l.timeline.is_ok()));
+    chosen.map(|index| timelines.swap_remove(index))
 }
 
 /// An image as the state service would list it.
-pub fn items(image: &Image) -> Vec<Item> {
+pub fn store_items(image: &Image) -> Vec<Item> {
     let item = |(key, entry): (&String, &Entry)| Item {
         key: key.clone(),
         value: serde_json::from_str(&entry.value).unwrap_or_default(),
@@ -297,7 +302,7 @@
 
 fn store_cache(image: &Image) -> StoreCache {
     let mut store_cache = StoreCache::default();
-    store_cache.reset(items(image), image.revision);
+    store_cache.reset(store_items(image), image.revision);
     store_cache
 }
 
@@ -324,10 +329,10 @@
     }
 }
 
-/// A line from which nothing can be read.
+/// A timeline from which nothing can be read.
 #[derive(Debug, thiserror::Error)]
 #[error("{name}: nothing to be read: {faults:?}")]
-pub struct UnreadableLine {
+pub struct UnreadableTimeline {
     name: String,
     faults: Vec<RecordFault>,
 }
@@ -335,13 +340,18 @@
 /// A snapshot as requests that offer it to the leader, one after the other.
 ///
 /// # Errors
-/// Nothing can be read of the line.
-pub fn pages(listed: &ArchivedTimeline) -> Result<Vec<SnapshotPage>, UnreadableLine> {
-    let line = listed.timeline.as_ref().map_err(|faults| UnreadableLine {
-        name: listed.name.clone(),
-        faults: faults.clone(),
-    })?;
-    let store_cache = store_cache(&line.image);
+/// Nothing can be read of the timeline.
+pub fn snapshot_pages(
+    archived: &ArchivedTimeline,
+) -> Result<Vec<SnapshotPage>, UnreadableTimeline> {
+    let timeline = archived
+        .timeline
+        .as_ref()
+        .map_err(|faults| UnreadableTimeline {
+            name: archived.name.clone(),
+            faults: faults.clone(),
+        })?;
+    let store_cache = store_cache(&timeline.image);
     let mut pages: Vec<SnapshotPage> = Vec::new();
     let mut after = String::new();
     loop {
@@ -351,7 +361,7 @@
             after = key.clone();
         }
         pages.push(SnapshotPage {
-            store: line.header.store.clone(),
+            store: timeline.header.store.clone(),
             last: !more,
             items,
         });
