--- a/crates/market/examples/ways.rs
+++ b/crates/market/examples/ways.rs
@@ -1,5 +1,5 @@
-//! Compares clearing algorithms on synthetic markets of the sizes that burlusher serves: what each
-//! saves beyond its cost, and the processor time it takes.
+//! Compares clearing algorithms on synthetic markets of the sizes that burlusher serves: the net
+//! savings of each and the time it takes.
 //!
 //!     cargo run --release -p burlusher-market --example ways
 
@@ -17,7 +17,8 @@
     Duration::from_secs_f64(count)
 }
 
-/// Six machine types in three zones, spot and ordinary; `bids` groups of `tasks` tasks in all.
+/// Generates the batches of three machine types in three zones, spot and on-demand, and `bids` bids
+/// with about `tasks` tasks in total.
 fn market(seed: u64, bids: usize, tasks: f64) -> (Vec<Bid>, Vec<OfferBatch>) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut batches = Vec::new();
@@ -79,10 +80,10 @@
     ((0..bids).map(make_bid).collect(), batches)
 }
 
-/// The program's value by an interior-point method; `None` if the solver fails.
+/// Returns the program's value by an interior-point method; `None` if the solver cannot be created.
 ///
-/// The solver minimizes `q x` where `A x + s = b` with slacks `s` of at least 0. The rows of `A`
-/// are the constraints, then the upper bounds of all variables, then their lower ones.
+/// The solver minimizes `q x` subject to `A x + s = b` with slack variables `s` of at least 0. The
+/// rows of `A` are the constraints, the upper bounds of all variables, and their lower bounds.
 fn interior_point_value(program: &LinearProgram) -> Option<f64> {
     let variables = program.gains.len();
     let constraints = program.constraints.len();
@@ -122,7 +123,7 @@
     Some(value_of(program, solution))
 }
 
-/// A matrix in compressed columns from each column's rows and values.
+/// Builds a matrix in compressed sparse column format from the rows and values of each column.
 fn sparse_matrix(rows: usize, columns: Vec<Vec<(usize, f64)>>) -> CscMatrix<f64> {
     let count = columns.len();
     let mut starts = vec![0];
@@ -136,7 +137,7 @@
     CscMatrix::new(rows, count, starts, row_indices, values)
 }
 
-/// The program's objective for some values of its variables.
+/// Returns the value of the program's objective for these values of the variables.
 fn value_of(program: &LinearProgram, values: &[f64]) -> f64 {
     let terms = program.gains.iter().zip(values);
     terms.map(|(gain, value)| gain * value).sum()
--- a/crates/market/src/arrivals.rs
+++ b/crates/market/src/arrivals.rs
@@ -1,30 +1,31 @@
-//! What will arrive soon, from what has arrived: jobs of a class a second, and how large they are.
+//! Estimates the arrival rate and the size of jobs of one class from past arrivals.
 
 use std::time::{Duration, Instant};
 
-/// Older arrivals fade: the baseline rate is that of some minutes, the recent one of seconds.
+/// Time constants, in seconds, with which past arrivals decay: minutes for the baseline rate, seconds
+/// for the recent rate.
 const BASELINE_DECAY_S: f64 = 150.0;
 const RECENT_DECAY_S: f64 = 12.0;
-/// So many standard deviations above the baseline count as chance.
+/// Number of standard deviations above the baseline that are attributed to chance.
 const SURGE_DEVIATIONS: f64 = 1.0;
-/// How much the sizes seen so far count when another job arrives.
+/// Factor by which the weight of earlier job sizes is reduced at each arrival.
 const SIZE_DECAY: f64 = 0.95;
 
-/// Arrivals of one class of jobs.
+/// Estimate of the arrivals of one class of jobs.
 #[derive(Clone, Debug)]
 pub struct ArrivalEstimate {
     updated: Instant,
     baseline: DecayingRate,
     recent: DecayingRate,
-    /// Mean number of a job's tasks.
+    /// Mean number of tasks per job.
     mean_tasks: f64,
     /// Mean run time of a task, in seconds.
     mean_runtime_s: f64,
-    /// Decaying number of jobs that the means are of.
+    /// Decayed number of jobs from which the means are computed.
     weight: f64,
 }
 
-/// Jobs against time, both decaying.
+/// Number of jobs and observed time, both with exponential decay.
 #[derive(Clone, Copy, Debug, Default)]
 struct DecayingRate {
     jobs: f64,
@@ -44,7 +45,7 @@
 }
 
 impl ArrivalEstimate {
-    /// An estimate that begins now, with no arrivals.
+    /// Creates an estimate without arrivals that starts at `now`.
     pub fn new(now: Instant) -> ArrivalEstimate {
         ArrivalEstimate {
             updated: now,
@@ -63,7 +64,7 @@
         self.recent.advance(passed, RECENT_DECAY_S);
     }
 
-    /// A job has arrived, with so many tasks of about this run time.
+    /// Records the arrival of a job with `tasks` tasks, each of about this run time.
     pub fn record(&mut self, now: Instant, tasks: u32, runtime: Duration) {
         self.advance(now);
         self.baseline.jobs += 1.0;
@@ -73,11 +74,12 @@
         self.mean_runtime_s += (runtime.as_secs_f64() - self.mean_runtime_s) / self.weight;
     }
 
-    /// Jobs a second beyond the baseline, as far as chance alone would hardly bring them. The
-    /// baseline is served by the machines there are, or waits and bids for itself.
+    /// Returns the arrival rate in excess of the baseline, in jobs per second, less the excess that
+    /// chance explains. Arrivals at the baseline rate are left out: the present machines serve them,
+    /// or they wait and submit bids of their own.
     pub fn surge(&mut self, now: Instant) -> f64 {
         self.advance(now);
-        // Too short a past says nothing of the baseline.
+        // The baseline is unreliable until it covers enough time.
         if self.baseline.seconds < 2.0 * RECENT_DECAY_S {
             return 0.0;
         }
@@ -87,7 +89,7 @@
         (self.recent.per_second() - baseline - noise).max(0.0)
     }
 
-    /// Mean number of a job's tasks, and a task's mean run time.
+    /// Returns the mean number of tasks per job and the mean run time of a task.
     pub fn mean_size(&self) -> (f64, Duration) {
         let runtime = Duration::from_secs_f64(self.mean_runtime_s.max(0.0));
         (self.mean_tasks, runtime)
--- a/crates/market/src/clearing.rs
+++ b/crates/market/src/clearing.rs
@@ -1,11 +1,12 @@
-//! Clearing: which machines to add, so that what waiting work saves outweighs what they cost.
+//! Clearing: determines which machines to add so that the delay costs they save exceed their price.
 //!
-//! A machine that is added serves bids over a *stay*: from when it is up, for some time. Each
-//! stay of each batch is a column of a linear program; bids share its room in three parts, the
-//! first of which starts work soonest. The program weighs all bids against all batches at once;
-//! its answer is rounded down to whole machines, and what is left over is cleared greedily, one
-//! best machine after the other. Where there is more than the program may take in, the greedy
-//! way clears all of it: its answer is as sound, and a little more expensive.
+//! An added machine serves bids during its *lifetime*, which begins when the machine is ready. Each
+//! combination of a batch and a lifetime is a column of a linear program. A lifetime is divided into
+//! three segments, and bids share the capacity of each; tasks in the first segment start soonest.
+//! The program weighs all bids against all batches at once. Its solution is rounded down to whole
+//! machines, and the remaining tasks are cleared by a greedy algorithm, which repeatedly adds the
+//! best machine. If the program would exceed its size limit, the greedy algorithm clears all bids:
+//! its result is also valid but slightly more expensive.
 
 mod columns;
 mod greedy;
@@ -23,78 +24,78 @@
 use std::hash::Hasher;
 use std::time::Duration;
 
-/// The program takes in this many variables at most; beyond that the greedy way clears.
+/// Maximum number of variables of the linear program; larger inputs are cleared greedily.
 const MAX_VARIABLES: usize = 400;
-/// No fewer gains than this are worth a variable.
+/// Amounts at or below this value are treated as zero.
 const EPSILON: f64 = 1e-9;
 
-/// How a batch's machines would carry a bid's tasks.
+/// Fit of a bid's tasks to the machines of a batch.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MachineFit {
-    /// Tasks at a time on one machine; at least 1.
+    /// Number of tasks that run on one machine at a time; at least 1.
     pub tasks_per_machine: u32,
-    /// Time until the image is there, on a machine that has none.
+    /// Time to fetch the image on a machine that does not have it.
     pub fetch: Duration,
 }
 
-/// Like tasks that wait, or are expected, and what they pay to start sooner.
+/// Group of similar tasks, waiting or expected, with the cost of their delay.
 #[derive(Clone, Debug)]
 pub struct Bid {
-    /// How many tasks; expected ones may be a fraction.
+    /// Number of tasks; may be a fraction for expected tasks.
     pub tasks: f64,
     /// Expected run time of a task.
     pub runtime: Duration,
-    /// When they arrive, from now on; zero for those that wait.
+    /// Time from now until the tasks arrive; zero for waiting tasks.
     pub arrives_in: Duration,
-    /// When they would start without another machine, from now on.
+    /// Time from now until the tasks would start if no machine were added.
     pub starts_in: Duration,
-    /// What a start costs that much after they have arrived.
+    /// Cost of a start as a function of the delay since arrival.
     pub delay_cost: DelayCost,
-    /// What a task costs where it is cheapest.
+    /// Cost of running one task on the cheapest machine type.
     pub nominal_cost: f64,
-    /// For each batch: how it carries these; `None` where they may or can not go.
+    /// Fit for each batch, by its index; `None` where the tasks must not or cannot run.
     pub machine_fits: Vec<Option<MachineFit>>,
 }
 
 impl Bid {
-    /// The delay of the start without another machine.
+    /// Returns the delay from arrival to start if no machine is added.
     fn wait(&self) -> Duration {
         self.starts_in.saturating_sub(self.arrives_in)
     }
 }
 
-/// The machines of a market as they are offered now.
+/// Machines of one market that can be requested now.
 #[derive(Clone, Debug)]
 pub struct OfferBatch {
     /// The market.
     pub offer: Offer,
-    /// Per machine and hour.
+    /// Price per machine and hour.
     pub price: f64,
-    /// When a machine requested now accepts work, from now on.
+    /// Time from now until a machine that is requested now accepts work.
     pub ready_in: Duration,
-    /// A machine is billed for at least this long.
+    /// Minimum time for which a machine is billed.
     pub minimum_billed: Duration,
-    /// How many the market is likely to give.
+    /// Number of machines that the market is likely to grant.
     pub available: u32,
-    /// Chance of losing a machine, for each second.
+    /// Probability per second that a machine is lost.
     pub loss_rate: f64,
-    /// What one of its machines adds to its zone, in the measure of the zone balance.
+    /// Capacity that one machine adds to its zone, in the measure of the zone balance.
     pub machine_size: f64,
 }
 
-/// How bids were cleared.
+/// Method by which bids were cleared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Method {
-    /// Nothing was worth its money.
+    /// No machine was worth its price.
     Nothing,
-    /// The linear program, and the greedy way for what it left over.
+    /// The linear program, followed by the greedy algorithm for the remaining tasks.
     LinearProgram,
-    /// There was more than the program may take in, or it found no answer.
+    /// The greedy algorithm alone, as the linear program was too large or found no solution.
     Greedy,
 }
 
 impl Method {
-    /// The method's name in the status view.
+    /// Returns the name of the method in the status view.
     pub fn name(self) -> &'static str {
         match self {
             Method::Nothing => "nothing",
@@ -104,43 +105,43 @@
     }
 }
 
-/// Machines worth adding.
+/// Number of machines of one batch to add.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Award {
     /// Index of the batch.
     pub batch: usize,
-    /// How many of its machines.
+    /// Number of machines.
     pub count: u32,
 }
 
-/// What clearing has made of all bids.
+/// Result of clearing all bids.
 #[derive(Clone, Debug)]
 pub struct ClearingResult {
-    /// In the order of the batches.
+    /// Awards in the order of the batches.
     pub awards: Vec<Award>,
-    /// How they were found.
+    /// Method by which the awards were found.
     pub method: Method,
-    /// What the awards save by the model, in money.
+    /// Delay cost that the awards save according to the model, in units of money.
     pub saved: f64,
-    /// What the awards cost by the model, in money.
+    /// Price of the awards according to the model, in units of money.
     pub cost: f64,
-    /// Tasks for which no market was worth its money.
+    /// Number of tasks for which no machine was worth its price.
     pub unserved: f64,
-    /// Columns that the program had; for judging what it costs.
+    /// Number of columns, as a measure of the computing effort.
     pub columns: usize,
 }
 
-/// Clears all bids against all batches. `balance` tells what each zone holds already.
+/// Clears all bids against all batches. `balance` holds the present capacity of each zone.
 pub fn clear(bids: &[Bid], batches: &[OfferBatch], balance: &ZoneBalance) -> ClearingResult {
     clear_with(bids, batches, balance, Solver::ProgramThenGreedy)
 }
 
-/// The same without the linear program, for comparison.
+/// Clears all bids by the greedy algorithm alone, for comparison.
 pub fn clear_greedy(bids: &[Bid], batches: &[OfferBatch], balance: &ZoneBalance) -> ClearingResult {
     clear_with(bids, batches, balance, Solver::Greedy)
 }
 
-/// The program that clearing would solve, for measuring other ways to solve it.
+/// Builds the linear program that [`clear`] would solve, for comparisons of solvers.
 pub fn build_program(bids: &[Bid], batches: &[OfferBatch], balance: &ZoneBalance) -> LinearProgram {
     let bids = similar_bids::limit_count(bids);
     let columns = columns::build_columns(batches, balance);
@@ -150,7 +151,7 @@
         .0
 }
 
-/// Which ways of clearing are taken.
+/// Algorithms that a clearing may use.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Solver {
     ProgramThenGreedy,
@@ -195,18 +196,18 @@
     }
 }
 
-/// A clearing in progress.
+/// State of a clearing in progress.
 struct Clearing<'a> {
-    /// Tasks of each bid that are not served yet.
+    /// Number of tasks of each bid that are not served yet.
     remaining: Vec<f64>,
-    /// Machines that each batch may still give.
+    /// Number of machines of each batch that can still be added.
     available: Vec<u32>,
-    /// Machines of each batch that are to be added.
+    /// Number of machines of each batch to add.
     counts: Vec<u32>,
     saved: f64,
     cost: f64,
     columns: &'a [Column],
-    /// By column and bid.
+    /// Fits by column and bid.
     fits: &'a [Vec<Option<ColumnFit>>],
 }
 
@@ -228,7 +229,7 @@
         }
     }
 
-    /// Adds machines of a column; what they save is counted by the caller.
+    /// Adds machines of a column and their cost; the caller adds the amount they save.
     fn add_machines(&mut self, column: &Column, count: u32) {
         self.available[column.batch] -= count;
         self.counts[column.batch] += count;
@@ -236,8 +237,8 @@
     }
 }
 
-/// A fraction between 0 and 1 that is the same in every process: what settles exact ties, so that
-/// a new leader clears as the old one would have.
+/// Returns a hash of the text as a fraction between 0 and 1. It is the same in every process and
+/// breaks exact ties, so that a new leader clears bids as its predecessor would have.
 pub fn stable_fraction(text: &str) -> f64 {
     const KEYS: (u64, u64) = (0x6275_726c, 0x7573_6865);
     const MANTISSA_BITS: u32 = 53;
@@ -246,7 +247,7 @@
     (hasher.finish() >> (u64::BITS - MANTISSA_BITS)) as f64 / (1u64 << MANTISSA_BITS) as f64
 }
 
-/// The place of a market among others that are its equals.
+/// Returns the rank of a market among equivalent ones.
 fn tie_break(offer: &Offer) -> f64 {
     let Offer {
         machine_type,
--- a/crates/market/src/clearing/columns.rs
+++ b/crates/market/src/clearing/columns.rs
@@ -1,41 +1,41 @@
-//! The columns of the program: what a machine that stays for some time would serve, and its cost.
+//! Columns of the linear program: the tasks that a machine could serve in its lifetime, and its cost.
 
 use super::{Bid, EPSILON, OfferBatch, tie_break};
 use crate::zone_balance::ZoneBalance;
 use std::time::Duration;
 
-/// A machine stays at least this long after it is up, whatever it is billed for.
+/// Minimum lifetime of a machine after it is ready, in seconds, even if the billed time is shorter.
 const MIN_LIFETIME_S: f64 = 20.0;
-/// Stays: the billed minimum, and this much longer.
+/// Lifetimes considered, in seconds beyond the minimum billed time.
 const LIFETIME_EXTENSIONS_S: [f64; 3] = [0.0, 60.0, 180.0];
-/// Into how many parts a stay is divided.
+/// Number of segments of a lifetime.
 pub(super) const LIFETIME_SEGMENTS: usize = 3;
-/// Where each part ends, as a part of the stay: the first is short, as what comes first starts at
-/// once.
+/// End of each segment as a fraction of the lifetime. The first segment is short, as its tasks start
+/// soonest.
 pub(super) const SEGMENT_ENDS: [f64; LIFETIME_SEGMENTS] = [1.0 / 6.0, 0.5, 1.0];
-/// Work that is served on a new machine need not be paid for elsewhere: this part of its
-/// cheapest cost is set against the machine's.
+/// Fraction of a task's nominal cost that is credited to the machine that runs the task, as the task
+/// does not have to be paid for elsewhere.
 const NOMINAL_CREDIT: f64 = 1.0;
-/// The part of all tasks that fetch their image: the first tasks of a machine do, those that
-/// follow mostly need not.
+/// Fraction of tasks that have to fetch their image: the first tasks of a machine do, later ones
+/// usually do not.
 const FETCH_FRACTION: f64 = 0.5;
-/// Shorter tasks count as this long, in seconds.
+/// Minimum run time assumed for a task, in seconds.
 const MIN_TASK_S: f64 = 0.1;
-/// The weight of the tie break in a price: enough to make each answer the only best one.
+/// Relative weight of the tie break in a price, just large enough to make the optimum unique.
 const TIE_BREAK_WEIGHT: f64 = 1e-6;
 
-/// One stay of one batch's machines.
+/// Machines of one batch with one lifetime.
 pub(super) struct Column {
     /// Index of the batch.
     pub batch: usize,
-    /// How long a machine accepts work, in seconds.
+    /// Time for which a machine accepts work, in seconds.
     pub lifetime_s: f64,
-    /// What a machine costs.
+    /// Cost of one machine.
     pub cost: f64,
 }
 
 impl Column {
-    /// When a part of the stay begins, in seconds.
+    /// Returns the begin of a segment, in seconds since the machine was ready.
     fn segment_begin_s(&self, segment: usize) -> f64 {
         match segment {
             0 => 0.0,
@@ -43,27 +43,29 @@
         }
     }
 
-    /// When a part of the stay ends, in seconds.
+    /// Returns the end of a segment, in seconds since the machine was ready.
     fn segment_end_s(&self, segment: usize) -> f64 {
         self.lifetime_s * SEGMENT_ENDS[segment]
     }
 }
 
-/// What one task of a bid saves on a column's machine, and what it takes.
+/// Amount that one task of a bid saves on a column's machine, and the machine time it uses.
 #[derive(Clone, Copy)]
 pub(super) struct ColumnFit {
-    /// What it saves if it begins in each part of the stay.
+    /// Amount saved, by the segment in which the task begins.
     pub value: [f64; LIFETIME_SEGMENTS],
-    /// Begun in the first index's part: seconds of a whole machine until the second one's end.
+    /// Seconds of a whole machine that the task uses until the end of a segment. The first index is
+    /// the segment in which the task begins, the second the segment at whose end it is measured.
     pub machine_seconds: [[f64; LIFETIME_SEGMENTS]; LIFETIME_SEGMENTS],
 }
 
+/// Returns the price of a batch's machine with the factor of its zone and the tie break.
 fn effective_price(batch: &OfferBatch, balance: &ZoneBalance) -> f64 {
     let zone_factor = balance.price_factor(&batch.offer.zone);
     batch.price * zone_factor * (1.0 + TIE_BREAK_WEIGHT * tie_break(&batch.offer))
 }
 
-/// All stays of all batches that may give machines.
+/// Returns the columns of all batches that have machines available.
 pub(super) fn build_columns(batches: &[OfferBatch], balance: &ZoneBalance) -> Vec<Column> {
     let mut columns = Vec::new();
     for (index, batch) in batches.iter().enumerate() {
@@ -85,7 +87,7 @@
     columns
 }
 
-/// How each column serves each bid.
+/// Returns the fit of each bid to each column, by column and bid.
 pub(super) fn column_fits(
     bids: &[Bid],
     batches: &[OfferBatch],
@@ -100,7 +102,7 @@
     columns.iter().map(fits_of).collect()
 }
 
-/// How a column serves a bid; `None` where it saves nothing.
+/// Returns the fit of a bid to a column; `None` where it saves nothing.
 fn column_fit(bid: &Bid, batch: &OfferBatch, column: &Column) -> Option<ColumnFit> {
     let machine_fit = bid.machine_fits.get(column.batch).copied().flatten()?;
     let fetch_s = machine_fit.fetch.as_secs_f64();
@@ -121,7 +123,7 @@
         {
             *seconds = task_s.min(column.segment_end_s(end) - begin_s) / tasks_per_machine;
         }
-        // What is longer than the stay can only begin at once.
+        // A task that is longer than the lifetime can only begin in the first segment.
         if segment > 0 && task_s > column.lifetime_s - begin_s {
             continue;
         }
@@ -133,8 +135,9 @@
             continue;
         }
         let gain = bid.delay_cost.gain(wait, Duration::from_secs_f64(delay_s));
-        // Work done twice is not saved: what a lost machine had begun is repeated. What runs
-        // longer than the stay keeps its place, and pays for that.
+        // A task on a lost machine is repeated, so the gain is weighted with the chance that the
+        // machine survives the task. A task that outlasts the lifetime occupies the machine for
+        // longer and is charged for that time.
         let overrun_cost = (task_s - column.lifetime_s).max(0.0) / tasks_per_machine * batch.price;
         let credit = if gain > 0.0 {
             NOMINAL_CREDIT * bid.nominal_cost
--- a/crates/market/src/clearing/greedy.rs
+++ b/crates/market/src/clearing/greedy.rs
@@ -1,31 +1,31 @@
-//! Greedy clearing: the best machine first, until none is worth its money.
+//! Greedy clearing: adds the best machine first, until none is worth its price.
 
 use super::columns::{LIFETIME_SEGMENTS, SEGMENT_ENDS};
 use super::{Clearing, EPSILON};
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BinaryHeap};
 
-/// No more machines than this are added at once.
+/// Maximum number of machines that one step adds.
 const MAX_MACHINES_AT_ONCE: f64 = 1e6;
 
-/// What one machine of a column would serve at best.
+/// Best assignment of tasks to one machine of a column.
 struct MachineFill {
-    /// What that saves for each unit of its cost.
+    /// Amount saved per unit of the machine's cost.
     rate: f64,
     saved: f64,
-    /// Tasks of each bid.
+    /// Number of tasks of each bid, with the bid's index.
     served: Vec<(usize, f64)>,
 }
 
-/// Tasks of a bid that could begin in one part of a column's stay.
+/// Tasks of one bid that could begin in one segment of a column's lifetime.
 struct FillOption {
-    /// What a task saves for each second of a machine.
+    /// Amount that a task saves per second of machine time.
     rate: f64,
     bid: usize,
     segment: usize,
 }
 
-/// A column and what it saves for each unit of its cost, at most.
+/// Column with an upper bound of the amount it saves per unit of its cost.
 #[derive(PartialEq)]
 struct RankedColumn {
     rate: f64,
@@ -36,7 +36,7 @@
 
 impl Ord for RankedColumn {
     fn cmp(&self, other: &RankedColumn) -> Ordering {
-        // Among equals the first column.
+        // On a tie, the column with the lowest index ranks first.
         let by_rate = self.rate.total_cmp(&other.rate);
         by_rate.then(other.column.cmp(&self.column))
     }
@@ -49,9 +49,10 @@
 }
 
 impl Clearing<'_> {
-    /// Adds the machine that saves most for each unit of its cost, as many of it as find the same
-    /// to do, until none is worth its money. What a column saves only falls as tasks are served,
-    /// so a column is looked at again only when its last answer is the best of all.
+    /// Repeatedly adds the machine that saves most per unit of its cost, until none is worth its
+    /// price. Each step adds as many machines as can take the same assignment of tasks. The savings
+    /// of a column can only fall as tasks are served, so a column is evaluated again only when its
+    /// previous rate is the highest of all.
     pub(super) fn clear_greedily(&mut self) {
         let unranked = |column| RankedColumn {
             rate: f64::INFINITY,
@@ -91,7 +92,7 @@
         }
     }
 
-    /// What one machine of a column would serve at best.
+    /// Returns the best assignment of remaining tasks to one machine of a column.
     fn best_fill(&self, index: usize) -> MachineFill {
         let column = &self.columns[index];
         let fits = &self.fits[index];
@@ -124,7 +125,7 @@
         }
     }
 
-    /// All that could be served on a column's machine, the best use of its time first.
+    /// Returns the tasks that a column's machine could serve, those that save most per second first.
     fn fill_options(&self, index: usize) -> Vec<FillOption> {
         let mut options: Vec<FillOption> = Vec::new();
         for (bid, fit) in self.fits[index].iter().enumerate() {
--- a/crates/market/src/clearing/linear_program.rs
+++ b/crates/market/src/clearing/linear_program.rs
@@ -5,23 +5,23 @@
 use microlp::{ComparisonOp, OptimizationDirection, Problem, SolveOptions, Variable};
 use std::collections::BTreeMap;
 
-/// As many machines as this are as good as any number.
+/// Upper bound of the number of machines of a batch, in place of an unlimited one.
 const MAX_MACHINES: u32 = 1_000_000;
-/// What is a rounding error below a whole machine is a whole one.
+/// Rounding error up to which a number below a whole machine counts as the whole.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// One side of a constraint: variables with their coefficients.
+/// Left side of a constraint: variables with their coefficients.
 type Terms = Vec<(usize, f64)>;
 
-/// A linear program: the greatest sum of `gains` times variables, each between 0 and its
-/// `upper_bounds`, so that the sum of each constraint's terms is no more than its bound.
+/// Linear program that maximizes the sum of `gains` times the variables. Each variable lies between 0
+/// and its upper bound, and the sum of each constraint's terms must not exceed its bound.
 #[derive(Clone, Debug, Default)]
 pub struct LinearProgram {
     /// Coefficients of the objective, by variable.
     pub gains: Vec<f64>,
-    /// By variable.
+    /// Upper bounds, by variable.
     pub upper_bounds: Vec<f64>,
-    /// Terms, each a variable with its coefficient, and their bound.
+    /// Constraints, each with its terms and the bound of their sum.
     pub constraints: Vec<(Terms, f64)>,
 }
 
@@ -32,7 +32,8 @@
         self.gains.len() - 1
     }
 
-    /// The variables' values, by the simplex method; `None` if it finds none.
+    /// Solves the program by the simplex method and returns the values of the variables; `None` if
+    /// there is no solution.
     pub fn solve(&self) -> Option<Vec<f64>> {
         let mut problem = Problem::new(OptimizationDirection::Maximize);
         let variables: Vec<Variable> = self
@@ -54,24 +55,24 @@
     }
 }
 
-/// The variables of one column.
+/// Variables of one column.
 pub(super) struct ColumnVariables {
     column: usize,
-    /// How many machines of it are added.
+    /// Variable for the number of machines to add.
     machines: usize,
     served: Vec<ServedVariable>,
 }
 
-/// How many tasks of a bid are served in one part of a column's stay.
+/// Variable for the number of tasks of a bid that begin in one segment of a column's lifetime.
 struct ServedVariable {
     bid: usize,
-    /// What a task saves.
+    /// Amount that one task saves.
     value: f64,
     variable: usize,
 }
 
 impl Clearing<'_> {
-    /// The linear program of what is left.
+    /// Builds the linear program of the remaining tasks and available machines.
     pub(super) fn build_program(&self) -> (LinearProgram, Vec<ColumnVariables>) {
         let mut program = LinearProgram::default();
         let mut tasks_by_bid: Vec<Terms> = vec![Vec::new(); self.remaining.len()];
@@ -105,7 +106,7 @@
         f64::from(self.available[batch].min(MAX_MACHINES))
     }
 
-    /// Adds a column's variables, and the constraints on its machines' room.
+    /// Adds a column's variables and the constraints on the capacity of its machines.
     fn add_column(&self, program: &mut LinearProgram, index: usize) -> ColumnVariables {
         let column = &self.columns[index];
         let machines = program.add_variable(-column.cost, self.available_machines(column.batch));
@@ -129,7 +130,7 @@
                 });
             }
         }
-        // Room in seconds of a machine, until the end of each part.
+        // Capacity is in machine seconds up to the end of each segment.
         for (mut terms, end) in capacity.into_iter().zip(SEGMENT_ENDS) {
             terms.push((machines, -column.lifetime_s * end));
             program.constraints.push((terms, 0.0));
@@ -141,7 +142,8 @@
         }
     }
 
-    /// Takes in the program's answer rounded down to whole machines; false if there is none.
+    /// Solves the program and adds its solution, rounded down to whole machines. Returns false if
+    /// there is no solution.
     pub(super) fn solve_program(&mut self) -> bool {
         let (program, variables) = self.build_program();
         if variables.is_empty() {
--- a/crates/market/src/clearing/similar_bids.rs
+++ b/crates/market/src/clearing/similar_bids.rs
@@ -1,25 +1,25 @@
-//! Merging of similar bids, so that a queue of thousands clears as fast as one of dozens.
+//! Merges similar bids, so that clearing thousands of bids takes as long as clearing dozens.
 
 use super::{Bid, EPSILON};
 use std::borrow::Cow;
 use std::collections::BTreeMap;
 
-/// Bids beyond this are merged with similar ones.
+/// Number of bids above which similar bids are merged.
 const MAX_BIDS: usize = 24;
-/// Buckets for each factor of e in run times and waits, in seconds.
+/// Number of buckets per factor of e for run times and waits, which are in seconds.
 const TIME_BUCKETS: f64 = 2.0;
-/// Buckets for each factor of e in arrival times and cost ratios.
+/// Number of buckets per factor of e for arrival times and cost ratios.
 const COARSE_BUCKETS: f64 = 1.0;
 
-/// Bids are similar if these are equal.
+/// Key that similar bids have in common.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct SimilarityKey {
-    /// By batch.
+    /// Tasks per machine, by batch; 0 where the tasks must not or cannot run.
     tasks_per_machine: Vec<u32>,
     runtime: i64,
     wait: i64,
     arrival: i64,
-    /// The loss by waiting against the nominal cost.
+    /// Ratio of the loss by waiting to the nominal cost.
     cost_ratio: i64,
 }
 
@@ -40,11 +40,12 @@
     }
 }
 
+/// Returns the bucket of a value on a logarithmic scale.
 fn logarithmic_bucket(value: f64, buckets_per_factor: f64) -> i64 {
     ((value + 1.0).ln() * buckets_per_factor).round() as i64
 }
 
-/// The bids themselves, or merged where there are too many.
+/// Returns the bids unchanged, or merged if there are too many.
 pub(super) fn limit_count(bids: &[Bid]) -> Cow<'_, [Bid]> {
     if bids.len() > MAX_BIDS {
         Cow::Owned(merge(bids))
@@ -53,9 +54,10 @@
     }
 }
 
-/// Similar bids as one, for which the largest of them stands.
+/// Similar bids merged into one, which has the properties of the largest of them.
 struct MergedBid {
     bid: Bid,
+    /// Number of tasks of the largest bid.
     largest: f64,
 }
 
--- a/crates/market/src/clearing/tests.rs
+++ b/crates/market/src/clearing/tests.rs
@@ -20,7 +20,8 @@
     }
 }
 
-/// Tasks that would start after `after`, and lose `loss` if that is later than `start_within`.
+/// Returns a bid of tasks that would start after `after` and lose `loss` if they start later than
+/// `start_within`.
 fn bid(tasks: f64, after: f64, start_within: f64, loss: f64, batches: usize) -> Bid {
     let uncertainty = Duration::ZERO;
     let objectives = vec![ServiceLevelObjective {
@@ -64,7 +65,7 @@
     assert!(c.saved > c.cost && c.method == Method::LinearProgram);
     let got = counts(&c, &batches);
     assert!(got[&batches[1].offer] >= 5 && !got.contains_key(&batches[0].offer));
-    // The cheap one refuses: the dear one is worth it as well, and for little it is not.
+    // If the cheap market refuses, the expensive one is used, but not for a small loss.
     let mut refused = batches.clone();
     refused[1].available = 0;
     let c = clear(&late, &refused, &no_zone_limit());
@@ -72,7 +73,7 @@
     let little = [bid(30.0, 120.0, 50.0, 2.0, 2)];
     let c = clear(&little, &refused, &no_zone_limit());
     assert_eq!((c.method, c.unserved), (Method::Nothing, 30.0));
-    // A price that moves by a third between two steps moves the choice.
+    // A price increase by a third changes the choice of the market.
     let both = [batch("k", "a", false, 1.0), batch("l", "a", false, 1.1)];
     let first = clear(&late, &both, &no_zone_limit());
     let mut moved = both.clone();
@@ -88,7 +89,7 @@
     let mut no_delay_cost = bid(50.0, 500.0, 50.0, 0.0, 1);
     no_delay_cost.delay_cost = DelayCost::default();
     let in_time = bid(50.0, 20.0, 90.0, 1e6, 1);
-    // No machine can be there before it is too late.
+    // No machine can be ready before the objective is missed.
     let unavoidably_late = bid(50.0, 100.0, 3.0, 1e6, 1);
     let c = clear(
         &[no_delay_cost, in_time, unavoidably_late],
@@ -109,7 +110,7 @@
     let c = clear(&[slow.clone(), urgent], &batches, &no_zone_limit());
     assert_eq!(c.awards, [Award { batch: 0, count: 4 }]);
     assert!(c.saved > 8.0 * 400.0, "{}", c.saved);
-    // Without the urgent ones, the slow ones get the machines: no bid starves.
+    // Without the urgent bid, the other one gets the machines.
     let c = clear(&[slow], &batches, &no_zone_limit());
     assert_eq!(c.awards, [Award { batch: 0, count: 4 }]);
 }
@@ -132,7 +133,7 @@
     assert_eq!(forward_counts, reversed_counts);
     let kinds: Vec<&String> = forward_counts.keys().map(|o| &o.machine_type).collect();
     assert!(kinds.windows(2).all(|k| k[0] == k[1]), "{forward_counts:?}");
-    // Of the same kind and price, zones share the provisioned machines.
+    // Machines of the same type and price are divided between the zones.
     let by_zone: Vec<u32> = forward_counts.values().copied().collect();
     assert!(by_zone.len() == 2 && by_zone[0].abs_diff(by_zone[1]) <= 1);
 }
@@ -146,7 +147,7 @@
     balance.add("b", 10.0);
     let got = counts(&clear(&late, &batches, &balance), &batches);
     assert!(!got.contains_key(&batches[0].offer) && got[&batches[1].offer] > 0);
-    // The other zone drains: better there than not at all.
+    // If the other zone has no machines available, the overfull zone is used.
     batches[1].available = 0;
     let got = counts(&clear(&late, &batches, &balance), &batches);
     assert!(got[&batches[0].offer] > 0);
@@ -198,7 +199,8 @@
     }
 }
 
-/// The linear program's value before machines are whole is what nothing can beat.
+/// The value of the linear program before rounding to whole machines is an upper bound for every
+/// method of clearing.
 #[test]
 fn greedy_clearing_stays_near_the_bound_of_the_linear_program() {
     let (mut saved, mut bound) = (0.0, 0.0);
--- a/crates/market/src/clearing/zones.rs
+++ b/crates/market/src/clearing/zones.rs
@@ -1,15 +1,17 @@
-//! Balancing of zones among markets that are equivalent to the bids.
+//! Balances awards among zones where markets are equivalent for the bids.
 
 use super::{EPSILON, OfferBatch, tie_break};
 use crate::zone_balance::ZoneBalance;
 
-/// Prices that differ by no more than this part are the same.
+/// Relative difference up to which two prices are considered equal.
 const PRICE_TOLERANCE: f64 = 0.01;
-/// Machines are dealt out in steps of this part of those left, as there may be hundreds.
+/// Machines are distributed in steps of the remaining number divided by this, as there may be
+/// hundreds of them.
 const STEP_DIVISOR: u32 = 16;
 
-/// Machines of one type at the same price are the same to the bids: they go where the zone holds
-/// least, a few at a time, as far as each market is likely to give them.
+/// Redistributes awards among equivalent markets. Machines of one type at the same price serve the
+/// bids equally well, so they are added to the zone with the smallest share, a few at a time, up to
+/// the number that each market is likely to grant.
 pub(super) fn balance_zones(counts: &mut [u32], batches: &[OfferBatch], balance: &ZoneBalance) {
     let mut handled = vec![false; batches.len()];
     let mut balance = balance.clone();
@@ -34,7 +36,7 @@
     }
 }
 
-/// Whether bids make no difference between a batch and another that may give machines.
+/// Returns whether `other` has machines available and serves bids as well as `batch` at an equal price.
 fn is_equivalent(batch: &OfferBatch, other: &OfferBatch) -> bool {
     batch.offer.machine_type == other.offer.machine_type
         && batch.offer.spot == other.offer.spot
@@ -47,7 +49,7 @@
     balance.add(&batch.offer.zone, size);
 }
 
-/// Distributes machines over equivalent batches.
+/// Distributes `total` machines over equivalent batches, to the zone with the smallest share first.
 fn distribute(
     total: u32,
     equivalent: &[usize],
@@ -66,7 +68,7 @@
         let next = open.min_by(|&&a, &&b| {
             let share = |batch: usize| balance.share(&batches[batch].offer.zone);
             let tie = |batch: usize| tie_break(&batches[batch].offer);
-            // By a stable fraction, not by the order in which they were listed.
+            // Ties are broken by a stable fraction, independently of the order of the batches.
             let by_share = share(a).total_cmp(&share(b));
             by_share.then(tie(a).total_cmp(&tie(b)))
         });
--- a/crates/market/src/delay_cost/tests.rs
+++ b/crates/market/src/delay_cost/tests.rs
@@ -29,13 +29,14 @@
     assert_eq!(cost.loss(Duration::ZERO), 0.0);
     assert!(
         (cost.loss(s(20.0)) - 5.2).abs() < 1e-9,
-        "half of it is lost"
+        "half of the miss cost is lost at the deadline"
     );
     assert!((cost.gain(s(300.0), s(100.0)) - 2.0).abs() < 1e-9);
     assert!(DelayCost::new(Vec::new(), f64::NAN).is_zero());
 }
 
-/// Where run times are unsure, starting late may still do, and a little late is a little lost.
+/// With an uncertain run time, a start after the deadline may still meet the objective, and the loss
+/// grows with the delay.
 #[test]
 fn loss_rises_gradually_when_the_run_time_is_uncertain() {
     let objective = |uncertainty: f64| ServiceLevelObjective {
@@ -56,7 +57,7 @@
 fn a_higher_objective_share_raises_the_cost_of_a_miss() {
     assert!((objective_weight(0.975) - 40.0).abs() < 1e-9);
     assert!((objective_weight(0.85) - 1.0 / 0.15).abs() < 1e-9);
-    // What settings may hold beside shares must not make work priceless.
+    // Settings that are not valid shares must not give an unlimited weight.
     assert_eq!(objective_weight(1.0), 200.0);
     assert_eq!(objective_weight(f64::NAN), 1.0);
     assert_eq!(objective_weight(-3.0), 1.0);
--- a/crates/market/src/estimates.rs
+++ b/crates/market/src/estimates.rs
@@ -1,44 +1,49 @@
-//! Estimates of each market, learned from answers.
+//! Estimates of the availability, loss rate and boot time of each market.
 //!
-//! Nothing here is a fact: a refusal says that there was nothing at that moment, a wave of lost
-//! machines that more may follow. Estimates fade with time, so that a market that has refused or
-//! lost machines is tried again. A new leader begins without any and learns within a few answers;
-//! what it may request is limited by the cloud alone, so a wrong estimate costs money or time,
-//! never a rule.
+//! The estimates are learned from the cloud's responses and may be wrong: a refusal shows that the
+//! market had no machines at that moment, and a burst of lost machines makes further losses likely.
+//! Estimates decay with time, so that a market that refused a request or lost machines is tried
+//! again. A new leader starts without estimates and learns them within a few responses. Limits on
+//! requests are enforced by the cloud, not by these estimates, so a wrong estimate costs money or
+//! time but violates no limit.
 
 use crate::Offer;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// A market that refused is left alone this long at first, and at most that long.
+/// Initial and maximum time for which no machines are requested from a market that refused.
 const INITIAL_BACKOFF: Duration = Duration::from_secs(4);
 const MAX_BACKOFF: Duration = Duration::from_secs(12);
-/// If it refuses again within this time after the backoff, the backoff doubles.
+/// Time after the backoff during which another refusal doubles the backoff.
 const REFUSAL_RETENTION: Duration = Duration::from_secs(30);
-/// After a refusal a market is asked for no more than what it last gave and a few: it mostly has
-/// as many as were given back. The allowance doubles with every answer in full.
+/// Number of machines requested from a market after a refusal, beyond the number that it last
+/// granted. After a refusal, a market usually has only about as many machines as were released since.
+/// The allowance doubles with each request that is granted in full.
 const PROBE_MACHINES: u32 = 8;
-/// Losses count half after this time.
+/// Time after which the weight of recorded losses and machine time has halved.
 const LOSS_HALF_LIFE: Duration = Duration::from_secs(60);
-/// Before anything is seen: one machine in two hours.
+/// Prior of the loss rate: 0.05 machines in 360 seconds, which is one loss in two machine hours.
 const PRIOR_LOSSES: f64 = 0.05;
 const PRIOR_SECONDS: f64 = 360.0;
-/// Announced boot times count as so many machines seen.
+/// Weight of the announced boot time, in number of observed boots.
 const PRIOR_BOOTS: f64 = 4.0;
-/// How much the boots seen so far count when another machine comes up.
+/// Factor by which the weight of earlier boots is reduced at each boot.
 const BOOT_DECAY: f64 = 0.95;
-/// Some machines take several times as long to boot: they say little of the next one.
+/// Limits of the ratio of observed to announced boot time. Some machines take several times as long
+/// to boot, which does not predict the boot time of the next one.
 const MIN_BOOT_RATIO: f64 = 0.05;
 const MAX_BOOT_RATIO: f64 = 3.0;
 
+/// Estimates of one market.
 #[derive(Clone, Debug, Default)]
 struct OfferEstimate {
     refusal: Option<Refusal>,
-    /// How many may be requested, after a refusal.
+    /// Maximum number of machines to request after a refusal.
     allowance: Option<u32>,
     losses: LossRate,
 }
 
+/// Last refusal of a market and the backoff that follows from it.
 #[derive(Clone, Copy, Debug)]
 struct Refusal {
     until: Instant,
@@ -55,7 +60,7 @@
     }
 }
 
-/// Machines lost against the time that machines were there; both decay.
+/// Number of lost machines and total machine time, both with exponential decay.
 #[derive(Clone, Copy, Debug, Default)]
 struct LossRate {
     lost: f64,
@@ -79,7 +84,7 @@
     }
 }
 
-/// How long machines of a type take to boot, against what the cloud announces.
+/// Ratio of the observed boot time of a machine type to the boot time that the cloud announces.
 #[derive(Clone, Copy, Debug)]
 struct BootTimeEstimate {
     ratio: f64,
@@ -95,14 +100,14 @@
     }
 }
 
-/// What is expected of a market now.
+/// Current forecast of a market.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MarketForecast {
-    /// Machines that it is likely to give; 0 while it is left alone.
+    /// Number of machines that the market is likely to grant; 0 during a backoff or in a closed zone.
     pub available: u32,
-    /// Chance of losing a machine, for each second.
+    /// Probability per second that a machine is lost.
     pub loss_rate: f64,
-    /// Why nothing is requested of it, for the status view.
+    /// Reason why no machines are requested, for the status view.
     pub closed_reason: Option<&'static str>,
 }
 
@@ -110,9 +115,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct MarketEstimates {
     offers: BTreeMap<Offer, OfferEstimate>,
-    /// By machine type.
+    /// Boot time estimates by machine type.
     boot_times: BTreeMap<String, BootTimeEstimate>,
-    /// Zones in which nothing is to be added, and why.
+    /// Zones in which no machines are added, each with the reason.
     closed_zones: BTreeMap<String, &'static str>,
 }
 
@@ -121,14 +126,16 @@
         if !self.offers.contains_key(offer) {
             self.offers.insert(offer.clone(), OfferEstimate::default());
         }
-        self.offers.get_mut(offer).expect("just put there")
+        self.offers
+            .get_mut(offer)
+            .expect("the entry was inserted above")
     }
 
-    /// A request for `requested` machines was answered with `granted` of them.
+    /// Records that `granted` of `requested` machines were granted.
     pub fn record_allocation(&mut self, offer: &Offer, requested: u32, granted: u32, now: Instant) {
         let estimate = self.offer(offer);
         if granted >= requested {
-            // What it gives in full it mostly has more of.
+            // A market that grants a request in full usually has more machines.
             let allowance = estimate.allowance;
             estimate.allowance = allowance.map(|a| a.saturating_mul(2).max(PROBE_MACHINES));
             if estimate
@@ -149,7 +156,7 @@
         estimate.allowance = Some(granted.saturating_add(PROBE_MACHINES));
     }
 
-    /// A machine came up after `took` where `announced` was expected.
+    /// Records that a machine became ready after `took`, where the cloud had announced `announced`.
     pub fn record_boot(&mut self, machine_type: &str, announced: Duration, took: Duration) {
         let announced = announced.as_secs_f64();
         if announced <= 0.0 {
@@ -162,13 +169,13 @@
         estimate.weight = weight;
     }
 
-    /// When a machine requested now can be expected to accept work, from now on.
+    /// Returns the expected time until a machine that is requested now accepts work.
     pub fn expected_boot(&self, machine_type: &str, announced: Duration) -> Duration {
         let ratio = self.boot_times.get(machine_type).map_or(1.0, |b| b.ratio);
         announced.mul_f64(ratio)
     }
 
-    /// Machines of this market were there for `span`, each.
+    /// Records that `machines` machines of this market ran for `span` each.
     pub fn record_machine_time(
         &mut self,
         offer: &Offer,
@@ -181,20 +188,21 @@
         losses.machine_seconds += f64::from(machines) * span.as_secs_f64();
     }
 
-    /// Machines of this market were reclaimed, or were lost otherwise: the chance rises at once.
+    /// Records that machines of this market were reclaimed or lost in another way. The loss rate rises at
+    /// once.
     pub fn record_losses(&mut self, offer: &Offer, machines: u32, now: Instant) {
         let losses = &mut self.offer(offer).losses;
         losses.decay(now);
         losses.lost += f64::from(machines);
     }
 
-    /// Nothing is added in these zones, and all that were closed before are open again: a zone
-    /// whose machines are all gone has nobody left to be reached.
+    /// Replaces the set of zones in which no machines are added. Zones that are not in the new set
+    /// are open again: a zone without any machines left cannot be found unreachable.
     pub fn set_closed_zones(&mut self, zones: &[String], reason: &'static str) {
         self.closed_zones = zones.iter().map(|z| (z.clone(), reason)).collect();
     }
 
-    /// What is expected of a market now.
+    /// Returns the current forecast of a market.
     pub fn forecast(&self, offer: &Offer, now: Instant) -> MarketForecast {
         let estimate = self.offers.get(offer);
         let loss_rate =
@@ -219,7 +227,7 @@
         }
     }
 
-    /// Markets that are left alone now, since they refused.
+    /// Returns the markets that are in backoff after a refusal.
     pub fn refused(&self, now: Instant) -> impl Iterator<Item = &Offer> {
         let is_refused =
             move |estimate: &OfferEstimate| estimate.refusal.is_some_and(|r| r.is_active(now));
--- a/crates/market/src/estimates/tests.rs
+++ b/crates/market/src/estimates/tests.rs
@@ -13,7 +13,8 @@
     estimates.record_allocation(&offer("a"), 50, 3, t0);
     assert_eq!(estimates.forecast(&offer("a"), at(1)).available, 0);
     assert_eq!(estimates.refused(at(1)).count(), 1);
-    // Probed for about what it gave; refusing again, it is left alone for longer.
+    // After the backoff, about as many machines are requested as it last granted. A second refusal
+    // doubles the backoff.
     assert_eq!(
         estimates.forecast(&offer("a"), at(5)).available,
         3 + PROBE_MACHINES
@@ -24,7 +25,7 @@
         estimates.forecast(&offer("a"), at(14)).available,
         PROBE_MACHINES
     );
-    // Filled in full, more is asked for; a while later it counts as any other.
+    // A request granted in full doubles the allowance, which is unlimited again some time later.
     estimates.record_allocation(&offer("a"), 8, 8, at(14));
     assert_eq!(
         estimates.forecast(&offer("a"), at(14)).available,
--- a/crates/market/src/lib.rs
+++ b/crates/market/src/lib.rs
@@ -1,16 +1,17 @@
-//! Bids of waiting work for capacity, cleared across markets.
+//! Decides how many machines of each market to add for the work that waits.
 //!
-//! A *market* is a machine type in a zone, spot or on-demand. Waiting work *bids*: it says what
-//! each delay costs it ([`delay_cost`]). What is known of each market is estimated from the
-//! cloud's and the machines' answers ([`estimates`]), and what will arrive soon from what has
-//! arrived ([`arrivals`]). Clearing ([`clearing`]) says how many machines of which market are
-//! worth their money now, and [`zone_balance`] keeps zones in balance while it does.
+//! A *market* is a machine type in a zone, spot or on-demand. Groups of waiting tasks submit
+//! *bids*, which state what a delayed start costs them ([`delay_cost`]). The availability, loss
+//! rate and boot time of each market are estimated from the responses of the cloud and from the
+//! machines' heartbeats ([`estimates`]); the arrival rate of jobs is estimated from recent arrivals
+//! ([`arrivals`]). *Clearing* ([`clearing`]) determines how many machines of each market save more
+//! than they cost, and [`zone_balance`] keeps capacity balanced among zones.
 //!
-//! The package exists to keep this decision apart from placing tasks and from calling the cloud:
-//! it is pure, without a clock or I/O, and the same input gives the same awards in every process.
+//! The package separates this decision from task placement and from calls to the cloud. It has no
+//! clock and no I/O, and the same input gives the same awards in every process.
 //!
-//! Money is in units of the cloud's price per hour, for a second: a machine of price 3.6 costs
-//! 3.6 units a second. Only ratios matter.
+//! The unit of money is one second at an hourly price of 1: a machine with an hourly price of 3.6
+//! costs 3.6 units per second. Only ratios of amounts matter.
 
 pub mod arrivals;
 pub mod clearing;
@@ -24,19 +25,19 @@
 pub use estimates::{MarketEstimates, MarketForecast};
 pub use zone_balance::ZoneBalance;
 
-/// A market: a machine type in a zone, spot or on-demand.
+/// Market: a machine type in a zone, spot or on-demand.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Offer {
-    /// The type's name.
+    /// Name of the machine type.
     pub machine_type: String,
-    /// The zone's name.
+    /// Name of the zone.
     pub zone: String,
-    /// Whether it is the spot market.
+    /// Whether the machines are spot (interruptible) rather than on-demand.
     pub spot: bool,
 }
 
 impl Offer {
-    /// The market of a type in a zone.
+    /// Creates the market of a machine type in a zone.
     pub fn new(machine_type: &str, zone: &str, spot: bool) -> Offer {
         Offer {
             machine_type: machine_type.to_string(),
--- a/crates/market/src/zone_balance.rs
+++ b/crates/market/src/zone_balance.rs
@@ -1,30 +1,30 @@
-//! Balance of zones: none should hold more than its share of the capacity, within a tolerance.
+//! Balance of capacity among zones: none should hold more than an equal share, within a tolerance.
 //!
-//! A zone's share is an equal part of all zones that are open. In a zone that holds more than it
-//! and the tolerance, a machine counts as more expensive, the more so the greater the excess:
-//! balance costs money, and where a zone has no alternative, it gives way.
+//! The equal share is one divided by the number of open zones. The price of a machine in a zone that
+//! exceeds the equal share plus the tolerance is multiplied by a factor that grows with the excess.
+//! As the imbalance has only a price, a zone without an alternative can still be used.
 
 use std::collections::BTreeMap;
 
-/// A machine in a zone that holds all there is counts this many times its price.
+/// Price factor of a zone that holds all capacity.
 const MAX_PRICE_FACTOR: f64 = 3.0;
 
-/// How capacity is spread over zones, in any measure that adds up (CPUs, say).
+/// Capacity of each zone, in any additive measure such as CPUs.
 #[derive(Clone, Debug, Default)]
 pub struct ZoneBalance {
     held: BTreeMap<String, f64>,
-    /// How far beyond an equal share a zone may go, as a part of all: 1 and more is no bound.
+    /// Maximum excess over the equal share, as a fraction of all capacity; 1 or more is no limit.
     tolerance: f64,
 }
 
 impl ZoneBalance {
-    /// These zones, which hold nothing yet.
+    /// Creates a balance of these zones, which hold no capacity yet.
     pub fn new<'a>(zones: impl IntoIterator<Item = &'a str>, tolerance: f64) -> ZoneBalance {
         let held = zones.into_iter().map(|z| (z.to_string(), 0.0)).collect();
         ZoneBalance { held, tolerance }
     }
 
-    /// Counts capacity in a zone; zones that are not listed do not matter.
+    /// Adds capacity to a zone; zones that were not given to `new` are ignored.
     pub fn add(&mut self, zone: &str, amount: f64) {
         if let Some(held) = self.held.get_mut(zone) {
             *held += amount;
@@ -35,7 +35,7 @@
         1.0 / self.held.len().max(1) as f64
     }
 
-    /// The part of all that a zone holds; an equal one while nothing is held.
+    /// Returns the fraction of all capacity that a zone holds; the equal share while there is none.
     pub fn share(&self, zone: &str) -> f64 {
         let total: f64 = self.held.values().sum();
         match self.held.get(zone) {
@@ -44,14 +44,14 @@
         }
     }
 
-    /// By how much the zone with the greatest share exceeds an equal one.
+    /// Returns the excess of the largest share over the equal share.
     pub fn max_excess(&self) -> f64 {
         let equal = self.equal_share();
         let excesses = self.held.keys().map(|zone| self.share(zone) - equal);
         excesses.fold(0.0, f64::max)
     }
 
-    /// How many times its price a machine in this zone counts for.
+    /// Returns the factor by which the price of a machine in this zone is multiplied.
     pub fn price_factor(&self, zone: &str) -> f64 {
         let equal = self.equal_share();
         let range = 1.0 - equal - self.tolerance;
--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -1,24 +1,24 @@
-//! Whether a worker's heartbeat says the same as before, without keeping what it said.
+//! Digest of a worker's heartbeat, by which an unchanged heartbeat is detected without keeping its
+//! content.
 
 use siphasher::sip128::{Hasher128, SipHasher13};
 use std::hash::Hasher;
 
-/// A keyed hash of everything that one heartbeat says, in 128 bits: with a key that each process
-/// draws for itself, two different heartbeats of a machine are never taken for one another, even if
-/// a user chose task names in order to cause a collision.
+/// 128-bit keyed hash of the content of one heartbeat. As each process draws its own key, a user cannot
+/// choose task names that cause a collision between two heartbeats of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Digest(u128);
 
-/// Takes in the parts of a heartbeat one after another.
+/// Computes the digest of the values of a heartbeat, which are added one after another.
 pub struct Digester(SipHasher13);
 
 impl Digester {
-    /// A digester with the process's key.
+    /// Creates a digester with the key of the process.
     pub fn new(key: u64) -> Digester {
         Digester(SipHasher13::new_with_keys(key, !key))
     }
 
-    /// Adds a text, with its length, so that no two sequences of texts run into one another.
+    /// Adds a string preceded by its length, so that the boundaries between strings change the digest.
     pub fn write_str(&mut self, text: &str) {
         self.0.write_usize(text.len());
         self.0.write(text.as_bytes());
@@ -29,7 +29,7 @@
         self.0.write_u64(number);
     }
 
-    /// The digest of everything added.
+    /// Returns the digest of all values added.
     pub fn finish(self) -> Digest {
         Digest(self.0.finish128().as_u128())
     }
--- a/crates/membership/src/grant.rs
+++ b/crates/membership/src/grant.rs
@@ -1,29 +1,29 @@
-//! A leader's authority, granted to another controller for a while.
+//! A leader's authority, granted to another controller for a limited time.
 //!
-//! The holder asks (a numbered request) and the leader answers with a span: how long its own
-//! leadership is still proven, counted from when it worked on the request. The holder counts the
-//! span from when it *sent* that request, which was earlier, so its grant expires before the
-//! leader's leadership does, whatever the clocks say and however long either answer took. A
-//! leader's leadership expires before another one can lead; so no grant outlives its leader, and a
-//! successor need not ask who had one.
+//! The holder sends a numbered request, and the leader responds with a duration: the remaining time
+//! of its own leadership when it processed the request. The holder counts this duration from the
+//! time at which it *sent* the request, which was earlier. The grant therefore expires before the
+//! leadership does, whatever the offset of the clocks and the delay of the messages. A leadership
+//! expires before another controller can become leader, so no grant outlives the leadership, and a
+//! successor does not have to find out who holds grants.
 
 use std::time::{Duration, Instant};
 
-/// The steady clocks of two machines drift apart by at most one part in this many of a span: twice
-/// what the protocol states, as both may be off.
+/// Bound of the drift between the monotonic clocks of two machines: one part in this many. It is
+/// twice the drift that the protocol allows for one clock, as both may be off.
 const DRIFT_DIVISOR: u32 = 1000;
 
-/// A grant as its holder keeps it.
+/// Grant as recorded by its holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeldGrant {
-    /// The term of the leader who granted it.
+    /// Term of the leader that granted it.
     pub term: u64,
-    /// When it expires, by the holder's clock.
+    /// Expiry by the holder's clock.
     pub expires_at: Instant,
 }
 
 impl HeldGrant {
-    /// From an answer to a request that was sent at `sent`.
+    /// Creates the grant from a response with the duration `span` to a request sent at `sent`.
     pub fn new(term: u64, sent: Instant, span: Duration) -> HeldGrant {
         HeldGrant {
             term,
@@ -31,42 +31,43 @@
         }
     }
 
-    /// Whether it has not expired and is of the leader of this term.
+    /// Returns whether the grant belongs to the leader of this term and has not expired.
     pub fn is_valid(&self, term: u64, now: Instant) -> bool {
         self.term == term && now < self.expires_at
     }
 }
 
-/// What a leader keeps of the grants to one controller, and of the requests for them.
+/// Leader's record of the grants to one controller and of its requests for them.
 #[derive(Clone, Debug)]
 pub struct IssuedGrant {
-    /// Of the holder: tells its process from an earlier one of the same name.
+    /// Incarnation of the holder, which distinguishes its process from earlier ones of the same name.
     pub incarnation: u64,
-    /// The number of the newest request that was taken in.
+    /// Number of the newest accepted request.
     pub last_number: u64,
-    /// When that was.
+    /// Time of the newest accepted request.
     pub last_request_at: Instant,
-    /// No answer under any grant was given later than this.
+    /// Latest expiry of all grants to this holder, by the leader's clock. The holder answers nothing
+    /// under a grant after this time.
     pub expires_at: Instant,
 }
 
-/// What a leader makes of a request.
+/// Order of a request relative to those accepted before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOrder {
-    /// The next one of the process that is known.
+    /// A newer request of the known incarnation.
     Next,
-    /// The first one of a process; the one before it under this name is over, and what it kept is
-    /// lost.
+    /// The first request of a new incarnation. The previous process of this name has ended, and its
+    /// state is lost.
     NewIncarnation,
-    /// Held up on the way; a newer one has been answered since. Or of another process under this
-    /// name while one may hold a grant: a process that is back within a moment waits for the grant
-    /// of its former incarnation to expire, and a frame of that incarnation which comes late takes
-    /// nothing from the one that lives.
+    /// A delayed request, after a newer one was accepted, or a request of another incarnation while
+    /// the known one may still hold a grant. A process that restarts quickly therefore waits until
+    /// the grant of its previous incarnation has expired, and a delayed frame of the previous
+    /// incarnation cannot revoke the grant of the running one.
     Stale,
 }
 
 impl IssuedGrant {
-    /// Nothing granted so far to this incarnation, whose last request had this number.
+    /// Creates the record of an incarnation without a grant, whose last request had this number.
     pub fn new(incarnation: u64, last_number: u64, now: Instant) -> IssuedGrant {
         IssuedGrant {
             incarnation,
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Takes in a request's number, unless the request is stale.
+    /// Determines the order of a request and records it, unless it is stale.
     pub fn accept_request(&mut self, incarnation: u64, number: u64, now: Instant) -> RequestOrder {
         let order = self.order_of(incarnation, number, now);
         if order != RequestOrder::Stale {
@@ -98,10 +99,9 @@
         }
     }
 
-    /// Extends the grant to when the leader's own leadership expires. Returns the span to answer
-    /// with.
+    /// Extends the grant until the leadership expires. Returns the duration to respond with.
     pub fn extend(&mut self, leader_until: Instant, now: Instant) -> Duration {
-        // Never earlier than what an earlier answer allowed.
+        // The expiry never moves back, as the holder relies on earlier responses.
         self.expires_at = self.expires_at.max(leader_until);
         leader_until.saturating_duration_since(now)
     }
--- a/crates/membership/src/grant/tests.rs
+++ b/crates/membership/src/grant/tests.rs
@@ -4,8 +4,8 @@
     Duration::from_millis(n)
 }
 
-/// The way of an answer may take any time: counting from the receipt would let a borrower speak
-/// for a leader that has been succeeded.
+/// A response may be delayed for any time. If the grant were counted from its receipt, the holder could
+/// act for a leader that has already been succeeded.
 #[test]
 fn a_grant_expires_before_the_leadership_however_late_the_response() {
     let t = Instant::now();
@@ -29,15 +29,15 @@
     assert_eq!(issued.accept_request(1, 6, t + ms(3)), RequestOrder::Stale);
     assert_eq!(issued.last_request_at, t + ms(2));
     issued.extend(t + ms(900), t + ms(4));
-    // What the process before was granted counts until it has run out.
+    // The grant of the previous incarnation is valid until it has expired.
     assert_eq!(issued.accept_request(2, 1, t + ms(5)), RequestOrder::Stale);
     assert_eq!(
         issued.accept_request(2, 9, t + ms(900)),
         RequestOrder::NewIncarnation
     );
     issued.extend(t + ms(2000), t + ms(901));
-    // A frame of the previous incarnation: the leader dropped the grants of the live one, which
-    // went on renewing leases that had expired for the leader.
+    // Guards against a delayed frame of the previous incarnation: the leader would drop the grants
+    // of the running one, which would go on renewing leases that have expired for the leader.
     assert_eq!(
         issued.accept_request(1, 8, t + ms(950)),
         RequestOrder::Stale
--- a/crates/membership/src/share.rs
+++ b/crates/membership/src/share.rs
@@ -1,33 +1,34 @@
-//! How many workers each controller should serve, and how many are moved now.
+//! Distribution of workers among the controllers, and the moves towards it.
 //!
-//! A worker that is moved connects again, which costs both ends more than several heartbeats do. So
-//! workers stay where they come to; only a load well above the even share is lowered, only
-//! towards controllers well below it, and so many at a time that nobody is flooded.
+//! A worker that is moved connects again, which costs both sides more than several heartbeats do.
+//! Workers therefore stay with the controller that they connected to. Only controllers well above
+//! their share give workers away, only controllers below their share receive them, and the number
+//! of moves at a time is limited so that no controller is overloaded with new connections.
 
-/// One controller that may serve workers.
+/// Controller that may serve workers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Server {
-    /// Its name.
+    /// Name of the controller.
     pub name: String,
-    /// Workers that it serves.
+    /// Number of workers that it serves.
     pub load: u32,
-    /// The part of an even share that it should have: less for the leader, which does more besides.
+    /// Weight of its share: 1 for an equal share, less for the leader, which has other work as well.
     pub weight: f64,
 }
 
-/// So many workers of `from` should go to `to`.
+/// Number of workers to move from one controller to another.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Move {
-    /// The controller that serves them.
+    /// Controller that serves the workers now.
     pub from: String,
-    /// The controller that is to serve them.
+    /// Controller that is to serve them.
     pub to: String,
-    /// How many.
+    /// Number of workers.
     pub count: u32,
 }
 
-/// The controller that the next worker is sent to, of so many that are to go to each; the worker
-/// counts as sent.
+/// Returns the controller to which the next worker is moved, and counts this worker as moved. `moves`
+/// holds the controllers, each with the number of workers still to move there.
 pub fn next_target(moves: &mut Vec<(String, u32)>) -> Option<String> {
     let (to, remaining) = moves.last_mut()?;
     *remaining = remaining.saturating_sub(1);
@@ -37,17 +38,17 @@
     moves.pop().map(|(to, _)| to)
 }
 
-/// Loads within this part of the even share are even.
+/// Relative excess over its share up to which a controller's load is not reduced.
 const TOLERANCE: f64 = 0.15;
-/// No worker is moved for a surplus of fewer workers than this.
+/// Surplus, in workers, up to which no worker is moved.
 const MIN_SURPLUS: f64 = 6.0;
-/// A controller takes more workers from this far below its share on.
+/// Deficit, in workers, above which a controller receives workers.
 const MIN_DEFICIT: f64 = 1.0;
 
-/// A controller and how far its load is from its share, in workers.
+/// Absolute difference between a controller's load and its share, in workers, and the controller.
 type Deviation<'a> = (f64, &'a Server);
 
-/// What is to be moved now, `max_workers` workers in all.
+/// Returns the moves to make now, of at most `max_workers` workers in total.
 pub fn plan_moves(servers: &[Server], max_workers: u32) -> Vec<Move> {
     let (overloaded, mut underloaded) = deviations(servers);
     let mut remaining = max_workers;
@@ -72,8 +73,8 @@
     moves
 }
 
-/// The controllers well above their share with their surplus, and those below with their deficit; the
-/// largest first, ties by name.
+/// Returns the controllers well above their share with their surplus, and those below their share
+/// with their deficit; the largest first, ties by name.
 fn deviations(servers: &[Server]) -> (Vec<Deviation<'_>>, Vec<Deviation<'_>>) {
     let mut overloaded = Vec::new();
     let mut underloaded = Vec::new();
--- a/crates/membership/src/share/tests.rs
+++ b/crates/membership/src/share/tests.rs
@@ -26,11 +26,11 @@
     let (all, moved) = rebalance_repeatedly(servers(&[(1200, 0.25), (0, 1.0), (0, 1.0)]));
     assert!(all[0].load <= 160 && all[1].load >= 500 && all[2].load >= 500);
     assert!(moved <= 1200);
-    // Even enough: nobody is moved, so nothing flaps.
+    // Loads within the tolerance cause no moves, so workers do not flap.
     assert!(plan_moves(&all, 20).is_empty());
     let nearly_even = servers(&[(110, 1.0), (100, 1.0), (90, 1.0)]);
     assert!(plan_moves(&nearly_even, 20).is_empty());
-    // Nobody to go to, or nobody at all.
+    // No other controller, or none at all.
     assert!(plan_moves(&servers(&[(500, 0.25)]), 20).is_empty());
     assert!(plan_moves(&[], 20).is_empty());
 }
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,50 +1,52 @@
-//! What one controller knows of the others: a failure detector with suspicion before loss.
+//! One controller's view of the others: a failure detector that suspects a member before it declares
+//! it lost.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// What a process can do beyond what all versions can, a set of bits. Versions that never stated
-/// any have none.
+/// Bit set of the optional features that a process supports. Versions that do not state their
+/// capabilities have none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Capabilities(pub u32);
 
 impl Capabilities {
-    /// Serves workers: answers their heartbeats under a grant.
+    /// Serves workers, that is, answers their heartbeats under a grant.
     pub const SERVES_WORKERS: Capabilities = Capabilities(1);
 
-    /// Whether all of these are among them.
+    /// Returns whether `self` has all capabilities of `other`.
     pub fn contains(self, other: Capabilities) -> bool {
         self.0 & other.0 == other.0
     }
 }
 
-/// What the failure detector says of a member.
+/// State of a member by the failure detector.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberState {
-    /// No contact so far: of an older version, or not up.
+    /// No contact so far, as the member runs an older version or is not up.
     Unknown,
-    /// In contact.
+    /// Contact within the suspicion timeout.
     Alive,
-    /// Late. Nothing new is given to it, and nothing is taken for lost with it.
+    /// Contact is overdue. Nothing new is assigned to the member, and nothing that it serves is
+    /// considered lost.
     Suspect,
-    /// Without contact for so long that it counts as gone.
+    /// No contact for longer than the loss timeout; the member is considered gone.
     Lost,
 }
 
-/// Another controller, as this one knows it.
+/// Another controller, as known to this one.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// The zone that it runs in.
+    /// Zone in which it runs.
     pub zone: String,
-    /// Tells its process from an earlier one of the same name.
+    /// Number that distinguishes its process from earlier ones of the same name.
     pub incarnation: u64,
-    /// What it stated last.
+    /// Capabilities that it stated last.
     pub capabilities: Capabilities,
-    /// Workers that it serves.
+    /// Number of workers that it serves.
     pub load: u32,
-    /// When something last came from it.
+    /// Time of the last message from it.
     pub last_contact: Option<Instant>,
-    /// When another controller last had contact with it, as far as that was reported.
+    /// Time of the last contact that another controller reported.
     pub last_contact_by_others: Option<Instant>,
 }
 
@@ -61,16 +63,16 @@
     }
 }
 
-/// How long a member may be silent.
+/// Timeouts of the failure detector.
 #[derive(Clone, Copy, Debug)]
 pub struct FailureDetectorTimeouts {
-    /// Silent for longer than this, it is suspect.
+    /// Time without contact after which a member is suspect.
     pub suspect_after: Duration,
-    /// Silent for longer than this, it is lost, unless others are in contact with it.
+    /// Time without contact after which a member is lost, unless others are in contact with it.
     pub lost_after: Duration,
 }
 
-/// All other controllers by name.
+/// All other controllers, by name.
 #[derive(Clone, Debug)]
 pub struct MembershipView {
     members: BTreeMap<String, Member>,
@@ -78,7 +80,7 @@
 }
 
 impl MembershipView {
-    /// A view of the others, by name and zone, before any contact.
+    /// Creates a view of the others, given by name and zone, before any contact.
     pub fn new(
         others: impl IntoIterator<Item = (String, String)>,
         timeouts: FailureDetectorTimeouts,
@@ -92,19 +94,19 @@
         }
     }
 
-    /// All members with their names, by name.
+    /// Returns all members with their names, in the order of the names.
     pub fn members(&self) -> impl Iterator<Item = (&str, &Member)> {
         self.members
             .iter()
             .map(|(name, member)| (name.as_str(), member))
     }
 
-    /// The member of this name.
+    /// Returns the member of this name.
     pub fn get(&self, name: &str) -> Option<&Member> {
         self.members.get(name)
     }
 
-    /// Something came from a member; false if none has this name.
+    /// Records a message from a member. Returns false if there is no member of this name.
     pub fn record_contact(
         &mut self,
         name: &str,
@@ -123,8 +125,8 @@
         true
     }
 
-    /// Another member reports when it last had contact with this one, and what it was then. What
-    /// this node learned itself later than that stands.
+    /// Records another controller's report of its last contact with a member, with the member's
+    /// capabilities and load at that time. Newer information from a direct contact is kept.
     pub fn merge_report(
         &mut self,
         name: &str,
@@ -146,7 +148,7 @@
         }
     }
 
-    /// What the failure detector says of the member of this name.
+    /// Returns the state of the member of this name.
     pub fn state(&self, name: &str, now: Instant) -> MemberState {
         let Some(member) = self.members.get(name) else {
             return MemberState::Unknown;
@@ -161,8 +163,8 @@
         if silence <= self.timeouts.suspect_after {
             MemberState::Alive
         } else if silence <= self.timeouts.lost_after || others_reach_it {
-            // A partition between the two of us, or a peer port that refuses: it is up, and others
-            // reach it.
+            // A member that others still reach is up; only the connection between it and this
+            // controller fails, by a network partition or a peer port that refuses connections.
             MemberState::Suspect
         } else {
             MemberState::Lost
--- a/crates/membership/src/view/tests.rs
+++ b/crates/membership/src/view/tests.rs
@@ -19,14 +19,14 @@
     assert_eq!(view.state("n1", t + ms(1000)), MemberState::Alive);
     assert_eq!(view.state("n1", t + ms(2000)), MemberState::Suspect);
     assert_eq!(view.state("n1", t + ms(5000)), MemberState::Lost);
-    // Cut one way: another one still hears it.
+    // Only the connection to this controller is cut: another controller still has contact with it.
     view.merge_report("n1", Capabilities::SERVES_WORKERS, 12, t + ms(4500));
     assert_eq!(view.state("n1", t + ms(5000)), MemberState::Suspect);
     assert_eq!(view.get("n1").unwrap().load, 12);
     assert_eq!(view.state("n1", t + ms(9000)), MemberState::Lost);
     assert!(view.record_contact("n1", 2, Capabilities::SERVES_WORKERS, 0, t + ms(9000)));
     assert_eq!(view.state("n1", t + ms(9000)), MemberState::Alive);
-    // An old version says nothing of abilities.
+    // A member that has not stated its capabilities, such as one of an old version, has none.
     assert!(
         !view
             .get("n2")
--- a/crates/snapshot/src/archive.rs
+++ b/crates/snapshot/src/archive.rs
@@ -1,6 +1,6 @@
-//! The folder that a snapshotter writes: its key, and a timeline for each store that was followed.
-//! When a store loses data it is another one from then on, and gets a timeline of its own: what was
-//! kept of the one before is never written over.
+//! Archive folder of a snapshotter: its key, and a timeline for each store that was followed. A store
+//! that has lost data counts as a new store and gets its own timeline, so the timeline of the previous
+//! store is never overwritten.
 
 use crate::image::Image;
 use crate::record::ArchiveKey;
@@ -8,25 +8,25 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// Timelines that are kept; the oldest goes first.
+/// Number of timelines that are kept; the oldest ones are removed.
 const KEPT_TIMELINES: usize = 8;
 const KEY_FILE: &str = "key";
 
-/// A folder of timelines.
+/// Folder of timelines.
 pub struct Archive {
     dir: PathBuf,
     key: ArchiveKey,
 }
 
-/// A timeline's folder, and what can be read of it.
+/// Timeline of an archive, as far as it can be read.
 pub struct ArchivedTimeline {
-    /// The folder's name: a number, and the store's identity.
+    /// Name of the timeline's folder: a number and the store's identity.
     pub name: String,
-    /// What can be read of it; where nothing can be, the faults that say why.
+    /// The timeline, or the faults because of which nothing of it can be read.
     pub timeline: Result<Timeline, Vec<RecordFault>>,
 }
 
-/// The name of a timeline's folder, with the number at its start.
+/// Name of a timeline's folder, and the number at its start.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct FolderName {
     number: u64,
@@ -34,14 +34,14 @@
 }
 
 impl FolderName {
-    /// The store's identity in the name.
+    /// Returns the store's identity from the name.
     fn store(&self) -> &str {
         self.name.split_once('-').map_or("", |(_, store)| store)
     }
 }
 
 impl Archive {
-    /// Opens a folder, and makes it with a new key if it is not there.
+    /// Opens an archive; creates the folder and a new key if they do not exist.
     pub fn open(dir: &Path) -> io::Result<Archive> {
         std::fs::create_dir_all(dir)?;
         let path = dir.join(KEY_FILE);
@@ -50,7 +50,7 @@
             let mut part = tempfile::Builder::new().prefix("part-").tempfile_in(dir)?;
             part.write_all(&key)?;
             part.as_file().sync_all()?;
-            // The second of two concurrent writers uses the key of the first.
+            // If another process has just created a key, that key is used.
             match part.persist_noclobber(&path) {
                 Ok(_) => {}
                 Err(e) if e.error.kind() == io::ErrorKind::AlreadyExists => {}
@@ -60,11 +60,14 @@
         Archive::open_existing(dir)
     }
 
-    /// Opens a folder that must be there.
+    /// Opens an archive that must exist.
     pub fn open_existing(dir: &Path) -> io::Result<Archive> {
         let bytes = std::fs::read(dir.join(KEY_FILE))?;
         let key = ArchiveKey::try_from(bytes.as_slice()).map_err(|_| {
-            io::Error::new(io::ErrorKind::InvalidData, "its key is not 32 bytes long")
+            io::Error::new(
+                io::ErrorKind::InvalidData,
+                "the archive's key is not 32 bytes long",
+            )
         })?;
         Ok(Archive {
             dir: dir.into(),
@@ -72,7 +75,7 @@
         })
     }
 
-    /// The timelines' folders by number, the newest last.
+    /// Returns the folders of the timelines, the newest last.
     fn folders(&self) -> io::Result<Vec<FolderName>> {
         let mut folders = Vec::new();
         for entry in std::fs::read_dir(&self.dir)? {
@@ -87,11 +90,11 @@
         Ok(folders)
     }
 
-    /// Begins a new timeline for a store.
+    /// Creates a timeline for a store and removes the oldest timelines beyond the limit.
     pub fn create_timeline(&self, store: &str, image: &Image) -> io::Result<Writer> {
         let folders = self.folders()?;
         let number = folders.last().map_or(1, |newest| newest.number + 1);
-        // Identities are letters and digits; whatever else one has is not for a file's name.
+        // Identities consist of letters and digits; other characters could be unsafe in a file name.
         let sanitized: String = store.chars().filter(char::is_ascii_alphanumeric).collect();
         let sanitized = if sanitized.is_empty() {
             "unnamed"
@@ -108,7 +111,7 @@
         Ok(writer)
     }
 
-    /// Goes on with the newest timeline, with a base of what the store holds now.
+    /// Continues the newest timeline with a new base of the store's present content.
     pub fn resume(&self, image: &Image, store: &str) -> io::Result<Writer> {
         match self.folders()?.last() {
             Some(newest) => Writer::begin(&self.dir.join(&newest.name), self.key, store, image),
@@ -116,7 +119,7 @@
         }
     }
 
-    /// Reads every timeline, the newest last.
+    /// Reads all timelines, the newest last.
     pub fn list(&self) -> io::Result<Vec<ArchivedTimeline>> {
         let folders = self.folders()?;
         folders
@@ -125,7 +128,7 @@
             .collect()
     }
 
-    /// The newest timeline that has a base; `None` if there is none.
+    /// Reads the newest timeline with a complete base; `None` if there is none.
     pub fn newest(&self) -> io::Result<Option<ArchivedTimeline>> {
         for folder in self.folders()?.iter().rev() {
             let archived = self.read_timeline(folder)?;
@@ -136,8 +139,8 @@
         Ok(None)
     }
 
-    /// One timeline, by its folder's name, by its number, or by the store's identity (the newest of
-    /// it).
+    /// Reads the timeline with this folder name, number or store identity; the newest one if several
+    /// match.
     pub fn find(&self, which: &str) -> io::Result<Option<ArchivedTimeline>> {
         let folders = self.folders()?;
         let matches = |folder: &&FolderName| {
--- a/crates/snapshot/src/archive/tests.rs
+++ b/crates/snapshot/src/archive/tests.rs
@@ -21,7 +21,7 @@
         );
         archive.create_timeline(&format!("s{n}"), &image).unwrap();
     }
-    // Opened again, with the same key.
+    // The archive can be opened again, with the same key.
     let archive = Archive::open_existing(dir.path()).unwrap();
     let all = archive.list().unwrap();
     assert_eq!((all.len(), &*all[0].name), (KEPT_TIMELINES, "0003-s2"));
--- a/crates/snapshot/src/codec.rs
+++ b/crates/snapshot/src/codec.rs
@@ -1,12 +1,12 @@
-//! The encoding of numbers, texts and changes inside records: little-endian, texts with their
-//! length before them.
+//! Encoding of numbers, strings and changes inside records: little-endian, strings preceded by their
+//! length.
 
 use crate::image::{Change, Entry};
 
-/// A deletion has this in place of a version: no key is ever put at revision 0.
+/// Marks a deletion in place of a version; no key is ever put at revision 0.
 const DELETED: u64 = 0;
 
-/// Builds the bytes of a record.
+/// Encodes the content of a record.
 #[derive(Default)]
 pub(crate) struct Encoder(Vec<u8>);
 
@@ -21,7 +21,7 @@
         self.0.extend_from_slice(text.as_bytes());
     }
 
-    /// A key with its entry; without one, its deletion.
+    /// Writes a key with its entry, or its deletion if there is no entry.
     pub(crate) fn write_change(&mut self, key: &str, entry: Option<&Entry>) {
         self.write_u64(entry.map_or(DELETED, |entry| entry.version));
         self.write_str(key);
@@ -45,7 +45,7 @@
     }
 }
 
-/// Reads the bytes of a record; `None` where they are not as an [`Encoder`] made them.
+/// Decodes the content of a record. The methods return `None` where the bytes are not a valid encoding.
 pub(crate) struct Decoder<'a>(&'a [u8]);
 
 impl<'a> Decoder<'a> {
--- a/crates/snapshot/src/image.rs
+++ b/crates/snapshot/src/image.rs
@@ -1,37 +1,37 @@
-//! Keys, versions and values, and changes to them. Values are JSON text that nothing here reads.
+//! Keys, versions and values, and changes to them. Values are JSON text that is not parsed here.
 
 use std::collections::BTreeMap;
 
-/// What the store holds under one key.
+/// Version and value of one key in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// The revision at which it was put.
+    /// Revision at which the key was put.
     pub version: u64,
-    /// JSON text.
+    /// Value as JSON text.
     pub value: String,
 }
 
-/// One change, as a watch reports it.
+/// Change of one key, as reported by a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// The key that changed.
+    /// Key that changed.
     pub key: String,
-    /// What is under it now; nothing after a deletion.
+    /// New entry of the key; `None` for a deletion.
     pub entry: Option<Entry>,
 }
 
-/// What the store held at a revision.
+/// Content of the store at a revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Image {
-    /// The revision of the store.
+    /// Revision of the store.
     pub revision: u64,
-    /// Every key and what is under it.
+    /// All keys with their entries.
     pub items: BTreeMap<String, Entry>,
 }
 
 impl Image {
-    /// Applies changes in the order in which the service reports them. One that comes again (a watch
-    /// repeats what a list held already) does not bring back an older version.
+    /// Applies changes in the order in which the service reports them. An entry older than the present
+    /// one is ignored, as a watch may repeat changes that the listing already contained.
     pub fn apply(&mut self, changes: Vec<Change>, revision: u64) {
         for Change { key, entry } in changes {
             match entry {
@@ -49,7 +49,7 @@
         self.revision = self.revision.max(revision);
     }
 
-    /// Bytes of keys and values.
+    /// Returns the total size of all keys and values, in bytes.
     pub fn size_bytes(&self) -> usize {
         let sizes = self
             .items
--- a/crates/snapshot/src/record.rs
+++ b/crates/snapshot/src/record.rs
@@ -1,28 +1,28 @@
-//! How a record lies in a file: a header of a fixed layout, then its bytes, compressed. A checksum
-//! finds what is torn or flipped; a keyed hash over the record and the one before it finds what was
-//! put in, taken out or moved by a hand that has not got the archive's key.
+//! Format of a record in a file: a header of fixed layout, followed by the compressed content. A
+//! checksum detects corrupt bytes. A keyed hash over the record and the hash of the previous one
+//! detects records that were inserted, removed or moved without the archive's key.
 
 use std::io::{self, Read, Write};
 use zerocopy::byteorder::little_endian::U32;
 use zerocopy::{FromBytes, Immutable, IntoBytes, KnownLayout, Unaligned};
 
-/// The first bytes of every record.
+/// Magic number at the start of every record.
 const MAGIC: u32 = 0x6275_7273;
-/// No record unpacks to more bytes, whatever its header says.
+/// Maximum size of the uncompressed content, in bytes, enforced against corrupt headers.
 pub const MAX_RECORD_BYTES: usize = 1 << 20;
-/// Nor is one longer when packed: what cannot be compressed grows a little.
+/// Maximum size of the compressed content, in bytes; incompressible content grows slightly.
 const MAX_COMPRESSED_BYTES: usize = MAX_RECORD_BYTES + MAX_RECORD_BYTES / 16;
 
-/// What a record holds.
+/// Kind of content in a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordKind {
-    /// What a base is of.
+    /// Header of a base: its store, revision and time.
     Header = 1,
-    /// Some of the items of a base.
+    /// Some items of a base.
     Items = 2,
-    /// A base is whole.
+    /// End of a complete base.
     End = 3,
-    /// Changes after the base.
+    /// Changes to the store after the base.
     Changes = 4,
 }
 
@@ -38,28 +38,31 @@
     }
 }
 
+/// Header of a record as stored in the file.
 #[derive(FromBytes, IntoBytes, Immutable, KnownLayout, Unaligned)]
 #[repr(C)]
 struct Header {
     magic: U32,
     kind: u8,
     reserved: [u8; 3],
-    /// Length of the bytes before compression.
+    /// Length of the uncompressed content, in bytes.
     raw_length: U32,
-    /// Length of the compressed bytes, which follow.
+    /// Length of the compressed content that follows the header, in bytes.
     compressed_length: U32,
-    /// Over the packed bytes.
+    /// CRC-32 of the compressed content.
     crc: U32,
-    /// Over the record before, the kind, and the packed bytes.
+    /// Keyed hash of the previous record's hash, the kind, the uncompressed length and the compressed
+    /// content.
     chain: [u8; 16],
 }
 
-/// The archive's key.
+/// Secret key of an archive, with which the hashes of its records are computed.
 pub type ArchiveKey = [u8; 32];
-/// Where in its file's chain a record stands: the hash of the one before it.
+/// Hash of a record in the hash chain of its file.
 pub type ChainHash = [u8; 16];
 
-/// The start of a file's chain, by its name: records of one file do not pass for another's.
+/// Returns the initial hash of a file's chain. It depends on the file's name, so that the records of
+/// one file are not valid in another.
 pub fn initial_hash(key: &ArchiveKey, file: &str) -> ChainHash {
     truncate_hash(blake3::keyed_hash(key, file.as_bytes()))
 }
@@ -71,7 +74,7 @@
     chain
 }
 
-/// The hash of a record, given that of the one before it.
+/// Returns the hash of a record, given the hash of the previous one.
 fn next_hash(
     key: &ArchiveKey,
     previous: &ChainHash,
@@ -88,7 +91,7 @@
     truncate_hash(hasher.finalize())
 }
 
-/// Writes a record; gives its length in the file.
+/// Writes a record and advances the chain; returns the record's length in the file, in bytes.
 pub fn write(
     out: &mut impl Write,
     key: &ArchiveKey,
@@ -109,37 +112,37 @@
     };
     let mut bytes = header.as_bytes().to_vec();
     bytes.extend_from_slice(&compressed);
-    // In one piece: a record is torn in one place at the most.
+    // A single write, so that an interrupted one leaves at most one truncated record.
     out.write_all(&bytes)?;
     Ok(bytes.len())
 }
 
-/// Why a file cannot be read on.
+/// Reason why the rest of a file cannot be read.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Fault {
-    /// It ends within a record: the writer was ended there.
-    #[error("it ends within a record")]
+    /// The file ends within a record, as the writer was interrupted there.
+    #[error("the file ends within a record")]
     Torn,
-    /// Bytes are not as they were written; with what shows it.
-    #[error("its bytes are not as they were written ({0})")]
+    /// The bytes of a record are corrupt; with the check that failed.
+    #[error("the record is corrupt ({0})")]
     Damaged(&'static str),
-    /// Whole, but not written here, or not in this place.
-    #[error("a record was not written in this place with this key")]
+    /// The record is intact but was not written at this position with the archive's key.
+    #[error("the record was not written at this position with the archive's key")]
     NotAuthentic,
 }
 
-/// Why a record cannot be read.
+/// Reason why a record cannot be read.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
     /// The file could not be read.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The file was read, and what it holds is not a record of this chain.
+    /// The file was read, but its content is not a valid record of this chain.
     #[error(transparent)]
     Fault(#[from] Fault),
 }
 
-/// Reads the next record, and moves the chain on; `None` at the end of the file.
+/// Reads and verifies the next record and advances the chain; `None` at the end of the file.
 pub fn read(
     input: &mut impl Read,
     key: &ArchiveKey,
@@ -176,7 +179,7 @@
     Ok(Some((kind, raw)))
 }
 
-/// Whether a header can be one of a record, before anything is read that relies on it.
+/// Checks that a header is plausible, before its lengths are used; returns the kind of the record.
 fn check_header(header: &Header) -> Result<RecordKind, Fault> {
     if header.magic.get() != MAGIC {
         return Err(Fault::Damaged("mark"));
@@ -192,7 +195,7 @@
     Ok(kind)
 }
 
-/// Reads until the buffer is full or the file ends; gives how much.
+/// Reads until the buffer is full or the input ends; returns the number of bytes read.
 fn read_full(input: &mut impl Read, buffer: &mut [u8]) -> io::Result<usize> {
     let mut n = 0;
     while n < buffer.len() {
--- a/crates/snapshot/src/timeline.rs
+++ b/crates/snapshot/src/timeline.rs
@@ -1,7 +1,7 @@
-//! The timeline of one store: a base and a log of the changes after it. A base is written beside its
-//! place, synced, and put there whole; the log after it only grows. When the log has become longer
-//! than its base, a new base takes the place of both, and the pair before stays until there is
-//! another one: a timeline can always be read.
+//! Timeline of one store: a base and a log of the changes after it. A base is written to a temporary
+//! file, synced, and renamed, so it is always complete; its log is only appended to. When the log has
+//! become longer than its base, a new pair of base and log is started. The previous pair is kept until
+//! the next one is started, so a timeline can be read at any time.
 
 mod reader;
 mod writer;
@@ -17,54 +17,55 @@
 const BASE_EXTENSION: &str = "base";
 const LOG_EXTENSION: &str = "log";
 
-/// What a timeline is of, and when its base was taken.
+/// Store, revision and time of a base.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BaseHeader {
-    /// The store's identity; empty if it has none.
+    /// Identity of the store; empty if it has none.
     pub store: String,
-    /// The revision as of which the base was taken.
+    /// Revision of the store in the base.
     pub revision: u64,
-    /// When the base was taken, in milliseconds since 1970.
+    /// Time at which the base was written, in milliseconds since the Unix epoch.
     pub at_ms: u64,
 }
 
-/// A timeline as far as it can be read.
+/// Timeline as far as it can be read.
 #[derive(Debug)]
 pub struct Timeline {
-    /// What its base is of.
+    /// Header of its base.
     pub header: BaseHeader,
-    /// What the store held after the last change that can be read.
+    /// Content of the store after the last change that can be read.
     pub image: Image,
-    /// When the last change was written, in milliseconds since 1970; that of the base if none was.
+    /// Time at which the last change was written, or the base if there is no change, in milliseconds
+    /// since the Unix epoch.
     pub newest_ms: u64,
-    /// How many changes after the base were read.
+    /// Number of changes read after the base.
     pub changes: usize,
-    /// Bytes on disk that were read.
+    /// Number of bytes read from disk.
     pub bytes: u64,
-    /// What is at fault; of the changes after it nothing is in the image.
+    /// Faults found. Changes after a fault in the log are not in the image.
     pub faults: Vec<RecordFault>,
 }
 
-/// A fault found in a file.
+/// Fault found in a file.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{file} at byte {offset}: {fault}")]
 pub struct RecordFault {
-    /// The file's name in its timeline's folder.
+    /// Name of the file in the timeline's folder.
     pub file: String,
-    /// Bytes before the record at fault.
+    /// Offset of the faulty record in the file, in bytes.
     pub offset: u64,
-    /// What is at fault.
+    /// Fault of the record.
     pub fault: Fault,
 }
 
-/// Why nothing of a timeline can be read.
+/// Reason why nothing of a timeline can be read.
 #[derive(Debug, thiserror::Error)]
 pub enum TimelineError {
     /// A file or folder could not be read.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// There is no pair with a whole base; the faults say why.
-    #[error("no whole base: {0:?}")]
+    /// No pair has a complete base, because of these faults.
+    #[error("no complete base: {0:?}")]
     NoBase(Vec<RecordFault>),
 }
 
@@ -76,7 +77,8 @@
     format!("{number:06}.{LOG_EXTENSION}")
 }
 
-/// The numbers of the pairs in a folder, the newest last; of a pair, one file may be missing.
+/// Returns the numbers of the base and log pairs in a folder, the newest last. One file of a pair may
+/// be missing.
 fn pair_numbers(dir: &Path) -> io::Result<Vec<u64>> {
     let mut numbers = Vec::new();
     for entry in std::fs::read_dir(dir)? {
--- a/crates/snapshot/src/timeline/reader.rs
+++ b/crates/snapshot/src/timeline/reader.rs
@@ -1,4 +1,4 @@
-//! Reading of a timeline.
+//! Reads a timeline.
 
 use super::{BaseHeader, RecordFault, Timeline, TimelineError, base_name, log_name, pair_numbers};
 use crate::codec::Decoder;
@@ -8,10 +8,10 @@
 use std::io::{self, BufReader};
 use std::path::Path;
 
-/// Bytes in a record that is whole are not what its kind of record has.
+/// Fault of an intact record whose content is not valid for its kind.
 const BAD_CONTENT: Fault = Fault::Damaged("content");
 
-/// Reads the newest pair whose base is whole, as far as its log is.
+/// Reads the newest pair with a complete base, and its log up to the first fault.
 pub fn read(dir: &Path, key: &ArchiveKey) -> Result<Timeline, TimelineError> {
     let mut faults = Vec::new();
     for number in pair_numbers(dir)?.into_iter().rev() {
@@ -22,7 +22,7 @@
                 return Ok(timeline);
             }
             Err(FileError::Fault(fault)) => faults.push(fault),
-            // A log whose base never came to be.
+            // A log whose base was never completed.
             Err(FileError::Io(e)) if e.kind() == io::ErrorKind::NotFound => {}
             Err(FileError::Io(e)) => return Err(e.into()),
         }
@@ -30,7 +30,7 @@
     Err(TimelineError::NoBase(faults))
 }
 
-/// Why the records of a file cannot be read on.
+/// Reason why the rest of a file's records cannot be read.
 enum FileError {
     Io(io::Error),
     Fault(RecordFault),
@@ -42,7 +42,7 @@
     }
 }
 
-/// The records of one file, in their order.
+/// Reader of the records of one file, in their order.
 struct RecordReader<'a> {
     input: BufReader<File>,
     name: String,
@@ -62,7 +62,8 @@
         })
     }
 
-    /// A fault in the record that is read next, or was read last if its content is at fault.
+    /// Returns a fault at the present offset: in the next record, or after the last one read if its
+    /// content is invalid.
     fn fault(&self, fault: Fault) -> RecordFault {
         RecordFault {
             file: self.name.clone(),
@@ -71,12 +72,12 @@
         }
     }
 
-    /// The same as the error of a read.
+    /// Returns a fault at the present offset as an error.
     fn fail<T>(&self, fault: Fault) -> Result<T, FileError> {
         Err(FileError::Fault(self.fault(fault)))
     }
 
-    /// The next record, `None` at the end of the file.
+    /// Reads the next record; `None` at the end of the file.
     fn next(&mut self) -> Result<Option<(RecordKind, Vec<u8>)>, FileError> {
         let mut counted = CountingReader {
             input: &mut self.input,
@@ -93,7 +94,7 @@
     }
 }
 
-/// Counts what is read through it.
+/// Reader that counts the bytes read through it.
 struct CountingReader<'a, R> {
     input: &'a mut R,
     bytes: u64,
@@ -107,7 +108,7 @@
     }
 }
 
-/// Reads a base; the timeline has no changes and no faults yet.
+/// Reads a base. The returned timeline has no changes and no faults yet.
 fn read_base(dir: &Path, key: &ArchiveKey, number: u64) -> Result<Timeline, FileError> {
     let mut reader = RecordReader::open(dir, key, base_name(number))?;
     let mut header = None;
@@ -164,7 +165,7 @@
     Some(())
 }
 
-/// Applies the log of a base as far as it is whole; what is not is among the timeline's faults.
+/// Applies the log of a base up to its first fault, which is added to the timeline's faults.
 fn read_log(dir: &Path, key: &ArchiveKey, number: u64, timeline: &mut Timeline) -> io::Result<()> {
     let mut reader = match RecordReader::open(dir, key, log_name(number)) {
         Ok(reader) => reader,
--- a/crates/snapshot/src/timeline/tests.rs
+++ b/crates/snapshot/src/timeline/tests.rs
@@ -21,7 +21,8 @@
     }
 }
 
-/// A small timeline: two items, then four changes in three records.
+/// Writes a base of two items and a log of four changes in three records. Returns the image after the
+/// base and after each record.
 fn write_small_timeline(dir: &Path) -> Vec<Image> {
     let mut image = Image::default();
     image.apply(vec![put("a", 1, "{}"), put("b", 2, "[1,2]")], 2);
@@ -41,7 +42,8 @@
     images
 }
 
-/// The pages of 6,000 machines, in one answer to an archiver that was delayed.
+/// Guards against a log record beyond the size limit for reading: a delayed snapshotter gets the pages
+/// of 6,000 machines in one watch response.
 #[test]
 fn a_log_of_many_long_values_in_one_response_can_be_read() {
     let dir = tempfile::tempdir().unwrap();
@@ -58,8 +60,8 @@
     assert_eq!((&timeline.image, timeline.faults.len()), (&image, 0));
 }
 
-/// The writer may be ended at any byte: what was written before is read, and the result shows that more
-/// was to come.
+/// The writer may be interrupted at any byte: all complete records are read, and an incomplete one is
+/// reported as a fault.
 #[test]
 fn a_log_truncated_at_any_byte_is_read_up_to_the_last_whole_record() {
     let dir = tempfile::tempdir().unwrap();
@@ -105,7 +107,7 @@
     assert!(read(dir.path(), &KEY).unwrap().faults.is_empty());
 }
 
-/// Records moved, taken out or written with another key are whole, and yet not the timeline's.
+/// An intact record that was written with another key is not accepted as part of the timeline.
 #[test]
 fn a_log_written_with_another_key_is_rejected() {
     let dir = tempfile::tempdir().unwrap();
@@ -133,7 +135,7 @@
     std::fs::write(&base, bytes).unwrap();
     let timeline = read(dir.path(), &KEY).unwrap();
     assert_eq!((&timeline.image, timeline.faults.len()), (last, 1));
-    // The third pair removes the first, and a log without a base is passed over.
+    // The third pair removes the first, and a log without a base is ignored.
     Writer::begin(dir.path(), KEY, "s", last).unwrap();
     assert!(!dir.path().join("000001.base").exists());
     File::create(dir.path().join("000009.log")).unwrap();
@@ -142,7 +144,8 @@
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, failure_persistence: None, ..ProptestConfig::default() })]
-    /// Whatever is put, deleted and compacted, what is read is what was there.
+    /// A timeline reads back the content of the store after any sequence of puts, deletions and
+    /// compactions.
     #[test]
     fn reading_returns_what_was_written(
         steps in proptest::collection::vec((0..20u8, proptest::option::of("[a-z]{0,40}"), any::<bool>()), 1..60)
--- a/crates/snapshot/src/timeline/writer.rs
+++ b/crates/snapshot/src/timeline/writer.rs
@@ -1,4 +1,4 @@
-//! Writing of a timeline.
+//! Writes a timeline.
 
 use super::{base_name, log_name, pair_numbers};
 use crate::codec::Encoder;
@@ -9,16 +9,16 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime};
 
-/// Raw bytes of a record of a base.
+/// Size at which a record of a base is written, in bytes before compression.
 const BASE_RECORD_BYTES: usize = 128 * 1024;
-/// Changes in a record of a log, where they are short.
+/// Maximum number of changes in a record of a log; long changes reach the size limit first.
 const CHANGES_IN_RECORD: usize = 256;
-/// A log shorter than this is not worth a new base, in bytes.
+/// Size up to which a log is not compacted, in bytes.
 const MIN_COMPACTED_LOG: usize = 256 * 1024;
-/// Pairs of base and log that are kept.
+/// Number of base and log pairs that are kept.
 const KEPT_PAIRS: u64 = 2;
 
-/// A timeline that is being written.
+/// Timeline that is being written.
 pub struct Writer {
     dir: PathBuf,
     key: ArchiveKey,
@@ -31,12 +31,14 @@
 }
 
 impl Writer {
-    /// Begins a pair with what the store holds; the ones before the last are removed.
+    /// Starts a new base and log pair with the content of the store; keeps the pair before it and removes
+    /// older ones.
     pub fn begin(dir: &Path, key: ArchiveKey, store: &str, image: &Image) -> io::Result<Writer> {
         std::fs::create_dir_all(dir)?;
         let number = pair_numbers(dir)?.last().map_or(1, |newest| newest + 1);
         let (base, log) = (base_name(number), log_name(number));
-        // A log is there before its base is: one without a base says nothing.
+        // The log is created before its base, as a base must have a log but a log without a base is
+        // ignored.
         let log_file = File::create_new(dir.join(&log))?;
         let mut part = tempfile::Builder::new().prefix("part-").tempfile_in(dir)?;
         let base_bytes = write_base(&mut part, &key, &base, store, image)?;
@@ -56,7 +58,7 @@
         })
     }
 
-    /// Adds changes to the log. They are safe only after `sync`.
+    /// Appends changes to the log. They are durable only after `sync`.
     pub fn append(&mut self, changes: &[Change], revision: u64) -> io::Result<()> {
         let mut rest = changes;
         while !rest.is_empty() {
@@ -82,12 +84,12 @@
         Ok(())
     }
 
-    /// Whether a new base would make the timeline shorter.
+    /// Returns whether the log is so long that a new base should replace it.
     pub fn needs_compaction(&self) -> bool {
         self.log_bytes > MIN_COMPACTED_LOG.max(self.base_bytes)
     }
 
-    /// Puts a new base in the place of this one and its log.
+    /// Replaces the base and its log by a new base and an empty log.
     pub fn compact(&mut self, image: &Image) -> io::Result<()> {
         self.sync()?;
         *self = Writer::begin(&self.dir, self.key, &self.store, image)?;
@@ -99,14 +101,16 @@
     let numbers = pair_numbers(dir)?.into_iter();
     for old in numbers.filter(|number| number + KEPT_PAIRS <= newest) {
         for name in [base_name(old), log_name(old)] {
-            // One of the two may be missing; what stays is tried again with the next pair.
+            // One of the files may be missing; a file that cannot be removed is tried again when the
+            // next pair is started.
             let _ = std::fs::remove_file(dir.join(name));
         }
     }
     Ok(())
 }
 
-/// A record of the first of these changes, and how many it holds: as many as can be read back.
+/// Encodes a record of the first of these changes; returns it with the number of changes, which is
+/// limited so that the record can be read back.
 fn next_record(changes: &[Change], revision: u64) -> (Encoder, usize) {
     let mut encoded = Encoder::default();
     encoded.write_u64(revision);
@@ -124,7 +128,7 @@
     (encoded, count)
 }
 
-/// Writes a base; gives its length in the file.
+/// Writes a base; returns its length in the file, in bytes.
 fn write_base(
     out: impl Write,
     key: &ArchiveKey,
--- a/src/cli/snapshot.rs
+++ b/src/cli/snapshot.rs
@@ -79,7 +79,7 @@
 }
 
 fn open(archive: &ArchiveArgs) -> Result<Archive, CommandError> {
- Ok(Archive::open_existing(&archive.dir).map_err(with_subject(archive.dir.display()))?) 
+    Ok(Archive::open_existing(&archive.dir).map_err(with_subject(archive.dir.display()))?)
 }
 
 fn all_timelines(archive: &ArchiveArgs) -> Result<Vec<Value>, CommandError> {
--- a/src/snapshotter.rs
+++ b/src/snapshotter.rs
@@ -1,8 +1,8 @@
-//! Follows the state service and keeps on disk what it holds (`burlusher-snapshot`).
+//! Follows the state service and writes its content to an archive on disk (`burlusher-snapshot`).
 //!
-//! It leads nothing and serves nobody: a process of its own (`burlusher archive`), or a thread of a
-//! controller that has a folder for it (`burlusher serve --snapshots`). A store that has lost data
-//! gets another timeline in the archive, so that what was kept before is there when it is needed.
+//! The snapshotter runs as a process of its own (`burlusher archive`) or as a thread of a controller
+//! (`burlusher serve --snapshots`), and is independent of leadership. A store that has lost data gets
+//! a new timeline in the archive, so that the content from before the loss can be restored.
 
 use crate::core::StoreCache;
 use crate::store_client::{
@@ -17,42 +17,46 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// A watch waits this long at the most, so that a loss, of which it would bring nothing, is noticed.
+/// Maximum duration of a watch, and interval of the checks for a lost store, which a watch does not
+/// report.
 const MAX_WATCH_WAIT: Duration = Duration::from_secs(3);
-/// Changes are on disk so long after they came, at the latest but for the disk's own time.
+/// Maximum delay between the receipt of changes and their sync to disk, apart from the duration of the
+/// sync.
 const SYNC_INTERVAL: Duration = Duration::from_millis(200);
-/// Changes that come close together are written together.
+/// Delay after a watch with changes, so that further changes are written together.
 const BATCHING_DELAY: Duration = Duration::from_millis(50);
+/// Delay before the store is followed again after an error.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
-/// Bytes of items in one request that offers a snapshot.
+/// Size of the items in one request that offers a snapshot, in bytes.
 const PAGE_BYTES: usize = 48 * 1024;
-/// Keys under our prefix: the store's identity, jobs, and the mark of a store that is rebuilt.
+/// Keys below `PREFIX`: the store's identity, jobs, and the marker of a store that is being rebuilt.
 const IDENTITY_KEYS: &str = "i/";
 const JOB_KEYS: &str = "j/";
 const REBUILD_MARKER: &str = "rebuilding";
 
-/// Writes what the state service holds into an archive, with each change.
+/// Writes the content of the state service and its changes to an archive.
 pub struct Snapshotter {
     client: StoreClient,
     archive: Archive,
-    /// What the store held at the revision that was written last.
+    /// Content of the store at the revision that was written last.
     image: Image,
-    /// The store's identity; empty where it has none.
+    /// Identity of the store; empty if it has none.
     store: String,
-    /// `None` until the store has been listed, and when it has to be listed again.
+    /// Writer of the current timeline; `None` while the store has to be listed.
     writer: Option<Writer>,
     synced_at: Instant,
     identity_checked_at: Instant,
 }
 
-/// A snapshot, as the state service would list it.
+/// Content of a snapshot, as the state service would list it.
 pub struct Snapshot {
-    /// All keys and values.
+    /// All keys with their values.
     pub items: Vec<Item>,
-    /// The revision of the store that they are of.
+    /// Revision of the store.
     pub revision: u64,
 }
 
+/// Returns the entries of all keys below `PREFIX` and `keys`, with the prefix removed from each key.
 fn keys_under<'a>(image: &'a Image, keys: &str) -> impl Iterator<Item = (&'a str, &'a Entry)> {
     let prefix = format!("{PREFIX}{keys}");
     (image.items.iter()).filter_map(move |(key, entry)| Some((key.strip_prefix(&prefix)?, entry)))
@@ -86,14 +90,14 @@
     }
 }
 
-/// The newest identity of a store; empty where it has none.
+/// Returns the newest identity of a store; empty if it has none.
 fn identity(image: &Image) -> String {
     let newest = keys_under(image, IDENTITY_KEYS).max_by_key(|(_, entry)| entry.version);
     newest.map_or(String::new(), |(identity, _)| identity.to_string())
 }
 
-/// Whether the store that holds `now` can be the one that held `before`, at a later time. Jobs are
-/// never deleted from a store.
+/// Returns whether `now` can be a later content of the store that held `before`: jobs are never deleted
+/// from a store, so its revision has not decreased and all jobs are still present.
 fn is_continuation(before: &Image, now: &Image) -> bool {
     let mut jobs = keys_under(before, JOB_KEYS);
     now.revision >= before.revision
@@ -101,7 +105,7 @@
 }
 
 impl Snapshotter {
-    /// Opens an archive, and creates its folder if it is not there.
+    /// Opens an archive; creates its folder if it does not exist.
     ///
     /// # Errors
     /// The folder cannot be read or written.
@@ -118,7 +122,7 @@
         })
     }
 
-    /// Follows the store for the rest of the process's life; after an error it starts again.
+    /// Follows the store until the process ends; after an error, it lists the store again.
     pub fn run(&mut self) -> ! {
         loop {
             if let Err(error) = self.follow_once() {
@@ -129,14 +133,14 @@
         }
     }
 
-    /// Lists the store and writes a snapshot of it; returns its revision.
+    /// Lists the store and writes a snapshot of it; returns the revision of the store.
     ///
     /// # Errors
-    /// The state service gives no answer or holds nothing, or the archive cannot be written.
+    /// The state service does not respond or is empty, or the archive cannot be written.
     pub fn take_snapshot(&mut self) -> io::Result<u64> {
         let Listing { items, revision } = self.client.list().map_err(io_error)?;
         if items.is_empty() {
-            let text = "the state service holds nothing yet";
+            let text = "the state service is empty";
             return Err(io::Error::new(io::ErrorKind::NotFound, text));
         }
         let image = image_of(&items, revision);
@@ -172,7 +176,7 @@
         let has_changes = !changes.is_empty();
         self.write_changes(changes, revision)?;
         if identity(&self.image) != self.store {
-            // It is another store now: what is kept of the old one stays as it is.
+            // The store was replaced by another one, which gets a new timeline.
             self.writer = None;
             return Ok(());
         }
@@ -183,7 +187,7 @@
         Ok(())
     }
 
-    /// `None` if the store has to be listed again.
+    /// Watches the store; `None` if it has to be listed again.
     fn watch(&mut self) -> io::Result<Option<(u64, Vec<WatchEvent>)>> {
         let sync_pending = self.synced_at.elapsed() < SYNC_INTERVAL;
         let wait = if sync_pending {
@@ -216,7 +220,7 @@
         Ok(())
     }
 
-    /// A watch on a store that exists no more brings nothing; its identity would be missing.
+    /// Detects a lost store by its missing identity, as a watch on a lost store reports no changes.
     fn check_identity_exists(&mut self) {
         if self.identity_checked_at.elapsed() < MAX_WATCH_WAIT || self.store.is_empty() {
             return;
@@ -233,7 +237,8 @@
     io::Error::other(format!("state service: {error:?}"))
 }
 
-/// The newest snapshot in a folder; `None` if there is none that can be read.
+/// Reads the newest usable snapshot in a folder, as chosen by [`select_timeline`]; `None` if no
+/// snapshot can be read.
 ///
 /// # Errors
 /// The folder cannot be read or created.
@@ -254,13 +259,13 @@
     Ok(Some(Snapshot { items, revision }))
 }
 
-/// Whether a timeline can be read and has keys under a prefix of ours.
+/// Returns whether a timeline can be read and has keys below `PREFIX` and `keys`.
 fn has_keys_under(archived: &ArchivedTimeline, keys: &str) -> bool {
     let timeline = archived.timeline.as_ref();
     timeline.is_ok_and(|timeline| keys_under(&timeline.image, keys).next().is_some())
 }
 
-/// Whether it is of a store that was empty and taken for new.
+/// Returns whether a timeline belongs to a store that was empty and was initialised as new.
 fn is_of_new_store(archived: &ArchivedTimeline) -> bool {
     let was_first = |(_, entry): (&str, &Entry)| {
         let value = serde_json::from_str::<serde_json::Value>(&entry.value);
@@ -270,10 +275,11 @@
     timeline.is_ok_and(|timeline| keys_under(&timeline.image, IDENTITY_KEYS).any(was_first))
 }
 
-/// The newest timeline that has a whole store; where there is none, the newest that can be read.
+/// Selects the newest timeline of a complete store. If there is none, selects the oldest one with a
+/// store identity, and otherwise the newest one that can be read.
 pub fn select_timeline(mut timelines: Vec<ArchivedTimeline>) -> Option<ArchivedTimeline> {
-    // A store that is being rebuilt, or has no identity yet, has less than the one before it; nor
-    // has one everything that began as new after there had been another.
+    // A store that is being rebuilt or has no identity yet holds less than its predecessor. A store
+    // that was initialised as new may also lack data, if an earlier store was lost before.
     let is_whole = |archived: &ArchivedTimeline| {
         has_keys_under(archived, IDENTITY_KEYS)
             && !has_keys_under(archived, REBUILD_MARKER)
@@ -289,7 +295,7 @@
     chosen.map(|index| timelines.swap_remove(index))
 }
 
-/// An image as the state service would list it.
+/// Returns the items of an image as the state service would list them.
 pub fn store_items(image: &Image) -> Vec<Item> {
     let item = |(key, entry): (&String, &Entry)| Item {
         key: key.clone(),
@@ -306,19 +312,19 @@
     store_cache
 }
 
-/// What a snapshot holds.
+/// Summary of the content of a snapshot.
 pub struct Summary {
-    /// Ids of jobs that have not ended.
+    /// Ids of the jobs that have not ended.
     pub live: Vec<String>,
-    /// How many jobs have ended.
+    /// Number of jobs that have ended.
     pub ended: usize,
-    /// How many machines there are.
+    /// Number of machines.
     pub machines: usize,
-    /// The newest leader's term.
+    /// Term of the newest leader.
     pub term: u64,
 }
 
-/// Reads what a snapshot holds.
+/// Summarises the content of a snapshot.
 pub fn summary(image: &Image) -> Summary {
     let store_cache = store_cache(image);
     Summary {
@@ -329,18 +335,18 @@
     }
 }
 
-/// A timeline from which nothing can be read.
+/// Error of a timeline of which nothing can be read.
 #[derive(Debug, thiserror::Error)]
-#[error("{name}: nothing to be read: {faults:?}")]
+#[error("snapshot {name} cannot be read: {faults:?}")]
 pub struct UnreadableTimeline {
     name: String,
     faults: Vec<RecordFault>,
 }
 
-/// A snapshot as requests that offer it to the leader, one after the other.
+/// Returns the requests that offer a snapshot to the leader, in order.
 ///
 /// # Errors
-/// Nothing can be read of the timeline.
+/// Nothing of the timeline can be read.
 pub fn snapshot_pages(
     archived: &ArchivedTimeline,
 ) -> Result<Vec<SnapshotPage>, UnreadableTimeline> {
@@ -355,7 +361,7 @@
     let mut pages: Vec<SnapshotPage> = Vec::new();
     let mut after = String::new();
     loop {
-        // Large jobs are whole in it, whatever the parts in which they were stored.
+        // The cache holds large jobs as a whole, even if they were stored in several parts.
         let (items, more) = store_cache.export_page(&after, PAGE_BYTES);
         if let Some((key, _)) = items.last() {
             after = key.clone();
