--- a/crates/scale/src/connection.rs
+++ b/crates/scale/src/connection.rs
@@ -13,8 +13,8 @@
 pub struct Connection {
     /// The socket.
     pub stream: TcpStream,
-    to_write: Vec<u8>,
-    read: Vec<u8>,
+    write_buffer: Vec<u8>,
+    read_buffer: Vec<u8>,
 }
 
 /// A response that came whole.
@@ -32,8 +32,8 @@
     pub fn new(stream: TcpStream) -> Connection {
         Connection {
             stream,
-            to_write: Vec::new(),
-            read: Vec::new(),
+            write_buffer: Vec::new(),
+            read_buffer: Vec::new(),
         }
     }
 
@@ -44,8 +44,8 @@
              Content-Length: {}\r\n\r\n",
             body.len()
         );
-        self.to_write.extend_from_slice(head.as_bytes());
-        self.to_write.extend_from_slice(body);
+        self.write_buffer.extend_from_slice(head.as_bytes());
+        self.write_buffer.extend_from_slice(body);
         head.len() + body.len()
     }
 
@@ -57,17 +57,17 @@
             response.content_type,
             response.body.len()
         );
-        self.to_write.extend_from_slice(head.as_bytes());
-        self.to_write.extend_from_slice(&response.body);
+        self.write_buffer.extend_from_slice(head.as_bytes());
+        self.write_buffer.extend_from_slice(&response.body);
         head.len() + response.body.len()
     }
 
     /// Writes what the socket takes now.
     pub fn flush(&mut self) -> io::Result<()> {
-        while !self.to_write.is_empty() {
-            match self.stream.write(&self.to_write) {
+        while !self.write_buffer.is_empty() {
+            match self.stream.write(&self.write_buffer) {
                 Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
-                Ok(n) => drop(self.to_write.drain(..n)),
+                Ok(n) => drop(self.write_buffer.drain(..n)),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(()),
                 // Not connected yet: the next event tells.
                 Err(e) if e.kind() == io::ErrorKind::NotConnected => return Ok(()),
@@ -87,8 +87,8 @@
                 Ok(0) => return Err(io::ErrorKind::UnexpectedEof.into()),
                 Ok(n) => {
                     total += n;
-                    self.read.extend_from_slice(&chunk[..n]);
-                    if self.read.len() > MAX_MESSAGE_BYTES {
+                    self.read_buffer.extend_from_slice(&chunk[..n]);
+                    if self.read_buffer.len() > MAX_MESSAGE_BYTES {
                         return Err(io::ErrorKind::InvalidData.into());
                     }
                 }
@@ -104,13 +104,13 @@
     pub fn take_response(&mut self) -> io::Result<Option<Response>> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut head = httparse::Response::new(&mut headers);
-        let Some(at) = complete(head.parse(&self.read))? else {
+        let Some(head_len) = head_length(head.parse(&self.read_buffer))? else {
             return Ok(None);
         };
         let status = head.code.unwrap_or_default();
         let length = content_length(head.headers)?;
         let close = header(head.headers, "connection").is_some_and(|v| v == "close");
-        let body = self.take_body(at, length);
+        let body = self.take_body(head_len, length);
         Ok(body.map(|body| Response {
             status,
             body,
@@ -122,27 +122,29 @@
     pub fn take_request(&mut self) -> io::Result<Option<Request>> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut head = httparse::Request::new(&mut headers);
-        let Some(at) = complete(head.parse(&self.read))? else {
+        let Some(head_len) = head_length(head.parse(&self.read_buffer))? else {
             return Ok(None);
         };
         let method = head.method.unwrap_or_default().to_string();
         let path = head.path.unwrap_or_default().to_string();
         let length = content_length(head.headers)?;
-        let body = self.take_body(at, length);
+        let body = self.take_body(head_len, length);
         Ok(body.map(|body| Request { method, path, body }))
     }
 
-    fn take_body(&mut self, at: usize, length: usize) -> Option<Vec<u8>> {
-        if self.read.len() < at + length {
+    fn take_body(&mut self, head_len: usize, length: usize) -> Option<Vec<u8>> {
+        if self.read_buffer.len() < head_len + length {
             return None;
         }
-        let body = self.read[at..at + length].to_vec();
-        self.read.drain(..at + length);
+        let body = self.read_buffer[head_len..head_len + length].to_vec();
+        self.read_buffer.drain(..head_len + length);
         Some(body)
     }
 }
 
-fn complete(parsed: Result<httparse::Status<usize>, httparse::Error>) -> io::Result<Option<usize>> {
+fn head_length(
+    parsed: Result<httparse::Status<usize>, httparse::Error>,
+) -> io::Result<Option<usize>> {
     match parsed {
         Ok(httparse::Status::Complete(at)) => Ok(Some(at)),
         Ok(httparse::Status::Partial) => Ok(None),
@@ -151,8 +153,8 @@
 }
 
 fn header<'a>(headers: &'a [httparse::Header], name: &str) -> Option<&'a str> {
-    let named = headers.iter().find(|h| h.name.eq_ignore_ascii_case(name))?;
-    std::str::from_utf8(named.value).ok()
+    let found = headers.iter().find(|h| h.name.eq_ignore_ascii_case(name))?;
+    std::str::from_utf8(found.value).ok()
 }
 
 fn content_length(headers: &[httparse::Header]) -> io::Result<usize> {
--- a/crates/scale/src/connection/tests.rs
+++ b/crates/scale/src/connection/tests.rs
@@ -19,32 +19,32 @@
 }
 
 #[test]
-fn messages_come_whole_in_whatever_pieces_they_arrive() {
+fn a_request_is_returned_only_once_all_its_bytes_have_arrived() {
     let (mut connection, mut other) = pair();
     let text = b"POST /do HTTP/1.1\r\nContent-Length: 4\r\n\r\nbodyGET /status HTTP/1.1\r\n\r\n";
     for (n, byte) in text.iter().enumerate() {
         other.write_all(&[*byte]).unwrap();
         fill(&mut connection, 1).unwrap();
-        let whole = connection.take_request().unwrap();
+        let complete = connection.take_request().unwrap();
         match n {
             43 => {
-                let r = whole.expect("the first is whole");
+                let r = complete.expect("the first is whole");
                 assert_eq!(
                     (&*r.method, &*r.path, &*r.body),
                     ("POST", "/do", &b"body"[..])
                 );
             }
             _ if n == text.len() - 1 => {
-                let r = whole.expect("the second is whole");
+                let r = complete.expect("the second is whole");
                 assert_eq!((&*r.method, &*r.path), ("GET", "/status"));
             }
-            _ => assert!(whole.is_none(), "at byte {n}"),
+            _ => assert!(complete.is_none(), "at byte {n}"),
         }
     }
 }
 
 #[test]
-fn a_response_says_whether_the_connection_ends() {
+fn a_response_reports_whether_the_connection_closes() {
     let (mut connection, mut other) = pair();
     let text = b"HTTP/1.1 421 No\r\nConnection: close\r\nContent-Length: 2\r\n\r\n{}";
     other.write_all(text).unwrap();
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn what_is_no_message_is_an_error() {
+fn a_malformed_request_is_an_error() {
     for text in [
         "nonsense\r\n\r\n",
         "POST /do HTTP/1.1\r\nContent-Length: many\r\n\r\n",
--- a/crates/scale/src/error.rs
+++ b/crates/scale/src/error.rs
@@ -18,7 +18,7 @@
     Thread(#[source] io::Error),
     /// The scenario's machines take more files than this process may open.
     #[error("{machines} machines take up to {needed} open files, and {allowed} are allowed")]
-    TooFewFiles {
+    FileLimitTooLow {
         /// Machines that the scenario may have at once.
         machines: u64,
         /// Files that they take.
--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -19,31 +19,31 @@
 /// Each machine is last_check at this often.
 const TICK: Duration = Duration::from_millis(30);
 /// A worker waits so long for an answer, and so long before it turns to another controller.
-const NO_ANSWER: Duration = Duration::from_secs(4);
-const RETRY: Duration = Duration::from_secs(1);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 /// What a token of the poll names: a listener, a connection to a controller, or one from it.
-const KINDS: usize = 3;
-const LISTENER: usize = 0;
-const REPORTS: usize = 1;
-const COMMANDS: usize = 2;
+const TOKEN_KINDS: usize = 3;
+const LISTENER_TOKEN: usize = 0;
+const HEARTBEAT_TOKEN: usize = 1;
+const COMMAND_TOKEN: usize = 2;
 
 /// What went over the workers' connections.
 #[derive(Default)]
 pub struct Traffic {
     /// Heartbeats that were sent.
-    pub reports: AtomicU64,
+    pub heartbeats: AtomicU64,
     /// Answers to heartbeats.
-    pub answers: AtomicU64,
+    pub responses: AtomicU64,
     /// Commands that came.
     pub commands: AtomicU64,
     /// Bytes that workers sent, for heartbeats and for direct commands.
-    pub sent: AtomicU64,
+    pub bytes_sent: AtomicU64,
     /// Bytes that workers received, for heartbeats and for direct commands.
-    pub received: AtomicU64,
+    pub bytes_received: AtomicU64,
     /// Heartbeats without an answer.
     pub unanswered: AtomicU64,
     /// Heartbeats that were referred to another controller.
-    pub referred: AtomicU64,
+    pub redirects: AtomicU64,
 }
 
 impl Traffic {
@@ -62,7 +62,7 @@
 /// Runs machines on a few threads.
 pub struct Fleet {
     threads: Vec<Sender<ProvisionedMachine>>,
-    next: AtomicUsize,
+    next_thread: AtomicUsize,
     /// What went over all connections.
     pub traffic: Arc<Traffic>,
 }
@@ -76,15 +76,15 @@
             let (sender, receiver) = channel();
             let poll = Poll::new().map_err(ScaleError::Poll)?;
             let traffic = traffic.clone();
-            let begun = std::thread::Builder::new()
+            let spawned = std::thread::Builder::new()
                 .name(format!("hollow-{n}"))
                 .spawn(move || FleetThread::new(poll, receiver, traffic).run());
-            begun.map_err(ScaleError::Thread)?;
+            spawned.map_err(ScaleError::Thread)?;
             senders.push(sender);
         }
         Ok(Fleet {
             threads: senders,
-            next: AtomicUsize::new(0),
+            next_thread: AtomicUsize::new(0),
             traffic,
         })
     }
@@ -92,7 +92,7 @@
 
 impl MachineLauncher for Fleet {
     fn launch(&self, worker: Arc<Worker>, listener: std::net::TcpListener, boot: Duration) {
-        let n = self.next.fetch_add(1, Ordering::Relaxed);
+        let n = self.next_thread.fetch_add(1, Ordering::Relaxed);
         let up_at = Instant::now() + boot;
         let provisioned = ProvisionedMachine {
             worker,
@@ -109,14 +109,14 @@
     worker: Arc<Worker>,
     listener: TcpListener,
     /// It takes direct commands.
-    listens: bool,
+    is_registered: bool,
     up_at: Instant,
     /// The controller that it sends heartbeats to.
-    node: usize,
+    controller: usize,
     connection: Option<Connection>,
     /// When the report was sent that has no answer yet.
     unanswered_since: Option<Instant>,
-    last: Instant,
+    last_heartbeat: Instant,
     resume_at: Instant,
 }
 
@@ -126,14 +126,14 @@
     provisioned: Receiver<ProvisionedMachine>,
     traffic: Arc<Traffic>,
     machines: BTreeMap<usize, Machine>,
-    next: usize,
+    next_machine: usize,
     /// Connections on which controllers send direct commands, and to which machine.
-    commands: BTreeMap<usize, (usize, Connection)>,
-    next_command: usize,
+    command_connections: BTreeMap<usize, (usize, Connection)>,
+    next_command_connection: usize,
 }
 
 fn token(kind: usize, number: usize) -> Token {
-    Token(number * KINDS + kind)
+    Token(number * TOKEN_KINDS + kind)
 }
 
 impl FleetThread {
@@ -147,9 +147,9 @@
             provisioned,
             traffic,
             machines: BTreeMap::new(),
-            next: 0,
-            commands: BTreeMap::new(),
-            next_command: 0,
+            next_machine: 0,
+            command_connections: BTreeMap::new(),
+            next_command_connection: 0,
         }
     }
 
@@ -164,10 +164,10 @@
                 return;
             }
             for event in &events {
-                let number = event.token().0 / KINDS;
-                match event.token().0 % KINDS {
-                    LISTENER => self.accept(number),
-                    REPORTS => self.receive_answer(number),
+                let number = event.token().0 / TOKEN_KINDS;
+                match event.token().0 % TOKEN_KINDS {
+                    LISTENER_TOKEN => self.accept(number),
+                    HEARTBEAT_TOKEN => self.receive_response(number),
                     _ => self.receive_commands(number),
                 }
             }
@@ -187,23 +187,23 @@
             }
             let cluster_state = provisioned.worker.cluster_state();
             // Reports are spread over the interval.
-            let early = cluster_state
-                .report
+            let offset = cluster_state
+                .heartbeat_interval
                 .mul_f64(rand::rng().random_range(0.0..1.0));
-            let node = rand::rng().random_range(0..cluster_state.nodes.len());
+            let controller = rand::rng().random_range(0..cluster_state.controller_addrs.len());
             let machine = Machine {
                 worker: provisioned.worker,
                 listener: TcpListener::from_std(provisioned.listener),
-                listens: false,
+                is_registered: false,
                 up_at: provisioned.up_at,
-                node,
+                controller,
                 connection: None,
                 unanswered_since: None,
-                last: provisioned.up_at - early,
+                last_heartbeat: provisioned.up_at - offset,
                 resume_at: provisioned.up_at,
             };
-            self.machines.insert(self.next, machine);
-            self.next += 1;
+            self.machines.insert(self.next_machine, machine);
+            self.next_machine += 1;
         }
     }
 
@@ -216,13 +216,14 @@
             if m.worker.is_gone() {
                 gone.push(*number);
             } else if now >= m.up_at {
-                m.listen(*number, registry);
-                m.advance(*number, now, registry, &self.traffic);
+                m.register_listener(*number, registry);
+                m.send_due_heartbeat(*number, now, registry, &self.traffic);
             }
         }
         for number in gone {
             self.machines.remove(&number);
-            self.commands.retain(|_, (of, _)| *of != number);
+            self.command_connections
+                .retain(|_, (machine, _)| *machine != number);
         }
     }
 
@@ -232,34 +233,35 @@
             return;
         };
         while let Ok((mut stream, _)) = m.listener.accept() {
-            let n = self.next_command;
-            self.next_command += 1;
+            let n = self.next_command_connection;
+            self.next_command_connection += 1;
             let interest = Interest::READABLE | Interest::WRITABLE;
             if registry
-                .register(&mut stream, token(COMMANDS, n), interest)
+                .register(&mut stream, token(COMMAND_TOKEN, n), interest)
                 .is_ok()
             {
-                self.commands.insert(n, (number, Connection::new(stream)));
+                self.command_connections
+                    .insert(n, (number, Connection::new(stream)));
             }
         }
     }
 
     /// Something came on the connection to a controller.
-    fn receive_answer(&mut self, number: usize) {
+    fn receive_response(&mut self, number: usize) {
         if let Some(m) = self.machines.get_mut(&number) {
-            m.take_answer(Instant::now(), &self.traffic);
+            m.handle_response(Instant::now(), &self.traffic);
         }
     }
 
     /// Something came on a connection from a controller.
     fn receive_commands(&mut self, number: usize) {
-        let Some((of, connection)) = self.commands.get_mut(&number) else {
+        let Some((machine, connection)) = self.command_connections.get_mut(&number) else {
             return;
         };
-        let worker = self.machines.get(of).map(|m| m.worker.clone());
+        let worker = self.machines.get(machine).map(|m| m.worker.clone());
         let served = worker.map(|w| serve(&w, connection, &self.traffic));
         if !matches!(served, Some(Ok(()))) {
-            self.commands.remove(&number);
+            self.command_connections.remove(&number);
         }
     }
 }
@@ -268,14 +270,14 @@
 fn serve(worker: &Worker, connection: &mut Connection, traffic: &Traffic) -> io::Result<()> {
     connection.flush()?;
     let filled = connection.fill();
-    Traffic::add(&traffic.received, *filled.as_ref().unwrap_or(&0));
+    Traffic::add(&traffic.bytes_received, *filled.as_ref().unwrap_or(&0));
     while let Some(request) = connection.take_request()? {
-        let Some(answer) = worker.answer(&request) else {
+        let Some(response) = worker.handle_request(&request) else {
             return Err(io::ErrorKind::ConnectionReset.into());
         };
         Traffic::add(&traffic.commands, 1);
-        let bytes = connection.queue_response(&answer);
-        Traffic::add(&traffic.sent, bytes);
+        let bytes = connection.queue_response(&response);
+        Traffic::add(&traffic.bytes_sent, bytes);
     }
     connection.flush()?;
     filled.map(|_| ())
@@ -283,19 +285,25 @@
 
 impl Machine {
     /// Takes direct commands from now on.
-    fn listen(&mut self, number: usize, registry: &Registry) {
-        if self.listens {
+    fn register_listener(&mut self, number: usize, registry: &Registry) {
+        if self.is_registered {
             return;
         }
-        let token = token(LISTENER, number);
+        let token = token(LISTENER_TOKEN, number);
         let registered = registry.register(&mut self.listener, token, Interest::READABLE);
-        self.listens = registered.is_ok();
+        self.is_registered = registered.is_ok();
     }
 
     /// Sends what is due, and gives up an answer that does not come.
-    fn advance(&mut self, number: usize, now: Instant, registry: &Registry, traffic: &Traffic) {
+    fn send_due_heartbeat(
+        &mut self,
+        number: usize,
+        now: Instant,
+        registry: &Registry,
+        traffic: &Traffic,
+    ) {
         if let Some(sent) = self.unanswered_since {
-            if now > sent + NO_ANSWER {
+            if now > sent + RESPONSE_TIMEOUT {
                 Traffic::add(&traffic.unanswered, 1);
                 self.switch_controller(None, now);
             }
@@ -304,20 +312,20 @@
         if now < self.resume_at {
             return;
         }
-        let Some(report) = self.worker.heartbeat_due(self.last) else {
+        let Some(heartbeat) = self.worker.due_heartbeat(self.last_heartbeat) else {
             return;
         };
-        self.last = now;
+        self.last_heartbeat = now;
         if self.connection.is_none() {
-            let addr = self.worker.cluster_state().nodes[self.node].1;
+            let addr = self.worker.cluster_state().controller_addrs[self.controller].1;
             self.connection = connect(addr.into(), number, registry).ok();
         }
         let Some(connection) = &mut self.connection else {
             return self.switch_controller(None, now);
         };
-        let bytes = connection.queue_request("POST", PATH_HEARTBEAT, &report);
-        Traffic::add(&traffic.reports, 1);
-        Traffic::add(&traffic.sent, bytes);
+        let bytes = connection.queue_request("POST", PATH_HEARTBEAT, &heartbeat);
+        Traffic::add(&traffic.heartbeats, 1);
+        Traffic::add(&traffic.bytes_sent, bytes);
         self.unanswered_since = Some(now);
         if connection.flush().is_err() {
             Traffic::add(&traffic.unanswered, 1);
@@ -325,12 +333,12 @@
         }
     }
 
-    fn take_answer(&mut self, now: Instant, traffic: &Traffic) {
+    fn handle_response(&mut self, now: Instant, traffic: &Traffic) {
         let Some(connection) = &mut self.connection else {
             return;
         };
         let filled = connection.flush().and_then(|()| connection.fill());
-        Traffic::add(&traffic.received, *filled.as_ref().unwrap_or(&0));
+        Traffic::add(&traffic.bytes_received, *filled.as_ref().unwrap_or(&0));
         let response = match connection.take_response() {
             Ok(response) => response,
             Err(_) => return self.switch_controller(None, now),
@@ -350,41 +358,43 @@
             self.connection = None;
             return;
         };
-        Traffic::add(&traffic.answers, 1);
+        Traffic::add(&traffic.responses, 1);
         if response.close || filled.is_err() {
             self.connection = None;
         }
         match response.status {
             200 => {
-                if let Ok(answer) = serde_json::from_slice::<HeartbeatResponse>(&response.body) {
-                    self.worker.observe_answer(answer, sent);
+                if let Ok(heartbeat_response) =
+                    serde_json::from_slice::<HeartbeatResponse>(&response.body)
+                {
+                    self.worker.handle_response(heartbeat_response, sent);
                 }
             }
             421 => {
-                Traffic::add(&traffic.referred, 1);
-                let to = serde_json::from_slice::<Redirect>(&response.body).ok();
-                self.switch_controller(to.and_then(|r| r.leader), now);
+                Traffic::add(&traffic.redirects, 1);
+                let redirect = serde_json::from_slice::<Redirect>(&response.body).ok();
+                self.switch_controller(redirect.and_then(|r| r.leader), now);
             }
             _ => self.switch_controller(None, now),
         }
     }
 
     /// Turns to another controller.
-    fn switch_controller(&mut self, referred: Option<&str>, now: Instant) {
+    fn switch_controller(&mut self, redirect: Option<&str>, now: Instant) {
         let cluster_state = self.worker.cluster_state();
-        let (node, wait) = cluster_state.next_node(self.node, referred);
-        self.last = now - cluster_state.report;
+        let (controller, wait) = cluster_state.next_controller(self.controller, redirect);
+        self.last_heartbeat = now - cluster_state.heartbeat_interval;
         self.connection = None;
         self.unanswered_since = None;
-        self.node = node;
-        self.resume_at = if wait { now + RETRY } else { now };
+        self.controller = controller;
+        self.resume_at = if wait { now + RETRY_DELAY } else { now };
     }
 }
 
 fn connect(addr: SocketAddr, number: usize, registry: &Registry) -> io::Result<Connection> {
     let mut stream = TcpStream::connect(addr)?;
     let interest = Interest::READABLE | Interest::WRITABLE;
-    registry.register(&mut stream, token(REPORTS, number), interest)?;
+    registry.register(&mut stream, token(HEARTBEAT_TOKEN, number), interest)?;
     Ok(Connection::new(stream))
 }
 
--- a/crates/scale/src/hollow/tests.rs
+++ b/crates/scale/src/hollow/tests.rs
@@ -2,20 +2,20 @@
 use burlusher::http::{self, Client, Request, Response};
 use burlusher::job::{JobSpec, Resources};
 use burlusher::wire::{DirectCommands, Heartbeat, TaskCommand, to_json};
-use burlusher_standin::cloud::Threads;
+use burlusher_standin::cloud::ThreadLauncher;
 use burlusher_standin::scenario::Scenario;
-use burlusher_standin::users::load;
+use burlusher_standin::users::generate_load;
 use burlusher_standin::worker::ClusterState;
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::sync::Mutex;
 
-const REPORT: Duration = Duration::from_millis(500);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
 /// A controller that answers all reports alike, and keeps them.
 struct Controller {
     addr: SocketAddrV4,
-    reports: Arc<Mutex<Vec<Heartbeat>>>,
+    heartbeats: Arc<Mutex<Vec<Heartbeat>>>,
     /// When each of them came.
     times: Arc<Mutex<Vec<Instant>>>,
 }
@@ -23,11 +23,11 @@
 impl Controller {
     /// Mean time between two reports of a machine.
     fn interval(&self) -> Duration {
-        let reports = self.reports.lock().unwrap();
+        let heartbeats = self.heartbeats.lock().unwrap();
         let times = self.times.lock().unwrap();
         let mut of_machine: BTreeMap<String, Vec<Instant>> = BTreeMap::new();
-        for (report, at) in reports.iter().zip(times.iter()) {
-            let machine = report.machine.to_string();
+        for (heartbeat, at) in heartbeats.iter().zip(times.iter()) {
+            let machine = heartbeat.machine.to_string();
             of_machine.entry(machine).or_default().push(*at);
         }
         let (mut total, mut count) = (Duration::ZERO, 0);
@@ -49,30 +49,32 @@
 
 fn controller(status: u16, body: &'static str) -> Controller {
     let (listener, addr) = listen();
-    let reports = Arc::new(Mutex::new(Vec::new()));
+    let heartbeats = Arc::new(Mutex::new(Vec::new()));
     let times = Arc::new(Mutex::new(Vec::new()));
-    let kept = (reports.clone(), times.clone());
+    let received = (heartbeats.clone(), times.clone());
     let handle = move |r: Request| {
-        let mut reports = kept.0.lock().unwrap();
-        reports.push(serde_json::from_slice(&r.body).unwrap());
-        kept.1.lock().unwrap().push(Instant::now());
+        let mut heartbeats = received.0.lock().unwrap();
+        heartbeats.push(serde_json::from_slice(&r.body).unwrap());
+        received.1.lock().unwrap().push(Instant::now());
         Some(Response::new(status, body.into()))
     };
     std::thread::spawn(move || http::serve(listener, 100, Arc::new(handle)));
     Controller {
         addr,
-        reports,
+        heartbeats,
         times,
     }
 }
 
-fn cluster_state(nodes: &[&Controller]) -> Arc<ClusterState> {
-    let nodes = nodes.iter().enumerate();
+fn cluster_state(controllers: &[&Controller]) -> Arc<ClusterState> {
+    let controllers = controllers.iter().enumerate();
     Arc::new(ClusterState {
         jobs: Mutex::default(),
         records: Mutex::default(),
-        nodes: nodes.map(|(n, c)| (format!("n{n}"), c.addr)).collect(),
-        report: REPORT,
+        controller_addrs: controllers
+            .map(|(n, c)| (format!("n{n}"), c.addr))
+            .collect(),
+        heartbeat_interval: HEARTBEAT_INTERVAL,
         lease: Duration::from_secs(4),
     })
 }
@@ -80,7 +82,7 @@
 fn machine(n: usize, cluster_state: &Arc<ClusterState>) -> (Arc<Worker>, std::net::TcpListener) {
     let (listener, addr) = listen();
     let offer = ("worker".to_string(), "east".to_string(), false);
-    let room = Resources {
+    let capacity = Resources {
         cpus: 4.0,
         gpus: 0.0,
         ram: 16.0,
@@ -89,7 +91,7 @@
         format!("i-{n:06}"),
         addr,
         offer,
-        room,
+        capacity,
         cluster_state.clone(),
     );
     (Arc::new(worker), listener)
@@ -104,17 +106,17 @@
 }
 
 #[test]
-fn hollow_workers_say_as_much_as_those_with_threads() {
+fn hollow_workers_send_the_same_heartbeats_as_threaded_ones() {
     const MACHINES: usize = 12;
     let ok = r#"{"deed":7,"orders":[]}"#;
     let (hollow, threads) = (controller(200, ok), controller(200, ok));
-    let (one, other) = (cluster_state(&[&hollow]), cluster_state(&[&threads]));
+    let (hollow_state, threads_state) = (cluster_state(&[&hollow]), cluster_state(&[&threads]));
     let fleet = Fleet::new(2).unwrap();
     for n in 0..MACHINES {
-        let (worker, listener) = machine(n, &one);
+        let (worker, listener) = machine(n, &hollow_state);
         fleet.launch(worker, listener, Duration::ZERO);
-        let (worker, listener) = machine(n, &other);
-        Threads.launch(worker, listener, Duration::ZERO);
+        let (worker, listener) = machine(n, &threads_state);
+        ThreadLauncher.launch(worker, listener, Duration::ZERO);
     }
     std::thread::sleep(Duration::from_secs(6));
     // Counts in a window would depend on where in their intervals the machines are at its ends.
@@ -123,15 +125,21 @@
         a.abs_diff(b) * 100 <= b * 5,
         "a report every {a:?} and {b:?}"
     );
-    let last = |c: &Controller| to_json(c.reports.lock().unwrap().last().unwrap()).len();
+    let last = |c: &Controller| to_json(c.heartbeats.lock().unwrap().last().unwrap()).len();
     assert!(last(&hollow).abs_diff(last(&threads)) <= 3);
-    let known = hollow.reports.lock().unwrap().last().unwrap().fencing_token;
-    assert_eq!(known, 7, "answers are taken in");
-    assert!(fleet.traffic.sent.load(Ordering::Relaxed) > 0);
+    let fencing_token = hollow
+        .heartbeats
+        .lock()
+        .unwrap()
+        .last()
+        .unwrap()
+        .fencing_token;
+    assert_eq!(fencing_token, 7, "answers are taken in");
+    assert!(fleet.traffic.bytes_sent.load(Ordering::Relaxed) > 0);
 }
 
 #[test]
-fn a_hollow_worker_goes_where_it_is_referred_to() {
+fn a_hollow_worker_follows_a_redirect() {
     let to = controller(200, r#"{"deed":9,"orders":[]}"#);
     let from = controller(421, r#"{"foreman":"n1"}"#);
     let cluster_state = cluster_state(&[&from, &to]);
@@ -140,9 +148,9 @@
         let (worker, listener) = machine(n, &cluster_state);
         fleet.launch(worker, listener, Duration::ZERO);
     }
-    let reports = |c: &Controller| c.reports.lock().unwrap().len();
-    wait("all report there", || reports(&to) >= 12);
-    assert!(reports(&from) <= 4, "each asks there once at most");
+    let heartbeat_count = |c: &Controller| c.heartbeats.lock().unwrap().len();
+    wait("all report there", || heartbeat_count(&to) >= 12);
+    assert!(heartbeat_count(&from) <= 4, "each asks there once at most");
 }
 
 #[test]
@@ -150,7 +158,7 @@
     let ok = controller(200, r#"{"deed":7,"orders":[]}"#);
     let cluster_state = cluster_state(&[&ok]);
     let text = include_str!("../../../../scenarios/hollow.toml");
-    let job = load(&Scenario::parse("hollow.toml", text).unwrap()).remove(0);
+    let job = generate_load(&Scenario::parse("hollow.toml", text).unwrap()).remove(0);
     let id = job.spec.id.to_string();
     let spec = JobSpec {
         tasks: 1,
@@ -160,7 +168,7 @@
         .records
         .lock()
         .unwrap()
-        .submitted(&id, "class");
+        .record_submission(&id, "class");
     let shared = Arc::new((spec, Duration::from_millis(200)));
     cluster_state
         .jobs
@@ -170,7 +178,7 @@
     let (worker, listener) = machine(1, &cluster_state);
     let fleet = Fleet::new(1).unwrap();
     fleet.launch(worker.clone(), listener, Duration::ZERO);
-    wait("it reports", || !ok.reports.lock().unwrap().is_empty());
+    wait("it reports", || !ok.heartbeats.lock().unwrap().is_empty());
     let body = |token| {
         to_json(&DirectCommands {
             fencing_token: token,
@@ -182,19 +190,19 @@
         })
     };
     let mut client = Client::new(worker.addr, Duration::from_millis(500));
-    let mut tell = |token| {
+    let mut send_start = |token| {
         let answer = client.call("POST", "/do", &body(token), Duration::from_secs(2));
         answer.unwrap().status
     };
     wait("it has the token", || {
-        ok.reports.lock().unwrap().last().unwrap().fencing_token == 7
+        ok.heartbeats.lock().unwrap().last().unwrap().fencing_token == 7
     });
-    assert_eq!(tell(6), 409, "an older token is refused");
-    assert_eq!(tell(8), 200);
+    assert_eq!(send_start(6), 409, "an older token is refused");
+    assert_eq!(send_start(8), 200);
     wait("it is done", || {
-        cluster_state.records.lock().unwrap().done(&id) == 1
+        cluster_state.records.lock().unwrap().completed_tasks(&id) == 1
     });
-    assert!(cluster_state.records.lock().unwrap().broken.is_empty());
+    assert!(cluster_state.records.lock().unwrap().violations.is_empty());
     // A machine that is gone answers nothing.
     worker.remove();
     wait("it is gone", || {
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -91,7 +91,7 @@
 }
 
 /// Pictures that a sweep draws: the figure, and what is written at its axis.
-const PICTURES: [(&str, &str); 2] = [
+const CHARTS: [(&str, &str); 2] = [
     ("leader_cores", "leader, parts of a core"),
     ("memory_mb", "largest controller, MB"),
 ];
@@ -108,10 +108,10 @@
     let mut rules_held = true;
     for (n, size) in sizes.iter().enumerate() {
         println!("size {size}");
-        let scaled = run::scaled(&inputs.scenario, *size);
+        let scaled = run::scale_scenario(&inputs.scenario, *size);
         let dir = inputs.dir.join(format!("size-{n}"));
         let measured = run::measure(&scaled, &inputs.program, &dir)?;
-        rules_held &= measured.outcome.broken.is_empty();
+        rules_held &= measured.outcome.violations.is_empty();
         print!(
             "{}{}",
             measured.outcome.text(),
@@ -119,15 +119,15 @@
         );
         all.push(measured.figures);
     }
-    let lines = run::lines(&all);
+    let lines = run::fit_lines(&all);
     for (name, line) in &lines {
         print!("{}", line_text(name, line));
     }
     if let Some(path) = csv {
-        write_file(path, run::table(&all).as_bytes())?;
+        write_file(path, run::csv_table(&all).as_bytes())?;
     }
     if let Some(dir) = svg {
-        draw_pictures(dir, &all)?;
+        draw_charts(dir, &all)?;
     }
     if let Some(path) = &cli.json {
         let report = serde_json::json!({"figures": all, "lines": lines});
@@ -136,8 +136,8 @@
     Ok(rules_held)
 }
 
-fn draw_pictures(dir: &Path, all: &[Figures]) -> Result<(), ScaleError> {
-    for (name, label) in PICTURES {
+fn draw_charts(dir: &Path, all: &[Figures]) -> Result<(), ScaleError> {
+    for (name, label) in CHARTS {
         let point = |figures: &Figures| (figures.machines, figures.values()[name]);
         let points: Vec<(f64, f64)> = all.iter().map(point).collect();
         plot::draw(&dir.join(format!("{name}.svg")), label, &points)?;
@@ -146,7 +146,7 @@
 }
 
 /// Runs the scenario once; returns whether the rules held.
-fn play(cli: &Cli) -> Result<bool, ScaleError> {
+fn run_once(cli: &Cli) -> Result<bool, ScaleError> {
     let inputs = Inputs::new(cli)?;
     println!(
         "about {:.0} s; logs in {}",
@@ -162,18 +162,18 @@
     if let Some(path) = &cli.json {
         write_file(path, &serde_json::to_vec_pretty(&measured)?)?;
     }
-    Ok(measured.outcome.broken.is_empty())
+    Ok(measured.outcome.violations.is_empty())
 }
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    let played = match &cli.command {
-        None => play(&cli),
+    let result = match &cli.command {
+        None => run_once(&cli),
         Some(Command::Sweep { sizes, csv, svg }) => {
             sweep(&cli, sizes, csv.as_deref(), svg.as_deref())
         }
     };
-    match played {
+    match result {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(e) => {
--- a/crates/scale/src/plot.rs
+++ b/crates/scale/src/plot.rs
@@ -1,29 +1,29 @@
 //! Draws measured figures against the number of machines, with the lines through them.
 
 use crate::error::ScaleError;
-use crate::fit::line;
+use crate::fit::fit_line;
 use plotters::prelude::*;
 use std::path::Path;
 
 /// Width and height of a picture, in pixels.
-const SIZE: (u32, u32) = (760, 420);
+const SIZE_PX: (u32, u32) = (760, 420);
 
 /// One figure against the number of machines.
 pub fn draw(path: &Path, label: &str, points: &[(f64, f64)]) -> Result<(), ScaleError> {
-    try_to_draw(path, label, points).map_err(|source| ScaleError::Plot {
+    draw_chart(path, label, points).map_err(|source| ScaleError::Plot {
         path: path.to_path_buf(),
         source,
     })
 }
 
-fn try_to_draw(
+fn draw_chart(
     path: &Path,
     label: &str,
     points: &[(f64, f64)],
 ) -> Result<(), Box<dyn std::error::Error>> {
-    let most = |of: fn(&(f64, f64)) -> f64| points.iter().map(of).fold(1e-9, f64::max) * 1.1;
-    let (right, top) = (most(|p| p.0), most(|p| p.1));
-    let root = SVGBackend::new(path, SIZE).into_drawing_area();
+    let axis_max = |of: fn(&(f64, f64)) -> f64| points.iter().map(of).fold(1e-9, f64::max) * 1.1;
+    let (right, top) = (axis_max(|p| p.0), axis_max(|p| p.1));
+    let root = SVGBackend::new(path, SIZE_PX).into_drawing_area();
     root.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&root)
         .margin(16)
@@ -35,8 +35,8 @@
         .x_desc("machines")
         .y_desc(label)
         .draw()?;
-    if let Some(line) = line(points) {
-        let ends = [0.0, right].map(|x| (x, line.at(x).max(0.0)));
+    if let Some(line) = fit_line(points) {
+        let ends = [0.0, right].map(|x| (x, line.value_at(x).max(0.0)));
         chart.draw_series(LineSeries::new(ends, BLUE.stroke_width(2)))?;
     }
     let dots = points.iter().map(|p| Circle::new(*p, 4, RED.filled()));
--- a/crates/scale/src/run/tests.rs
+++ b/crates/scale/src/run/tests.rs
@@ -6,9 +6,9 @@
 }
 
 #[test]
-fn a_scaled_scenario_has_so_many_times_the_machines_and_tasks() {
-    let (one, three) = (sample(), scaled(&sample(), 3.0));
-    assert_eq!(most_machines(&three), 3 * most_machines(&one));
+fn scaling_a_scenario_multiplies_its_machines_and_tasks() {
+    let (one, three) = (sample(), scale_scenario(&sample(), 3.0));
+    assert_eq!(max_machines(&three), 3 * max_machines(&one));
     let tasks = |s: &Scenario| *s.jobs[0].tasks.get_ref();
     assert_eq!(tasks(&three), 3 * tasks(&one));
 }
@@ -17,24 +17,24 @@
 fn the_large_scenario_has_6000_machines_and_ends_two_controllers_while_it_is_measured() {
     let text = include_str!("../../../../scenarios/hollow-6000.toml");
     let scenario = Scenario::parse("hollow-6000.toml", text).unwrap();
-    assert_eq!(most_machines(&scenario), 6000);
+    assert_eq!(max_machines(&scenario), 6000);
     assert!(scenario.sockets > 6000);
-    let measured = scenario.load_s * WARM..scenario.load_s;
+    let measured = scenario.load_s * WARM_UP_FRACTION..scenario.load_s;
     assert_eq!(scenario.events.len(), 2);
     assert!(scenario.events.iter().all(|e| measured.contains(&e.at_s)));
 }
 
 #[test]
-fn what_has_no_room_is_refused_before_anything_is_begun() {
-    let huge = scaled(&sample(), 1e6);
-    let refused = check_room(&huge).unwrap_err().to_string();
+fn a_scenario_beyond_the_open_file_limit_is_refused_before_the_run() {
+    let huge = scale_scenario(&sample(), 1e6);
+    let refused = check_file_limit(&huge).unwrap_err().to_string();
     assert!(refused.contains("open files"), "{refused}");
-    assert!(check_room(&sample()).is_ok());
+    assert!(check_file_limit(&sample()).is_ok());
 }
 
 #[test]
-fn figures_are_differences_over_the_time_between() {
-    let seen = |at_s: f64, cpu: [f64; 2], n: u64| Seen {
+fn rates_are_differences_of_samples_over_the_time_between_them() {
+    let resource_sample = |at_s: f64, cpu: [f64; 2], n: u64| ResourceSample {
         at_s,
         machines: 10,
         tasks_running: 50,
@@ -72,10 +72,13 @@
         finish: BTreeMap::new(),
         state_requests: 0,
         state_changes: 0,
-        broken: Vec::new(),
+        violations: Vec::new(),
     };
-    let all = [seen(10.0, [1.0, 5.0], 100), seen(20.0, [2.0, 9.0], 300)];
-    let f = figures(&all, &outcome).unwrap();
+    let all = [
+        resource_sample(10.0, [1.0, 5.0], 100),
+        resource_sample(20.0, [2.0, 9.0], 300),
+    ];
+    let f = compute_figures(&all, &outcome).unwrap();
     assert!((f.leader_cores - 0.4).abs() < 1e-9 && (f.other_cores - 0.1).abs() < 1e-9);
     assert_eq!(
         (f.state_requests_per_s, f.state_changes_per_s),
@@ -83,11 +86,11 @@
     );
     assert_eq!((f.reports_per_s, f.memory_mb), (2.0, 20.0));
     assert_eq!((f.tasks_running, f.starts_per_s), (50.0, 20.0));
-    assert!(figures(&all[..1], &outcome).is_err());
+    assert!(compute_figures(&all[..1], &outcome).is_err());
 }
 
 #[test]
-fn a_table_has_a_row_a_size_and_lines_go_through_it() {
+fn the_table_has_one_row_per_size_and_lines_are_fitted_through_the_rows() {
     let mut small = Figures {
         machines: 100.0,
         ..Figures::default()
@@ -98,10 +101,10 @@
         leader_cores: 0.2,
         ..small.clone()
     };
-    let text = table(&[small.clone(), large.clone()]);
+    let text = csv_table(&[small.clone(), large.clone()]);
     assert_eq!(text.lines().count(), 3);
     assert!(text.starts_with("accept_p95_ms,"), "{text}");
-    let lines = lines(&[small, large]);
+    let lines = fit_lines(&[small, large]);
     assert!((lines["leader_cores"].slope - 0.001).abs() < 1e-9);
     assert!(!lines.contains_key("machines"));
 }
--- a/crates/scale/src/usage.rs
+++ b/crates/scale/src/usage.rs
@@ -19,19 +19,19 @@
 }
 
 /// What a process has taken up to now; `None` if it is gone.
-pub fn of(pid: u32) -> Option<Usage> {
+pub fn process_usage(pid: u32) -> Option<Usage> {
     let stat = fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
     let status = fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
     let files = fs::read_dir(format!("/proc/{pid}/fd")).ok()?;
-    let socket = |f: &fs::DirEntry| {
+    let is_socket = |f: &fs::DirEntry| {
         let target = fs::read_link(f.path());
         target.is_ok_and(|t| t.to_string_lossy().starts_with("socket:"))
     };
     Some(Usage {
         cpu_s: cpu_seconds(&stat)?,
-        memory_mb: field(&status, "VmRSS:")? / 1000.0,
-        threads: field(&status, "Threads:")? as u32,
-        sockets: files.flatten().filter(socket).count() as u32,
+        memory_mb: status_field(&status, "VmRSS:")? / 1000.0,
+        threads: status_field(&status, "Threads:")? as u32,
+        sockets: files.flatten().filter(is_socket).count() as u32,
     })
 }
 
@@ -45,7 +45,7 @@
 }
 
 /// The number in a line of `/proc/<pid>/status`.
-fn field(status: &str, name: &str) -> Option<f64> {
+fn status_field(status: &str, name: &str) -> Option<f64> {
     let line = status.lines().find(|l| l.starts_with(name))?;
     line.split_whitespace().nth(1)?.parse().ok()
 }
--- a/crates/standin/src/cloud.rs
+++ b/crates/standin/src/cloud.rs
@@ -17,17 +17,17 @@
 type Offer = (String, String, bool);
 
 #[derive(Default)]
-struct Inner {
+struct CloudState {
     machines: BTreeMap<String, (Arc<Worker>, Instant)>,
-    provisioned: BTreeMap<Offer, u32>,
-    requests: BTreeMap<String, Vec<burlusher::job::MachineId>>,
+    in_use: BTreeMap<Offer, u32>,
+    answered_requests: BTreeMap<String, Vec<burlusher::job::MachineId>>,
     drained: BTreeSet<String>,
     down_until: Option<Instant>,
-    next: u64,
+    next_machine: u64,
     /// Money spent on machines that are deleted, and how many were provisioned.
     spent: f64,
-    count: (u64, u64),
-    refused: u64,
+    provisioned_count: (u64, u64),
+    refused_requests: u64,
 }
 
 /// How machines that come up are run.
@@ -37,18 +37,18 @@
 }
 
 /// Two threads for each machine, and one for each connection to it.
-pub struct Threads;
+pub struct ThreadLauncher;
 
-impl MachineLauncher for Threads {
+impl MachineLauncher for ThreadLauncher {
     fn launch(&self, worker: Arc<Worker>, listener: TcpListener, boot: Duration) {
         std::thread::spawn(move || {
             std::thread::sleep(boot);
             let serving = worker.clone();
             std::thread::spawn(move || {
-                let respond = move |r: Request| serving.answer(&r);
+                let respond = move |r: Request| serving.handle_request(&r);
                 http::serve(listener, 16, Arc::new(respond));
             });
-            worker.live();
+            worker.run();
         });
     }
 }
@@ -57,9 +57,9 @@
 pub struct Cloud {
     launcher: Arc<dyn MachineLauncher>,
     types: Vec<MachineType>,
-    most: BTreeMap<Offer, u32>,
+    capacity: BTreeMap<Offer, u32>,
     cluster_state: Arc<ClusterState>,
-    inner: Mutex<Inner>,
+    state: Mutex<CloudState>,
 }
 
 /// What the cloud reports at the end.
@@ -81,12 +81,12 @@
         cluster_state: Arc<ClusterState>,
         launcher: Arc<dyn MachineLauncher>,
     ) -> Cloud {
-        let mut most = BTreeMap::new();
+        let mut capacity = BTreeMap::new();
         let mut types = Vec::new();
         for m in &scenario.machines {
             for z in &scenario.zones {
-                most.insert((m.name.clone(), z.clone(), false), m.ordinary);
-                most.insert((m.name.clone(), z.clone(), true), m.spot);
+                capacity.insert((m.name.clone(), z.clone(), false), m.ordinary);
+                capacity.insert((m.name.clone(), z.clone(), true), m.spot);
             }
             types.push(MachineType {
                 name: m.name.clone(),
@@ -104,54 +104,54 @@
         Cloud {
             launcher,
             types,
-            most,
+            capacity,
             cluster_state,
-            inner: Mutex::new(Inner::default()),
+            state: Mutex::new(CloudState::default()),
         }
     }
 
     /// Answers 503 for this long.
-    pub fn break_for(&self, time: Duration) {
-        self.inner.lock().expect("no panic holds it").down_until = Some(Instant::now() + time);
+    pub fn start_outage(&self, duration: Duration) {
+        self.state.lock().expect("no panic holds it").down_until = Some(Instant::now() + duration);
     }
 
     /// Nothing is provisioned in the zone any more, and its machines are taken after the notice.
-    pub fn drain(&self, zone: &str, notice: Duration) {
-        let mut c = self.inner.lock().expect("no panic holds it");
+    pub fn drain_zone(&self, zone: &str, notice: Duration) {
+        let mut c = self.state.lock().expect("no panic holds it");
         c.drained.insert(zone.into());
-        let there = c.machines.values().filter(|(w, _)| w.zone == zone);
-        there.for_each(|(w, _)| w.notice(notice));
+        let present = c.machines.values().filter(|(w, _)| w.zone == zone);
+        present.for_each(|(w, _)| w.announce_reclaim(notice));
     }
 
     /// Ends the draining of a zone.
-    pub fn open(&self, zone: &str) {
-        self.inner.lock().expect("no panic").drained.remove(zone);
+    pub fn open_zone(&self, zone: &str) {
+        self.state.lock().expect("no panic").drained.remove(zone);
     }
 
     /// Machines that are up or booting, by zone.
-    pub fn held(&self) -> BTreeMap<String, usize> {
-        let c = self.inner.lock().expect("no panic holds it");
-        let mut held = BTreeMap::new();
+    pub fn machines_by_zone(&self) -> BTreeMap<String, usize> {
+        let c = self.state.lock().expect("no panic holds it");
+        let mut by_zone = BTreeMap::new();
         for (w, _) in c.machines.values().filter(|(w, _)| !w.is_gone()) {
-            *held.entry(w.zone.clone()).or_default() += 1;
+            *by_zone.entry(w.zone.clone()).or_default() += 1;
         }
-        held
+        by_zone
     }
 
     /// What was spent and provisioned up to now.
     pub fn bill(&self) -> Bill {
-        let c = self.inner.lock().expect("no panic holds it");
+        let c = self.state.lock().expect("no panic holds it");
         let running = c.machines.values().map(|(w, since)| self.price(w, *since));
         Bill {
             spent: c.spent + running.sum::<f64>(),
-            ordinary: c.count.0,
-            spot: c.count.1,
-            refused: c.refused,
+            ordinary: c.provisioned_count.0,
+            spot: c.provisioned_count.1,
+            refused: c.refused_requests,
         }
     }
 
     fn price(&self, w: &Worker, since: Instant) -> f64 {
-        let t = self.types.iter().find(|t| t.name == w.kind);
+        let t = self.types.iter().find(|t| t.name == w.machine_type);
         let hourly = t.map_or(0.0, |t| {
             let spot = t.spot_price.filter(|_| w.spot);
             spot.unwrap_or(t.price)
@@ -160,8 +160,8 @@
     }
 
     /// Answers one request of a controller.
-    pub fn answer(&self, r: &Request) -> Response {
-        let mut c = self.inner.lock().expect("no panic holds it");
+    pub fn handle_request(&self, r: &Request) -> Response {
+        let mut c = self.state.lock().expect("no panic holds it");
         if c.down_until.is_some_and(|t| Instant::now() < t) {
             return Response::error(503, "trouble");
         }
@@ -173,24 +173,27 @@
             }
             ("GET", PATH_MACHINES) => {
                 let since = query(&r.path, "since").unwrap_or("").to_string();
-                let there = c.machines.values().filter(|(w, _)| !w.is_gone());
-                let listed = there.filter(|(w, _)| w.id > since).map(|(w, provisioned)| {
-                    let boot = self.types.iter().find(|t| t.name == w.kind);
-                    let up = provisioned.elapsed().as_secs_f64() > boot.map_or(0.0, |t| t.boot_s);
-                    ListedMachine {
-                        id: w.id.as_str().into(),
-                        addr: Some(w.addr.to_string()),
-                        machine_type: w.kind.clone(),
-                        zone: w.zone.clone(),
-                        spot: w.spot,
-                        state: if up {
-                            ListedState::Running
-                        } else {
-                            ListedState::Booting
-                        },
-                        age_s: provisioned.elapsed().as_secs_f64(),
-                    }
-                });
+                let present = c.machines.values().filter(|(w, _)| !w.is_gone());
+                let listed = present
+                    .filter(|(w, _)| w.id > since)
+                    .map(|(w, provisioned)| {
+                        let machine_type = self.types.iter().find(|t| t.name == w.machine_type);
+                        let up = provisioned.elapsed().as_secs_f64()
+                            > machine_type.map_or(0.0, |t| t.boot_s);
+                        ListedMachine {
+                            id: w.id.as_str().into(),
+                            addr: Some(w.addr.to_string()),
+                            machine_type: w.machine_type.clone(),
+                            zone: w.zone.clone(),
+                            spot: w.spot,
+                            state: if up {
+                                ListedState::Running
+                            } else {
+                                ListedState::Booting
+                            },
+                            age_s: provisioned.elapsed().as_secs_f64(),
+                        }
+                    });
                 let machines = listed.collect();
                 Response::new(
                     200,
@@ -201,9 +204,9 @@
                 )
             }
             ("POST", PATH_DELETE_MACHINES) => match serde_json::from_slice::<MachineIds>(&r.body) {
-                Ok(names) => {
-                    for id in &names.machines {
-                        self.take_away(&mut c, id);
+                Ok(ids) => {
+                    for id in &ids.machines {
+                        self.delete_machine(&mut c, id);
                     }
                     Response::new(200, b"{}".to_vec())
                 }
@@ -218,38 +221,38 @@
         }
     }
 
-    fn take_away(&self, c: &mut Inner, id: &str) {
+    fn delete_machine(&self, c: &mut CloudState, id: &str) {
         if let Some((w, since)) = c.machines.remove(id) {
             w.remove();
             c.spent += self.price(&w, since);
-            let offer = (w.kind.clone(), w.zone.clone(), w.spot);
-            if let Some(n) = c.provisioned.get_mut(&offer) {
+            let offer = (w.machine_type.clone(), w.zone.clone(), w.spot);
+            if let Some(n) = c.in_use.get_mut(&offer) {
                 *n -= 1;
             }
         }
     }
 
-    fn scale_out(&self, c: &mut Inner, body: ScaleOutRequest) -> Response {
-        let names = |machines| Response::new(200, to_json(&MachineIds { machines }));
-        if let Some(machines) = c.requests.get(&body.request_id) {
-            return names(machines.clone());
+    fn scale_out(&self, c: &mut CloudState, body: ScaleOutRequest) -> Response {
+        let response = |machines| Response::new(200, to_json(&MachineIds { machines }));
+        if let Some(machines) = c.answered_requests.get(&body.request_id) {
+            return response(machines.clone());
         }
-        let gone: Vec<String> = c
+        let reclaimed: Vec<String> = c
             .machines
             .iter()
             .filter(|(_, (w, _))| w.is_gone())
             .map(|(id, _)| id.clone())
             .collect();
-        for id in gone {
-            self.take_away(c, &id);
+        for id in reclaimed {
+            self.delete_machine(c, &id);
         }
         let offer = (body.machine_type, body.zone, body.spot);
-        let most = self.most.get(&offer).copied().unwrap_or(0);
-        let held = c.provisioned.get(&offer).copied().unwrap_or(0);
-        let count = body.count.min(most.saturating_sub(held));
+        let capacity = self.capacity.get(&offer).copied().unwrap_or(0);
+        let in_use = c.in_use.get(&offer).copied().unwrap_or(0);
+        let count = body.count.min(capacity.saturating_sub(in_use));
         let t = self.types.iter().find(|t| t.name == offer.0);
         let (Some(t), true) = (t, count > 0 && !c.drained.contains(&offer.1)) else {
-            c.refused += 1;
+            c.refused_requests += 1;
             return Response::error(503, "no capacity");
         };
         let mut machines = Vec::new();
@@ -261,29 +264,36 @@
             c.machines
                 .insert(worker.id.clone(), (worker, Instant::now()));
         }
-        let got = machines.len() as u64;
-        *c.provisioned.entry(offer.clone()).or_default() += got as u32;
+        let provisioned = machines.len() as u64;
+        *c.in_use.entry(offer.clone()).or_default() += provisioned as u32;
         match offer.2 {
-            true => c.count.1 += got,
-            false => c.count.0 += got,
+            true => c.provisioned_count.1 += provisioned,
+            false => c.provisioned_count.0 += provisioned,
         }
-        c.requests.insert(body.request_id, machines.clone());
-        names(machines)
+        c.answered_requests
+            .insert(body.request_id, machines.clone());
+        response(machines)
     }
 
-    fn boot(&self, c: &mut Inner, offer: &Offer, t: &MachineType) -> Option<Arc<Worker>> {
+    fn boot(&self, c: &mut CloudState, offer: &Offer, t: &MachineType) -> Option<Arc<Worker>> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).ok()?;
         let SocketAddr::V4(addr) = listener.local_addr().ok()? else {
             return None;
         };
-        c.next += 1;
-        let id = format!("i-{:06}", c.next);
-        let room = Resources {
+        c.next_machine += 1;
+        let id = format!("i-{:06}", c.next_machine);
+        let capacity = Resources {
             cpus: t.cpus,
             gpus: t.gpus,
             ram: t.ram,
         };
-        let worker = Worker::new(id, addr, offer.clone(), room, self.cluster_state.clone());
+        let worker = Worker::new(
+            id,
+            addr,
+            offer.clone(),
+            capacity,
+            self.cluster_state.clone(),
+        );
         let worker = Arc::new(worker);
         let boot = Duration::from_secs_f64(t.boot_s);
         self.launcher.launch(worker.clone(), listener, boot);
--- a/crates/standin/src/cluster.rs
+++ b/crates/standin/src/cluster.rs
@@ -1,6 +1,6 @@
 //! A whole cluster on loopback: starts everything, plays the scenario, and reports what came of it.
 
-use crate::cloud::{Cloud, MachineLauncher, Threads};
+use crate::cloud::{Cloud, MachineLauncher, ThreadLauncher};
 use crate::command_line::write_file;
 use crate::controller_settings::{Addresses, controller_settings};
 use crate::controllers::{Controllers, POLICY_FILE, controller_name};
@@ -10,7 +10,7 @@
 use crate::report::{Outcome, Sample};
 use crate::scenario::{Event, EventAction, Scenario};
 use crate::state::StateService;
-use crate::users::{Users, load};
+use crate::users::{Users, generate_load};
 use crate::worker::ClusterState;
 use burlusher::http::{self, Request, Response};
 use burlusher_market::ZoneBalance;
@@ -32,15 +32,25 @@
 /// How often progress is printed.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(5);
 /// Jobs may end this long after twice the time of the load.
-const GRACE: Duration = Duration::from_secs(30);
+const COMPLETION_GRACE: Duration = Duration::from_secs(30);
 
 /// Plays a scenario with controllers of `program`, whose files go into `dir`.
-pub fn play(scenario: &Scenario, program: &Path, dir: &Path) -> Result<Outcome, StandinError> {
-    play_with(scenario, program, dir, Arc::new(Threads), &mut |_| {})
+pub fn run_scenario(
+    scenario: &Scenario,
+    program: &Path,
+    dir: &Path,
+) -> Result<Outcome, StandinError> {
+    run_scenario_with(
+        scenario,
+        program,
+        dir,
+        Arc::new(ThreadLauncher),
+        &mut |_| {},
+    )
 }
 
 /// The same with machines run in another way, and an observer that is called once a second.
-pub fn play_with(
+pub fn run_scenario_with(
     scenario: &Scenario,
     program: &Path,
     dir: &Path,
@@ -52,7 +62,7 @@
     let begin = Instant::now();
     let users = Arc::new(Users::new(cluster.targets.cluster_state.clone()));
     let jobs = cluster.submit_load(&users, begin);
-    cluster.follow(&users, &jobs, begin, observe);
+    cluster.run_until_jobs_end(&users, &jobs, begin, observe);
     Ok(cluster.finish(&users, jobs.len()))
 }
 
@@ -78,8 +88,8 @@
         let cluster_state = Arc::new(ClusterState {
             jobs: Mutex::default(),
             records: Mutex::default(),
-            nodes: names.zip(public.iter().copied()).collect(),
-            report: Duration::from_secs_f64(scenario.report_s),
+            controller_addrs: names.zip(public.iter().copied()).collect(),
+            heartbeat_interval: Duration::from_secs_f64(scenario.report_s),
             lease: Duration::from_secs_f64(scenario.lease_s),
         });
         let state = Arc::new(StateService::default());
@@ -88,8 +98,8 @@
         let addresses = Addresses {
             public,
             peer,
-            state: serve(move |request| state_handler.answer(request))?,
-            cloud: serve(move |request| cloud_handler.answer(request))?,
+            state: serve(move |request| state_handler.handle_request(request))?,
+            cloud: serve(move |request| cloud_handler.handle_request(request))?,
         };
         write_settings(scenario, &addresses, dir)?;
         let controllers = Arc::new(Controllers::new(program, dir, count));
@@ -113,9 +123,9 @@
     /// Waits until every controller serves; `dir` has their logs.
     fn wait_ready(&self, dir: &Path) -> Result<(), StandinError> {
         let deadline = Instant::now() + READY_TIMEOUT;
-        for (name, addr) in &self.targets.cluster_state.nodes {
+        for (name, addr) in &self.targets.cluster_state.controller_addrs {
             while get(*addr, "/ready").is_none_or(|(status, _)| status != 200) {
-                if Instant::now() > deadline || !self.targets.controllers.ended().is_empty() {
+                if Instant::now() > deadline || !self.targets.controllers.exited().is_empty() {
                     return Err(StandinError::NotReady {
                         name: name.clone(),
                         log: dir.join(format!("{name}.log")),
@@ -129,21 +139,21 @@
 
     /// Starts a thread for each job of the load, which submits and follows it.
     fn submit_load(&self, users: &Arc<Users>, begin: Instant) -> Vec<JoinHandle<()>> {
-        let until = begin + self.scenario.load() * 2 + GRACE;
-        let jobs = load(self.scenario).into_iter().enumerate();
+        let deadline = begin + self.scenario.load_duration() * 2 + COMPLETION_GRACE;
+        let jobs = generate_load(self.scenario).into_iter().enumerate();
         let threads = jobs.map(|(number, job)| {
             let users = users.clone();
             std::thread::spawn(move || {
-                let submit_at = begin + job.at;
+                let submit_at = begin + job.submit_after;
                 std::thread::sleep(submit_at.saturating_duration_since(Instant::now()));
-                users.follow(number, job, until);
+                users.submit_and_poll(number, job, deadline);
             })
         });
         threads.collect()
     }
 
     /// Carries out the events, and takes samples, until every job's thread has ended.
-    fn follow(
+    fn run_until_jobs_end(
         &self,
         users: &Users,
         jobs: &[JoinHandle<()>],
@@ -153,17 +163,17 @@
         let mut events = self.scenario.events.clone();
         events.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
         let mut events = events.into_iter().peekable();
-        let keeps_backups = self.rolls_back();
-        let mut backups = Interval::new(SAMPLE_INTERVAL);
-        let mut samples = Interval::new(SAMPLE_INTERVAL);
-        let mut progress = Interval::new(PROGRESS_INTERVAL);
+        let keeps_backups = self.needs_backups();
+        let mut backups = PeriodicTimer::new(SAMPLE_INTERVAL);
+        let mut samples = PeriodicTimer::new(SAMPLE_INTERVAL);
+        let mut progress = PeriodicTimer::new(PROGRESS_INTERVAL);
         while jobs.iter().any(|thread| !thread.is_finished()) {
             std::thread::sleep(TICK);
             let at_s = begin.elapsed().as_secs_f64();
             if keeps_backups && backups.is_due() {
                 self.targets.state.back_up();
             }
-            self.perform_due(&mut events, at_s);
+            self.perform_due_events(&mut events, at_s);
             if samples.is_due() {
                 observe(&self.sample(at_s));
             }
@@ -174,12 +184,12 @@
     }
 
     /// Whether the state service is to be rolled back at some time.
-    fn rolls_back(&self) -> bool {
+    fn needs_backups(&self) -> bool {
         let mut actions = self.scenario.events.iter().map(|event| &event.action);
         actions.any(|action| matches!(action, EventAction::RollBackState { .. }))
     }
 
-    fn perform_due(&self, events: &mut Peekable<impl Iterator<Item = Event>>, at_s: f64) {
+    fn perform_due_events(&self, events: &mut Peekable<impl Iterator<Item = Event>>, at_s: f64) {
         while let Some(event) = events.next_if(|event| event.at_s <= at_s) {
             println!("{at_s:6.1} s  {:?}", event.action);
             self.targets.perform(&event.action);
@@ -187,15 +197,15 @@
     }
 
     fn sample(&self, at_s: f64) -> Sample {
-        let (state_requests, state_changes) = self.targets.state.counts();
+        let (state_requests, state_changes) = self.targets.state.request_counts();
         let records = self.targets.cluster_state.records.lock();
         let records = records.expect("no panic holds it");
-        let (tasks_running, tasks_started) = (records.present(), records.starts);
+        let (tasks_running, tasks_started) = (records.running_tasks(), records.starts);
         drop(records);
         Sample {
             at_s,
             controllers: self.targets.controllers.pids(),
-            machines: self.targets.cloud.held().values().sum(),
+            machines: self.targets.cloud.machines_by_zone().values().sum(),
             tasks_running,
             tasks_started,
             state_requests,
@@ -204,12 +214,12 @@
     }
 
     fn print_progress(&self, users: &Users, submitted: usize, at_s: f64) {
-        let seen = users.seen.lock().expect("no panic holds it");
+        let observations = users.observations.lock().expect("no panic holds it");
         println!(
             "{at_s:6.1} s  jobs {} of {submitted} accepted, {} done; machines {:?}",
-            seen.accepted,
-            seen.done,
-            self.targets.cloud.held()
+            observations.accepted,
+            observations.done,
+            self.targets.cloud.machines_by_zone()
         );
     }
 
@@ -221,36 +231,36 @@
             state,
             controllers,
         } = self.targets;
-        let ended = controllers.ended();
+        let exited = controllers.exited();
         drop(controllers);
         let records = cluster_state.records.lock().expect("no panic holds it");
-        let seen = users.seen.lock().expect("no panic holds it");
-        let spread = spread(self.scenario, &records.work);
+        let observations = users.observations.lock().expect("no panic holds it");
+        let spread = max_excess(self.scenario, &records.work);
         let tolerance = self.scenario.tolerance;
-        let mut broken = records.broken.clone();
-        broken.extend(seen.wrong.iter().cloned());
-        broken.extend(seen.refused.iter().map(|r| format!("refused: {r}")));
-        let ended = ended.into_iter().map(controller_name);
-        broken.extend(ended.map(|name| format!("{name} ended by itself")));
-        if seen.done < submitted as u64 {
-            let missing = submitted as u64 - seen.done;
-            broken.push(format!("{missing} jobs are not done"));
+        let mut violations = records.violations.clone();
+        violations.extend(observations.violations.iter().cloned());
+        violations.extend(observations.refused.iter().map(|r| format!("refused: {r}")));
+        let exited = exited.into_iter().map(controller_name);
+        violations.extend(exited.map(|name| format!("{name} ended by itself")));
+        if observations.done < submitted as u64 {
+            let missing = submitted as u64 - observations.done;
+            violations.push(format!("{missing} jobs are not done"));
         }
         if spread > tolerance {
-            broken.push(format!(
+            violations.push(format!(
                 "a zone served {spread:.2} beyond its part, of {tolerance:.2}"
             ));
         }
         let bill = cloud.bill();
         let waits = records.waits.iter();
-        let (state_requests, state_changes) = state.counts();
+        let (state_requests, state_changes) = state.request_counts();
         Outcome {
             submitted,
-            accepted: seen.accepted,
-            done: seen.done,
+            accepted: observations.accepted,
+            done: observations.done,
             tasks_started: records.starts,
-            tasks_started_again: records.again,
-            tasks_lost: records.lost,
+            tasks_started_again: records.restarts,
+            tasks_lost: records.lost_runs,
             machines_ordinary: bill.ordinary,
             machines_spot: bill.spot,
             offers_refused: bill.refused,
@@ -258,20 +268,20 @@
             work: records.work.clone(),
             spread,
             tolerance,
-            accept: seen.accept(),
+            accept: observations.accept(),
             wait: waits
                 .map(|(class, h)| (class.clone(), quantiles(h)))
                 .collect(),
-            finish: seen.finish(),
+            finish: observations.finish(),
             state_requests,
             state_changes,
-            broken,
+            violations,
         }
     }
 }
 
 /// How far the zone that served most went beyond an equal part; `work` by zone.
-fn spread(scenario: &Scenario, work: &std::collections::BTreeMap<String, f64>) -> f64 {
+fn max_excess(scenario: &Scenario, work: &std::collections::BTreeMap<String, f64>) -> f64 {
     let zones = scenario.zones.iter().map(String::as_str);
     let mut served = ZoneBalance::new(zones, scenario.tolerance);
     for (zone, work) in work {
@@ -281,24 +291,24 @@
 }
 
 /// Something that is due again and again.
-struct Interval {
-    length: Duration,
-    last: Instant,
+struct PeriodicTimer {
+    period: Duration,
+    last_due: Instant,
 }
 
-impl Interval {
-    fn new(length: Duration) -> Interval {
-        Interval {
-            length,
-            last: Instant::now(),
+impl PeriodicTimer {
+    fn new(period: Duration) -> PeriodicTimer {
+        PeriodicTimer {
+            period,
+            last_due: Instant::now(),
         }
     }
 
     /// Whether the time is over; it begins anew then.
     fn is_due(&mut self) -> bool {
-        let is_due = self.last.elapsed() >= self.length;
+        let is_due = self.last_due.elapsed() >= self.period;
         if is_due {
-            self.last = Instant::now();
+            self.last_due = Instant::now();
         }
         is_due
     }
@@ -338,7 +348,7 @@
     handle: impl Fn(&Request) -> Response + Send + Sync + 'static,
 ) -> Result<String, StandinError> {
     let (listener, addr) = listen()?;
-    let answer = move |request: Request| Some(handle(&request));
-    std::thread::spawn(move || http::serve(listener, MAX_CONNECTIONS, Arc::new(answer)));
+    let respond = move |request: Request| Some(handle(&request));
+    std::thread::spawn(move || http::serve(listener, MAX_CONNECTIONS, Arc::new(respond)));
     Ok(addr.to_string())
 }
--- a/crates/standin/src/controllers.rs
+++ b/crates/standin/src/controllers.rs
@@ -34,14 +34,17 @@
         }
     }
 
-    fn file(&self, name: &str) -> String {
+    fn path_in_dir(&self, name: &str) -> String {
         self.dir.join(name).display().to_string()
     }
 
     /// Starts a controller, whose settings must be in the folder.
     pub(crate) fn start(&self, number: usize) -> Result<(), StandinError> {
         let name = controller_name(number);
-        let (policy, config) = (self.file(POLICY_FILE), self.file(&format!("{name}.json")));
+        let (policy, config) = (
+            self.path_in_dir(POLICY_FILE),
+            self.path_in_dir(&format!("{name}.json")),
+        );
         let args = ["serve", "--policy", &policy, "--config", &config];
         let child = self.spawn(&format!("{name}.log"), &args)?;
         self.children.lock().expect("no panic holds it")[number] = Some(child);
@@ -64,7 +67,10 @@
 
     /// Starts a process that keeps snapshots of the state service.
     pub(crate) fn start_snapshotter(&self) -> Result<(), StandinError> {
-        let (config, dir) = (self.file("controller-0.json"), self.file("archive"));
+        let (config, dir) = (
+            self.path_in_dir("controller-0.json"),
+            self.path_in_dir("archive"),
+        );
         let args = ["archive", "--config", &config, "--dir", &dir];
         let child = self.spawn("archivist.log", &args)?;
         *self.snapshotter.lock().expect("no panic holds it") = Some(child);
@@ -73,7 +79,7 @@
 
     /// Offers the newest snapshot to a controller; returns whether it was accepted.
     pub(crate) fn restore(&self, node: SocketAddrV4) -> Result<bool, StandinError> {
-        let (dir, node) = (self.file("archive"), node.to_string());
+        let (dir, node) = (self.path_in_dir("archive"), node.to_string());
         let args = ["snapshot", "restore", "--dir", &dir, "--node", &node];
         let status = self.spawn("restore.log", &args)?.wait()?;
         Ok(status.success())
@@ -95,13 +101,13 @@
     }
 
     /// Controllers that ended by themselves.
-    pub(crate) fn ended(&self) -> Vec<usize> {
+    pub(crate) fn exited(&self) -> Vec<usize> {
         let mut children = self.children.lock().expect("no panic holds it");
-        let has_ended = |child: &mut Child| matches!(child.try_wait(), Ok(Some(_)));
+        let has_exited = |child: &mut Child| matches!(child.try_wait(), Ok(Some(_)));
         let children = children.iter_mut().enumerate();
         children
             .filter_map(|(number, child)| child.as_mut().map(|child| (number, child)))
-            .filter_map(|(number, child)| has_ended(child).then_some(number))
+            .filter_map(|(number, child)| has_exited(child).then_some(number))
             .collect()
     }
 }
--- a/crates/standin/src/events.rs
+++ b/crates/standin/src/events.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 /// A controller's answer to a question of the stand-ins takes this long at the most.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// The state service answers 503 for this long before its data is lost.
 const OUTAGE_BEFORE_LOSS: Duration = Duration::from_secs(1);
@@ -33,13 +33,15 @@
     pub(crate) fn perform(&self, action: &EventAction) {
         let seconds = Duration::from_secs_f64;
         match action {
-            EventAction::DrainZone { zone, notice_s } => self.cloud.drain(zone, seconds(*notice_s)),
-            EventAction::OpenZone { zone } => self.cloud.open(zone),
-            EventAction::CloudOutage { for_s } => self.cloud.break_for(seconds(*for_s)),
-            EventAction::StateOutage { for_s } => self.state.break_for(seconds(*for_s)),
+            EventAction::DrainZone { zone, notice_s } => {
+                self.cloud.drain_zone(zone, seconds(*notice_s))
+            }
+            EventAction::OpenZone { zone } => self.cloud.open_zone(zone),
+            EventAction::CloudOutage { for_s } => self.cloud.start_outage(seconds(*for_s)),
+            EventAction::StateOutage { for_s } => self.state.start_outage(seconds(*for_s)),
             EventAction::LoseState {} => {
-                self.state.break_for(OUTAGE_BEFORE_LOSS);
-                self.state.lose();
+                self.state.start_outage(OUTAGE_BEFORE_LOSS);
+                self.state.erase();
             }
             EventAction::RollBackState { back_s } => self.state.roll_back(seconds(*back_s)),
             EventAction::KillController { number, back_s } => {
@@ -50,7 +52,7 @@
                 None => println!("no controller leads now"),
             },
             EventAction::KillAll { back_s } => {
-                let numbers = 0..self.cluster_state.nodes.len();
+                let numbers = 0..self.cluster_state.controller_addrs.len();
                 numbers.for_each(|number| self.restart(number, seconds(*back_s)));
             }
             EventAction::Restore {} => self.restore(),
@@ -59,8 +61,8 @@
 
     /// The controller that reports itself as the leader.
     fn leader(&self) -> Option<usize> {
-        let mut nodes = self.cluster_state.nodes.iter();
-        nodes.position(|(_, addr)| {
+        let mut controllers = self.cluster_state.controller_addrs.iter();
+        controllers.position(|(_, addr)| {
             let status = get(*addr, PATH_STATUS);
             let body = status.map(|(_, body)| body).unwrap_or_default();
             let view = serde_json::from_slice::<serde_json::Value>(&body);
@@ -73,7 +75,10 @@
         let deadline = Instant::now() + RESTORE_TIMEOUT;
         while Instant::now() < deadline {
             if let Some(leader) = self.leader() {
-                match self.controllers.restore(self.cluster_state.nodes[leader].1) {
+                match self
+                    .controllers
+                    .restore(self.cluster_state.controller_addrs[leader].1)
+                {
                     Ok(true) => return println!("the snapshot was taken in"),
                     Ok(false) => {}
                     Err(e) => println!("restoring: {e}"),
@@ -103,6 +108,6 @@
 /// One GET at a controller: the status and the body, if it answers.
 pub(crate) fn get(addr: SocketAddrV4, path: &str) -> Option<(u16, Vec<u8>)> {
     let mut client = http::Client::new(addr, CONNECT_TIMEOUT);
-    let response = client.call("GET", path, b"", ANSWER_TIMEOUT).ok()?;
+    let response = client.call("GET", path, b"", RESPONSE_TIMEOUT).ok()?;
     Some((response.status, response.body))
 }
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -46,12 +46,12 @@
         loaded.scenario.load_s * 2.0,
         dir.display()
     );
-    let outcome = cluster::play(&loaded.scenario, &program, &dir)?;
+    let outcome = cluster::run_scenario(&loaded.scenario, &program, &dir)?;
     print!("{}", outcome.text());
     if let Some(path) = &cli.report {
         write_file(path, &serde_json::to_vec_pretty(&outcome)?)?;
     }
-    Ok(outcome.broken.is_empty())
+    Ok(outcome.violations.is_empty())
 }
 
 fn main() -> ExitCode {
--- a/crates/standin/src/records.rs
+++ b/crates/standin/src/records.rs
@@ -10,11 +10,11 @@
 #[derive(Default)]
 struct TaskSets {
     /// On a machine now.
-    present: RoaringBitmap,
+    running: RoaringBitmap,
     /// Ever started.
     started: RoaringBitmap,
     /// Completed.
-    done: RoaringBitmap,
+    completed: RoaringBitmap,
 }
 
 /// What workers record of the tasks that they run.
@@ -22,13 +22,13 @@
 pub struct Records {
     jobs: BTreeMap<String, TaskSets>,
     /// Rules broken, in words.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     /// Starts of tasks.
     pub starts: u64,
     /// Starts of tasks that had started before, as their machine was lost or they were stopped.
-    pub again: u64,
+    pub restarts: u64,
     /// Runs that ended without a result.
-    pub lost: u64,
+    pub lost_runs: u64,
     /// CPU seconds of completed runs, by zone.
     pub work: BTreeMap<String, f64>,
     /// From submission to start, by class, in milliseconds.
@@ -67,29 +67,29 @@
 
 impl Records {
     /// A user submits a job of this class.
-    pub fn submitted(&mut self, job: &str, class: &str) {
+    pub fn record_submission(&mut self, job: &str, class: &str) {
         self.submitted
             .insert(job.into(), (class.into(), Instant::now()));
     }
 
     /// A task holds its image and runs on this machine from now on.
-    pub fn start(&mut self, job: &str, task: u32, machine: &str) {
+    pub fn record_start(&mut self, job: &str, task: u32, machine: &str) {
         let Some((class, at)) = self.submitted.get(job) else {
-            self.broken
+            self.violations
                 .push(format!("{job}/{task} started on {machine}: no such job"));
             return;
         };
         let tasks = self.jobs.entry(job.into()).or_default();
-        if !tasks.present.insert(task) {
-            self.broken.push(format!(
+        if !tasks.running.insert(task) {
+            self.violations.push(format!(
                 "{job}/{task} started on {machine} while on another machine"
             ));
         }
-        if tasks.done.contains(task) {
+        if tasks.completed.contains(task) {
             // Allowed: its end was not reported before its machine was lost. It is counted.
-            self.again += 1;
+            self.restarts += 1;
         } else if !tasks.started.insert(task) {
-            self.again += 1;
+            self.restarts += 1;
         } else {
             let waited = at.elapsed().as_millis() as u64;
             let h = self.waits.entry(class.clone()).or_insert_with(histogram);
@@ -99,26 +99,32 @@
     }
 
     /// It is not on the machine any more.
-    pub fn leave(&mut self, job: &str, task: u32, zone: &str, done: Option<(Duration, f64)>) {
+    pub fn record_end(
+        &mut self,
+        job: &str,
+        task: u32,
+        zone: &str,
+        completed: Option<(Duration, f64)>,
+    ) {
         let tasks = self.jobs.entry(job.into()).or_default();
-        tasks.present.remove(task);
-        match done {
+        tasks.running.remove(task);
+        match completed {
             Some((ran, cpus)) => {
-                tasks.done.insert(task);
+                tasks.completed.insert(task);
                 *self.work.entry(zone.into()).or_default() += ran.as_secs_f64() * cpus;
             }
-            None => self.lost += 1,
+            None => self.lost_runs += 1,
         }
     }
 
     /// Tasks that are on machines now.
-    pub fn present(&self) -> u64 {
-        self.jobs.values().map(|tasks| tasks.present.len()).sum()
+    pub fn running_tasks(&self) -> u64 {
+        self.jobs.values().map(|tasks| tasks.running.len()).sum()
     }
 
     /// How many tasks of a job completed.
-    pub fn done(&self, job: &str) -> u64 {
-        self.jobs.get(job).map_or(0, |tasks| tasks.done.len())
+    pub fn completed_tasks(&self, job: &str) -> u64 {
+        self.jobs.get(job).map_or(0, |tasks| tasks.completed.len())
     }
 }
 
--- a/crates/standin/src/report.rs
+++ b/crates/standin/src/report.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 /// Broken rules that are listed in the text; the rest is counted.
-const MAX_LISTED_RULES: usize = 20;
+const MAX_LISTED_VIOLATIONS: usize = 20;
 
 /// What came of a scenario.
 #[derive(Serialize)]
@@ -47,7 +47,8 @@
     /// Puts and deletions in requests to the state service.
     pub state_changes: u64,
     /// All that should not have been; none if all is well.
-    pub broken: Vec<String>,
+    #[serde(rename = "broken")]
+    pub violations: Vec<String>,
 }
 
 /// How things stand, once a second.
@@ -103,13 +104,13 @@
                 ));
             }
         }
-        match self.broken.as_slice() {
+        match self.violations.as_slice() {
             [] => out.push_str("every task ran in one place at a time; nothing was unsaid\n"),
-            broken => {
-                for rule in broken.iter().take(MAX_LISTED_RULES) {
-                    out.push_str(&format!("BROKEN: {rule}\n"));
+            violations => {
+                for violation in violations.iter().take(MAX_LISTED_VIOLATIONS) {
+                    out.push_str(&format!("BROKEN: {violation}\n"));
                 }
-                out.push_str(&format!("{} rules or promises broken\n", broken.len()));
+                out.push_str(&format!("{} rules or promises broken\n", violations.len()));
             }
         }
         out
--- a/crates/standin/src/scenario.rs
+++ b/crates/standin/src/scenario.rs
@@ -51,10 +51,10 @@
     pub zones: Vec<String>,
     /// Machine types.
     #[serde(rename = "machine")]
-    pub machines: Vec<Machine>,
+    pub machines: Vec<MachineTypeSpec>,
     /// Classes of jobs.
     #[serde(rename = "job")]
-    pub jobs: Vec<Job>,
+    pub jobs: Vec<JobClass>,
     /// What happens meanwhile.
     #[serde(default, rename = "event")]
     pub events: Vec<Event>,
@@ -83,7 +83,7 @@
 /// A machine type; in each zone there are so many ordinary and spot ones of it.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Machine {
+pub struct MachineTypeSpec {
     /// The type's name.
     pub name: String,
     /// Processors of a machine.
@@ -107,7 +107,7 @@
 /// A class of jobs.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Job {
+pub struct JobClass {
     /// The class's name.
     pub class: String,
     /// How many jobs of it are submitted a minute.
@@ -212,7 +212,7 @@
             let offset = e.span().map_or(0, |span| span.start);
             source.error_at(offset, e.message())
         })?;
-        scenario.check_numbers(&source)?;
+        scenario.check_values(&source)?;
         for machine in &scenario.machines {
             check_machine(machine, &source)?;
         }
@@ -225,7 +225,7 @@
         Ok(scenario)
     }
 
-    fn check_numbers(&self, source: &Source) -> Result<(), ScenarioError> {
+    fn check_values(&self, source: &Source) -> Result<(), ScenarioError> {
         let count = *self.controllers.get_ref();
         if !(1..=9).contains(&count) {
             let reason = format!("controllers: {count} is not between 1 and 9");
@@ -252,7 +252,7 @@
         Ok(())
     }
 
-    fn check_job(&self, job: &Job, source: &Source) -> Result<(), ScenarioError> {
+    fn check_job(&self, job: &JobClass, source: &Source) -> Result<(), ScenarioError> {
         let error = |offset, reason| {
             let reason = format!("job {}: {reason}", job.class);
             Err(source.error_at(offset, &reason))
@@ -265,7 +265,7 @@
             let offset = job.tasks.span().start;
             return error(offset, "tasks: not between 1 and 10000");
         }
-        let fits = |m: &Machine| job.cpus <= m.cpus && job.ram_gb <= m.ram_gb;
+        let fits = |m: &MachineTypeSpec| job.cpus <= m.cpus && job.ram_gb <= m.ram_gb;
         if job.run_s <= 0.0 || !self.machines.iter().any(fits) {
             let offset = source.find(&job.class);
             return error(offset, "its tasks fit no machine, or run for no time");
@@ -295,12 +295,12 @@
     }
 
     /// How long jobs are submitted.
-    pub fn load(&self) -> Duration {
+    pub fn load_duration(&self) -> Duration {
         Duration::from_secs_f64(self.load_s)
     }
 }
 
-fn check_machine(machine: &Machine, source: &Source) -> Result<(), ScenarioError> {
+fn check_machine(machine: &MachineTypeSpec, source: &Source) -> Result<(), ScenarioError> {
     let amounts = [machine.cpus, machine.ram_gb, machine.price, machine.boot_s];
     if amounts.iter().all(|amount| (0.001..1e6).contains(amount)) {
         return Ok(());
--- a/crates/standin/src/state.rs
+++ b/crates/standin/src/state.rs
@@ -14,9 +14,9 @@
 /// Backups, one a second, to which it can be rolled back.
 const MAX_BACKUPS: usize = 120;
 /// Events that a watch can still start from.
-const KEPT_EVENTS: usize = 10_000;
+const MIN_KEPT_EVENTS: usize = 10_000;
 /// Items on a page of keys.
-const MAX_PAGE: u64 = 1000;
+const MAX_PAGE_ITEMS: u64 = 1000;
 /// A watch waits this long at the most, in milliseconds.
 const MAX_WATCH_MS: u64 = 60_000;
 const KEY_PATH: &str = "/kv/";
@@ -43,41 +43,41 @@
 }
 
 impl Store {
-    fn note(&mut self, put: Option<&Item>, drop: Option<&str>) {
+    fn record_event(&mut self, put: Option<&Item>, delete: Option<&str>) {
         self.events.push(WatchEvent {
             put: put.map(|i| i.key.clone()),
-            delete: drop.map(str::to_string),
+            delete: delete.map(str::to_string),
             value: put.map_or(Value::Null, |i| i.value.clone()),
             version: self.revision,
             lease: put.and_then(|i| i.lease),
         });
-        if self.events.len() > 2 * KEPT_EVENTS {
-            self.events.drain(..KEPT_EVENTS);
+        if self.events.len() > 2 * MIN_KEPT_EVENTS {
+            self.events.drain(..MIN_KEPT_EVENTS);
         }
     }
 
-    fn end_leases(&mut self, now: Instant) {
-        let over: Vec<u64> = self
+    fn expire_leases(&mut self, now: Instant) {
+        let expired: Vec<u64> = self
             .leases
             .iter()
             .filter(|(_, (end, _))| *end <= now)
             .map(|(id, _)| *id)
             .collect();
-        for id in over {
-            self.end_lease(id);
+        for id in expired {
+            self.revoke_lease(id);
         }
     }
 
-    fn end_lease(&mut self, id: u64) {
+    fn revoke_lease(&mut self, id: u64) {
         self.leases.remove(&id);
-        let held = self.keys.values().filter(|i| i.lease == Some(id));
-        let held: Vec<String> = held.map(|i| i.key.clone()).collect();
-        if !held.is_empty() {
+        let attached = self.keys.values().filter(|i| i.lease == Some(id));
+        let attached: Vec<String> = attached.map(|i| i.key.clone()).collect();
+        if !attached.is_empty() {
             self.revision += 1;
         }
-        for key in held {
+        for key in attached {
             self.keys.remove(&key);
-            self.note(None, Some(&key));
+            self.record_event(None, Some(&key));
         }
     }
 
@@ -85,8 +85,8 @@
     fn page(&self, r: &Request) -> Response {
         let under = query(&r.path, "under").unwrap_or("");
         let since = query(&r.path, "since").unwrap_or("");
-        let size = query_number(&r.path, "page").unwrap_or(MAX_PAGE);
-        let size = size.min(MAX_PAGE) as usize;
+        let size = query_number(&r.path, "page").unwrap_or(MAX_PAGE_ITEMS);
+        let size = size.min(MAX_PAGE_ITEMS) as usize;
         let is_wanted =
             |i: &&Item| i.key.starts_with(under) && (since.is_empty() || *i.key > *since);
         let mut wanted = self.keys.values().filter(is_wanted);
@@ -125,11 +125,11 @@
     }
 
     /// Renews or ends the lease that a path names.
-    fn change_lease(&mut self, method: &str, path: &str, now: Instant) -> Response {
+    fn renew_or_revoke_lease(&mut self, method: &str, path: &str, now: Instant) -> Response {
         let id = path.split('/').next().and_then(|id| id.parse().ok());
         match (method, id) {
             ("DELETE", Some(id)) => {
-                self.end_lease(id);
+                self.revoke_lease(id);
                 Response::new(200, b"{}".to_vec())
             }
             ("POST", Some(id)) => match self.leases.get_mut(&id) {
@@ -151,17 +151,17 @@
             .filter(|c| version(&c.key) != c.version)
             .map(|c| c.key.clone())
             .collect();
-        let answer = |status, revision, failed| {
+        let response = |status, revision, failed| {
             let body = CompareAndSwapResponse { revision, failed };
             Response::new(status, to_json(&body))
         };
         if !failed.is_empty() {
-            return answer(409, self.revision, failed);
+            return response(409, self.revision, failed);
         }
-        let gone = |l: &u64| !self.leases.contains_key(l);
+        let is_unknown_lease = |l: &u64| !self.leases.contains_key(l);
         for change in &txn.changes {
             if let Change::Put { lease: Some(l), .. } = change
-                && gone(l)
+                && is_unknown_lease(l)
             {
                 return Response::error(400, "no such lease");
             }
@@ -179,17 +179,17 @@
                         version,
                         lease,
                     };
-                    self.note(Some(&item), None);
+                    self.record_event(Some(&item), None);
                     self.keys.insert(key, item);
                 }
                 Change::Delete { key } => {
                     if self.keys.remove(&key).is_some() {
-                        self.note(None, Some(&key));
+                        self.record_event(None, Some(&key));
                     }
                 }
             }
         }
-        answer(200, self.revision, Vec::new())
+        response(200, self.revision, Vec::new())
     }
 }
 
@@ -206,18 +206,18 @@
 
 impl StateService {
     /// Answers 503 for this long.
-    pub fn break_for(&self, time: Duration) {
-        let mut s = self.store.lock().expect("no panic holds it");
-        let until = Instant::now() + time;
-        s.down_until = Some(until);
+    pub fn start_outage(&self, duration: Duration) {
+        let mut store = self.store.lock().expect("no panic holds it");
+        let until = Instant::now() + duration;
+        store.down_until = Some(until);
         // Every lease has its full time again afterwards.
-        for (end, ttl) in s.leases.values_mut() {
+        for (end, ttl) in store.leases.values_mut() {
             *end = until + *ttl;
         }
     }
 
     /// Everything is gone, its counts of revisions and leases too; watchers get no events for it.
-    pub fn lose(&self) {
+    pub fn erase(&self) {
         *self.store.lock().expect("no panic holds it") = Store::default();
     }
 
@@ -233,10 +233,10 @@
 
     /// It goes on from the newest backup that is so old, or the oldest there is. Leases of then have
     /// their full time again.
-    pub fn roll_back(&self, by: Duration) {
+    pub fn roll_back(&self, min_age: Duration) {
         let mut backups = self.backups.lock().expect("no panic holds it");
         let now = Instant::now();
-        while backups.len() > 1 && backups.back().is_some_and(|(at, _)| *at + by > now) {
+        while backups.len() > 1 && backups.back().is_some_and(|(at, _)| *at + min_age > now) {
             backups.pop_back();
         }
         let Some((_, mut store)) = backups.back().cloned() else {
@@ -249,34 +249,34 @@
     }
 
     /// How many requests came, and how many puts and deletions they had.
-    pub fn counts(&self) -> (u64, u64) {
-        let of = |n: &AtomicU64| n.load(Ordering::Relaxed);
-        (of(&self.requests), of(&self.changes))
+    pub fn request_counts(&self) -> (u64, u64) {
+        let load = |n: &AtomicU64| n.load(Ordering::Relaxed);
+        (load(&self.requests), load(&self.changes))
     }
 
     /// Answers one request of a controller.
-    pub fn answer(&self, r: &Request) -> Response {
+    pub fn handle_request(&self, r: &Request) -> Response {
         self.requests.fetch_add(1, Ordering::Relaxed);
         let now = Instant::now();
-        let mut s = self.store.lock().expect("no panic holds it");
-        if s.down_until.is_some_and(|t| now < t) {
+        let mut store = self.store.lock().expect("no panic holds it");
+        if store.down_until.is_some_and(|t| now < t) {
             return Response::error(503, "trouble");
         }
-        s.end_leases(now);
+        store.expire_leases(now);
         let path = r.path.split('?').next().unwrap_or("");
-        let answer = match (r.method.as_str(), path) {
-            ("GET", "/kv") => s.page(r),
-            ("GET", "/changes") => return self.watch(s, r),
-            ("GET", key) if key.starts_with(KEY_PATH) => s.get(&key[KEY_PATH.len()..]),
-            ("POST", "/txn") => self.transaction(&mut s, &r.body),
-            ("POST", "/leases") => s.grant_lease(&r.body, now),
+        let response = match (r.method.as_str(), path) {
+            ("GET", "/kv") => store.page(r),
+            ("GET", "/changes") => return self.watch(store, r),
+            ("GET", key) if key.starts_with(KEY_PATH) => store.get(&key[KEY_PATH.len()..]),
+            ("POST", "/txn") => self.transaction(&mut store, &r.body),
+            ("POST", "/leases") => store.grant_lease(&r.body, now),
             (method, lease) if lease.starts_with(LEASE_PATH) => {
-                s.change_lease(method, &lease[LEASE_PATH.len()..], now)
+                store.renew_or_revoke_lease(method, &lease[LEASE_PATH.len()..], now)
             }
             _ => Response::error(400, "malformed"),
         };
         self.changed.notify_all();
-        answer
+        response
     }
 
     fn transaction(&self, store: &mut Store, body: &[u8]) -> Response {
@@ -291,36 +291,36 @@
     }
 
     /// Waits until something with the prefix changed after the revision, or the time is over.
-    fn watch<'a>(&'a self, mut s: std::sync::MutexGuard<'a, Store>, r: &Request) -> Response {
+    fn watch<'a>(&'a self, mut store: std::sync::MutexGuard<'a, Store>, r: &Request) -> Response {
         let under = query(&r.path, "under").unwrap_or("").to_string();
         let since = query_number(&r.path, "since").unwrap_or(0);
         let wait_ms = query_number(&r.path, "wait_ms").unwrap_or(0);
         let wait = Duration::from_millis(wait_ms.min(MAX_WATCH_MS));
         let until = Instant::now() + wait;
         loop {
-            s.end_leases(Instant::now());
-            if s.events.len() >= KEPT_EVENTS
-                && s.events.first().is_some_and(|e| e.version > since + 1)
+            store.expire_leases(Instant::now());
+            if store.events.len() >= MIN_KEPT_EVENTS
+                && store.events.first().is_some_and(|e| e.version > since + 1)
             {
                 return Response::error(410, "too old");
             }
-            let named = |e: &&WatchEvent| {
+            let is_wanted = |e: &&WatchEvent| {
                 let key = e.put.as_ref().or(e.delete.as_ref());
                 e.version > since && key.is_some_and(|k| k.starts_with(&under))
             };
-            let events: Vec<WatchEvent> = s.events.iter().filter(named).cloned().collect();
+            let events: Vec<WatchEvent> = store.events.iter().filter(is_wanted).cloned().collect();
             let remaining = until.saturating_duration_since(Instant::now());
             if !events.is_empty() || remaining.is_zero() {
-                let revision = s.revision;
+                let revision = store.revision;
                 return Response::new(200, to_json(&WatchResponse { revision, events }));
             }
             // Leases expire without a request that would signal `changed`.
-            let pause = remaining.min(Duration::from_millis(100));
+            let wait = remaining.min(Duration::from_millis(100));
             let (next, _) = self
                 .changed
-                .wait_timeout(s, pause)
+                .wait_timeout(store, wait)
                 .expect("no panic holds it");
-            s = next;
+            store = next;
         }
     }
 }
--- a/crates/standin/src/users.rs
+++ b/crates/standin/src/users.rs
@@ -2,7 +2,7 @@
 //! they are done.
 
 use crate::records::{Quantiles, histogram, quantiles};
-use crate::scenario::{Job, Scenario};
+use crate::scenario::{JobClass, Scenario};
 use crate::worker::ClusterState;
 use burlusher::http::Client;
 use burlusher::job::{JobKind, JobSpec, Priority, Resources};
@@ -17,25 +17,25 @@
 /// How often a user queries a job.
 const POLL_INTERVAL: Duration = Duration::from_secs(1);
 /// How long a user waits before submitting a job once more.
-const RETRY_PAUSE: Duration = Duration::from_millis(500);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 /// How often a user queries a job that is done.
-const POLLS_AFTER_END: u32 = 2;
+const POLLS_AFTER_DONE: u32 = 2;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// How long a user waits for an answer.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A job in the load.
 pub struct Arrival {
     /// When it is submitted, after the load began.
-    pub at: Duration,
+    pub submit_after: Duration,
     /// The job.
     pub spec: JobSpec,
     /// How long each of its tasks runs.
-    pub run: Duration,
+    pub task_duration: Duration,
 }
 
 /// The load of a scenario: the same for the same seed.
-pub fn load(scenario: &Scenario) -> Vec<Arrival> {
+pub fn generate_load(scenario: &Scenario) -> Vec<Arrival> {
     let mut rng = SmallRng::seed_from_u64(scenario.seed);
     let mut all = Vec::new();
     for class in &scenario.jobs {
@@ -45,8 +45,8 @@
         }
         let mut at = 0.0;
         loop {
-            let chance: f64 = rng.random_range(1e-9..1.0);
-            at -= chance.ln() / rate;
+            let uniform: f64 = rng.random_range(1e-9..1.0);
+            at -= uniform.ln() / rate;
             if at >= scenario.load_s {
                 break;
             }
@@ -58,11 +58,11 @@
     numbered.map(|(n, x)| arrival(n, x.0, x.1, x.2)).collect()
 }
 
-fn arrival(number: usize, at: f64, class: &Job, stretch: f64) -> Arrival {
-    let run = Duration::from_secs_f64(class.run_s * stretch);
+fn arrival(number: usize, at: f64, class: &JobClass, runtime_factor: f64) -> Arrival {
+    let task_duration = Duration::from_secs_f64(class.run_s * runtime_factor);
     Arrival {
-        at: Duration::from_secs_f64(at),
-        run,
+        submit_after: Duration::from_secs_f64(at),
+        task_duration,
         spec: JobSpec {
             id: format!("{JOB_PREFIX}{number:06}").into(),
             class: class.class.clone(),
@@ -98,7 +98,7 @@
 
 /// What users saw.
 #[derive(Default)]
-pub struct Seen {
+pub struct UserObservations {
     /// Jobs that were accepted.
     pub accepted: u64,
     /// Jobs that were refused, and why.
@@ -106,12 +106,12 @@
     /// Jobs that are done.
     pub done: u64,
     /// Reported as done before all tasks had completed, or done and then something else.
-    pub wrong: Vec<String>,
+    pub violations: Vec<String>,
     accept_ms: Option<Histogram<u64>>,
     finish_ms: BTreeMap<String, Histogram<u64>>,
 }
 
-impl Seen {
+impl UserObservations {
     /// From a submission to its acceptance.
     pub fn accept(&self) -> Quantiles {
         quantiles(self.accept_ms.as_ref().unwrap_or(&histogram()))
@@ -129,7 +129,7 @@
 pub struct Users {
     cluster_state: Arc<ClusterState>,
     /// What they saw up to now.
-    pub seen: Mutex<Seen>,
+    pub observations: Mutex<UserObservations>,
 }
 
 impl Users {
@@ -137,37 +137,34 @@
     pub fn new(cluster_state: Arc<ClusterState>) -> Users {
         Users {
             cluster_state,
-            seen: Mutex::new(Seen::default()),
+            observations: Mutex::new(UserObservations::default()),
         }
     }
 
     /// One call through some controller, moved on by the caller when it fails.
     fn call(&self, n: usize, method: &str, path: &str, body: &[u8]) -> Option<(u16, Vec<u8>)> {
-        let nodes = &self.cluster_state.nodes;
-        let mut client = Client::new(nodes[n % nodes.len()].1, CONNECT_TIMEOUT);
-        let response = client.call(method, path, body, ANSWER_TIMEOUT).ok()?;
+        let controllers = &self.cluster_state.controller_addrs;
+        let mut client = Client::new(controllers[n % controllers.len()].1, CONNECT_TIMEOUT);
+        let response = client.call(method, path, body, RESPONSE_TIMEOUT).ok()?;
         Some((response.status, response.body))
     }
 
     /// Submits a job and follows it until it is done or the time is over; `n` is the controller that
     /// is asked first.
-    pub fn follow(&self, n: usize, job: Arrival, until: Instant) {
-        let submitted = Submitted {
+    pub fn submit_and_poll(&self, n: usize, job: Arrival, deadline: Instant) {
+        let submitted = SubmittedJob {
             id: job.spec.id.to_string(),
             class: job.spec.class.clone(),
             tasks: u64::from(job.spec.tasks),
             at: Instant::now(),
         };
-        let body = encode_submission(&job.spec);
-        self.publish(&submitted, job);
-        if let Some(next) = self.submit(n, &submitted, &body, until) {
-            self.poll(next, &submitted, until);
+ let body = encode_submission(&job.spec); self.register(&submitted, job); if let Some(next) = self.submit(n, &submitted, &body, deadline) {self.poll(next, &submitted, deadline); 
         }
     }
 
     /// Tells the workers of a job before any of its tasks can start.
-    fn publish(&self, submitted: &Submitted, job: Arrival) {
-        let shared = Arc::new((job.spec, job.run));
+    fn register(&self, submitted: &SubmittedJob, job: Arrival) {
+        let shared = Arc::new((job.spec, job.task_duration));
         let mut jobs = self.cluster_state.jobs.lock().expect("no panic holds it");
         jobs.insert(submitted.id.clone(), shared);
         drop(jobs);
@@ -176,29 +173,37 @@
             .records
             .lock()
             .expect("no panic holds it");
-        records.submitted(&submitted.id, &submitted.class);
+        records.record_submission(&submitted.id, &submitted.class);
     }
 
     /// Submits a job until it is accepted; gives the controller that accepted it, or `None` if it
     /// was refused or the time is over.
-    fn submit(&self, n: usize, job: &Submitted, body: &[u8], until: Instant) -> Option<usize> {
-        for node in n.. {
-            match self.call(node, "POST", PATH_JOBS, body) {
+    fn submit(
+        &self,
+        n: usize,
+        job: &SubmittedJob,
+        body: &[u8],
+        deadline: Instant,
+    ) -> Option<usize> {
+        for controller in n.. {
+            match self.call(controller, "POST", PATH_JOBS, body) {
                 Some((200 | 201, _)) => {
-                    let mut seen = self.seen.lock().expect("no panic holds it");
-                    seen.accepted += 1;
-                    let accepted = seen.accept_ms.get_or_insert_with(histogram);
+                    let mut observations = self.observations.lock().expect("no panic holds it");
+                    observations.accepted += 1;
+                    let accepted = observations.accept_ms.get_or_insert_with(histogram);
                     accepted.saturating_record(job.elapsed_ms());
-                    return Some(node);
+                    return Some(controller);
                 }
-                Some((status @ (400 | 422), why)) => {
-                    let why = String::from_utf8_lossy(&why);
-                    let mut seen = self.seen.lock().expect("no panic holds it");
-                    seen.refused.push(format!("{}: {status} {why}", job.id));
+                Some((status @ (400 | 422), body)) => {
+                    let reason = String::from_utf8_lossy(&body);
+                    let mut observations = self.observations.lock().expect("no panic holds it");
+                    observations
+                        .refused
+                        .push(format!("{}: {status} {reason}", job.id));
                     return None;
                 }
-                _ if Instant::now() > until => return None,
-                _ => std::thread::sleep(RETRY_PAUSE),
+                _ if Instant::now() > deadline => return None,
+                _ => std::thread::sleep(RETRY_DELAY),
             }
         }
         None
@@ -206,21 +211,21 @@
 
     /// Queries an accepted job until it is done, and a few times more: a state that was reported must
     /// not be taken back.
-    fn poll(&self, n: usize, job: &Submitted, until: Instant) {
+    fn poll(&self, n: usize, job: &SubmittedJob, deadline: Instant) {
         let path = format!("{PATH_JOBS}/{}", job.id);
         let mut done = false;
-        let mut polls_left = POLLS_AFTER_END;
-        for node in n + 1.. {
-            if Instant::now() >= until || polls_left == 0 {
+        let mut polls_left = POLLS_AFTER_DONE;
+        for controller in n + 1.. {
+            if Instant::now() >= deadline || polls_left == 0 {
                 return;
             }
             std::thread::sleep(POLL_INTERVAL);
-            let state = match self.call(node, "GET", &path, b"") {
+            let state = match self.call(controller, "GET", &path, b"") {
                 Some((200, body)) => serde_json::from_slice::<JobStatus>(&body).ok(),
                 Some((404, _)) => {
-                    let mut seen = self.seen.lock().expect("no panic holds it");
-                    let wrong = format!("{}: accepted, and then unknown", job.id);
-                    return seen.wrong.push(wrong);
+                    let mut observations = self.observations.lock().expect("no panic holds it");
+                    let violation = format!("{}: accepted, and then unknown", job.id);
+                    return observations.violations.push(violation);
                 }
                 _ => None,
             };
@@ -230,12 +235,12 @@
             match (done, state == JobState::Done) {
                 (false, true) => {
                     done = true;
-                    self.note_done(job);
+                    self.record_done(job);
                 }
                 (true, false) => {
-                    let mut seen = self.seen.lock().expect("no panic holds it");
-                    let wrong = format!("{}: done, and then {state:?}", job.id);
-                    seen.wrong.push(wrong);
+                    let mut observations = self.observations.lock().expect("no panic holds it");
+                    let violation = format!("{}: done, and then {state:?}", job.id);
+                    observations.violations.push(violation);
                 }
                 _ => {}
             }
@@ -244,10 +249,10 @@
     }
 
     /// A job was reported done to a user: all its tasks must be.
-    fn note_done(&self, job: &Submitted) {
-        let mut seen = self.seen.lock().expect("no panic holds it");
-        seen.done += 1;
-        let finished = seen.finish_ms.entry(job.class.clone());
+    fn record_done(&self, job: &SubmittedJob) {
+        let mut observations = self.observations.lock().expect("no panic holds it");
+        observations.done += 1;
+        let finished = observations.finish_ms.entry(job.class.clone());
         let finished = finished.or_insert_with(histogram);
         finished.saturating_record(job.elapsed_ms());
         let records = self
@@ -255,22 +260,22 @@
             .records
             .lock()
             .expect("no panic holds it");
-        if records.done(&job.id) < job.tasks {
-            let wrong = format!("{}: told done before all its tasks were", job.id);
-            seen.wrong.push(wrong);
+        if records.completed_tasks(&job.id) < job.tasks {
+            let violation = format!("{}: told done before all its tasks were", job.id);
+            observations.violations.push(violation);
         }
     }
 }
 
 /// A job that a user has begun to submit.
-struct Submitted {
+struct SubmittedJob {
     id: String,
     class: String,
     tasks: u64,
     at: Instant,
 }
 
-impl Submitted {
+impl SubmittedJob {
     fn elapsed_ms(&self) -> u64 {
         self.at.elapsed().as_millis() as u64
     }
--- a/crates/standin/src/worker.rs
+++ b/crates/standin/src/worker.rs
@@ -13,11 +13,11 @@
 use std::time::{Duration, Instant};
 
 /// How long an image takes to fetch.
-const FETCH: Duration = Duration::from_millis(300);
+const IMAGE_FETCH_TIME: Duration = Duration::from_millis(300);
 /// How often a worker looks what is due.
 const TICK: Duration = Duration::from_millis(30);
 /// A change is reported this long after the last heartbeat at the earliest.
-const CHANGE_INTERVAL: Duration = Duration::from_millis(500);
+const MIN_CHANGE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// What all machines share: the jobs that users uploaded, the records, the controllers.
 pub struct ClusterState {
@@ -26,9 +26,9 @@
     /// What the workers record.
     pub records: Mutex<Records>,
     /// Name and public address of each controller.
-    pub nodes: Vec<(String, SocketAddrV4)>,
+    pub controller_addrs: Vec<(String, SocketAddrV4)>,
     /// How often workers send a heartbeat.
-    pub report: Duration,
+    pub heartbeat_interval: Duration,
     /// How long workers go on without an answer.
     pub lease: Duration,
 }
@@ -36,11 +36,12 @@
 impl ClusterState {
     /// Where a worker turns next: to the controller that it is referred to, or the one after its own. Says as
     /// well whether it is to wait a second first.
-    pub fn next_node(&self, node: usize, referred: Option<&str>) -> (usize, bool) {
-        let to = referred.and_then(|name| self.nodes.iter().position(|n| n.0 == name));
-        match to.filter(|to| *to != node) {
-            Some(to) => (to, false),
-            None => ((node + 1) % self.nodes.len(), true),
+    pub fn next_controller(&self, current: usize, redirect: Option<&str>) -> (usize, bool) {
+        let target =
+            redirect.and_then(|name| self.controller_addrs.iter().position(|n| n.0 == name));
+        match target.filter(|target| *target != current) {
+            Some(target) => (target, false),
+            None => ((current + 1) % self.controller_addrs.len(), true),
         }
     }
 }
@@ -49,8 +50,8 @@
     job: Arc<(JobSpec, Duration)>,
     attempt: u64,
     state: TaskState,
-    until: Instant,
-    why: Option<ExitCause>,
+    next_transition_at: Instant,
+    cause: Option<ExitCause>,
 }
 
 struct WorkerState {
@@ -61,11 +62,11 @@
     /// The newest fencing token that a controller has shown.
     fencing_token: u64,
     /// When the last answered report was sent.
-    answered: Instant,
+    lease_renewed_at: Instant,
     tasks: BTreeMap<String, Task>,
     images: Vec<String>,
     gone: bool,
-    taken_at: Option<Instant>,
+    reclaim_at: Option<Instant>,
     /// Something has changed since the last heartbeat.
     changed: bool,
 }
@@ -77,15 +78,15 @@
     /// Where it takes direct commands.
     pub addr: SocketAddrV4,
     /// Its machine type.
-    pub kind: String,
+    pub machine_type: String,
     /// Its zone.
     pub zone: String,
     /// Whether it is a spot machine.
     pub spot: bool,
     /// What tasks may use of it.
-    pub room: Resources,
+    pub capacity: Resources,
     cluster_state: Arc<ClusterState>,
-    inner: Mutex<WorkerState>,
+    state: Mutex<WorkerState>,
 }
 
 impl Worker {
@@ -94,26 +95,26 @@
         id: String,
         addr: SocketAddrV4,
         offer: (String, String, bool),
-        room: Resources,
+        capacity: Resources,
         cluster_state: Arc<ClusterState>,
     ) -> Worker {
         Worker {
             id,
             addr,
-            kind: offer.0,
+            machine_type: offer.0,
             zone: offer.1,
             spot: offer.2,
-            room,
+            capacity,
             cluster_state,
-            inner: Mutex::new(WorkerState {
+            state: Mutex::new(WorkerState {
                 incarnation: 1,
                 sequence: 0,
                 fencing_token: 0,
-                answered: Instant::now(),
+                lease_renewed_at: Instant::now(),
                 tasks: BTreeMap::new(),
                 images: Vec::new(),
                 gone: false,
-                taken_at: None,
+                reclaim_at: None,
                 changed: false,
             }),
         }
@@ -125,25 +126,25 @@
     }
 
     /// The machine will be taken after this time.
-    pub fn notice(&self, after: Duration) {
-        let mut state = self.inner.lock().expect("no panic holds it");
-        state.taken_at = Some(Instant::now() + after);
+    pub fn announce_reclaim(&self, after: Duration) {
+        let mut state = self.state.lock().expect("no panic holds it");
+        state.reclaim_at = Some(Instant::now() + after);
         state.changed = true;
     }
 
     /// The machine and everything on it is gone.
     pub fn remove(&self) {
-        let mut state = self.inner.lock().expect("no panic holds it");
-        self.forget_all(&mut state);
+        let mut state = self.state.lock().expect("no panic holds it");
+        self.lose_all_tasks(&mut state);
         state.gone = true;
     }
 
     /// Whether it was deleted or taken.
     pub fn is_gone(&self) -> bool {
-        self.inner.lock().expect("no panic holds it").gone
+        self.state.lock().expect("no panic holds it").gone
     }
 
-    fn forget_all(&self, state: &mut WorkerState) {
+    fn lose_all_tasks(&self, state: &mut WorkerState) {
         let mut records = self
             .cluster_state
             .records
@@ -153,7 +154,7 @@
             if t.state == TaskState::Running
                 && let Some(key) = parse_task_id(&task)
             {
-                records.leave(&key.job, key.index, &self.zone, None);
+                records.record_end(&key.job, key.index, &self.zone, None);
             }
         }
     }
@@ -161,18 +162,18 @@
     /// What the passing of time brings about.
     fn advance(&self, state: &mut WorkerState) {
         let now = Instant::now();
-        if state.taken_at.is_some_and(|t| now >= t) && !state.gone {
-            self.forget_all(state);
+        if state.reclaim_at.is_some_and(|t| now >= t) && !state.gone {
+            self.lose_all_tasks(state);
             state.gone = true;
         }
-        if now > state.answered + self.cluster_state.lease {
-            self.forget_all(state);
+        if now > state.lease_renewed_at + self.cluster_state.lease {
+            self.lose_all_tasks(state);
             state.incarnation += 1;
-            state.answered = now;
+            state.lease_renewed_at = now;
             state.changed = true;
         }
         for (task, t) in &mut state.tasks {
-            let Some(key) = parse_task_id(task).filter(|_| now >= t.until) else {
+            let Some(key) = parse_task_id(task).filter(|_| now >= t.next_transition_at) else {
                 continue;
             };
             let mut records = self
@@ -183,14 +184,14 @@
             match t.state {
                 TaskState::Fetching => {
                     t.state = TaskState::Running;
-                    t.until = now + t.job.1;
-                    records.start(&key.job, key.index, &self.id);
+                    t.next_transition_at = now + t.job.1;
+                    records.record_start(&key.job, key.index, &self.id);
                 }
                 TaskState::Running => {
                     t.state = TaskState::Exited;
-                    t.why = Some(ExitCause::Done);
+                    t.cause = Some(ExitCause::Done);
                     let ran = Some((t.job.1, t.job.0.resources.cpus));
-                    records.leave(&key.job, key.index, &self.zone, ran);
+                    records.record_end(&key.job, key.index, &self.zone, ran);
                 }
                 _ => continue,
             }
@@ -205,8 +206,9 @@
                 TaskCommand::Start { task, attempt } => self.start(state, task, attempt),
                 TaskCommand::Stop { task, attempt, .. } => self.stop(state, &task, attempt),
                 TaskCommand::Forget { task, attempt } => {
-                    let exited = |t: &Task| t.attempt == attempt && t.state == TaskState::Exited;
-                    if state.tasks.get(&task).is_some_and(exited) {
+                    let is_exited_attempt =
+                        |t: &Task| t.attempt == attempt && t.state == TaskState::Exited;
+                    if state.tasks.get(&task).is_some_and(is_exited_attempt) {
                         state.tasks.remove(&task);
                     }
                 }
@@ -216,8 +218,8 @@
 
     /// Starts a task, unless the machine has an attempt of it: another one is refused, and not recorded.
     fn start(&self, state: &mut WorkerState, task: String, attempt: u64) {
-        let held = state.tasks.get(&task);
-        if held.is_some_and(|t| t.attempt == attempt || t.state != TaskState::Exited) {
+        let known = state.tasks.get(&task);
+        if known.is_some_and(|t| t.attempt == attempt || t.state != TaskState::Exited) {
             return;
         }
         let jobs = self.cluster_state.jobs.lock().expect("no panic holds it");
@@ -225,7 +227,7 @@
             return;
         };
         drop(jobs);
-        let fits = job.0.resources.fits(&self.free_room(state));
+        let fits = job.0.resources.fits(&self.free_capacity(state));
         let image = job.0.image.clone();
         let cached = state.images.contains(&image);
         if !cached {
@@ -240,15 +242,15 @@
             } else {
                 TaskState::Exited
             },
-            until: if cached { now } else { now + FETCH },
-            why: (!fits).then_some(ExitCause::NoRoom),
+            next_transition_at: if cached { now } else { now + IMAGE_FETCH_TIME },
+            cause: (!fits).then_some(ExitCause::NoRoom),
         };
         state.tasks.insert(task, started);
     }
 
     /// What tasks leave of the machine.
-    fn free_room(&self, state: &WorkerState) -> Resources {
-        let mut free = self.room;
+    fn free_capacity(&self, state: &WorkerState) -> Resources {
+        let mut free = self.capacity;
         let tasks = state.tasks.values();
         for task in tasks.filter(|t| t.state != TaskState::Exited) {
             free.sub(&task.job.0.resources);
@@ -257,12 +259,12 @@
     }
 
     fn stop(&self, state: &mut WorkerState, task: &str, attempt: u64) {
-        let held = state.tasks.get_mut(task);
-        let Some(held) = held.filter(|t| t.attempt == attempt && t.state != TaskState::Exited)
+        let known = state.tasks.get_mut(task);
+        let Some(known) = known.filter(|t| t.attempt == attempt && t.state != TaskState::Exited)
         else {
             return;
         };
-        if held.state == TaskState::Running
+        if known.state == TaskState::Running
             && let Some(key) = parse_task_id(task)
         {
             let mut records = self
@@ -270,10 +272,10 @@
                 .records
                 .lock()
                 .expect("no panic holds it");
-            records.leave(&key.job, key.index, &self.zone, None);
+            records.record_end(&key.job, key.index, &self.zone, None);
         }
-        held.state = TaskState::Exited;
-        held.why = Some(ExitCause::Stopped);
+        known.state = TaskState::Exited;
+        known.cause = Some(ExitCause::Stopped);
     }
 
     fn heartbeat(&self, state: &mut WorkerState) -> Heartbeat {
@@ -283,13 +285,13 @@
         Heartbeat {
             machine: self.id.as_str().into(),
             addr: self.addr.to_string(),
-            machine_type: self.kind.clone(),
+            machine_type: self.machine_type.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
             incarnation: state.incarnation,
             sequence: state.sequence,
             fencing_token: state.fencing_token,
-            reclaim_in_s: state.taken_at.map(remaining),
+            reclaim_in_s: state.reclaim_at.map(remaining),
             tasks: state
                 .tasks
                 .iter()
@@ -297,7 +299,7 @@
                     task: task.clone(),
                     attempt: t.attempt,
                     state: t.state,
-                    cause: t.why,
+                    cause: t.cause,
                     checkpointed: None,
                 })
                 .collect(),
@@ -305,8 +307,8 @@
     }
 
     /// Direct commands and questions.
-    pub fn answer(&self, r: &Request) -> Option<Response> {
-        let mut state = self.inner.lock().expect("no panic holds it");
+    pub fn handle_request(&self, r: &Request) -> Option<Response> {
+        let mut state = self.state.lock().expect("no panic holds it");
         if state.gone {
             return None;
         }
@@ -323,19 +325,19 @@
                 self.execute(&mut state, body.commands);
             }
         }
-        let report = self.heartbeat(&mut state);
-        Some(Response::new(status, to_json(&report)))
+        let heartbeat = self.heartbeat(&mut state);
+        Some(Response::new(status, to_json(&heartbeat)))
     }
 
     /// The report to send now, if one is due: an interval after the last one was sent, or sooner where something
     /// has changed.
-    pub fn heartbeat_due(&self, last: Instant) -> Option<Vec<u8>> {
-        let mut state = self.inner.lock().expect("no panic holds it");
+    pub fn due_heartbeat(&self, last_sent: Instant) -> Option<Vec<u8>> {
+        let mut state = self.state.lock().expect("no panic holds it");
         self.advance(&mut state);
-        let interval = self.cluster_state.report;
-        let sooner = (interval / 2).min(CHANGE_INTERVAL);
-        let waited = last.elapsed();
-        let due = waited >= interval || (state.changed && waited >= sooner);
+        let interval = self.cluster_state.heartbeat_interval;
+        let change_interval = (interval / 2).min(MIN_CHANGE_INTERVAL);
+        let waited = last_sent.elapsed();
+        let due = waited >= interval || (state.changed && waited >= change_interval);
         if state.gone || !due {
             return None;
         }
@@ -344,51 +346,57 @@
     }
 
     /// Reports until the machine is gone.
-    pub fn live(&self) {
-        let mut node = 0;
-        let mut client = Client::new(self.cluster_state.nodes[node].1, Duration::from_millis(500));
-        let mut last = Instant::now() - self.cluster_state.report;
+    pub fn run(&self) {
+        let mut controller = 0;
+        let mut client = Client::new(
+            self.cluster_state.controller_addrs[controller].1,
+            Duration::from_millis(500),
+        );
+        let mut last_sent = Instant::now() - self.cluster_state.heartbeat_interval;
         while !self.is_gone() {
             std::thread::sleep(TICK);
-            let Some(report) = self.heartbeat_due(last) else {
+            let Some(heartbeat) = self.due_heartbeat(last_sent) else {
                 continue;
             };
-            last = Instant::now();
-            let answer = client.call("POST", PATH_HEARTBEAT, &report, Duration::from_secs(4));
-            let next = match answer.map(|response| (response.status, response.body)) {
+            last_sent = Instant::now();
+            let result = client.call("POST", PATH_HEARTBEAT, &heartbeat, Duration::from_secs(4));
+            let next = match result.map(|response| (response.status, response.body)) {
                 Ok((200, body)) => {
-                    if let Ok(a) = serde_json::from_slice::<HeartbeatResponse>(&body) {
-                        self.observe_answer(a, last);
+                    if let Ok(response) = serde_json::from_slice::<HeartbeatResponse>(&body) {
+                        self.handle_response(response, last_sent);
                     }
                     continue;
                 }
                 Ok((421, body)) => {
-                    let to = serde_json::from_slice::<Redirect>(&body).ok();
+                    let redirect = serde_json::from_slice::<Redirect>(&body).ok();
                     self.cluster_state
-                        .next_node(node, to.and_then(|r| r.leader))
+                        .next_controller(controller, redirect.and_then(|r| r.leader))
                 }
-                _ => self.cluster_state.next_node(node, None),
+                _ => self.cluster_state.next_controller(controller, None),
             };
             if next.1 {
                 std::thread::sleep(Duration::from_secs(1));
             }
-            node = next.0;
-            client = Client::new(self.cluster_state.nodes[node].1, Duration::from_millis(500));
-            last = Instant::now() - self.cluster_state.report;
+            controller = next.0;
+            client = Client::new(
+                self.cluster_state.controller_addrs[controller].1,
+                Duration::from_millis(500),
+            );
+            last_sent = Instant::now() - self.cluster_state.heartbeat_interval;
         }
     }
 
     /// The answer to a report that was sent at this moment.
-    pub fn observe_answer(&self, answer: HeartbeatResponse, sent: Instant) {
-        let mut state = self.inner.lock().expect("no panic holds it");
-        if answer.fencing_token < state.fencing_token
+    pub fn handle_response(&self, response: HeartbeatResponse, sent: Instant) {
+        let mut state = self.state.lock().expect("no panic holds it");
+        if response.fencing_token < state.fencing_token
             || state.gone
-            || Instant::now() > state.answered + self.cluster_state.lease
+            || Instant::now() > state.lease_renewed_at + self.cluster_state.lease
         {
             return;
         }
-        state.fencing_token = answer.fencing_token;
-        state.answered = sent;
-        self.execute(&mut state, answer.commands);
+        state.fencing_token = response.fencing_token;
+        state.lease_renewed_at = sent;
+        self.execute(&mut state, response.commands);
     }
 }
