--- a/crates/scale/src/connection.rs
+++ b/crates/scale/src/connection.rs
@@ -1,15 +1,15 @@
-//! One non-blocking HTTP/1.1 connection: bytes to write, bytes read, and whole messages out of these.
+//! Non-blocking HTTP/1.1 connection with buffers for reading and writing, from which complete messages are parsed.
 
 use burlusher::http::{self, Request};
 use mio::net::TcpStream;
 use std::io::{self, Read, Write};
 
-/// Headers that a message may have.
+/// Maximum number of headers of a message.
 const MAX_HEADERS: usize = 32;
-/// A message longer than this is none of the protocol's.
+/// Maximum length of a message; none of the protocol is longer.
 const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
-/// A non-blocking connection and what is on its way over it.
+/// A non-blocking connection with its buffers.
 pub struct Connection {
     /// The socket.
     pub stream: TcpStream,
@@ -17,18 +17,18 @@
     read_buffer: Vec<u8>,
 }
 
-/// A response that came whole.
+/// A complete response.
 pub struct Response {
-    /// The HTTP status.
+    /// HTTP status.
     pub status: u16,
-    /// The body.
+    /// Body of the response.
     pub body: Vec<u8>,
-    /// Whether the connection ends with it.
+    /// Whether the server closes the connection after the response.
     pub close: bool,
 }
 
 impl Connection {
-    /// A connection on which nothing is on its way.
+    /// Creates a connection with empty buffers.
     pub fn new(stream: TcpStream) -> Connection {
         Connection {
             stream,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Adds a request to the bytes to be written, and returns its length.
+    /// Adds a request to the write buffer; returns its length in bytes.
     pub fn queue_request(&mut self, method: &str, path: &str, body: &[u8]) -> usize {
         let head = format!(
             "{method} {path} HTTP/1.1\r\nHost: controller\r\nContent-Type: application/json\r\n\
@@ -49,7 +49,7 @@
         head.len() + body.len()
     }
 
-    /// Adds a response to the bytes to be written, and returns its length.
+    /// Adds a response to the write buffer; returns its length in bytes.
     pub fn queue_response(&mut self, response: &http::Response) -> usize {
         let head = format!(
             "HTTP/1.1 {} Answer\r\nContent-Type: {}\r\nContent-Length: {}\r\n\r\n",
@@ -62,14 +62,14 @@
         head.len() + response.body.len()
     }
 
-    /// Writes what the socket takes now.
+    /// Writes as much of the write buffer as the socket accepts without blocking.
     pub fn flush(&mut self) -> io::Result<()> {
         while !self.write_buffer.is_empty() {
             match self.stream.write(&self.write_buffer) {
                 Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
                 Ok(n) => drop(self.write_buffer.drain(..n)),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Ok(()),
-                // Not connected yet: the next event tells.
+                // The connection is not established yet; an event follows when it is.
                 Err(e) if e.kind() == io::ErrorKind::NotConnected => return Ok(()),
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) => return Err(e),
@@ -78,7 +78,8 @@
         Ok(())
     }
 
-    /// Reads what is there; an error where the other side has closed.
+    /// Reads all available bytes into the read buffer; returns their number, or an error if the peer has closed the
+    /// connection.
     pub fn fill(&mut self) -> io::Result<usize> {
         let mut chunk = [0; 16 * 1024];
         let mut total = 0;
@@ -100,7 +101,7 @@
         }
     }
 
-    /// The response that has come whole, if one has.
+    /// Removes a complete response from the read buffer, if there is one.
     pub fn take_response(&mut self) -> io::Result<Option<Response>> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut head = httparse::Response::new(&mut headers);
@@ -118,7 +119,7 @@
         }))
     }
 
-    /// The request that has come whole, if one has.
+    /// Removes a complete request from the read buffer, if there is one.
     pub fn take_request(&mut self) -> io::Result<Option<Request>> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut head = httparse::Request::new(&mut headers);
@@ -132,6 +133,8 @@
         Ok(body.map(|body| Request { method, path, body }))
     }
 
+    /// Removes a message with a head and a body of these lengths from the read buffer, and returns the body; `None` if
+    /// the message is incomplete.
     fn take_body(&mut self, head_len: usize, length: usize) -> Option<Vec<u8>> {
         if self.read_buffer.len() < head_len + length {
             return None;
@@ -142,6 +145,7 @@
     }
 }
 
+/// Returns the length of a message's head, or `None` if the head is incomplete.
 fn head_length(
     parsed: Result<httparse::Status<usize>, httparse::Error>,
 ) -> io::Result<Option<usize>> {
--- a/crates/scale/src/connection/tests.rs
+++ b/crates/scale/src/connection/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use std::net::{Ipv4Addr, TcpListener};
 
-/// A connection, and the blocking other end of it.
+/// Returns a connection, and a blocking socket as its other end.
 fn pair() -> (Connection, std::net::TcpStream) {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let other = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
@@ -10,6 +10,7 @@
     (Connection::new(TcpStream::from_std(stream)), other)
 }
 
+/// Reads until this number of bytes has arrived.
 fn fill(connection: &mut Connection, bytes: usize) -> io::Result<usize> {
     let mut total = 0;
     while total < bytes {
@@ -28,17 +29,17 @@
         let complete = connection.take_request().unwrap();
         match n {
             43 => {
-                let r = complete.expect("the first is whole");
+                let r = complete.expect("the first request is complete");
                 assert_eq!(
                     (&*r.method, &*r.path, &*r.body),
                     ("POST", "/do", &b"body"[..])
                 );
             }
             _ if n == text.len() - 1 => {
-                let r = complete.expect("the second is whole");
+                let r = complete.expect("the second request is complete");
                 assert_eq!((&*r.method, &*r.path), ("GET", "/status"));
             }
-            _ => assert!(complete.is_none(), "at byte {n}"),
+            _ => assert!(complete.is_none(), "request complete at byte {n}"),
         }
     }
 }
@@ -49,13 +50,19 @@
     let text = b"HTTP/1.1 421 No\r\nConnection: close\r\nContent-Length: 2\r\n\r\n{}";
     other.write_all(text).unwrap();
     fill(&mut connection, text.len()).unwrap();
-    let response = connection.take_response().unwrap().expect("it is whole");
+    let response = connection
+        .take_response()
+        .unwrap()
+        .expect("the response is complete");
     assert_eq!(
         (response.status, &*response.body, response.close),
         (421, &b"{}"[..], true)
     );
     drop(other);
-    assert!(connection.fill().is_err(), "the other side has closed");
+    assert!(
+        connection.fill().is_err(),
+        "the peer has closed the connection"
+    );
 }
 
 #[test]
--- a/crates/scale/src/error.rs
+++ b/crates/scale/src/error.rs
@@ -1,43 +1,43 @@
-//! Why a measurement cannot be made.
+//! Errors of a measurement.
 
 use burlusher_standin::error::StandinError;
 use std::io;
 use std::path::PathBuf;
 
-/// Why a measurement cannot be made.
+/// Error that prevents a measurement.
 #[derive(Debug, thiserror::Error)]
 pub enum ScaleError {
-    /// The scenario cannot be played.
+    /// The scenario could not be run.
     #[error(transparent)]
     Standin(#[from] StandinError),
-    /// The operating system's notifications of sockets cannot be had.
-    #[error("no poll: {0}")]
+    /// The poll instance that reports readiness of sockets could not be created.
+    #[error("cannot create a poll instance: {0}")]
     Poll(#[source] io::Error),
     /// A thread for hollow workers could not be started.
-    #[error("no thread for hollow workers: {0}")]
+    #[error("cannot start a thread for hollow workers: {0}")]
     Thread(#[source] io::Error),
-    /// The scenario's machines take more files than this process may open.
-    #[error("{machines} machines take up to {needed} open files, and {allowed} are allowed")]
+    /// The scenario's machines need more open files than this process is allowed to have.
+    #[error("{machines} machines need up to {needed} open files, but only {allowed} are allowed")]
     FileLimitTooLow {
-        /// Machines that the scenario may have at once.
+        /// Maximum number of machines that the scenario has at one time.
         machines: u64,
-        /// Files that they take.
+        /// Number of open files that the machines need.
         needed: u64,
-        /// Files that this process may open.
+        /// Limit of open files of this process.
         allowed: u64,
     },
-    /// Too few samples were taken.
-    #[error("the run was too short to measure anything")]
+    /// The samples span less than one second.
+    #[error("the run was too short: its samples span less than one second")]
     TooShort,
-    /// A picture could not be drawn.
+    /// A chart could not be drawn.
     #[error("{}: {source}", path.display())]
     Plot {
-        /// The picture's file.
+        /// Path of the chart's file.
         path: PathBuf,
-        /// Why.
+        /// Error of the drawing library.
         source: Box<dyn std::error::Error>,
     },
-    /// The report could not be written as JSON.
+    /// The report could not be serialised as JSON.
     #[error(transparent)]
     Report(#[from] serde_json::Error),
 }
--- a/crates/scale/src/fit.rs
+++ b/crates/scale/src/fit.rs
@@ -1,26 +1,26 @@
-//! A straight line through measured points, by least squares.
+//! Linear regression by least squares.
 
 use serde::Serialize;
 
-/// A straight line, and how well it fits.
+/// A fitted line.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Line {
-    /// Its value at zero.
+    /// Value at zero.
     pub intercept: f64,
-    /// By how much it rises with each unit.
+    /// Increase per unit.
     pub slope: f64,
-    /// How far the point that is farthest off lies from the line.
+    /// Largest absolute deviation of a point from the line.
     pub residual: f64,
 }
 
 impl Line {
-    /// Its value at `x`.
+    /// Returns the value at `x`.
     pub fn value_at(&self, x: f64) -> f64 {
         self.intercept + self.slope * x
     }
 }
 
-/// The line that fits best; `None` where the points do not lie at two places at least.
+/// Fits a line to the points; `None` unless they have at least two different x values.
 pub fn fit_line(points: &[(f64, f64)]) -> Option<Line> {
     let count = points.len() as f64;
     let mean = |of: &dyn Fn(&(f64, f64)) -> f64| points.iter().map(of).sum::<f64>() / count;
--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -1,4 +1,4 @@
-//! Hollow machines: the stand-ins' workers, whose connections a few threads multiplex.
+//! Hollow workers: workers of the stand-ins whose connections are multiplexed on a few threads.
 
 use crate::connection::Connection;
 use crate::error::ScaleError;
@@ -16,33 +16,38 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::{Duration, Instant};
 
-/// Each machine is last_check at this often.
+/// Interval between checks of all machines for due heartbeats and timeouts.
 const TICK: Duration = Duration::from_millis(30);
-/// A worker waits so long for an answer, and so long before it turns to another controller.
+/// Timeout for the response to a heartbeat.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
+/// Delay before a worker contacts another controller, unless a redirect named it.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
-/// What a token of the poll names: a listener, a connection to a controller, or one from it.
+/// Number of kinds of poll tokens. A token is `number * TOKEN_KINDS + kind`, where the number is that of a machine or,
+/// for `COMMAND_TOKEN`, of a connection from a controller.
 const TOKEN_KINDS: usize = 3;
+/// Kind of the token of a machine's listener for direct commands.
 const LISTENER_TOKEN: usize = 0;
+/// Kind of the token of a machine's connection to a controller.
 const HEARTBEAT_TOKEN: usize = 1;
+/// Kind of the token of a connection from a controller.
 const COMMAND_TOKEN: usize = 2;
 
-/// What went over the workers' connections.
+/// Counters of the traffic over the workers' connections.
 #[derive(Default)]
 pub struct Traffic {
-    /// Heartbeats that were sent.
+    /// Heartbeats sent.
     pub heartbeats: AtomicU64,
-    /// Answers to heartbeats.
+    /// Responses to heartbeats.
     pub responses: AtomicU64,
-    /// Commands that came.
+    /// Requests received from controllers, such as direct commands.
     pub commands: AtomicU64,
-    /// Bytes that workers sent, for heartbeats and for direct commands.
+    /// Bytes sent by workers, for heartbeats and for direct commands.
     pub bytes_sent: AtomicU64,
-    /// Bytes that workers received, for heartbeats and for direct commands.
+    /// Bytes received by workers, for heartbeats and for direct commands.
     pub bytes_received: AtomicU64,
-    /// Heartbeats without an answer.
+    /// Heartbeats that got no response.
     pub unanswered: AtomicU64,
-    /// Heartbeats that were referred to another controller.
+    /// Heartbeats that were redirected to another controller (status 421).
     pub redirects: AtomicU64,
 }
 
@@ -52,23 +57,23 @@
     }
 }
 
-/// A machine that has been provisioned.
+/// A provisioned machine on the way to its thread.
 struct ProvisionedMachine {
     worker: Arc<Worker>,
     listener: std::net::TcpListener,
     up_at: Instant,
 }
 
-/// Runs machines on a few threads.
+/// Launcher that runs all machines on a few threads.
 pub struct Fleet {
     threads: Vec<Sender<ProvisionedMachine>>,
     next_thread: AtomicUsize,
-    /// What went over all connections.
+    /// Traffic over all connections.
     pub traffic: Arc<Traffic>,
 }
 
 impl Fleet {
-    /// Starts so many threads.
+    /// Starts this number of threads.
     pub fn new(threads: usize) -> Result<Fleet, ScaleError> {
         let traffic = Arc::new(Traffic::default());
         let mut senders = Vec::new();
@@ -99,35 +104,36 @@
             listener,
             up_at,
         };
-        // A thread that has ended leaves its machines booting for ever; the scenario's report shows it.
+        // If the thread has ended, the machine never comes up, which shows in the scenario's report.
         let _ = self.threads[n % self.threads.len()].send(provisioned);
     }
 }
 
-/// A machine on its thread.
+/// A machine, as held by its thread.
 struct Machine {
     worker: Arc<Worker>,
     listener: TcpListener,
-    /// It takes direct commands.
+    /// Whether the listener is registered with the poll instance, so that direct commands are received.
     is_registered: bool,
     up_at: Instant,
-    /// The controller that it sends heartbeats to.
+    /// Number of the controller that heartbeats are sent to.
     controller: usize,
     connection: Option<Connection>,
-    /// When the report was sent that has no answer yet.
+    /// Time at which the outstanding heartbeat was sent, if one has no response yet.
     unanswered_since: Option<Instant>,
     last_heartbeat: Instant,
+    /// Time before which no heartbeat is sent.
     resume_at: Instant,
 }
 
-/// One thread's machines.
+/// State of one thread, with its machines.
 struct FleetThread {
     poll: Poll,
     provisioned: Receiver<ProvisionedMachine>,
     traffic: Arc<Traffic>,
     machines: BTreeMap<usize, Machine>,
     next_machine: usize,
-    /// Connections on which controllers send direct commands, and to which machine.
+    /// Connections from controllers, with the number of the machine that each is to, by connection number.
     command_connections: BTreeMap<usize, (usize, Connection)>,
     next_command_connection: usize,
 }
@@ -179,14 +185,14 @@
         }
     }
 
-    /// Takes on the machines that have been provisioned.
+    /// Adds the machines that have been provisioned.
     fn receive_machines(&mut self) {
         while let Ok(provisioned) = self.provisioned.try_recv() {
             if provisioned.listener.set_nonblocking(true).is_err() {
                 continue;
             }
             let cluster_state = provisioned.worker.cluster_state();
-            // Reports are spread over the interval.
+            // A random offset spreads the heartbeats of all machines over the interval.
             let offset = cluster_state
                 .heartbeat_interval
                 .mul_f64(rand::rng().random_range(0.0..1.0));
@@ -207,7 +213,7 @@
         }
     }
 
-    /// Looks at all machines: what is due, what has waited for too long, what is gone.
+    /// Checks all machines: sends due heartbeats, handles timeouts, and removes machines that are gone.
     fn check_machines(&mut self) {
         let now = Instant::now();
         let registry = self.poll.registry();
@@ -227,6 +233,7 @@
         }
     }
 
+    /// Accepts connections from controllers to a machine.
     fn accept(&mut self, number: usize) {
         let registry = self.poll.registry();
         let Some(m) = self.machines.get(&number) else {
@@ -246,14 +253,14 @@
         }
     }
 
-    /// Something came on the connection to a controller.
+    /// Handles an event on a machine's connection to a controller.
     fn receive_response(&mut self, number: usize) {
         if let Some(m) = self.machines.get_mut(&number) {
             m.handle_response(Instant::now(), &self.traffic);
         }
     }
 
-    /// Something came on a connection from a controller.
+    /// Handles an event on a connection from a controller; drops the connection if it has failed.
     fn receive_commands(&mut self, number: usize) {
         let Some((machine, connection)) = self.command_connections.get_mut(&number) else {
             return;
@@ -266,7 +273,7 @@
     }
 }
 
-/// Answers the direct commands that have come whole.
+/// Handles the requests that have been received completely.
 fn serve(worker: &Worker, connection: &mut Connection, traffic: &Traffic) -> io::Result<()> {
     connection.flush()?;
     let filled = connection.fill();
@@ -284,7 +291,7 @@
 }
 
 impl Machine {
-    /// Takes direct commands from now on.
+    /// Registers the listener, so that direct commands are received from now on.
     fn register_listener(&mut self, number: usize, registry: &Registry) {
         if self.is_registered {
             return;
@@ -294,7 +301,7 @@
         self.is_registered = registered.is_ok();
     }
 
-    /// Sends what is due, and gives up an answer that does not come.
+    /// Sends the heartbeat if one is due; switches the controller if the response to the last one has timed out.
     fn send_due_heartbeat(
         &mut self,
         number: usize,
@@ -333,6 +340,7 @@
         }
     }
 
+    /// Reads from the connection to the controller, and handles the response if it is complete.
     fn handle_response(&mut self, now: Instant, traffic: &Traffic) {
         let Some(connection) = &mut self.connection else {
             return;
@@ -344,7 +352,7 @@
             Err(_) => return self.switch_controller(None, now),
         };
         let Some(response) = response else {
-            // A connection that ends between two reports is made anew for the next one.
+            // A connection that is closed between two heartbeats is reopened for the next one.
             if filled.is_err() {
                 self.connection = None;
                 if self.unanswered_since.is_some() {
@@ -379,7 +387,7 @@
         }
     }
 
-    /// Turns to another controller.
+    /// Switches to another controller, and makes the next heartbeat due.
     fn switch_controller(&mut self, redirect: Option<&str>, now: Instant) {
         let cluster_state = self.worker.cluster_state();
         let (controller, wait) = cluster_state.next_controller(self.controller, redirect);
--- a/crates/scale/src/hollow/tests.rs
+++ b/crates/scale/src/hollow/tests.rs
@@ -12,16 +12,16 @@
 
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A controller that answers all reports alike, and keeps them.
+/// A controller that gives the same response to every heartbeat, and records the heartbeats.
 struct Controller {
     addr: SocketAddrV4,
     heartbeats: Arc<Mutex<Vec<Heartbeat>>>,
-    /// When each of them came.
+    /// Times at which the heartbeats were received.
     times: Arc<Mutex<Vec<Instant>>>,
 }
 
 impl Controller {
-    /// Mean time between two reports of a machine.
+    /// Returns the mean time between two heartbeats of a machine.
     fn interval(&self) -> Duration {
         let heartbeats = self.heartbeats.lock().unwrap();
         let times = self.times.lock().unwrap();
@@ -42,7 +42,7 @@
 fn listen() -> (std::net::TcpListener, SocketAddrV4) {
     let listener = std::net::TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let SocketAddr::V4(addr) = listener.local_addr().unwrap() else {
-        panic!("not of this family")
+        panic!("not an IPv4 address")
     };
     (listener, addr)
 }
@@ -100,7 +100,10 @@
 fn wait(what: &str, f: impl Fn() -> bool) {
     let until = Instant::now() + Duration::from_secs(10);
     while !f() {
-        assert!(Instant::now() < until, "not within 10 s: {what}");
+        assert!(
+            Instant::now() < until,
+            "condition not met within 10 s: {what}"
+        );
         std::thread::sleep(Duration::from_millis(20));
     }
 }
@@ -119,11 +122,12 @@
         ThreadLauncher.launch(worker, listener, Duration::ZERO);
     }
     std::thread::sleep(Duration::from_secs(6));
-    // Counts in a window would depend on where in their intervals the machines are at its ends.
+    // Intervals are compared, not counts: the number of heartbeats in a time window depends on the random offsets of
+    // the machines.
     let (a, b) = (hollow.interval(), threads.interval());
     assert!(
         a.abs_diff(b) * 100 <= b * 5,
-        "a report every {a:?} and {b:?}"
+        "heartbeat intervals: {a:?} (hollow) and {b:?} (threads)"
     );
     let last = |c: &Controller| to_json(c.heartbeats.lock().unwrap().last().unwrap()).len();
     assert!(last(&hollow).abs_diff(last(&threads)) <= 3);
@@ -134,7 +138,7 @@
         .last()
         .unwrap()
         .fencing_token;
-    assert_eq!(fencing_token, 7, "answers are taken in");
+    assert_eq!(fencing_token, 7, "responses to heartbeats are handled");
     assert!(fleet.traffic.bytes_sent.load(Ordering::Relaxed) > 0);
 }
 
@@ -149,8 +153,13 @@
         fleet.launch(worker, listener, Duration::ZERO);
     }
     let heartbeat_count = |c: &Controller| c.heartbeats.lock().unwrap().len();
-    wait("all report there", || heartbeat_count(&to) >= 12);
-    assert!(heartbeat_count(&from) <= 4, "each asks there once at most");
+    wait("all machines send heartbeats to the new controller", || {
+        heartbeat_count(&to) >= 12
+    });
+    assert!(
+        heartbeat_count(&from) <= 4,
+        "each machine contacts the redirecting controller at most once"
+    );
 }
 
 #[test]
@@ -178,7 +187,9 @@
     let (worker, listener) = machine(1, &cluster_state);
     let fleet = Fleet::new(1).unwrap();
     fleet.launch(worker.clone(), listener, Duration::ZERO);
-    wait("it reports", || !ok.heartbeats.lock().unwrap().is_empty());
+    wait("the worker sends a heartbeat", || {
+        !ok.heartbeats.lock().unwrap().is_empty()
+    });
     let body = |token| {
         to_json(&DirectCommands {
             fencing_token: token,
@@ -194,18 +205,18 @@
         let answer = client.call("POST", "/do", &body(token), Duration::from_secs(2));
         answer.unwrap().status
     };
-    wait("it has the token", || {
+    wait("the worker reports the fencing token", || {
         ok.heartbeats.lock().unwrap().last().unwrap().fencing_token == 7
     });
-    assert_eq!(send_start(6), 409, "an older token is refused");
+    assert_eq!(send_start(6), 409, "a lower fencing token is refused");
     assert_eq!(send_start(8), 200);
-    wait("it is done", || {
+    wait("the task has completed", || {
         cluster_state.records.lock().unwrap().completed_tasks(&id) == 1
     });
     assert!(cluster_state.records.lock().unwrap().violations.is_empty());
-    // A machine that is gone answers nothing.
+    // A machine that is gone does not respond.
     worker.remove();
-    wait("it is gone", || {
+    wait("the machine does not respond", || {
         let mut client = Client::new(worker.addr, Duration::from_millis(200));
         client
             .call("GET", "/status", b"", Duration::from_secs(1))
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -1,6 +1,7 @@
-//! Real controllers in front of thousands of hollow workers: these speak the protocol as the stand-ins' workers do, and
-//! hold tasks by timers, but a few threads multiplex the connections of all of them. What the controllers take is
-//! sampled while they serve, and several sizes in turn give slopes.
+//! Measures the resources that real controllers use for thousands of hollow workers. A hollow worker implements the
+//! protocol and simulates tasks by timers, as the stand-ins' workers do, but a few threads multiplex the connections of
+//! all workers. CPU time, memory, threads and sockets of the controllers are sampled under load. Runs at several sizes
+//! give the growth of each figure per machine.
 
 pub mod connection;
 pub mod error;
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -1,4 +1,4 @@
-//! Measures real controllers in front of hollow workers: one size, or several in turn.
+//! Measures the resource usage of real controllers with hollow workers, at one size or at several in turn.
 
 use burlusher_scale::error::ScaleError;
 use burlusher_scale::run::{self, Figures};
@@ -11,29 +11,29 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// The scenario that is played when none is named.
+/// The scenario that runs if the command line names none.
 const SAMPLE: BuiltInScenario = BuiltInScenario {
     name: "hollow.toml",
     text: include_str!("../../../scenarios/hollow.toml"),
 };
 
-/// Real controllers on loopback in front of thousands of hollow workers.
+/// Measures real controllers on loopback with thousands of hollow workers, which only simulate tasks.
 #[derive(Parser)]
 #[command(version)]
 struct Cli {
-    /// The scenario to play (TOML, as the stand-ins'); a small built-in one if none is named.
+    /// The scenario to run (TOML, as for burlusher-standin); by default a small built-in one.
     #[arg(long, value_name = "FILE", global = true)]
     scenario: Option<PathBuf>,
-    /// The controllers' program; by default the one beside this program.
+    /// The controllers' program; by default the one in the folder of this program.
     #[arg(long, value_name = "FILE", global = true)]
     program: Option<PathBuf>,
-    /// Where settings and logs go; by default a new folder for temporary files.
+    /// Folder for settings and logs; by default a new temporary one.
     #[arg(long, value_name = "DIR", global = true)]
     dir: Option<PathBuf>,
-    /// Another load than the scenario's.
+    /// Seed of the load, instead of the scenario's.
     #[arg(long, global = true)]
     seed: Option<u64>,
-    /// The report goes here as JSON as well.
+    /// Also writes the report as JSON to this file.
     #[arg(long, value_name = "FILE", global = true)]
     json: Option<PathBuf>,
     #[command(subcommand)]
@@ -42,21 +42,21 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Plays the scenario at several sizes in turn, and puts lines through the figures.
+    /// Runs the scenario at several sizes in turn, and fits a line through each figure.
     Sweep {
-        /// How many times the scenario's machines and tasks.
+        /// Factors by which the scenario's machines and tasks are multiplied.
         #[arg(long, value_delimiter = ',', default_value = "1,2,3,4")]
         sizes: Vec<f64>,
-        /// Figures by size go here as comma-separated values.
+        /// Writes the figures by size to this file, as comma-separated values.
         #[arg(long, value_name = "FILE")]
         csv: Option<PathBuf>,
-        /// A picture of processor and memory by size goes into this folder.
+        /// Writes charts of CPU and memory usage by size into this folder.
         #[arg(long, value_name = "DIR")]
         svg: Option<PathBuf>,
     },
 }
 
-/// What is played, with what, and where.
+/// Inputs of a measurement, resolved from the command line.
 struct Inputs {
     scenario: Scenario,
     program: PathBuf,
@@ -74,7 +74,7 @@
     }
 }
 
-/// One line for each figure.
+/// Formats the figures, one per line.
 fn figures_text(figures: &Figures) -> String {
     let values = figures.values();
     let lines = values
@@ -90,13 +90,13 @@
     )
 }
 
-/// Pictures that a sweep draws: the figure, and what is written at its axis.
+/// Charts that a sweep draws: the figure, and the label of its axis.
 const CHARTS: [(&str, &str); 2] = [
     ("leader_cores", "leader, parts of a core"),
     ("memory_mb", "largest controller, MB"),
 ];
 
-/// Runs the scenario at these sizes; returns whether the rules held at all of them.
+/// Runs the scenario at these sizes; returns whether all runs ended without violations.
 fn sweep(
     cli: &Cli,
     sizes: &[f64],
@@ -105,13 +105,13 @@
 ) -> Result<bool, ScaleError> {
     let inputs = Inputs::new(cli)?;
     let mut all = Vec::new();
-    let mut rules_held = true;
+    let mut all_passed = true;
     for (n, size) in sizes.iter().enumerate() {
         println!("size {size}");
         let scaled = run::scale_scenario(&inputs.scenario, *size);
         let dir = inputs.dir.join(format!("size-{n}"));
         let measured = run::measure(&scaled, &inputs.program, &dir)?;
-        rules_held &= measured.outcome.violations.is_empty();
+        all_passed &= measured.outcome.violations.is_empty();
         print!(
             "{}{}",
             measured.outcome.text(),
@@ -133,7 +133,7 @@
         let report = serde_json::json!({"figures": all, "lines": lines});
         write_file(path, report.to_string().as_bytes())?;
     }
-    Ok(rules_held)
+    Ok(all_passed)
 }
 
 fn draw_charts(dir: &Path, all: &[Figures]) -> Result<(), ScaleError> {
@@ -145,7 +145,7 @@
     Ok(())
 }
 
-/// Runs the scenario once; returns whether the rules held.
+/// Runs the scenario once; returns whether it ended without violations.
 fn run_once(cli: &Cli) -> Result<bool, ScaleError> {
     let inputs = Inputs::new(cli)?;
     println!(
--- a/crates/scale/src/plot.rs
+++ b/crates/scale/src/plot.rs
@@ -1,14 +1,14 @@
-//! Draws measured figures against the number of machines, with the lines through them.
+//! Draws charts of figures against the number of machines, each with its fitted line.
 
 use crate::error::ScaleError;
 use crate::fit::fit_line;
 use plotters::prelude::*;
 use std::path::Path;
 
-/// Width and height of a picture, in pixels.
+/// Width and height of a chart, in pixels.
 const SIZE_PX: (u32, u32) = (760, 420);
 
-/// One figure against the number of machines.
+/// Draws a chart of one figure against the number of machines; `label` is the label of the vertical axis.
 pub fn draw(path: &Path, label: &str, points: &[(f64, f64)]) -> Result<(), ScaleError> {
     draw_chart(path, label, points).map_err(|source| ScaleError::Plot {
         path: path.to_path_buf(),
--- a/crates/scale/src/run.rs
+++ b/crates/scale/src/run.rs
@@ -1,4 +1,5 @@
-//! One run of a scenario with hollow workers, and what it took; several sizes in turn.
+//! Measurement of the controllers' resource usage in one run of a scenario with hollow workers, and evaluation of runs
+//! at several sizes.
 
 use crate::error::ScaleError;
 use crate::fit::{Line, fit_line};
@@ -13,62 +14,64 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-/// Threads that all hollow workers share.
+/// Number of threads that all hollow workers share.
 const WORKER_THREADS: usize = 4;
-/// What is measured begins when this part of the scenario's load is over: machines are up by then.
+/// Fraction of the load's duration after which the measurement begins; the machines are up by then.
 const WARM_UP_FRACTION: f64 = 0.4;
-/// Open files that are left for everything else.
+/// Number of open files reserved for everything but the machines.
 const RESERVED_FILES: u64 = 500;
 
-/// Figures of a run, means over its measured part unless said otherwise.
+/// Figures of a run; means over the measured part of the run unless stated otherwise. The names of the fields are the
+/// names of the figures in reports.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Figures {
-    /// Machines that are up or booting.
+    /// Number of machines that are up or booting.
     pub machines: f64,
-    /// Tasks on machines.
+    /// Number of running tasks.
     pub tasks_running: f64,
-    /// Tasks that start in a second.
+    /// Task starts per second.
     pub starts_per_s: f64,
-    /// Processor time of the controller that took most, in parts of a core.
+    /// CPU usage of the controller that used most, in cores.
     pub leader_cores: f64,
-    /// Processor time of the others on average, in parts of a core.
+    /// Mean CPU usage of the other controllers, in cores.
     pub other_cores: f64,
-    /// The most memory that any controller had.
+    /// Maximum resident memory of any controller, in MB.
     pub memory_mb: f64,
-    /// The most threads that any controller had.
+    /// Maximum number of threads of any controller.
     pub threads: f64,
-    /// The most sockets that any controller had.
+    /// Maximum number of open sockets of any controller.
     pub sockets: f64,
-    /// Requests to the state service in a second.
+    /// Requests to the state service per second.
     pub state_requests_per_s: f64,
-    /// Puts and deletions in them.
+    /// Puts and deletions in requests to the state service, per second.
     pub state_changes_per_s: f64,
-    /// Heartbeats of a worker in a second.
+    /// Heartbeats per worker and second.
     pub reports_per_s: f64,
-    /// Commands to a worker in a second.
+    /// Requests from controllers (direct commands) per worker and second.
     pub commands_per_s: f64,
-    /// Bytes that a worker sends in a second.
+    /// Bytes sent per worker and second.
     pub bytes_sent_per_s: f64,
-    /// Bytes that a worker receives in a second.
+    /// Bytes received per worker and second.
     pub bytes_received_per_s: f64,
-    /// Heartbeats without an answer, in all.
+    /// Total number of heartbeats that got no response.
     pub unanswered: f64,
-    /// From a submission to its acceptance.
+    /// 95th percentile of the time from submission to acceptance of a job, in milliseconds, over the whole run.
     pub accept_p95_ms: f64,
-    /// From a submission to the start of a task, of the class that waits longest.
+    /// 95th percentile of the time from submission to the start of a task, in milliseconds, over the whole run; that of
+    /// the class with the highest value.
     pub wait_p95_ms: f64,
 }
 
-/// What a run gave.
+/// Result of a measured run.
 #[derive(Serialize)]
 pub struct MeasuredRun {
-    /// What it took.
+    /// Figures of the run.
     pub figures: Figures,
-    /// What came of the scenario.
+    /// Report of the scenario.
     pub outcome: Outcome,
 }
 
-/// What was seen at one moment.
+/// Sample of resource usage, and of the counters that rates are computed from.
 struct ResourceSample {
     at_s: f64,
     machines: usize,
@@ -77,9 +80,12 @@
     usage: Vec<Option<Usage>>,
     state_requests: u64,
     state_changes: u64,
+    /// Traffic counters, in the order of `traffic_counts`.
     traffic: [u64; 5],
 }
 
+/// Returns the counters that figures are computed from: heartbeats, commands, bytes sent, bytes received, and
+/// heartbeats without a response.
 fn traffic_counts(t: &Traffic) -> [u64; 5] {
     let counters = [
         &t.heartbeats,
@@ -91,16 +97,16 @@
     counters.map(|n| n.load(Ordering::Relaxed))
 }
 
-/// How many machines a scenario may have at once.
+/// Returns the maximum number of machines that a scenario has at one time.
 fn max_machines(scenario: &Scenario) -> u64 {
     let per_zone = scenario.machines.iter();
     let per_zone = per_zone.map(|m| u64::from(m.ordinary) + u64::from(m.spot));
     per_zone.sum::<u64>() * scenario.zones.len() as u64
 }
 
-/// Refuses what this machine has no room for: each machine takes a listener, a connection to a
-/// controller and, for moments, one from it, and the first two are held on the controllers' side as
-/// well.
+/// Returns an error if the machines of the scenario need more open files than this process is allowed to have. Each
+/// machine needs a listener, a connection to a controller and, briefly, one from a controller. The other ends of the
+/// connections are held by the controllers, which are processes of their own.
 fn check_file_limit(scenario: &Scenario) -> Result<(), ScaleError> {
     let machines = max_machines(scenario);
     let needed = machines * 3 + RESERVED_FILES;
@@ -117,7 +123,8 @@
     }
 }
 
-/// Plays a scenario with controllers of `program`, whose files go into `dir`.
+/// Runs a scenario with hollow workers and controllers of `program`, and measures the controllers; settings and logs go
+/// into `dir`.
 pub fn measure(scenario: &Scenario, program: &Path, dir: &Path) -> Result<MeasuredRun, ScaleError> {
     check_file_limit(scenario)?;
     let fleet = Arc::new(Fleet::new(WORKER_THREADS)?);
@@ -145,6 +152,7 @@
     Ok(MeasuredRun { figures, outcome })
 }
 
+/// Computes the figures from the samples and the report of a run.
 fn compute_figures(samples: &[ResourceSample], outcome: &Outcome) -> Result<Figures, ScaleError> {
     let (Some(first), Some(last)) = (samples.first(), samples.last()) else {
         return Err(ScaleError::TooShort);
@@ -188,7 +196,8 @@
     })
 }
 
-/// Processor time of each controller that was there all the time, a second.
+/// Returns the CPU usage in cores of each controller that runs in both samples. A controller whose CPU time has
+/// decreased was restarted in between and is left out.
 fn cores_used(first: &ResourceSample, last: &ResourceSample, duration_s: f64) -> Vec<f64> {
     let pairs = first.usage.iter().zip(&last.usage);
     let used =
@@ -196,7 +205,7 @@
     used.filter(|c| *c >= 0.0).collect()
 }
 
-/// The scenario with so many times its machines and jobs.
+/// Returns the scenario with its machines, and its tasks per job, multiplied by `factor`.
 pub fn scale_scenario(scenario: &Scenario, factor: f64) -> Scenario {
     let mut scaled = scenario.clone();
     for m in &mut scaled.machines {
@@ -210,13 +219,13 @@
     scaled
 }
 
-/// Names of the figures, in their order.
+/// Returns the names of the figures, in alphabetical order.
 pub fn figure_names() -> Vec<String> {
     Figures::default().values().into_keys().collect()
 }
 
 impl Figures {
-    /// Each by its name.
+    /// Returns the figures by name.
     pub fn values(&self) -> BTreeMap<String, f64> {
         let all = serde_json::to_value(self).unwrap_or_default();
         let all = all.as_object().cloned().unwrap_or_default();
@@ -225,7 +234,7 @@
     }
 }
 
-/// A line through each figure against the number of machines.
+/// Fits a line through each figure against the number of machines.
 pub fn fit_lines(all: &[Figures]) -> BTreeMap<String, Line> {
     let mut lines = BTreeMap::new();
     for name in figure_names() {
@@ -242,7 +251,7 @@
     lines
 }
 
-/// The figures of several sizes as a table of comma-separated values, and under it the lines through them.
+/// Returns the figures of several sizes as comma-separated values: a header, then one row per size.
 pub fn csv_table(all: &[Figures]) -> String {
     let names = figure_names();
     let mut out = format!("{}\n", names.join(","));
--- a/crates/scale/src/usage.rs
+++ b/crates/scale/src/usage.rs
@@ -1,24 +1,25 @@
-//! What a process takes, as the kernel accounts for it in `/proc`.
+//! Resource usage of a process, from `/proc`.
 
 use std::fs;
 
-/// The kernel counts processor time in hundredths of a second there, on every architecture.
+/// Number of clock ticks per second in the CPU times of `/proc/<pid>/stat` (`USER_HZ`), the same on all common
+/// architectures.
 const TICKS_PER_SECOND: f64 = 100.0;
 
-/// What a process has taken up to now.
+/// Resource usage of a process at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Usage {
-    /// Processor time since the process began, in seconds.
+    /// CPU time (user and system) since the start of the process, in seconds.
     pub cpu_s: f64,
-    /// Resident memory.
+    /// Resident memory, in MB.
     pub memory_mb: f64,
-    /// Threads that it has now.
+    /// Number of threads.
     pub threads: u32,
-    /// Sockets that it has open now.
+    /// Number of open sockets.
     pub sockets: u32,
 }
 
-/// What a process has taken up to now; `None` if it is gone.
+/// Returns the resource usage of a process; `None` if there is no such process.
 pub fn process_usage(pid: u32) -> Option<Usage> {
     let stat = fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
     let status = fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
@@ -35,7 +36,8 @@
     })
 }
 
-/// Fields 14 and 15; the name in field 2 may hold spaces.
+/// Parses the CPU time from `/proc/<pid>/stat`: fields 14 and 15. The process name in field 2 may contain spaces and
+/// parentheses, so the fields are counted from the last closing parenthesis.
 fn cpu_seconds(stat: &str) -> Option<f64> {
     let (_, after_name) = stat.rsplit_once(')')?;
     let mut fields = after_name.split_whitespace().skip(11);
@@ -44,7 +46,7 @@
     Some((user + system) / TICKS_PER_SECOND)
 }
 
-/// The number in a line of `/proc/<pid>/status`.
+/// Returns the number in the line of `/proc/<pid>/status` that begins with `name`.
 fn status_field(status: &str, name: &str) -> Option<f64> {
     let line = status.lines().find(|l| l.starts_with(name))?;
     line.split_whitespace().nth(1)?.parse().ok()
--- a/crates/scale/src/usage/tests.rs
+++ b/crates/scale/src/usage/tests.rs
@@ -9,7 +9,7 @@
 
 #[test]
 fn usage_of_this_process_is_read_and_none_of_a_missing_one() {
-    let usage = process_usage(std::process::id()).expect("it is there");
+    let usage = process_usage(std::process::id()).expect("this process exists");
     assert!(usage.memory_mb > 0.1 && usage.threads >= 1, "{usage:?}");
     assert_eq!(process_usage(u32::MAX), None);
 }
--- a/crates/standin/src/cloud.rs
+++ b/crates/standin/src/cloud.rs
@@ -1,4 +1,5 @@
-//! The stand-in cloud: markets with so many machines each, provisioned by name, listed and deleted.
+//! The stand-in cloud: provisions, lists and deletes machines. Each machine type has a fixed capacity in each
+//! zone, separately for ordinary (on-demand) and spot machines.
 
 use crate::scenario::Scenario;
 use crate::state::query;
@@ -14,29 +15,35 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
+/// Machine type, zone, and whether the machines are spot machines.
 type Offer = (String, String, bool);
 
 #[derive(Default)]
 struct CloudState {
+    /// Machines that are not deleted, with the time of their provisioning, by id.
     machines: BTreeMap<String, (Arc<Worker>, Instant)>,
+    /// Number of machines that are not deleted, by offer.
     in_use: BTreeMap<Offer, u32>,
+    /// Machines that each request for machines provisioned, by request id: a repeated request gets the same
+    /// response.
     answered_requests: BTreeMap<String, Vec<burlusher::job::MachineId>>,
     drained: BTreeSet<String>,
     down_until: Option<Instant>,
     next_machine: u64,
-    /// Money spent on machines that are deleted, and how many were provisioned.
+    /// Cost of the machines that are deleted.
     spent: f64,
+    /// Number of ordinary and of spot machines that were provisioned.
     provisioned_count: (u64, u64),
     refused_requests: u64,
 }
 
-/// How machines that come up are run.
+/// Strategy for running the workers of machines.
 pub trait MachineLauncher: Send + Sync {
-    /// The machine is up after this time, and takes direct commands there from then on.
+    /// Runs a machine, which is up after `boot` and from then on accepts direct commands on `listener`.
     fn launch(&self, worker: Arc<Worker>, listener: TcpListener, boot: Duration);
 }
 
-/// Two threads for each machine, and one for each connection to it.
+/// Launcher that uses two threads per machine, and one per connection to it.
 pub struct ThreadLauncher;
 
 impl MachineLauncher for ThreadLauncher {
@@ -62,20 +69,20 @@
     state: Mutex<CloudState>,
 }
 
-/// What the cloud reports at the end.
+/// Totals of provisioned machines and their cost.
 pub struct Bill {
-    /// Money spent on machines.
+    /// Cost of all machines.
     pub spent: f64,
-    /// Ordinary machines that were provisioned.
+    /// Number of ordinary machines that were provisioned.
     pub ordinary: u64,
-    /// Spot machines that were provisioned.
+    /// Number of spot machines that were provisioned.
     pub spot: u64,
-    /// Requests for machines that were refused.
+    /// Number of requests for machines that were refused.
     pub refused: u64,
 }
 
 impl Cloud {
-    /// A cloud with the scenario's machines, none of which is provisioned yet.
+    /// Creates a cloud with the scenario's capacity and no provisioned machines.
     pub fn new(
         scenario: &Scenario,
         cluster_state: Arc<ClusterState>,
@@ -110,27 +117,32 @@
         }
     }
 
-    /// Answers 503 for this long.
+    /// Responds with 503 to every request for this long.
     pub fn start_outage(&self, duration: Duration) {
-        self.state.lock().expect("no panic holds it").down_until = Some(Instant::now() + duration);
+        self.state.lock().expect("lock is not poisoned").down_until =
+            Some(Instant::now() + duration);
     }
 
-    /// Nothing is provisioned in the zone any more, and its machines are taken after the notice.
+    /// Stops provisioning in a zone, and reclaims its machines after the notice period.
     pub fn drain_zone(&self, zone: &str, notice: Duration) {
-        let mut c = self.state.lock().expect("no panic holds it");
+        let mut c = self.state.lock().expect("lock is not poisoned");
         c.drained.insert(zone.into());
         let present = c.machines.values().filter(|(w, _)| w.zone == zone);
         present.for_each(|(w, _)| w.announce_reclaim(notice));
     }
 
-    /// Ends the draining of a zone.
+    /// Allows provisioning in a drained zone again.
     pub fn open_zone(&self, zone: &str) {
-        self.state.lock().expect("no panic").drained.remove(zone);
+        self.state
+            .lock()
+            .expect("lock is not poisoned")
+            .drained
+            .remove(zone);
     }
 
-    /// Machines that are up or booting, by zone.
+    /// Returns the number of machines that are up or booting, by zone.
     pub fn machines_by_zone(&self) -> BTreeMap<String, usize> {
-        let c = self.state.lock().expect("no panic holds it");
+        let c = self.state.lock().expect("lock is not poisoned");
         let mut by_zone = BTreeMap::new();
         for (w, _) in c.machines.values().filter(|(w, _)| !w.is_gone()) {
             *by_zone.entry(w.zone.clone()).or_default() += 1;
@@ -138,9 +150,9 @@
         by_zone
     }
 
-    /// What was spent and provisioned up to now.
+    /// Returns the totals up to now; running machines are charged up to now.
     pub fn bill(&self) -> Bill {
-        let c = self.state.lock().expect("no panic holds it");
+        let c = self.state.lock().expect("lock is not poisoned");
         let running = c.machines.values().map(|(w, since)| self.price(w, *since));
         Bill {
             spent: c.spent + running.sum::<f64>(),
@@ -159,9 +171,9 @@
         hourly * since.elapsed().as_secs_f64().max(60.0) / 3600.0
     }
 
-    /// Answers one request of a controller.
+    /// Handles one request of a controller.
     pub fn handle_request(&self, r: &Request) -> Response {
-        let mut c = self.state.lock().expect("no panic holds it");
+        let mut c = self.state.lock().expect("lock is not poisoned");
         if c.down_until.is_some_and(|t| Instant::now() < t) {
             return Response::error(503, "trouble");
         }
--- a/crates/standin/src/cluster.rs
+++ b/crates/standin/src/cluster.rs
@@ -1,4 +1,4 @@
-//! A whole cluster on loopback: starts everything, plays the scenario, and reports what came of it.
+//! A cluster on loopback: starts the services and controllers, runs a scenario and returns its report.
 
 use crate::cloud::{Cloud, MachineLauncher, ThreadLauncher};
 use crate::command_line::write_file;
@@ -21,20 +21,20 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Connections that a stand-in service takes at once.
+/// Maximum number of concurrent connections to a stand-in service.
 const MAX_CONNECTIONS: usize = 200;
-/// Controllers are ready within this time of their start.
+/// Maximum time from the start of the controllers until all are ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
-/// How often it is looked what is due.
+/// Interval between checks for due events, samples and progress lines, and between readiness probes.
 const TICK: Duration = Duration::from_millis(50);
-/// How often the state service is backed up, and samples are taken.
+/// Interval between backups of the state service, and between samples.
 const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
-/// How often progress is printed.
+/// Interval between progress lines.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(5);
-/// Jobs may end this long after twice the time of the load.
+/// Additional time for jobs to end, beyond twice the duration of the load.
 const COMPLETION_GRACE: Duration = Duration::from_secs(30);
 
-/// Plays a scenario with controllers of `program`, whose files go into `dir`.
+/// Runs a scenario with controllers of `program`; settings and logs go into `dir`.
 pub fn run_scenario(
     scenario: &Scenario,
     program: &Path,
@@ -49,7 +49,8 @@
     )
 }
 
-/// The same with machines run in another way, and an observer that is called once a second.
+/// Runs a scenario as `run_scenario` does, with another launcher of machines and with an observer that is
+/// called once a second.
 pub fn run_scenario_with(
     scenario: &Scenario,
     program: &Path,
@@ -73,7 +74,7 @@
 }
 
 impl<'a> Cluster<'a> {
-    /// Starts the stand-in services and the controllers.
+    /// Starts the stand-in services, the snapshotter if the scenario has one, and the controllers.
     fn start(
         scenario: &'a Scenario,
         program: &Path,
@@ -120,7 +121,7 @@
         })
     }
 
-    /// Waits until every controller serves; `dir` has their logs.
+    /// Waits until every controller is ready; `dir` is the folder of their logs, for the error.
     fn wait_ready(&self, dir: &Path) -> Result<(), StandinError> {
         let deadline = Instant::now() + READY_TIMEOUT;
         for (name, addr) in &self.targets.cluster_state.controller_addrs {
@@ -137,7 +138,7 @@
         Ok(())
     }
 
-    /// Starts a thread for each job of the load, which submits and follows it.
+    /// Starts a thread for each job of the load, which submits the job and polls it until its end.
     fn submit_load(&self, users: &Arc<Users>, begin: Instant) -> Vec<JoinHandle<()>> {
         let deadline = begin + self.scenario.load_duration() * 2 + COMPLETION_GRACE;
         let jobs = generate_load(self.scenario).into_iter().enumerate();
@@ -152,7 +153,7 @@
         threads.collect()
     }
 
-    /// Carries out the events, and takes samples, until every job's thread has ended.
+    /// Carries out the events, and takes samples and backups, until the thread of every job has ended.
     fn run_until_jobs_end(
         &self,
         users: &Users,
@@ -183,7 +184,7 @@
         }
     }
 
-    /// Whether the state service is to be rolled back at some time.
+    /// Returns whether an event rolls the state service back.
     fn needs_backups(&self) -> bool {
         let mut actions = self.scenario.events.iter().map(|event| &event.action);
         actions.any(|action| matches!(action, EventAction::RollBackState { .. }))
@@ -199,7 +200,7 @@
     fn sample(&self, at_s: f64) -> Sample {
         let (state_requests, state_changes) = self.targets.state.request_counts();
         let records = self.targets.cluster_state.records.lock();
-        let records = records.expect("no panic holds it");
+        let records = records.expect("lock is not poisoned");
         let (tasks_running, tasks_started) = (records.running_tasks(), records.starts);
         drop(records);
         Sample {
@@ -214,7 +215,7 @@
     }
 
     fn print_progress(&self, users: &Users, submitted: usize, at_s: f64) {
-        let observations = users.observations.lock().expect("no panic holds it");
+        let observations = users.observations.lock().expect("lock is not poisoned");
         println!(
             "{at_s:6.1} s  jobs {} of {submitted} accepted, {} done; machines {:?}",
             observations.accepted,
@@ -223,7 +224,7 @@
         );
     }
 
-    /// Ends the controllers, and returns the run's report.
+    /// Stops the controllers and returns the report.
     fn finish(self, users: &Users, submitted: usize) -> Outcome {
         let EventTargets {
             cluster_state,
@@ -233,8 +234,8 @@
         } = self.targets;
         let exited = controllers.exited();
         drop(controllers);
-        let records = cluster_state.records.lock().expect("no panic holds it");
-        let observations = users.observations.lock().expect("no panic holds it");
+        let records = cluster_state.records.lock().expect("lock is not poisoned");
+        let observations = users.observations.lock().expect("lock is not poisoned");
         let spread = max_excess(self.scenario, &records.work);
         let tolerance = self.scenario.tolerance;
         let mut violations = records.violations.clone();
@@ -248,7 +249,7 @@
         }
         if spread > tolerance {
             violations.push(format!(
-                "a zone served {spread:.2} beyond its part, of {tolerance:.2}"
+                "a zone did {spread:.2} of the work in excess of an equal share; tolerance {tolerance:.2}"
             ));
         }
         let bill = cloud.bill();
@@ -280,7 +281,8 @@
     }
 }
 
-/// How far the zone that served most went beyond an equal part; `work` by zone.
+/// Returns by how much the zone with the most work exceeds an equal share, as a fraction of all work; `work` is
+/// by zone.
 fn max_excess(scenario: &Scenario, work: &std::collections::BTreeMap<String, f64>) -> f64 {
     let zones = scenario.zones.iter().map(String::as_str);
     let mut served = ZoneBalance::new(zones, scenario.tolerance);
@@ -290,7 +292,7 @@
     served.max_excess()
 }
 
-/// Something that is due again and again.
+/// Timer that is due once per period.
 struct PeriodicTimer {
     period: Duration,
     last_due: Instant,
@@ -304,7 +306,7 @@
         }
     }
 
-    /// Whether the time is over; it begins anew then.
+    /// Returns whether the period has passed; if so, restarts it.
     fn is_due(&mut self) -> bool {
         let is_due = self.last_due.elapsed() >= self.period;
         if is_due {
@@ -314,7 +316,7 @@
     }
 }
 
-/// Writes the operators' policy and the settings of each controller.
+/// Writes the policy file and the settings file of each controller.
 fn write_settings(
     scenario: &Scenario,
     addresses: &Addresses,
@@ -329,7 +331,8 @@
     Ok(())
 }
 
-/// Addresses on loopback that are free: their ports are found by taking them for a moment.
+/// Returns free addresses on loopback. The ports are found by binding them; they are released before the
+/// controllers bind them.
 fn free_addresses(count: usize) -> Result<Vec<SocketAddrV4>, StandinError> {
     let listeners: Result<Vec<_>, _> = (0..count).map(|_| listen()).collect();
     Ok(listeners?.into_iter().map(|(_, addr)| addr).collect())
@@ -343,7 +346,7 @@
     }
 }
 
-/// Serves requests in threads of their own; gives the address.
+/// Starts a thread that serves HTTP requests; returns the address.
 fn serve(
     handle: impl Fn(&Request) -> Response + Send + Sync + 'static,
 ) -> Result<String, StandinError> {
--- a/crates/standin/src/command_line.rs
+++ b/crates/standin/src/command_line.rs
@@ -1,30 +1,30 @@
-//! What the programs that play scenarios share: which scenario, with which program, and where.
+//! Command-line inputs shared by the programs that run scenarios: scenario, controllers' program and
+//! work folder.
 
 use crate::error::StandinError;
 use crate::scenario::Scenario;
 use std::path::{Path, PathBuf};
 
-/// The controllers' program, beside the one that runs.
+/// File name of the controllers' program, which cargo puts into the folder of the running program.
 const CONTROLLER_PROGRAM: &str = "burlusher";
 
-/// A scenario that is part of a program.
+/// A scenario that is compiled into a program.
 pub struct BuiltInScenario {
-    /// Its file's name.
+    /// Name of the scenario's file, for error messages.
     pub name: &'static str,
-    /// Its text (TOML).
+    /// Text of the scenario (TOML).
     pub text: &'static str,
 }
 
-/// A scenario and where it comes from.
+/// A scenario and the file that it was read from.
 pub struct LoadedScenario {
-    /// The file's name.
+    /// Name of the file.
     pub name: String,
-    /// The scenario, with the seed of the command line.
+    /// The scenario, with the seed of the command line if one was given.
     pub scenario: Scenario,
 }
 
-/// Reads the scenario in a file, or the built-in one if none is named, with another seed if one is
-/// given.
+/// Reads the scenario from `path`, or takes the built-in one. `seed` replaces the scenario's seed.
 pub fn load_scenario(
     path: Option<&Path>,
     built_in: &BuiltInScenario,
@@ -42,7 +42,8 @@
     Ok(LoadedScenario { name, scenario })
 }
 
-/// The controllers' program: the one that is named, or the one beside this program.
+/// Returns the path of the controllers' program: `named`, or else the one in the folder of the
+/// running program.
 pub fn controller_program(named: Option<&Path>) -> Result<PathBuf, StandinError> {
     let program = match named {
         Some(path) => path.to_path_buf(),
@@ -55,14 +56,14 @@
     }
 }
 
-/// Where settings and logs go: the folder that is named, or a new one for temporary files with this
-/// prefix.
+/// Returns the folder for settings and logs: `named`, or else a new temporary one whose name begins
+/// with `prefix`.
 pub fn work_dir(named: Option<&Path>, prefix: &str) -> PathBuf {
     let new = || std::env::temp_dir().join(format!("{prefix}-{}", std::process::id()));
     named.map_or_else(new, Path::to_path_buf)
 }
 
-/// Writes a file.
+/// Writes a file; the error names its path.
 pub fn write_file(path: &Path, contents: &[u8]) -> Result<(), StandinError> {
     std::fs::write(path, contents).map_err(StandinError::at(path))
 }
--- a/crates/standin/src/controller_settings.rs
+++ b/crates/standin/src/controller_settings.rs
@@ -1,26 +1,27 @@
-//! The settings of the controllers, as the real program reads them.
+//! Settings files of the controllers.
 
 use crate::controllers::controller_name;
 use crate::scenario::Scenario;
 use serde_json::{Value, json};
 use std::net::SocketAddrV4;
 
-/// How much longer than its lease a worker's tasks may go on, in seconds.
-const CANCEL_AFTER_LEASE_S: f64 = 22.0;
+/// Margin of the setting `cancel_s`, by which all tasks of a cancelled job must have ended, over the workers'
+/// lease, in seconds.
+const CANCELLATION_MARGIN_S: f64 = 22.0;
 
-/// Where everything that the controllers talk to is.
+/// Addresses of the controllers and of the stand-in services.
 pub(crate) struct Addresses {
-    /// Where each controller serves users and workers.
+    /// Address of each controller for users and workers.
     pub public: Vec<SocketAddrV4>,
-    /// Where each controller serves the other ones.
+    /// Address of each controller for its peers.
     pub peer: Vec<SocketAddrV4>,
-    /// The stand-in cloud.
+    /// Address of the stand-in cloud.
     pub cloud: String,
-    /// The stand-in state service.
+    /// Address of the stand-in state service.
     pub state: String,
 }
 
-/// The settings of one controller.
+/// Returns the settings of one controller.
 pub(crate) fn controller_settings(
     scenario: &Scenario,
     addresses: &Addresses,
@@ -36,7 +37,7 @@
             "zones": scenario.zones, "objectives": objectives(scenario),
             "teams": [{"name": "all"}],
             "workers": {"report_s": scenario.report_s, "lease_s": scenario.lease_s,
-                        "cancel_s": scenario.lease_s + CANCEL_AFTER_LEASE_S},
+                        "cancel_s": scenario.lease_s + CANCELLATION_MARGIN_S},
             "state": {"rps": 300.0, "write_rps": 120.0, "value_kb": 8.0, "txn_ops": 32},
             "cloud": {"rps": 10.0, "list_lag_s": 0.1},
             "quota": {"mem_mb": scenario.memory_mb, "fd_limit": scenario.sockets}
@@ -44,7 +45,7 @@
     })
 }
 
-/// Controllers are spread over the zones.
+/// Returns the zone of a controller; the controllers are assigned to the zones in turn.
 fn zone(scenario: &Scenario, number: usize) -> &str {
     &scenario.zones[number % scenario.zones.len()]
 }
@@ -61,7 +62,7 @@
     others.map(peer).collect()
 }
 
-/// What users want of each class of jobs.
+/// Returns the service level objectives of the job classes.
 fn objectives(scenario: &Scenario) -> Vec<Value> {
     let mut objectives = Vec::new();
     for job in &scenario.jobs {
--- a/crates/standin/src/controllers.rs
+++ b/crates/standin/src/controllers.rs
@@ -1,4 +1,4 @@
-//! Processes of the real program: controllers, and one that keeps snapshots.
+//! Child processes of the controllers' program: the controllers, and a snapshotter.
 
 use crate::error::StandinError;
 use std::fs::File;
@@ -7,15 +7,15 @@
 use std::process::{Child, Command, Stdio};
 use std::sync::Mutex;
 
-/// The operators' policy, in the controllers' folder.
+/// Name of the file with the operators' policy, in the work folder.
 pub(crate) const POLICY_FILE: &str = "policy";
 
-/// The name of a controller; its settings and log are called after it.
+/// Returns the name of a controller, which is also the stem of its settings and log files.
 pub(crate) fn controller_name(number: usize) -> String {
     format!("controller-{number}")
 }
 
-/// Controllers of the real program.
+/// Processes of the controllers and of the snapshotter; all are killed on drop.
 pub(crate) struct Controllers {
     program: PathBuf,
     dir: PathBuf,
@@ -24,7 +24,7 @@
 }
 
 impl Controllers {
-    /// None of them is started yet.
+    /// Creates the set without starting a process.
     pub(crate) fn new(program: &Path, dir: &Path, count: usize) -> Controllers {
         Controllers {
             program: program.to_path_buf(),
@@ -38,7 +38,7 @@
         self.dir.join(name).display().to_string()
     }
 
-    /// Starts a controller, whose settings must be in the folder.
+    /// Starts a controller. Its settings file must exist in the work folder.
     pub(crate) fn start(&self, number: usize) -> Result<(), StandinError> {
         let name = controller_name(number);
         let (policy, config) = (
@@ -47,11 +47,11 @@
         );
         let args = ["serve", "--policy", &policy, "--config", &config];
         let child = self.spawn(&format!("{name}.log"), &args)?;
-        self.children.lock().expect("no panic holds it")[number] = Some(child);
+        self.children.lock().expect("lock is not poisoned")[number] = Some(child);
         Ok(())
     }
 
-    /// The program with these arguments, its log added to a file.
+    /// Spawns the program with these arguments; appends its stderr to the file `log`.
     fn spawn(&self, log: &str, args: &[&str]) -> Result<Child, StandinError> {
         let log = self.dir.join(log);
         let open = File::options().create(true).append(true).open(&log);
@@ -65,7 +65,7 @@
             .map_err(StandinError::at(&self.program))
     }
 
-    /// Starts a process that keeps snapshots of the state service.
+    /// Starts the snapshotter, which archives snapshots of the state service.
     pub(crate) fn start_snapshotter(&self) -> Result<(), StandinError> {
         let (config, dir) = (
             self.path_in_dir("controller-0.json"),
@@ -73,11 +73,11 @@
         );
         let args = ["archive", "--config", &config, "--dir", &dir];
         let child = self.spawn("archivist.log", &args)?;
-        *self.snapshotter.lock().expect("no panic holds it") = Some(child);
+        *self.snapshotter.lock().expect("lock is not poisoned") = Some(child);
         Ok(())
     }
 
-    /// Offers the newest snapshot to a controller; returns whether it was accepted.
+    /// Sends the newest snapshot to a controller; returns whether the controller accepted it.
     pub(crate) fn restore(&self, node: SocketAddrV4) -> Result<bool, StandinError> {
         let (dir, node) = (self.path_in_dir("archive"), node.to_string());
         let args = ["snapshot", "restore", "--dir", &dir, "--node", &node];
@@ -85,24 +85,25 @@
         Ok(status.success())
     }
 
-    /// Process ids of the controllers that are there.
+    /// Returns the process ids of the controllers, by number; `None` for a controller that was killed.
     pub(crate) fn pids(&self) -> Vec<Option<u32>> {
-        let children = self.children.lock().expect("no panic holds it");
+        let children = self.children.lock().expect("lock is not poisoned");
         let ids = children.iter().map(|child| child.as_ref().map(Child::id));
         ids.collect()
     }
 
-    /// Ends a controller without warning.
+    /// Kills a controller (SIGKILL).
     pub(crate) fn kill(&self, number: usize) {
-        if let Some(mut child) = self.children.lock().expect("no panic")[number].take() {
+        if let Some(mut child) = self.children.lock().expect("lock is not poisoned")[number].take()
+        {
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
-    /// Controllers that ended by themselves.
+    /// Returns the numbers of the controllers that exited without being killed.
     pub(crate) fn exited(&self) -> Vec<usize> {
-        let mut children = self.children.lock().expect("no panic holds it");
+        let mut children = self.children.lock().expect("lock is not poisoned");
         let has_exited = |child: &mut Child| matches!(child.try_wait(), Ok(Some(_)));
         let children = children.iter_mut().enumerate();
         children
--- a/crates/standin/src/error.rs
+++ b/crates/standin/src/error.rs
@@ -1,48 +1,48 @@
-//! Why a scenario cannot be played.
+//! Errors of running a scenario.
 
 use crate::scenario::ScenarioError;
 use std::io;
 use std::net::SocketAddrV6;
 use std::path::{Path, PathBuf};
 
-/// Why a scenario cannot be played.
+/// Error that prevents a scenario from being run.
 #[derive(Debug, thiserror::Error)]
 pub enum StandinError {
     /// A file, folder or program could not be used.
     #[error("{}: {source}", path.display())]
     File {
-        /// What could not be used.
+        /// Path of the file, folder or program.
         path: PathBuf,
-        /// Why.
+        /// The operating system's error.
         source: io::Error,
     },
-    /// The scenario's file is at fault.
+    /// The scenario file is invalid.
     #[error(transparent)]
     Scenario(#[from] ScenarioError),
-    /// The operating system refused something.
+    /// A call to the operating system failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// A listener is bound to no IPv4 address.
-    #[error("no address on loopback: {0}")]
+    /// A listener was bound to an IPv6 address, not to IPv4 loopback.
+    #[error("a listener has no IPv4 loopback address, but {0}")]
     NoAddress(SocketAddrV6),
-    /// The controllers' program has not been built.
-    #[error("{}: not there; build it with `cargo build --release`, or name it with --program", .0.display())]
+    /// The controllers' program does not exist, usually because it has not been built.
+    #[error("{}: no such file; build it with `cargo build --release`, or name it with --program", .0.display())]
     NoProgram(PathBuf),
-    /// A controller does not serve in time.
+    /// A controller was not ready within the time limit, or a controller exited while starting.
     #[error("{name} is not ready; see {}", log.display())]
     NotReady {
-        /// The controller's name.
+        /// Name of the controller.
         name: String,
-        /// Where its log is.
+        /// Path of its log.
         log: PathBuf,
     },
-    /// The report could not be written as JSON.
+    /// The report could not be serialised as JSON.
     #[error(transparent)]
     Report(#[from] serde_json::Error),
 }
 
 impl StandinError {
-    /// Puts the path before an error in using a file; for `map_err`.
+    /// Returns a function for `map_err` that adds the path to an I/O error.
     pub fn at(path: &Path) -> impl FnOnce(io::Error) -> StandinError {
         let path = path.to_path_buf();
         move |source| StandinError::File { path, source }
--- a/crates/standin/src/events.rs
+++ b/crates/standin/src/events.rs
@@ -1,4 +1,4 @@
-//! The events of a scenario, carried out on a running cluster.
+//! Execution of a scenario's events on a running cluster.
 
 use crate::cloud::Cloud;
 use crate::controllers::Controllers;
@@ -11,16 +11,16 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A controller's answer to a question of the stand-ins takes this long at the most.
+/// Timeout for a controller's response to a request of the stand-ins.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// The state service answers 503 for this long before its data is lost.
+/// Duration of the outage of the state service when its data is lost.
 const OUTAGE_BEFORE_LOSS: Duration = Duration::from_secs(1);
-/// A snapshot is offered again and again for this long.
+/// Time after which attempts to restore a snapshot are given up.
 const RESTORE_TIMEOUT: Duration = Duration::from_secs(20);
 const RESTORE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What events act on.
+/// The parts of a cluster that events act on.
 pub(crate) struct EventTargets {
     pub cluster_state: Arc<ClusterState>,
     pub cloud: Arc<Cloud>,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The controller that reports itself as the leader.
+    /// Returns the number of the controller that reports itself as the leader, if there is one.
     fn leader(&self) -> Option<usize> {
         let mut controllers = self.cluster_state.controller_addrs.iter();
         controllers.position(|(_, addr)| {
@@ -70,7 +70,8 @@
         })
     }
 
-    /// Offers the newest snapshot to the leader, as soon as it rebuilds.
+    /// Sends the newest snapshot to the leader until the leader accepts it, which it does only while it rebuilds
+    /// its store.
     fn restore(&self) {
         let deadline = Instant::now() + RESTORE_TIMEOUT;
         while Instant::now() < deadline {
@@ -79,33 +80,33 @@
                     .controllers
                     .restore(self.cluster_state.controller_addrs[leader].1)
                 {
-                    Ok(true) => return println!("the snapshot was taken in"),
+                    Ok(true) => return println!("the leader accepted the snapshot"),
                     Ok(false) => {}
-                    Err(e) => println!("restoring: {e}"),
+                    Err(e) => println!("cannot restore the snapshot: {e}"),
                 }
             }
             std::thread::sleep(RESTORE_INTERVAL);
         }
-        println!("no controller took the snapshot in");
+        println!("no controller accepted the snapshot");
     }
 
-    /// Ends a controller without warning, and starts it again after some time.
+    /// Kills a controller, and restarts it after a delay.
     fn restart(&self, number: usize, after: Duration) {
         self.controllers.kill(number);
-        // The run may be over by then; nobody would end what is started after it.
+        // The run may have ended by then, and a controller started after that would never be stopped.
         let controllers = Arc::downgrade(&self.controllers);
         std::thread::spawn(move || {
             std::thread::sleep(after);
             if let Some(controllers) = controllers.upgrade()
                 && let Err(e) = controllers.start(number)
             {
-                eprintln!("starting controller {number} again: {e}");
+                eprintln!("cannot restart controller {number}: {e}");
             }
         });
     }
 }
 
-/// One GET at a controller: the status and the body, if it answers.
+/// Sends a GET request to a controller; returns the status and body of the response, if there is one.
 pub(crate) fn get(addr: SocketAddrV4, path: &str) -> Option<(u16, Vec<u8>)> {
     let mut client = http::Client::new(addr, CONNECT_TIMEOUT);
     let response = client.call("GET", path, b"", RESPONSE_TIMEOUT).ok()?;
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,7 +1,10 @@
-//! Stand-ins of the systems that burlusher serves with: state service, cloud, machines with their
-//! workers, and users, all on loopback and after the published protocol. They exist so that
-//! anybody can see real controllers at work on one machine, with one command, and so that what
-//! the rules promise is checked from the workers' own records.
+//! Simulated counterparts ("stand-ins") of the systems around burlusher's controllers: state service,
+//! cloud, machines with their workers, and users. All of them use loopback and implement the published
+//! protocol.
+//!
+//! With them, one command runs a whole cluster with real controllers on one machine. The scheduler's
+//! guarantees are checked against the records of the workers themselves, not against what the
+//! controllers report.
 
 pub mod cloud;
 pub mod cluster;
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -1,4 +1,4 @@
-//! One command that plays a scenario on this machine with controllers of the real program.
+//! Runs a scenario on this machine: simulated services and real controllers, with one command.
 
 use burlusher_standin::cluster;
 use burlusher_standin::command_line::{
@@ -9,7 +9,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// The scenario that is played when none is named.
+/// The scenario that runs if the command line names none.
 const SAMPLE: BuiltInScenario = BuiltInScenario {
     name: "three-zones.toml",
     text: include_str!("../../../scenarios/three-zones.toml"),
@@ -19,29 +19,29 @@
 #[derive(Parser)]
 #[command(version)]
 struct Cli {
-    /// The scenario to play (TOML); the built-in one, of three zones, if none is named.
+    /// The scenario to run (TOML); by default a built-in one with three zones.
     scenario: Option<PathBuf>,
-    /// The controllers' program; by default the one beside this program.
+    /// The controllers' program; by default the one in the folder of this program.
     #[arg(long, value_name = "FILE")]
     program: Option<PathBuf>,
-    /// Where settings and logs of the controllers go; by default a new folder for temporary files.
+    /// Folder for settings and logs of the controllers; by default a new temporary one.
     #[arg(long, value_name = "DIR")]
     dir: Option<PathBuf>,
-    /// The report goes here as JSON as well.
+    /// Also writes the report as JSON to this file.
     #[arg(long, value_name = "FILE")]
     report: Option<PathBuf>,
-    /// Another load than the scenario's.
+    /// Seed of the load, instead of the scenario's.
     #[arg(long)]
     seed: Option<u64>,
 }
 
-/// Runs the scenario; returns whether every rule held.
+/// Runs the scenario; returns whether it ended without violations.
 fn run(cli: Cli) -> Result<bool, StandinError> {
     let loaded = load_scenario(cli.scenario.as_deref(), &SAMPLE, cli.seed)?;
     let program = controller_program(cli.program.as_deref())?;
     let dir = work_dir(cli.dir.as_deref(), "burlusher-standin");
     println!(
-        "playing {}, about {:.0} s; logs in {}",
+        "running {}, about {:.0} s; logs in {}",
         loaded.name,
         loaded.scenario.load_s * 2.0,
         dir.display()
--- a/crates/standin/src/records.rs
+++ b/crates/standin/src/records.rs
@@ -1,4 +1,5 @@
-//! The workers' own records: what started where and what came of it, checked as it happens.
+//! Records of the workers: which task ran where, and how each run ended. Violations are detected as the events
+//! are recorded.
 
 use hdrhistogram::Histogram;
 use roaring::RoaringBitmap;
@@ -6,56 +7,56 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// The tasks of one job, by index, from the workers alone.
+/// Sets of the indices of a job's tasks, filled by the workers only.
 #[derive(Default)]
 struct TaskSets {
-    /// On a machine now.
+    /// Tasks that are running.
     running: RoaringBitmap,
-    /// Ever started.
+    /// Tasks that have started at least once.
     started: RoaringBitmap,
-    /// Completed.
+    /// Tasks that have completed.
     completed: RoaringBitmap,
 }
 
-/// What workers record of the tasks that they run.
+/// Records of all tasks that workers run.
 #[derive(Default)]
 pub struct Records {
     jobs: BTreeMap<String, TaskSets>,
-    /// Rules broken, in words.
+    /// Descriptions of violations, such as a task that runs on two machines.
     pub violations: Vec<String>,
-    /// Starts of tasks.
+    /// Number of task starts.
     pub starts: u64,
-    /// Starts of tasks that had started before, as their machine was lost or they were stopped.
+    /// Number of starts of tasks that had started before, for example because their machine was lost.
     pub restarts: u64,
-    /// Runs that ended without a result.
+    /// Number of runs that ended without a result.
     pub lost_runs: u64,
     /// CPU seconds of completed runs, by zone.
     pub work: BTreeMap<String, f64>,
-    /// From submission to start, by class, in milliseconds.
+    /// Time from submission to the first start of a task, by class, in milliseconds.
     pub waits: BTreeMap<String, Histogram<u64>>,
-    /// The class of each job, and when it was submitted.
+    /// Class and submission time of each job.
     submitted: BTreeMap<String, (String, Instant)>,
 }
 
-/// Times up to an hour, in milliseconds, to three digits.
+/// Returns an empty histogram of times up to one hour, in milliseconds, with three significant digits.
 pub fn histogram() -> Histogram<u64> {
-    Histogram::new_with_max(3_600_000, 3).expect("fixed bounds")
+    Histogram::new_with_max(3_600_000, 3).expect("bounds are valid")
 }
 
-/// A distribution of times, in short.
+/// Summary of a distribution of times.
 #[derive(Serialize)]
 pub struct Quantiles {
-    /// How many times there are.
+    /// Number of values.
     pub count: u64,
-    /// The median.
+    /// Median.
     pub p50_ms: u64,
-    /// The 95th percentile.
+    /// 95th percentile.
     pub p95_ms: u64,
-    /// The longest.
+    /// Maximum.
     pub max_ms: u64,
 }
 
-/// The quantiles of a histogram of milliseconds.
+/// Returns the quantiles of a histogram of milliseconds.
 pub fn quantiles(h: &Histogram<u64>) -> Quantiles {
     Quantiles {
         count: h.len(),
@@ -66,13 +67,13 @@
 }
 
 impl Records {
-    /// A user submits a job of this class.
+    /// Records that a user submits a job of this class.
     pub fn record_submission(&mut self, job: &str, class: &str) {
         self.submitted
             .insert(job.into(), (class.into(), Instant::now()));
     }
 
-    /// A task holds its image and runs on this machine from now on.
+    /// Records that a task, with its image fetched, starts to run on a machine.
     pub fn record_start(&mut self, job: &str, task: u32, machine: &str) {
         let Some((class, at)) = self.submitted.get(job) else {
             self.violations
@@ -86,7 +87,8 @@
             ));
         }
         if tasks.completed.contains(task) {
-            // Allowed: its end was not reported before its machine was lost. It is counted.
+            // Permitted, but counted: if a machine is lost before it has reported the end of a task, the task is
+            // started again.
             self.restarts += 1;
         } else if !tasks.started.insert(task) {
             self.restarts += 1;
@@ -98,7 +100,8 @@
         self.starts += 1;
     }
 
-    /// It is not on the machine any more.
+    /// Records that a task no longer runs; `completed` has its run time and CPUs, or is `None` for a run without
+    /// a result.
     pub fn record_end(
         &mut self,
         job: &str,
@@ -117,12 +120,12 @@
         }
     }
 
-    /// Tasks that are on machines now.
+    /// Returns the number of running tasks.
     pub fn running_tasks(&self) -> u64 {
         self.jobs.values().map(|tasks| tasks.running.len()).sum()
     }
 
-    /// How many tasks of a job completed.
+    /// Returns the number of tasks of a job that have completed.
     pub fn completed_tasks(&self, job: &str) -> u64 {
         self.jobs.get(job).map_or(0, |tasks| tasks.completed.len())
     }
--- a/crates/standin/src/report.rs
+++ b/crates/standin/src/report.rs
@@ -1,76 +1,76 @@
-//! What is measured while a scenario is played, and what came of it.
+//! The report of a scenario, and the samples that are taken while it runs.
 
 use crate::records::Quantiles;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Broken rules that are listed in the text; the rest is counted.
+/// Maximum number of violations that the text lists; it states the number of all.
 const MAX_LISTED_VIOLATIONS: usize = 20;
 
-/// What came of a scenario.
+/// Report of a scenario.
 #[derive(Serialize)]
 pub struct Outcome {
-    /// Jobs that users submitted.
+    /// Number of jobs that users submitted.
     pub submitted: usize,
-    /// Jobs that were accepted.
+    /// Number of jobs that were accepted.
     pub accepted: u64,
-    /// Jobs that were reported done to users.
+    /// Number of jobs that were reported done to users.
     pub done: u64,
-    /// Tasks that workers started.
+    /// Number of task starts on workers.
     pub tasks_started: u64,
-    /// Starts of tasks that had started before.
+    /// Number of starts of tasks that had started before.
     pub tasks_started_again: u64,
-    /// Runs that ended without a result.
+    /// Number of runs that ended without a result.
     pub tasks_lost: u64,
-    /// Ordinary machines that were provisioned.
+    /// Number of ordinary (on-demand) machines that were provisioned.
     pub machines_ordinary: u64,
-    /// Spot machines that were provisioned.
+    /// Number of spot machines that were provisioned.
     pub machines_spot: u64,
-    /// Requests for machines that the cloud refused.
+    /// Number of requests for machines that the cloud refused.
     pub offers_refused: u64,
-    /// Money spent on machines.
+    /// Cost of all machines, in the unit of the scenario's prices.
     pub spent: f64,
     /// CPU seconds of completed work, by zone.
     pub work: BTreeMap<String, f64>,
-    /// How far the zone that served most went beyond an equal part.
+    /// Excess of the zone with the most work over an equal share, as a fraction of all work.
     pub spread: f64,
-    /// How far a zone may go beyond an equal part.
+    /// Maximum permitted value of `spread`.
     pub tolerance: f64,
-    /// From a submission to its acceptance.
+    /// Time from submission of a job to its acceptance.
     pub accept: Quantiles,
-    /// From a submission to the start of its tasks, by class.
+    /// Time from submission of a job to the first start of a task, by class.
     pub wait: BTreeMap<String, Quantiles>,
-    /// From a submission to its end, by class.
+    /// Time from submission of a job to the report of its end, by class.
     pub finish: BTreeMap<String, Quantiles>,
-    /// Requests to the state service.
+    /// Number of requests to the state service.
     pub state_requests: u64,
-    /// Puts and deletions in requests to the state service.
+    /// Number of puts and deletions in requests to the state service.
     pub state_changes: u64,
-    /// All that should not have been; none if all is well.
+    /// Descriptions of violations, and of failures such as rejected or unfinished jobs; empty if the run passed.
     #[serde(rename = "broken")]
     pub violations: Vec<String>,
 }
 
-/// How things stand, once a second.
+/// State of the cluster at one moment; taken once a second.
 pub struct Sample {
-    /// Seconds since the load began.
+    /// Time since the start of the load, in seconds.
     pub at_s: f64,
-    /// Process ids of the controllers that are there.
+    /// Process ids of the controllers; `None` for one that was killed.
     pub controllers: Vec<Option<u32>>,
-    /// Machines that are up or booting.
+    /// Number of machines that are up or booting.
     pub machines: usize,
-    /// Tasks on machines.
+    /// Number of running tasks.
     pub tasks_running: u64,
-    /// Tasks that workers started.
+    /// Number of task starts on workers.
     pub tasks_started: u64,
-    /// Requests to the state service.
+    /// Number of requests to the state service.
     pub state_requests: u64,
-    /// Puts and deletions in requests to the state service.
+    /// Number of puts and deletions in requests to the state service.
     pub state_changes: u64,
 }
 
 impl Outcome {
-    /// The report as text.
+    /// Returns the report as text.
     pub fn text(&self) -> String {
         let mut out = format!(
             "jobs {} submitted, {} accepted, {} done; tasks {} started, {} of them again, {} lost\n\
--- a/crates/standin/src/scenario.rs
+++ b/crates/standin/src/scenario.rs
@@ -1,61 +1,62 @@
-//! Scenario files: what the stand-ins play, and the load. Every error is reported with file and line.
+//! Scenario files: the simulated cluster, its load and its events. Every error names file and line.
 
 use serde::Deserialize;
 use std::time::Duration;
 use toml::Spanned;
 
-/// Why a scenario's file is refused, and where in it.
+/// Error in a scenario file, with its place.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{file}:{line}: {reason}")]
 pub struct ScenarioError {
-    /// The file's name.
+    /// Name of the file.
     pub file: String,
-    /// The line at fault, from 1 on.
+    /// Line number, from 1.
     pub line: usize,
-    /// What is wrong there.
+    /// Description of the error.
     pub reason: String,
 }
 
-/// What is played, and on what.
+/// A simulated cluster, its load and its events.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// The load is the same for the same seed.
+    /// Seed of the load: equal seeds give equal loads.
     pub seed: u64,
-    /// Jobs are submitted for this long; what is unfinished then may take as long again.
+    /// Duration of job submission, in seconds; unfinished jobs may then take as long again.
     pub load_s: f64,
-    /// How many controllers there are.
+    /// Number of controllers.
     pub controllers: Spanned<usize>,
-    /// No zone should serve more than an equal part of the work and this part of all beside it.
+    /// Maximum fraction of all work that a zone may do in excess of an equal share.
     #[serde(default = "default_tolerance")]
     pub tolerance: f64,
-    /// Entries of the operators' policy, put into a file for the controllers.
+    /// Entries of the operators' policy, written into the controllers' policy file.
     #[serde(default)]
     pub policy: String,
-    /// Whether a process keeps snapshots of the state service.
+    /// Whether a snapshotter process archives snapshots of the state service.
     #[serde(default, rename = "archivist")]
     pub snapshotter: bool,
-    /// How often workers send a heartbeat, in seconds.
+    /// Interval between a worker's heartbeats, in seconds.
     #[serde(default = "default_report_s")]
     pub report_s: f64,
-    /// How long workers go on without an answer, in seconds.
+    /// Duration of a worker's lease, in seconds: without a response for this long, the worker ends its
+    /// tasks.
     #[serde(default = "default_lease_s")]
     pub lease_s: f64,
-    /// The memory that each controller may use.
+    /// Memory quota of each controller, in MB.
     #[serde(default = "default_memory_mb")]
     pub memory_mb: f64,
-    /// The sockets that each controller may use.
+    /// Socket quota of each controller.
     #[serde(default = "default_sockets")]
     pub sockets: u32,
-    /// Zones with machines, and over which the controllers are spread.
+    /// Zones; each has machines, and the controllers are spread over them.
     pub zones: Vec<String>,
     /// Machine types.
     #[serde(rename = "machine")]
     pub machines: Vec<MachineTypeSpec>,
-    /// Classes of jobs.
+    /// Job classes.
     #[serde(rename = "job")]
     pub jobs: Vec<JobClass>,
-    /// What happens meanwhile.
+    /// Events during the load, such as faults.
     #[serde(default, rename = "event")]
     pub events: Vec<Event>,
 }
@@ -80,58 +81,58 @@
     1.0
 }
 
-/// A machine type; in each zone there are so many ordinary and spot ones of it.
+/// A machine type, with its capacity in each zone.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MachineTypeSpec {
-    /// The type's name.
+    /// Name of the type.
     pub name: String,
-    /// Processors of a machine.
+    /// CPUs of a machine.
     pub cpus: f64,
-    /// Memory of a machine.
+    /// Memory of a machine, in GB.
     pub ram_gb: f64,
-    /// Price of an ordinary machine, an hour.
+    /// Price of an ordinary (on-demand) machine per hour.
     pub price: f64,
-    /// Price of a spot machine, an hour; there are none without it.
+    /// Price of a spot machine per hour; `None` if there are no spot machines.
     pub spot_price: Option<f64>,
-    /// How long a machine takes to boot, in seconds.
+    /// Boot time, in seconds.
     pub boot_s: f64,
-    /// Ordinary machines in each zone.
+    /// Maximum number of ordinary machines in each zone.
     #[serde(default)]
     pub ordinary: u32,
-    /// Spot machines in each zone.
+    /// Maximum number of spot machines in each zone.
     #[serde(default)]
     pub spot: u32,
 }
 
-/// A class of jobs.
+/// A job class.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct JobClass {
-    /// The class's name.
+    /// Name of the class.
     pub class: String,
-    /// How many jobs of it are submitted a minute.
+    /// Mean number of jobs submitted per minute.
     #[serde(rename = "a_minute")]
     pub jobs_per_minute: Spanned<f64>,
-    /// Tasks of a job.
+    /// Number of tasks per job.
     pub tasks: Spanned<u32>,
-    /// How long a task runs on average, in seconds.
+    /// Mean run time of a task, in seconds.
     pub run_s: f64,
-    /// Processors of a task.
+    /// CPUs of a task.
     pub cpus: f64,
-    /// Memory of a task.
+    /// Memory of a task, in GB.
     pub ram_gb: f64,
-    /// Whether its jobs have high priority.
+    /// Whether the jobs have high priority.
     #[serde(default)]
     pub urgent: bool,
-    /// Whether its tasks may run on spot machines.
+    /// Whether the tasks may run on spot machines.
     #[serde(default)]
     pub spot: bool,
-    /// When a job should be done, in seconds after its submission.
+    /// Deadline of a job, in seconds after its submission.
     pub deadline_s: Option<f64>,
-    /// An objective for the controllers: its tasks should start within so many seconds.
+    /// Start-time objective: maximum time from submission to the start of a task, in seconds.
     pub start_within_s: Option<f64>,
-    /// The part of its jobs or tasks that should meet its objectives.
+    /// Fraction of the jobs or tasks that should meet the objectives.
     #[serde(default = "default_share")]
     pub share: f64,
 }
@@ -140,72 +141,72 @@
     0.95
 }
 
-/// Something that happens while the load runs.
+/// An event that is carried out while the load runs.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Event {
-    /// When, in seconds after the load began.
+    /// Time of the event, in seconds after the start of the load.
     pub at_s: f64,
-    /// What happens.
+    /// The action.
     #[serde(flatten)]
     pub action: EventAction,
 }
 
-/// What an event does.
+/// Action of an event.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(tag = "do", rename_all = "kebab-case")]
 pub enum EventAction {
-    /// Nothing is provisioned in it any more, and its machines are reclaimed after a notice.
+    /// Stops provisioning in a zone, and reclaims its machines after a notice period.
     DrainZone {
-        /// The zone's name.
+        /// Name of the zone.
         zone: String,
-        /// How long the machines are warned, in seconds.
+        /// Notice period before the machines are reclaimed, in seconds.
         notice_s: f64,
     },
-    /// It is to be had again.
+    /// Allows provisioning in a drained zone again.
     OpenZone {
-        /// The zone's name.
+        /// Name of the zone.
         zone: String,
     },
-    /// The controller is ended without warning, and started again after `back_s`.
+    /// Kills a controller, and restarts it after `back_s`.
     KillController {
-        /// The controller's number, from 0 on.
+        /// Number of the controller, from 0.
         number: usize,
-        /// After how long it is started again, in seconds.
+        /// Delay before the restart, in seconds.
         back_s: f64,
     },
-    /// The same for the controller that leads.
+    /// Kills the controller that is the leader, and restarts it after `back_s`.
     KillLeader {
-        /// After how long it is started again, in seconds.
+        /// Delay before the restart, in seconds.
         back_s: f64,
     },
-    /// The cloud answers 503 for this long.
+    /// The cloud responds with 503 to every request for some time.
     CloudOutage {
-        /// For how long, in seconds.
+        /// Duration of the outage, in seconds.
         for_s: f64,
     },
-    /// The state service answers 503 for this long.
+    /// The state service responds with 503 to every request for some time.
     StateOutage {
-        /// For how long, in seconds.
+        /// Duration of the outage, in seconds.
         for_s: f64,
     },
-    /// It answers 503 for a second, and has lost everything then.
+    /// The state service loses all its data, after an outage of one second.
     LoseState {},
-    /// It answers 503 for a second, and then holds what it held so long ago.
+    /// The state service reverts to an earlier state.
     RollBackState {
-        /// How old what it then holds is, in seconds.
+        /// Age of the state that it reverts to, in seconds.
         back_s: f64,
     },
-    /// All controllers are ended without warning, and started again after `back_s`.
+    /// Kills all controllers, and restarts them after `back_s`.
     KillAll {
-        /// After how long it is started again, in seconds.
+        /// Delay before the restart, in seconds.
         back_s: f64,
     },
-    /// The newest snapshot is offered to the leader; there must be a snapshotter.
+    /// Restores the newest snapshot through the leader. The scenario must have a snapshotter.
     Restore {},
 }
 
 impl Scenario {
-    /// Reads and checks a scenario; `file` is its name in errors.
+    /// Parses and validates a scenario; `file` is the file name in errors.
     pub fn parse(file: &str, text: &str) -> Result<Scenario, ScenarioError> {
         let source = Source { file, text };
         let scenario: Scenario = toml::from_str(text).map_err(|e| {
@@ -246,7 +247,7 @@
         source.check_range("memory_mb", self.memory_mb, 32.0, 65536.0)?;
         source.check_range("sockets", f64::from(self.sockets), 96.0, 65536.0)?;
         if self.zones.is_empty() || self.machines.is_empty() || self.jobs.is_empty() {
-            let reason = "zones, a [[machine]] and a [[job]] are needed";
+            let reason = "at least one zone, one [[machine]] and one [[job]] are required";
             return Err(source.error_at(0, reason));
         }
         Ok(())
@@ -268,7 +269,10 @@
         let fits = |m: &MachineTypeSpec| job.cpus <= m.cpus && job.ram_gb <= m.ram_gb;
         if job.run_s <= 0.0 || !self.machines.iter().any(fits) {
             let offset = source.find(&job.class);
-            return error(offset, "its tasks fit no machine, or run for no time");
+            return error(
+                offset,
+                "its tasks fit on no machine type, or run_s is not above 0",
+            );
         }
         Ok(())
     }
@@ -282,7 +286,7 @@
                 format!("no zone {zone}")
             }
             EventAction::KillController { number, .. } if number >= self.controllers.get_ref() => {
-                format!("no controller {number}: they count from 0")
+                format!("no controller {number}: controllers are numbered from 0")
             }
             EventAction::Restore {} if !self.snapshotter => {
                 "a restore needs `archivist = true`".into()
@@ -294,7 +298,7 @@
         Err(source.error_near(&place, &format!("event: {reason}")))
     }
 
-    /// How long jobs are submitted.
+    /// Returns the duration of job submission.
     pub fn load_duration(&self) -> Duration {
         Duration::from_secs_f64(self.load_s)
     }
@@ -310,14 +314,14 @@
     Err(source.error_near(name, &reason))
 }
 
-/// The text of a scenario, to say where in it something is wrong.
+/// Text of a scenario file, from which errors get their line numbers.
 struct Source<'a> {
     file: &'a str,
     text: &'a str,
 }
 
 impl Source<'_> {
-    /// An error at a byte of the text.
+    /// Returns an error at a byte offset of the text.
     fn error_at(&self, offset: usize, reason: &str) -> ScenarioError {
         let before = &self.text[..offset.min(self.text.len())];
         ScenarioError {
@@ -327,7 +331,7 @@
         }
     }
 
-    /// An error about something that has no place of its own: at the first line that names it.
+    /// Returns an error at the first occurrence of `name`, for values whose offset is not known.
     fn error_near(&self, name: &str, reason: &str) -> ScenarioError {
         self.error_at(self.find(name), reason)
     }
--- a/crates/standin/src/state.rs
+++ b/crates/standin/src/state.rs
@@ -1,4 +1,5 @@
-//! The stand-in state service: one lock, one map, watches that wait on a condition.
+//! The stand-in state service: a key-value store in memory, behind one lock. Watches wait on a condition
+//! variable.
 
 use burlusher::http::{Request, Response};
 use burlusher::wire::{
@@ -11,13 +12,14 @@
 use std::sync::{Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-/// Backups, one a second, to which it can be rolled back.
+/// Maximum number of backups; one is made per second.
 const MAX_BACKUPS: usize = 120;
-/// Events that a watch can still start from.
+/// Number of newest events that are always kept, so that a watch can start from any of them. Twice as many are
+/// kept before the older half is dropped.
 const MIN_KEPT_EVENTS: usize = 10_000;
-/// Items on a page of keys.
+/// Maximum number of items on a page of keys.
 const MAX_PAGE_ITEMS: u64 = 1000;
-/// A watch waits this long at the most, in milliseconds.
+/// Maximum time for which a watch waits, in milliseconds.
 const MAX_WATCH_MS: u64 = 60_000;
 const KEY_PATH: &str = "/kv/";
 const LEASE_PATH: &str = "/leases/";
@@ -81,7 +83,7 @@
         }
     }
 
-    /// A page of the keys with a prefix.
+    /// Returns a page of the items whose keys have a prefix and come after `since`.
     fn page(&self, r: &Request) -> Response {
         let under = query(&r.path, "under").unwrap_or("");
         let since = query(&r.path, "since").unwrap_or("");
@@ -124,7 +126,7 @@
         }
     }
 
-    /// Renews or ends the lease that a path names.
+    /// Renews (POST) or revokes (DELETE) the lease whose id begins the path.
     fn renew_or_revoke_lease(&mut self, method: &str, path: &str, now: Instant) -> Response {
         let id = path.split('/').next().and_then(|id| id.parse().ok());
         match (method, id) {
@@ -193,7 +195,7 @@
     }
 }
 
-/// The value of a name in a path's query.
+/// Returns the value of a parameter in a path's query string.
 pub fn query<'a>(path: &'a str, name: &str) -> Option<&'a str> {
     let (_, query) = path.split_once('?')?;
     let mut pairs = query.split('&').filter_map(|p| p.split_once('='));
@@ -205,36 +207,36 @@
 }
 
 impl StateService {
-    /// Answers 503 for this long.
+    /// Responds with 503 to every request for this long.
     pub fn start_outage(&self, duration: Duration) {
-        let mut store = self.store.lock().expect("no panic holds it");
+        let mut store = self.store.lock().expect("lock is not poisoned");
         let until = Instant::now() + duration;
         store.down_until = Some(until);
-        // Every lease has its full time again afterwards.
+        // Leases do not expire during the outage: each has its full TTL after the end.
         for (end, ttl) in store.leases.values_mut() {
             *end = until + *ttl;
         }
     }
 
-    /// Everything is gone, its counts of revisions and leases too; watchers get no events for it.
+    /// Erases all data, including the revision and lease counters. Watches receive no events for it.
     pub fn erase(&self) {
-        *self.store.lock().expect("no panic holds it") = Store::default();
+        *self.store.lock().expect("lock is not poisoned") = Store::default();
     }
 
-    /// Keeps what it holds, so that it can be rolled back.
+    /// Adds a copy of the store to the backups; drops the oldest beyond `MAX_BACKUPS`.
     pub fn back_up(&self) {
-        let store = self.store.lock().expect("no panic holds it").clone();
-        let mut backups = self.backups.lock().expect("no panic holds it");
+        let store = self.store.lock().expect("lock is not poisoned").clone();
+        let mut backups = self.backups.lock().expect("lock is not poisoned");
         backups.push_back((Instant::now(), store));
         while backups.len() > MAX_BACKUPS {
             backups.pop_front();
         }
     }
 
-    /// It goes on from the newest backup that is so old, or the oldest there is. Leases of then have
-    /// their full time again.
+    /// Replaces the store by the newest backup that is at least `min_age` old, or by the oldest one if none is.
+    /// Leases in the backup get their full TTL again.
     pub fn roll_back(&self, min_age: Duration) {
-        let mut backups = self.backups.lock().expect("no panic holds it");
+        let mut backups = self.backups.lock().expect("lock is not poisoned");
         let now = Instant::now();
         while backups.len() > 1 && backups.back().is_some_and(|(at, _)| *at + min_age > now) {
             backups.pop_back();
@@ -245,20 +247,20 @@
         for (end, ttl) in store.leases.values_mut() {
             *end = now + *ttl;
         }
-        *self.store.lock().expect("no panic holds it") = store;
+        *self.store.lock().expect("lock is not poisoned") = store;
     }
 
-    /// How many requests came, and how many puts and deletions they had.
+    /// Returns the number of requests, and of puts and deletions in them.
     pub fn request_counts(&self) -> (u64, u64) {
         let load = |n: &AtomicU64| n.load(Ordering::Relaxed);
         (load(&self.requests), load(&self.changes))
     }
 
-    /// Answers one request of a controller.
+    /// Handles one request of a controller.
     pub fn handle_request(&self, r: &Request) -> Response {
         self.requests.fetch_add(1, Ordering::Relaxed);
         let now = Instant::now();
-        let mut store = self.store.lock().expect("no panic holds it");
+        let mut store = self.store.lock().expect("lock is not poisoned");
         if store.down_until.is_some_and(|t| now < t) {
             return Response::error(503, "trouble");
         }
@@ -290,7 +292,8 @@
         }
     }
 
-    /// Waits until something with the prefix changed after the revision, or the time is over.
+    /// Waits until a key with the prefix changes after revision `since`, or until `wait_ms` have passed; returns
+    /// the changes.
     fn watch<'a>(&'a self, mut store: std::sync::MutexGuard<'a, Store>, r: &Request) -> Response {
         let under = query(&r.path, "under").unwrap_or("").to_string();
         let since = query_number(&r.path, "since").unwrap_or(0);
@@ -314,12 +317,12 @@
                 let revision = store.revision;
                 return Response::new(200, to_json(&WatchResponse { revision, events }));
             }
-            // Leases expire without a request that would signal `changed`.
+            // Expiry of leases does not signal `changed`, so it is checked for periodically.
             let wait = remaining.min(Duration::from_millis(100));
             let (next, _) = self
                 .changed
                 .wait_timeout(store, wait)
-                .expect("no panic holds it");
+                .expect("lock is not poisoned");
             store = next;
         }
     }
--- a/crates/standin/src/users.rs
+++ b/crates/standin/src/users.rs
@@ -1,5 +1,5 @@
-//! Stand-in users: a seeded load of jobs, submitted through any controller and queried until
-//! they are done.
+//! Stand-in users: generate a seeded load of jobs, submit each through some controller and poll it until
+//! it is done.
 
 use crate::records::{Quantiles, histogram, quantiles};
 use crate::scenario::{JobClass, Scenario};
@@ -14,27 +14,27 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// How often a user queries a job.
+/// Interval between polls of a job.
 const POLL_INTERVAL: Duration = Duration::from_secs(1);
-/// How long a user waits before submitting a job once more.
+/// Delay before a job is submitted again.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
-/// How often a user queries a job that is done.
-const POLLS_AFTER_DONE: u32 = 2;
+/// Number of polls of a job from the first that reports it done, including that one.
+const DONE_POLLS: u32 = 2;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// How long a user waits for an answer.
+/// Timeout for a controller's response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A job in the load.
+/// A job of the load.
 pub struct Arrival {
-    /// When it is submitted, after the load began.
+    /// Time of submission, from the start of the load.
     pub submit_after: Duration,
     /// The job.
     pub spec: JobSpec,
-    /// How long each of its tasks runs.
+    /// Run time of each task.
     pub task_duration: Duration,
 }
 
-/// The load of a scenario: the same for the same seed.
+/// Generates the load of a scenario: Poisson arrivals for each job class. Equal seeds give equal loads.
 pub fn generate_load(scenario: &Scenario) -> Vec<Arrival> {
     let mut rng = SmallRng::seed_from_u64(scenario.seed);
     let mut all = Vec::new();
@@ -86,7 +86,7 @@
             one_zone: false,
             spread: false,
             spot: class.spot,
-            // Owners estimate roughly.
+            // The estimate is the mean of the class, not the run time of this job, as users know it only roughly.
             estimate: Duration::from_secs_f64(class.run_s),
             checkpoint_interval: Duration::ZERO,
             checkpoint_duration: Duration::ZERO,
@@ -96,28 +96,29 @@
     }
 }
 
-/// What users saw.
+/// Observations of the users: outcomes, latencies and violations.
 #[derive(Default)]
 pub struct UserObservations {
-    /// Jobs that were accepted.
+    /// Number of accepted jobs.
     pub accepted: u64,
-    /// Jobs that were refused, and why.
+    /// Rejected jobs, with the reasons.
     pub refused: Vec<String>,
-    /// Jobs that are done.
+    /// Number of jobs that were reported done.
     pub done: u64,
-    /// Reported as done before all tasks had completed, or done and then something else.
+    /// Descriptions of violations: jobs that were reported done before all their tasks had completed, that left
+    /// the done state, or that were unknown after they had been accepted.
     pub violations: Vec<String>,
     accept_ms: Option<Histogram<u64>>,
     finish_ms: BTreeMap<String, Histogram<u64>>,
 }
 
 impl UserObservations {
-    /// From a submission to its acceptance.
+    /// Returns quantiles of the time from submission to acceptance.
     pub fn accept(&self) -> Quantiles {
         quantiles(self.accept_ms.as_ref().unwrap_or(&histogram()))
     }
 
-    /// From a submission to its end, by class.
+    /// Returns quantiles of the time from submission to completion, by class.
     pub fn finish(&self) -> BTreeMap<String, Quantiles> {
         let all = self.finish_ms.iter();
         all.map(|(class, h)| (class.clone(), quantiles(h)))
@@ -125,15 +126,15 @@
     }
 }
 
-/// The users of a cluster, and what they saw.
+/// The users of a cluster.
 pub struct Users {
     cluster_state: Arc<ClusterState>,
-    /// What they saw up to now.
+    /// Observations up to now.
     pub observations: Mutex<UserObservations>,
 }
 
 impl Users {
-    /// Users of a cluster, who have seen nothing yet.
+    /// Creates the users of a cluster.
     pub fn new(cluster_state: Arc<ClusterState>) -> Users {
         Users {
             cluster_state,
@@ -141,7 +142,8 @@
         }
     }
 
-    /// One call through some controller, moved on by the caller when it fails.
+    /// Sends one request to the controller with number `n` modulo the number of controllers. After a failure,
+    /// the caller tries the next one.
     fn call(&self, n: usize, method: &str, path: &str, body: &[u8]) -> Option<(u16, Vec<u8>)> {
         let controllers = &self.cluster_state.controller_addrs;
         let mut client = Client::new(controllers[n % controllers.len()].1, CONNECT_TIMEOUT);
@@ -149,8 +151,8 @@
         Some((response.status, response.body))
     }
 
-    /// Submits a job and follows it until it is done or the time is over; `n` is the controller that
-    /// is asked first.
+    /// Submits a job and polls it until it is done or the deadline has passed; `n` is the first controller that
+    /// is tried.
     pub fn submit_and_poll(&self, n: usize, job: Arrival, deadline: Instant) {
         let submitted = SubmittedJob {
             id: job.spec.id.to_string(),
@@ -158,26 +160,33 @@
             tasks: u64::from(job.spec.tasks),
             at: Instant::now(),
         };
- let body = encode_submission(&job.spec); self.register(&submitted, job); if let Some(next) = self.submit(n, &submitted, &body, deadline) {self.poll(next, &submitted, deadline); 
+        let body = encode_submission(&job.spec);
+        self.register(&submitted, job);
+        if let Some(next) = self.submit(n, &submitted, &body, deadline) {
+            self.poll(next, &submitted, deadline);
         }
     }
 
-    /// Tells the workers of a job before any of its tasks can start.
+    /// Makes a job known to the workers, which must be done before any of its tasks can start.
     fn register(&self, submitted: &SubmittedJob, job: Arrival) {
         let shared = Arc::new((job.spec, job.task_duration));
-        let mut jobs = self.cluster_state.jobs.lock().expect("no panic holds it");
+        let mut jobs = self
+            .cluster_state
+            .jobs
+            .lock()
+            .expect("lock is not poisoned");
         jobs.insert(submitted.id.clone(), shared);
         drop(jobs);
         let mut records = self
             .cluster_state
             .records
             .lock()
-            .expect("no panic holds it");
+            .expect("lock is not poisoned");
         records.record_submission(&submitted.id, &submitted.class);
     }
 
-    /// Submits a job until it is accepted; gives the controller that accepted it, or `None` if it
-    /// was refused or the time is over.
+    /// Submits a job until it is accepted; returns the controller that accepted it, or `None` if the job was
+    /// rejected or the deadline has passed.
     fn submit(
         &self,
         n: usize,
@@ -188,7 +197,7 @@
         for controller in n.. {
             match self.call(controller, "POST", PATH_JOBS, body) {
                 Some((200 | 201, _)) => {
-                    let mut observations = self.observations.lock().expect("no panic holds it");
+                    let mut observations = self.observations.lock().expect("lock is not poisoned");
                     observations.accepted += 1;
                     let accepted = observations.accept_ms.get_or_insert_with(histogram);
                     accepted.saturating_record(job.elapsed_ms());
@@ -196,7 +205,7 @@
                 }
                 Some((status @ (400 | 422), body)) => {
                     let reason = String::from_utf8_lossy(&body);
-                    let mut observations = self.observations.lock().expect("no panic holds it");
+                    let mut observations = self.observations.lock().expect("lock is not poisoned");
                     observations
                         .refused
                         .push(format!("{}: {status} {reason}", job.id));
@@ -209,12 +218,12 @@
         None
     }
 
-    /// Queries an accepted job until it is done, and a few times more: a state that was reported must
-    /// not be taken back.
+    /// Polls an accepted job until it is done, and then until `DONE_POLLS` are made: once reported done, a job
+    /// must stay done.
     fn poll(&self, n: usize, job: &SubmittedJob, deadline: Instant) {
         let path = format!("{PATH_JOBS}/{}", job.id);
         let mut done = false;
-        let mut polls_left = POLLS_AFTER_DONE;
+        let mut polls_left = DONE_POLLS;
         for controller in n + 1.. {
             if Instant::now() >= deadline || polls_left == 0 {
                 return;
@@ -223,7 +232,7 @@
             let state = match self.call(controller, "GET", &path, b"") {
                 Some((200, body)) => serde_json::from_slice::<JobStatus>(&body).ok(),
                 Some((404, _)) => {
-                    let mut observations = self.observations.lock().expect("no panic holds it");
+                    let mut observations = self.observations.lock().expect("lock is not poisoned");
                     let violation = format!("{}: accepted, and then unknown", job.id);
                     return observations.violations.push(violation);
                 }
@@ -238,7 +247,7 @@
                     self.record_done(job);
                 }
                 (true, false) => {
-                    let mut observations = self.observations.lock().expect("no panic holds it");
+                    let mut observations = self.observations.lock().expect("lock is not poisoned");
                     let violation = format!("{}: done, and then {state:?}", job.id);
                     observations.violations.push(violation);
                 }
@@ -248,9 +257,9 @@
         }
     }
 
-    /// A job was reported done to a user: all its tasks must be.
+    /// Records that a job was reported done, and a violation if not all its tasks have completed.
     fn record_done(&self, job: &SubmittedJob) {
-        let mut observations = self.observations.lock().expect("no panic holds it");
+        let mut observations = self.observations.lock().expect("lock is not poisoned");
         observations.done += 1;
         let finished = observations.finish_ms.entry(job.class.clone());
         let finished = finished.or_insert_with(histogram);
@@ -259,15 +268,18 @@
             .cluster_state
             .records
             .lock()
-            .expect("no panic holds it");
+            .expect("lock is not poisoned");
         if records.completed_tasks(&job.id) < job.tasks {
-            let violation = format!("{}: told done before all its tasks were", job.id);
+            let violation = format!(
+                "{}: reported done before all its tasks had completed",
+                job.id
+            );
             observations.violations.push(violation);
         }
     }
 }
 
-/// A job that a user has begun to submit.
+/// A job whose submission has begun.
 struct SubmittedJob {
     id: String,
     class: String,
--- a/crates/standin/src/worker.rs
+++ b/crates/standin/src/worker.rs
@@ -1,4 +1,5 @@
-//! A stand-in machine with its worker: it boots, reports, runs tasks by the clock, and is lost.
+//! A stand-in machine with its worker, which sends heartbeats, executes commands and simulates tasks by
+//! timers. The machine can be reclaimed or deleted.
 
 use crate::records::Records;
 use burlusher::http::{Client, Request, Response};
@@ -12,30 +13,31 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// How long an image takes to fetch.
+/// Time to fetch an image.
 const IMAGE_FETCH_TIME: Duration = Duration::from_millis(300);
-/// How often a worker looks what is due.
+/// Interval between checks for a due heartbeat.
 const TICK: Duration = Duration::from_millis(30);
-/// A change is reported this long after the last heartbeat at the earliest.
+/// Minimum time from a heartbeat to an earlier-than-regular one that reports a change; half the heartbeat interval
+/// if that is shorter.
 const MIN_CHANGE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What all machines share: the jobs that users uploaded, the records, the controllers.
+/// State shared by all machines and users: submitted jobs, records, controllers' addresses.
 pub struct ClusterState {
-    /// Each job, and how long its tasks run.
+    /// Specification of each job and run time of its tasks, by job id.
     pub jobs: Mutex<BTreeMap<String, Arc<(JobSpec, Duration)>>>,
-    /// What the workers record.
+    /// Records of the workers.
     pub records: Mutex<Records>,
     /// Name and public address of each controller.
     pub controller_addrs: Vec<(String, SocketAddrV4)>,
-    /// How often workers send a heartbeat.
+    /// Interval between a worker's heartbeats.
     pub heartbeat_interval: Duration,
-    /// How long workers go on without an answer.
+    /// Duration of a worker's lease: without a response for this long, the worker ends its tasks.
     pub lease: Duration,
 }
 
 impl ClusterState {
-    /// Where a worker turns next: to the controller that it is referred to, or the one after its own. Says as
-    /// well whether it is to wait a second first.
+    /// Returns the controller that a worker contacts next, and whether the worker waits before it does. A redirect
+    /// to another controller is followed at once; otherwise the one after `current` is next, after a delay.
     pub fn next_controller(&self, current: usize, redirect: Option<&str>) -> (usize, bool) {
         let target =
             redirect.and_then(|name| self.controller_addrs.iter().position(|n| n.0 == name));
@@ -55,42 +57,42 @@
 }
 
 struct WorkerState {
-    /// Rises when the worker ends its tasks and begins anew.
+    /// Incremented when the worker's lease expires and the worker drops its tasks.
     incarnation: u64,
-    /// Number of the last heartbeat.
+    /// Sequence number of the last heartbeat.
     sequence: u64,
-    /// The newest fencing token that a controller has shown.
+    /// Highest fencing token seen from a controller.
     fencing_token: u64,
-    /// When the last answered report was sent.
+    /// Time at which the last heartbeat that was answered was sent; the lease runs from then on.
     lease_renewed_at: Instant,
     tasks: BTreeMap<String, Task>,
     images: Vec<String>,
     gone: bool,
     reclaim_at: Option<Instant>,
-    /// Something has changed since the last heartbeat.
+    /// Whether anything has changed since the last heartbeat.
     changed: bool,
 }
 
-/// A machine and its worker.
+/// A simulated machine with its worker.
 pub struct Worker {
-    /// The machine's name.
+    /// Id of the machine.
     pub id: String,
-    /// Where it takes direct commands.
+    /// Address for direct commands.
     pub addr: SocketAddrV4,
-    /// Its machine type.
+    /// Machine type.
     pub machine_type: String,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// Whether it is a spot machine.
+    /// Whether the machine is a spot machine.
     pub spot: bool,
-    /// What tasks may use of it.
+    /// Resources available to tasks.
     pub capacity: Resources,
     cluster_state: Arc<ClusterState>,
     state: Mutex<WorkerState>,
 }
 
 impl Worker {
-    /// A machine that boots; `offer` is its type, its zone and whether it is a spot machine.
+    /// Creates a booting machine; `offer` is its type, its zone and whether it is a spot machine.
     pub fn new(
         id: String,
         addr: SocketAddrV4,
@@ -120,28 +122,28 @@
         }
     }
 
-    /// What it shares with the other machines.
+    /// Returns the state shared with the other machines.
     pub fn cluster_state(&self) -> &Arc<ClusterState> {
         &self.cluster_state
     }
 
-    /// The machine will be taken after this time.
+    /// Announces that the machine is reclaimed after this time.
     pub fn announce_reclaim(&self, after: Duration) {
-        let mut state = self.state.lock().expect("no panic holds it");
+        let mut state = self.state.lock().expect("lock is not poisoned");
         state.reclaim_at = Some(Instant::now() + after);
         state.changed = true;
     }
 
-    /// The machine and everything on it is gone.
+    /// Deletes the machine; its tasks are lost.
     pub fn remove(&self) {
-        let mut state = self.state.lock().expect("no panic holds it");
+        let mut state = self.state.lock().expect("lock is not poisoned");
         self.lose_all_tasks(&mut state);
         state.gone = true;
     }
 
-    /// Whether it was deleted or taken.
+    /// Returns whether the machine was deleted or reclaimed.
     pub fn is_gone(&self) -> bool {
-        self.state.lock().expect("no panic holds it").gone
+        self.state.lock().expect("lock is not poisoned").gone
     }
 
     fn lose_all_tasks(&self, state: &mut WorkerState) {
@@ -149,7 +151,7 @@
             .cluster_state
             .records
             .lock()
-            .expect("no panic holds it");
+            .expect("lock is not poisoned");
         for (task, t) in std::mem::take(&mut state.tasks) {
             if t.state == TaskState::Running
                 && let Some(key) = parse_task_id(&task)
@@ -159,7 +161,7 @@
         }
     }
 
-    /// What the passing of time brings about.
+    /// Applies what is due by now: reclaim of the machine, expiry of the lease, and transitions of tasks.
     fn advance(&self, state: &mut WorkerState) {
         let now = Instant::now();
         if state.reclaim_at.is_some_and(|t| now >= t) && !state.gone {
@@ -180,7 +182,7 @@
                 .cluster_state
                 .records
                 .lock()
-                .expect("no panic holds it");
+                .expect("lock is not poisoned");
             match t.state {
                 TaskState::Fetching => {
                     t.state = TaskState::Running;
@@ -216,13 +218,18 @@
         }
     }
 
-    /// Starts a task, unless the machine has an attempt of it: another one is refused, and not recorded.
+    /// Starts a task, unless the worker knows this attempt or another one has not exited. A task that does not
+    /// fit into the free capacity exits at once.
     fn start(&self, state: &mut WorkerState, task: String, attempt: u64) {
         let known = state.tasks.get(&task);
         if known.is_some_and(|t| t.attempt == attempt || t.state != TaskState::Exited) {
             return;
         }
-        let jobs = self.cluster_state.jobs.lock().expect("no panic holds it");
+        let jobs = self
+            .cluster_state
+            .jobs
+            .lock()
+            .expect("lock is not poisoned");
         let Some(job) = parse_task_id(&task).and_then(|key| jobs.get(&*key.job).cloned()) else {
             return;
         };
@@ -248,7 +255,7 @@
         state.tasks.insert(task, started);
     }
 
-    /// What tasks leave of the machine.
+    /// Returns the resources that no task uses.
     fn free_capacity(&self, state: &WorkerState) -> Resources {
         let mut free = self.capacity;
         let tasks = state.tasks.values();
@@ -271,7 +278,7 @@
                 .cluster_state
                 .records
                 .lock()
-                .expect("no panic holds it");
+                .expect("lock is not poisoned");
             records.record_end(&key.job, key.index, &self.zone, None);
         }
         known.state = TaskState::Exited;
@@ -306,9 +313,10 @@
         }
     }
 
-    /// Direct commands and questions.
+    /// Handles a request of a controller, for its status (GET) or with direct commands (POST). Returns `None` if
+    /// the machine is gone.
     pub fn handle_request(&self, r: &Request) -> Option<Response> {
-        let mut state = self.state.lock().expect("no panic holds it");
+        let mut state = self.state.lock().expect("lock is not poisoned");
         if state.gone {
             return None;
         }
@@ -329,10 +337,10 @@
         Some(Response::new(status, to_json(&heartbeat)))
     }
 
-    /// The report to send now, if one is due: an interval after the last one was sent, or sooner where something
-    /// has changed.
+    /// Returns the heartbeat to send now, if one is due: an interval after the last one was sent, or sooner if
+    /// something has changed.
     pub fn due_heartbeat(&self, last_sent: Instant) -> Option<Vec<u8>> {
-        let mut state = self.state.lock().expect("no panic holds it");
+        let mut state = self.state.lock().expect("lock is not poisoned");
         self.advance(&mut state);
         let interval = self.cluster_state.heartbeat_interval;
         let change_interval = (interval / 2).min(MIN_CHANGE_INTERVAL);
@@ -345,7 +353,7 @@
         Some(to_json(&self.heartbeat(&mut state)))
     }
 
-    /// Reports until the machine is gone.
+    /// Sends heartbeats until the machine is gone.
     pub fn run(&self) {
         let mut controller = 0;
         let mut client = Client::new(
@@ -386,9 +394,10 @@
         }
     }
 
-    /// The answer to a report that was sent at this moment.
+    /// Handles the response to a heartbeat that was sent at `sent`: renews the lease and executes the commands.
+    /// Ignores a response with a lower fencing token, or after expiry of the lease.
     pub fn handle_response(&self, response: HeartbeatResponse, sent: Instant) {
-        let mut state = self.state.lock().expect("no panic holds it");
+        let mut state = self.state.lock().expect("lock is not poisoned");
         if response.fencing_token < state.fencing_token
             || state.gone
             || Instant::now() > state.lease_renewed_at + self.cluster_state.lease
