--- a/src/core/machines/cloud_calls.rs
+++ b/src/core/machines/cloud_calls.rs
@@ -244,7 +244,7 @@
         leader.cloud.listed_machines = list.len();
         // Each further page of the list took one more call.
         for _ in 0..list.len() / MACHINES_PER_PAGE {
-            self.cloud_budget.take(now);
+            self.cloud_budget.reserve(now);
         }
         self.observe_listed_machines(sent, &list);
     }
--- a/src/http/connection.rs
+++ b/src/http/connection.rs
@@ -103,7 +103,7 @@
         self: &Arc<Self>,
         readable: bool,
         ended: bool,
-        scratch: &mut [u8],
+        read_buffer: &mut [u8],
         now: Instant,
     ) -> Progress {
         let mut state = self.lock();
@@ -134,7 +134,7 @@
                 }
                 Ok(None) => {}
             }
-            if state.parser.take_expectation()
+            if state.parser.take_expects_continue()
                 && (&self.stream)
                     .write_all(b"HTTP/1.1 100 Continue\r\n\r\n")
                     .is_err()
@@ -145,7 +145,7 @@
             if !state.readable {
                 return Progress::Wait(state.parser.len());
             }
-            if let Err(e) = self.read(&mut state, ended, scratch, now) {
+            if let Err(e) = self.read(&mut state, ended, read_buffer, now) {
                 tracing::trace!(error = %e, "connection ended");
                 state.phase = Phase::Closed;
                 return Progress::Closed;
@@ -159,17 +159,17 @@
         &self,
         state: &mut State,
         ended: bool,
-        scratch: &mut [u8],
+        read_buffer: &mut [u8],
         now: Instant,
     ) -> io::Result<()> {
-        match (&self.stream).read(scratch) {
+        match (&self.stream).read(read_buffer) {
             Ok(0) => Err(io::ErrorKind::UnexpectedEof.into()),
             Ok(length) => {
                 if state.parser.is_empty() {
                     state.deadline = now + REQUEST_TIMEOUT;
                 }
-                state.parser.extend(&scratch[..length]);
-                state.readable = ended || length == scratch.len();
+                state.parser.extend(&read_buffer[..length]);
+                state.readable = ended || length == read_buffer.len();
                 Ok(())
             }
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -92,7 +92,7 @@
     }
 
     /// The same response with another media type, unless it is an error.
-    pub fn of_type(mut self, content_type: &'static str) -> Response {
+    pub fn with_content_type(mut self, content_type: &'static str) -> Response {
         if self.status == 200 {
             self.content_type = content_type;
         }
--- a/src/http/parser.rs
+++ b/src/http/parser.rs
@@ -77,7 +77,7 @@
     }
 
     /// Whether the client waits for "100 Continue" before it sends the body. True once a request.
-    pub fn take_expectation(&mut self) -> bool {
+    pub fn take_expects_continue(&mut self) -> bool {
         let head = self.head.as_mut();
         head.is_some_and(|head| std::mem::take(&mut head.expects_continue))
     }
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -19,11 +19,11 @@
 
 const LISTENER: Token = Token(0);
 /// Events taken with one call.
-const EVENTS_AT_A_TIME: usize = 256;
+const EVENTS_PER_POLL: usize = 256;
 /// Connections accepted before those that are open have their turn again.
-const ACCEPTS_AT_A_TIME: usize = 64;
+const ACCEPTS_PER_POLL: usize = 64;
 /// Requests handled before health checks have their turn again.
-const REQUESTS_AT_A_TIME: usize = 32;
+const REQUESTS_PER_POLL: usize = 32;
 /// One read takes so much.
 const READ_BYTES: usize = 16 * 1024;
 /// How often the handler is called without a request.
@@ -31,7 +31,7 @@
 /// How often connections are looked through for those that are over.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 /// Out of sockets, say: wait for some to close instead of spinning.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const RETRY_PAUSE: Duration = Duration::from_millis(50);
 /// While the handler defers requests, it is asked again after this long.
 const DEFER_PAUSE: Duration = Duration::from_millis(25);
 /// Bytes of incomplete requests that may be held for all connections together.
@@ -78,26 +78,26 @@
     /// Of these, workers'.
     pub workers: usize,
     /// Of these, without a whole request so far. The oldest one gives way to a new one.
-    pub newcomers: usize,
+    pub unclassified: usize,
 }
 
 impl Limits {
-    /// Keeps an eighth from workers, and half of that from newcomers too.
+    /// Keeps an eighth from workers, and half of that from unclassified too.
     pub fn with_reserve(connections: usize) -> Limits {
         let reserve = (connections / 8).max(MIN_RESERVE).min(connections / 2);
         Limits {
             connections,
             workers: connections - reserve,
-            newcomers: (reserve / 2).max(1),
+            unclassified: (reserve / 2).max(1),
         }
     }
 
     /// No shares: the first to come are served.
-    pub fn without_shares(connections: usize) -> Limits {
+    pub fn without_reserve(connections: usize) -> Limits {
         Limits {
             connections,
             workers: connections,
-            newcomers: connections,
+            unclassified: connections,
         }
     }
 }
@@ -114,14 +114,14 @@
 #[derive(Default)]
 struct ConnectionTable {
     entries: HashMap<Token, Entry>,
-    newcomers: BTreeSet<Token>,
+    unclassified: BTreeSet<Token>,
     workers: usize,
     buffered: usize,
 }
 
 impl ConnectionTable {
     fn insert(&mut self, token: Token, connection: Arc<Connection>) {
-        self.newcomers.insert(token);
+        self.unclassified.insert(token);
         let entry = Entry {
             connection,
             class: None,
@@ -132,7 +132,7 @@
 
     fn remove(&mut self, token: Token) -> Option<Entry> {
         let entry = self.entries.remove(&token)?;
-        self.newcomers.remove(&token);
+        self.unclassified.remove(&token);
         self.workers -= usize::from(entry.class == Some(ConnectionClass::Worker));
         self.buffered -= entry.buffered;
         Some(entry)
@@ -154,7 +154,7 @@
             self.workers += 1;
         }
         entry.class = Some(class);
-        self.newcomers.remove(&token);
+        self.unclassified.remove(&token);
         true
     }
 
@@ -191,7 +191,7 @@
     accept_after: Option<Instant>,
     /// Requests that wait for their turn.
     backlog: VecDeque<(Request, Responder)>,
-    scratch: Vec<u8>,
+    read_buffer: Vec<u8>,
 }
 
 impl Server {
@@ -215,13 +215,13 @@
             last_token: LISTENER.0,
             accept_after: None,
             backlog: VecDeque::new(),
-            scratch: vec![0; READ_BYTES],
+            read_buffer: vec![0; READ_BYTES],
         })
     }
 
     /// Serves for the rest of the process's life.
     pub fn run(mut self, mut handler: impl Handler) -> ! {
-        let mut events = Events::with_capacity(EVENTS_AT_A_TIME);
+        let mut events = Events::with_capacity(EVENTS_PER_POLL);
         let mut last_tick = Instant::now();
         let mut last_sweep = last_tick;
         loop {
@@ -230,14 +230,14 @@
                 && e.kind() != io::ErrorKind::Interrupted
             {
                 tracing::warn!(error = %e, "connections not watched");
-                std::thread::sleep(ACCEPT_PAUSE);
+                std::thread::sleep(RETRY_PAUSE);
             }
             let now = Instant::now();
             for event in &events {
                 self.handle_event(event, &mut handler, now);
             }
             self.accept(now);
-            self.work_through_backlog(&mut handler);
+            self.process_backlog(&mut handler);
             if now >= last_tick + TICK_INTERVAL {
                 last_tick = now;
                 handler.tick(now);
@@ -275,7 +275,7 @@
         let ended = event.is_read_closed() || event.is_error();
         let readable = event.is_readable() || ended;
         let connection = entry.connection.clone();
-        let progress = connection.advance(readable, ended, &mut self.scratch, now);
+        let progress = connection.advance(readable, ended, &mut self.read_buffer, now);
         let buffered = match progress {
             Progress::Wait(buffered) => buffered,
             _ => 0,
@@ -314,8 +314,8 @@
         }
     }
 
-    fn work_through_backlog(&mut self, handler: &mut impl Handler) {
-        for _ in 0..REQUESTS_AT_A_TIME {
+    fn process_backlog(&mut self, handler: &mut impl Handler) {
+        for _ in 0..REQUESTS_PER_POLL {
             if self.backlog.is_empty() || handler.defers_requests() {
                 return;
             }
@@ -329,7 +329,7 @@
         if self.accept_after.is_none_or(|at| now < at) {
             return;
         }
-        for _ in 0..ACCEPTS_AT_A_TIME {
+        for _ in 0..ACCEPTS_PER_POLL {
             match self.listener.accept() {
                 Ok((stream, _)) => self.admit(stream, now),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
@@ -338,7 +338,7 @@
                 }
                 Err(e) => {
                     tracing::debug!(error = %e, "connection not accepted");
-                    self.accept_after = Some(now + ACCEPT_PAUSE);
+                    self.accept_after = Some(now + RETRY_PAUSE);
                     return;
                 }
             }
@@ -359,8 +359,8 @@
             connection.reject(&too_many_connections());
             return;
         }
-        if self.table.newcomers.len() >= self.limits.newcomers
-            && let Some(oldest) = self.table.newcomers.first().copied()
+        if self.table.unclassified.len() >= self.limits.unclassified
+            && let Some(oldest) = self.table.unclassified.first().copied()
             && let Some(entry) = self.table.remove(oldest)
         {
             entry.connection.reject(&too_many_connections());
@@ -383,7 +383,7 @@
     max_connections: usize,
     handle: Arc<BlockingHandler>,
 ) {
-    match Server::new(listener, Limits::without_shares(max_connections)) {
+    match Server::new(listener, Limits::without_reserve(max_connections)) {
         Ok(server) => server.run(ThreadPerRequest {
             handle,
             spawn_failure_logged: false,
--- a/src/http/tests.rs
+++ b/src/http/tests.rs
@@ -7,20 +7,20 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::thread::ThreadId;
 
-fn server(most: usize) -> SocketAddr {
+fn echo_body_server(max_connections: usize) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
     std::thread::spawn(move || {
         serve(
             listener,
-            most,
+            max_connections,
             Arc::new(|r: Request| Some(Response::new(200, r.body))),
         )
     });
     addr
 }
 
-fn raw(addr: SocketAddr, bytes: &[u8]) -> String {
+fn send_raw(addr: SocketAddr, bytes: &[u8]) -> String {
     let mut s = TcpStream::connect(addr).unwrap();
     s.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
     let _ = s.write_all(bytes);
@@ -31,45 +31,45 @@
 }
 
 #[test]
-fn broken_requests_are_refused_and_others_are_still_served() {
-    let addr = server(3);
-    assert!(raw(addr, b"nonsense\r\n\r\n").starts_with("HTTP/1.1 400"));
-    let big = b"POST / HTTP/1.1\r\nContent-Length: 65537\r\n\r\n";
-    let answer = raw(addr, big);
-    assert!(answer.starts_with("HTTP/1.1 413") && answer.contains("Connection: close"));
-    let minus = b"POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n";
-    assert!(raw(addr, minus).starts_with("HTTP/1.1 400"));
+fn malformed_requests_are_rejected_and_others_are_still_served() {
+    let addr = echo_body_server(3);
+    assert!(send_raw(addr, b"nonsense\r\n\r\n").starts_with("HTTP/1.1 400"));
+    let oversized = b"POST / HTTP/1.1\r\nContent-Length: 65537\r\n\r\n";
+    let response = send_raw(addr, oversized);
+    assert!(response.starts_with("HTTP/1.1 413") && response.contains("Connection: close"));
+    let negative = b"POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n";
+    assert!(send_raw(addr, negative).starts_with("HTTP/1.1 400"));
     let chunked = b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n";
-    assert!(raw(addr, chunked).starts_with("HTTP/1.1 501"));
+    assert!(send_raw(addr, chunked).starts_with("HTTP/1.1 501"));
     let long = [b"GET /".as_slice(), &[b'a'; 10_000]].concat();
-    assert!(raw(addr, &long).starts_with("HTTP/1.1 431"));
-    assert_eq!(raw(addr, b"GET / HTTP/1.1\r\nContent-Le"), "");
+    assert!(send_raw(addr, &long).starts_with("HTTP/1.1 431"));
+    assert_eq!(send_raw(addr, b"GET / HTTP/1.1\r\nContent-Le"), "");
 
     let SocketAddr::V4(v4) = addr else { panic!() };
     let mut client = Client::new(v4, Duration::from_secs(1));
     for n in 0..3 {
         let body = format!("call {n}").into_bytes();
-        let answer = client.call("POST", "/", &body, Duration::from_secs(5));
-        assert_eq!(answer, Ok(ClientResponse { status: 200, body }));
+        let response = client.call("POST", "/", &body, Duration::from_secs(5));
+        assert_eq!(response, Ok(ClientResponse { status: 200, body }));
     }
 }
 
 #[test]
-fn connections_over_the_bound_get_retry_after() {
-    let addr = server(1);
+fn connections_over_the_limit_get_retry_after() {
+    let addr = echo_body_server(1);
     let held = TcpStream::connect(addr).unwrap();
     std::thread::sleep(Duration::from_millis(100));
-    let answer = raw(addr, b"GET / HTTP/1.1\r\n\r\n");
+    let response = send_raw(addr, b"GET / HTTP/1.1\r\n\r\n");
     assert!(
-        answer.is_empty() || answer.contains("Retry-After"),
-        "{answer}"
+        response.is_empty() || response.contains("Retry-After"),
+        "{response}"
     );
     drop(held);
 }
 
-const WORKER: &[u8] = b"POST /hello HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}";
-const USER: &[u8] = b"GET /jobs HTTP/1.1\r\n\r\n";
-const HEALTH: &[u8] = b"GET /ready HTTP/1.1\r\n\r\n";
+const HEARTBEAT_REQUEST: &[u8] = b"POST /hello HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}";
+const USER_REQUEST: &[u8] = b"GET /jobs HTTP/1.1\r\n\r\n";
+const HEALTH_REQUEST: &[u8] = b"GET /ready HTTP/1.1\r\n\r\n";
 const BIG_BODY: usize = 8 * 1024 * 1024;
 
 /// Answers with the path, and notes which threads it was called on.
@@ -109,7 +109,7 @@
     addr
 }
 
-fn echo(limits: Limits) -> SocketAddr {
+fn start_echo(limits: Limits) -> SocketAddr {
     let threads = Arc::default();
     start(limits, Echo { threads })
 }
@@ -122,7 +122,7 @@
 }
 
 /// Reads one answer; empty if the connection ends instead.
-fn answer(stream: &mut TcpStream) -> String {
+fn read_response(stream: &mut TcpStream) -> String {
     let mut text = Vec::new();
     let mut byte = [0];
     while !text.ends_with(b"\r\n\r\n") {
@@ -139,17 +139,17 @@
     head + &String::from_utf8(body).unwrap()
 }
 
-fn ask(stream: &mut TcpStream, request: &[u8]) -> String {
+fn exchange(stream: &mut TcpStream, request: &[u8]) -> String {
     // A server that turns the connection away may have closed it.
     let _ = stream.write_all(request);
-    answer(stream)
+    read_response(stream)
 }
 
 /// Kept connections of workers that have reported once.
-fn workers_at(addr: SocketAddr, count: usize) -> Vec<TcpStream> {
+fn connect_workers(addr: SocketAddr, count: usize) -> Vec<TcpStream> {
     let worker = |_| {
         let mut stream = connect(addr);
-        assert!(ask(&mut stream, WORKER).starts_with("HTTP/1.1 200"));
+        assert!(exchange(&mut stream, HEARTBEAT_REQUEST).starts_with("HTTP/1.1 200"));
         stream
     };
     (0..count).map(worker).collect()
@@ -188,7 +188,7 @@
     std::fs::read_dir("/proc/self/task").unwrap().count()
 }
 
-fn serves_kept_connections(wanted: usize) {
+fn check_persistent_connections(wanted: usize) {
     let (count, _guard) = many_connections(wanted);
     let threads: Arc<Mutex<HashSet<ThreadId>>> = Arc::default();
     let handler = Echo {
@@ -196,13 +196,13 @@
     };
     let addr = start(Limits::with_reserve(count + count / 4 + 64), handler);
     let before = threads_of_this_process();
-    let mut streams = workers_at(addr, count);
+    let mut streams = connect_workers(addr, count);
     // All at once, over the connections that are kept.
     for stream in &mut streams {
-        stream.write_all(WORKER).unwrap();
+        stream.write_all(HEARTBEAT_REQUEST).unwrap();
     }
     for stream in &mut streams {
-        assert!(answer(stream).starts_with("HTTP/1.1 200"));
+        assert!(read_response(stream).starts_with("HTTP/1.1 200"));
     }
     assert_eq!(threads.lock().unwrap().len(), 1);
     // Other tests run beside this one.
@@ -211,112 +211,116 @@
 
 #[test]
 fn four_thousand_connections_share_a_thread() {
-    serves_kept_connections(4000);
+    check_persistent_connections(4000);
 }
 
 #[test]
 fn six_thousand_connections_share_a_thread() {
-    serves_kept_connections(6000);
+    check_persistent_connections(6000);
 }
 
 #[test]
 fn slow_peers_leave_room_for_users_and_health_checks() {
     let limits = Limits::with_reserve(160);
-    assert_eq!((limits.workers, limits.newcomers), (96, 32));
-    let addr = echo(limits);
-    let mut workers = workers_at(addr, limits.workers);
+    assert_eq!((limits.workers, limits.unclassified), (96, 32));
+    let addr = start_echo(limits);
+    let mut workers = connect_workers(addr, limits.workers);
     for worker in &mut workers {
         // From here on a byte at a time.
-        worker.write_all(&WORKER[..1]).unwrap();
+        worker.write_all(&HEARTBEAT_REQUEST[..1]).unwrap();
     }
-    let refused = ask(&mut connect(addr), WORKER);
+    let refused = exchange(&mut connect(addr), HEARTBEAT_REQUEST);
     assert!(refused.starts_with("HTTP/1.1 503"), "{refused}");
     assert!(refused.contains("Retry-After: 2") && refused.contains("Connection: close"));
 
     // Many more that never come to the end of a request. Each one that is new is served at the
     // expense of the oldest of these.
     let mut slow = Vec::new();
-    for n in 0..4 * limits.newcomers {
+    for n in 0..4 * limits.unclassified {
         let mut stream = connect(addr);
-        stream.write_all(&WORKER[..1 + n % 20]).unwrap();
+        stream.write_all(&HEARTBEAT_REQUEST[..1 + n % 20]).unwrap();
         slow.push(stream);
-        assert!(ask(&mut connect(addr), HEALTH).ends_with("/ready"));
-        assert!(ask(&mut connect(addr), USER).ends_with("/jobs"));
+        assert!(exchange(&mut connect(addr), HEALTH_REQUEST).ends_with("/ready"));
+        assert!(exchange(&mut connect(addr), USER_REQUEST).ends_with("/jobs"));
     }
-    assert!(answer(&mut slow[0]).starts_with("HTTP/1.1 503"));
+    assert!(read_response(&mut slow[0]).starts_with("HTTP/1.1 503"));
     // The last of them has kept its place, but it turns out to be a worker's; the workers that were
     // first have lost nothing.
     let last = slow.last_mut().unwrap();
-    let sent = 1 + (4 * limits.newcomers - 1) % 20;
-    assert!(ask(last, &WORKER[sent..]).starts_with("HTTP/1.1 503"));
+    let sent = 1 + (4 * limits.unclassified - 1) % 20;
+    assert!(exchange(last, &HEARTBEAT_REQUEST[sent..]).starts_with("HTTP/1.1 503"));
     for worker in &mut workers {
-        assert!(ask(worker, &WORKER[1..]).starts_with("HTTP/1.1 200"));
+        assert!(exchange(worker, &HEARTBEAT_REQUEST[1..]).starts_with("HTTP/1.1 200"));
     }
 }
 
 #[test]
-fn the_place_of_a_worker_that_has_gone_is_free_again() {
+fn closed_worker_connections_free_their_slots() {
     let limits = Limits::with_reserve(20);
-    let addr = echo(limits);
+    let addr = start_echo(limits);
     for _ in 0..10 {
-        drop(workers_at(addr, limits.workers));
+        drop(connect_workers(addr, limits.workers));
         // The ends of these connections are read before what comes on new ones.
-        assert!(ask(&mut connect(addr), HEALTH).starts_with("HTTP/1.1 200"));
+        assert!(exchange(&mut connect(addr), HEALTH_REQUEST).starts_with("HTTP/1.1 200"));
     }
 }
 
 #[test]
 fn a_client_that_does_not_read_its_response_delays_no_other() {
-    let addr = echo(Limits::with_reserve(200));
+    let addr = start_echo(Limits::with_reserve(200));
     let mut slow: Vec<TcpStream> = (0..8).map(|_| connect(addr)).collect();
     for stream in &mut slow {
         stream.write_all(b"GET /big HTTP/1.1\r\n\r\n").unwrap();
-        stream.write_all(USER).unwrap();
+        stream.write_all(USER_REQUEST).unwrap();
     }
     for _ in 0..20 {
-        assert!(ask(&mut connect(addr), USER).ends_with("/jobs"));
+        assert!(exchange(&mut connect(addr), USER_REQUEST).ends_with("/jobs"));
     }
     for stream in &mut slow {
-        let big = answer(stream);
-        assert!(big.starts_with("HTTP/1.1 200") && big.len() > BIG_BODY);
-        assert!(answer(stream).ends_with("/jobs"));
+        let large = read_response(stream);
+        assert!(large.starts_with("HTTP/1.1 200") && large.len() > BIG_BODY);
+        assert!(read_response(stream).ends_with("/jobs"));
     }
 }
 
 #[test]
-fn requests_that_come_together_are_answered_in_turn() {
-    let addr = echo(Limits::with_reserve(200));
+fn pipelined_requests_are_answered_in_order() {
+    let addr = start_echo(Limits::with_reserve(200));
     let mut stream = connect(addr);
-    let (begun, rest) = HEALTH.split_at(9);
-    stream.write_all(&[USER, WORKER, begun].concat()).unwrap();
-    assert!(answer(&mut stream).ends_with("/jobs"));
-    assert!(answer(&mut stream).ends_with("/hello"));
-    assert!(ask(&mut stream, rest).ends_with("/ready"));
+    let (start, rest) = HEALTH_REQUEST.split_at(9);
+    stream
+        .write_all(&[USER_REQUEST, HEARTBEAT_REQUEST, start].concat())
+        .unwrap();
+    assert!(read_response(&mut stream).ends_with("/jobs"));
+    assert!(read_response(&mut stream).ends_with("/hello"));
+    assert!(exchange(&mut stream, rest).ends_with("/ready"));
     // The peer's end behind a request keeps it from nothing but a next one.
-    stream.write_all(&[USER, USER].concat()).unwrap();
+    stream
+        .write_all(&[USER_REQUEST, USER_REQUEST].concat())
+        .unwrap();
     stream.shutdown(Shutdown::Write).unwrap();
-    assert!(answer(&mut stream).ends_with("/jobs"));
-    assert!(answer(&mut stream).ends_with("/jobs"));
-    assert_eq!(answer(&mut stream), "");
+    assert!(read_response(&mut stream).ends_with("/jobs"));
+    assert!(read_response(&mut stream).ends_with("/jobs"));
+    assert_eq!(read_response(&mut stream), "");
 }
 
 #[test]
-fn a_body_is_asked_for_where_the_peer_waits_for_that() {
-    let mut stream = connect(echo(Limits::with_reserve(200)));
+fn expect_header_is_answered_with_100_continue() {
+    let mut stream = connect(start_echo(Limits::with_reserve(200)));
     let head = b"POST /jobs HTTP/1.1\r\nContent-Length: 2\r\nExpect: 100-continue\r\n\r\n";
     stream.write_all(head).unwrap();
     let mut interim = [0; 25];
     stream.read_exact(&mut interim).unwrap();
     assert_eq!(&interim, b"HTTP/1.1 100 Continue\r\n\r\n");
-    assert!(ask(&mut stream, b"{}").ends_with("/jobs"));
+    assert!(exchange(&mut stream, b"{}").ends_with("/jobs"));
 }
 
 #[test]
-fn an_answer_that_comes_too_late_is_not_sent() {
-    let addr = echo(Limits::with_reserve(200));
+fn expired_and_missing_responses_close_the_connection() {
+    let addr = start_echo(Limits::with_reserve(200));
     for path in ["/late", "/silent"] {
         let request = format!("GET {path} HTTP/1.1\r\n\r\n");
-        assert_eq!(raw(addr, request.as_bytes()), "");
+        assert_eq!(send_raw(addr, request.as_bytes()), "");
     }
 }
 
@@ -334,7 +338,7 @@
 }
 
 #[test]
-fn answers_may_be_given_later_and_in_any_order() {
+fn responses_may_be_sent_later_and_in_any_order() {
     let (sender, receiver) = channel();
     let addr = start(Limits::with_reserve(200), Deferred(sender));
     let mut streams: Vec<TcpStream> = (0..20).map(|_| connect(addr)).collect();
@@ -342,18 +346,18 @@
         let request = format!("GET /{n} HTTP/1.1\r\n\r\n");
         stream.write_all(request.as_bytes()).unwrap();
     }
-    let mut asked: Vec<_> = (0..20).map(|_| receiver.recv().unwrap()).collect();
-    asked.sort_by_key(|(path, _)| std::cmp::Reverse(path.clone()));
-    for (path, responder) in asked {
+    let mut pending: Vec<_> = (0..20).map(|_| receiver.recv().unwrap()).collect();
+    pending.sort_by_key(|(path, _)| std::cmp::Reverse(path.clone()));
+    for (path, responder) in pending {
         responder.send(&Response::new(200, path.into_bytes()));
     }
     for (n, stream) in streams.iter_mut().enumerate() {
-        assert!(answer(stream).ends_with(&format!("\r\n/{n}")));
+        assert!(read_response(stream).ends_with(&format!("\r\n/{n}")));
     }
 }
 
 #[test]
-fn a_request_that_takes_too_long_ends_its_connection() {
+fn slow_requests_and_idle_connections_time_out() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut client = connect(listener.local_addr().unwrap());
     let (stream, _) = listener.accept().unwrap();
@@ -361,14 +365,14 @@
     let poll = mio::Poll::new().unwrap();
     let registry = Arc::new(poll.registry().try_clone().unwrap());
     let stream = mio::net::TcpStream::from_std(stream);
-    let begun = Instant::now();
-    let after = |seconds| begun + Duration::from_secs(seconds);
-    let connection = Connection::register(stream, mio::Token(1), &registry, begun).unwrap();
+    let start = Instant::now();
+    let after = |seconds| start + Duration::from_secs(seconds);
+    let connection = Connection::register(stream, mio::Token(1), &registry, start).unwrap();
     assert!(!connection.is_finished(after(74)) && connection.is_finished(after(75)));
 
     // Bytes that go on coming do not put the end off.
     for second in 20..28 {
-        client.write_all(&USER[..1]).unwrap();
+        client.write_all(&USER_REQUEST[..1]).unwrap();
         std::thread::sleep(Duration::from_millis(10));
         let progress = connection.advance(true, false, &mut [0; 64], after(second));
         assert!(matches!(progress, Progress::Wait(held) if held as u64 == second - 19));
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -30,7 +30,7 @@
     Level(#[from] UnknownLevel),
     /// The process has a log already.
     #[error(transparent)]
-    Started(#[from] SetGlobalDefaultError),
+    AlreadyStarted(#[from] SetGlobalDefaultError),
 }
 
 /// A level that does not exist.
@@ -44,12 +44,12 @@
 /// # Errors
 /// The level is unknown, or the process has a log already.
 pub fn start(format: LogFormat, level: Option<&str>) -> Result<(), LoggingError> {
-    let level = parse(level)?;
+    let level = parse_level(level)?;
     let subscriber = subscriber(format, level, std::io::stderr);
     Ok(tracing::subscriber::set_global_default(subscriber)?)
 }
 
-fn parse(level: Option<&str>) -> Result<LevelFilter, UnknownLevel> {
+fn parse_level(level: Option<&str>) -> Result<LevelFilter, UnknownLevel> {
     match level.map(str::trim).filter(|level| !level.is_empty()) {
         None => Ok(LevelFilter::INFO),
         Some(level) => level.parse().map_err(|_| UnknownLevel(level.to_string())),
--- a/src/logging/tests.rs
+++ b/src/logging/tests.rs
@@ -3,9 +3,9 @@
 use std::sync::{Arc, Mutex};
 
 #[derive(Clone, Default)]
-struct Memory(Arc<Mutex<Vec<u8>>>);
+struct SharedBuffer(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Memory {
+impl Write for SharedBuffer {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
         self.0.lock().unwrap().extend_from_slice(buf);
         Ok(buf.len())
@@ -15,43 +15,46 @@
     }
 }
 
-fn logged(format: LogFormat, level: &str) -> String {
-    let memory = Memory::default();
-    let writer = memory.clone();
-    let subscriber = super::subscriber(format, parse(Some(level)).unwrap(), move || writer.clone());
+fn log_output(format: LogFormat, level: &str) -> String {
+    let buffer = SharedBuffer::default();
+    let writer = buffer.clone();
+    let subscriber = super::subscriber(format, parse_level(Some(level)).unwrap(), move || {
+        writer.clone()
+    });
     tracing::subscriber::with_default(subscriber, || {
         let id = "i-000231";
         tracing::info!(machine = %id, term = 7, "machine {id}: taken on");
         tracing::debug!("not at info");
     });
-    let text = memory.0.lock().unwrap().clone();
+    let text = buffer.0.lock().unwrap().clone();
     String::from_utf8(text).unwrap()
 }
 
 #[test]
-fn a_line_is_text_or_json_with_fields() {
-    let text = logged(LogFormat::Text, "info");
+fn lines_are_text_or_json_with_fields() {
+    let text = log_output(LogFormat::Text, "info");
     assert!(
         text.ends_with(" INFO ] machine i-000231: taken on machine=i-000231 term=7\n"),
         "{text}"
     );
-    assert_eq!(logged(LogFormat::Text, "debug").lines().count(), 2);
-    let json: serde_json::Value = serde_json::from_str(&logged(LogFormat::Json, "info")).unwrap();
+    assert_eq!(log_output(LogFormat::Text, "debug").lines().count(), 2);
+    let json: serde_json::Value =
+        serde_json::from_str(&log_output(LogFormat::Json, "info")).unwrap();
     assert_eq!(json["machine"], "i-000231");
     assert_eq!(json["term"], 7);
     assert_eq!(json["message"], "machine i-000231: taken on");
-    assert_eq!(logged(LogFormat::Json, "error"), "");
+    assert_eq!(log_output(LogFormat::Json, "error"), "");
     assert!(
-        parse(Some("loud"))
+        parse_level(Some("loud"))
             .unwrap_err()
             .to_string()
             .contains("loud")
     );
-    assert_eq!(parse(None), Ok(LevelFilter::INFO));
+    assert_eq!(parse_level(None), Ok(LevelFilter::INFO));
 }
 
 #[test]
-fn a_value_of_several_words_is_quoted() {
+fn values_with_spaces_are_quoted() {
     assert_eq!(quoted("i-000231".into()), "i-000231");
     assert_eq!(quoted("no answer".into()), "\"no answer\"");
     assert_eq!(quoted(String::new()), "\"\"");
--- a/src/main.rs
+++ b/src/main.rs
@@ -7,7 +7,7 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    burlusher::service::limit_memory_pools();
+    burlusher::service::limit_malloc_arenas();
     match cli::run(cli::Cli::parse()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
--- a/src/rate_limiter.rs
+++ b/src/rate_limiter.rs
@@ -47,7 +47,7 @@
     }
 
     /// Takes one call from the budget and returns how long to wait before making it.
-    pub fn take(&mut self, now: Instant) -> Duration {
+    pub fn reserve(&mut self, now: Instant) -> Duration {
         self.available = self.available(now) - 1.0;
         if self.available >= 0.0 {
             Duration::ZERO
--- a/src/service/admission_gate.rs
+++ b/src/service/admission_gate.rs
@@ -16,7 +16,7 @@
 }
 
 struct State<T> {
-    free_places: usize,
+    free_slots: usize,
     queue: VecDeque<WaitingItem<T>>,
     queued_bytes: usize,
 }
@@ -41,10 +41,10 @@
 
 impl<T> AdmissionGate<T> {
     /// A gate with so many places.
-    pub fn new(places: usize) -> AdmissionGate<T> {
+    pub fn new(slots: usize) -> AdmissionGate<T> {
         AdmissionGate {
             state: Mutex::new(State {
-                free_places: places,
+                free_slots: slots,
                 queue: VecDeque::new(),
                 queued_bytes: 0,
             }),
@@ -52,10 +52,10 @@
     }
 
     /// Takes a place for an item that keeps so many bytes while it waits.
-    pub fn enter(&self, item: T, bytes: usize, now: Instant) -> Admission<T> {
+    pub fn admit(&self, item: T, bytes: usize, now: Instant) -> Admission<T> {
         let mut state = lock(&self.state);
-        if state.free_places > 0 {
-            state.free_places -= 1;
+        if state.free_slots > 0 {
+            state.free_slots -= 1;
             return Admission::Admitted(item);
         }
         if state.queued_bytes + bytes > MAX_WAITING_BYTES {
@@ -71,11 +71,11 @@
     }
 
     /// Gives a place back. The item that has waited longest, if any, has it from then on.
-    pub fn leave(&self) -> Option<T> {
+    pub fn release(&self) -> Option<T> {
         let mut state = lock(&self.state);
         let next = state.pop();
         if next.is_none() {
-            state.free_places += 1;
+            state.free_slots += 1;
         }
         next
     }
--- a/src/service/inbox.rs
+++ b/src/service/inbox.rs
@@ -150,14 +150,14 @@
     }
 
     /// Passes a worker's heartbeat on as soon as there is a place for it.
-    pub fn heartbeat(&self, body: Vec<u8>, responder: Responder) {
+    pub fn receive_heartbeat(&self, body: Vec<u8>, responder: Responder) {
         let bytes = body.len();
         let heartbeat = UnparsedHeartbeat { body, responder };
         let gate = &self.shared.heartbeats;
-        match gate.enter(heartbeat, bytes, Instant::now()) {
+        match gate.admit(heartbeat, bytes, Instant::now()) {
             Admission::Admitted(heartbeat) => {
                 if !self.enqueue_heartbeat(heartbeat) {
-                    self.leave_gate();
+                    self.release_slot();
                 }
             }
             Admission::Queued => {}
@@ -189,8 +189,8 @@
     }
 
     /// Gives a heartbeat's place to those that wait, until one of them keeps it.
-    fn leave_gate(&self) {
-        while let Some(next) = self.shared.heartbeats.leave() {
+    fn release_slot(&self) {
+        while let Some(next) = self.shared.heartbeats.release() {
             if self.enqueue_heartbeat(next) {
                 return;
             }
@@ -209,11 +209,11 @@
         match reply_to {
             ReplyTo::Client(responder) => responder.send(&response),
             ReplyTo::MetricsClient(responder, content_type) => {
-                responder.send(&response.of_type(content_type));
+                responder.send(&response.with_content_type(content_type));
             }
             ReplyTo::Worker(responder) => {
                 responder.send(&response);
-                self.leave_gate();
+                self.release_slot();
             }
             ReplyTo::Thread(sender) => {
                 let _ = sender.try_send(response);
@@ -250,7 +250,7 @@
     }
 
     /// The commands of the owner's next step; none when nothing came for as long as `wait`.
-    pub fn next(&self, wait: Duration) -> Vec<Command> {
+    pub fn next_commands(&self, wait: Duration) -> Vec<Command> {
         let mut queue = lock(&self.shared.queue);
         if queue.is_empty() {
             queue.owner_idle = true;
--- a/src/service/lease_keeper.rs
+++ b/src/service/lease_keeper.rs
@@ -51,7 +51,7 @@
     }
 
     /// Whether a request of the owner has yet to be followed.
-    fn has_request(&self) -> bool {
+    fn has_pending_request(&self) -> bool {
         self.release.load(Ordering::Relaxed) || self.replace.load(Ordering::Relaxed)
     }
 }
@@ -85,22 +85,22 @@
             let started = Instant::now();
             // The process stood still or had no processor; the log shows it beside what came of it.
             let late = started.saturating_duration_since(due);
-            if is_long(late) {
+            if exceeds_log_threshold(late) {
                 tracing::warn!(late_ms = millis(late), "lease renewal late");
             }
-            self.follow_requests();
+            self.handle_requests();
             let pause = self.renew_or_grant(started);
             let took = started.elapsed();
-            if is_long(took) {
+            if exceeds_log_threshold(took) {
                 tracing::warn!(took_ms = millis(took), "lease renewal slow");
             }
             due = Instant::now() + pause;
-            self.inbox.renewal().due(due);
+            self.inbox.renewal().set_due(due);
             self.sleep_until(due);
         }
     }
 
-    fn follow_requests(&mut self) {
+    fn handle_requests(&mut self) {
         if self.control.replace.swap(false, Ordering::Relaxed) {
             self.lease = None;
         }
@@ -189,7 +189,7 @@
 
     /// Sleeps, or until the owner sends a request.
     fn sleep_until(&self, end: Instant) {
-        while Instant::now() < end && !self.control.has_request() {
+        while Instant::now() < end && !self.control.has_pending_request() {
             let remaining = end.saturating_duration_since(Instant::now());
             std::thread::sleep(remaining.min(SLEEP_STEP));
         }
@@ -202,7 +202,7 @@
 }
 
 /// Whether so much of the lease's time has passed that it is logged.
-fn is_long(duration: Duration) -> bool {
+fn exceeds_log_threshold(duration: Duration) -> bool {
     duration > LEASE_TTL / 4
 }
 
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -40,7 +40,7 @@
 use cloud_pool::CLOUD_THREADS;
 use inbox::{Inbox, RESPONSE_TIMEOUT};
 use lease_keeper::LeaseControl;
-use owner::Outputs;
+use owner::EffectHandlers;
 use peer_pool::PEER_THREADS;
 use peer_server::MAX_PEER_CONNECTIONS;
 use routes::Routes;
@@ -58,7 +58,7 @@
 /// the rest is for the lease, the watch and what the limit counts otherwise than we do.
 const STORE_POOL_SHARE: f64 = 0.6;
 /// Sockets for the lease, the watch, the listeners and the process's own files.
-const SPARE_SOCKETS: usize = 32;
+const OTHER_SOCKETS: usize = 32;
 /// Connections that are served even where sockets and memory are counted as too few.
 const MIN_CONNECTIONS: usize = 16;
 /// Memory that is kept for everything but connections; where there is little, half is kept.
@@ -80,13 +80,13 @@
     let public_listener = TcpListener::bind(settings.listen)?;
     let peer_listener = TcpListener::bind(settings.peer_listen)?;
     let inbox = Inbox::new(RESPONSE_TIMEOUT);
-    let outputs = start_outputs(&settings, &inbox)?;
-    lease_keeper::start(settings.store_addr, &inbox, outputs.lease.clone())?;
-    outputs.watch.restart()?;
+    let handlers = start_effect_handlers(&settings, &inbox)?;
+    lease_keeper::start(settings.store_addr, &inbox, handlers.lease.clone())?;
+    handlers.watch.restart()?;
     peer_server::start(peer_listener, inbox.clone())?;
     let limits = Limits::with_reserve(max_connections(&settings));
     let server = Server::new(public_listener, limits)?;
-    let routes = Routes::new(inbox.clone(), outputs.ready.clone());
+    let routes = Routes::new(inbox.clone(), handlers.ready.clone());
     spawn("http", move || server.run(routes))?;
     tracing::info!(
         controller = settings.name,
@@ -104,15 +104,15 @@
         let mut snapshotter = Snapshotter::open(store_addr, dir)?;
         spawn("snapshotter", move || snapshotter.run())?;
     }
-    owner::run(core, &inbox, &outputs)
+    owner::run(core, &inbox, &handlers)
 }
 
 /// Starts the threads that carry out effects.
-fn start_outputs(settings: &Settings, inbox: &Inbox) -> io::Result<Outputs> {
+fn start_effect_handlers(settings: &Settings, inbox: &Inbox) -> io::Result<EffectHandlers> {
     let controllers = settings.peers.len() as f64 + 1.0;
     let store_rate = settings.store_rps / controllers * STORE_POOL_SHARE;
     let store_limiter = RateLimiter::new(store_rate, Instant::now());
-    Ok(Outputs {
+    Ok(EffectHandlers {
         store: store_pool::start(settings.store_addr, store_limiter, inbox)?,
         cloud: cloud_pool::start(settings.cloud_addr, inbox)?,
         workers: worker_pool::start(inbox)?,
@@ -130,7 +130,7 @@
 pub fn max_connections(settings: &Settings) -> usize {
     let peers = settings.peers.len() * PEER_THREADS + MAX_PEER_CONNECTIONS;
     let own =
-        STORE_THREADS + CLOUD_THREADS + crate::worker_client::CALL_THREADS + peers + SPARE_SOCKETS;
+        STORE_THREADS + CLOUD_THREADS + crate::worker_client::CALL_THREADS + peers + OTHER_SOCKETS;
     let base_mb = BASE_MB.min(settings.memory_mb / 2.0);
     let by_memory = (settings.memory_mb - base_mb) / CONNECTION_MB;
     (settings.max_sockets.saturating_sub(own)).clamp(
@@ -141,7 +141,7 @@
 
 /// Keeps the allocator from setting memory aside for every thread: there are many threads here,
 /// little memory, and one core. To be called before other threads are started.
-pub fn limit_memory_pools() {
+pub fn limit_malloc_arenas() {
     // SAFETY: `mallopt` only sets a parameter of the C library's allocator, and is called before
     // other threads are started.
     #[cfg(target_env = "gnu")]
--- a/src/service/owner.rs
+++ b/src/service/owner.rs
@@ -27,7 +27,7 @@
 }
 
 /// Where effects go. None of it makes the owner wait.
-pub(super) struct Outputs {
+pub(super) struct EffectHandlers {
     pub(super) store: ThreadPool<StoreCall>,
     pub(super) cloud: ThreadPool<CloudCall>,
     pub(super) workers: ThreadPool<WorkerCall>,
@@ -63,18 +63,18 @@
 }
 
 /// Runs `core` for the rest of the process's life.
-pub(super) fn run(mut core: Core, inbox: &Inbox, outputs: &Outputs) -> ! {
+pub(super) fn run(mut core: Core, inbox: &Inbox, handlers: &EffectHandlers) -> ! {
     let mut logged_at = Instant::now();
     let mut logged_work = core.stats.counts();
     loop {
-        let commands = inbox.next(core.idle_for());
+        let commands = inbox.next_commands(core.idle_for());
         let started = Instant::now();
         let mut responses = Vec::new();
         for effect in core.step(now(), commands) {
-            outputs.carry_out(effect, &mut responses);
+            handlers.execute(effect, &mut responses);
         }
         if !responses.is_empty() {
-            outputs.responses.send(responses);
+            handlers.responses.send(responses);
         }
         record(&mut core.stats.step, started.elapsed().as_micros());
         core.stats.count(Work::Step, 1);
@@ -100,9 +100,9 @@
     );
 }
 
-impl Outputs {
+impl EffectHandlers {
     /// Responses are collected: those of a step are sent together.
-    fn carry_out(&self, effect: Effect, responses: &mut Vec<ResponseCall>) {
+    fn execute(&self, effect: Effect, responses: &mut Vec<ResponseCall>) {
         match effect {
             Effect::Response { ticket, response } => {
                 responses.push(ResponseCall { ticket, response });
--- a/src/service/renewal_priority.rs
+++ b/src/service/renewal_priority.rs
@@ -7,7 +7,7 @@
 const LATE_AFTER: Duration = Duration::from_millis(120);
 /// Longest time for which other work waits: it may be the state service that does not respond.
 const MAX_YIELD: Duration = Duration::from_millis(400);
-const YIELD_STEP: Duration = Duration::from_millis(25);
+const YIELD_POLL_INTERVAL: Duration = Duration::from_millis(25);
 
 /// When the next renewal of the lease is due, and whether other work is to wait for it.
 ///
@@ -30,7 +30,7 @@
     }
 
     /// Sets when the next renewal is due.
-    pub fn due(&self, at: Instant) {
+    pub fn set_due(&self, at: Instant) {
         let since_start = at.saturating_duration_since(self.start).as_millis();
         let due_ms = u64::try_from(since_start).unwrap_or(u64::MAX);
         self.due_ms.store(due_ms, Ordering::Relaxed);
@@ -46,7 +46,7 @@
     /// Called by a thread that has work which can wait; blocks while a renewal is late.
     pub fn yield_to_lease_renewal(&self) {
         while self.is_late() {
-            std::thread::sleep(YIELD_STEP);
+            std::thread::sleep(YIELD_POLL_INTERVAL);
         }
     }
 }
--- a/src/service/routes.rs
+++ b/src/service/routes.rs
@@ -126,13 +126,13 @@
 }
 
 /// The path without its query.
-fn path_of(request: &Request) -> &str {
+fn path_without_query(request: &Request) -> &str {
     request.path.split('?').next().unwrap_or_default()
 }
 
 impl Handler for Routes {
     fn class(&self, request: &Request) -> ConnectionClass {
-        match (request.method.as_str(), path_of(request)) {
+        match (request.method.as_str(), path_without_query(request)) {
             ("POST", PATH_HEARTBEAT) => ConnectionClass::Worker,
             (_, PATH_READY) => ConnectionClass::HealthCheck,
             _ => ConnectionClass::Other,
@@ -145,9 +145,9 @@
 
     fn handle(&mut self, request: Request, responder: Responder) {
         let client = ReplyTo::Client;
-        match (request.method.as_str(), path_of(&request)) {
+        match (request.method.as_str(), path_without_query(&request)) {
             ("GET", PATH_READY) => responder.send(&self.health()),
-            ("POST", PATH_HEARTBEAT) => self.inbox.heartbeat(request.body, responder),
+            ("POST", PATH_HEARTBEAT) => self.inbox.receive_heartbeat(request.body, responder),
             ("POST", PATH_JOBS) => self.submit(&request.body, responder),
             ("GET", PATH_STATUS) => self.inbox.request(Command::Status, client(responder)),
             ("POST", PATH_SETTLE) => self
--- a/src/service/store_pool.rs
+++ b/src/service/store_pool.rs
@@ -40,7 +40,7 @@
 }
 
 fn wait_for_rate_limit(limiter: &Mutex<RateLimiter>) {
-    let wait = lock(limiter).take(Instant::now());
+    let wait = lock(limiter).reserve(Instant::now());
     if !wait.is_zero() {
         std::thread::sleep(wait);
     }
--- a/src/service/tests.rs
+++ b/src/service/tests.rs
@@ -12,13 +12,13 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-const REPORT: &str = r#"{"drone":"i-1","endpoint":"127.0.0.1:1","breed":"b","parcel":"a",
+const HEARTBEAT: &str = r#"{"drone":"i-1","endpoint":"127.0.0.1:1","breed":"b","parcel":"a",
             "tenure":1,"tally":1}"#;
 
-fn user(ticket: Ticket, what: UserAction) -> Command {
+fn user(ticket: Ticket, action: UserAction) -> Command {
     let request = UserRequest {
         ticket,
-        action: what,
+        action,
         forwarded: false,
         tried: Vec::new(),
         received: Instant::now(),
@@ -29,13 +29,13 @@
 fn heartbeat() -> Command {
     Command::Heartbeat {
         ticket: 0,
-        heartbeat: serde_json::from_str(REPORT).unwrap(),
+        heartbeat: serde_json::from_str(HEARTBEAT).unwrap(),
     }
 }
 
 /// Reports by the thousand kept submissions, and the lease's renewals, waiting for a minute.
 #[test]
-fn neither_reports_nor_questions_keep_what_is_urgent_waiting() {
+fn heartbeats_and_queries_do_not_delay_urgent_commands() {
     let mut queue = CommandQueue::default();
     for _ in 0..1000 {
         queue.push(heartbeat());
@@ -46,72 +46,72 @@
     assert!(
         step.len() <= 1 + Lane::Query.commands_per_step() + Lane::Heartbeat.commands_per_step()
     );
-    let urgent = matches!(&step[0], Command::User(r) if r.ticket == 2);
-    assert!(urgent);
+    let cancellation_first = matches!(&step[0], Command::User(r) if r.ticket == 2);
+    assert!(cancellation_first);
     // Nothing is lost, and every lane moves on.
-    let mut rest = 0;
+    let mut remaining = 0;
     while !queue.is_empty() {
-        rest += queue.take_step().len();
+        remaining += queue.take_step().len();
     }
-    assert_eq!(step.len() + rest, 2001);
+    assert_eq!(step.len() + remaining, 2001);
 }
 
 #[test]
-fn a_gate_lets_in_as_many_as_it_has_places() {
+fn gate_admits_as_many_items_as_it_has_slots() {
     let gate = AdmissionGate::new(2);
     let now = Instant::now();
-    let (mut inside, mut done) = (VecDeque::new(), Vec::new());
+    let (mut admitted, mut done) = (VecDeque::new(), Vec::new());
     for n in 0..8 {
-        match gate.enter(n, 1, now) {
-            Admission::Admitted(n) => inside.push_back(n),
+        match gate.admit(n, 1, now) {
+            Admission::Admitted(n) => admitted.push_back(n),
             entry => assert_eq!(entry, Admission::Queued),
         }
     }
-    while let Some(n) = inside.pop_front() {
-        assert!(inside.len() < 2);
+    while let Some(n) = admitted.pop_front() {
+        assert!(admitted.len() < 2);
         done.push(n);
-        inside.extend(gate.leave());
+        admitted.extend(gate.release());
     }
     // All pass, in the order they came, and both places are free again.
     assert_eq!(done, Vec::from_iter(0..8));
-    assert_eq!(gate.enter(8, 1, now), Admission::Admitted(8));
-    assert_eq!(gate.enter(9, 1, now), Admission::Admitted(9));
-    assert_eq!(gate.enter(10, 1, now), Admission::Queued);
+    assert_eq!(gate.admit(8, 1, now), Admission::Admitted(8));
+    assert_eq!(gate.admit(9, 1, now), Admission::Admitted(9));
+    assert_eq!(gate.admit(10, 1, now), Admission::Queued);
 }
 
 #[test]
-fn who_waits_at_a_gate_too_long_or_with_too_much_is_sent_away() {
+fn gate_rejects_items_over_the_size_limit_and_expires_old_ones() {
     let gate = AdmissionGate::new(0);
-    let begun = Instant::now();
-    let after = |seconds| begun + Duration::from_secs(seconds);
-    assert_eq!(gate.enter('a', 10 << 20, begun), Admission::Queued);
-    assert_eq!(gate.enter('b', 7 << 20, after(1)), Admission::Full('b'));
-    assert_eq!(gate.enter('c', 6 << 20, after(2)), Admission::Queued);
-    let longest = Duration::from_secs(3);
-    assert_eq!(gate.take_expired(after(2), longest), Vec::<char>::new());
-    assert_eq!(gate.take_expired(after(3), longest), ['a']);
-    assert_eq!(gate.enter('d', 10 << 20, after(3)), Admission::Queued);
-    assert_eq!(gate.take_expired(after(6), longest), ['c', 'd']);
+    let start = Instant::now();
+    let after = |seconds| start + Duration::from_secs(seconds);
+    assert_eq!(gate.admit('a', 10 << 20, start), Admission::Queued);
+    assert_eq!(gate.admit('b', 7 << 20, after(1)), Admission::Full('b'));
+    assert_eq!(gate.admit('c', 6 << 20, after(2)), Admission::Queued);
+    let timeout = Duration::from_secs(3);
+    assert_eq!(gate.take_expired(after(2), timeout), Vec::<char>::new());
+    assert_eq!(gate.take_expired(after(3), timeout), ['a']);
+    assert_eq!(gate.admit('d', 10 << 20, after(3)), Admission::Queued);
+    assert_eq!(gate.take_expired(after(6), timeout), ['c', 'd']);
 }
 
 /// So long that only a test's own clock reaches it.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(3600);
 
-/// The public interface in front of an owner that a test plays.
-struct Front {
+/// The public interface in server of an owner that a test plays.
+struct TestServer {
     inbox: Inbox,
     addr: SocketAddr,
 }
 
-impl Front {
-    fn new(connections: usize) -> Front {
+impl TestServer {
+    fn new(connections: usize) -> TestServer {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let addr = listener.local_addr().unwrap();
         let server = Server::new(listener, Limits::with_reserve(connections)).unwrap();
         let inbox = Inbox::new(REQUEST_TIMEOUT);
         let routes = Routes::new(inbox.clone(), Arc::new(AtomicBool::new(true)));
         std::thread::spawn(move || server.run(routes));
-        Front { inbox, addr }
+        TestServer { inbox, addr }
     }
 
     fn send(&self, method: &str, path: &str, body: &str) -> TcpStream {
@@ -127,7 +127,7 @@
     }
 
     /// Waits until so many reports are with the owner.
-    fn reports_arrive(&self, count: usize) {
+    fn wait_for_heartbeats(&self, count: usize) {
         let until = Instant::now() + Duration::from_secs(20);
         while self.inbox.queue_lengths()[Lane::Heartbeat] < count {
             assert!(Instant::now() < until, "{:?}", self.inbox.queue_lengths());
@@ -148,35 +148,35 @@
 }
 
 /// Reports that the owner works on at a time.
-const PLACES: usize = 2 * Lane::Heartbeat.commands_per_step();
+const MAX_ADMITTED: usize = 2 * Lane::Heartbeat.commands_per_step();
 
 #[test]
 fn requests_without_response_get_retry_after() {
-    let front = Front::new(2000);
-    let count = PLACES + 10;
+    let server = TestServer::new(2000);
+    let count = MAX_ADMITTED + 10;
     let heartbeats: Vec<TcpStream> = (0..count)
-        .map(|_| front.send("POST", wire::PATH_HEARTBEAT, REPORT))
+        .map(|_| server.send("POST", wire::PATH_HEARTBEAT, HEARTBEAT))
         .collect();
-    front.reports_arrive(PLACES);
+    server.wait_for_heartbeats(MAX_ADMITTED);
     // Neither they nor those at the gate keep others waiting.
-    assert!(front.is_healthy());
-    let question = front.send("GET", wire::PATH_STATUS, "");
-    while front.inbox.queue_lengths()[Lane::Query] == 0 {
+    assert!(server.is_healthy());
+    let status_request = server.send("GET", wire::PATH_STATUS, "");
+    while server.inbox.queue_lengths()[Lane::Query] == 0 {
         std::thread::sleep(Duration::from_millis(5));
     }
 
-    front.inbox.expire_requests(Instant::now());
+    server.inbox.expire_requests(Instant::now());
     assert_eq!(
-        front.inbox.next(Duration::ZERO).len(),
+        server.inbox.next_commands(Duration::ZERO).len(),
         1 + Lane::Heartbeat.commands_per_step()
     );
-    front
+    server
         .inbox
         .expire_requests(Instant::now() + REQUEST_TIMEOUT);
-    let answers: Vec<String> = heartbeats.into_iter().map(read).collect();
+    let responses: Vec<String> = heartbeats.into_iter().map(read).collect();
     let rejected = |text: &str| {
         let busy = |a: &&String| a.starts_with("HTTP/1.1 503") && a.contains("Retry-After: 1\r\n");
-        answers
+        responses
             .iter()
             .filter(busy)
             .filter(|a| a.contains(text))
@@ -184,48 +184,48 @@
     };
     assert_eq!(
         (rejected("no answer in time"), rejected("overloaded")),
-        (PLACES, 10)
+        (MAX_ADMITTED, 10)
     );
-    assert!(read(question).contains("no answer in time"));
+    assert!(read(status_request).contains("no answer in time"));
 }
 
 #[test]
-fn six_thousand_reports_at_once_are_all_worked_on() {
+fn six_thousand_concurrent_heartbeats_are_all_processed() {
     let (count, _guard) = many_connections(6000);
-    let front = Front::new(8000);
-    let (mut streams, mut worked_on) = (Vec::new(), 0);
+    let server = TestServer::new(8000);
+    let (mut streams, mut processed) = (Vec::new(), 0);
     for _ in 0..count {
-        streams.push(front.send("POST", wire::PATH_HEARTBEAT, REPORT));
+        streams.push(server.send("POST", wire::PATH_HEARTBEAT, HEARTBEAT));
     }
-    front.reports_arrive(PLACES);
-    while worked_on < count {
-        assert!(front.inbox.queue_lengths()[Lane::Heartbeat] <= PLACES);
-        assert!(worked_on > count / 2 || front.is_healthy());
-        for command in front.inbox.next(Duration::from_secs(20)) {
+    server.wait_for_heartbeats(MAX_ADMITTED);
+    while processed < count {
+        assert!(server.inbox.queue_lengths()[Lane::Heartbeat] <= MAX_ADMITTED);
+        assert!(processed > count / 2 || server.is_healthy());
+        for command in server.inbox.next_commands(Duration::from_secs(20)) {
             let Command::Heartbeat { ticket, .. } = command else {
                 panic!("not a report: {command:?}");
             };
-            front.inbox.respond(ticket, Response::new(200, Vec::new()));
-            worked_on += 1;
+            server.inbox.respond(ticket, Response::new(200, Vec::new()));
+            processed += 1;
         }
     }
-    let answered = |stream| read(stream).starts_with("HTTP/1.1 200");
-    assert!(streams.into_iter().all(answered));
+    let succeeded = |stream| read(stream).starts_with("HTTP/1.1 200");
+    assert!(streams.into_iter().all(succeeded));
 }
 
 #[test]
-fn a_place_at_the_gate_is_not_lost_to_a_broken_report() {
-    let front = Front::new(2000);
-    for _ in 0..PLACES + 10 {
-        let answer = read(front.send("POST", wire::PATH_HEARTBEAT, "{"));
-        assert!(answer.starts_with("HTTP/1.1 400"), "{answer}");
+fn malformed_heartbeats_release_their_slot() {
+    let server = TestServer::new(2000);
+    for _ in 0..MAX_ADMITTED + 10 {
+        let response = read(server.send("POST", wire::PATH_HEARTBEAT, "{"));
+        assert!(response.starts_with("HTTP/1.1 400"), "{response}");
     }
-    let _report = front.send("POST", wire::PATH_HEARTBEAT, REPORT);
-    front.reports_arrive(1);
+    let _heartbeat = server.send("POST", wire::PATH_HEARTBEAT, HEARTBEAT);
+    server.wait_for_heartbeats(1);
 }
 
 #[test]
-fn connections_are_as_many_as_sockets_and_memory_allow() {
+fn max_connections_follows_from_sockets_and_memory() {
     let text = r#"{"host_name": "n0", "zone": "a", "public_addr": "127.0.0.1:1", "back": "127.0.0.1:2",
         "services": {"cloud": "127.0.0.1:4", "state": "127.0.0.1:5"},
         "params": {"teams": [{"name": "t"}], "cloud": {"rps": 10.0, "list_lag_s": 1.0},
@@ -243,7 +243,7 @@
 }
 
 #[test]
-fn a_pool_that_is_dropped_works_through_its_queue() {
+fn dropped_pool_processes_its_queue() {
     let done = Arc::new(Mutex::new(Vec::new()));
     let pool = ThreadPool::start("test", 3, || {
         let done = done.clone();
--- a/src/service/threads.rs
+++ b/src/service/threads.rs
@@ -51,7 +51,7 @@
         };
         for _ in 0..threads {
             let (receiver, worker) = (receiver.clone(), make_worker());
-            let thread = spawn(name, move || work_through(&receiver, worker))?;
+            let thread = spawn(name, move || process_queue(&receiver, worker))?;
             pool.threads.push(thread);
         }
         Ok(pool)
@@ -76,7 +76,7 @@
     }
 }
 
-fn work_through<T>(requests: &Mutex<Receiver<T>>, mut worker: impl FnMut(T)) {
+fn process_queue<T>(requests: &Mutex<Receiver<T>>, mut worker: impl FnMut(T)) {
     loop {
         // The lock is held while one thread waits for the next request, not while it is worked on.
         let next = lock(requests).recv();
--- a/src/service/watch.rs
+++ b/src/service/watch.rs
@@ -13,7 +13,7 @@
 /// How long the state service may hold a watch open without a change.
 const WATCH_WAIT: Duration = Duration::from_secs(10);
 /// Changes that come close together are fetched together.
-const GATHER_CHANGES: Duration = Duration::from_millis(15);
+const CHANGE_BATCH_DELAY: Duration = Duration::from_millis(15);
 /// Pause after the state service refused a request, for its rate limit say.
 const REFUSED_RETRY: Duration = Duration::from_millis(250);
 /// Pause after a request that failed otherwise.
@@ -26,9 +26,9 @@
 pub(super) struct StoreWatch {
     addr: SocketAddrV4,
     inbox: Inbox,
-    /// Number of the newest thread. Locked while a command is put into the inbox, so that nothing of
+    /// Number of the newest_thread thread. Locked while a command is put into the inbox, so that nothing of
     /// an earlier thread can follow the first list of the next.
-    newest: Mutex<u64>,
+    newest_thread: Mutex<u64>,
 }
 
 impl StoreWatch {
@@ -36,29 +36,29 @@
         Arc::new(StoreWatch {
             addr,
             inbox: inbox.clone(),
-            newest: Mutex::new(0),
+            newest_thread: Mutex::new(0),
         })
     }
 
     /// Starts to read the store afresh, in place of the thread that watches it so far.
     pub(super) fn restart(self: &Arc<StoreWatch>) -> io::Result<()> {
         let number = {
-            let mut newest = lock(&self.newest);
-            *newest += 1;
-            *newest
+            let mut newest_thread = lock(&self.newest_thread);
+            *newest_thread += 1;
+            *newest_thread
         };
         let watch = self.clone();
         spawn("watch", move || watch.run(number)).map(drop)
     }
 
     fn is_newest(&self, number: u64) -> bool {
-        *lock(&self.newest) == number
+        *lock(&self.newest_thread) == number
     }
 
     /// Passes a command to the owner, unless another thread watches now.
     fn put(&self, number: u64, command: Command) {
-        let newest = lock(&self.newest);
-        if *newest == number {
+        let newest_thread = lock(&self.newest_thread);
+        if *newest_thread == number {
             self.inbox.put(command);
         }
     }
@@ -99,7 +99,7 @@
         match client.watch(since, WATCH_WAIT)? {
             WatchResult::Changes { events, revision } => {
                 self.put(number, Command::StoreChanged { events, revision });
-                std::thread::sleep(GATHER_CHANGES);
+                std::thread::sleep(CHANGE_BATCH_DELAY);
                 Ok(Some(revision.max(since)))
             }
             WatchResult::TooOld => Ok(None),
