--- a/src/fault_injection.rs
+++ b/src/fault_injection.rs
@@ -1,80 +1,80 @@
-//! Safeguards that tests disable, one at a time, to show that the checks of the simulation find what the safeguard
-//! prevents. In the program itself all of them are in force.
+//! Safeguards that tests disable, one at a time, to show that the checks of the simulation detect the faults which
+//! the safeguard prevents. Outside tests all of them are always enabled.
 
-/// A part of the program that upholds one rule.
+/// Part of the program that enforces one rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Safeguard {
-    /// Tasks of earlier leaders that no heartbeat has shown wait for every machine that may have them.
+    /// A task started by an earlier leader is not started again until every machine that may run it has reported.
     RecoveryWait,
-    /// A team uses no more than its limit.
+    /// A team uses no more resources than its limit.
     TeamLimit,
-    /// Spot machines get only tasks of jobs that may use them.
+    /// Spot machines run only tasks of jobs that allow spot machines.
     SpotEligibility,
     /// Tasks of a job that has ended are stopped.
     StopEndedJobs,
-    /// A job is said to be accepted only once that is durable.
+    /// A submission is acknowledged only after the job is durably stored.
     DurableAcceptance,
-    /// A job is said to be unknown only if it is not in the store.
+    /// A job is reported as unknown only if it is not in the store.
     UnknownJob,
-    /// A job array is done only when all of its tasks are.
+    /// A job array is complete only when all of its tasks are.
     ArrayCompletion,
-    /// A job is said to be cancelled only once that is durable.
+    /// A cancellation is acknowledged only after it is durably stored.
     DurableCancellation,
-    /// A leader acts no longer than its lease is certain to run.
+    /// A leader stops acting when it can no longer be certain that its lease is valid.
     LeaseValidity,
-    /// A delegate answers heartbeats no longer than the leader's grant runs.
+    /// A delegate answers heartbeats only until the leader's grant expires.
     GrantExpiry,
-    /// Tasks are stopped as soon as a user asks to cancel their job, before that is durable.
+    /// Tasks are stopped as soon as a user requests the cancellation of their job, before it is durably stored.
     StopOnCancelRequest,
-    /// Machines that answer direct commands but send no heartbeats get no tasks.
+    /// Machines that answer direct commands but send no heartbeats are assigned no tasks.
     HeartbeatRequired,
-    /// Tasks that are to end are stopped also where no heartbeat has shown them yet.
+    /// Stop commands are also sent for tasks that have not appeared in a heartbeat yet.
     StopUnseenTasks,
-    /// Machines that send no heartbeats are sent the commands to stop tasks all the same.
+    /// Stop commands are also sent to machines that send no heartbeats.
     StopOnSilentMachines,
-    /// Tasks that have waited too long come first.
+    /// Tasks that have waited for too long are scheduled first.
     OverdueFirst,
-    /// A cancellation is confirmed only where its tasks end in time whatever happens.
+    /// A cancellation is confirmed only if its tasks are certain to end in time.
     CancellationBound,
-    /// A leadership has a term that no other had.
+    /// Each leadership has a term of its own.
     UniqueTerm,
-    /// A refusal for what this process itself has written is no conflict.
+    /// A transaction refused because of an earlier write of this process does not count as a conflict.
     OwnWriteDetection,
-    /// A transaction refused for another process's write counts as a conflict, not as a success.
+    /// A transaction refused because of another process's write counts as a conflict, not as a success.
     ConflictDetection,
-    /// A machine gets tasks only when a later leader would know of the machine.
+    /// A machine is assigned tasks only after it is recorded in the store, so that later leaders know of it.
     MachineRecords,
-    /// What may remain of a cancelled job counts towards its team's limit.
+    /// Tasks of a cancelled job that may still run count towards the limit of its team.
     ResidualUsage,
-    /// A heartbeat that does not show this term's token is of unknown age.
+    /// A heartbeat without the token of the current term counts as one of unknown age.
     TokenProof,
-    /// Versions of keys that are never written again are dropped.
+    /// Cached versions of keys that are never written again are removed.
     VersionPruning,
-    /// A machine is avoided for its failures for a limited time only.
+    /// A machine is avoided because of task failures for a limited time only.
     AvoidanceLimit,
-    /// Of the jobs that were passed over for too long, the one that has waited longest comes first.
+    /// Of the jobs that have been passed over for too long, the longest-waiting one is scheduled first.
     LongestWaitingFirst,
-    /// Only zones in which a task may run count for its placement.
+    /// Machines on which a task may still be running count for the zone constraints of its job.
     ZoneEligibility,
-    /// A controller that has just started calls no job unknown.
+    /// A controller that has just started reports no job as unknown.
     StartupUncertainty,
-    /// What is not final is read from the store before a user is answered with it.
+    /// State that may still change is read from the store before it is returned to a user.
     FreshRead,
 }
 
 #[cfg(test)]
 thread_local! {
-    /// The safeguard that is disabled in this test.
+    /// Safeguard that is disabled in the current test.
     pub static DISABLED: std::cell::Cell<Option<Safeguard>> = const { std::cell::Cell::new(None) };
 }
 
-/// Whether a safeguard is in force.
+/// Returns whether a safeguard is enabled.
 #[cfg(test)]
 pub fn is_enabled(safeguard: Safeguard) -> bool {
     DISABLED.get() != Some(safeguard)
 }
 
-/// Whether a safeguard is in force.
+/// Returns whether a safeguard is enabled.
 #[cfg(not(test))]
 #[inline(always)]
 pub fn is_enabled(_: Safeguard) -> bool {
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -1,45 +1,44 @@
-//! The client side: calls to one address over a connection that is kept, blocking, each with a
-//! deadline.
+//! Blocking HTTP client for one address, with a persistent connection and a deadline for each call.
 
 use super::{MAX_HEAD_BYTES, MAX_HEADERS, WRITE_TIMEOUT, header};
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, SocketAddrV4, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Largest body of a response. A watch may return all of its backlog at once.
+/// Maximum size of a response body, in bytes. A watch may return its entire backlog in one response.
 const MAX_RESPONSE_BYTES: usize = 32 * 1024 * 1024;
-/// One read takes so much.
+/// Maximum number of bytes read by one system call.
 const READ_BYTES: usize = 8192;
 
-/// A response as it came.
+/// A response as received.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClientResponse {
-    /// The status code.
+    /// Status code.
     pub status: u16,
-    /// The body.
+    /// Body.
     pub body: Vec<u8>,
 }
 
 impl ClientResponse {
-    /// The beginning of the body as text, for messages about errors.
+    /// Returns the beginning of the body as text, for error messages.
     pub fn body_excerpt(&self, max_bytes: usize) -> String {
         let end = self.body.len().min(max_bytes);
         String::from_utf8_lossy(&self.body[..end]).into_owned()
     }
 }
 
-/// How a call to another service failed.
+/// Failure of a call to another service.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum CallError {
-    /// The request was not sent, so it has no effect.
+    /// The request was not sent, so it has had no effect.
     #[error("not sent: {0}")]
     NotSent(String),
-    /// No readable answer: the request may have been executed, or may be yet.
+    /// No readable response: the request may have been executed, or may still be.
     #[error("no answer: {0}")]
     Unknown(String),
 }
 
-/// A client of one address that keeps its connection open between calls.
+/// Client for one address that keeps its connection open between calls.
 pub struct Client {
     addr: SocketAddrV4,
     connect_timeout: Duration,
@@ -47,7 +46,7 @@
 }
 
 impl Client {
-    /// Connects with the first call.
+    /// Returns a client that connects at its first call.
     pub fn new(addr: SocketAddrV4, connect_timeout: Duration) -> Client {
         Client {
             addr,
@@ -59,8 +58,8 @@
     /// Sends a request and reads the response.
     ///
     /// # Errors
-    /// `NotSent` if no connection could be opened, else `Unknown`: a reused connection that turns out
-    /// to be closed among others.
+    /// Returns `NotSent` if no connection could be opened, and `Unknown` for every other failure, including
+    /// a reused connection that the server has closed.
     pub fn call(
         &mut self,
         method: &str,
@@ -71,11 +70,11 @@
         self.try_call(method, path, body, Instant::now() + timeout)
     }
 
-    /// Like `call`, for a request that may be executed more than once: a reused connection that soon
-    /// turns out to be closed is replaced, and the request repeated.
+    /// Like `call`, for a request that may be executed more than once: if it fails on a reused connection
+    /// within a quarter of the timeout, it is repeated on a new one.
     ///
     /// # Errors
-    /// As `call`.
+    /// Returns the same errors as `call`.
     pub fn call_idempotent(
         &mut self,
         method: &str,
@@ -123,16 +122,16 @@
     }
 }
 
-/// A connection, with the read timeout that is set on it: with a thousand workers, a system call
-/// saved on each heartbeat counts.
+/// A connection and the read timeout that is set on it. Remembering the timeout saves a system call for
+/// each call, which matters with a thousand workers that send heartbeats.
 struct Connection {
     stream: TcpStream,
     read_timeout: Duration,
 }
 
-/// The parts of a response's head that matter here.
+/// The parts of a response's head that the client uses.
 struct Head {
-    /// Length of the head itself.
+    /// Length of the head in bytes.
     bytes: usize,
     status: u16,
     keep_alive: bool,
@@ -142,7 +141,7 @@
 enum BodyLength {
     Known(usize),
     Chunked,
-    /// The body ends with the connection.
+    /// The body ends when the server closes the connection.
     UntilClose,
 }
 
@@ -158,7 +157,7 @@
     }
 
     fn set_read_timeout(&mut self, remaining: Duration) -> io::Result<()> {
-        // Whole seconds where there are some: the next request's timeout is then the same.
+        // Rounds up to whole seconds, so that the next request usually has the same timeout.
         let timeout = if remaining > Duration::from_secs(2) {
             Duration::from_secs(remaining.as_secs() + u64::from(remaining.subsec_nanos() > 0))
         } else {
@@ -171,7 +170,7 @@
         Ok(())
     }
 
-    /// Reads more bytes into `buffer`, giving up at `deadline`. Returns 0 at the peer's end.
+    /// Reads more bytes into `buffer`, until `deadline` at the latest. Returns 0 at the end of the stream.
     fn read_more(&mut self, buffer: &mut Vec<u8>, deadline: Instant) -> io::Result<usize> {
         let remaining = deadline.saturating_duration_since(Instant::now());
         if remaining.is_zero() {
@@ -193,7 +192,7 @@
         Ok(length)
     }
 
-    /// Like `read_more`, where the peer's end is an error.
+    /// Like `read_more`, but returns an error at the end of the stream.
     fn read_some(&mut self, buffer: &mut Vec<u8>, deadline: Instant) -> io::Result<()> {
         match self.read_more(buffer, deadline)? {
             0 => Err(io::ErrorKind::UnexpectedEof.into()),
@@ -201,7 +200,7 @@
         }
     }
 
-    /// Reads a response; also returns whether the connection can be used again.
+    /// Reads a response; also returns whether the connection can be reused.
     fn read_response(&mut self, deadline: Instant) -> io::Result<(ClientResponse, bool)> {
         let mut buffer = Vec::new();
         let head = loop {
@@ -250,9 +249,12 @@
     fn read_chunks(&mut self, mut buffer: Vec<u8>, deadline: Instant) -> io::Result<Vec<u8>> {
         let mut body = Vec::new();
         loop {
-            match httparse::parse_chunk_size(&buffer).map_err(|_| invalid("bad chunk"))? {
+            match httparse::parse_chunk_size(&buffer)
+                .map_err(|_| invalid("malformed chunk size"))?
+            {
                 httparse::Status::Complete((start, size)) => {
-                    let size = usize::try_from(size).map_err(|_| invalid("bad chunk"))?;
+                    let size =
+                        usize::try_from(size).map_err(|_| invalid("malformed chunk size"))?;
                     if body.len().saturating_add(size) > MAX_RESPONSE_BYTES {
                         return Err(too_large());
                     }
@@ -273,14 +275,14 @@
     }
 }
 
-/// `None` if the head is not complete yet.
+/// Parses the head of a response; returns `None` if it is not complete yet.
 fn parse_head(buffer: &[u8]) -> io::Result<Option<Head>> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
     let bytes = match head.parse(buffer) {
         Err(e) => return Err(invalid(&e.to_string())),
         Ok(httparse::Status::Partial) if buffer.len() > MAX_HEAD_BYTES => {
-            return Err(invalid("head too large"));
+            return Err(invalid("response head too large"));
         }
         Ok(httparse::Status::Partial) => return Ok(None),
         Ok(httparse::Status::Complete(bytes)) => bytes,
@@ -289,7 +291,10 @@
         header(head.headers, name).is_some_and(|v| v.to_ascii_lowercase().contains(value))
     };
     let length = match header(head.headers, "content-length") {
-        Some(text) => Some(text.parse().map_err(|_| invalid("bad Content-Length"))?),
+        Some(text) => Some(
+            text.parse()
+                .map_err(|_| invalid("malformed Content-Length"))?,
+        ),
         None => None,
     };
     let body = match length {
@@ -310,5 +315,5 @@
 }
 
 fn too_large() -> io::Error {
-    invalid("answer too large")
+    invalid("response body too large")
 }
--- a/src/http/connection.rs
+++ b/src/http/connection.rs
@@ -1,9 +1,10 @@
-//! One connection of the server: its state, and the right to respond to its request.
+//! State of one connection of the server, and the responder to its current request.
 //!
-//! The server's thread reads; the holder of the `Responder` writes. Neither ever blocks. Events
-//! are edge-triggered, so an idle connection costs no system calls, and a heartbeat costs one read
-//! and one write. `Connection::wake` brings the server's thread back to a connection: it
-//! asks for writability, which holds at once, so that no further kind of descriptor is needed.
+//! The server thread reads; the holder of the `Responder` writes. Neither blocks. Events are
+//! edge-triggered, so an idle connection causes no system calls, and a heartbeat takes one read and one
+//! write. `Connection::wake` makes the server thread handle a connection again: it registers for
+//! writability, of which the poll reports an event immediately, so no separate wake-up descriptor is
+//! needed.
 
 use super::parser::RequestParser;
 use super::{IDLE_TIMEOUT, REQUEST_TIMEOUT, Request, Response, WRITE_TIMEOUT, encode_response};
@@ -17,11 +18,11 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Phase {
-    /// Waits for a request, or for the rest of one.
+    /// The server waits for a request or for the rest of one.
     Reading,
-    /// A request is with its handler.
+    /// The handler has the request and has not responded yet.
     Handling,
-    /// A response has not been taken by the client as a whole.
+    /// Part of the response has not been written yet.
     Writing,
     Closed,
 }
@@ -29,17 +30,17 @@
 struct State {
     phase: Phase,
     parser: RequestParser,
-    /// There may be bytes, or the client's end, that have not been read.
+    /// Whether the stream may contain unread bytes or an unread end of the stream.
     readable: bool,
     outgoing: Vec<u8>,
     written: usize,
     close_after_response: bool,
     watches_writable: bool,
-    /// When the connection is closed unless something happens; has no effect while `Handling`.
+    /// Time after which the connection counts as timed out; ignored in phase `Handling`.
     deadline: Instant,
 }
 
-/// A connection, shared by the server and the responder of the request that is handled.
+/// A connection, shared by the server and the responder to its current request.
 pub struct Connection {
     token: Token,
     stream: TcpStream,
@@ -47,23 +48,23 @@
     state: Mutex<State>,
 }
 
-/// What the server's thread has to do next about a connection.
+/// Next action of the server thread for a connection.
 pub enum Progress {
-    /// Nothing until the next event; so many bytes of an incomplete request are held.
+    /// Wait for the next event; the value is the number of buffered bytes of an incomplete request.
     Wait(usize),
-    /// A whole request has come.
+    /// Handle a complete request.
     Request(Request, Responder),
-    /// The request cannot be served: this is the response.
+    /// Send this response, because the request cannot be served.
     Rejected(Response, Responder),
-    /// The connection is over.
+    /// Remove the connection, which is closed.
     Closed,
 }
 
 impl Connection {
-    /// Registers the stream for reading.
+    /// Registers the stream for readability events.
     ///
     /// # Errors
-    /// The operating system refuses to watch it.
+    /// Fails if the stream cannot be registered.
     pub fn register(
         stream: TcpStream,
         token: Token,
@@ -97,8 +98,8 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Follows an event: finishes writing, then reads what has come up to a whole request.
-    /// `ended`: the client will send nothing more.
+    /// Handles an event: continues writing, then reads until a request is complete. `ended` tells that the
+    /// client has closed its side of the connection.
     pub fn advance(
         self: &Arc<Self>,
         readable: bool,
@@ -113,7 +114,7 @@
         }
         match state.phase {
             Phase::Closed => return Progress::Closed,
-            // Nothing is read meanwhile.
+            // No further request is read before the response is sent.
             Phase::Writing | Phase::Handling => return Progress::Wait(0),
             Phase::Reading => {}
         }
@@ -153,8 +154,8 @@
         }
     }
 
-    /// One read. All that has come has been read if it did not fill the buffer, unless the client's
-    /// end comes after it.
+    /// Reads once. A read that does not fill the buffer has emptied the stream, except that the end of the
+    /// stream may still follow.
     fn read(
         &self,
         state: &mut State,
@@ -181,7 +182,7 @@
         }
     }
 
-    /// Writes what the client takes. Afterwards the phase is `Writing` if there is more, else
+    /// Writes as much as the socket accepts. Afterwards the phase is `Writing` if bytes remain, else
     /// `Reading` or `Closed`.
     fn flush(&self, state: &mut State, now: Instant) {
         while state.written < state.outgoing.len() {
@@ -212,7 +213,8 @@
         state.deadline = now + timeout;
     }
 
-    /// Begins to write a response; the server's thread is woken where something remains for it.
+    /// Starts to write a response; wakes the server thread if it has to write the rest, read a next request
+    /// or remove the connection.
     fn send(&self, bytes: Vec<u8>, close: bool) {
         let now = Instant::now();
         let mut state = self.lock();
@@ -236,11 +238,11 @@
     fn watch(&self, interest: Interest) {
         let source = self.stream.as_raw_fd();
         if let Err(e) = (self.registry).reregister(&mut SourceFd(&source), self.token, interest) {
-            tracing::debug!(error = %e, "connection not watched");
+            tracing::debug!(error = %e, "connection not registered for events");
         }
     }
 
-    /// Whether it is closed, or silent beyond its deadline. It may be dropped then.
+    /// Returns whether the connection is closed or has timed out, so that it can be removed.
     pub fn is_finished(&self, now: Instant) -> bool {
         let state = self.lock();
         match state.phase {
@@ -250,7 +252,7 @@
         }
     }
 
-    /// Sends a response that there is no room, where no request has been read.
+    /// Sends a response that rejects the connection, unless a request is being handled.
     pub fn reject(&self, response: &Response) {
         if self.lock().phase != Phase::Reading {
             return;
@@ -259,7 +261,7 @@
     }
 }
 
-/// The right to respond to one request. Dropped without a response, it closes the connection.
+/// Responder to one request. Dropping it without a response closes the connection.
 pub struct Responder {
     connection: Arc<Connection>,
     close: bool,
@@ -275,8 +277,8 @@
         }
     }
 
-    /// Sends the response without waiting for the client to take it. One that only a leader may give
-    /// and that comes too late is not sent: no response is always safe.
+    /// Sends the response without waiting until the client has read it. A response whose validity has ended
+    /// is not sent; the connection is closed instead, which is always safe.
     pub fn send(mut self, response: &Response) {
         if response.expired() {
             return;
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -1,17 +1,17 @@
-//! HTTP/1.1, both sides, parsed by `httparse`.
+//! HTTP/1.1 client and server, with `httparse` as the parser.
 //!
-//! The server (`server`, `connection`, `parser`) does not block on any connection: one thread reads
-//! them all, by `mio`. Every worker keeps a connection open to the leader and uses it about once a
-//! second, so there are thousands of them. With a thread for each, their number was bounded by the
-//! memory of the threads (`docs/CAPACITY.md`), and when a thousand workers came to a new leader at
-//! once, the thread that renews the lease had its turn on the processor only after the lease had
-//! expired. Now a connection costs its buffers, and an idle one no system calls.
+//! The server (`server`, `connection`, `parser`) does not block on any connection: one thread reads all
+//! of them, with `mio`. Every worker keeps a connection to the leader open and uses it about once a
+//! second, so there are thousands of connections. With a thread for each, the memory of the threads
+//! limited their number (`docs/CAPACITY.md`), and when a thousand workers connected to a new leader at
+//! once, the thread that renews the lease ran only after the lease had expired. Now a connection takes
+//! only the memory of its buffers, and an idle one causes no system calls.
 //!
-//! What stays blocking: the client (`client`), which makes one call at a time on threads of its own
-//! with a deadline for each; and handlers started by `serve`, which have a thread for each request.
+//! Two parts still block: the client (`client`), which makes one call at a time, each with a deadline,
+//! on the thread of its caller; and handlers started by `serve`, which have a thread for each request.
 //!
-//! Everything that a peer can make grow has a bound here: heads, bodies, connections, and the time
-//! that any of them may take.
+//! Everything that a peer can enlarge has a limit: heads, bodies, the number of connections, and the
+//! duration of each phase of a request.
 
 mod client;
 mod connection;
@@ -24,45 +24,45 @@
 
 use std::time::{Duration, Instant};
 
-/// Largest body that a request may carry, in bytes.
+/// Maximum size of a request body, in bytes.
 pub const MAX_BODY: usize = 64 * 1024;
 const MAX_HEAD_BYTES: usize = 8 * 1024;
 const MAX_HEADERS: usize = 48;
-/// A connection without a request for this long is closed.
+/// Time after which a connection without requests is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(75);
-/// From a request's first byte to its last.
+/// Longest time from the first byte of a request to the last.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(8);
-/// While the peer takes nothing of a response.
+/// Time after which a connection is closed if the peer accepts no byte of a response.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// A request that the server has read as a whole.
+/// A complete request, as read by the server.
 #[derive(Debug)]
 pub struct Request {
-    /// The method, in capitals.
+    /// Method, in capitals.
     pub method: String,
-    /// The path with its query.
+    /// Path with its query.
     pub path: String,
-    /// The body, empty if there is none.
+    /// Body, empty if there is none.
     pub body: Vec<u8>,
 }
 
 /// A response of the server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Response {
-    /// The status code.
+    /// Status code.
     pub status: u16,
-    /// The body.
+    /// Body.
     pub body: Vec<u8>,
-    /// Seconds after which the client should retry.
+    /// Value of `Retry-After`: seconds after which the client should retry.
     pub retry_after: Option<u32>,
-    /// A response that only a leader may give is not sent after this moment.
+    /// End of the response's validity: a response that only a leader may give is not sent after it.
     pub not_after: Option<Instant>,
-    /// The media type of the body.
+    /// Media type of the body.
     pub content_type: &'static str,
 }
 
 impl Response {
-    /// A response with a JSON body.
+    /// Returns a response with a JSON body.
     pub fn new(status: u16, body: Vec<u8>) -> Response {
         Response {
             status,
@@ -73,25 +73,25 @@
         }
     }
 
-    /// An error with a text for the user.
+    /// Returns an error response with a message for the user.
     pub fn error(status: u16, text: &str) -> Response {
         Response::new(status, crate::wire::error_body(text))
     }
 
-    /// Status 503: with `Retry-After` in seconds.
+    /// Returns a response with status 503 and a `Retry-After` header in seconds.
     pub fn busy(text: &str, retry_after: u32) -> Response {
         let mut response = Response::error(503, text);
         response.retry_after = Some(retry_after);
         response
     }
 
-    /// The same response, not to be sent after `deadline`.
+    /// Returns the same response, which is not sent after `deadline`.
     pub fn until(mut self, deadline: Option<Instant>) -> Response {
         self.not_after = deadline;
         self
     }
 
-    /// The same response with another media type, unless it is an error.
+    /// Returns the same response with another media type, unless it is an error.
     pub fn with_content_type(mut self, content_type: &'static str) -> Response {
         if self.status == 200 {
             self.content_type = content_type;
@@ -99,7 +99,7 @@
         self
     }
 
-    /// Whether it is too late to send this.
+    /// Returns whether the response's validity has ended.
     pub fn expired(&self) -> bool {
         self.not_after.is_some_and(|end| Instant::now() >= end)
     }
@@ -123,7 +123,7 @@
     }
 }
 
-/// A response as it goes over the wire; with `close`, its head announces that the connection ends with it.
+/// Encodes a response for the wire; with `close`, its head announces that the connection is closed after it.
 fn encode_response(response: &Response, close: bool) -> Vec<u8> {
     let mut head = format!(
         "HTTP/1.1 {} {}\r\nContent-Type: {}\r\nContent-Length: {}\r\n",
@@ -144,7 +144,7 @@
     bytes
 }
 
-/// The value of the first header of this name, without the spaces around it.
+/// Returns the value of the first header of this name, without surrounding whitespace.
 fn header<'a>(headers: &[httparse::Header<'a>], name: &str) -> Option<&'a str> {
     headers
         .iter()
--- a/src/http/parser.rs
+++ b/src/http/parser.rs
@@ -1,8 +1,8 @@
-//! Parses requests from the bytes of a connection as they come.
+//! Incremental parser for the requests on a connection.
 
 use super::{MAX_BODY, MAX_HEAD_BYTES, MAX_HEADERS, Request, Response, header};
 
-/// A request's head. Lengths are in bytes.
+/// Head of a request. Lengths are in bytes.
 struct Head {
     method: String,
     path: String,
@@ -12,42 +12,42 @@
     expects_continue: bool,
 }
 
-/// A whole request.
+/// A complete request.
 pub struct ParsedRequest {
-    /// The request itself.
+    /// Request.
     pub request: Request,
     /// Whether the connection is to be closed after the response.
     pub close: bool,
 }
 
-/// The parser of one connection; holds the bytes of requests that are not complete yet.
+/// Parser of one connection; buffers the bytes of requests that are not complete yet.
 #[derive(Default)]
 pub struct RequestParser {
     buffer: Vec<u8>,
-    /// Of the request at the beginning of the buffer, once it is complete.
+    /// Head of the request at the start of the buffer, once the head is complete.
     head: Option<Head>,
 }
 
 impl RequestParser {
-    /// Adds bytes that came.
+    /// Adds received bytes.
     pub fn extend(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// How many bytes are held.
+    /// Returns the number of buffered bytes.
     pub fn len(&self) -> usize {
         self.buffer.len()
     }
 
-    /// Whether no bytes are held.
+    /// Returns whether no bytes are buffered.
     pub fn is_empty(&self) -> bool {
         self.buffer.is_empty()
     }
 
-    /// Takes the next request if it is complete; bytes of the one after it are kept.
+    /// Takes the next request if it is complete; later bytes stay in the buffer.
     ///
     /// # Errors
-    /// The response to a request that cannot be served.
+    /// Returns the response to a request that cannot be served.
     pub fn next(&mut self) -> Result<Option<ParsedRequest>, Response> {
         if self.head.is_none() && !self.buffer.is_empty() {
             self.head = parse_head(&self.buffer)?;
@@ -63,7 +63,7 @@
         let body = self.buffer[head.head_length..end].to_vec();
         self.buffer.drain(..end);
         if self.buffer.is_empty() {
-            // Frees the memory: thousands of connections are idle most of the time.
+            // Frees the memory, because thousands of connections are idle most of the time.
             self.buffer = Vec::new();
         }
         Ok(Some(ParsedRequest {
@@ -76,14 +76,15 @@
         }))
     }
 
-    /// Whether the client waits for "100 Continue" before it sends the body. True once a request.
+    /// Returns whether the client waits for "100 Continue" before it sends the body; true at most once per
+    /// request.
     pub fn take_expects_continue(&mut self) -> bool {
         let head = self.head.as_mut();
         head.is_some_and(|head| std::mem::take(&mut head.expects_continue))
     }
 }
 
-/// `None` if the head is not complete yet.
+/// Parses the head of a request; returns `None` if it is not complete yet.
 fn parse_head(buffer: &[u8]) -> Result<Option<Head>, Response> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -1,11 +1,11 @@
-//! A server whose connections, however many, share one thread.
+//! HTTP server that handles all connections on one thread.
 //!
-//! The thread accepts, reads what has come, and passes whole requests to a `Handler`, which must not
-//! block either. A connection that is silent, slow, or waits for its response costs memory, but
-//! neither a thread nor system calls.
+//! The thread accepts connections, reads the available bytes, and passes complete requests to a
+//! `Handler`, which must not block either. A connection that is idle, slow, or waiting for its response
+//! takes memory, but neither a thread nor system calls.
 //!
-//! Connections have shares, so that workers, however many come, leave room for users and health
-//! checks, and clients that never send a whole request leave room for both.
+//! The number of connections is limited per class, so that any number of workers leaves room for users
+//! and health checks, and clients that never complete a request leave room for both.
 
 use super::connection::{Connection, Progress, Responder};
 use super::{MAX_BODY, Request, Response};
@@ -18,71 +18,74 @@
 use std::time::{Duration, Instant};
 
 const LISTENER: Token = Token(0);
-/// Events taken with one call.
+/// Maximum number of events returned by one poll.
 const EVENTS_PER_POLL: usize = 256;
-/// Connections accepted before those that are open have their turn again.
+/// Maximum number of connections accepted before the open ones are served again.
 const ACCEPTS_PER_POLL: usize = 64;
-/// Requests handled before health checks have their turn again.
+/// Maximum number of requests handled before health checks are served again.
 const REQUESTS_PER_POLL: usize = 32;
-/// One read takes so much.
+/// Maximum number of bytes read by one system call.
 const READ_BYTES: usize = 16 * 1024;
-/// How often the handler is called without a request.
+/// Interval between calls of `Handler::tick`.
 const TICK_INTERVAL: Duration = Duration::from_millis(200);
-/// How often connections are looked through for those that are over.
+/// Interval at which closed and timed-out connections are removed.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
-/// Out of sockets, say: wait for some to close instead of spinning.
+/// Pause after a failed poll or accept, for example for lack of sockets, instead of a busy loop.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
-/// While the handler defers requests, it is asked again after this long.
+/// Interval at which the handler is asked again while it defers requests.
 const DEFER_PAUSE: Duration = Duration::from_millis(25);
-/// Bytes of incomplete requests that may be held for all connections together.
+/// Maximum number of bytes buffered for incomplete requests on all connections together.
 const MAX_BUFFERED_BYTES: usize = 128 * MAX_BODY;
-/// Where not all connections may be a worker's, at least so many are kept for others.
+/// Minimum number of connections that `Limits::with_reserve` keeps from workers, unless it is more than
+/// half of all.
 const MIN_RESERVE: usize = 64;
-/// Seconds after which a client that found no room should retry.
+/// Value in seconds of `Retry-After` for a client that is rejected because a limit is reached.
 const FULL_RETRY_S: u32 = 2;
 const REQUEST_STACK_BYTES: usize = 128 * 1024;
 
-/// What a connection is for, by its first request.
+/// Class of a connection, determined by its first request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ConnectionClass {
     /// Heartbeats.
     Worker,
-    /// Handled at once, whatever else waits.
+    /// Health checks, which are handled before all other requests.
     HealthCheck,
     /// Users and operators.
     Other,
 }
 
-/// Handles requests, without blocking.
+/// Handler of requests; its methods must not block.
 pub trait Handler {
-    /// The class of a request; the first one decides that of its connection.
+    /// Returns the class of a request; the first request determines the class of its connection.
     fn class(&self, request: &Request) -> ConnectionClass;
 
-    /// Whether all requests but health checks are to wait for a moment.
+    /// Returns whether requests other than health checks have to wait.
     fn defers_requests(&self) -> bool {
         false
     }
 
-    /// Handles one request. The response may be sent later, and by any thread.
+    /// Handles one request. The response may be sent later, from any thread.
     fn handle(&mut self, request: Request, responder: Responder);
 
-    /// Called several times a second.
+    /// Performs periodic work; called several times a second.
     fn tick(&mut self, _now: Instant) {}
 }
 
-/// How many connections there may be at a time.
+/// Maximum numbers of open connections.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
     /// All connections.
     pub connections: usize,
-    /// Of these, workers'.
+    /// Connections of workers.
     pub workers: usize,
-    /// Of these, without a whole request so far. The oldest one gives way to a new one.
+    /// Connections without a complete request so far, whose class is unknown. At the limit, a new
+    /// connection replaces the oldest one.
     pub unclassified: usize,
 }
 
 impl Limits {
-    /// Keeps an eighth from workers, and half of that from unclassified too.
+    /// Returns limits that reserve an eighth of the connections for clients other than workers; unclassified
+    /// connections may take up to half of that reserve.
     pub fn with_reserve(connections: usize) -> Limits {
         let reserve = (connections / 8).max(MIN_RESERVE).min(connections / 2);
         Limits {
@@ -92,7 +95,7 @@
         }
     }
 
-    /// No shares: the first to come are served.
+    /// Returns limits under which every class may use all connections.
     pub fn without_reserve(connections: usize) -> Limits {
         Limits {
             connections,
@@ -104,13 +107,13 @@
 
 struct Entry {
     connection: Arc<Connection>,
-    /// `None` until a whole request has come.
+    /// `None` until the first request is complete.
     class: Option<ConnectionClass>,
-    /// Bytes of an incomplete request.
+    /// Number of buffered bytes of an incomplete request.
     buffered: usize,
 }
 
-/// All connections, with the totals that are limited.
+/// All connections, and the totals to which limits apply.
 #[derive(Default)]
 struct ConnectionTable {
     entries: HashMap<Token, Entry>,
@@ -138,8 +141,8 @@
         Some(entry)
     }
 
-    /// Records the class of a whole request; the first one decides what its connection is for.
-    /// Returns false if there is no room for another connection of the class.
+    /// Sets the class of a connection from its first request. Returns false if the limit for the class is
+    /// reached.
     fn classify(&mut self, token: Token, class: ConnectionClass, limits: &Limits) -> bool {
         let Some(entry) = self.entries.get_mut(&token) else {
             return false;
@@ -158,7 +161,8 @@
         true
     }
 
-    /// Records how many bytes a connection holds. Returns false if all together hold too many.
+    /// Records how many bytes are buffered for a connection. Returns false if that exceeds the limit for all
+    /// connections.
     fn set_buffered(&mut self, token: Token, bytes: usize) -> bool {
         let Some(entry) = self.entries.get_mut(&token) else {
             return true;
@@ -179,7 +183,7 @@
     }
 }
 
-/// The server: `run` takes the thread that calls it.
+/// HTTP server; `run` serves on the calling thread.
 pub struct Server {
     poll: Poll,
     registry: Arc<Registry>,
@@ -187,18 +191,19 @@
     limits: Limits,
     table: ConnectionTable,
     last_token: usize,
-    /// There may be connections to accept; after this moment, if accepting failed.
+    /// Time from which connections are to be accepted, which is later after a failure; `None` if none are
+    /// pending.
     accept_after: Option<Instant>,
-    /// Requests that wait for their turn.
+    /// Requests that wait to be handled.
     backlog: VecDeque<(Request, Responder)>,
     read_buffer: Vec<u8>,
 }
 
 impl Server {
-    /// Serves on a listener that is bound already.
+    /// Returns a server for a bound listener.
     ///
     /// # Errors
-    /// The operating system refuses to watch the listener.
+    /// Fails if the listener cannot be registered for events.
     pub fn new(listener: std::net::TcpListener, limits: Limits) -> io::Result<Server> {
         listener.set_nonblocking(true)?;
         let mut listener = TcpListener::from_std(listener);
@@ -219,7 +224,7 @@
         })
     }
 
-    /// Serves for the rest of the process's life.
+    /// Serves until the process ends.
     pub fn run(mut self, mut handler: impl Handler) -> ! {
         let mut events = Events::with_capacity(EVENTS_PER_POLL);
         let mut last_tick = Instant::now();
@@ -249,7 +254,7 @@
         }
     }
 
-    /// How long to wait for the next event.
+    /// Returns the longest time to wait for the next event.
     fn poll_timeout(&self, handler: &impl Handler) -> Duration {
         let accept = match self.accept_after {
             Some(at) => at.saturating_duration_since(Instant::now()),
@@ -351,7 +356,7 @@
         let connection = match Connection::register(stream, token, &self.registry, now) {
             Ok(connection) => connection,
             Err(e) => {
-                tracing::debug!(error = %e, "connection not watched");
+                tracing::debug!(error = %e, "connection not registered for events");
                 return;
             }
         };
@@ -373,11 +378,12 @@
     Response::busy("too many connections", FULL_RETRY_S)
 }
 
-/// Returns `None` to close the connection without a response.
+/// Function that handles a request and may block; returns `None` to close the connection without a
+/// response.
 type BlockingHandler = dyn Fn(Request) -> Option<Response> + Send + Sync;
 
-/// Serves with a handler that may block, so that each request has a thread while it is handled;
-/// `max_connections` at a time. Without a response the connection is closed.
+/// Serves up to `max_connections` connections with a handler that may block, on a separate thread for each
+/// request.
 pub fn serve(
     listener: std::net::TcpListener,
     max_connections: usize,
@@ -404,7 +410,7 @@
 
     fn handle(&mut self, request: Request, responder: Responder) {
         let handle = self.handle.clone();
-        // The responder comes back out of it if there is no thread.
+        // Shared, so that the responder is still available if the thread cannot be started.
         let shared_responder = Arc::new(Mutex::new(Some(responder)));
         let thread_responder = shared_responder.clone();
         let started = std::thread::Builder::new()
--- a/src/http/tests.rs
+++ b/src/http/tests.rs
@@ -72,7 +72,7 @@
 const HEALTH_REQUEST: &[u8] = b"GET /ready HTTP/1.1\r\n\r\n";
 const BIG_BODY: usize = 8 * 1024 * 1024;
 
-/// Answers with the path, and notes which threads it was called on.
+/// Responds with the path, and records the threads on which it is called.
 struct Echo {
     threads: Arc<Mutex<HashSet<ThreadId>>>,
 }
@@ -121,7 +121,7 @@
     stream
 }
 
-/// Reads one answer; empty if the connection ends instead.
+/// Reads one response; empty if the connection is closed instead.
 fn read_response(stream: &mut TcpStream) -> String {
     let mut text = Vec::new();
     let mut byte = [0];
@@ -140,12 +140,12 @@
 }
 
 fn exchange(stream: &mut TcpStream, request: &[u8]) -> String {
-    // A server that turns the connection away may have closed it.
+    // A server that rejects the connection may already have closed it.
     let _ = stream.write_all(request);
     read_response(stream)
 }
 
-/// Kept connections of workers that have reported once.
+/// Opens persistent connections of workers that have each sent a heartbeat.
 fn connect_workers(addr: SocketAddr, count: usize) -> Vec<TcpStream> {
     let worker = |_| {
         let mut stream = connect(addr);
@@ -157,8 +157,8 @@
 
 static MANY_CONNECTIONS: Mutex<()> = Mutex::new(());
 
-/// How many connections a test may have, both ends in this process, while it holds the guard: as
-/// wanted, if the limit of descriptors can be raised that far. One such test runs at a time.
+/// Raises the descriptor limit for `wanted` connections with both ends in this process, and returns how
+/// many connections it allows. Only one test at a time can hold the guard.
 pub(crate) fn many_connections(wanted: usize) -> (usize, MutexGuard<'static, ()>) {
     let guard = MANY_CONNECTIONS
         .lock()
@@ -167,7 +167,7 @@
         rlim_cur: 0,
         rlim_max: 0,
     };
-    // Other tests need some too.
+    // Leaves descriptors for tests that run concurrently.
     let needed = 2 * wanted as u64 + 1000;
     // SAFETY: both calls only read or write the structure that they are given.
     unsafe {
@@ -179,7 +179,7 @@
     }
     let possible = wanted.min((limit.rlim_cur as usize).saturating_sub(1000) / 2);
     if possible < wanted {
-        eprintln!("{possible} connections instead of {wanted}: the limit of descriptors");
+        eprintln!("{possible} connections instead of {wanted}: descriptor limit reached");
     }
     (possible, guard)
 }
@@ -197,7 +197,7 @@
     let addr = start(Limits::with_reserve(count + count / 4 + 64), handler);
     let before = threads_of_this_process();
     let mut streams = connect_workers(addr, count);
-    // All at once, over the connections that are kept.
+    // All workers send concurrently, over their persistent connections.
     for stream in &mut streams {
         stream.write_all(HEARTBEAT_REQUEST).unwrap();
     }
@@ -205,7 +205,7 @@
         assert!(read_response(stream).starts_with("HTTP/1.1 200"));
     }
     assert_eq!(threads.lock().unwrap().len(), 1);
-    // Other tests run beside this one.
+    // Other tests run concurrently and start threads as well.
     assert!(threads_of_this_process() < before + 64);
 }
 
@@ -226,15 +226,15 @@
     let addr = start_echo(limits);
     let mut workers = connect_workers(addr, limits.workers);
     for worker in &mut workers {
-        // From here on a byte at a time.
+        // The first byte of a request that stays incomplete.
         worker.write_all(&HEARTBEAT_REQUEST[..1]).unwrap();
     }
     let refused = exchange(&mut connect(addr), HEARTBEAT_REQUEST);
     assert!(refused.starts_with("HTTP/1.1 503"), "{refused}");
     assert!(refused.contains("Retry-After: 2") && refused.contains("Connection: close"));
 
-    // Many more that never come to the end of a request. Each one that is new is served at the
-    // expense of the oldest of these.
+    // Many more connections never complete a request. Each new connection is served because it replaces
+    // the oldest of these.
     let mut slow = Vec::new();
     for n in 0..4 * limits.unclassified {
         let mut stream = connect(addr);
@@ -244,8 +244,8 @@
         assert!(exchange(&mut connect(addr), USER_REQUEST).ends_with("/jobs"));
     }
     assert!(read_response(&mut slow[0]).starts_with("HTTP/1.1 503"));
-    // The last of them has kept its place, but it turns out to be a worker's; the workers that were
-    // first have lost nothing.
+    // The newest of them is still open, but its request shows that it is a worker's, and the limit for
+    // workers is reached. The workers that connected first are unaffected.
     let last = slow.last_mut().unwrap();
     let sent = 1 + (4 * limits.unclassified - 1) % 20;
     assert!(exchange(last, &HEARTBEAT_REQUEST[sent..]).starts_with("HTTP/1.1 503"));
@@ -260,7 +260,7 @@
     let addr = start_echo(limits);
     for _ in 0..10 {
         drop(connect_workers(addr, limits.workers));
-        // The ends of these connections are read before what comes on new ones.
+        // The server reads the end of these connections before the requests on new ones.
         assert!(exchange(&mut connect(addr), HEALTH_REQUEST).starts_with("HTTP/1.1 200"));
     }
 }
@@ -294,7 +294,7 @@
     assert!(read_response(&mut stream).ends_with("/jobs"));
     assert!(read_response(&mut stream).ends_with("/hello"));
     assert!(exchange(&mut stream, rest).ends_with("/ready"));
-    // The peer's end behind a request keeps it from nothing but a next one.
+    // Requests that precede the end of the stream still get responses.
     stream
         .write_all(&[USER_REQUEST, USER_REQUEST].concat())
         .unwrap();
@@ -324,7 +324,7 @@
     }
 }
 
-/// Passes responders on to be answered elsewhere.
+/// Passes responders to the test, which responds later.
 struct Deferred(Sender<(String, Responder)>);
 
 impl Handler for Deferred {
@@ -370,7 +370,7 @@
     let connection = Connection::register(stream, mio::Token(1), &registry, start).unwrap();
     assert!(!connection.is_finished(after(74)) && connection.is_finished(after(75)));
 
-    // Bytes that go on coming do not put the end off.
+    // Further bytes of the request do not extend the deadline.
     for second in 20..28 {
         client.write_all(&USER_REQUEST[..1]).unwrap();
         std::thread::sleep(Duration::from_millis(10));
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
-//! burlusher, a cluster scheduler: submitted jobs in, tasks running on rented machines out.
+//! burlusher, a cluster scheduler: runs the tasks of submitted jobs on rented machines.
 //!
-//! The program is a thin shell around this library. `core` decides everything and does no I/O;
-//! `service` runs it between threads that do nothing but I/O.
+//! The program is a thin wrapper around this library. `core` makes all decisions and does no I/O;
+//! `service` connects it to threads that do nothing but I/O.
 
 pub mod cloud_client;
 pub mod core;
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,5 +1,5 @@
-//! How the log is written: lines of text for people, or JSON with the term, job, task and machine
-//! that a line is about as fields of their own.
+//! Log output: lines of text for people, or JSON objects in which the term, job, task and machine of
+//! an event are separate fields.
 
 use std::fmt;
 use tracing::field::{Field, Visit};
@@ -11,38 +11,38 @@
 use tracing_subscriber::fmt::{FmtContext, MakeWriter};
 use tracing_subscriber::registry::LookupSpan;
 
-/// The form of log lines.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum LogFormat {
     /// The message, then its fields as `name=value`.
     #[value(help = None::<&str>)]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     #[value(help = None::<&str>)]
     Json,
 }
 
-/// Why the log cannot be started.
+/// Reason why logging cannot be initialised.
 #[derive(Debug, thiserror::Error)]
 pub enum LoggingError {
-    /// The level has no such name.
+    /// `LOG_LEVEL` is not the name of a level.
     #[error(transparent)]
     Level(#[from] UnknownLevel),
-    /// The process has a log already.
+    /// The process already has a global subscriber.
     #[error(transparent)]
     AlreadyStarted(#[from] SetGlobalDefaultError),
 }
 
-/// A level that does not exist.
+/// A value of `LOG_LEVEL` that is not the name of a level.
 #[derive(Debug, PartialEq, thiserror::Error)]
-#[error("LOG_LEVEL is {0:?}; it may be off, error, warn, info, debug or trace")]
+#[error("LOG_LEVEL is {0:?}; it must be off, error, warn, info, debug or trace")]
 pub struct UnknownLevel(String);
 
-/// Starts the log of a process, on standard error. `level` is what `LOG_LEVEL` says; `info` if it
-/// says nothing.
+/// Initialises logging to standard error. `level` is the value of `LOG_LEVEL`; if it is unset or
+/// empty, the level is `info`.
 ///
 /// # Errors
-/// The level is unknown, or the process has a log already.
+/// Fails if the level is unknown, or if the process already has a global subscriber.
 pub fn start(format: LogFormat, level: Option<&str>) -> Result<(), LoggingError> {
     let level = parse_level(level)?;
     let subscriber = subscriber(format, level, std::io::stderr);
@@ -81,7 +81,7 @@
     }
 }
 
-/// Writes an event as a line of text: time, level, message, fields.
+/// Formats an event as a line of text: time, level, message, fields.
 struct TextLine;
 
 impl<S, N> FormatEvent<S, N> for TextLine
@@ -104,7 +104,7 @@
     }
 }
 
-/// The message of an event, and its fields with a space before each.
+/// Message of an event, and its fields as ` name=value`, each with a leading space.
 #[derive(Default)]
 struct TextParts {
     message: String,
@@ -125,7 +125,7 @@
     }
 }
 
-/// A value in quotes, where its end could not be seen otherwise.
+/// Quotes a value that is empty or contains whitespace, so that its end is visible in the line.
 fn quoted(value: String) -> String {
     let is_plain = !value.is_empty() && !value.contains(char::is_whitespace);
     if is_plain || value.starts_with('"') {
--- a/src/logging/tests.rs
+++ b/src/logging/tests.rs
@@ -23,8 +23,8 @@
     });
     tracing::subscriber::with_default(subscriber, || {
         let id = "i-000231";
-        tracing::info!(machine = %id, term = 7, "machine {id}: taken on");
-        tracing::debug!("not at info");
+        tracing::info!(machine = %id, term = 7, "machine {id}: registered");
+        tracing::debug!("hidden at level info");
     });
     let text = buffer.0.lock().unwrap().clone();
     String::from_utf8(text).unwrap()
@@ -34,7 +34,7 @@
 fn lines_are_text_or_json_with_fields() {
     let text = log_output(LogFormat::Text, "info");
     assert!(
-        text.ends_with(" INFO ] machine i-000231: taken on machine=i-000231 term=7\n"),
+        text.ends_with(" INFO ] machine i-000231: registered machine=i-000231 term=7\n"),
         "{text}"
     );
     assert_eq!(log_output(LogFormat::Text, "debug").lines().count(), 2);
@@ -42,7 +42,7 @@
         serde_json::from_str(&log_output(LogFormat::Json, "info")).unwrap();
     assert_eq!(json["machine"], "i-000231");
     assert_eq!(json["term"], 7);
-    assert_eq!(json["message"], "machine i-000231: taken on");
+    assert_eq!(json["message"], "machine i-000231: registered");
     assert_eq!(log_output(LogFormat::Json, "error"), "");
     assert!(
         parse_level(Some("loud"))
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,5 @@
-//! The program: reads the command line, runs a command, and reports an error with its causes.
+//! Entry point of the program: parses the command line, runs the command, and prints an error with
+//! its causes.
 
 mod cli;
 
@@ -17,7 +18,7 @@
     }
 }
 
-/// An error's text, followed by those of its causes.
+/// Returns the message of an error, followed by those of its causes.
 fn with_causes(error: &dyn Error) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,5 +1,5 @@
-//! Metrics in the OpenMetrics text format. A page is put together when somebody asks for it, from
-//! what the owner knows anyhow: between two requests metrics cost nothing.
+//! Metrics in the OpenMetrics text format. Each request builds a page from the current state, so
+//! metrics cost nothing between two requests.
 
 use prometheus_client::encoding::text::encode;
 use prometheus_client::metrics::counter::Counter;
@@ -8,12 +8,12 @@
 use prometheus_client::registry::Registry;
 use std::sync::atomic::AtomicU64;
 
-/// All names begin with this and an underscore.
+/// Prefix of all metric names; an underscore follows it.
 const PREFIX: &str = "burlusher";
 
 type Labels = Vec<(String, String)>;
 
-/// One page of metrics in the making.
+/// Page of metrics that is built for one request.
 pub struct Page(Registry);
 
 impl Default for Page {
@@ -23,14 +23,14 @@
 }
 
 impl Page {
-    /// Adds a value that goes up and down.
+    /// Adds a gauge: a value that can rise and fall.
     pub fn gauge(&mut self, name: &str, help: &str, value: f64) {
         let gauge = Gauge::<f64, AtomicU64>::default();
         gauge.set(value);
         self.0.register(name, help, gauge);
     }
 
-    /// Adds several such values of one name, which differ in the value of a label.
+    /// Adds several gauges of one name that differ in the value of `label`.
     pub fn gauges<'a>(
         &mut self,
         name: &str,
@@ -46,18 +46,18 @@
         self.0.register(name, help, family);
     }
 
-    /// Adds a count that only grows while a process, or a leader, lasts. The format appends `_total`
-    /// to its name.
+    /// Adds a counter, which only grows within the lifetime of a process or a leadership. The format
+    /// appends `_total` to its name.
     pub fn counter(&mut self, name: &str, help: &str, value: u64) {
         let counter = Counter::<u64>::default();
         counter.inc_by(value);
         self.0.register(name, help, counter);
     }
 
-    /// The page as text.
+    /// Encodes the page as text.
     pub fn text(&self) -> String {
         let mut text = String::new();
-        // Writing into a string does not fail.
+        // Writing to a string cannot fail.
         let _ = encode(&mut text, &self.0);
         text
     }
--- a/src/rate_limiter.rs
+++ b/src/rate_limiter.rs
@@ -1,19 +1,19 @@
-//! A token bucket: spreads calls over time so that one process stays within its part of a limit
-//! that it shares with others.
+//! A token bucket, which keeps this process within its part of a rate limit that it shares with
+//! others.
 
 use std::time::{Duration, Instant};
 
-/// A budget of calls that grows at a steady rate up to a burst of one second's worth.
+/// A budget of calls that refills at a constant rate, up to a burst of one second's worth of calls.
 pub struct RateLimiter {
     per_second: f64,
     burst: f64,
-    /// Calls that may be made at once, as of `updated`; negative while callers wait for their turn.
+    /// Calls that may be made immediately, as of `updated`; negative while reserved calls wait.
     available: f64,
     updated: Instant,
 }
 
 impl RateLimiter {
-    /// A full budget of `per_second` calls a second, and of one call at least.
+    /// Returns a limiter with a full budget. The burst is `per_second` calls, and at least one.
     pub fn new(per_second: f64, now: Instant) -> RateLimiter {
         let burst = per_second.max(1.0);
         RateLimiter {
@@ -24,7 +24,7 @@
         }
     }
 
-    /// How many calls may be made at once.
+    /// Returns how many calls may be made immediately.
     pub fn available(&mut self, now: Instant) -> f64 {
         let gained = now.saturating_duration_since(self.updated).as_secs_f64() * self.per_second;
         self.updated = self.updated.max(now);
@@ -32,12 +32,12 @@
         self.available
     }
 
-    /// Takes so many calls from the budget, which may become negative.
+    /// Takes `calls` from the budget, which may become negative.
     pub fn spend(&mut self, calls: usize) {
         self.available -= calls as f64;
     }
 
-    /// Takes one call from the budget if it can be made at once; returns whether it can.
+    /// Takes one call from the budget if it may be made immediately; returns whether it may.
     pub fn try_take(&mut self, now: Instant) -> bool {
         let allowed = self.available(now) >= 1.0;
         if allowed {
--- a/src/service/admission_gate.rs
+++ b/src/service/admission_gate.rs
@@ -1,12 +1,12 @@
-//! A bound on how many requests of a kind are worked on at a time; the others wait in the order in
-//! which they came.
+//! Limits how many requests of one kind are processed concurrently; further requests wait in the order
+//! of their arrival.
 
 use super::threads::lock;
 use std::collections::VecDeque;
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// Bytes that waiting items may keep together.
+/// Maximum total size of the waiting items, in bytes.
 const MAX_WAITING_BYTES: usize = 16 * 1024 * 1024;
 
 struct WaitingItem<T> {
@@ -21,26 +21,26 @@
     queued_bytes: usize,
 }
 
-/// Admits a fixed number of items at a time and queues the others.
+/// Admits a fixed number of items at a time and queues further ones.
 ///
-/// Places and the queue agree: an item waits only while no place is free.
+/// Items wait only while no slot is free.
 pub struct AdmissionGate<T> {
     state: Mutex<State<T>>,
 }
 
-/// What becomes of an item at the gate.
+/// Result of a request for admission.
 #[derive(Debug, PartialEq)]
 pub enum Admission<T> {
-    /// It has a place, until `leave` is called.
+    /// The item occupies a slot until `release` is called.
     Admitted(T),
-    /// It is in the queue.
+    /// The item has been queued.
     Queued,
-    /// There is no room in the queue: the item is given back.
+    /// The queue has no room for the item, which is returned.
     Full(T),
 }
 
 impl<T> AdmissionGate<T> {
-    /// A gate with so many places.
+    /// Returns a gate with this number of slots.
     pub fn new(slots: usize) -> AdmissionGate<T> {
         AdmissionGate {
             state: Mutex::new(State {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Takes a place for an item that keeps so many bytes while it waits.
+    /// Admits or queues an item; `bytes` is the memory that it occupies while it waits.
     pub fn admit(&self, item: T, bytes: usize, now: Instant) -> Admission<T> {
         let mut state = lock(&self.state);
         if state.free_slots > 0 {
@@ -70,7 +70,7 @@
         Admission::Queued
     }
 
-    /// Gives a place back. The item that has waited longest, if any, has it from then on.
+    /// Releases a slot. If items wait, the slot passes to the one that has waited longest, which is returned.
     pub fn release(&self) -> Option<T> {
         let mut state = lock(&self.state);
         let next = state.pop();
@@ -80,7 +80,7 @@
         next
     }
 
-    /// Takes the items out of the queue that have waited for `timeout` or longer.
+    /// Removes and returns the items that have waited for at least `timeout`.
     pub fn take_expired(&self, now: Instant, timeout: Duration) -> Vec<T> {
         let mut state = lock(&self.state);
         let mut expired = Vec::new();
--- a/src/service/cloud_pool.rs
+++ b/src/service/cloud_pool.rs
@@ -1,4 +1,4 @@
-//! Calls to the cloud, on threads that each keep a connection.
+//! Thread pool for calls to the cloud; each thread keeps a connection.
 
 use super::inbox::Inbox;
 use super::threads::ThreadPool;
@@ -12,14 +12,15 @@
 
 /// One request to the cloud.
 pub(super) struct CloudCall {
-    /// Under which the outcome is reported to `core`.
+    /// Identifier with which the outcome is reported to `core`.
     pub(super) call: CallId,
     pub(super) request: CloudRequest,
-    /// End of the leader's validity: what only a leader may do is not sent after it.
+    /// End of the leadership's validity, for a request that only a leader may make; the request is not sent
+    /// after it.
     pub(super) not_after: Option<Instant>,
 }
 
-/// Starts the threads.
+/// Starts the pool.
 pub(super) fn start(addr: SocketAddrV4, inbox: &Inbox) -> io::Result<ThreadPool<CloudCall>> {
     ThreadPool::start("cloud", CLOUD_THREADS, || {
         let inbox = inbox.clone();
@@ -34,7 +35,7 @@
 
 fn perform(client: &mut CloudClient, call: &CloudCall) -> CloudOutcome {
     if call.not_after.is_some_and(|end| Instant::now() >= end) {
-        return CloudOutcome::Failed("the leader's time was over".into());
+        return CloudOutcome::Failed("leadership expired before the call".into());
     }
     client.perform(&call.request)
 }
--- a/src/service/command_queue.rs
+++ b/src/service/command_queue.rs
@@ -1,29 +1,29 @@
-//! The owner's queue of commands, in lanes of different urgency.
+//! Command queue of the owner thread, divided into lanes of different priority.
 //!
-//! What decides whether users and the state service are answered in time comes first, and the many
-//! heartbeats of workers, which may wait for seconds, come last. In one queue, a failover with a
-//! thousand machines or an array of ten thousand tasks kept submissions waiting for a minute.
+//! Commands on which timely responses to users and calls to the state service depend come first. The
+//! many heartbeats of workers, which may wait for seconds, come last. With a single queue, a failover
+//! with a thousand machines or an array of ten thousand tasks delayed submissions by a minute.
 
 use crate::core::{Command, UserAction};
 use std::collections::VecDeque;
 use std::ops::Index;
 
-/// The urgency of a command.
+/// Priority class of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lane {
     /// Submissions, cancellations, and outcomes of calls to the state service and the cloud.
     Urgent,
-    /// Questions that change nothing.
+    /// Requests that only read.
     Query,
-    /// What workers send.
+    /// Heartbeats of workers, and outcomes of direct commands to workers.
     Heartbeat,
 }
 
 impl Lane {
-    /// All lanes, the most urgent one first.
+    /// All lanes, in order of decreasing priority.
     pub const ALL: [Lane; 3] = [Lane::Urgent, Lane::Query, Lane::Heartbeat];
 
-    /// The lane of a command.
+    /// Returns the lane of a command.
     pub fn of(command: &Command) -> Lane {
         match command {
             Command::Heartbeat { .. } | Command::DirectOutcome { .. } => Lane::Heartbeat,
@@ -35,8 +35,8 @@
         }
     }
 
-    /// How many commands of this lane go into one step of the owner at the most. Whatever the
-    /// others hold, a step stays short, and every lane moves on.
+    /// Returns the maximum number of commands of this lane in one step of the owner thread. The limits keep
+    /// steps short, and every lane makes progress whatever the others contain.
     pub const fn commands_per_step(self) -> usize {
         match self {
             Lane::Urgent => 256,
@@ -46,12 +46,12 @@
     }
 }
 
-/// How many commands wait in each lane.
+/// Number of waiting commands in each lane.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueueLengths([usize; Lane::ALL.len()]);
 
 impl QueueLengths {
-    /// In the order of `Lane::ALL`.
+    /// Returns the numbers in the order of `Lane::ALL`.
     pub fn to_array(self) -> [usize; Lane::ALL.len()] {
         self.0
     }
@@ -65,38 +65,38 @@
     }
 }
 
-/// The queue itself.
+/// Queue of commands with one FIFO per lane.
 #[derive(Default)]
 pub struct CommandQueue {
-    /// In the order of `Lane::ALL`.
+    /// Queues in the order of `Lane::ALL`.
     lanes: [VecDeque<Command>; Lane::ALL.len()],
-    /// The owner sleeps: only then need it be woken, which costs a system call.
+    /// Whether the owner thread waits for commands. Only then is it woken, which costs a system call.
     pub owner_idle: bool,
 }
 
 impl CommandQueue {
-    /// Adds a command to its lane. Returns whether the owner has to be woken.
+    /// Adds a command to its lane. Returns whether the owner thread has to be woken.
     pub fn push(&mut self, command: Command) -> bool {
         self.lanes[Lane::of(&command) as usize].push_back(command);
         std::mem::take(&mut self.owner_idle)
     }
 
-    /// How many commands wait in one lane.
+    /// Returns the number of commands that wait in one lane.
     pub fn len(&self, lane: Lane) -> usize {
         self.lanes[lane as usize].len()
     }
 
-    /// How many commands wait in each lane.
+    /// Returns the number of commands that wait in each lane.
     pub fn lengths(&self) -> QueueLengths {
         QueueLengths(Lane::ALL.map(|lane| self.len(lane)))
     }
 
-    /// Whether no command waits.
+    /// Returns whether no command waits.
     pub fn is_empty(&self) -> bool {
         self.lanes.iter().all(VecDeque::is_empty)
     }
 
-    /// Takes the commands of one step, the most urgent ones first.
+    /// Takes the commands of one step, in order of decreasing priority.
     pub fn take_step(&mut self) -> Vec<Command> {
         let mut step = Vec::new();
         for lane in Lane::ALL {
--- a/src/service/inbox.rs
+++ b/src/service/inbox.rs
@@ -1,4 +1,4 @@
-//! Takes commands into the owner's queue, and its responses back to the clients.
+//! Queues commands for the owner thread, and returns its responses to the clients.
 
 use super::admission_gate::{Admission, AdmissionGate};
 use super::command_queue::{CommandQueue, Lane, QueueLengths};
@@ -12,29 +12,31 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-/// Requests that may wait for the owner in a lane; beyond that callers get 503. Heartbeats do not
-/// come near it: the gate admits a third as many.
+/// Maximum number of requests that wait for the owner thread in one lane; further requests get status 503.
+/// Heartbeats stay far below it: the admission gate admits a third as many.
 const MAX_QUEUED_REQUESTS: usize = 1024;
-/// A user waits 2 s for a poll; a response later than this is of no use.
+/// Time after which a request without a response gets status 503. Clients wait 2 s for the response to a
+/// poll, so a response later than this is useless.
 pub const RESPONSE_TIMEOUT: Duration = Duration::from_millis(3500);
-/// Heartbeats that are worked on at a time: what two steps of the owner take, so that the next one
-/// finds work. The others wait, unparsed. Workers send one whenever something changes, so a
-/// thousand of them that run short tasks send more than can be worked through: then each has its
-/// next heartbeat processed a little later and with more in it, and what is urgent does not stand
-/// behind a thousand of these.
+/// Maximum number of heartbeats processed concurrently: as many as two steps of the owner thread take, so
+/// that the next step finds work. Further heartbeats wait unparsed.
+///
+/// Workers send a heartbeat whenever something changes, so a thousand workers that run short tasks send
+/// more than can be processed. The limit delays their next heartbeats, which then report more changes
+/// each, and urgent commands do not queue behind a thousand heartbeats.
 const CONCURRENT_HEARTBEATS: usize = 2 * Lane::Heartbeat.commands_per_step();
-/// Seconds after which a caller whose request found the queue full should retry.
+/// Value in seconds of `Retry-After` for a request that is rejected because the queue is full.
 const QUEUE_FULL_RETRY_S: u32 = 2;
 
-/// Where a response goes.
+/// Recipient of a response.
 pub enum ReplyTo {
-    /// A request of the public interface.
+    /// The client of a request to the public interface.
     Client(Responder),
-    /// A request for metrics, whose response is of this content type.
+    /// The client of a request for metrics, with the content type of the response.
     MetricsClient(Responder, &'static str),
-    /// A worker's heartbeat, which has a place at the gate.
+    /// The worker that sent a heartbeat, which occupies a slot of the admission gate.
     Worker(Responder),
-    /// A thread that waits for it.
+    /// A thread that waits for the response.
     Thread(SyncSender<Response>),
 }
 
@@ -48,7 +50,7 @@
     responder: Responder,
 }
 
-/// A request for which the owner's queue has no room, and the response to give at once.
+/// Error for a request that does not fit into the queue, with the response for its client.
 struct QueueFull {
     reply_to: ReplyTo,
     response: Response,
@@ -56,24 +58,24 @@
 
 struct Shared {
     queue: Mutex<CommandQueue>,
-    /// Notified when a command comes while the owner is idle.
+    /// Notified when a command is queued while the owner thread is idle.
     not_empty: Condvar,
     next_ticket: AtomicU64,
-    /// Requests to which the owner has yet to respond.
+    /// Requests to which the owner thread has not responded yet.
     pending: Mutex<BTreeMap<Ticket, PendingReply>>,
     heartbeats: AdmissionGate<UnparsedHeartbeat>,
     renewal: LeaseRenewalPriority,
     response_timeout: Duration,
 }
 
-/// A handle to the owner's queue; all clones share it.
+/// Handle to the queue of the owner thread; all clones share the queue.
 #[derive(Clone)]
 pub struct Inbox {
     shared: Arc<Shared>,
 }
 
 impl Inbox {
-    /// Callers get 503 when they have waited for `response_timeout`.
+    /// Returns a handle to a new queue. Requests get status 503 after `response_timeout`.
     pub fn new(response_timeout: Duration) -> Inbox {
         Inbox {
             shared: Arc::new(Shared {
@@ -88,13 +90,13 @@
         }
     }
 
-    /// Whether other work is to wait for a renewal of the lease.
+    /// Returns the priority of the lease renewal, by which other work waits while a renewal is late.
     pub fn renewal(&self) -> &LeaseRenewalPriority {
         &self.shared.renewal
     }
 
-    /// Queues the outcome of one of our own calls. It must not be lost, and there are never more of
-    /// them than calls, so there is no limit.
+    /// Queues the outcome of a call of this process. No limit applies: an outcome must not be lost, and there
+    /// are at most as many as calls.
     pub fn put(&self, command: Command) {
         let wake = lock(&self.shared.queue).push(command);
         self.wake_owner(wake);
@@ -106,7 +108,7 @@
         }
     }
 
-    /// Queues a request to the owner.
+    /// Queues a request to the owner thread, unless its lane is full.
     fn enqueue(
         &self,
         make: impl FnOnce(Ticket) -> Command,
@@ -128,14 +130,14 @@
         Ok(ticket)
     }
 
-    /// Queues a request to the owner; its response goes to `reply_to`.
+    /// Queues a request to the owner thread; the response goes to `reply_to`.
     pub fn request(&self, make: impl FnOnce(Ticket) -> Command, reply_to: ReplyTo) {
         if let Err(full) = self.enqueue(make, reply_to) {
             self.complete(full.reply_to, full.response);
         }
     }
 
-    /// Queues a request to the owner and waits for its response.
+    /// Queues a request to the owner thread and waits for the response.
     pub fn request_and_wait(&self, make: impl FnOnce(Ticket) -> Command) -> Response {
         let (sender, receiver) = sync_channel(1);
         let ticket = match self.enqueue(make, ReplyTo::Thread(sender)) {
@@ -149,7 +151,7 @@
         })
     }
 
-    /// Passes a worker's heartbeat on as soon as there is a place for it.
+    /// Queues a worker's heartbeat as soon as the admission gate has a free slot.
     pub fn receive_heartbeat(&self, body: Vec<u8>, responder: Responder) {
         let bytes = body.len();
         let heartbeat = UnparsedHeartbeat { body, responder };
@@ -165,8 +167,8 @@
         }
     }
 
-    /// Parses a heartbeat that has a place at the gate, and queues it. Returns false if it was
-    /// answered at once, so that it needs its place no longer.
+    /// Parses and queues a heartbeat that has been admitted. Returns false if it has been rejected, so that
+    /// its slot is to be released.
     fn enqueue_heartbeat(&self, heartbeat: UnparsedHeartbeat) -> bool {
         let UnparsedHeartbeat { body, responder } = heartbeat;
         let heartbeat = match serde_json::from_slice(&body) {
@@ -188,7 +190,7 @@
         }
     }
 
-    /// Gives a heartbeat's place to those that wait, until one of them keeps it.
+    /// Releases a heartbeat's slot and queues waiting heartbeats until one of them is accepted.
     fn release_slot(&self) {
         while let Some(next) = self.shared.heartbeats.release() {
             if self.enqueue_heartbeat(next) {
@@ -197,7 +199,7 @@
         }
     }
 
-    /// Sends a response of the owner to the client, unless the request has expired.
+    /// Sends a response of the owner thread to the client, unless the request has expired.
     pub fn respond(&self, ticket: Ticket, response: Response) {
         let pending = lock(&self.shared.pending).remove(&ticket);
         if let Some(pending) = pending {
@@ -221,7 +223,7 @@
         }
     }
 
-    /// Answers 503 to those who have waited for too long.
+    /// Responds with status 503 to requests that have waited for too long.
     pub fn expire_requests(&self, now: Instant) {
         let timeout = self.shared.response_timeout;
         for heartbeat in self.shared.heartbeats.take_expired(now, timeout) {
@@ -232,7 +234,8 @@
         }
     }
 
-    /// Tickets rise with time, so the first ones have waited longest.
+    /// Removes and returns the expired requests. Tickets increase over time, so the first ones have waited
+    /// longest.
     fn take_expired(&self, now: Instant) -> Vec<PendingReply> {
         let mut pending = lock(&self.shared.pending);
         let mut expired = Vec::new();
@@ -244,12 +247,12 @@
         expired
     }
 
-    /// How many commands wait for the owner in each lane.
+    /// Returns the number of commands that wait for the owner thread in each lane.
     pub fn queue_lengths(&self) -> QueueLengths {
         lock(&self.shared.queue).lengths()
     }
 
-    /// The commands of the owner's next step; none when nothing came for as long as `wait`.
+    /// Returns the commands of the owner thread's next step; none if no command is queued within `wait`.
     pub fn next_commands(&self, wait: Duration) -> Vec<Command> {
         let mut queue = lock(&self.shared.queue);
         if queue.is_empty() {
--- a/src/service/lease_keeper.rs
+++ b/src/service/lease_keeper.rs
@@ -1,5 +1,5 @@
-//! Keeps the lease on which leadership rests, on a thread of its own: renewals go on whatever the
-//! owner of the state is busy with.
+//! Keeps the lease that leadership depends on. A separate thread does this, so that renewals continue
+//! while the owner thread is busy.
 
 use super::inbox::Inbox;
 use super::threads::{lock, spawn};
@@ -12,36 +12,36 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Pause after a request for a lease that failed.
+/// Pause after a failed request for a lease.
 const GRANT_RETRY: Duration = Duration::from_millis(300);
-/// Pause after a renewal that failed, or that did not confirm leadership.
+/// Pause after a renewal that failed or did not confirm leadership.
 const RENEWAL_RETRY: Duration = Duration::from_millis(150);
-/// Pause before another lease is requested in place of one that has expired.
+/// Pause before a new lease is requested after the previous one has expired.
 const EXPIRED_RETRY: Duration = Duration::from_millis(50);
-/// Longest sleep at a time, so that a request of the owner takes effect soon.
+/// Longest uninterrupted sleep, so that requests of the owner thread take effect soon.
 const SLEEP_STEP: Duration = Duration::from_millis(200);
 
-/// The owner's requests to the keeper's thread.
+/// Requests of the owner thread to the lease thread.
 #[derive(Default)]
 pub(super) struct LeaseControl {
     release: AtomicBool,
     replace: AtomicBool,
-    /// Checked with each renewal while this process leads.
+    /// Conditions of leadership, checked with each renewal; `None` while this process is not the leader.
     proof: Mutex<Option<LeadershipProof>>,
 }
 
 impl LeaseControl {
-    /// Requests that the lease be revoked, which ends leadership.
+    /// Requests the revocation of the lease, which ends leadership.
     pub(super) fn release(&self) {
         self.release.store(true, Ordering::Relaxed);
     }
 
-    /// Requests another lease; the present one is neither renewed nor revoked.
+    /// Requests a new lease; the present one is neither renewed nor revoked.
     pub(super) fn replace(&self) {
         self.replace.store(true, Ordering::Relaxed);
     }
 
-    /// Sets what has to hold for this process to lead; `None` where it does not lead.
+    /// Sets the conditions that must hold for this process to be the leader; `None` if it is not the leader.
     pub(super) fn set_proof(&self, proof: Option<LeadershipProof>) {
         *lock(&self.proof) = proof;
     }
@@ -50,13 +50,13 @@
         lock(&self.proof).is_some()
     }
 
-    /// Whether a request of the owner has yet to be followed.
+    /// Returns whether the owner thread has made a request that is not handled yet.
     fn has_pending_request(&self) -> bool {
         self.release.load(Ordering::Relaxed) || self.replace.load(Ordering::Relaxed)
     }
 }
 
-/// Starts the thread that keeps a lease for the rest of the process's life.
+/// Starts the thread that keeps a lease until the process ends.
 pub(super) fn start(
     store_addr: SocketAddrV4,
     inbox: &Inbox,
@@ -83,7 +83,8 @@
         let mut due = Instant::now();
         loop {
             let started = Instant::now();
-            // The process stood still or had no processor; the log shows it beside what came of it.
+            // The process was suspended or got no processor time. The log line helps to explain a lease that
+            // expires as a result.
             let late = started.saturating_duration_since(due);
             if exceeds_log_threshold(late) {
                 tracing::warn!(late_ms = millis(late), "lease renewal late");
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Returns the pause before the next turn.
+    /// Renews the lease, or requests one, and returns the pause before the next iteration.
     fn renew_or_grant(&mut self, started: Instant) -> Duration {
         match self.lease {
             Some(lease) => self.renew(lease, started),
@@ -127,7 +128,7 @@
                 renewal_interval()
             }
             Err(error) => {
-                tracing::debug!(%error, "no lease granted");
+                tracing::debug!(%error, "lease not granted");
                 GRANT_RETRY
             }
         }
@@ -138,7 +139,8 @@
             Ok(true) => {
                 let confirmed = self.confirm_leadership();
                 self.report_renewal(lease, started, confirmed);
-                // Not confirmed for the state service's rate limit, say: leadership waits for it.
+                // The state service may have refused the check because of its rate limit. Leadership is not
+                // extended without a confirmation, so the next attempt follows soon.
                 if confirmed.is_none() && self.control.is_leading() {
                     RENEWAL_RETRY
                 } else {
@@ -165,8 +167,8 @@
         });
     }
 
-    /// The version of the leader key, if what leadership rests on still holds; `None` where this
-    /// process does not lead, or cannot know.
+    /// Returns the version of the leader key if the conditions of leadership still hold; `None` if this
+    /// process is not the leader, or if the check has no conclusive result.
     fn confirm_leadership(&mut self) -> Option<u64> {
         let proof = lock(&self.control.proof).clone()?;
         let key_version = proof.key_version;
@@ -187,7 +189,7 @@
         }
     }
 
-    /// Sleeps, or until the owner sends a request.
+    /// Sleeps until `end`, or until the owner thread makes a request.
     fn sleep_until(&self, end: Instant) {
         while Instant::now() < end && !self.control.has_pending_request() {
             let remaining = end.saturating_duration_since(Instant::now());
@@ -196,12 +198,12 @@
     }
 }
 
-/// Well before the lease expires: several renewals may fail.
+/// Returns the interval between renewals, which allows several to fail before the lease expires.
 fn renewal_interval() -> Duration {
     LEASE_TTL / 5
 }
 
-/// Whether so much of the lease's time has passed that it is logged.
+/// Returns whether a delay is a large enough part of the lease's duration to be logged.
 fn exceeds_log_threshold(duration: Duration) -> bool {
     duration > LEASE_TTL / 4
 }
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -1,20 +1,20 @@
-//! Runs `core` between threads that do nothing but I/O.
+//! Runs `core` and the threads that do its I/O.
 //!
-//! One thread, the owner, holds all state and works through a queue of commands in batches
-//! (`owner`, `inbox`, `command_queue`). The others:
+//! One thread, the owner thread, holds all state and processes a queue of commands in batches
+//! (`owner`, `inbox`, `command_queue`). The other threads:
 //!
-//! - one reads the public HTTP connections, which may be thousands, without blocking (`routes` on top
-//!   of `http::server`);
-//! - one accepts the other controllers' connections, each of which has a blocking thread
+//! - one serves the public HTTP connections, of which there may be thousands, without blocking (`routes`
+//!   on top of `http::server`);
+//! - one accepts connections of the other controllers, each of which has its own blocking thread
 //!   (`peer_server`);
-//! - one keeps the lease (`lease_keeper`), and one watches the state service (`watch`);
-//! - pools of them make blocking calls to the state service, the cloud, the workers and the other
+//! - one renews the lease (`lease_keeper`), and one watches the state service (`watch`);
+//! - thread pools make blocking calls to the state service, the cloud, the workers and the other
 //!   controllers (`store_pool`, `cloud_pool`, `worker_pool`, `peer_pool`), and one sends responses;
-//! - with a folder for snapshots, one writes these (`snapshotter`).
+//! - one writes snapshots, if a folder for them is configured (`snapshotter`).
 //!
-//! Neither the lease nor `/ready` waits behind planning: the lease has its thread, and `/ready` is a
-//! flag. A pool owns its threads and joins them when it is dropped; the other threads serve until the
-//! process is killed, as the owner does.
+//! Planning delays neither the lease nor `/ready`: the lease has its own thread, and `/ready` reads a
+//! flag. A pool owns its threads and joins them when it is dropped; the other threads, like the owner
+//! thread, run until the process is killed.
 
 mod admission_gate;
 mod cloud_pool;
@@ -54,27 +54,27 @@
 use threads::spawn;
 use watch::StoreWatch;
 
-/// The part of this controller's share of the state service's requests that the store pool may use;
-/// the rest is for the lease, the watch and what the limit counts otherwise than we do.
+/// Fraction of this controller's share of the state service's rate limit that the store pool may use.
+/// The rest is for the lease, the watch, and differences in how the state service counts requests.
 const STORE_POOL_SHARE: f64 = 0.6;
-/// Sockets for the lease, the watch, the listeners and the process's own files.
+/// Number of descriptors reserved for the lease, the watch, the listeners and the process's own files.
 const OTHER_SOCKETS: usize = 32;
-/// Connections that are served even where sockets and memory are counted as too few.
+/// Minimum number of public connections, allowed even if sockets and memory would allow fewer.
 const MIN_CONNECTIONS: usize = 16;
-/// Memory that is kept for everything but connections; where there is little, half is kept.
+/// Memory in MB that is reserved for everything except connections; at most half of all memory.
 const BASE_MB: f64 = 40.0;
-/// Memory of one connection, with a margin. Measured (simulated) with 6,000 machines on three
-/// controllers and on five: one with 3,621 connections took 27.9 MB in all, 0.0077 a connection, and
-/// one with 5,834 took 12.4 MB.
+/// Memory of one connection in MB, with a margin. Measured with 6,000 simulated machines and with three
+/// and five controllers: a controller with 3,621 connections used 27.9 MB in all, which is 0.0077 MB per
+/// connection, and one with 5,834 connections used 12.4 MB.
 const CONNECTION_MB: f64 = 0.01;
 
 /// Runs the service; returns only if it cannot start.
 ///
-/// With a folder for snapshots, what the state service holds is kept there, and what was kept is
-/// remembered if the state service has lost it.
+/// If `snapshots` names a folder, snapshots of the store are written there, and the newest one is loaded
+/// at the start, so that the store can be rebuilt if the state service has lost its data.
 ///
 /// # Errors
-/// An address cannot be bound, a thread cannot be started, or the folder cannot be read.
+/// Fails if an address cannot be bound, a thread cannot be started, or the folder cannot be read.
 pub fn run(settings: Settings, policy: Policy, snapshots: Option<&Path>) -> io::Result<()> {
     let settings = Arc::new(settings);
     let public_listener = TcpListener::bind(settings.listen)?;
@@ -107,7 +107,7 @@
     owner::run(core, &inbox, &handlers)
 }
 
-/// Starts the threads that carry out effects.
+/// Starts the threads that execute effects.
 fn start_effect_handlers(settings: &Settings, inbox: &Inbox) -> io::Result<EffectHandlers> {
     let controllers = settings.peers.len() as f64 + 1.0;
     let store_rate = settings.store_rps / controllers * STORE_POOL_SHARE;
@@ -125,8 +125,9 @@
     })
 }
 
-/// Public connections to serve at a time: every worker keeps one open to the leader, so as many as
-/// the process may have sockets for, less what it opens itself, and as its memory allows.
+/// Returns the maximum number of public connections. Every worker keeps a connection to the leader open,
+/// so the maximum is as large as the socket limit allows, less the sockets that the process itself opens,
+/// and as its memory allows.
 pub fn max_connections(settings: &Settings) -> usize {
     let peers = settings.peers.len() * PEER_THREADS + MAX_PEER_CONNECTIONS;
     let own =
@@ -139,8 +140,9 @@
     )
 }
 
-/// Keeps the allocator from setting memory aside for every thread: there are many threads here,
-/// little memory, and one core. To be called before other threads are started.
+/// Limits the allocator to two arenas: there are many threads, little memory, and one core, so an arena
+/// for each thread would only waste memory. Also fixes the amount of free memory above which it is
+/// returned to the operating system. Must be called before other threads are started.
 pub fn limit_malloc_arenas() {
     // SAFETY: `mallopt` only sets a parameter of the C library's allocator, and is called before
     // other threads are started.
--- a/src/service/owner.rs
+++ b/src/service/owner.rs
@@ -1,5 +1,5 @@
-//! The owner of all state: one thread that passes commands to `core` in batches and carries out the
-//! effects.
+//! The owner thread, which holds all state: passes commands to `core` in batches and executes the
+//! resulting effects.
 
 use super::cloud_pool::CloudCall;
 use super::inbox::Inbox;
@@ -17,32 +17,32 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant, SystemTime};
 
-/// How often the owner logs what it has done.
+/// Interval at which statistics are logged.
 const STATS_INTERVAL: Duration = Duration::from_secs(60);
 
-/// The response to one request.
+/// Response to one request.
 pub(super) struct ResponseCall {
     ticket: Ticket,
     response: Response,
 }
 
-/// Where effects go. None of it makes the owner wait.
+/// Handlers that execute effects; none of them blocks the owner thread.
 pub(super) struct EffectHandlers {
     pub(super) store: ThreadPool<StoreCall>,
     pub(super) cloud: ThreadPool<CloudCall>,
     pub(super) workers: ThreadPool<WorkerCall>,
-    /// By the peer's name.
+    /// Pools by the name of the peer.
     pub(super) peers: BTreeMap<String, ThreadPool<PeerCall>>,
     pub(super) heartbeat_batches: ThreadPool<HeartbeatBatchCall>,
-    /// The responses of a step go together.
+    /// Sends the responses of one step together.
     pub(super) responses: ThreadPool<Vec<ResponseCall>>,
     pub(super) watch: Arc<StoreWatch>,
     pub(super) lease: Arc<LeaseControl>,
-    /// What `/ready` reports.
+    /// Value that `/ready` reports.
     pub(super) ready: Arc<AtomicBool>,
 }
 
-/// Starts the thread that sends the responses of a step, so that the owner goes on meanwhile.
+/// Starts the thread that sends the responses of a step, so that the owner thread does not wait for it.
 pub(super) fn start_responses(inbox: &Inbox) -> io::Result<ThreadPool<Vec<ResponseCall>>> {
     ThreadPool::start("response", 1, || {
         let inbox = inbox.clone();
@@ -54,7 +54,7 @@
     })
 }
 
-/// Both clocks, read together.
+/// Reads both clocks together.
 pub(super) fn now() -> Now {
     Now {
         mono: Instant::now(),
@@ -62,7 +62,7 @@
     }
 }
 
-/// Runs `core` for the rest of the process's life.
+/// Runs `core` until the process ends.
 pub(super) fn run(mut core: Core, inbox: &Inbox, handlers: &EffectHandlers) -> ! {
     let mut logged_at = Instant::now();
     let mut logged_work = core.stats.counts();
@@ -101,7 +101,7 @@
 }
 
 impl EffectHandlers {
-    /// Responses are collected: those of a step are sent together.
+    /// Executes an effect; adds a response to `responses`, because those of a step are sent together.
     fn execute(&self, effect: Effect, responses: &mut Vec<ResponseCall>) {
         match effect {
             Effect::Response { ticket, response } => {
--- a/src/service/peer_pool.rs
+++ b/src/service/peer_pool.rs
@@ -1,5 +1,5 @@
-//! Requests to the other controllers: those passed on for users, pages of what a peer remembers, and
-//! batches of heartbeats for the leader.
+//! Thread pools for requests to the other controllers: forwarded user requests, requests for pages of
+//! a peer's cached copy of the store, and batches of heartbeats for the leader.
 
 use super::inbox::Inbox;
 use super::threads::ThreadPool;
@@ -13,24 +13,27 @@
 use std::net::{SocketAddr, SocketAddrV4, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Threads for each peer.
+/// Number of threads for each peer.
 pub(super) const PEER_THREADS: usize = 3;
-/// Submissions should be accepted well within 300 ms even if the leader has just died.
+/// Timeout of a forwarded request: a submission should be accepted well within 300 ms even if the leader
+/// has just failed.
 const FORWARD_TIMEOUT: Duration = Duration::from_millis(200);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
-/// Much less than the leader's lease is valid, so that a grant outlives a batch that is lost.
+/// Timeout of a batch of heartbeats; much shorter than the leader's lease, so that a delegation grant stays
+/// valid when one batch is lost.
 const HEARTBEAT_BATCH_TIMEOUT: Duration = Duration::from_millis(1000);
-/// A controller needs a while to build a page, and only the request for the next page waits for it.
+/// Timeout of a request for a page of the cached copy. Building a page takes a while, and only the request
+/// for the next page waits for it.
 const CACHE_REQUEST_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// One request to a peer.
 pub(super) enum PeerCall {
-    /// A user's request, passed on.
+    /// Forwards a user's request.
     Forward {
         ticket: Ticket,
         request: PeerRequest,
     },
-    /// What the peer remembers of the state service's contents.
+    /// Requests a page of the peer's cached copy of the store.
     CachePage(CacheRequest),
 }
 
@@ -41,7 +44,7 @@
     pub(super) frame: Vec<u8>,
 }
 
-/// Starts the threads of one pool for each peer, by the peer's name.
+/// Starts one pool for each peer; the key is the peer's name.
 pub(super) fn start(
     peers: &[Peer],
     inbox: &Inbox,
@@ -58,7 +61,7 @@
     Ok(pools)
 }
 
-/// Starts the thread that sends batches of heartbeats: one is on its way at a time.
+/// Starts the thread that sends batches of heartbeats, one at a time.
 pub(super) fn start_heartbeat_batches(
     peers: &[Peer],
     inbox: &Inbox,
@@ -103,7 +106,7 @@
     connections: &mut BTreeMap<String, PeerConnection>,
     call: &HeartbeatBatchCall,
 ) -> Command {
-    // Only the leader gets batches; a connection to an earlier one is of no use any more.
+    // Batches go only to the leader; connections to earlier leaders are no longer needed.
     for (name, connection) in connections.iter_mut() {
         if *name != call.peer {
             connection.close();
@@ -124,14 +127,14 @@
     }
 }
 
-/// `core` learns only that there is no response; the cause is logged.
+/// Logs the error of a failed request; `core` learns only that there is no response.
 fn logged<T>(peer: &str, response: io::Result<T>) -> Option<T> {
     response
         .inspect_err(|error| tracing::debug!(peer, %error, "peer request failed"))
         .ok()
 }
 
-/// A connection to one peer that stays open between requests.
+/// Connection to one peer that stays open between requests.
 struct PeerConnection {
     addr: SocketAddrV4,
     idle: Option<TcpStream>,
@@ -146,8 +149,8 @@
         self.idle = None;
     }
 
-    /// Sends a frame and reads the response. All requests between controllers may be repeated, so a
-    /// reused connection that turns out to be closed is replaced once.
+    /// Sends a frame and reads the response. All requests between controllers are idempotent, so a request
+    /// that fails early on a reused connection is repeated once on a new one.
     fn exchange<T>(
         &mut self,
         frame: &[u8],
@@ -166,7 +169,7 @@
         self.exchange_on(stream, frame, timeout, &decode)
     }
 
-    /// The connection stays open only if the exchange succeeds.
+    /// Sends a frame on `stream` and reads the response. Keeps the connection only on success.
     fn exchange_on<T>(
         &mut self,
         mut stream: TcpStream,
--- a/src/service/peer_server.rs
+++ b/src/service/peer_server.rs
@@ -1,4 +1,4 @@
-//! Serves the other controllers: few connections, each with a blocking thread of its own.
+//! Serves the other controllers. There are few connections, and each has its own blocking thread.
 
 use super::inbox::Inbox;
 use super::threads::spawn;
@@ -14,16 +14,15 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-/// Connections served at a time; beyond that, new ones are closed at once.
+/// Maximum number of open connections; further ones are closed as soon as they are accepted.
 pub const MAX_PEER_CONNECTIONS: usize = 32;
-/// A connection without a request for this long is closed.
+/// Time after which a connection without requests is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause after a failure to accept: out of sockets, say.
+/// Pause after a failure to accept a connection, for example for lack of sockets.
 const ACCEPT_RETRY: Duration = Duration::from_millis(50);
 
-/// Starts the thread that accepts the other controllers' connections for the rest of the process's
-/// life.
+/// Starts the thread that accepts connections of the other controllers until the process ends.
 pub fn start(listener: TcpListener, inbox: Inbox) -> io::Result<()> {
     spawn("peer-listener", move || {
         accept_connections(&listener, &inbox)
@@ -31,11 +30,11 @@
     .map(drop)
 }
 
-/// A place among the connections, given back when it is dropped.
+/// Permit for one open connection, returned when it is dropped.
 struct ConnectionPermit(Arc<AtomicUsize>);
 
 impl ConnectionPermit {
-    /// `None` if there are as many connections as may be.
+    /// Returns a permit; `None` if the maximum number of connections is open.
     fn acquire(open: &Arc<AtomicUsize>) -> Option<ConnectionPermit> {
         let permit = ConnectionPermit(open.clone());
         (open.fetch_add(1, Ordering::Relaxed) < MAX_PEER_CONNECTIONS).then_some(permit)
@@ -86,7 +85,7 @@
     stream.set_write_timeout(Some(WRITE_TIMEOUT))?;
     loop {
         let (kind, body) = peer::read_frame(&mut stream)?;
-        // The connection is closed instead of a response: the peer counts that as none.
+        // Without a response the connection is closed, which the peer treats as a missing response.
         let Some(frame) = handle(kind, &body, inbox)? else {
             return Ok(());
         };
@@ -94,7 +93,7 @@
     }
 }
 
-/// The response frame to a request; `None` if it gets none.
+/// Returns the response frame to a request; `None` if there is no response.
 fn handle(kind: u8, body: &[u8], inbox: &Inbox) -> io::Result<Option<Vec<u8>>> {
     match kind {
         heartbeat_batch::KIND_HEARTBEAT_BATCH => handle_heartbeat_batch(body, inbox),
@@ -117,7 +116,7 @@
     Ok((response.status == 200).then_some(response.body))
 }
 
-/// A user's request that the peer passes on.
+/// Handles a user's request that the peer forwards.
 fn handle_user_request(kind: u8, body: &[u8], inbox: &Inbox) -> io::Result<Option<Vec<u8>>> {
     let request = peer::decode_request(kind, body).ok_or(io::ErrorKind::InvalidData)?;
     let action = match request {
--- a/src/service/routes.rs
+++ b/src/service/routes.rs
@@ -1,4 +1,4 @@
-//! The public HTTP interface: maps requests to commands, and responds to some at once.
+//! Public HTTP interface: converts requests to commands, and answers some directly.
 
 use super::inbox::{Inbox, ReplyTo};
 use crate::core::{Command, UserAction, UserRequest};
@@ -11,7 +11,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Instant;
 
-/// Paths that exist: another method on them gets 405.
+/// Paths that exist; a request with a wrong method gets status 405.
 const KNOWN_PATHS: [&str; 7] = [
     PATH_SETTLE,
     PATH_SNAPSHOT,
@@ -23,14 +23,14 @@
 ];
 const METRICS_CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// Turns requests into commands for the owner.
+/// Converts requests to commands for the owner thread.
 pub struct Routes {
     inbox: Inbox,
     ready: Arc<AtomicBool>,
 }
 
 impl Routes {
-    /// `ready` is what the health check reports.
+    /// Returns the handler. `ready` is the value that the health check reports.
     pub fn new(inbox: Inbox, ready: Arc<AtomicBool>) -> Routes {
         Routes { inbox, ready }
     }
@@ -62,7 +62,7 @@
             Ok(spec) => self.user_request(UserAction::Submit(Box::new(spec)), responder),
             Err(error) => {
                 let rejection = Response::error(400, &error.to_string());
-                // An accepted job's id gets 200 whatever else the body holds.
+                // Resubmitting the id of an accepted job gets status 200, whatever else the body contains.
                 match wire::submitted_id(body) {
                     Some(id) => self.user_request(UserAction::Malformed(id, rejection), responder),
                     None => responder.send(&rejection),
@@ -96,7 +96,8 @@
         self.inbox.request(command, reply_to);
     }
 
-    /// A path under that of jobs: an id, and what to do with the job.
+    /// Handles a request for one job. `path` is relative to `PATH_JOBS`: the job's id, and optionally an
+    /// action.
     fn job(&self, method: &str, path: &str, responder: Responder) {
         let (id, action) = path.split_once('/').unwrap_or((path, ""));
         if !wire::is_job_id(id) {
@@ -125,7 +126,7 @@
     }
 }
 
-/// The path without its query.
+/// Returns the path of a request without its query.
 fn path_without_query(request: &Request) -> &str {
     request.path.split('?').next().unwrap_or_default()
 }
--- a/src/service/store_pool.rs
+++ b/src/service/store_pool.rs
@@ -1,4 +1,4 @@
-//! Calls to the state service, on threads that each keep a connection.
+//! Thread pool for calls to the state service; each thread keeps a connection.
 
 use super::inbox::Inbox;
 use super::threads::{ThreadPool, lock};
@@ -10,18 +10,18 @@
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
-/// A call whose response is lost keeps its thread until it times out; a leader's writes and the
-/// creations of jobs have to go on meanwhile.
+/// Number of threads. A call whose response is lost occupies its thread until it times out; the leader's
+/// writes and the creation of jobs must continue meanwhile.
 pub(super) const STORE_THREADS: usize = 12;
 
 /// One request to the state service.
 pub(super) struct StoreCall {
-    /// Under which the outcome is reported to `core`.
+    /// Identifier with which the outcome is reported to `core`.
     pub(super) call: CallId,
     pub(super) request: StoreRequest,
 }
 
-/// Starts the threads. Their calls together stay within `limiter`.
+/// Starts the pool, whose threads share `limiter`.
 pub(super) fn start(
     addr: SocketAddrV4,
     limiter: RateLimiter,
--- a/src/service/tests.rs
+++ b/src/service/tests.rs
@@ -33,7 +33,8 @@
     }
 }
 
-/// Reports by the thousand kept submissions, and the lease's renewals, waiting for a minute.
+/// Guards against urgent commands that wait behind queued heartbeats: in a single queue, thousands of
+/// heartbeats delayed submissions and lease renewals by a minute.
 #[test]
 fn heartbeats_and_queries_do_not_delay_urgent_commands() {
     let mut queue = CommandQueue::default();
@@ -48,7 +49,7 @@
     );
     let cancellation_first = matches!(&step[0], Command::User(r) if r.ticket == 2);
     assert!(cancellation_first);
-    // Nothing is lost, and every lane moves on.
+    // No command is lost, and every lane makes progress.
     let mut remaining = 0;
     while !queue.is_empty() {
         remaining += queue.take_step().len();
@@ -72,7 +73,7 @@
         done.push(n);
         admitted.extend(gate.release());
     }
-    // All pass, in the order they came, and both places are free again.
+    // All items are admitted in order, and both slots are free again.
     assert_eq!(done, Vec::from_iter(0..8));
     assert_eq!(gate.admit(8, 1, now), Admission::Admitted(8));
     assert_eq!(gate.admit(9, 1, now), Admission::Admitted(9));
@@ -94,10 +95,10 @@
     assert_eq!(gate.take_expired(after(6), timeout), ['c', 'd']);
 }
 
-/// So long that only a test's own clock reaches it.
+/// Long enough to expire only when a test passes a later time itself.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(3600);
 
-/// The public interface in server of an owner that a test plays.
+/// The public HTTP interface; the test takes the part of the owner thread.
 struct TestServer {
     inbox: Inbox,
     addr: SocketAddr,
@@ -126,7 +127,7 @@
         stream
     }
 
-    /// Waits until so many reports are with the owner.
+    /// Waits until `count` heartbeats are queued for the owner thread.
     fn wait_for_heartbeats(&self, count: usize) {
         let until = Instant::now() + Duration::from_secs(20);
         while self.inbox.queue_lengths()[Lane::Heartbeat] < count {
@@ -147,7 +148,7 @@
     text
 }
 
-/// Reports that the owner works on at a time.
+/// Number of heartbeats that the admission gate admits.
 const MAX_ADMITTED: usize = 2 * Lane::Heartbeat.commands_per_step();
 
 #[test]
@@ -158,7 +159,7 @@
         .map(|_| server.send("POST", wire::PATH_HEARTBEAT, HEARTBEAT))
         .collect();
     server.wait_for_heartbeats(MAX_ADMITTED);
-    // Neither they nor those at the gate keep others waiting.
+    // Neither the admitted nor the waiting heartbeats delay other requests.
     assert!(server.is_healthy());
     let status_request = server.send("GET", wire::PATH_STATUS, "");
     while server.inbox.queue_lengths()[Lane::Query] == 0 {
@@ -203,7 +204,7 @@
         assert!(processed > count / 2 || server.is_healthy());
         for command in server.inbox.next_commands(Duration::from_secs(20)) {
             let Command::Heartbeat { ticket, .. } = command else {
-                panic!("not a report: {command:?}");
+                panic!("not a heartbeat: {command:?}");
             };
             server.inbox.respond(ticket, Response::new(200, Vec::new()));
             processed += 1;
@@ -236,7 +237,7 @@
     settings.memory_mb = 1024.0;
     let many = max_connections(&settings);
     assert!((8500..9000).contains(&many), "{many}");
-    // Each takes memory, of which most is kept for the rest where there is little.
+    // With little memory, half of it is reserved for everything except connections.
     settings.memory_mb = 64.0;
     let few = max_connections(&settings);
     assert_eq!(few, ((64.0 - 32.0) / CONNECTION_MB) as usize);
--- a/src/service/threads.rs
+++ b/src/service/threads.rs
@@ -1,15 +1,15 @@
-//! Threads of the service and the locks they share.
+//! Helpers for the threads of the service: locking, spawning, and a thread pool.
 
 use std::io;
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::thread::{Builder, JoinHandle};
 
-/// Small, as there are many threads and little memory.
+/// Stack size of a thread; small because there are many threads and little memory.
 const STACK_BYTES: usize = 192 * 1024;
 
-/// Locks a mutex also after a thread panicked while it held it. What the service's mutexes guard
-/// is consistent after each statement, so such a thread leaves nothing half done.
+/// Locks a mutex, ignoring poisoning. The data behind the service's mutexes is consistent after each
+/// statement, so a thread that panics while it holds the lock leaves no partial update.
 pub(super) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -22,19 +22,19 @@
         .spawn(run)
 }
 
-/// Threads that work through one queue of requests of type `T`.
+/// Threads that process one shared queue of requests of type `T`.
 ///
-/// The pool owns its threads: dropped, it closes the queue, and waits until the requests that are
-/// still in it have been worked through.
+/// Dropping the pool closes the queue, waits until the threads have processed the remaining requests,
+/// and joins the threads.
 pub(super) struct ThreadPool<T> {
-    /// `None` only while the pool is dropped.
+    /// `None` only while the pool is being dropped.
     queue: Option<Sender<T>>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl<T: Send + 'static> ThreadPool<T> {
-    /// Starts `threads` threads; `make_worker` is called once for each, so that a thread can keep a
-    /// connection of its own.
+    /// Starts `threads` threads. `make_worker` is called once for each, so that each thread can have its
+    /// own connection.
     pub(super) fn start<W>(
         name: &str,
         threads: usize,
@@ -57,10 +57,11 @@
         Ok(pool)
     }
 
-    /// Queues a request. There is no limit: the sender bounds the number of outstanding requests.
+    /// Queues a request. The queue is unbounded, because its sender limits the number of outstanding
+    /// requests.
     pub(super) fn send(&self, request: T) {
         if let Some(queue) = &self.queue {
-            // Fails only when all threads of the pool have panicked.
+            // Sending fails only if all threads of the pool have panicked.
             let _ = queue.send(request);
         }
     }
@@ -70,7 +71,7 @@
     fn drop(&mut self) {
         drop(self.queue.take());
         for thread in self.threads.drain(..) {
-            // A thread that panicked has printed why.
+            // The message of a panic has already been printed.
             let _ = thread.join();
         }
     }
@@ -78,7 +79,7 @@
 
 fn process_queue<T>(requests: &Mutex<Receiver<T>>, mut worker: impl FnMut(T)) {
     loop {
-        // The lock is held while one thread waits for the next request, not while it is worked on.
+        // The lock is held while one thread waits for the next request, not while it processes one.
         let next = lock(requests).recv();
         match next {
             Ok(request) => worker(request),
--- a/src/service/watch.rs
+++ b/src/service/watch.rs
@@ -1,5 +1,5 @@
-//! Keeps the owner's copy of the state service's contents current: a list of everything under our
-//! prefix, then each change.
+//! Keeps the cached copy of the store current: lists all keys under the prefix of this scheduler, then
+//! watches for changes.
 
 use super::inbox::Inbox;
 use super::threads::{lock, spawn};
@@ -10,24 +10,24 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// How long the state service may hold a watch open without a change.
+/// Longest time for which the state service may hold a watch request open without a change.
 const WATCH_WAIT: Duration = Duration::from_secs(10);
-/// Changes that come close together are fetched together.
+/// Delay before the next watch request, so that one response carries the changes of this time.
 const CHANGE_BATCH_DELAY: Duration = Duration::from_millis(15);
-/// Pause after the state service refused a request, for its rate limit say.
+/// Pause after the state service refused a request, for example because of its rate limit.
 const REFUSED_RETRY: Duration = Duration::from_millis(250);
-/// Pause after a request that failed otherwise.
+/// Pause after a request that failed for another reason.
 const FAILED_RETRY: Duration = Duration::from_millis(100);
 
-/// The watch on the state service.
+/// Watch on the store.
 ///
-/// One thread at a time reports to the owner: when the store is to be read afresh, another one
-/// starts, and what the earlier one still brings is dropped.
+/// One thread at a time passes changes to the owner thread. To read the whole store again, another
+/// thread is started, and later results of the previous one are discarded.
 pub(super) struct StoreWatch {
     addr: SocketAddrV4,
     inbox: Inbox,
-    /// Number of the newest_thread thread. Locked while a command is put into the inbox, so that nothing of
-    /// an earlier thread can follow the first list of the next.
+    /// Number of the newest thread. Locked while a command is put into the inbox, so that no command of
+    /// an earlier thread can follow the first listing by the newest one.
     newest_thread: Mutex<u64>,
 }
 
@@ -40,7 +40,7 @@
         })
     }
 
-    /// Starts to read the store afresh, in place of the thread that watches it so far.
+    /// Starts a thread that reads the whole store again and replaces the present thread.
     pub(super) fn restart(self: &Arc<StoreWatch>) -> io::Result<()> {
         let number = {
             let mut newest_thread = lock(&self.newest_thread);
@@ -55,7 +55,7 @@
         *lock(&self.newest_thread) == number
     }
 
-    /// Passes a command to the owner, unless another thread watches now.
+    /// Passes a command to the owner thread, unless a newer watch thread has been started.
     fn put(&self, number: u64, command: Command) {
         let newest_thread = lock(&self.newest_thread);
         if *newest_thread == number {
@@ -82,14 +82,15 @@
         }
     }
 
-    /// Returns the revision to watch from.
+    /// Lists the store and returns the revision from which to watch.
     fn list(&self, number: u64, client: &mut StoreClient) -> Result<u64, StoreError> {
         let Listing { items, revision } = client.list()?;
         self.put(number, Command::StoreListed { items, revision });
         Ok(revision)
     }
 
-    /// Returns the revision to go on from; `None` if the store has to be listed again.
+    /// Waits for changes and returns the revision from which to continue; `None` if the store has to be
+    /// listed again.
     fn watch(
         &self,
         number: u64,
--- a/src/service/worker_pool.rs
+++ b/src/service/worker_pool.rs
@@ -1,4 +1,4 @@
-//! Commands sent to workers directly, on threads that open a connection for each.
+//! Thread pool for direct commands to workers; each command opens a connection.
 
 use super::inbox::Inbox;
 use super::threads::ThreadPool;
@@ -10,15 +10,15 @@
 
 /// One request to a worker.
 pub(super) struct WorkerCall {
-    /// Under which the outcome is reported to `core`.
+    /// Identifier with which the outcome is reported to `core`.
     pub(super) call: CallId,
     pub(super) addr: SocketAddrV4,
     pub(super) request: DirectRequest,
-    /// End of the leader's validity: nothing is sent after it.
+    /// End of the leadership's validity; the request is not sent after it.
     pub(super) not_after: Instant,
 }
 
-/// Starts the threads.
+/// Starts the pool.
 pub(super) fn start(inbox: &Inbox) -> io::Result<ThreadPool<WorkerCall>> {
     ThreadPool::start("worker", crate::worker_client::CALL_THREADS, || {
         let inbox = inbox.clone();
@@ -33,7 +33,7 @@
 
 fn perform(call: &WorkerCall) -> DirectOutcome {
     if Instant::now() >= call.not_after {
-        return DirectOutcome::NotSent("the leader's time was over".into());
+        return DirectOutcome::NotSent("leadership expired before the call".into());
     }
     worker_client::perform(call.addr, &call.request)
 }
