--- a/src/core/scheduling/queue.rs
+++ b/src/core/scheduling/queue.rs
@@ -291,7 +291,7 @@
     }
     // Machines on which a task only may be running count as well.
     let possible = run.tasks.other_machines().map(|(_, machine)| machine);
-    let possible = possible.filter(|_| is_enabled(Safeguard::ZoneEligibility));
+    let possible = possible.filter(|_| is_enabled(Safeguard::PossibleTaskZones));
     for machine in run.tasks.assigned().values().chain(possible) {
         if let Some(machine) = leader.machines.get(machine) {
             *tasks.entry(machine.zone.clone()).or_insert(0) += 1;
--- a/src/core/simulation/scenarios/scheduling.rs
+++ b/src/core/simulation/scenarios/scheduling.rs
@@ -297,7 +297,7 @@
 fn possible_task_zone_counts_for_one_zone_job() {
     one_zone_job_with_uncertain_task();
     fails_without(
-        Safeguard::ZoneEligibility,
+        Safeguard::PossibleTaskZones,
         "apart from",
         one_zone_job_with_uncertain_task,
     );
--- a/src/fault_injection.rs
+++ b/src/fault_injection.rs
@@ -55,7 +55,7 @@
     /// Of the jobs that have been passed over for too long, the longest-waiting one is scheduled first.
     LongestWaitingFirst,
     /// Machines on which a task may still be running count for the zone constraints of its job.
-    ZoneEligibility,
+    PossibleTaskZones,
     /// A controller that has just started reports no job as unknown.
     StartupUncertainty,
     /// State that may still change is read from the store before it is returned to a user.
