--- a/src/status_view.rs
+++ b/src/status_view.rs
@@ -111,7 +111,7 @@
 
 fn render_market(page: &mut Page, market: &Value) {
     let closed = match market["shut"].as_str() {
-        Some(reason) => format!("; no requests: {reason}"),
+        Some(reason) => format!("; not asked: {reason}"),
         None => String::new(),
     };
     page.line(format!(
