--- a/src/core/simulation/scenarios/late_commands.rs
+++ b/src/core/simulation/scenarios/late_commands.rs
@@ -9,7 +9,7 @@
 
 /// A leader's starts are held up on their way; it ends, or is deposed, another one begins and receives
 /// the heartbeats of the others, and then the starts arrive at machines that have seen neither the new token nor anything else.
-fn commands_of_a_former_leader(after_s: f64, deposed: bool) {
+fn delay_commands_of_former_leader(after_s: f64, cut_off: bool) {
     let (mut simulation, leader) = eight_machines(1220);
     // Machines have sent heartbeats just now, so that starts go out by calls.
     simulation.faults.hold_commands = true;
@@ -22,30 +22,30 @@
         !simulation.network.held_commands.is_empty(),
         "none is under way"
     );
-    let commanded: Vec<MachineId> = simulation
+    let targets: Vec<MachineId> = simulation
         .network
         .held_commands
         .iter()
         .map(|(id, _)| id.clone())
         .collect();
     simulation.faults.cloud_down = true;
-    for id in &commanded {
+    for id in &targets {
         simulation.partition_worker(id);
     }
-    let terms = simulation.leadership_count();
-    if deposed {
+    let leaderships = simulation.leadership_count();
+    if cut_off {
         simulation.nodes[leader].store_link = Link::Refused;
         simulation.nodes[leader].peers_reachable = false;
     } else {
         simulation.kill(leader, Duration::from_secs(30));
     }
     simulation.run_until(10.0, "another leader", |simulation| {
-        simulation.leadership_count() > terms
+        simulation.leadership_count() > leaderships
     });
     simulation.faults.hold_commands = false;
     simulation.run(after_s);
     let held = std::mem::take(&mut simulation.network.held_commands);
-    let arrived = held.iter().filter(|(id, _)| commanded.contains(id)).count();
+    let arrived = held.iter().filter(|(id, _)| targets.contains(id)).count();
     assert!(arrived > 0, "nothing arrives late");
     for (id, body) in held {
         simulation.execute_direct(&id, &body);
@@ -62,13 +62,13 @@
 
 #[test]
 fn former_leader_commands_start_nothing_twice() {
-    for deposed in [false, true] {
+    for cut_off in [false, true] {
         for after_s in [0.0, 0.3, 1.0, 3.0, 6.0] {
-            commands_of_a_former_leader(after_s, deposed);
+            delay_commands_of_former_leader(after_s, cut_off);
         }
     }
     fails_without(Safeguard::RecoveryWait, " and on ", || {
-        commands_of_a_former_leader(3.0, false);
+        delay_commands_of_former_leader(3.0, false);
     });
 }
 
@@ -124,8 +124,12 @@
         "all is cleared"
     );
     let copies = simulation.delayed_command_copies();
-    let starts = |o: &TaskCommand| matches!(o, TaskCommand::Start { .. });
-    assert!(copies.iter().any(|(_, b)| b.commands.iter().any(starts)));
+    let is_start = |command: &TaskCommand| matches!(command, TaskCommand::Start { .. });
+    assert!(
+        copies
+            .iter()
+            .any(|(_, body)| body.commands.iter().any(is_start))
+    );
     let before = simulation.counters.starts;
     for (id, body) in copies {
         simulation.execute_direct(&id, &body);
--- a/src/core/simulation/scenarios/late_writes.rs
+++ b/src/core/simulation/scenarios/late_writes.rs
@@ -9,9 +9,13 @@
 
 /// What the leader writes from now on is kept, and it receives no answer to it; what happens meanwhile it writes
 /// again once it can, so that the first copy is still under way when the second is carried out.
-fn hold_write(simulation: &mut Simulation, leader: usize, f: impl FnOnce(&mut Simulation)) {
+fn hold_writes_during(
+    simulation: &mut Simulation,
+    leader: usize,
+    action: impl FnOnce(&mut Simulation),
+) {
     simulation.nodes[leader].store_link = Link::WritesHeld;
-    f(simulation);
+    action(simulation);
     simulation.run(2.5);
     assert!(
         !simulation.network.held_transactions.is_empty(),
@@ -32,7 +36,7 @@
 #[test]
 fn late_machine_page_loses_no_machine() {
     let (mut simulation, leader) = eight_machines(81);
-    hold_write(&mut simulation, leader, |simulation| {
+    hold_writes_during(&mut simulation, leader, |simulation| {
         simulation.add_machine("small", "a");
     });
     let last = simulation.add_machine("small", "a");
@@ -81,7 +85,7 @@
         201
     );
     simulation.run(5.0);
-    hold_write(&mut simulation, leader, |simulation| simulation.run(2.0));
+    hold_writes_during(&mut simulation, leader, |simulation| simulation.run(2.0));
     simulation.run(3.5);
     simulation.release_held();
     // Whoever leads next has only what is on record.
@@ -140,9 +144,13 @@
 
 /// Machines that are up within a moment are given work while writes lag, and the leader ends: each is on
 /// record before its first task, so that the next leader asks it before it starts anything again.
-fn new_machines_while_writes_lag(late_writes: f64, slow: Duration, ends_after: u64) -> u32 {
+fn kill_leader_with_new_machines(
+    late_write_share: f64,
+    store_delay: Duration,
+    kill_after_tenths: u64,
+) -> u32 {
     let policy = Policy::parse("new", "delegate = true\nidle_keep = 600").unwrap();
-    let mut simulation = Simulation::with_policy(1240 + ends_after, policy);
+    let mut simulation = Simulation::with_policy(1240 + kill_after_tenths, policy);
     simulation.boot_time = Duration::from_millis(400);
     let leader = simulation.run_until_leader(3.0);
     assert_eq!(
@@ -152,11 +160,11 @@
     (
         simulation.faults.late_write_share,
         simulation.faults.store_delay,
-    ) = (late_writes, slow);
+    ) = (late_write_share, store_delay);
     simulation.run_until(20.0, "machines are provisioned", |simulation| {
         simulation.workers.len() >= 3
     });
-    simulation.run(0.5 + ends_after as f64 * 0.1);
+    simulation.run(0.5 + kill_after_tenths as f64 * 0.1);
     let placed = simulation.placements("wk-000001").len() as u32;
     // Those that have tasks reach nobody, and the cloud tells nothing.
     simulation.faults.cloud_down = true;
@@ -166,9 +174,9 @@
         .filter(|m| !m.tasks.is_empty());
     busy.for_each(|m| m.partitioned_from = (0..3).collect());
     simulation.kill(leader, Duration::from_secs(30));
-    let terms = simulation.leadership_count();
+    let leaderships = simulation.leadership_count();
     simulation.run_until(30.0, "another leader", |simulation| {
-        simulation.leadership_count() > terms
+        simulation.leadership_count() > leaderships
     });
     (
         simulation.faults.late_write_share,
@@ -185,10 +193,11 @@
 #[test]
 fn new_machine_recorded_before_first_task() {
     let mut placed = 0;
-    for ends_after in [0, 2, 5, 10, 20] {
-        for (late, slow_ms) in [(0.0, 0), (0.0, 1500), (0.5, 0), (0.4, 800)] {
-            let slow = Duration::from_millis(slow_ms);
-            placed += new_machines_while_writes_lag(late, slow, ends_after);
+    for kill_after_tenths in [0, 2, 5, 10, 20] {
+        for (late_write_share, delay_ms) in [(0.0, 0), (0.0, 1500), (0.5, 0), (0.4, 800)] {
+            let store_delay = Duration::from_millis(delay_ms);
+            placed +=
+                kill_leader_with_new_machines(late_write_share, store_delay, kill_after_tenths);
         }
     }
     assert!(
@@ -196,6 +205,6 @@
         "only {placed} tasks were placed when the leader ended"
     );
     fails_without(Safeguard::MachineRecords, "which is not on record", || {
-        new_machines_while_writes_lag(0.9, Duration::ZERO, 5);
+        kill_leader_with_new_machines(0.9, Duration::ZERO, 5);
     });
 }
--- a/src/core/simulation/scenarios/leadership.rs
+++ b/src/core/simulation/scenarios/leadership.rs
@@ -33,13 +33,16 @@
     simulation.run_until(8.0, "a new leader", |simulation| {
         simulation.leader().is_some()
     });
-    let new = simulation.leader().unwrap();
-    assert_eq!(simulation.submit(new, &sample("wk-2", 1, 2.0, 2)), 201);
+    let new_leader = simulation.leader().unwrap();
+    assert_eq!(
+        simulation.submit(new_leader, &sample("wk-2", 1, 2.0, 2)),
+        201
+    );
     simulation.run(3.0);
     // The old job's tasks are where they were; the new job does not wait for the silent machine.
     assert_eq!(simulation.placements("wk-1").len(), 7);
     assert_eq!(simulation.counters.starts, 8);
-    assert_eq!(simulation.show(new, "wk-2").1, Some(JobState::Done));
+    assert_eq!(simulation.show(new_leader, "wk-2").1, Some(JobState::Done));
     // Once its lease has run out, and not before, its tasks start anew.
     simulation.run_until_done("wk-1", 120.0);
 }
@@ -113,7 +116,7 @@
 
 /// All controllers are away for longer than a lease, with work waiting, running and cancelled before.
 #[test]
-fn all_away_beyond_lease_resumes_everything() {
+fn outage_of_all_controllers_beyond_lease_resumes_all_jobs() {
     let (mut simulation, leader) = eight_machines(970);
     assert_eq!(
         simulation.submit(leader, &unlimited_job("wk-000001", 12, 4.0, 12)),
@@ -147,15 +150,15 @@
 fn ten_leaders_lose_no_job_and_run_none_twice() {
     let (mut simulation, _) = eight_machines(980);
     // Three tasks one after the other on the only machine of the zone that has room for them.
-    let mut apart: JobSpec = unlimited_job("wk-000001", 3, 4.0, 25);
-    apart.zone = Some("b".into());
-    let mut ended = 0;
+    let mut staggered: JobSpec = unlimited_job("wk-000001", 3, 4.0, 25);
+    staggered.zone = Some("b".into());
+    let mut kills = 0;
     let mut accepted = Vec::new();
     for n in 0..10u64 {
         simulation.run_until(15.0, "a leader", |simulation| simulation.leader().is_some());
         let leader = simulation.leader().unwrap();
         if n == 0 {
-            assert_eq!(simulation.submit(leader, &apart), 201);
+            assert_eq!(simulation.submit(leader, &staggered), 201);
         }
         let id = format!("wk-{:06}", n + 2);
         if simulation.submit(leader, &unlimited_job(&id, 2, 1.0, 6 + n)) == 201 {
@@ -170,7 +173,7 @@
             leader,
             Duration::from_millis(if n % 2 == 0 { 200 } else { 5000 }),
         );
-        ended += 1;
+        kills += 1;
         if n == 5 {
             simulation.set_store_outage(true);
             for k in 0..3 {
@@ -181,7 +184,7 @@
         }
         simulation.run(6.0);
     }
-    assert_eq!(ended, 10);
+    assert_eq!(kills, 10);
     simulation.run(5.0);
     for id in accepted.iter().chain([&"wk-000001".to_string()]) {
         let (status, state) = simulation.show(0, id);
--- a/src/core/simulation/scenarios/loss_of_store.rs
+++ b/src/core/simulation/scenarios/loss_of_store.rs
@@ -25,7 +25,7 @@
 }
 
 /// Long enough that they outlast any rebuilding.
-fn long(id: &str) -> JobSpec {
+fn long_job(id: &str) -> JobSpec {
     sample(id, 4, 2.0, 60)
 }
 
@@ -53,9 +53,9 @@
 #[test]
 fn wiped_store_rebuilt_from_controllers() {
     let (mut simulation, leader) = six_machines(900);
-    assert_eq!(simulation.submit(leader, &long("wk-1")), 201);
+    assert_eq!(simulation.submit(leader, &long_job("wk-1")), 201);
     assert_eq!(simulation.submit(0, &sample("wk-2", 2, 2.0, 1)), 201);
-    assert_eq!(simulation.submit(1, &long("wk-3")), 201);
+    assert_eq!(simulation.submit(1, &long_job("wk-3")), 201);
     simulation.run_until_done("wk-2", 20.0);
     assert_eq!(simulation.cancel(1, "wk-3").1, Some(JobState::Cancelled));
     simulation.run(3.0);
@@ -125,10 +125,10 @@
 #[test]
 fn rolled_back_store_regains_later_jobs() {
     let (mut simulation, leader) = six_machines(902);
-    simulation.submit(leader, &long("wk-1"));
+    simulation.submit(leader, &long_job("wk-1"));
     simulation.run(3.0);
     let backup = simulation.backup();
-    assert_eq!(simulation.submit(0, &long("wk-2")), 201);
+    assert_eq!(simulation.submit(0, &long_job("wk-2")), 201);
     assert_eq!(simulation.submit(0, &sample("wk-3", 2, 2.0, 1)), 201);
     simulation.run_until_done("wk-3", 20.0);
     assert_eq!(
@@ -151,7 +151,7 @@
 #[test]
 fn delayed_write_not_applied_to_new_store() {
     let (mut simulation, leader) = six_machines(903);
-    simulation.submit(leader, &long("wk-1"));
+    simulation.submit(leader, &long_job("wk-1"));
     simulation.run(3.0);
     simulation.nodes[leader].store_link = Link::WritesHeld;
     let other = (leader + 1) % 3;
@@ -174,7 +174,7 @@
 #[test]
 fn followers_rebuild_after_loss_with_leader() {
     let (mut simulation, leader) = six_machines(904);
-    simulation.submit(leader, &long("wk-1"));
+    simulation.submit(leader, &long_job("wk-1"));
     simulation.submit(leader, &sample("wk-2", 2, 2.0, 1));
     simulation.run_until_done("wk-2", 20.0);
     simulation.run(2.0);
@@ -201,7 +201,7 @@
 #[test]
 fn absent_controller_does_not_block_service() {
     let (mut simulation, leader) = six_machines(905);
-    simulation.submit(leader, &long("wk-1"));
+    simulation.submit(leader, &long_job("wk-1"));
     simulation.run(2.0);
     simulation.lose_store();
     simulation.kill(leader, Duration::from_secs(500));
@@ -232,14 +232,14 @@
 #[test]
 fn tasks_of_unknown_jobs_held_and_adopted() {
     let (mut simulation, leader) = six_machines(906);
-    simulation.submit(leader, &long("wk-1"));
+    simulation.submit(leader, &long_job("wk-1"));
     simulation.submit(leader, &sample("wk-2", 2, 2.0, 3));
     simulation.run(2.5);
     let starts = simulation.counters.starts;
     assert_eq!(starts, 6);
     let backup = simulation.backup();
-    let store = simulation.stored_values("burlusher/i/");
-    let store = store
+    let identities = simulation.stored_values("burlusher/i/");
+    let store_id = identities
         .keys()
         .next()
         .unwrap()
@@ -268,10 +268,10 @@
     simulation.run(6.0);
     assert_eq!(simulation.counters.starts, starts + 2);
     // The user of one submits it again; the other comes from a snapshot.
-    assert_eq!(simulation.submit(leader, &long("wk-1")), 201);
+    assert_eq!(simulation.submit(leader, &long_job("wk-1")), 201);
     simulation.run(2.0);
     assert_eq!(simulation.show(leader, "wk-1").1, Some(JobState::Running));
-    assert_eq!(simulation.offer_snapshot(leader, &store, &backup), 200);
+    assert_eq!(simulation.offer_snapshot(leader, &store_id, &backup), 200);
     simulation.run(3.0);
     assert_eq!(simulation.show(leader, "wk-2"), (200, Some(JobState::Done)));
     simulation.run_until(30.0, "the store is whole", Simulation::is_store_complete);
@@ -288,7 +288,7 @@
 #[test]
 fn operator_gives_up_unknown_tasks() {
     let (mut simulation, leader) = six_machines(907);
-    simulation.submit(leader, &long("wk-1"));
+    simulation.submit(leader, &long_job("wk-1"));
     simulation.run(2.5);
     let leader = restart_all_on_empty_store(&mut simulation);
     assert_eq!(simulation.placements("wk-1").len(), 4);
@@ -304,15 +304,16 @@
 /// workers' lease tells; with one, it is asked for.
 #[test]
 fn nothing_starts_while_unrecorded_machine_may_run_it() {
-    for (cloud, back_s) in [(false, 300), (true, 1)] {
-        unrecorded_machine_holds_tasks(cloud, back_s);
+    for (cloud_up, restart_s) in [(false, 300), (true, 1)] {
+        unrecorded_machine_holds_tasks(cloud_up, restart_s);
     }
 }
 
-fn unrecorded_machine_holds_tasks(cloud: bool, back_s: u64) {
+fn unrecorded_machine_holds_tasks(cloud_up: bool, restart_s: u64) {
     let (mut simulation, leader) = six_machines_with(908, "delegate = false");
-    let dead: Vec<_> = simulation.workers.keys().skip(1).cloned().collect();
-    dead.iter()
+    let removed: Vec<_> = simulation.workers.keys().skip(1).cloned().collect();
+    removed
+        .iter()
         .for_each(|id| drop(simulation.workers.remove(id)));
     simulation.capacity.clear();
     simulation.run(8.0);
@@ -328,9 +329,9 @@
     simulation.run_until(5.0, "the others run there", |simulation| {
         simulation.workers[&id].tasks.len() == 2
     });
-    simulation.faults.cloud_down = !cloud;
+    simulation.faults.cloud_down = !cloud_up;
     simulation.lose_store();
-    simulation.kill(leader, Duration::from_secs(back_s));
+    simulation.kill(leader, Duration::from_secs(restart_s));
     for n in 0..3 {
         simulation.nodes[n].watch_delayed = false;
     }
@@ -347,15 +348,15 @@
         m.hung = false;
     }
     simulation.run(70.0);
-    let next = simulation.leader().unwrap();
-    assert_eq!(simulation.show(next, "wk-1").1, Some(JobState::Done));
+    let new_leader = simulation.leader().unwrap();
+    assert_eq!(simulation.show(new_leader, "wk-1").1, Some(JobState::Done));
 }
 
 /// Another loss in the midst of the rebuilding, and once more.
 #[test]
 fn two_losses_in_a_row_rebuilt() {
     let (mut simulation, leader) = six_machines(909);
-    simulation.submit(leader, &long("wk-1"));
+    simulation.submit(leader, &long_job("wk-1"));
     simulation.submit(leader, &sample("wk-2", 2, 2.0, 1));
     simulation.run_until_done("wk-2", 20.0);
     simulation.run(2.0);
@@ -374,10 +375,10 @@
 
 /// The second one comes while the first has just been noticed.
 #[test]
-fn second_loss_within_a_second_rebuilt() {
+fn second_loss_soon_after_first_rebuilt() {
     for pause in [0.1, 0.55, 0.9, 2.0, 3.3] {
         let (mut simulation, leader) = six_machines(913);
-        simulation.submit(leader, &long("wk-1"));
+        simulation.submit(leader, &long_job("wk-1"));
         simulation.run(2.0);
         let starts = simulation.counters.starts;
         simulation.lose_store();
@@ -394,7 +395,7 @@
 #[test]
 fn reissued_lease_id_keeps_no_leader() {
     let (mut simulation, leader) = six_machines(912);
-    simulation.submit(leader, &long("wk-1"));
+    simulation.submit(leader, &long_job("wk-1"));
     simulation.run(2.0);
     let starts = simulation.counters.starts;
     // Nothing else tells it: its reads lag, and its writes are held up.
@@ -415,7 +416,7 @@
 #[test]
 fn next_leader_waits_for_isolated_leader_lease() {
     let (mut simulation, leader) = six_machines(914);
-    simulation.submit(leader, &long("wk-1"));
+    simulation.submit(leader, &long_job("wk-1"));
     simulation.run(2.0);
     let starts = simulation.counters.starts;
     simulation.lose_store();
@@ -451,7 +452,7 @@
     let (mut simulation, leader) = six_machines(917);
     simulation.workers.clear();
     simulation.capacity.clear();
-    simulation.submit(leader, &long("wk-1"));
+    simulation.submit(leader, &long_job("wk-1"));
     simulation.run(2.0);
     let third = (leader + 1) % 3;
     for n in (0..3).filter(|n| *n != third) {
@@ -473,9 +474,9 @@
 #[test]
 fn outage_relisting_and_restarts_are_no_loss() {
     let (mut simulation, leader) = six_machines(910);
-    simulation.submit(leader, &long("wk-1"));
+    simulation.submit(leader, &long_job("wk-1"));
     simulation.run(3.0);
-    let name = simulation.stored_values("burlusher/i/");
+    let identity = simulation.stored_values("burlusher/i/");
     simulation.pause_leases(true);
     simulation.set_store_links(Link::Refused);
     simulation.run(8.0);
@@ -488,7 +489,7 @@
         simulation.kill(n, Duration::from_secs(1));
         simulation.run(6.0);
     }
-    assert_eq!(simulation.stored_values("burlusher/i/"), name);
+    assert_eq!(simulation.stored_values("burlusher/i/"), identity);
     assert!(simulation.stored_values("burlusher/rebuilding").is_empty());
     let losses: u64 = (0..3)
         .map(|n| simulation.nodes[n].core.store_integrity.losses)
@@ -501,9 +502,9 @@
 #[test]
 fn audit_finds_lost_and_reverted_jobs() {
     let (mut simulation, leader) = six_machines(916);
-    simulation.submit(leader, &long("wk-1"));
+    simulation.submit(leader, &long_job("wk-1"));
     simulation.submit(leader, &sample("wk-2", 2, 2.0, 1));
-    let live = simulation
+    let live_value = simulation
         .stored_values("burlusher/j/wk-2")
         .into_values()
         .next()
@@ -516,7 +517,7 @@
     assert_rebuilt(&mut simulation, starts);
     assert_eq!(simulation.stored_values("burlusher/j/wk-1").len(), 1);
     // An old value of the other comes back, without an event of the watch.
-    simulation.overwrite_value("burlusher/j/wk-2", live);
+    simulation.overwrite_value("burlusher/j/wk-2", live_value);
     simulation.run(12.0);
     assert_rebuilt(&mut simulation, starts);
     assert!(
@@ -532,7 +533,7 @@
 #[test]
 fn lost_prefix_noticed_with_next_listing() {
     let (mut simulation, leader) = six_machines(911);
-    simulation.submit(leader, &long("wk-1"));
+    simulation.submit(leader, &long_job("wk-1"));
     simulation.run(3.0);
     let starts = simulation.counters.starts;
     simulation.lose_keys("burlusher/j/");
@@ -547,7 +548,7 @@
 #[test]
 fn leader_key_without_lease_removed() {
     let (mut simulation, leader) = six_machines(33);
-    assert_eq!(simulation.submit(leader, &long("wk-1")), 201);
+    assert_eq!(simulation.submit(leader, &long_job("wk-1")), 201);
     simulation.run(3.0);
     let starts = simulation.counters.starts;
     simulation.kill(leader, Duration::from_secs(60));
@@ -596,7 +597,7 @@
 /// A page of an audit was read before a job ended, and came to the leader after that: no sign of a loss.
 /// Taken for one, it made leaders read all anew several times a day.
 #[test]
-fn late_audit_repeated_before_it_counts() {
+fn audit_difference_confirmed_before_loss_suspected() {
     let (mut simulation, leader) = six_machines(32);
     assert_eq!(simulation.submit(leader, &sample("wk-1", 2, 1.0, 2)), 201);
     let stored = simulation.stored_values("burlusher/j/");
@@ -621,15 +622,15 @@
         _ => None,
     });
     assert!(suspicion.is_some(), "it is read once more");
-    let afresh = |core: &Core| {
+    let rereads_store = |core: &Core| {
         core.effects
             .iter()
             .any(|e| matches!(e, Effect::RereadStore))
     };
-    assert!(!afresh(core));
+    assert!(!rereads_store(core));
     // The same once more, though it was asked for after that: lost.
     core.jobs_audited(String::new(), suspicion, page(1));
-    assert!(afresh(core));
+    assert!(rereads_store(core));
 }
 
 /// Found by reading: a controller that had just begun on a store rolled back a moment before answered 404 and 422
@@ -638,13 +639,13 @@
     let (mut simulation, leader) = six_machines(1400);
     simulation.run(8.0);
     let other = (leader + 1) % 3;
-    let before = simulation.backup();
+    let backup = simulation.backup();
     simulation.run(1.0);
     let spec = sample("wk-000001", 2, 1.0, 30);
     assert_eq!(simulation.submit(leader, &spec), 201);
     simulation.kill(other, Duration::from_millis(300));
     simulation.run(0.2);
-    simulation.restore_backup(&before);
+    simulation.restore_backup(&backup);
     // The others have not noticed yet, and nobody but this one can be asked.
     for node in (0..3).filter(|n| *n != other) {
         (
--- a/src/core/simulation/scenarios/lost_answers.rs
+++ b/src/core/simulation/scenarios/lost_answers.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// Jobs come and are cancelled, one every half second, while this share of answers is lost; users look closely.
-fn lose_answers(simulation: &mut Simulation, share: f64, rounds: u32) {
+fn run_jobs_with_lost_responses(simulation: &mut Simulation, share: f64, rounds: u32) {
     simulation.faults.lost_response_share = share;
     simulation.query_after_responses = true;
     for n in 0..rounds {
@@ -32,8 +32,9 @@
     simulation.query_after_responses = false;
     for n in 0..rounds {
         let id = format!("wk-{:06}", n + 1);
-        let over = |s| matches!(s, Some(JobState::Done | JobState::Cancelled));
-        if !over(simulation.reported_final_state(&id)) && !over(simulation.show(0, &id).1) {
+        let has_ended = |s| matches!(s, Some(JobState::Done | JobState::Cancelled));
+        if !has_ended(simulation.reported_final_state(&id)) && !has_ended(simulation.show(0, &id).1)
+        {
             simulation.run_until_done(&id, 60.0);
         }
     }
@@ -41,10 +42,10 @@
 
 /// A leader whose answers were lost took its own transactions for somebody else's: after six refusals it
 /// stepped down, and began again within the same term with an empty memory.
-fn lose_answers_of_leader() {
+fn lose_responses_of_leader() {
     for seed in 0..4 {
         let (mut simulation, leader) = eight_machines(1100 + seed);
-        lose_answers(&mut simulation, 0.6, 60);
+        run_jobs_with_lost_responses(&mut simulation, 0.6, 60);
         assert!(
             simulation.counters.responses_lost > 40,
             "{} answers lost",
@@ -66,17 +67,17 @@
 
 #[test]
 fn leader_keeps_leading_when_answers_lost() {
-    lose_answers_of_leader();
+    lose_responses_of_leader();
     fails_without(
         Safeguard::OwnWriteDetection,
         "resigned for its own write",
-        lose_answers_of_leader,
+        lose_responses_of_leader,
     );
 }
 
 /// Whatever makes a leader step down while its key stands: it begins again in a term of its own, also where the
 /// answer to the transaction that raises it is lost, or where that is carried out late.
-fn step_down_with_the_key_standing(link: Link) -> Simulation {
+fn step_down_with_leader_key_kept(link: Link) -> Simulation {
     let (mut simulation, leader) = eight_machines(1110);
     assert_eq!(
         simulation.submit(leader, &unlimited_job("wk-000001", 8, 4.0, 30)),
@@ -84,7 +85,7 @@
     );
     simulation.run(2.0);
     for round in 0..3 {
-        let terms = simulation.leadership_count();
+        let leaderships = simulation.leadership_count();
         simulation.nodes[leader].store_link = link;
         simulation.force_step_down(leader);
         simulation.run(1.0);
@@ -92,7 +93,7 @@
         simulation.release_held();
         simulation.run_until(10.0, "a leader", |simulation| simulation.leader().is_some());
         assert!(
-            simulation.leadership_count() > terms,
+            simulation.leadership_count() > leaderships,
             "round {round}: in a term of its own"
         );
         simulation.run(2.0);
@@ -105,10 +106,10 @@
 #[test]
 fn every_leadership_has_own_term() {
     for link in [Link::Good, Link::ResponsesLost, Link::WritesHeld] {
-        step_down_with_the_key_standing(link);
+        step_down_with_leader_key_kept(link);
     }
     fails_without(Safeguard::UniqueTerm, "two leaderships have term", || {
-        step_down_with_the_key_standing(Link::Good);
+        step_down_with_leader_key_kept(Link::Good);
     });
 }
 
@@ -159,7 +160,7 @@
 }
 
 /// A write that is refused is not answered as if it had been carried out: its job goes on, whoever leads next.
-fn writes_are_refused() {
+fn refuse_cancellation_write() {
     let (mut simulation, leader) = eight_machines(1140);
     assert_eq!(
         simulation.submit(leader, &unlimited_job("wk-000001", 2, 1.0, 60)),
@@ -189,11 +190,11 @@
 
 #[test]
 fn conflict_not_reported_as_success() {
-    writes_are_refused();
+    refuse_cancellation_write();
     fails_without(
         Safeguard::ConflictDetection,
         "told of what is not durable",
-        writes_are_refused,
+        refuse_cancellation_write,
     );
 }
 
@@ -205,15 +206,15 @@
     simulation.faults.lost_response_prefix = "burlusher/j/";
     for node in 0..3 {
         let id = format!("wk-{:06}", node + 1);
-        let asked = simulation.now;
+        let sent_at = simulation.now;
         assert!(matches!(
             simulation.submit(node, &unlimited_job(&id, 1, 1.0, 2)),
             200 | 201
         ));
         assert!(
-            simulation.now < asked + Duration::from_millis(800),
+            simulation.now < sent_at + Duration::from_millis(800),
             "{:?}",
-            simulation.now - asked
+            simulation.now - sent_at
         );
     }
     assert_eq!(simulation.counters.responses_lost, 3);
--- a/src/core/simulation/scenarios/machine_failures.rs
+++ b/src/core/simulation/scenarios/machine_failures.rs
@@ -88,9 +88,9 @@
     simulation.submit(leader, &sample("wk-2", 1, 2.0, 3));
     simulation.run(30.0);
     simulation.run_until_done("wk-2", 20.0);
-    let failed =
+    let attempts =
         |m: &crate::core::simulation::Worker| m.tasks.keys().filter(|k| &*k.job == "wk-2").count();
-    assert!(simulation.workers.contains_key(&id) && failed(&simulation.workers[&id]) <= 1);
+    assert!(simulation.workers.contains_key(&id) && attempts(&simulation.workers[&id]) <= 1);
     assert_eq!(simulation.counters.starts, 3);
 }
 
--- a/src/core/simulation/scenarios/mixed_faults.rs
+++ b/src/core/simulation/scenarios/mixed_faults.rs
@@ -60,8 +60,8 @@
             simulation.set_store_links(link);
         }
         5 | 6 => {
-            let number = random_worker(simulation);
-            if let Some(worker) = simulation.workers.values_mut().nth(number) {
+            let index = random_worker_index(simulation);
+            if let Some(worker) = simulation.workers.values_mut().nth(index) {
                 worker.hung = !worker.hung;
             }
         }
@@ -74,11 +74,11 @@
         8 => simulation.faults.hold_commands = !simulation.faults.hold_commands,
         9 => simulation.faults.cloud_down = !simulation.faults.cloud_down,
         10 => {
-            let number = random_worker(simulation);
-            let id = simulation.workers.keys().nth(number).cloned();
+            let index = random_worker_index(simulation);
+            let id = simulation.workers.keys().nth(index).cloned();
             if let Some(worker) = id.and_then(|id| simulation.workers.remove(&id)) {
-                let kind = (worker.machine_type, worker.spot);
-                *simulation.capacity.entry(kind).or_default() += 1;
+                let key = (worker.machine_type, worker.spot);
+                *simulation.capacity.entry(key).or_default() += 1;
             }
         }
         11 => {
@@ -94,7 +94,7 @@
 }
 
 /// The number of a worker; of one that there is not, if there are none.
-fn random_worker(simulation: &mut Simulation) -> usize {
+fn random_worker_index(simulation: &mut Simulation) -> usize {
     let workers = simulation.workers.len().max(1);
     simulation.random(workers)
 }
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn mixed_faults_break_no_rule() {
+fn mixed_faults_violate_no_invariant() {
     for seed in 100..140 {
         let (mut simulation, _) = four_machines(seed);
         inject_mixed_faults(&mut simulation, seed);
@@ -180,7 +180,7 @@
 
 /// The same with a leader that bids.
 #[test]
-fn mixed_faults_with_bidding_break_no_rule() {
+fn mixed_faults_with_bidding_violate_no_invariant() {
     for seed in 400..412 {
         let entries = "foresight = 20\ntolerance = 0.2";
         let (mut simulation, _) = bidding_cluster(seed, entries);
@@ -192,7 +192,7 @@
 
 /// The same with controllers that serve workers for the leader.
 #[test]
-fn mixed_faults_with_delegation_break_no_rule() {
+fn mixed_faults_with_delegation_violate_no_invariant() {
     for seed in 600..630 {
         let mut simulation = Simulation::with_policy(seed, policy(true));
         simulation.add_machines("small", 4);
--- a/src/core/simulation/scenarios/mod.rs
+++ b/src/core/simulation/scenarios/mod.rs
@@ -35,10 +35,10 @@
 }
 
 /// A thousand machines in two zones and a leader that has received their heartbeats; none can be provisioned.
-pub fn thousand_machines(seed: u64, kind: &str) -> (Simulation, usize) {
+pub fn thousand_machines(seed: u64, machine_type: &str) -> (Simulation, usize) {
     let mut simulation = Simulation::new(seed);
     simulation.capacity.clear();
-    simulation.add_machines(kind, 1000);
+    simulation.add_machines(machine_type, 1000);
     let leader = simulation.run_until_leader(4.0);
     (simulation, leader)
 }
@@ -68,6 +68,6 @@
 
 /// The machines that are in a zone.
 pub fn machines_in_zone(simulation: &Simulation, zone: &str) -> Vec<MachineId> {
-    let there = simulation.workers.iter().filter(|(_, m)| m.zone == zone);
-    there.map(|(id, _)| id.clone()).collect()
+    let in_zone = simulation.workers.iter().filter(|(_, m)| m.zone == zone);
+    in_zone.map(|(id, _)| id.clone()).collect()
 }
