--- a/src/core/simulation/scenarios/late_commands.rs
+++ b/src/core/simulation/scenarios/late_commands.rs
@@ -1,4 +1,4 @@
-//! Direct commands that are carried out late or once more.
+//! Direct commands that are carried out late or a second time.
 
 use super::{eight_machines, four_machines, unlimited_job};
 use crate::core::simulation::{Link, fails_without};
@@ -7,11 +7,12 @@
 use crate::wire::{JobState, TaskCommand};
 use std::time::Duration;
 
-/// A leader's starts are held up on their way; it ends, or is deposed, another one begins and receives
-/// the heartbeats of the others, and then the starts arrive at machines that have seen neither the new token nor anything else.
+/// Delays a leader's commands to start tasks until another leader is active. The former leader is killed, or is cut
+/// off from the state service and the other controllers. The new leader has received heartbeats only from the other
+/// machines, so the machines at which the commands arrive have not seen the new fencing token.
 fn delay_commands_of_former_leader(after_s: f64, cut_off: bool) {
     let (mut simulation, leader) = eight_machines(1220);
-    // Machines have sent heartbeats just now, so that starts go out by calls.
+    // All machines have just sent heartbeats, so the leader sends the starts by direct calls.
     simulation.faults.hold_commands = true;
     assert_eq!(
         simulation.submit(leader, &unlimited_job("wk-000001", 4, 4.0, 30)),
@@ -20,7 +21,7 @@
     simulation.run(0.15);
     assert!(
         !simulation.network.held_commands.is_empty(),
-        "none is under way"
+        "no command is in flight"
     );
     let targets: Vec<MachineId> = simulation
         .network
@@ -46,7 +47,7 @@
     simulation.run(after_s);
     let held = std::mem::take(&mut simulation.network.held_commands);
     let arrived = held.iter().filter(|(id, _)| targets.contains(id)).count();
-    assert!(arrived > 0, "nothing arrives late");
+    assert!(arrived > 0, "no command arrives late");
     for (id, body) in held {
         simulation.execute_direct(&id, &body);
     }
@@ -72,7 +73,7 @@
     });
 }
 
-/// Half of all commands are carried out 2 to 16 s late, while leaders follow one another and jobs are cancelled.
+/// Half of all direct commands are carried out 2 to 16 s late, while leaders change and jobs are cancelled.
 #[test]
 fn late_commands_through_takeovers_start_nothing_twice() {
     let (mut simulation, _) = eight_machines(1230);
@@ -93,7 +94,7 @@
     }
     assert!(
         simulation.counters.commands_delayed > 10,
-        "{} late",
+        "{} commands delayed",
         simulation.counters.commands_delayed
     );
     simulation.faults.late_command_share = 0.0;
@@ -106,8 +107,8 @@
     }
 }
 
-/// After a `clear` the worker does not know the attempt any more: the command that started it, arriving
-/// once more, started it anew, by then a task of a job that was cancelled or ran elsewhere.
+/// After a `clear` the worker no longer knows the attempt. A second copy of the command that had started the attempt
+/// made the worker start it again, although by then the job was cancelled or the task ran on another machine.
 #[test]
 fn repeated_command_after_clear_refused() {
     let (mut simulation, leader) = eight_machines(65);
@@ -121,7 +122,7 @@
     let cleared = simulation.workers.values().all(|m| m.tasks.is_empty());
     assert!(
         cleared && simulation.counters.tasks_forgotten >= 8,
-        "all is cleared"
+        "a task has not been cleared"
     );
     let copies = simulation.delayed_command_copies();
     let is_start = |command: &TaskCommand| matches!(command, TaskCommand::Start { .. });
@@ -148,13 +149,14 @@
     simulation.run_until_done("wk-1", 40.0);
     simulation.run(3.0);
     let starts = simulation.counters.starts;
-    // They come when the tasks are long done and cleared.
+    // The commands arrive long after the tasks are done and cleared.
     simulation.release_held();
     simulation.run(3.0);
     assert_eq!(simulation.counters.starts, starts);
 }
 
-/// Machines answer late, and their commands are held up for seconds: each goes on with what it had, once.
+/// Direct commands are held for seconds, and their responses are late. Each machine continues with the tasks that it
+/// has, and runs each of them once.
 #[test]
 fn delayed_commands_run_tasks_once() {
     let (mut simulation, leader) = eight_machines(1020);
@@ -166,7 +168,7 @@
     simulation.run(1.5);
     assert!(
         !simulation.network.held_commands.is_empty(),
-        "none is held up"
+        "no command is held"
     );
     assert_eq!(
         simulation.submit(leader, &unlimited_job("wk-000002", 4, 2.0, 100)),
--- a/src/core/simulation/scenarios/late_writes.rs
+++ b/src/core/simulation/scenarios/late_writes.rs
@@ -7,8 +7,9 @@
 use crate::policy::Policy;
 use std::time::Duration;
 
-/// What the leader writes from now on is kept, and it receives no answer to it; what happens meanwhile it writes
-/// again once it can, so that the first copy is still under way when the second is carried out.
+/// Holds the leader's transactions, without responses, during `action` and for 2.5 s after it. The leader writes the
+/// same changes again once its connection is restored, so the first copy is still in flight when the second is carried
+/// out.
 fn hold_writes_during(
     simulation: &mut Simulation,
     leader: usize,
@@ -19,20 +20,21 @@
     simulation.run(2.5);
     assert!(
         !simulation.network.held_transactions.is_empty(),
-        "nothing is under way"
+        "no transaction is held"
     );
     simulation.nodes[leader].store_link = Link::Good;
     simulation.run(1.5);
 }
 
+/// Returns whether the store has a record of a machine.
 fn is_recorded(simulation: &Simulation, id: &MachineId) -> bool {
     let pages = simulation.stored_values("burlusher/p/").into_values();
     let mut listed = pages.filter_map(|p| p.get("machines")?.as_object().cloned());
     listed.any(|m| m.contains_key(&**id))
 }
 
-/// The first copy of a page came after one with more machines on it: the next leader knew nothing of one of
-/// them, and started anew what ran there.
+/// The delayed first copy of a page of machine records was carried out after a newer one with more machines. The
+/// next leader did not know one of the machines, and restarted the tasks that ran on it.
 #[test]
 fn late_machine_page_loses_no_machine() {
     let (mut simulation, leader) = eight_machines(81);
@@ -44,8 +46,8 @@
     assert!(is_recorded(&simulation, &last));
     simulation.release_held();
     simulation.run(0.5);
-    assert!(is_recorded(&simulation, &last), "forgotten");
-    // It cannot be reached while leaders change, nor deleted, and its task is not started elsewhere.
+    assert!(is_recorded(&simulation, &last), "the record is lost");
+    // The machine can be neither reached nor deleted while leaders change; its task must not start elsewhere.
     simulation.faults.cloud_down = true;
     assert_eq!(
         simulation.submit(leader, &unlimited_job("wk-000001", 10, 4.0, 30)),
@@ -74,12 +76,12 @@
     simulation.run_until_done("wk-000001", 80.0);
 }
 
-/// The first copy of a done range came after a longer one: the next leader ran tasks again whose results had
-/// been cleared.
+/// The delayed first copy of a range of completed tasks was carried out after a longer range. The next leader ran
+/// tasks again whose results had been cleared.
 #[test]
 fn late_completion_write_loses_no_task() {
     let (mut simulation, leader) = eight_machines(82);
-    // In three waves.
+    // The tasks run in three waves of eight.
     assert_eq!(
         simulation.submit(leader, &unlimited_job("wk-000001", 24, 4.0, 5)),
         201
@@ -88,17 +90,15 @@
     hold_writes_during(&mut simulation, leader, |simulation| simulation.run(2.0));
     simulation.run(3.5);
     simulation.release_held();
-    // Whoever leads next has only what is on record.
+    // The next leader knows only what is in the store.
     (0..3).for_each(|n| simulation.kill(n, Duration::from_secs(1)));
     simulation.run_until_done("wk-000001", 40.0);
-    assert_eq!(
-        simulation.counters.starts, 24,
-        "something is done once more"
-    );
+    assert_eq!(simulation.counters.starts, 24, "a task was run again");
 }
 
-/// A leader whose own first copy was carried out after all took the second one's refusal for the end of its
-/// leadership. Nor does it take it for success: what was refused is written anew and only then said.
+/// A leader's delayed write was carried out after all, and so the second copy was refused. The leader took this refusal
+/// for the end of its leadership. It must not take the refusal for success either: it writes the refused changes again
+/// and reports them only then.
 #[test]
 fn leader_keeps_leading_after_late_own_write() {
     let (mut simulation, leader) = eight_machines(83);
@@ -111,13 +111,13 @@
     simulation.run(3.5);
     assert!(
         !simulation.network.held_transactions.is_empty(),
-        "nothing is under way"
+        "no transaction is held"
     );
     simulation.release_held();
     simulation.nodes[leader].store_link = Link::Good;
     simulation.run_until_done("wk-000001", 6.0);
     assert_eq!(simulation.leader(), Some(leader));
-    // With a third of all transactions carried out late, work goes on, and no leader gives up for it.
+    // With a third of all transactions carried out late, jobs still finish, and the leader does not step down.
     simulation.faults.late_write_share = 0.35;
     for n in 2..8 {
         let id = format!("wk-{n:06}");
@@ -132,7 +132,7 @@
     let (mut simulation, leader) = four_machines(5);
     simulation.submit(leader, &sample("wk-1", 4, 2.0, 30));
     simulation.run(2.0);
-    // The old leader's cancellation is stuck in the network while another leads.
+    // The old leader's cancellation is delayed by the network while another controller leads.
     simulation.nodes[leader].store_link = Link::Held;
     let _ = simulation.cancel(leader, "wk-1");
     simulation.run_until_other_leader(leader, 10.0);
@@ -142,8 +142,9 @@
     simulation.run_until_done("wk-1", 60.0);
 }
 
-/// Machines that are up within a moment are given work while writes lag, and the leader ends: each is on
-/// record before its first task, so that the next leader asks it before it starts anything again.
+/// Kills the leader while new machines, which boot within 400 ms, get tasks and writes are late. Each machine must be
+/// recorded in the store before its first task, so that the next leader queries it before it starts any task again.
+/// Returns the number of tasks that were placed when the leader was killed.
 fn kill_leader_with_new_machines(
     late_write_share: f64,
     store_delay: Duration,
@@ -166,7 +167,7 @@
     });
     simulation.run(0.5 + kill_after_tenths as f64 * 0.1);
     let placed = simulation.placements("wk-000001").len() as u32;
-    // Those that have tasks reach nobody, and the cloud tells nothing.
+    // Machines with tasks are partitioned from all controllers, and the cloud does not respond.
     simulation.faults.cloud_down = true;
     let busy = simulation
         .workers
@@ -202,7 +203,7 @@
     }
     assert!(
         placed > 20,
-        "only {placed} tasks were placed when the leader ended"
+        "only {placed} tasks were placed when the leader was killed"
     );
     fails_without(Safeguard::MachineRecords, "which is not on record", || {
         kill_leader_with_new_machines(0.9, Duration::ZERO, 5);
--- a/src/core/simulation/scenarios/leadership.rs
+++ b/src/core/simulation/scenarios/leadership.rs
@@ -1,4 +1,4 @@
-//! Changes of leader: what goes on through them, and when a leader makes way.
+//! Changes of leader: which work continues through them, and when a leader steps down.
 
 use super::{eight_machines, four_machines, thousand_machines, unlimited_job};
 use crate::job::{JobSpec, sample};
@@ -27,7 +27,7 @@
     simulation.submit(leader, &sample("wk-1", 7, 2.0, 40));
     simulation.run(2.0);
     let id = simulation.placements("wk-1")[0].0.clone();
-    // The machine keeps its tasks but cannot reach the nodes that are left.
+    // The machine keeps its tasks but cannot reach the remaining controllers.
     simulation.partition_worker(&id);
     simulation.kill(leader, Duration::from_secs(100));
     simulation.run_until(8.0, "a new leader", |simulation| {
@@ -39,11 +39,11 @@
         201
     );
     simulation.run(3.0);
-    // The old job's tasks are where they were; the new job does not wait for the silent machine.
+    // The old job's tasks stay where they are, and the new job does not wait for the silent machine.
     assert_eq!(simulation.placements("wk-1").len(), 7);
     assert_eq!(simulation.counters.starts, 8);
     assert_eq!(simulation.show(new_leader, "wk-2").1, Some(JobState::Done));
-    // Once its lease has run out, and not before, its tasks start anew.
+    // The silent machine's tasks are started again once its lease has expired, and not before.
     simulation.run_until_done("wk-1", 120.0);
 }
 
@@ -56,13 +56,13 @@
     }
     let machines = simulation.workers.len();
     simulation.run_until_other_leader(leader, 15.0);
-    // The silence of all is a cut, not the loss of each.
+    // If all machines are silent, the leader is partitioned from them; it must not delete them as lost.
     assert_eq!(simulation.workers.len(), machines);
     simulation.run_until_done("wk-1", 40.0);
 }
 
-/// A leader that lost its workers deleted a third of them for their silence, one by one, before it
-/// saw that all were silent, and resigned much later still.
+/// A leader that was partitioned from all workers deleted a third of the machines one by one for missing heartbeats
+/// before it noticed that all were silent, and stepped down much later still.
 #[test]
 fn leader_losing_all_workers_steps_down_soon() {
     let (mut simulation, leader) = thousand_machines(25, "small");
@@ -76,8 +76,8 @@
     assert_eq!(simulation.workers.len(), 1000);
 }
 
-/// One machine that had died with the old leader held up all old tasks that nobody had shown, for
-/// more than its heartbeat interval.
+/// A machine that failed together with the leader held up all earlier tasks that no heartbeat had shown, for longer
+/// than the machine's heartbeat interval.
 #[test]
 fn machine_dead_with_leader_delays_no_other() {
     let (mut simulation, leader) = four_machines(27);
@@ -96,12 +96,12 @@
     simulation.run_until(4.0, "the dead machine's deletion", |simulation| {
         !simulation.workers.contains_key(&id)
     });
-    // The others, which answered, are all there.
+    // The other machines, which responded, all still exist.
     assert!(others.iter().all(|id| simulation.workers.contains_key(id)));
 }
 
-/// Found by the mixture below: all machines were gone, and each leader in turn resigned before
-/// it could find that out.
+/// Found by the tests with mixed faults: all machines were gone, and each leader in turn stepped down before it could
+/// discover that.
 #[test]
 fn no_resignation_loop_without_machines() {
     let (mut simulation, leader) = four_machines(22);
@@ -114,7 +114,7 @@
     simulation.run_until_done("wk-1", 120.0);
 }
 
-/// All controllers are away for longer than a lease, with work waiting, running and cancelled before.
+/// All controllers are down for longer than a lease, while jobs are waiting, running or just cancelled.
 #[test]
 fn outage_of_all_controllers_beyond_lease_resumes_all_jobs() {
     let (mut simulation, leader) = eight_machines(970);
@@ -134,7 +134,7 @@
     assert!(simulation.leader().is_none());
     assert!(
         simulation.placements("wk-000001").is_empty(),
-        "their leases have run out"
+        "a task runs although the lease of its worker has expired"
     );
     simulation.run_until_done("wk-000001", 60.0);
     let mut tries = 0;
@@ -144,12 +144,12 @@
     }
 }
 
-/// Ten leaders in two minutes, one after the other and also while the state service is away; jobs of two or
-/// three tasks that end far apart among them, and jobs cancelled on the way.
+/// Ten leaders are killed in two minutes, one after the other, and more during an outage of the state service. Some
+/// jobs have two or three tasks that end far apart, and some are cancelled meanwhile.
 #[test]
 fn ten_leaders_lose_no_job_and_run_none_twice() {
     let (mut simulation, _) = eight_machines(980);
-    // Three tasks one after the other on the only machine of the zone that has room for them.
+    // Three tasks one after the other, on the only machine of the zone that has capacity for them.
     let mut staggered: JobSpec = unlimited_job("wk-000001", 3, 4.0, 25);
     staggered.zone = Some("b".into());
     let mut kills = 0;
@@ -195,7 +195,8 @@
     }
 }
 
-/// Its former key and lease still stand, and frames of its previous process are under way.
+/// A leader restarts so quickly that the key and lease of its previous process still exist, and frames of that process
+/// are in flight.
 #[test]
 fn quick_restart_ignores_previous_process() {
     let (mut simulation, leader) = eight_machines(68);
@@ -209,7 +210,7 @@
         simulation.kill(leader, Duration::from_millis(50));
         simulation.run(0.3);
     }
-    // Not longer than the lease.
+    // The key of the killed process delays the next leader by no more than the lease of 3 s.
     simulation.run_until(4.0, "a leader", |simulation| simulation.leader().is_some());
     (0..3).for_each(|n| simulation.kill(n, Duration::from_millis(100)));
     simulation.run_until(4.5, "a leader", |simulation| simulation.leader().is_some());
--- a/src/core/simulation/scenarios/loss_of_store.rs
+++ b/src/core/simulation/scenarios/loss_of_store.rs
@@ -1,5 +1,5 @@
-//! A state service that loses data. The simulation checks at every tick that nothing runs twice, and
-//! at every answer that nothing is forgotten or contradicted.
+//! A state service that loses data. The simulation checks at every tick that no task runs twice, and at every response
+//! that no accepted job is forgotten and no earlier response is contradicted.
 
 use crate::core::command::PendingCall;
 use crate::core::simulation::{Link, Simulation, fails_without};
@@ -11,11 +11,12 @@
 use crate::wire::{Item, JobState};
 use std::time::Duration;
 
-/// Three controllers, six machines, and what they were given to do.
+/// Returns a cluster of three controllers, which serve workers for one another, and six machines; and its leader.
 fn six_machines(seed: u64) -> (Simulation, usize) {
     six_machines_with(seed, "delegate = true")
 }
 
+/// Returns a cluster of three controllers with this policy and six machines; and its leader.
 fn six_machines_with(seed: u64, policy: &str) -> (Simulation, usize) {
     crate::core::simulation::enable_log();
     let mut simulation = Simulation::with_policy(seed, Policy::parse("losses", policy).unwrap());
@@ -24,13 +25,13 @@
     (simulation, leader)
 }
 
-/// Long enough that they outlast any rebuilding.
+/// Returns a job that runs longer than any rebuild of the store takes.
 fn long_job(id: &str) -> JobSpec {
     sample(id, 4, 2.0, 60)
 }
 
-/// All controllers begin anew in an empty store, and find out by the workers' tokens that it was not
-/// always so; says who leads then.
+/// Restarts all controllers on an empty store. They learn from the workers' fencing tokens that the store has lost
+/// data. Returns the controller that leads then.
 fn restart_all_on_empty_store(simulation: &mut Simulation) -> usize {
     for n in 0..3 {
         simulation.kill(n, Duration::from_secs(1));
@@ -44,10 +45,13 @@
     simulation.leader().unwrap()
 }
 
-/// Once whole, the store has every job, and nothing of it was started a second time.
+/// Waits until the store has every job again, and checks that no task was started a second time.
 fn assert_rebuilt(simulation: &mut Simulation, starts: u32) {
-    simulation.run_until(60.0, "the store is whole", Simulation::is_store_complete);
-    assert_eq!(simulation.counters.starts, starts, "needless restarts");
+    simulation.run_until(60.0, "the store is complete", Simulation::is_store_complete);
+    assert_eq!(
+        simulation.counters.starts, starts,
+        "tasks were started again"
+    );
 }
 
 #[test]
@@ -70,12 +74,12 @@
     });
     assert!(
         simulation.now > lost + crate::core::LEASE_TTL,
-        "nobody leads before earlier words have run out"
+        "a controller leads before the leases of the lost store have expired"
     );
     assert_ne!(
         simulation.stored_values("burlusher/i/"),
         before,
-        "it goes by another name"
+        "the store still has the identity of the lost one"
     );
     assert_rebuilt(&mut simulation, starts);
     for node in 0..3 {
@@ -92,7 +96,8 @@
     assert_eq!(simulation.counters.starts, starts);
 }
 
-/// The term begins at 1 again in an empty store, which every worker would drop.
+/// In an empty store terms would begin at 1 again, and every worker would drop the commands of such a term as those of
+/// a former leader.
 #[test]
 fn terms_and_scale_out_names_never_reused() {
     let (mut simulation, leader) = six_machines(901);
@@ -116,7 +121,7 @@
         .unwrap()["era"]
         .as_u64();
     assert!(term > Some(newest), "{term:?} after {newest}");
-    // What is submitted then runs.
+    // A job that is submitted then runs.
     simulation.run(3.0);
     assert_eq!(simulation.submit(0, &sample("wk-1", 4, 2.0, 2)), 201);
     simulation.run_until_done("wk-1", 60.0);
@@ -146,8 +151,8 @@
     simulation.run_until_done("wk-2", 90.0);
 }
 
-/// A write of the lost store's leader, held up by the network, would put pages back that no longer
-/// list all machines. The new leader's key may well have the same version.
+/// A delayed write of the lost store's leader would put back pages of machine records that do not list all machines.
+/// The version of the leader key does not prevent this: the new leader's key may well have the same version.
 #[test]
 fn delayed_write_not_applied_to_new_store() {
     let (mut simulation, leader) = six_machines(903);
@@ -160,8 +165,8 @@
     simulation.lose_store();
     simulation.nodes[leader].store_link = Link::Good;
     simulation.run(6.0);
-    simulation.run_until(60.0, "the store is whole", Simulation::is_store_complete);
-    // The held write ends the job: its user received no such answer.
+    simulation.run_until(60.0, "the store is complete", Simulation::is_store_complete);
+    // The held write ends the job, but no user has received a response that says so.
     let held = simulation.network.held_transactions.len();
     assert!(held > 0);
     let before = simulation.stored_values("burlusher/j/");
@@ -170,7 +175,8 @@
     assert_eq!(simulation.show(other, "wk-1").1, Some(JobState::Running));
 }
 
-/// The follower that remembers them takes over; the leader that had accepted them is gone for good.
+/// The leader that accepted the jobs is killed as the store loses its data, and restarts without its cached copy. A
+/// follower that has the jobs in its cached copy takes over.
 #[test]
 fn followers_rebuild_after_loss_with_leader() {
     let (mut simulation, leader) = six_machines(904);
@@ -185,7 +191,8 @@
         simulation.leader().is_some()
     });
     simulation.run(3.0);
-    // One is missing that may remember more: unknown jobs are put off, and nothing new is taken.
+    // The killed controller may have more jobs cached: for now, queries for unknown jobs get 503, and no new job is
+    // accepted.
     let other = simulation.leader().unwrap();
     assert_eq!(simulation.show(other, "wk-999").0, 503);
     assert_eq!(simulation.submit(other, &sample("wk-4", 1, 2.0, 1)), 503);
@@ -196,8 +203,8 @@
     simulation.run_until_done("wk-1", 90.0);
 }
 
-/// With one controller that stays away, questions of what is unknown are put off for as long; but
-/// what is known is answered, and new work is taken, once the workers' leases have run out.
+/// While one controller stays away, queries for unknown jobs get 503. Queries for known jobs are answered, and new jobs
+/// are accepted, once the workers' leases have expired.
 #[test]
 fn absent_controller_does_not_block_service() {
     let (mut simulation, leader) = six_machines(905);
@@ -212,23 +219,23 @@
     let other = simulation.leader().unwrap();
     assert_eq!(simulation.show(other, "wk-1").1, Some(JobState::Running));
     assert_eq!(simulation.submit(other, &sample("wk-2", 1, 2.0, 1)), 201);
-    simulation.run_until(20.0, "it runs", |simulation| {
+    simulation.run_until(20.0, "wk-2 runs", |simulation| {
         simulation.counters.starts >= 5
     });
     assert_eq!(simulation.show(other, "wk-999").0, 503);
-    // An operator who knows that it will not come back says so.
+    // An operator who knows that the controller will not come back settles the rebuild.
     assert_eq!(
         simulation.settle_rebuild((other + 1) % 3),
         409,
-        "only the leader can"
+        "a controller that does not lead settled the rebuild"
     );
     assert_eq!(simulation.settle_rebuild(other), 200);
-    simulation.run_until(20.0, "the store is whole", Simulation::is_store_complete);
+    simulation.run_until(20.0, "the store is complete", Simulation::is_store_complete);
     assert_eq!(simulation.show(other, "wk-999").0, 404);
 }
 
-/// All controllers begin anew in an empty store, and only the workers have seen a term: nothing of the
-/// old jobs may be called unknown, and nothing on the machines is stopped or started again.
+/// All controllers restart on an empty store, and only the workers have seen a term. The old jobs must not be reported
+/// as unknown, and no task on the machines may be stopped or started again.
 #[test]
 fn tasks_of_unknown_jobs_held_and_adopted() {
     let (mut simulation, leader) = six_machines(906);
@@ -253,7 +260,7 @@
     let view = simulation.status(leader);
     assert_eq!(view["rebuild"]["held_tasks"], 4, "{view}");
     assert_eq!(view["rebuild"]["held_results"], 2, "{view}");
-    // The next leader learns the same from the workers: results are not cleared.
+    // The next leader learns the same from the workers, because results are not cleared.
     simulation.kill(leader, Duration::from_secs(1));
     simulation.run_until(10.0, "the next leader", |simulation| {
         simulation.leader().is_some()
@@ -262,29 +269,29 @@
     let leader = simulation.leader().unwrap();
     let view = simulation.status(leader);
     assert_eq!(view["rebuild"]["held_results"], 2, "{view}");
-    // Other work is taken once nothing unknown can be left, and does not disturb them.
+    // Other jobs are accepted once no unreported task can be left, and do not affect the held tasks.
     simulation.run(12.0);
     assert_eq!(simulation.submit(leader, &sample("wk-3", 2, 2.0, 2)), 201);
     simulation.run(6.0);
     assert_eq!(simulation.counters.starts, starts + 2);
-    // The user of one submits it again; the other comes from a snapshot.
+    // The user of wk-1 submits it again, and wk-2 is restored from a snapshot.
     assert_eq!(simulation.submit(leader, &long_job("wk-1")), 201);
     simulation.run(2.0);
     assert_eq!(simulation.show(leader, "wk-1").1, Some(JobState::Running));
     assert_eq!(simulation.offer_snapshot(leader, &store_id, &backup), 200);
     simulation.run(3.0);
     assert_eq!(simulation.show(leader, "wk-2"), (200, Some(JobState::Done)));
-    simulation.run_until(30.0, "the store is whole", Simulation::is_store_complete);
+    simulation.run_until(30.0, "the store is complete", Simulation::is_store_complete);
     simulation.run_until_done("wk-1", 90.0);
     assert_eq!(
         simulation.counters.starts,
         starts + 2,
-        "nothing of them was started again"
+        "tasks of wk-1 or wk-2 were started again"
     );
     assert_eq!(simulation.show(leader, "wk-999").0, 404);
 }
 
-/// What an operator gives up is stopped, and can be submitted anew.
+/// When an operator settles the rebuild, the tasks of unknown jobs are stopped, and the jobs can be submitted again.
 #[test]
 fn operator_gives_up_unknown_tasks() {
     let (mut simulation, leader) = six_machines(907);
@@ -293,15 +300,16 @@
     let leader = restart_all_on_empty_store(&mut simulation);
     assert_eq!(simulation.placements("wk-1").len(), 4);
     assert_eq!(simulation.settle_rebuild(leader), 200);
-    simulation.run_until(20.0, "they are gone", |simulation| {
+    simulation.run_until(20.0, "the tasks are stopped", |simulation| {
         simulation.placements("wk-1").is_empty()
     });
-    simulation.run_until(30.0, "the store is whole", Simulation::is_store_complete);
+    simulation.run_until(30.0, "the store is complete", Simulation::is_store_complete);
 }
 
-/// A machine recorded just before the loss, by a leader that is gone, is on nobody's record; it has
-/// tasks of a job that all remember, and says nothing for a while. Without a list of the cloud, only the
-/// workers' lease tells; with one, it is asked for.
+/// A machine is recorded just before the loss, by a leader that is killed, so no remaining controller knows of the
+/// machine. It runs tasks of a job that all controllers have cached, and does not respond for a while. If the cloud is
+/// down, its tasks may start again only when the workers' lease has expired; otherwise the cloud lists the machine, and
+/// the leader queries it.
 #[test]
 fn nothing_starts_while_unrecorded_machine_may_run_it() {
     for (cloud_up, restart_s) in [(false, 300), (true, 1)] {
@@ -318,7 +326,7 @@
     simulation.capacity.clear();
     simulation.run(8.0);
     simulation.submit(leader, &sample("wk-1", 6, 1.0, 60));
-    simulation.run_until(5.0, "four of them run", |simulation| {
+    simulation.run_until(5.0, "four tasks run", |simulation| {
         simulation.counters.starts == 4
     });
     simulation.run(1.0);
@@ -326,9 +334,11 @@
         simulation.nodes[n].watch_delayed = true;
     }
     let id = simulation.add_machine("small", "a");
-    simulation.run_until(5.0, "the others run there", |simulation| {
-        simulation.workers[&id].tasks.len() == 2
-    });
+    simulation.run_until(
+        5.0,
+        "the other two tasks run on the new machine",
+        |simulation| simulation.workers[&id].tasks.len() == 2,
+    );
     simulation.faults.cloud_down = !cloud_up;
     simulation.lose_store();
     simulation.kill(leader, Duration::from_secs(restart_s));
@@ -336,14 +346,14 @@
         simulation.nodes[n].watch_delayed = false;
     }
     simulation.workers.get_mut(&id).unwrap().hung = true;
-    // There is room for them elsewhere.
+    // Another machine has capacity for the two tasks.
     simulation.add_machine("small", "b");
     simulation.run_until(12.0, "a leader again", |simulation| {
         simulation.leader().is_some()
     });
     simulation.run(5.0);
     simulation.faults.cloud_down = false;
-    // Unless it was deleted meanwhile, as it does not answer.
+    // The machine may have been deleted meanwhile, because it did not respond.
     if let Some(m) = simulation.workers.get_mut(&id) {
         m.hung = false;
     }
@@ -352,7 +362,7 @@
     assert_eq!(simulation.show(new_leader, "wk-1").1, Some(JobState::Done));
 }
 
-/// Another loss in the midst of the rebuilding, and once more.
+/// The store loses its data again during the rebuild, and is rolled back during the next one.
 #[test]
 fn two_losses_in_a_row_rebuilt() {
     let (mut simulation, leader) = six_machines(909);
@@ -373,7 +383,7 @@
     simulation.run_until_done("wk-1", 90.0);
 }
 
-/// The second one comes while the first has just been noticed.
+/// The second loss comes while the controllers are still detecting the first or have just begun to rebuild the store.
 #[test]
 fn second_loss_soon_after_first_rebuilt() {
     for pause in [0.1, 0.55, 0.9, 2.0, 3.3] {
@@ -390,15 +400,15 @@
     }
 }
 
-/// After the loss another process is given the number of the leader's lease, and renews it. The leader
-/// took these renewals for its own, and acted on beside the next one.
+/// After the loss, the state service issues the ID of the leader's lease to another process, which renews the lease.
+/// The leader took these renewals for its own, and continued to act at the same time as the next leader.
 #[test]
 fn reissued_lease_id_keeps_no_leader() {
     let (mut simulation, leader) = six_machines(912);
     simulation.submit(leader, &long_job("wk-1"));
     simulation.run(2.0);
     let starts = simulation.counters.starts;
-    // Nothing else tells it: its reads lag, and its writes are held up.
+    // Nothing else shows the loss to the leader: its watch lags, and its writes are held.
     simulation.nodes[leader].watch_delayed = true;
     simulation.nodes[leader].store_link = Link::WritesHeld;
     simulation.lose_store();
@@ -411,8 +421,8 @@
     simulation.run_until_done("wk-1", 90.0);
 }
 
-/// The leader receives nothing from the state service any more and acts until its leadership proof
-/// expires; the others see the loss much sooner.
+/// The leader is cut off from the state service at the loss and acts until its leadership proof expires. The other
+/// controllers notice the loss much sooner, and must not lead before that.
 #[test]
 fn next_leader_waits_for_isolated_leader_lease() {
     let (mut simulation, leader) = six_machines(914);
@@ -421,14 +431,14 @@
     let starts = simulation.counters.starts;
     simulation.lose_store();
     simulation.nodes[leader].store_link = Link::Refused;
-    // The simulation fails if two act at the same time.
+    // The simulation fails if two leaders act at the same time.
     simulation.run_until_other_leader(leader, 12.0);
     simulation.nodes[leader].store_link = Link::Good;
     assert_rebuilt(&mut simulation, starts);
 }
 
-/// A restored leader key hung on a lease whose number the service had given again: as that one was
-/// renewed, nobody led any more.
+/// A restored leader key was attached to a lease whose ID the state service had issued to another process in the
+/// meantime. Since that process renewed the lease, the key stayed, and no controller could lead.
 #[test]
 fn leader_key_on_foreign_lease_removed() {
     let (mut simulation, leader) = six_machines(915);
@@ -436,17 +446,17 @@
     simulation.kill(leader, Duration::from_millis(300));
     simulation.run(0.6);
     simulation.lose_store();
-    // All take new leases, with numbers from the beginning.
+    // All controllers acquire new leases, whose IDs begin at the first one again.
     simulation.run(1.0);
     simulation.restore_backup(&backup);
     simulation.run_until(20.0, "a leader again", |simulation| {
         simulation.leader().is_some()
     });
-    simulation.run_until(60.0, "the store is whole", Simulation::is_store_complete);
+    simulation.run_until(60.0, "the store is complete", Simulation::is_store_complete);
 }
 
-/// Two controllers begin anew in the empty store, reach nobody who remembers, and take it for new. The
-/// one that remembers sees that another leads, and marks the store for it.
+/// Two controllers restart on the empty store, reach no controller that has the old data cached, and take the store for
+/// new. The controller that has it cached sees that another one leads, and marks the store as being rebuilt.
 #[test]
 fn store_taken_for_new_marked_by_survivor() {
     let (mut simulation, leader) = six_machines(917);
@@ -465,12 +475,13 @@
     simulation.nodes[third].watch_delayed = false;
     simulation.nodes[third].peers_reachable = true;
     simulation.run(6.0);
-    simulation.run_until(60.0, "the store is whole", Simulation::is_store_complete);
+    simulation.run_until(60.0, "the store is complete", Simulation::is_store_complete);
     assert_eq!(simulation.stored_values("burlusher/j/").len(), 1);
     assert_eq!(simulation.show(leader, "wk-1").0, 200);
 }
 
-/// None of these is a loss: an outage, a lagging watch that has to list again, restarts in turn.
+/// None of these events is a loss of data: an outage, a watch that lags so far that it needs a full read, and restarts
+/// of the controllers one after the other.
 #[test]
 fn outage_relisting_and_restarts_are_no_loss() {
     let (mut simulation, leader) = six_machines(910);
@@ -497,8 +508,8 @@
     assert_eq!(losses, 0);
 }
 
-/// Single keys are lost or fall back, and nothing else says so: the leader compares some with what it
-/// knows every few seconds.
+/// Single keys are lost or revert to older values, and no watch event shows it. The leader detects this because it
+/// compares some jobs with its cached copy every few seconds.
 #[test]
 fn audit_finds_lost_and_reverted_jobs() {
     let (mut simulation, leader) = six_machines(916);
@@ -516,7 +527,7 @@
     simulation.run(12.0);
     assert_rebuilt(&mut simulation, starts);
     assert_eq!(simulation.stored_values("burlusher/j/wk-1").len(), 1);
-    // An old value of the other comes back, without an event of the watch.
+    // An old value of wk-2 comes back, without a watch event.
     simulation.overwrite_value("burlusher/j/wk-2", live_value);
     simulation.run(12.0);
     assert_rebuilt(&mut simulation, starts);
@@ -529,7 +540,7 @@
     assert_eq!(simulation.show(0, "wk-2"), (200, Some(JobState::Done)));
 }
 
-/// A prefix is lost, which a list read for another reason shows.
+/// All keys with one prefix are lost. A full read of the store that is made for another reason shows the loss.
 #[test]
 fn lost_prefix_noticed_with_next_listing() {
     let (mut simulation, leader) = six_machines(911);
@@ -543,8 +554,8 @@
     assert_eq!(simulation.stored_values("burlusher/j/").len(), 1);
 }
 
-/// The leader key came back with a restored store and its lease did not: it stayed for ever, and nobody
-/// led until an operator deleted it.
+/// The leader key came back with a restored store and its lease did not. The key stayed for ever, and no controller led
+/// until an operator deleted it.
 #[test]
 fn leader_key_without_lease_removed() {
     let (mut simulation, leader) = six_machines(33);
@@ -560,9 +571,9 @@
     assert_eq!(simulation.counters.starts, starts);
 }
 
-/// A leader reads the store afresh for a sign of a loss, and accepts a job meanwhile: the read is older
-/// than the job. It dropped the job, whose tasks ran on, and started them anew when the watch delivered it
-/// again; and what was done of others and not on record yet was never counted.
+/// A leader reads the whole store again after a sign of data loss, and accepts a job while the read is in flight, so
+/// the response is older than the job. The leader dropped the job while its tasks ran on, and started them again when
+/// the watch delivered the job. Completed tasks of other jobs that were not yet stored were never counted.
 #[test]
 fn stale_listing_restarts_and_forgets_nothing() {
     let (mut simulation, leader) = six_machines(31);
@@ -587,15 +598,15 @@
     simulation.run(2.0);
     assert_eq!(
         simulation.counters.starts, starts,
-        "nothing is started again"
+        "tasks were started again"
     );
     simulation.run_until_done("wk-000001", 10.0);
     simulation.run_until_done("wk-000002", 20.0);
     assert_eq!(simulation.counters.starts, starts);
 }
 
-/// A page of an audit was read before a job ended, and came to the leader after that: no sign of a loss.
-/// Taken for one, it made leaders read all anew several times a day.
+/// A page of an audit was read before a job ended, and reached the leader after that. The difference is no sign of a
+/// loss: taken for one, it made leaders read the whole store again several times a day.
 #[test]
 fn audit_difference_confirmed_before_loss_suspected() {
     let (mut simulation, leader) = six_machines(32);
@@ -621,20 +632,20 @@
         PendingCall::AuditJobs { suspicion, .. } => suspicion.clone(),
         _ => None,
     });
-    assert!(suspicion.is_some(), "it is read once more");
+    assert!(suspicion.is_some(), "the page is not read again");
     let rereads_store = |core: &Core| {
         core.effects
             .iter()
             .any(|e| matches!(e, Effect::RereadStore))
     };
     assert!(!rereads_store(core));
-    // The same once more, though it was asked for after that: lost.
+    // The same difference in a second read, begun after the first comparison, is a loss.
     core.jobs_audited(String::new(), suspicion, page(1));
     assert!(rereads_store(core));
 }
 
-/// Found by reading: a controller that had just begun on a store rolled back a moment before answered 404 and 422
-/// about what was accepted since, until the others had noticed.
+/// Found in code review: a controller that had just started on a store which was rolled back a moment before answered
+/// 404 and 422 for jobs accepted since the backup, until the other controllers had noticed the rollback.
 fn restart_on_rolled_back_store() {
     let (mut simulation, leader) = six_machines(1400);
     simulation.run(8.0);
@@ -646,7 +657,7 @@
     simulation.kill(other, Duration::from_millis(300));
     simulation.run(0.2);
     simulation.restore_backup(&backup);
-    // The others have not noticed yet, and nobody but this one can be asked.
+    // The other controllers have not noticed the rollback, and the restarted one cannot reach them.
     for node in (0..3).filter(|n| *n != other) {
         (
             simulation.nodes[node].store_link,
@@ -659,17 +670,17 @@
     let mut answered = 0;
     for _ in 0..4 {
         let (status, _) = simulation.show(other, "wk-000001");
-        assert_ne!(status, 404, "it is said to be unknown");
+        assert_ne!(status, 404, "an accepted job is reported as unknown");
         let status = simulation.submit(other, &repeated);
         assert!(
             !matches!(status, 400 | 422),
-            "refused as if it were unknown"
+            "refused as if the job were unknown"
         );
         answered += 1;
     }
     assert_eq!(answered, 4);
     simulation.heal_controllers();
-    simulation.run_until(60.0, "the store is whole", Simulation::is_store_complete);
+    simulation.run_until(60.0, "the store is complete", Simulation::is_store_complete);
     simulation.run_until_done("wk-000001", 90.0);
 }
 
--- a/src/core/simulation/scenarios/lost_answers.rs
+++ b/src/core/simulation/scenarios/lost_answers.rs
@@ -1,6 +1,6 @@
-//! Transactions that are carried out at once and whose answer alone is lost, while other controllers read what
-//! they wrote; and leaderships that end while their leader key stands. The simulation fails at every step
-//! at which two leaderships have one term, a task is on two machines, or a user gets an older answer.
+//! Transactions that are carried out at once and whose responses are lost, while other controllers read what they
+//! wrote; and leaderships that end while their leader key still exists. The simulation fails at every step at which two
+//! leaderships have the same term, a task is on two machines, or a user gets a response older than an earlier one.
 
 use super::{eight_machines, unlimited_job};
 use crate::core::simulation::{Link, Simulation, fails_without};
@@ -8,7 +8,8 @@
 use crate::wire::JobState;
 use std::time::Duration;
 
-/// Jobs come and are cancelled, one every half second, while this share of answers is lost; users look closely.
+/// Submits `rounds` jobs, at least 0.3 s apart, and cancels every third one, while this share of transactions loses
+/// its response and users query every controller after each response. Then runs until all the jobs have ended.
 fn run_jobs_with_lost_responses(simulation: &mut Simulation, share: f64, rounds: u32) {
     simulation.faults.lost_response_share = share;
     simulation.query_after_responses = true;
@@ -40,26 +41,26 @@
     }
 }
 
-/// A leader whose answers were lost took its own transactions for somebody else's: after six refusals it
-/// stepped down, and began again within the same term with an empty memory.
+/// A leader whose responses were lost took its own transactions for another process's. After six refusals it stepped
+/// down, and began again within the same term, without its state in memory.
 fn lose_responses_of_leader() {
     for seed in 0..4 {
         let (mut simulation, leader) = eight_machines(1100 + seed);
         run_jobs_with_lost_responses(&mut simulation, 0.6, 60);
         assert!(
             simulation.counters.responses_lost > 40,
-            "{} answers lost",
+            "{} responses lost",
             simulation.counters.responses_lost
         );
         assert!(
             simulation.counters.follow_ups_answered > 100,
-            "{} looks",
+            "{} follow-up queries answered",
             simulation.counters.follow_ups_answered
         );
         assert_eq!(
             simulation.leadership_count(),
             1,
-            "a leader resigned for its own write"
+            "a leader stepped down because of its own write"
         );
         assert_eq!(simulation.leader(), Some(leader));
     }
@@ -70,13 +71,13 @@
     lose_responses_of_leader();
     fails_without(
         Safeguard::OwnWriteDetection,
-        "resigned for its own write",
+        "stepped down because of its own write",
         lose_responses_of_leader,
     );
 }
 
-/// Whatever makes a leader step down while its key stands: it begins again in a term of its own, also where the
-/// answer to the transaction that raises it is lost, or where that is carried out late.
+/// Makes a leader step down while its key still exists. The next leadership must have a new term, also if the response
+/// to the transaction that raises the term is lost, or if that transaction is carried out late.
 fn step_down_with_leader_key_kept(link: Link) -> Simulation {
     let (mut simulation, leader) = eight_machines(1110);
     assert_eq!(
@@ -94,12 +95,12 @@
         simulation.run_until(10.0, "a leader", |simulation| simulation.leader().is_some());
         assert!(
             simulation.leadership_count() > leaderships,
-            "round {round}: in a term of its own"
+            "round {round}: no new leadership began"
         );
         simulation.run(2.0);
     }
     simulation.run_until_done("wk-000001", 90.0);
-    assert_eq!(simulation.counters.starts, 8, "nothing is started twice");
+    assert_eq!(simulation.counters.starts, 8, "tasks were started again");
     simulation
 }
 
@@ -113,7 +114,7 @@
     });
 }
 
-/// What another controller has not seen yet is not answered by it from its own copy.
+/// Queries controllers whose watches lag. They must not answer from their outdated cached copies.
 fn query_lagging_controllers() {
     let (mut simulation, leader) = eight_machines(1130);
     for n in 0..3 {
@@ -130,7 +131,7 @@
         if n % 2 == 0 {
             simulation.cancel(leader, &id);
         } else {
-            simulation.run_until(20.0, "it is done", |simulation| {
+            simulation.run_until(20.0, "all tasks are done", |simulation| {
                 simulation.all_tasks_completed(&id)
             });
             simulation.run(1.5);
@@ -139,12 +140,12 @@
         simulation.run(0.5);
         assert!(
             simulation.reported_final_state(&id).is_some(),
-            "{id} is not over"
+            "{id} has not ended"
         );
     }
     assert!(
         simulation.counters.follow_ups_answered > 30,
-        "{} looks",
+        "{} follow-up queries answered",
         simulation.counters.follow_ups_answered
     );
 }
@@ -159,7 +160,8 @@
     );
 }
 
-/// A write that is refused is not answered as if it had been carried out: its job goes on, whoever leads next.
+/// The write that cancels a job is refused. The cancellation must not be reported as carried out: the job would go on
+/// under the next leader.
 fn refuse_cancellation_write() {
     let (mut simulation, leader) = eight_machines(1140);
     assert_eq!(
@@ -167,7 +169,7 @@
         201
     );
     simulation.run(1.0);
-    // Somebody else has written the key of the job's end, and the leader's copy does not show it yet.
+    // Another process has written the job's key, and the leader's cached copy does not show it yet.
     let key = "burlusher/j/wk-000001";
     let value = simulation.stored_values(key)[key].clone();
     simulation.nodes[leader].watch_delayed = true;
@@ -176,7 +178,7 @@
     simulation.run(0.5);
     assert!(
         simulation.reported_final_state("wk-000001").is_none(),
-        "told of what is not durable"
+        "a cancellation was reported that is not durable"
     );
     simulation.nodes[leader].watch_delayed = false;
     simulation.run(1.0);
@@ -193,12 +195,12 @@
     refuse_cancellation_write();
     fails_without(
         Safeguard::ConflictDetection,
-        "told of what is not durable",
+        "a cancellation was reported that is not durable",
         refuse_cancellation_write,
     );
 }
 
-/// Creations whose answer is lost: the user is answered as soon as the job is seen in the store.
+/// The response to the creation of a job is lost. The user gets a response as soon as the job is seen in the store.
 #[test]
 fn submission_with_lost_answer_accepted_once_seen() {
     let (mut simulation, leader) = eight_machines(1120);
@@ -225,7 +227,7 @@
     }
 }
 
-/// Controllers that know the same, of a store that has been rolled back, say, never choose the same term.
+/// Controllers with the same state, for example that of a store that was rolled back, never choose the same term.
 #[test]
 fn controllers_choose_distinct_terms() {
     let (mut simulation, _) = eight_machines(1150);
@@ -237,8 +239,8 @@
     }
 }
 
-/// Found by randomized schedules: a store that had lost its data was led, and then rolled back. The next leader had
-/// learned of the term in between, and led in that instead of the one that it had written.
+/// Found by randomized schedules: a store that had lost its data got a leader and was then rolled back. The next leader
+/// had learned of the term used in between, and led in that term instead of the one that it had written.
 #[test]
 fn leader_of_store_lost_twice_has_own_term() {
     crate::core::simulation::randomized::store_lost_twice();
--- a/src/core/simulation/scenarios/machine_failures.rs
+++ b/src/core/simulation/scenarios/machine_failures.rs
@@ -9,13 +9,13 @@
 #[test]
 fn resumed_machine_runs_nothing_moved_elsewhere() {
     let (mut simulation, leader) = four_machines(10);
-    simulation.faults.cloud_down = true; // It cannot be deleted either.
+    simulation.faults.cloud_down = true; // The hung machine cannot be deleted.
     simulation.submit(leader, &sample("wk-1", 8, 2.0, 8));
     simulation.run(2.0);
     let id = simulation.placements("wk-1")[0].0.clone();
     simulation.workers.get_mut(&id).unwrap().hung = true;
     simulation.run(7.0);
-    // Within its lease nothing of it is started elsewhere, and it goes on with what it has.
+    // Until its lease expires, none of its tasks is started elsewhere, and it continues with them.
     simulation.workers.get_mut(&id).unwrap().hung = false;
     simulation.release_held();
     simulation.run_until_done("wk-1", 40.0);
@@ -39,7 +39,7 @@
     let id = simulation.placements("wk-1")[0].0.clone();
     simulation.workers.get_mut(&id).unwrap().hung = true;
     simulation.run(5.0);
-    // Sooner than its lease of 10 s.
+    // The machine is deleted before its lease of 10 s expires.
     assert!(!simulation.workers.contains_key(&id));
     simulation.run_until_done("wk-1", 60.0);
 }
@@ -51,7 +51,7 @@
     simulation.submit(leader, &sample("wk-1", 8, 2.0, 5));
     let all: Vec<_> = simulation.workers.keys().cloned().collect();
     simulation.run(20.0);
-    // It is tried ever more rarely.
+    // Tasks of the broken job are retried at longer and longer intervals.
     let starts = simulation.counters.starts;
     simulation.run(15.0);
     assert!(
@@ -74,7 +74,7 @@
     assert!(!simulation.workers.contains_key(&id));
 }
 
-/// A machine that failed a task is not the first choice for it again, however warm its image.
+/// A machine on which a task failed is not the first choice for the retry, even if it has the image cached.
 #[test]
 fn failed_task_retried_on_another_machine() {
     let (mut simulation, leader) = four_machines(29);
@@ -83,7 +83,7 @@
     simulation.run(0.5);
     let id = simulation.placements("wk-1")[0].0.clone();
     simulation.run_until_done("wk-1", 20.0);
-    // The same image is there and nowhere else, so the next one would go there too.
+    // Only this machine has the image cached, so the next job would be placed there too.
     simulation.workers.get_mut(&id).unwrap().failing = true;
     simulation.submit(leader, &sample("wk-2", 1, 2.0, 3));
     simulation.run(30.0);
@@ -94,8 +94,8 @@
     assert_eq!(simulation.counters.starts, 3);
 }
 
-/// The only machine that fits has failed with a job that fails everywhere; a sound one that comes later does not
-/// wait for it for a minute and a half.
+/// The only machine that fits has failed tasks of a job that fails everywhere. A sound job that is submitted later must
+/// not wait for the machine for 90 s.
 fn only_machine_has_failed() {
     let policy = Policy::parse("avoided", "idle_keep = 600").unwrap();
     let mut simulation = Simulation::with_policy(1350, policy);
@@ -107,9 +107,11 @@
         simulation.submit(leader, &unlimited_job("wk-000001", 1, 4.0, 5)),
         201
     );
-    simulation.run_until(200.0, "it has failed five times", |simulation| {
-        simulation.counters.starts >= 5
-    });
+    simulation.run_until(
+        200.0,
+        "the job's task has been started five times",
+        |simulation| simulation.counters.starts >= 5,
+    );
     simulation.run(1.5);
     assert_eq!(
         simulation.submit(leader, &unlimited_job("wk-000002", 1, 4.0, 3)),
--- a/src/core/simulation/scenarios/mixed_faults.rs
+++ b/src/core/simulation/scenarios/mixed_faults.rs
@@ -1,4 +1,4 @@
-//! Faults of every kind at random, with the rules checked at every tick.
+//! Random faults of every kind, with the invariants checked at every tick.
 
 use super::bidding::bidding_cluster;
 use super::delegation::policy;
@@ -8,15 +8,15 @@
 use crate::wire::JobState;
 use std::time::Duration;
 
-/// The jobs that users submitted and cancelled so far.
+/// Jobs of users that were accepted, and those of them whose cancellation was confirmed.
 #[derive(Default)]
 struct UserJobs {
     accepted: Vec<String>,
     cancelled: Vec<String>,
 }
 
-/// Injects faults of every kind, alone and together, while jobs come and are cancelled; then heals
-/// the cluster, in which everything that was accepted has to end.
+/// Injects faults of every kind, alone and together, while jobs are submitted and cancelled. Then heals the cluster,
+/// and checks that every accepted job ends.
 pub fn inject_mixed_faults(simulation: &mut Simulation, seed: u64) {
     let mut jobs = UserJobs::default();
     for round in 0..40 {
@@ -93,7 +93,7 @@
     }
 }
 
-/// The number of a worker; of one that there is not, if there are none.
+/// Returns the index of a random worker, or 0 if there are no workers.
 fn random_worker_index(simulation: &mut Simulation) -> usize {
     let workers = simulation.workers.len().max(1);
     simulation.random(workers)
@@ -128,7 +128,7 @@
     (jobs.accepted[job].clone(), node)
 }
 
-/// Cancels a job every fourth time.
+/// Cancels a random job with a probability of one in four.
 fn cancel_some_job(simulation: &mut Simulation, jobs: &mut UserJobs) {
     if simulation.random(4) != 0 {
         return;
@@ -161,7 +161,7 @@
         if jobs.cancelled.contains(id) {
             assert_eq!(simulation.show(node, id).1, Some(JobState::Cancelled));
         } else if simulation.show(node, id).1 != Some(JobState::Cancelled) {
-            // A cancellation without an answer may have been carried out.
+            // A job may also be cancelled by a cancellation whose response was lost.
             simulation.run_until_done(id, 400.0);
         }
     }
@@ -178,7 +178,7 @@
     }
 }
 
-/// The same with a leader that bids.
+/// Runs the mixed faults with a leader that bids.
 #[test]
 fn mixed_faults_with_bidding_violate_no_invariant() {
     for seed in 400..412 {
@@ -190,7 +190,7 @@
     }
 }
 
-/// The same with controllers that serve workers for the leader.
+/// Runs the mixed faults with controllers that serve workers for the leader.
 #[test]
 fn mixed_faults_with_delegation_violate_no_invariant() {
     for seed in 600..630 {
--- a/src/core/simulation/scenarios/mod.rs
+++ b/src/core/simulation/scenarios/mod.rs
@@ -1,5 +1,5 @@
-//! Scenarios by subject: each says what happens to the cluster and what must come of it. Here is what
-//! they share: clusters to start from, and jobs.
+//! Scenario tests, grouped by subject: each describes what happens to a simulated cluster and checks the outcome. This
+//! module contains the initial clusters and the jobs that the scenarios share.
 
 mod bidding;
 mod cancellation;
@@ -26,7 +26,7 @@
 use crate::job::{JobSpec, MachineId, sample};
 use crate::policy::Policy;
 
-/// Three controllers with a leader, and machines for 16 CPUs.
+/// Returns a cluster of three controllers and four machines with 16 CPUs in total; and its leader.
 pub fn four_machines(seed: u64) -> (Simulation, usize) {
     let mut simulation = Simulation::new(seed);
     simulation.add_machines("small", 4);
@@ -34,7 +34,8 @@
     (simulation, leader)
 }
 
-/// A thousand machines in two zones and a leader that has received their heartbeats; none can be provisioned.
+/// Returns a cluster of three controllers and 1000 machines in two zones; and its leader, which has received the
+/// machines' heartbeats. No machine can be provisioned.
 pub fn thousand_machines(seed: u64, machine_type: &str) -> (Simulation, usize) {
     let mut simulation = Simulation::new(seed);
     simulation.capacity.clear();
@@ -43,7 +44,8 @@
     (simulation, leader)
 }
 
-/// Three controllers that serve workers for one another, and eight machines; none can be provisioned.
+/// Returns a cluster of three controllers, which serve workers for one another, and eight machines; and its leader. No
+/// machine can be provisioned.
 pub fn eight_machines(seed: u64) -> (Simulation, usize) {
     crate::core::simulation::enable_log();
     let policy = Policy::parse("added", "delegate = true\nidle_keep = 600").unwrap();
@@ -54,19 +56,19 @@
     (simulation, leader)
 }
 
-/// Of the team without a limit.
+/// Returns a job of the team that has no limit.
 pub fn unlimited_job(id: &str, tasks: u32, cpus: f64, seconds: u64) -> JobSpec {
     let mut spec = sample(id, tasks, cpus, seconds);
     spec.team = "u".into();
     spec
 }
 
-/// A controller that does not lead.
+/// Returns a controller that does not lead.
 pub fn follower(leader: usize) -> usize {
     (leader + 1) % 3
 }
 
-/// The machines that are in a zone.
+/// Returns the machines in a zone.
 pub fn machines_in_zone(simulation: &Simulation, zone: &str) -> Vec<MachineId> {
     let in_zone = simulation.workers.iter().filter(|(_, m)| m.zone == zone);
     in_zone.map(|(id, _)| id.clone()).collect()
