--- a/src/core/simulation/mixed_versions.rs
+++ b/src/core/simulation/mixed_versions.rs
@@ -14,16 +14,16 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-const LIVE: &str = r#"{"spec":{"id":"wk-000412","class":"train","team":"vision","kind":"Array",
+const LIVE_JOB: &str = r#"{"spec":{"id":"wk-000412","class":"train","team":"vision","kind":"Array",
 "rank":"High","tasks":16,"needs":{"cpus":8.0,"gpus":1.0,"ram":64.0},"image":"img-07","image_gb":6.2,
 "types":["g8"],"zone":"a","one_zone":true,"spread":false,"spot":true,
 "estimate":{"secs":240,"nanos":0},"checkpoint":{"secs":1,"nanos":500000000},
 "save":{"secs":4,"nanos":0},"deadline":{"secs":900,"nanos":0}},"submitted_ms":1700000000123}"#;
-const TERM: &str = r#"{"era":7}"#;
-const LEADER: &str = r#"{"name":"n0","nonce":5,"lease":3}"#;
-const MACHINES_PER_PAGE: &str =
+const TERM_VALUE: &str = r#"{"era":7}"#;
+const LEADER_VALUE: &str = r#"{"name":"n0","nonce":5,"lease":3}"#;
+const MACHINE_PAGE: &str =
     r#"{"machines":{"i-000231":{"addr":"10.1.0.1:9000","kind":"small","zone":"a","spot":true}}}"#;
-const DONE: &str = r#"{"rows":"0-4,7"}"#;
+const DONE_TASKS: &str = r#"{"rows":"0-4,7"}"#;
 const SUBMIT_FRAME: &str = "6c727562010100008100000010000000000105000000000000002040000000000000f0\
 3f0000000000005040cdcccccccccc184000601de137000000002f68590000000000286bee0000000000282e8cd10000000\
 9000000050000000600000006000000010000000100000002000000776b2d303030343132747261696e766973696f6e696d\
@@ -38,7 +38,7 @@
 #[allow(dead_code)]
 enum ProductionJob {
     Live { spec: Value, submitted_ms: u64 },
-    Over { end: JobOutcome },
+    Ended { end: JobOutcome },
 }
 
 /// How production keeps machines in memory, page by page.
@@ -55,22 +55,23 @@
             return;
         };
         let listed = event.value["machines"].as_object();
-        let now: BTreeSet<String> = listed.map_or(BTreeSet::new(), |m| m.keys().cloned().collect());
-        let before = self.pages.insert(n.into(), now.clone());
-        for id in before.unwrap_or_default() {
-            if !now.contains(&id) {
+        let current: BTreeSet<String> =
+            listed.map_or(BTreeSet::new(), |m| m.keys().cloned().collect());
+        let previous = self.pages.insert(n.into(), current.clone());
+        for id in previous.unwrap_or_default() {
+            if !current.contains(&id) {
                 self.known.remove(&id);
             }
         }
-        self.known.extend(now);
+        self.known.extend(current);
     }
 }
 
-fn value(text: &str) -> Value {
+fn parse_json(text: &str) -> Value {
     serde_json::from_str(text).unwrap()
 }
 
-fn bytes(hex: &str) -> Vec<u8> {
+fn decode_hex(hex: &str) -> Vec<u8> {
     let digits: Vec<u8> = hex.bytes().collect();
     let byte = |two: &[u8]| u8::from_str_radix(std::str::from_utf8(two).unwrap(), 16).unwrap();
     digits.chunks(2).map(byte).collect()
@@ -106,12 +107,12 @@
 
 #[test]
 fn stored_values_match_production_format() {
-    let JobValue::Live { spec: read, .. } = serde_json::from_str(LIVE).unwrap() else {
+    let JobValue::Live { spec: read, .. } = serde_json::from_str(LIVE_JOB).unwrap() else {
         panic!("not live")
     };
     assert_eq!(*read, spec());
-    let ours = JobValue::live(Box::new(spec()), 1_700_000_000_123);
-    assert_eq!(serde_json::to_value(ours).unwrap(), value(LIVE));
+    let encoded = JobValue::live(Box::new(spec()), 1_700_000_000_123);
+    assert_eq!(serde_json::to_value(encoded).unwrap(), parse_json(LIVE_JOB));
     for (end, text) in [
         (JobOutcome::Done, r#"{"end":"Done"}"#),
         (JobOutcome::Cancelled, r#"{"end":"Cancelled"}"#),
@@ -122,7 +123,7 @@
                 residual_tasks: None
             })
             .unwrap(),
-            value(text)
+            parse_json(text)
         );
         let read: JobValue = serde_json::from_str(text).unwrap();
         assert!(matches!(read, JobValue::Ended { end: e, residual_tasks: None } if e == end));
@@ -130,18 +131,24 @@
     // The term keeps its form, so that either version can lead after the other.
     assert_eq!(
         serde_json::to_value(TermValue { term: 7 }).unwrap(),
-        value(TERM)
+        parse_json(TERM_VALUE)
     );
-    assert_eq!(serde_json::from_str::<TermValue>(TERM).unwrap().term, 7);
-    let leader: LeaderValue = serde_json::from_str(LEADER).unwrap();
-    assert_eq!(serde_json::to_value(leader).unwrap(), value(LEADER));
-    let page: PageValue = serde_json::from_str(MACHINES_PER_PAGE).unwrap();
+    assert_eq!(
+        serde_json::from_str::<TermValue>(TERM_VALUE).unwrap().term,
+        7
+    );
+    let leader: LeaderValue = serde_json::from_str(LEADER_VALUE).unwrap();
+    assert_eq!(
+        serde_json::to_value(leader).unwrap(),
+        parse_json(LEADER_VALUE)
+    );
+    let page: PageValue = serde_json::from_str(MACHINE_PAGE).unwrap();
     assert_eq!(
         serde_json::to_value(page).unwrap(),
-        value(MACHINES_PER_PAGE)
+        parse_json(MACHINE_PAGE)
     );
-    let done: DoneValue = serde_json::from_str(DONE).unwrap();
-    assert_eq!(serde_json::to_value(done).unwrap(), value(DONE));
+    let done: DoneValue = serde_json::from_str(DONE_TASKS).unwrap();
+    assert_eq!(serde_json::to_value(done).unwrap(), parse_json(DONE_TASKS));
 }
 
 /// Kept by a version that knows of it, after a rollback say, it must not be started by one that
@@ -152,13 +159,13 @@
     spec.dependencies = vec!["wk-1".into()];
     let stored = serde_json::to_value(JobValue::live(Box::new(spec.clone()), 7)).unwrap();
     assert!(serde_json::from_value::<ProductionJob>(stored.clone()).is_err());
-    assert!(serde_json::from_value::<ProductionJob>(value(LIVE)).is_ok());
+    assert!(serde_json::from_value::<ProductionJob>(parse_json(LIVE_JOB)).is_ok());
     let mut store_cache = StoreCache::default();
     store_cache.put_job("wk-000412", serde_json::from_value(stored).unwrap(), 3);
     assert_eq!(*store_cache.jobs["wk-000412"].spec, spec);
     assert!(!store_cache.dependencies_met(&"wk-000412".into()));
-    let parted = json!({"parts": 3, "stem": 7, "submitted_ms": 7});
-    assert!(serde_json::from_value::<ProductionJob>(parted).is_err());
+    let multipart = json!({"parts": 3, "stem": 7, "submitted_ms": 7});
+    assert!(serde_json::from_value::<ProductionJob>(multipart).is_err());
     // Passed on to it, the job is in a frame that it drops the connection for.
     let frame = peer::encode_request(&PeerRequest::Submit(Box::new(spec)));
     assert!(!(1..=4).contains(&frame[5]));
@@ -171,8 +178,8 @@
         (PeerRequest::Show("wk-7".into()), SHOW_FRAME),
         (PeerRequest::Cancel("wk-7".into()), CANCEL_FRAME),
     ] {
-        assert_eq!(peer::encode_request(&request), bytes(hex));
-        let (kind, body) = peer::read_frame(&mut bytes(hex).as_slice()).unwrap();
+        assert_eq!(peer::encode_request(&request), decode_hex(hex));
+        let (kind, body) = peer::read_frame(&mut decode_hex(hex).as_slice()).unwrap();
         assert_eq!(peer::decode_request(kind, &body), Some(request));
     }
     let answer = PeerAnswer {
@@ -182,7 +189,7 @@
         done: Some(3),
         running: Some(13),
     };
-    assert_eq!(peer::encode_answer(&answer), bytes(ANSWER_FRAME));
+    assert_eq!(peer::encode_answer(&answer), decode_hex(ANSWER_FRAME));
 }
 
 /// A cluster in which production has served so far: its term, machines on pages as large as its
@@ -194,7 +201,7 @@
 ) -> Simulation {
     let mut simulation = Simulation::new(seed);
     simulation.capacity.clear();
-    simulation.external_put("burlusher/term", value(TERM));
+    simulation.external_put("burlusher/term", parse_json(TERM_VALUE));
     let ids: Vec<_> = (0..machines)
         .map(|_| simulation.add_machine("small", "a"))
         .collect();
@@ -226,7 +233,7 @@
 }
 
 /// Rows that production, or a later leader, finds on record.
-fn is_recorded(simulation: &Simulation, id: &str) -> TaskSet {
+fn recorded_tasks(simulation: &Simulation, id: &str) -> TaskSet {
     let mut completed = TaskSet::default();
     for (key, v) in simulation.stored_values(&format!("burlusher/d/{id}/")) {
         let base: u32 = key.rsplit('/').next().unwrap().parse().unwrap();
@@ -237,30 +244,30 @@
 
 /// A piece of our size under the key of a larger one of production's lost what that held beyond.
 #[test]
-fn completed_tasks_in_large_pieces_survive_lower_limits() {
-    for lowered in 0..6 {
+fn completed_tasks_in_large_ranges_survive_lower_limits() {
+    for case in 0..6 {
         let spec = sample("wk-1", 1500, 4.0, 4);
         let mut simulation =
             cluster_after_production(61, 1, Some((&spec, "0-2,4-699,701-1400,1402-1498")));
-        let all = is_recorded(&simulation, "wk-1");
+        let initial = recorded_tasks(&simulation, "wk-1");
         for tick in 0..1200 {
-            if tick == 40 + lowered * 40 {
+            if tick == 40 + case * 40 {
                 simulation.set_store_limits(NEXT_STORE_LIMITS);
             }
-            if tick == 130 + lowered * 20
+            if tick == 130 + case * 20
                 && let Some(leader) = simulation.leader()
             {
                 simulation.kill(leader, Duration::from_secs(2));
             }
             simulation.tick();
-            let now = is_recorded(&simulation, "wk-1");
-            let over = simulation
+            let recorded = recorded_tasks(&simulation, "wk-1");
+            let ended = simulation
                 .stored_values("burlusher/j/wk-1")
                 .values()
                 .any(|v| v.get("end").is_some());
-            let kept = |r: &u32| !all.contains(*r) || now.contains(*r);
+            let is_kept = |r: &u32| !initial.contains(*r) || recorded.contains(*r);
             assert!(
-                over || (0..1500).all(|r| kept(&r)),
+                ended || (0..1500).all(|r| is_kept(&r)),
                 "forgotten at tick {tick}"
             );
         }
@@ -284,48 +291,48 @@
 /// The next leader would start what runs there a second time.
 #[test]
 fn large_machine_pages_shrink_without_losing_machines() {
-    for lowered in [0, 30, 60, 90, 120] {
+    for lowered_at in [0, 30, 60, 90, 120] {
         let spec = sample("wk-1", 400, 1.0, 90);
         let mut simulation = cluster_after_production(62, 150, None);
-        let mut theirs = ProductionMachines::default();
-        let (mut seen, mut moved) = (0, 0);
+        let mut production = ProductionMachines::default();
+        let (mut seen_events, mut page_writes) = (0, 0);
         simulation.run(4.0);
         let leader = simulation.leader().unwrap();
         let mut big = spec.clone();
         big.team = "u".into();
         simulation.submit(leader, &big);
         for tick in 0..400 {
-            if tick == lowered {
+            if tick == lowered_at {
                 simulation.set_store_limits(NEXT_STORE_LIMITS);
             }
             if tick == 20 {
                 // Some are gone, so each page has to be written.
-                let gone: Vec<_> = simulation.workers.keys().step_by(10).cloned().collect();
-                for id in gone {
+                let removed: Vec<_> = simulation.workers.keys().step_by(10).cloned().collect();
+                for id in removed {
                     simulation.workers.remove(&id);
                 }
             }
-            if tick == lowered + 90
+            if tick == lowered_at + 90
                 && let Some(leader) = simulation.leader()
             {
                 simulation.kill(leader, Duration::from_secs(2));
             }
             simulation.tick();
-            let events = simulation.watch_events(seen);
-            seen += events.len();
+            let events = simulation.watch_events(seen_events);
+            seen_events += events.len();
             for e in &events {
-                moved += usize::from(e.put.as_ref().is_some_and(|k| k.contains("/p/")));
-                theirs.observe(e);
+                page_writes += usize::from(e.put.as_ref().is_some_and(|k| k.contains("/p/")));
+                production.observe(e);
             }
             // A production node that led from here on would know them all.
             for (id, worker) in &simulation.workers {
                 assert!(
-                    worker.tasks.is_empty() || theirs.known.contains(&**id),
+                    worker.tasks.is_empty() || production.known.contains(&**id),
                     "{id} is unknown to production at tick {tick}"
                 );
             }
         }
-        assert!(moved >= 8, "the pages were rewritten");
+        assert!(page_writes >= 8, "the pages were rewritten");
         let sizes = simulation.stored_values("burlusher/p/");
         let largest = sizes.values().map(|v| v.to_string().len()).max();
         assert!(largest <= Some(NEXT_STORE_LIMITS.0));
@@ -335,7 +342,7 @@
 
 /// A cluster with its leader, and a job that awaits hundreds of others, all done but `wk-1`, and so
 /// fits into no value.
-fn with_large_job(seed: u64) -> (Simulation, usize, crate::job::JobSpec) {
+fn cluster_with_large_job(seed: u64) -> (Simulation, usize, crate::job::JobSpec) {
     let mut simulation = cluster_after_production(seed, 4, None);
     simulation.set_store_limits(NEXT_STORE_LIMITS);
     simulation.run(4.0);
@@ -365,7 +372,7 @@
 /// not before, whoever dies meanwhile, and nothing is left of it in the end.
 #[test]
 fn oversized_job_stored_whole_or_not_at_all() {
-    let (mut simulation, leader, large) = with_large_job(64);
+    let (mut simulation, leader, large) = cluster_with_large_job(64);
     // A node dies between the parts and the job's key: nothing was accepted.
     let other = (leader + 1) % 3;
     simulation.set_peers_reachable(false);
@@ -407,11 +414,11 @@
 /// cleared: applied then, it would have accepted a job that nobody can read any more.
 #[test]
 fn delayed_commit_without_parts_accepts_no_job() {
-    let (mut whole, leader, large) = with_large_job(65);
-    assert_eq!(whole.submit(leader, &large), 201);
-    let parts = whole.stored_values("burlusher/s/wk-2/").len();
+    let (mut reference, leader, large) = cluster_with_large_job(65);
+    assert_eq!(reference.submit(leader, &large), 201);
+    let parts = reference.stored_values("burlusher/s/wk-2/").len();
     assert!(parts > 2);
-    let (mut simulation, leader, large) = with_large_job(65);
+    let (mut simulation, leader, large) = cluster_with_large_job(65);
     let other = (leader + 1) % 3;
     simulation.set_peers_reachable(false);
     simulation.register_job(&large);
--- a/src/core/simulation/randomized.rs
+++ b/src/core/simulation/randomized.rs
@@ -39,7 +39,7 @@
 enum NodeFault {
     Kill {
         node: usize,
-        away_ms: u64,
+        downtime_ms: u64,
     },
     KillAll,
     /// The leader is killed, and so often again the next one.
@@ -50,7 +50,7 @@
     /// It keeps only its workers and users.
     Isolate(usize),
     /// The leader takes its key for gone, though it stands.
-    DeposeLeader,
+    ForceStepDown,
     /// Its watch is late by so much.
     DelayWatch {
         node: usize,
@@ -77,34 +77,34 @@
     /// This part of all transactions, in percent, is carried out seconds late, after newer ones.
     LateWrites(u32),
     /// This part of all transactions, in percent, is carried out at once, and the answer lost.
-    LostAnswers(u32),
+    LostResponses(u32),
 }
 
 /// A fault of machines.
 #[derive(Clone, Debug)]
 enum WorkerFault {
     ToggleHang(usize),
-    Die(usize),
+    Remove(usize),
     /// It is back at once, empty, with the next incarnation, or with all counters at their first
     /// value.
     Reboot {
         machine: usize,
-        from_one: bool,
+        reset_counters: bool,
     },
     /// All send heartbeats to this controller.
     MoveAll(usize),
     /// Some cannot reach a controller.
     Partition {
         node: usize,
-        every: usize,
+        stride: usize,
     },
     /// Some reach controllers and are not reached by them, toggled.
     TogglePartitionInbound {
-        every: usize,
+        stride: usize,
     },
     /// Some reach no controller, while direct commands reach them, toggled.
     TogglePartitionOutbound {
-        every: usize,
+        stride: usize,
     },
 }
 
@@ -127,7 +127,7 @@
     /// A job is cancelled, and some of its machines hang from then on.
     CancelAndHang { job: usize, machines: usize },
     /// A job is cancelled at the moment at which its last task ends, and asked for everywhere.
-    CancelAtEnd(usize),
+    CancelAtCompletion(usize),
     /// A job is cancelled everywhere as the state service refuses the leader, and a second later
     /// everybody.
     CancelDuringRefusal(usize),
@@ -135,7 +135,7 @@
     /// run.
     InvalidSubmissions,
     /// Users ask everywhere right after each answer, toggled.
-    ToggleQueriesAfterAnswers,
+    ToggleQueriesAfterResponses,
 }
 
 /// A job to submit.
@@ -154,7 +154,7 @@
     job: Option<JobPlan>,
     /// The job to cancel, of those accepted.
     cancel: Option<usize>,
-    then_ms: u64,
+    pause_ms: u64,
 }
 
 fn any_link() -> impl Strategy<Value = Link> {
@@ -173,46 +173,46 @@
     let node = || 0..NODES;
     let job = || 0..20usize;
     let machine = || 0..12usize;
-    let every = || 1..4usize;
+    let stride = || 1..4usize;
     let percent = || 5..70u32;
     prop_oneof![
         2 => (node(), 50..6000u64)
-            .prop_map(|(node, away_ms)| Fault::Node(Node::Kill { node, away_ms })),
+            .prop_map(|(node, downtime_ms)| Fault::Node(Node::Kill { node, downtime_ms })),
         1 => Just(Fault::Node(Node::KillAll)),
         2 => node().prop_map(|n| Fault::Node(Node::TogglePause(n))),
         3 => node().prop_map(|n| Fault::Node(Node::TogglePeers(n))),
         1 => (node(), any_link()).prop_map(|(n, link)| Fault::Store(Store::Link(n, link))),
-        2 => (node(), every())
-            .prop_map(|(node, every)| Fault::Worker(Worker::Partition { node, every })),
+        2 => (node(), stride())
+            .prop_map(|(node, stride)| Fault::Worker(Worker::Partition { node, stride })),
         1 => machine().prop_map(|m| Fault::Worker(Worker::ToggleHang(m))),
-        1 => machine().prop_map(|m| Fault::Worker(Worker::Die(m))),
+        1 => machine().prop_map(|m| Fault::Worker(Worker::Remove(m))),
         2 => node().prop_map(|n| Fault::Worker(Worker::MoveAll(n))),
         1 => Just(Fault::Network(Net::ToggleHoldCommands)),
         1 => Just(Fault::ToggleCloud),
         2 => (0..60u32).prop_map(|p| Fault::Store(Store::LateWrites(p))),
         1 => (1..30u64).prop_map(|s| Fault::Network(Net::Duplicates(s))),
-        2 => every().prop_map(|every| Fault::Worker(Worker::TogglePartitionInbound { every })),
+        2 => stride().prop_map(|stride| Fault::Worker(Worker::TogglePartitionInbound { stride })),
         1 => (machine(), any::<bool>())
-            .prop_map(|(machine, from_one)| Fault::Worker(Worker::Reboot { machine, from_one })),
+            .prop_map(|(machine, reset_counters)| Fault::Worker(Worker::Reboot { machine, reset_counters })),
         1 => node().prop_map(|n| Fault::Node(Node::Isolate(n))),
         1 => Just(Fault::Store(Store::RefuseAll)),
         1 => Just(Fault::Store(Store::LoseData)),
         1 => Just(Fault::Store(Store::RestoreBackup)),
         3 => Just(Fault::Heal),
-        1 => every().prop_map(|every| Fault::Worker(Worker::TogglePartitionOutbound { every })),
+        1 => stride().prop_map(|stride| Fault::Worker(Worker::TogglePartitionOutbound { stride })),
         1 => Just(Fault::Store(Store::ToggleOutage)),
         2 => (100..6000u64).prop_map(|ms| Fault::Store(Store::RefusalThenOutage(ms))),
         1 => (50..1500u64).prop_map(|ms| Fault::Store(Store::Delay(ms))),
         1 => (2..6u32).prop_map(|n| Fault::Node(Node::KillLeaders(n))),
         2 => (job(), 1..4usize)
             .prop_map(|(job, machines)| Fault::User(User::CancelAndHang { job, machines })),
-        2 => job().prop_map(|job| Fault::User(User::CancelAtEnd(job))),
+        2 => job().prop_map(|job| Fault::User(User::CancelAtCompletion(job))),
         1 => Just(Fault::User(User::InvalidSubmissions)),
-        2 => percent().prop_map(|p| Fault::Store(Store::LostAnswers(p))),
+        2 => percent().prop_map(|p| Fault::Store(Store::LostResponses(p))),
         2 => percent().prop_map(|p| Fault::Network(Net::LateCommands(p))),
         2 => percent().prop_map(|p| Fault::Network(Net::ReplayedHeartbeats(p))),
-        2 => Just(Fault::User(User::ToggleQueriesAfterAnswers)),
-        1 => Just(Fault::Node(Node::DeposeLeader)),
+        2 => Just(Fault::User(User::ToggleQueriesAfterResponses)),
+        1 => Just(Fault::Node(Node::ForceStepDown)),
         2 => (node(), 100..3000u64)
             .prop_map(|(node, ms)| Fault::Node(Node::DelayWatch { node, ms })),
         2 => job().prop_map(|job| Fault::User(User::CancelDuringRefusal(job))),
@@ -233,11 +233,11 @@
         proptest::option::weighted(0.2, 0..20usize),
         50..4000u64,
     )
-        .prop_map(|(fault, job, cancel, then_ms)| Step {
+        .prop_map(|(fault, job, cancel, pause_ms)| Step {
             fault,
             job,
             cancel,
-            then_ms,
+            pause_ms,
         })
 }
 
@@ -245,7 +245,7 @@
     ms as f64 / 1000.0
 }
 
-fn share(percent: u32) -> f64 {
+fn fraction(percent: u32) -> f64 {
     f64::from(percent) / 100.0
 }
 
@@ -268,8 +268,8 @@
         simulation.add_machines("small", 6);
         simulation.run_until(10.0, "a leader", |simulation| simulation.leader().is_some());
         simulation.run(2.0);
-        let fetches = seed % 2 * (seed / 2 % 3);
-        simulation.image_fetch_time = Duration::from_millis(fetches * 400);
+        let fetch_steps = seed % 2 * (seed / 2 % 3);
+        simulation.image_fetch_time = Duration::from_millis(fetch_steps * 400);
         ScheduleRun {
             simulation,
             accepted: Vec::new(),
@@ -280,7 +280,7 @@
     }
 
     /// Plays the step of this number, at whose controller users ask.
-    fn play(&mut self, number: usize, step: &Step) {
+    fn run_step(&mut self, number: usize, step: &Step) {
         let node = number % NODES;
         self.inject(&step.fault);
         self.repeat_cancels(node);
@@ -297,7 +297,7 @@
             self.simulation.cancel(node, id);
             self.unanswered_cancels.push(id.clone());
         }
-        self.simulation.run(seconds(step.then_ms));
+        self.simulation.run(seconds(step.pause_ms));
     }
 
     /// Like a submission, a cancellation is repeated until it is answered.
@@ -342,10 +342,10 @@
     fn inject_user_fault(&mut self, fault: &UserFault) {
         match fault {
             UserFault::CancelAndHang { job, machines } => self.cancel_and_hang(*job, *machines),
-            UserFault::CancelAtEnd(job) => self.cancel_at_end(*job),
+            UserFault::CancelAtCompletion(job) => self.cancel_at_completion(*job),
             UserFault::CancelDuringRefusal(job) => self.cancel_during_refusal(*job),
             UserFault::InvalidSubmissions => self.submit_invalid(),
-            UserFault::ToggleQueriesAfterAnswers => {
+            UserFault::ToggleQueriesAfterResponses => {
                 let simulation = &mut self.simulation;
                 simulation.query_after_responses = !simulation.query_after_responses;
             }
@@ -365,7 +365,7 @@
         self.unanswered_cancels.push(id.clone());
     }
 
-    fn cancel_at_end(&mut self, job: usize) {
+    fn cancel_at_completion(&mut self, job: usize) {
         let Some((id, JobKind::Array)) = self.accepted.get(job) else {
             return;
         };
@@ -403,13 +403,13 @@
                 let mut other = sample(id, 7, 2.0, 1);
                 other.team = "nobody".into();
                 let status = simulation.submit(node, &other);
-                let known =
+                let acceptable =
                     matches!(status, 0 | 200 | 503) || simulation.checker.data_lost_for_good;
-                assert!(known, "{id}: a repetition is answered with {status}");
+                assert!(acceptable, "{id}: a repetition is answered with {status}");
             }
-            let mut never = sample("wk-900000", 1, 99.0, 1);
-            never.zone = Some("a".into());
-            let status = simulation.submit(node, &never);
+            let mut unschedulable = sample("wk-900000", 1, 99.0, 1);
+            unschedulable.zone = Some("a".into());
+            let status = simulation.submit(node, &unschedulable);
             assert!(
                 !matches!(status, 200 | 201),
                 "what can never run is accepted"
@@ -430,7 +430,7 @@
             return;
         }
         if simulation.checker.survivors.is_empty() {
-            settle_all(simulation);
+            settle_rebuilds(simulation);
         }
         simulation.run_until(90.0, "the store is whole", Simulation::is_store_complete);
         self.check_queries_answered(healed_at + Duration::from_secs(75));
@@ -466,10 +466,10 @@
                 continue;
             }
             // Leaders that find all machines gone each resign once.
-            let mut tries = 0;
+            let mut attempts = 0;
             while simulation.cancel(1, id).1 != Some(JobState::Cancelled) {
-                tries += 1;
-                assert!(tries < 40, "{id} cannot be cancelled");
+                attempts += 1;
+                assert!(attempts < 40, "{id} cannot be cancelled");
                 simulation.run(1.0);
             }
         }
@@ -488,7 +488,7 @@
 }
 
 /// What workers show of a store that nobody remembers is for an operator to decide on.
-fn settle_all(simulation: &mut Simulation) {
+fn settle_rebuilds(simulation: &mut Simulation) {
     for _ in 0..8 {
         simulation.run(5.0);
         for node in 0..NODES {
@@ -505,8 +505,8 @@
 
 fn inject_node_fault(simulation: &mut Simulation, fault: &NodeFault) {
     match fault {
-        NodeFault::Kill { node, away_ms } => {
-            simulation.kill(*node, Duration::from_millis(*away_ms));
+        NodeFault::Kill { node, downtime_ms } => {
+            simulation.kill(*node, Duration::from_millis(*downtime_ms));
         }
         NodeFault::KillAll => {
             (0..NODES).for_each(|node| simulation.kill(node, Duration::from_secs(2)));
@@ -530,7 +530,7 @@
             simulation.nodes[*node].store_link = Link::Refused;
             simulation.nodes[*node].peers_reachable = false;
         }
-        NodeFault::DeposeLeader => {
+        NodeFault::ForceStepDown => {
             if let Some(leader) = simulation.leader() {
                 simulation.force_step_down(leader);
             }
@@ -564,8 +564,10 @@
                 simulation.restore_backup(backup);
             }
         }
-        StoreFault::LateWrites(percent) => simulation.faults.late_write_share = share(*percent),
-        StoreFault::LostAnswers(percent) => simulation.faults.lost_response_share = share(*percent),
+        StoreFault::LateWrites(percent) => simulation.faults.late_write_share = fraction(*percent),
+        StoreFault::LostResponses(percent) => {
+            simulation.faults.lost_response_share = fraction(*percent)
+        }
     }
 }
 
@@ -599,33 +601,36 @@
                 worker.hung = !worker.hung;
             }
         }
-        WorkerFault::Die(number) => {
+        WorkerFault::Remove(number) => {
             let id = simulation.workers.keys().nth(*number).cloned();
             if let Some(worker) = id.and_then(|id| simulation.workers.remove(&id)) {
                 let kind = (worker.machine_type, worker.spot);
                 *simulation.capacity.entry(kind).or_default() += 1;
             }
         }
-        WorkerFault::Reboot { machine, from_one } => {
+        WorkerFault::Reboot {
+            machine,
+            reset_counters,
+        } => {
             if let Some(id) = simulation.workers.keys().nth(*machine).cloned() {
-                simulation.reboot(&id, *from_one);
+                simulation.reboot(&id, *reset_counters);
             }
         }
         WorkerFault::MoveAll(node) => {
             simulation.workers.values_mut().for_each(|w| w.node = *node);
         }
-        WorkerFault::Partition { node, every } => {
-            for worker in simulation.workers.values_mut().step_by(*every) {
+        WorkerFault::Partition { node, stride } => {
+            for worker in simulation.workers.values_mut().step_by(*stride) {
                 worker.partitioned_from.insert(*node);
             }
         }
-        WorkerFault::TogglePartitionInbound { every } => {
-            for worker in simulation.workers.values_mut().step_by(*every) {
+        WorkerFault::TogglePartitionInbound { stride } => {
+            for worker in simulation.workers.values_mut().step_by(*stride) {
                 worker.inbound_partitioned = !worker.inbound_partitioned;
             }
         }
-        WorkerFault::TogglePartitionOutbound { every } => {
-            for worker in simulation.workers.values_mut().step_by(*every) {
+        WorkerFault::TogglePartitionOutbound { stride } => {
+            for worker in simulation.workers.values_mut().step_by(*stride) {
                 worker.outbound_partitioned = !worker.outbound_partitioned;
             }
         }
@@ -637,9 +642,9 @@
     match fault {
         NetworkFault::ToggleHoldCommands => faults.hold_commands = !faults.hold_commands,
         NetworkFault::Duplicates(s) => faults.duplicate_delay = Duration::from_secs(*s),
-        NetworkFault::LateCommands(percent) => faults.late_command_share = share(*percent),
+        NetworkFault::LateCommands(percent) => faults.late_command_share = fraction(*percent),
         NetworkFault::ReplayedHeartbeats(percent) => {
-            faults.replayed_heartbeat_share = share(*percent);
+            faults.replayed_heartbeat_share = fraction(*percent);
         }
     }
 }
@@ -668,13 +673,13 @@
 fn run_schedule(seed: u64, steps: &[Step]) {
     let mut run = ScheduleRun::new(seed);
     for (number, step) in steps.iter().enumerate() {
-        run.play(number, step);
+        run.run_step(number, step);
     }
     run.check_recovery();
 }
 
 #[test]
-fn random_schedules_break_no_rule() {
+fn random_schedules_violate_no_invariant() {
     let cases = std::env::var("HISTORIES").ok().and_then(|n| n.parse().ok());
     let config = Config {
         cases: cases.unwrap_or(150),
@@ -683,10 +688,10 @@
         ..Config::default()
     };
     let mut seed = [0; 32];
-    let other = std::env::var("HISTORY_SEED")
+    let chosen_seed = std::env::var("HISTORY_SEED")
         .ok()
         .and_then(|n| n.parse().ok());
-    seed[..8].copy_from_slice(&other.unwrap_or(0u64).to_le_bytes());
+    seed[..8].copy_from_slice(&chosen_seed.unwrap_or(0u64).to_le_bytes());
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &seed);
     let schedules = (any::<u64>(), proptest::collection::vec(any_step(), 1..14));
     let mut runner = TestRunner::new_with_rng(config, rng);
@@ -701,8 +706,8 @@
 
 /// The checker finds what follows when a guard is taken out, by the rule that it keeps.
 #[test]
-fn checker_detects_each_disabled_guard() {
-    const FAULTS: [(Safeguard, &str, u8); 10] = [
+fn checker_detects_each_disabled_safeguard() {
+    const CASES: [(Safeguard, &str, u8); 10] = [
         (Safeguard::RecoveryWait, " and on ", 0),
         (Safeguard::TeamLimit, "team t uses", 0),
         (Safeguard::SpotEligibility, "is on a spot machine", 0),
@@ -714,18 +719,19 @@
         (Safeguard::UniqueTerm, "two leaderships have term", 0),
         (Safeguard::FreshRead, "was forgotten", 0),
     ];
-    for (guard, rule, seed) in FAULTS {
+    for (safeguard, expected, seed) in CASES {
         // Each with a seed that finds it early.
         let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[seed; 32]);
         let mut runner = TestRunner::new_with_rng(Config::default(), rng);
         let schedules = (any::<u64>(), proptest::collection::vec(any_step(), 1..24));
         let found = (0..3000).find_map(|n| {
             let (seed, steps) = schedules.new_tree(&mut runner).ok()?.current();
-            let said = failure_without(guard, || run_schedule(seed, &steps))?;
-            said.contains(rule).then_some((n, said))
+            let message = failure_without(safeguard, || run_schedule(seed, &steps))?;
+            message.contains(expected).then_some((n, message))
         });
-        let (n, said) = found.unwrap_or_else(|| panic!("{guard:?} is out, and nothing is found"));
-        println!("{guard:?}: history {n}: {said}");
+        let (n, message) =
+            found.unwrap_or_else(|| panic!("{safeguard:?} is out, and nothing is found"));
+        println!("{safeguard:?}: history {n}: {message}");
     }
 }
 
@@ -744,12 +750,12 @@
 const LOSE_DATA: Fault = Fault::Store(StoreFault::LoseData);
 const RESTORE_BACKUP: Fault = Fault::Store(StoreFault::RestoreBackup);
 
-fn step(fault: Fault, job: Option<JobPlan>, then_ms: u64) -> Step {
+fn step(fault: Fault, job: Option<JobPlan>, pause_ms: u64) -> Step {
     Step {
         fault,
         job,
         cancel: None,
-        then_ms,
+        pause_ms,
     }
 }
 
@@ -758,12 +764,12 @@
 #[test]
 fn store_rolled_back_into_rebuild_is_rebuilt() {
     crate::core::simulation::enable_log();
-    let step = |fault, job: bool, then_ms| step(fault, job.then_some(SHORT_JOB), then_ms);
+    let step = |fault, job: bool, pause_ms| step(fault, job.then_some(SHORT_JOB), pause_ms);
     run_schedule(
         3401632716118953730,
         &[
             step(
-                Fault::Worker(WorkerFault::Partition { node: 0, every: 1 }),
+                Fault::Worker(WorkerFault::Partition { node: 0, stride: 1 }),
                 false,
                 275,
             ),
@@ -788,12 +794,12 @@
 #[test]
 fn store_lost_during_restarts_is_rebuilt() {
     crate::core::simulation::enable_log();
-    let end = |node, away_ms| Fault::Node(NodeFault::Kill { node, away_ms });
+    let kill = |node, downtime_ms| Fault::Node(NodeFault::Kill { node, downtime_ms });
     run_schedule(
         328329404657090147,
         &[
-            step(end(2, 5551), None, 2075),
-            step(end(0, 50), None, 2526),
+            step(kill(2, 5551), None, 2075),
+            step(kill(0, 50), None, 2526),
             step(LOSE_DATA, None, 50),
         ],
     );
--- a/src/core/simulation/recorded_decisions.rs
+++ b/src/core/simulation/recorded_decisions.rs
@@ -41,7 +41,7 @@
 
 // The number that stands for each kind of effect and request in a line. They are part of what is
 // hashed and never change; a new kind gets a new number.
-const ANSWER: u32 = 1;
+const RESPONSE: u32 = 1;
 const FORWARD: u32 = 2;
 const HEARTBEAT_BATCH: u32 = 3;
 const STORE_GET: u32 = 4;
@@ -81,18 +81,18 @@
 impl DecisionRecorder {
     /// Records from now on.
     pub fn new(start: Instant) -> DecisionRecorder {
-        let wanted = std::env::var_os(TRANSCRIPT_DIRECTORY).is_some();
+        let write_transcript = std::env::var_os(TRANSCRIPT_DIRECTORY).is_some();
         DecisionRecorder {
             start,
             effects: 0,
             hasher: SipHasher13::new(),
-            transcript: wanted.then(String::new),
+            transcript: write_transcript.then(String::new),
         }
     }
 
     /// Records what one step of a controller returned.
     pub fn record(&mut self, now: Instant, node: usize, effects: &[Effect]) {
-        let at = self.millis(now);
+        let at = self.elapsed_ms(now);
         for effect in effects {
             let content = self.content(effect);
             let line = format!("{at} n{node} {content}\n");
@@ -104,7 +104,7 @@
         }
     }
 
-    fn millis(&self, t: Instant) -> u64 {
+    fn elapsed_ms(&self, t: Instant) -> u64 {
         t.saturating_duration_since(self.start).as_millis() as u64
     }
 
@@ -112,8 +112,8 @@
     fn content(&self, effect: &Effect) -> Value {
         match effect {
             Effect::Response { ticket, response } => {
-                let not_after = response.not_after.map(|t| self.millis(t));
-                answer_content(json!(ticket), response, not_after)
+                let not_after = response.not_after.map(|t| self.elapsed_ms(t));
+                response_content(json!(ticket), response, not_after)
             }
             Effect::Forward {
                 ticket,
@@ -125,18 +125,23 @@
                 number,
                 frame,
             } => json!([HEARTBEAT_BATCH, peer, number, text(frame)]),
-            Effect::StoreCall { call, request } => state_content(*call, request),
+            Effect::StoreCall { call, request } => store_content(*call, request),
             Effect::CloudCall {
                 call,
                 request,
                 not_after,
-            } => cloud_content(*call, request, not_after.map(|t| self.millis(t))),
+            } => cloud_content(*call, request, not_after.map(|t| self.elapsed_ms(t))),
             Effect::DirectCall {
                 call,
                 addr,
                 request,
                 not_after,
-            } => direct_content(*call, &addr.to_string(), request, self.millis(*not_after)),
+            } => direct_content(
+                *call,
+                &addr.to_string(),
+                request,
+                self.elapsed_ms(*not_after),
+            ),
             Effect::CacheRequest {
                 peer,
                 request: cache_request,
@@ -179,17 +184,17 @@
     }
 }
 
-fn answer_content(ticket: Value, answer: &Response, not_after: Option<u64>) -> Value {
+fn response_content(ticket: Value, response: &Response, not_after: Option<u64>) -> Value {
     let Response {
         status,
         body,
         retry_after,
         not_after: _,
         content_type,
-    } = answer;
+    } = response;
     let body = text(body);
     json!([
-        ANSWER,
+        RESPONSE,
         ticket,
         status,
         body,
@@ -210,7 +215,7 @@
     }
 }
 
-fn state_content(call: u64, request: &StoreRequest) -> Value {
+fn store_content(call: u64, request: &StoreRequest) -> Value {
     match request {
         StoreRequest::Get(key) => json!([STORE_GET, call, key]),
         StoreRequest::CompareAndSwap(txn) => {
@@ -253,7 +258,7 @@
 }
 
 /// A schedule's name, seed and policy, and what it was recorded to lead to.
-struct Recorded {
+struct RecordedCase {
     name: &'static str,
     seed: u64,
     policy: &'static str,
@@ -272,9 +277,9 @@
     policy: &'static str,
     effects: u64,
     hash: u64,
-) -> Recorded {
+) -> RecordedCase {
     let expected = Recording { effects, hash };
-    Recorded {
+    RecordedCase {
         name,
         seed,
         policy,
@@ -283,7 +288,7 @@
 }
 
 /// Plays a schedule with three controllers and four machines, and records what is decided in it.
-fn record(case: &Recorded, schedule: impl Fn(&mut Simulation, u64)) -> Recording {
+fn record(case: &RecordedCase, schedule: impl Fn(&mut Simulation, u64)) -> Recording {
     let policy = Policy::parse("recorded", case.policy).unwrap();
     let mut simulation = Simulation::with_policy(case.seed, policy);
     simulation.recorder = Some(DecisionRecorder::new(simulation.now));
@@ -296,19 +301,19 @@
 }
 
 /// Plays each case, and fails with the literals as found if one of them leads to other decisions.
-fn assert_recorded(cases: &[Recorded], schedule: impl Fn(&mut Simulation, u64)) {
-    let mut differences = String::new();
+fn assert_recorded(cases: &[RecordedCase], schedule: impl Fn(&mut Simulation, u64)) {
+    let mut mismatches = String::new();
     for case in cases {
         let found = record(case, &schedule);
         if found != case.expected {
             let (name, seed) = (case.name, case.seed);
             let Recording { effects, hash } = found;
-            let _ = writeln!(differences, "{name}, seed {seed}: {effects}, {hash:#018x}");
+            let _ = writeln!(mismatches, "{name}, seed {seed}: {effects}, {hash:#018x}");
         }
     }
     assert!(
-        differences.is_empty(),
-        "decisions differ from those recorded (see the module's documentation); found:\n{differences}"
+        mismatches.is_empty(),
+        "decisions differ from those recorded (see the module's documentation); found:\n{mismatches}"
     );
 }
 
@@ -393,17 +398,17 @@
 fn many_machines(simulation: &mut Simulation, _seed: u64) {
     simulation.add_machines("small", 40);
     simulation.run(6.0);
-    let of_unlimited_team = |id: &str, tasks, rank| {
+    let job_of_unlimited_team = |id: &str, tasks, rank| {
         let mut spec = sample(id, tasks, 2.0, 12);
         (spec.team, spec.priority) = ("u".into(), rank);
         spec
     };
-    simulation.submit(0, &of_unlimited_team("wk-1", 120, Priority::Low));
+    simulation.submit(0, &job_of_unlimited_team("wk-1", 120, Priority::Low));
     simulation.run(5.0);
-    simulation.submit(1, &of_unlimited_team("wk-2", 60, Priority::Production));
+    simulation.submit(1, &job_of_unlimited_team("wk-2", 60, Priority::Production));
     simulation.run(3.0);
     simulation.set_store_limits(NEXT_STORE_LIMITS);
-    let mut large = of_unlimited_team("wk-3", 4, Priority::Normal);
+    let mut large = job_of_unlimited_team("wk-3", 4, Priority::Normal);
     large.image = "x".repeat(3 * NEXT_STORE_LIMITS.0);
     simulation.submit(2, &large);
     if let Some(leader) = simulation.leader() {
@@ -459,7 +464,7 @@
 }
 
 /// The store loses everything, is rolled back some time later, and then lost while the leader ends.
-fn losses_of_the_store(simulation: &mut Simulation, _seed: u64) {
+fn store_losses(simulation: &mut Simulation, _seed: u64) {
     submit_all(simulation);
     simulation.run(3.0);
     let backup = simulation.backup();
@@ -648,7 +653,7 @@
             0x557e_db0b_5dde_ba25,
         ),
     ];
-    assert_recorded(&cases, losses_of_the_store);
+    assert_recorded(&cases, store_losses);
 }
 
 #[test]
@@ -686,7 +691,7 @@
     assert_recorded(&cases, faulty_network);
 }
 
-const MIXED_FAULTS: [Recorded; 12] = [
+const MIXED_FAULTS: [RecordedCase; 12] = [
     recorded(
         "mixed-faults-alone-1",
         4001,
--- a/src/core/simulation/scale.rs
+++ b/src/core/simulation/scale.rs
@@ -21,7 +21,7 @@
 }
 
 /// Of the team without a limit.
-fn job(id: &str, tasks: u32) -> JobSpec {
+fn job_of_unlimited_team(id: &str, tasks: u32) -> JobSpec {
     let mut spec = sample(id, tasks, 1.0, 100_000);
     spec.team = "u".into();
     spec
@@ -37,14 +37,14 @@
 }
 
 /// A leader of so many machines, each with so many tasks, ends together with one machine.
-fn take_over(machines: usize, tasks_each: usize, delegate: bool) -> Measurement {
-    let text = format!("delegate = {delegate}");
-    let (mut simulation, leader) = cluster_with_leader(7, &text, machines);
-    let in_all = machines * tasks_each;
-    for n in 0..in_all.div_ceil(500) {
-        let tasks = 500.min(in_all - n * 500) as u32;
+fn measure_takeover(machines: usize, tasks_per_machine: usize, delegate: bool) -> Measurement {
+    let policy = format!("delegate = {delegate}");
+    let (mut simulation, leader) = cluster_with_leader(7, &policy, machines);
+    let total_tasks = machines * tasks_per_machine;
+    for n in 0..total_tasks.div_ceil(500) {
+        let tasks = 500.min(total_tasks - n * 500) as u32;
         assert_eq!(
-            simulation.submit(leader, &job(&format!("wk-{n:06}"), tasks)),
+            simulation.submit(leader, &job_of_unlimited_team(&format!("wk-{n:06}"), tasks)),
             201
         );
     }
@@ -54,23 +54,23 @@
             .values()
             .map(|m| m.tasks.len())
             .sum::<usize>()
-            == in_all
+            == total_tasks
     });
     simulation.run(10.0);
-    let dead = simulation
+    let hung_machine = simulation
         .workers
         .keys()
         .nth(machines / 2)
         .cloned()
         .unwrap();
-    simulation.workers.get_mut(&dead).unwrap().hung = true;
+    simulation.workers.get_mut(&hung_machine).unwrap().hung = true;
     simulation.kill(leader, Duration::from_secs(600));
     let next = simulation.run_until_other_leader(leader, 10.0);
-    let (since, changes) = (simulation.now, simulation.change_count());
+    let (start, changes) = (simulation.now, simulation.change_count());
     simulation.nodes[next].step_time = Duration::ZERO;
-    let fresh = job("wk-999999", 4);
-    simulation.register_job(&fresh);
-    simulation.send_request(next, crate::core::UserAction::Submit(Box::new(fresh)));
+    let new_job = job_of_unlimited_team("wk-999999", 4);
+    simulation.register_job(&new_job);
+    simulation.send_request(next, crate::core::UserAction::Submit(Box::new(new_job)));
     let mut measurement = Measurement {
         known_ms: 0,
         start_ms: 0,
@@ -82,22 +82,25 @@
     while measurement.known_ms * measurement.start_ms * measurement.restart_ms == 0 {
         assert!(simulation.now < end, "{machines} machines take too long");
         simulation.tick();
-        let passed = (simulation.now - since).as_millis().max(1);
+        let elapsed_ms = (simulation.now - start).as_millis().max(1);
         let unresolved = (simulation.nodes[next].core.leader.as_ref())
             .map_or(usize::MAX, |l| l.recovery.unresolved());
         if measurement.known_ms == 0 && unresolved * 100 <= machines {
-            measurement.known_ms = passed;
+            measurement.known_ms = elapsed_ms;
             measurement.leader_ms = simulation.nodes[next].step_time.as_millis();
         }
         if measurement.start_ms == 0 && !simulation.placements("wk-999999").is_empty() {
-            measurement.start_ms = passed;
+            measurement.start_ms = elapsed_ms;
         }
         let running = || -> usize {
-            let live = simulation.workers.iter().filter(|(id, _)| **id != dead);
+            let live = simulation
+                .workers
+                .iter()
+                .filter(|(id, _)| **id != hung_machine);
             live.map(|(_, m)| m.tasks.len()).sum()
         };
-        if measurement.restart_ms == 0 && measurement.start_ms > 0 && running() >= in_all + 4 {
-            measurement.restart_ms = passed;
+        if measurement.restart_ms == 0 && measurement.start_ms > 0 && running() >= total_tasks + 4 {
+            measurement.restart_ms = elapsed_ms;
         }
     }
     measurement.changes = simulation.change_count() - changes;
@@ -108,29 +111,30 @@
 #[ignore = "minutes long, and prints figures instead of judging them"]
 fn takeovers_against_size() {
     println!("machines,tasks,delegate,known_ms,first_start_ms,restart_ms,leader_ms,state_changes");
-    let begun = Instant::now();
-    for (machines, tasks_each) in [(300, 3), (1000, 3), (3000, 3), (10_000, 1), (10_000, 3)] {
+    let started = Instant::now();
+    for (machines, tasks_per_machine) in [(300, 3), (1000, 3), (3000, 3), (10_000, 1), (10_000, 3)]
+    {
         for delegate in [false, true] {
-            let r = take_over(machines, tasks_each, delegate);
+            let measurement = measure_takeover(machines, tasks_per_machine, delegate);
             println!(
                 "{machines},{},{delegate},{},{},{},{},{}",
-                machines * tasks_each,
-                r.known_ms,
-                r.start_ms,
-                r.restart_ms,
-                r.leader_ms,
-                r.changes
+                machines * tasks_per_machine,
+                measurement.known_ms,
+                measurement.start_ms,
+                measurement.restart_ms,
+                measurement.leader_ms,
+                measurement.changes
             );
         }
     }
-    eprintln!("played in {:?}", begun.elapsed());
+    eprintln!("played in {:?}", started.elapsed());
 }
 
 /// So many machines and jobs, and the store loses everything; the leader ends with it, or lives.
-fn lose(machines: usize, jobs: usize, leader_lives: bool, seed: u64) -> [u128; 6] {
+fn measure_data_loss(machines: usize, jobs: usize, leader_lives: bool, seed: u64) -> [u128; 6] {
     let (mut simulation, leader) = cluster_with_leader(seed, "delegate = true", machines);
     for n in 0..jobs {
-        let spec = job(&format!("wk-{n:06}"), 2);
+        let spec = job_of_unlimited_team(&format!("wk-{n:06}"), 2);
         simulation.register_job(&spec);
         simulation.send_request(leader, crate::core::UserAction::Submit(Box::new(spec)));
         if n % 50 == 49 {
@@ -148,61 +152,61 @@
         running(simulation) == (2 * jobs).min(4 * machines)
     });
     simulation.run(10.0);
-    let starts = simulation.counters.starts;
+    let starts_before = simulation.counters.starts;
     simulation.lose_store();
     if !leader_lives {
         simulation.kill(leader, Duration::from_secs(600));
     }
-    let since = simulation.now;
-    let passed = |simulation: &Simulation| (simulation.now - since).as_millis();
+    let start = simulation.now;
+    let elapsed_ms = |simulation: &Simulation| (simulation.now - start).as_millis();
     simulation.run_until(15.0, "a leader again", |simulation| {
         simulation.leader().is_some()
             && !simulation.stored_values("burlusher/rebuilding").is_empty()
     });
-    let leads = passed(&simulation);
+    let led_ms = elapsed_ms(&simulation);
     let next = simulation.leader().unwrap();
     simulation.nodes[next].step_time = Duration::ZERO;
-    let mut complete = 0;
-    let mut first = 0;
-    let mut written = 0;
-    let mut busy = 0;
-    let mut spec = job("wk-900000", 1);
+    let mut known_ms = 0;
+    let mut start_ms = 0;
+    let mut written_ms = 0;
+    let mut leader_ms = 0;
+    let mut spec = job_of_unlimited_team("wk-900000", 1);
     spec.resources.cpus = 0.1;
     spec.resources.ram = 0.1;
     simulation.register_job(&spec);
     let end = simulation.now + Duration::from_secs(1200);
-    while complete * first * written == 0 {
+    while known_ms * start_ms * written_ms == 0 {
         assert!(simulation.now < end, "{machines} machines take too long");
-        if first == 0 && simulation.placements("wk-900000").is_empty() {
+        if start_ms == 0 && simulation.placements("wk-900000").is_empty() {
             simulation.send_request(
                 next,
                 crate::core::UserAction::Submit(Box::new(spec.clone())),
             );
         }
         simulation.run(0.2);
-        let lead = simulation.nodes[next].core.leader.as_ref();
-        let rebuild = lead.and_then(|l| l.rebuild.as_ref());
-        if complete == 0
+        let leader_state = simulation.nodes[next].core.leader.as_ref();
+        let rebuild = leader_state.and_then(|l| l.rebuild.as_ref());
+        if known_ms == 0
             && rebuild.is_some_and(|r| r.complete_at.is_some() || r.starts_allowed_at.is_some())
         {
-            complete = passed(&simulation);
-            busy = simulation.nodes[next].step_time.as_millis();
+            known_ms = elapsed_ms(&simulation);
+            leader_ms = simulation.nodes[next].step_time.as_millis();
         }
-        if first == 0 && !simulation.placements("wk-900000").is_empty() {
-            first = passed(&simulation);
+        if start_ms == 0 && !simulation.placements("wk-900000").is_empty() {
+            start_ms = elapsed_ms(&simulation);
         }
-        if written == 0
+        if written_ms == 0
             && simulation.nodes[next]
                 .core
                 .store_cache
                 .missing_from_store
                 .is_empty()
         {
-            written = passed(&simulation);
+            written_ms = elapsed_ms(&simulation);
         }
     }
-    let again = u128::from(simulation.counters.starts - starts) - 1;
-    [leads, complete, first, written, busy, again]
+    let restarts = u128::from(simulation.counters.starts - starts_before) - 1;
+    [led_ms, known_ms, start_ms, written_ms, leader_ms, restarts]
 }
 
 #[test]
@@ -214,7 +218,8 @@
     for (machines, jobs) in [(300, 500), (1000, 1500), (3000, 4500), (10_000, 15_000)] {
         for leader_lives in [true, false] {
             for seed in 1..=3 {
-                let figures = lose(machines, jobs, leader_lives, seed).map(|n| n.to_string());
+                let figures =
+                    measure_data_loss(machines, jobs, leader_lives, seed).map(|n| n.to_string());
                 println!(
                     "{machines},{jobs},{leader_lives},{seed},{}",
                     figures.join(",")
