--- a/src/core/simulation/mixed_versions.rs
+++ b/src/core/simulation/mixed_versions.rs
@@ -1,6 +1,6 @@
-//! Upgrades: this version and the one named as `production` in `deploy/service.toml`
-//! serve side by side, and each works on what the other wrote. The literals here were written by
-//! that version's own encoders.
+//! Upgrades: this version and the one named as `production` in `deploy/service.toml` serve side by
+//! side, and each reads what the other has written. The literals here are the output of the production
+//! version's own encoders.
 
 use crate::core::simulation::{NEXT_STORE_LIMITS, STORE_LIMITS, Simulation};
 use crate::core::store::cache::{
@@ -32,7 +32,8 @@
 const CANCEL_FRAME: &str = "6c7275620103000004000000776b2d37";
 const ANSWER_FRAME: &str = "6c7275620104000010000000c8000200ffffffff030000000d000000";
 
-/// How production reads a stored job; what it cannot read is no job to it, and no 404 either.
+/// Stored job as the production version decodes it. A value that it cannot decode is not a job to it,
+/// but it does not answer 404 for the job either.
 #[derive(Deserialize)]
 #[serde(untagged)]
 #[allow(dead_code)]
@@ -41,7 +42,7 @@
     Ended { end: JobOutcome },
 }
 
-/// How production keeps machines in memory, page by page.
+/// Machines as the production version caches them, page by page.
 #[derive(Default)]
 struct ProductionMachines {
     known: BTreeSet<String>,
@@ -49,6 +50,7 @@
 }
 
 impl ProductionMachines {
+    /// Applies a watch event, as the production version does.
     fn observe(&mut self, event: &WatchEvent) {
         let key = event.put.as_ref().or(event.delete.as_ref()).unwrap();
         let Some(n) = key.strip_prefix("burlusher/p/") else {
@@ -108,7 +110,7 @@
 #[test]
 fn stored_values_match_production_format() {
     let JobValue::Live { spec: read, .. } = serde_json::from_str(LIVE_JOB).unwrap() else {
-        panic!("not live")
+        panic!("the value is not a live job")
     };
     assert_eq!(*read, spec());
     let encoded = JobValue::live(Box::new(spec()), 1_700_000_000_123);
@@ -128,7 +130,7 @@
         let read: JobValue = serde_json::from_str(text).unwrap();
         assert!(matches!(read, JobValue::Ended { end: e, residual_tasks: None } if e == end));
     }
-    // The term keeps its form, so that either version can lead after the other.
+    // The term keeps its format, so that either version can lead after the other.
     assert_eq!(
         serde_json::to_value(TermValue { term: 7 }).unwrap(),
         parse_json(TERM_VALUE)
@@ -151,8 +153,9 @@
     assert_eq!(serde_json::to_value(done).unwrap(), parse_json(DONE_TASKS));
 }
 
-/// Kept by a version that knows of it, after a rollback say, it must not be started by one that
-/// does not, and its user must not get 404.
+/// A job with dependencies that this version stored remains in the store after a rollback. The
+/// production version, which does not know of dependencies, must not start the job and must not answer
+/// 404 for it.
 #[test]
 fn dependent_job_ignored_by_production_version() {
     let mut spec = spec();
@@ -166,7 +169,8 @@
     assert!(!store_cache.dependencies_met(&"wk-000412".into()));
     let multipart = json!({"parts": 3, "stem": 7, "submitted_ms": 7});
     assert!(serde_json::from_value::<ProductionJob>(multipart).is_err());
-    // Passed on to it, the job is in a frame that it drops the connection for.
+    // The frame that forwards the job has a kind that the production version does not know; it closes the
+    // connection.
     let frame = peer::encode_request(&PeerRequest::Submit(Box::new(spec)));
     assert!(!(1..=4).contains(&frame[5]));
 }
@@ -192,8 +196,8 @@
     assert_eq!(peer::encode_answer(&answer), decode_hex(ANSWER_FRAME));
 }
 
-/// A cluster in which production has served so far: its term, machines on pages as large as its
-/// limit allowed, and one job.
+/// Returns a cluster with a store that the production version wrote: a term, machines on pages as large
+/// as its limit allowed, and optionally a job with its completed tasks.
 fn cluster_after_production(
     seed: u64,
     machines: usize,
@@ -232,7 +236,7 @@
     simulation
 }
 
-/// Rows that production, or a later leader, finds on record.
+/// Returns the completed tasks in the store, as the production version or a later leader reads them.
 fn recorded_tasks(simulation: &Simulation, id: &str) -> TaskSet {
     let mut completed = TaskSet::default();
     for (key, v) in simulation.stored_values(&format!("burlusher/d/{id}/")) {
@@ -242,7 +246,8 @@
     completed
 }
 
-/// A piece of our size under the key of a larger one of production's lost what that held beyond.
+/// Guards against lost records of completed tasks: a range of this version's smaller size, written under
+/// the key of a longer range of the production version, dropped the tasks beyond its own end.
 #[test]
 fn completed_tasks_in_large_ranges_survive_lower_limits() {
     for case in 0..6 {
@@ -268,11 +273,11 @@
             let is_kept = |r: &u32| !initial.contains(*r) || recorded.contains(*r);
             assert!(
                 ended || (0..1500).all(|r| is_kept(&r)),
-                "forgotten at tick {tick}"
+                "a completed task is missing at tick {tick}"
             );
         }
         simulation.run_until_done("wk-1", 30.0);
-        // The four that were missing, once each, but for a takeover.
+        // The four uncompleted tasks start once each, unless a takeover restarts one.
         assert!(
             simulation.counters.starts <= 6,
             "{} starts",
@@ -282,13 +287,13 @@
         simulation.run(10.0);
         assert!(
             simulation.stored_values("burlusher/d/").is_empty(),
-            "pieces are cleared in the end"
+            "the ranges are deleted once the job has ended"
         );
     }
 }
 
-/// Production forgets a machine when one page ceases to list it, even where another does already.
-/// The next leader would start what runs there a second time.
+/// The production version drops a machine from its cache when a page no longer lists it, even if another
+/// page already does. If it became the leader then, it would start the machine's tasks a second time.
 #[test]
 fn large_machine_pages_shrink_without_losing_machines() {
     for lowered_at in [0, 30, 60, 90, 120] {
@@ -306,7 +311,7 @@
                 simulation.set_store_limits(NEXT_STORE_LIMITS);
             }
             if tick == 20 {
-                // Some are gone, so each page has to be written.
+                // Every tenth machine is removed, so that each page has to be written.
                 let removed: Vec<_> = simulation.workers.keys().step_by(10).cloned().collect();
                 for id in removed {
                     simulation.workers.remove(&id);
@@ -324,7 +329,8 @@
                 page_writes += usize::from(e.put.as_ref().is_some_and(|k| k.contains("/p/")));
                 production.observe(e);
             }
-            // A production node that led from here on would know them all.
+            // A controller of the production version that led from here on would know all machines with
+            // tasks.
             for (id, worker) in &simulation.workers {
                 assert!(
                     worker.tasks.is_empty() || production.known.contains(&**id),
@@ -332,7 +338,7 @@
                 );
             }
         }
-        assert!(page_writes >= 8, "the pages were rewritten");
+        assert!(page_writes >= 8, "only {page_writes} writes of pages");
         let sizes = simulation.stored_values("burlusher/p/");
         let largest = sizes.values().map(|v| v.to_string().len()).max();
         assert!(largest <= Some(NEXT_STORE_LIMITS.0));
@@ -340,8 +346,8 @@
     }
 }
 
-/// A cluster with its leader, and a job that awaits hundreds of others, all done but `wk-1`, and so
-/// fits into no value.
+/// Returns a cluster, its leader, and a job with hundreds of dependencies, all done but `wk-1`, which
+/// does not fit into one value of the store.
 fn cluster_with_large_job(seed: u64) -> (Simulation, usize, crate::job::JobSpec) {
     let mut simulation = cluster_after_production(seed, 4, None);
     simulation.set_store_limits(NEXT_STORE_LIMITS);
@@ -368,12 +374,12 @@
     (simulation, leader, large)
 }
 
-/// A job that awaits hundreds of others fits into no value: it is accepted with its last write and
-/// not before, whoever dies meanwhile, and nothing is left of it in the end.
+/// A job with hundreds of dependencies does not fit into one value. It is accepted with its last write
+/// and not before, even if a controller is killed in between, and its parts are deleted in the end.
 #[test]
 fn oversized_job_stored_whole_or_not_at_all() {
     let (mut simulation, leader, large) = cluster_with_large_job(64);
-    // A node dies between the parts and the job's key: nothing was accepted.
+    // A controller is killed after it has written parts, before the job's key: the job is not accepted.
     let other = (leader + 1) % 3;
     simulation.set_peers_reachable(false);
     simulation.register_job(&large);
@@ -387,7 +393,7 @@
     assert!(simulation.stored_values("burlusher/j/wk-2").is_empty());
     simulation.kill(other, Duration::from_secs(2));
     assert_eq!(simulation.show(leader, "wk-2").0, 404);
-    // Without the leader and through it, the first time and repeated.
+    // The first submission is stored without the leader, and the repeated one goes through the leader.
     let third = (leader + 2) % 3;
     assert_eq!(simulation.submit(third, &large), 201);
     simulation.set_peers_reachable(true);
@@ -401,17 +407,17 @@
     simulation.run(70.0);
     assert!(
         simulation.stored_values("burlusher/s/").is_empty(),
-        "parts are cleared"
+        "the parts are deleted"
     );
     assert_eq!(simulation.transactions_over_limit(), 0);
-    // More than can be written on a condition for each part is refused, and says so.
+    // A job with more parts than one transaction can have conditions is rejected as too large.
     let mut huge = sample("wk-3", 1, 1.0, 1);
     huge.image = "x".repeat(60_000);
     assert_eq!(simulation.submit(third, &huge), 422);
 }
 
-/// The write that accepts a large job is held up until its parts, which no job seemed to need, have been
-/// cleared: applied then, it would have accepted a job that nobody can read any more.
+/// The write of a large job's key is delayed until its parts, to which no job refers, have been deleted.
+/// Without the condition on the parts, it would then accept a job that cannot be read any more.
 #[test]
 fn delayed_commit_without_parts_accepts_no_job() {
     let (mut reference, leader, large) = cluster_with_large_job(65);
@@ -440,21 +446,21 @@
     simulation.run(2.0);
     assert!(simulation.stored_values("burlusher/j/wk-2").is_empty());
     assert_eq!(simulation.show(leader, "wk-2").0, 404);
-    // Asked for once more, it is accepted whole.
+    // Submitted again, the job is accepted with all its parts.
     assert_eq!(simulation.submit(leader, &large), 201);
     simulation.set_peers_reachable(true);
     simulation.run_until_done("wk-2", 60.0);
 }
 
-/// A service with still lower limits than announced refuses some of what is written: nothing is
-/// repeated for ever as it was, and neither leadership nor other work is lost for it.
+/// A state service with lower limits than announced rejects some transactions. No transaction is repeated
+/// unchanged for ever, and neither the leadership nor other work is lost.
 #[test]
 fn limits_below_announced_keep_leader_and_work() {
     let mut simulation = cluster_after_production(63, 4, None);
     simulation.run(4.0);
     let leader = simulation.leader().unwrap();
     simulation.set_store_limits((STORE_LIMITS.0, 2));
-    // All end at once, so that their ends go into one transaction.
+    // All jobs end at once, so that their ends go into one transaction.
     for n in 1..9 {
         let spec = sample(&format!("wk-{n}"), 2, 1.0, 3);
         simulation.register_job(&spec);
@@ -475,13 +481,15 @@
         assert_eq!(state, Some(JobState::Cancelled));
     }
     assert_eq!(simulation.leader(), Some(leader));
-    // Eight ends at once, then half as many, then two: not the same again and again.
+    // Eight ends in one transaction are rejected, then half as many, then two: the same transaction is
+    // not repeated.
     assert!(
         simulation.transactions_over_limit() <= 4,
         "{}",
         simulation.transactions_over_limit()
     );
-    // Pages of machines do not fit any more; what is known goes on.
+    // Pages of machines do not fit into a value any more; the controllers keep working with the known
+    // machines.
     simulation.set_store_limits((150, 2));
     for _ in 0..3 {
         simulation.add_machine("small", "a");
--- a/src/core/simulation/randomized.rs
+++ b/src/core/simulation/randomized.rs
@@ -1,7 +1,7 @@
-//! Randomized schedules of faults over three controllers that serve workers for one another, with the
-//! rules checked at every tick. `proptest` makes them from a fixed seed, so that the verdict is always
-//! the same, and shrinks one that breaks a rule to the fewest steps; such a one becomes a test of its
-//! own at the end of this file. More of them, or others, are played by
+//! Random fault schedules for three controllers that serve workers for one another, with the invariants
+//! checked at every tick. `proptest` generates the schedules from a fixed seed, so that the result is
+//! always the same, and shrinks a schedule that violates an invariant to the fewest steps. Each shrunk
+//! schedule becomes a test of its own at the end of this file. To run more schedules, or others:
 //!
 //! ```text
 //! HISTORIES=10000 cargo test --lib randomized
@@ -20,8 +20,8 @@
 
 const NODES: usize = 3;
 
-/// What goes wrong in a step. Faults that are "toggled" last until the next one of the kind, or until
-/// the cluster is healed.
+/// Fault that a step injects. A fault whose name begins with `Toggle` lasts until the next one of the
+/// same kind, or until the cluster is healed.
 #[derive(Clone, Debug)]
 enum Fault {
     Node(NodeFault),
@@ -29,12 +29,13 @@
     Worker(WorkerFault),
     Network(NetworkFault),
     User(UserFault),
-    /// The cloud's interface is toggled.
+    /// Makes the cloud answer every call with an error.
     ToggleCloud,
+    /// Ends all faults.
     Heal,
 }
 
-/// A fault of controllers.
+/// Fault of controllers.
 #[derive(Clone, Debug)]
 enum NodeFault {
     Kill {
@@ -42,103 +43,106 @@
         downtime_ms: u64,
     },
     KillAll,
-    /// The leader is killed, and so often again the next one.
+    /// Kills the leader, this many times in a row.
     KillLeaders(u32),
     TogglePause(usize),
-    /// It cannot reach other controllers, toggled.
+    /// Disconnects a controller from the other controllers.
     TogglePeers(usize),
-    /// It keeps only its workers and users.
+    /// Disconnects a controller from the state service and the other controllers. Workers and users
+    /// still reach it.
     Isolate(usize),
-    /// The leader takes its key for gone, though it stands.
+    /// Makes the leader step down by telling it that its leader key is gone, although the key exists.
     ForceStepDown,
-    /// Its watch is late by so much.
+    /// Holds back the changes from a controller's watch for this long.
     DelayWatch {
         node: usize,
         ms: u64,
     },
 }
 
-/// A fault of the state service.
+/// Fault of the state service.
 #[derive(Clone, Debug)]
 enum StoreFault {
+    /// Sets the connection of a controller to the state service.
     Link(usize, Link),
-    /// It refuses everybody.
+    /// Refuses the requests of all controllers.
     RefuseAll,
-    /// It serves nobody, and no lease expires, toggled.
+    /// Refuses all requests, while no lease expires.
     ToggleOutage,
-    /// It refuses the leader alone, and so much later everybody.
+    /// Refuses the requests of the leader, and after this many milliseconds those of all controllers,
+    /// while no lease expires.
     RefusalThenOutage(u64),
-    /// It answers up to so much later.
+    /// Delays responses by up to this many milliseconds.
     Delay(u64),
-    /// It loses everything, all controllers being there to remember.
+    /// Loses all data, once all running controllers have cached it.
     LoseData,
-    /// It goes back to what it held at the last backup, all controllers being there to remember.
+    /// Restores the last backup, once all running controllers have cached the present data.
     RestoreBackup,
-    /// This part of all transactions, in percent, is carried out seconds late, after newer ones.
+    /// Carries out this percentage of transactions seconds late, after newer ones.
     LateWrites(u32),
-    /// This part of all transactions, in percent, is carried out at once, and the answer lost.
+    /// Carries out this percentage of transactions at once and loses their responses.
     LostResponses(u32),
 }
 
-/// A fault of machines.
+/// Fault of machines.
 #[derive(Clone, Debug)]
 enum WorkerFault {
     ToggleHang(usize),
     Remove(usize),
-    /// It is back at once, empty, with the next incarnation, or with all counters at their first
-    /// value.
+    /// Reboots a machine, which is back shortly after without tasks, in its next incarnation or, with
+    /// `reset_counters`, with all counters at their first values.
     Reboot {
         machine: usize,
         reset_counters: bool,
     },
-    /// All send heartbeats to this controller.
+    /// Makes all workers send their heartbeats to this controller.
     MoveAll(usize),
-    /// Some cannot reach a controller.
+    /// Partitions every `stride`-th worker from a controller.
     Partition {
         node: usize,
         stride: usize,
     },
-    /// Some reach controllers and are not reached by them, toggled.
+    /// Lets every `stride`-th worker reach the controllers without being reached by them.
     TogglePartitionInbound {
         stride: usize,
     },
-    /// Some reach no controller, while direct commands reach them, toggled.
+    /// Lets direct commands reach every `stride`-th worker, which itself reaches no controller.
     TogglePartitionOutbound {
         stride: usize,
     },
 }
 
-/// A fault of heartbeats and direct commands on their way.
+/// Fault in the delivery of heartbeats and direct commands.
 #[derive(Clone, Debug)]
 enum NetworkFault {
-    /// Direct commands are held back, toggled.
+    /// Holds direct commands back.
     ToggleHoldCommands,
-    /// Heartbeats and direct commands come once more, up to so many seconds late.
+    /// Delivers heartbeats and direct commands a second time, up to this many seconds later.
     Duplicates(u64),
-    /// This part of direct commands, in percent, is carried out 2 to 16 s late, once.
+    /// Carries out this percentage of direct commands 2 to 16 s late, once.
     LateCommands(u32),
-    /// Copies of this part of heartbeats, in percent, reach every controller as the next leader begins.
+    /// Delivers copies of this percentage of heartbeats to every controller when the next leadership
+    /// begins.
     ReplayedHeartbeats(u32),
 }
 
-/// What users do at the worst moment.
+/// Requests that users send at unfavourable moments.
 #[derive(Clone, Debug)]
 enum UserFault {
-    /// A job is cancelled, and some of its machines hang from then on.
+    /// Cancels a job, and makes some of its machines hang from then on.
     CancelAndHang { job: usize, machines: usize },
-    /// A job is cancelled at the moment at which its last task ends, and asked for everywhere.
+    /// Cancels a job when its last task completes, and queries all controllers for it.
     CancelAtCompletion(usize),
-    /// A job is cancelled everywhere as the state service refuses the leader, and a second later
-    /// everybody.
+    /// Cancels a job at all controllers while the state service refuses the requests of the leader,
+    /// and a second later those of all controllers.
     CancelDuringRefusal(usize),
-    /// Jobs that are known are submitted once more with another specification, and one that can never
-    /// run.
+    /// Submits accepted jobs once more with another specification, and a job that can never run.
     InvalidSubmissions,
-    /// Users ask everywhere right after each answer, toggled.
+    /// Queries all controllers for a job as soon as a response first reports it as accepted or ended.
     ToggleQueriesAfterResponses,
 }
 
-/// A job to submit.
+/// Job to submit.
 #[derive(Clone, Copy, Debug)]
 struct JobPlan {
     tasks: u32,
@@ -147,13 +151,14 @@
     kind: JobKind,
 }
 
-/// A fault, then perhaps a submission and a cancellation, then a pause.
+/// Fault, followed by an optional submission, an optional cancellation, and a pause.
 #[derive(Clone, Debug)]
 struct Step {
     fault: Fault,
     job: Option<JobPlan>,
-    /// The job to cancel, of those accepted.
+    /// Index of the job to cancel among the accepted jobs.
     cancel: Option<usize>,
+    /// Time that the simulation runs on before the next step.
     pause_ms: u64,
 }
 
@@ -166,7 +171,8 @@
     ]
 }
 
-/// Any fault. The order of the alternatives belongs to the seeds: another one makes other schedules.
+/// Generates any fault. The seeds depend on the order of the alternatives: in another order, they lead
+/// to other schedules.
 fn any_fault() -> impl Strategy<Value = Fault> {
     use WorkerFault as Worker;
     use {NetworkFault as Net, NodeFault as Node, StoreFault as Store, UserFault as User};
@@ -249,15 +255,16 @@
     f64::from(percent) / 100.0
 }
 
-/// A schedule that is being played.
+/// Running schedule.
 struct ScheduleRun {
     simulation: Simulation,
-    /// Jobs whose submission was accepted.
+    /// Jobs whose submission was accepted, with their kinds.
     accepted: Vec<(String, JobKind)>,
-    /// Services that were submitted.
+    /// Services that were submitted, whether or not a response confirmed it.
     services: Vec<String>,
+    /// Latest backup of the state service.
     backup: Option<Backup>,
-    /// Jobs whose cancellation was asked for and has yet to be answered.
+    /// Jobs whose cancellation was requested and has not been confirmed yet.
     unanswered_cancels: Vec<String>,
 }
 
@@ -279,7 +286,7 @@
         }
     }
 
-    /// Plays the step of this number, at whose controller users ask.
+    /// Runs a step. Its number selects the controller to which users send their requests.
     fn run_step(&mut self, number: usize, step: &Step) {
         let node = number % NODES;
         self.inject(&step.fault);
@@ -300,7 +307,7 @@
         self.simulation.run(seconds(step.pause_ms));
     }
 
-    /// Like a submission, a cancellation is repeated until it is answered.
+    /// Repeats the cancellations that have not been answered yet, as users do.
     fn repeat_cancels(&mut self, node: usize) {
         let simulation = &mut self.simulation;
         self.unanswered_cancels
@@ -370,7 +377,7 @@
             return;
         };
         let simulation = &mut self.simulation;
-        // Until its last task has ended on its machine, which no controller knows yet.
+        // Runs until the last task has completed on its machine, before any controller knows of it.
         for _ in 0..200 {
             if simulation.all_tasks_completed(id) {
                 break;
@@ -405,27 +412,31 @@
                 let status = simulation.submit(node, &other);
                 let acceptable =
                     matches!(status, 0 | 200 | 503) || simulation.checker.data_lost_for_good;
-                assert!(acceptable, "{id}: a repetition is answered with {status}");
+                assert!(
+                    acceptable,
+                    "{id}: a repeated submission got status {status}"
+                );
             }
             let mut unschedulable = sample("wk-900000", 1, 99.0, 1);
             unschedulable.zone = Some("a".into());
             let status = simulation.submit(node, &unschedulable);
             assert!(
                 !matches!(status, 200 | 201),
-                "what can never run is accepted"
+                "a job that can never run was accepted"
             );
         }
     }
 
-    /// The faults are over: whatever was accepted is known to all, ends if it can, and is gone if it
-    /// was cancelled.
+    /// Ends all faults, and checks that every accepted job is known, that services can be cancelled,
+    /// and that all other jobs end.
     fn check_recovery(mut self) {
         let simulation = &mut self.simulation;
         heal(simulation);
         let healed_at = simulation.now;
         simulation.run(15.0);
         if simulation.checker.data_lost_for_good {
-            // Nobody remembers what was accepted; that nothing ran twice, all the same, was checked.
+            // No controller has the accepted jobs cached. Only the invariants are checked, such as that
+            // no task runs twice.
             simulation.run(30.0);
             return;
         }
@@ -438,34 +449,40 @@
             assert_ne!(
                 self.simulation.show(node, "wk-999999").0,
                 200,
-                "wk-999999 was invented"
+                "wk-999999 is reported, but was never submitted"
             );
         }
         self.cancel_services();
         self.check_jobs_end();
     }
 
-    /// Each question about an accepted job is answered again 75 s after the last fault at the latest,
-    /// unless the store has lost what only its workers' leases can prove.
+    /// Checks that every query about an accepted job succeeds again by the deadline, 75 s after the
+    /// last fault. This does not hold if the store has lost data and a job's state is certain only once
+    /// the workers' leases have expired.
     fn check_queries_answered(&mut self, deadline: Instant) {
         let simulation = &mut self.simulation;
         for (number, (id, _)) in self.accepted.iter().enumerate() {
             while simulation.show(number % NODES, id).0 != 200 {
                 let late = simulation.now > deadline;
-                assert!(!late, "{id}: no question is answered for 75 s");
+                assert!(
+                    !late,
+                    "{id}: no query succeeded within 75 s of the last fault"
+                );
                 simulation.run(1.0);
             }
         }
     }
 
-    /// Replicas of a job whose acceptance nobody received would hold their team's limit for ever.
+    /// Cancels all services, also those whose submission got no response: the replicas of such a service
+    /// would use their team's limit up for ever.
     fn cancel_services(&mut self) {
         let simulation = &mut self.simulation;
         for id in &self.services {
             if simulation.show(1, id).1.is_none() {
                 continue;
             }
-            // Leaders that find all machines gone each resign once.
+            // A leader to which no worker reports resigns, each controller once; until then, attempts
+            // may fail.
             let mut attempts = 0;
             while simulation.cancel(1, id).1 != Some(JobState::Cancelled) {
                 attempts += 1;
@@ -475,19 +492,23 @@
         }
     }
 
+    /// Checks that all accepted jobs end; services have been cancelled before.
     fn check_jobs_end(&mut self) {
         for (id, kind) in &self.accepted {
             match self.simulation.show(0, id) {
                 (200, Some(JobState::Done | JobState::Cancelled)) => {}
-                (200, state) if *kind == JobKind::Service => panic!("{id} is said to be {state:?}"),
+                (200, state) if *kind == JobKind::Service => {
+                    panic!("service {id} is said to be {state:?}")
+                }
                 (200, _) => self.simulation.run_until_done(id, 200.0),
-                (status, _) => panic!("{id} is answered with {status}"),
+                (status, _) => panic!("{id}: a query got status {status}"),
             }
         }
     }
 }
 
-/// What workers show of a store that nobody remembers is for an operator to decide on.
+/// Settles the rebuild of the store, as an operator has to if no controller has the lost data cached and
+/// workers report tasks of unknown jobs.
 fn settle_rebuilds(simulation: &mut Simulation) {
     for _ in 0..8 {
         simulation.run(5.0);
@@ -571,8 +592,8 @@
     }
 }
 
-/// Lets all controllers see everything in the store, which they remember from then on, and takes it
-/// away for a moment, as a service is that is restored.
+/// Lets all running controllers cache everything in the store, and then refuses their requests for a
+/// moment, as a service does that is being restored.
 fn interrupt_store(simulation: &mut Simulation) {
     reconnect_controllers(simulation);
     simulation.release_held();
@@ -582,7 +603,7 @@
     simulation.set_store_links(Link::Good);
 }
 
-/// Ends an outage of the state service, and faults of controllers.
+/// Ends an outage of the state service, and all faults of controllers except kills.
 fn reconnect_controllers(simulation: &mut Simulation) {
     if simulation.faults.store_outage {
         simulation.set_store_outage(false);
@@ -704,7 +725,7 @@
     }
 }
 
-/// The checker finds what follows when a guard is taken out, by the rule that it keeps.
+/// With a safeguard disabled, some random schedule must violate the invariant that it upholds.
 #[test]
 fn checker_detects_each_disabled_safeguard() {
     const CASES: [(Safeguard, &str, u8); 10] = [
@@ -713,14 +734,14 @@
         (Safeguard::SpotEligibility, "is on a spot machine", 0),
         (Safeguard::StopEndedJobs, "of a cancelled job is on", 0),
         (Safeguard::DurableAcceptance, "was forgotten", 6),
-        (Safeguard::UnknownJob, "was invented", 0),
+        (Safeguard::UnknownJob, "was never submitted", 0),
         (Safeguard::ArrayCompletion, "is not done", 0),
         (Safeguard::DurableCancellation, "said to be", 6),
         (Safeguard::UniqueTerm, "two leaderships have term", 0),
         (Safeguard::FreshRead, "was forgotten", 0),
     ];
     for (safeguard, expected, seed) in CASES {
-        // Each with a seed that finds it early.
+        // The seed of each case leads to a violation after few schedules.
         let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[seed; 32]);
         let mut runner = TestRunner::new_with_rng(Config::default(), rng);
         let schedules = (any::<u64>(), proptest::collection::vec(any_step(), 1..24));
@@ -729,9 +750,10 @@
             let message = failure_without(safeguard, || run_schedule(seed, &steps))?;
             message.contains(expected).then_some((n, message))
         });
-        let (n, message) =
-            found.unwrap_or_else(|| panic!("{safeguard:?} is out, and nothing is found"));
-        println!("{safeguard:?}: history {n}: {message}");
+        let (n, message) = found.unwrap_or_else(|| {
+            panic!("{safeguard:?} is disabled, and no schedule failed with: {expected}")
+        });
+        println!("{safeguard:?}: schedule {n}: {message}");
     }
 }
 
@@ -759,8 +781,8 @@
     }
 }
 
-/// Found by these schedules: all controllers ended, their store was lost a moment after they were back,
-/// and was then rolled back to what it held while it was being rebuilt.
+/// Found by randomized schedules: after a restart of all controllers, the store lost its data, and
+/// was then rolled back to a backup from the time of its rebuild.
 #[test]
 fn store_rolled_back_into_rebuild_is_rebuilt() {
     crate::core::simulation::enable_log();
@@ -790,7 +812,8 @@
     );
 }
 
-/// Found by these schedules: the store lost its data when one controller was away and another had just begun.
+/// Found by randomized schedules: the store lost its data while one controller was down and another
+/// had just restarted.
 #[test]
 fn store_lost_during_restarts_is_rebuilt() {
     crate::core::simulation::enable_log();
@@ -805,7 +828,7 @@
     );
 }
 
-/// The store is lost and rolled back within seconds, a leader between the two.
+/// Loses the store and restores a backup within seconds, with a leadership in between.
 pub fn store_lost_twice() {
     run_schedule(
         0,
@@ -819,7 +842,8 @@
     );
 }
 
-/// Found by these schedules: the store was lost and, before it was named again, rolled back to what it had held.
+/// Found by randomized schedules: the store lost its data and was rolled back to a backup before a new
+/// store identity was written.
 #[test]
 fn store_rolled_back_right_after_loss_is_rebuilt() {
     crate::core::simulation::enable_log();
--- a/src/core/simulation/recorded_decisions.rs
+++ b/src/core/simulation/recorded_decisions.rs
@@ -1,16 +1,16 @@
-//! Records what the controllers decide over a few fixed schedules, as a guard for changes that should
-//! not change it: renames, moves and simplifications.
+//! Regression tests that compare the controllers' decisions in a few fixed schedules with recorded ones.
+//! They guard changes that should not change decisions: renames, moves and simplifications.
 //!
-//! Each test plays one schedule from a fixed seed, turns every effect that any controller's
+//! Each test runs one schedule from a fixed seed, turns every effect that any controller's
 //! `Core::step` returns into a line of text, and compares the number of these lines and their hash
-//! with a literal. The lines hold what leaves the process (requests and answers in their wire
-//! format), numbers and times; no name of a Rust type or field is in them.
+//! with a literal. The lines contain what leaves the process (requests and responses in their wire
+//! format), numbers and times, but no name of a Rust type or field.
 //!
 //! - A change that should not change decisions must leave the literals as they are.
-//! - A change that does change decisions updates the literals in the same commit, and its message
-//!   says which decisions are different and why.
+//! - A change that does change decisions updates the literals in the same commit, and the commit
+//!   message says which decisions are different and why.
 //!
-//! To find the first difference, write the lines of both versions to files and compare these:
+//! To find the first difference, write the lines of both versions to files and compare the files:
 //!
 //! ```text
 //! RECORDED_DECISIONS=/tmp/before cargo test --lib recorded_decisions
@@ -36,11 +36,12 @@
 use std::hash::Hasher;
 use std::time::{Duration, Instant};
 
-/// Names a directory to which the recorded lines are written, one file per schedule.
+/// Environment variable with the directory to which the recorded lines are written, one file per
+/// schedule.
 const TRANSCRIPT_DIRECTORY: &str = "RECORDED_DECISIONS";
 
-// The number that stands for each kind of effect and request in a line. They are part of what is
-// hashed and never change; a new kind gets a new number.
+// Numbers that stand for the kinds of effects and requests in a line. They are part of the hashed text
+// and never change; a new kind gets a new number.
 const RESPONSE: u32 = 1;
 const FORWARD: u32 = 2;
 const HEARTBEAT_BATCH: u32 = 3;
@@ -62,24 +63,25 @@
 const LEADERSHIP_CONDITIONS: u32 = 19;
 const READY: u32 = 20;
 
-/// How many effects a schedule had, and the hash of their lines.
+/// Number of effects in a schedule, and the hash of their lines.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Recording {
     effects: u64,
     hash: u64,
 }
 
-/// Takes in the effects of all controllers' steps, in order.
+/// Recorder of the effects of all controllers' steps, in order.
 pub struct DecisionRecorder {
-    /// The virtual time at which the simulation began; all times in lines count from it.
+    /// Virtual time at which the simulation began. All times in lines are relative to it.
     start: Instant,
     effects: u64,
     hasher: SipHasher13,
+    /// Recorded lines, if they are to be written to a file.
     transcript: Option<String>,
 }
 
 impl DecisionRecorder {
-    /// Records from now on.
+    /// Creates a recorder. The simulation began at `start`.
     pub fn new(start: Instant) -> DecisionRecorder {
         let write_transcript = std::env::var_os(TRANSCRIPT_DIRECTORY).is_some();
         DecisionRecorder {
@@ -90,7 +92,7 @@
         }
     }
 
-    /// Records what one step of a controller returned.
+    /// Records the effects that one step of a controller returned.
     pub fn record(&mut self, now: Instant, node: usize, effects: &[Effect]) {
         let at = self.elapsed_ms(now);
         for effect in effects {
@@ -104,11 +106,12 @@
         }
     }
 
+    /// Returns the milliseconds since the simulation began.
     fn elapsed_ms(&self, t: Instant) -> u64 {
         t.saturating_duration_since(self.start).as_millis() as u64
     }
 
-    /// An effect in a form that depends on what it does, not on how the program names it.
+    /// Returns an effect in a form that depends on what it does and on no name in the program.
     fn content(&self, effect: &Effect) -> Value {
         match effect {
             Effect::Response { ticket, response } => {
@@ -168,14 +171,15 @@
         }
     }
 
-    /// The recording so far; its lines go to a file if that is asked for.
+    /// Returns the recording, and writes its lines to the file `name` if a directory is set.
     fn finish(self, name: &str) -> Recording {
         if let Some((directory, lines)) =
             std::env::var_os(TRANSCRIPT_DIRECTORY).zip(self.transcript)
         {
-            std::fs::create_dir_all(&directory).expect("a directory for the recorded lines");
+            std::fs::create_dir_all(&directory)
+                .expect("the directory for the recorded lines can be created");
             let file = std::path::Path::new(&directory).join(name);
-            std::fs::write(file, lines).expect("the recorded lines are written");
+            std::fs::write(file, lines).expect("the recorded lines can be written");
         }
         Recording {
             effects: self.effects,
@@ -246,7 +250,7 @@
     }
 }
 
-/// Bytes as they are if they are text, and in hexadecimal digits if not.
+/// Returns bytes as text if they are valid UTF-8, and as hexadecimal digits if not.
 fn text(bytes: &[u8]) -> String {
     match std::str::from_utf8(bytes) {
         Ok(text) => text.into(),
@@ -257,7 +261,7 @@
     }
 }
 
-/// A schedule's name, seed and policy, and what it was recorded to lead to.
+/// Name, seed and policy of a schedule, and the recording that it must lead to.
 struct RecordedCase {
     name: &'static str,
     seed: u64,
@@ -265,10 +269,14 @@
     expected: Recording,
 }
 
+/// Policy under which the leader serves all workers itself.
 const ALONE: &str = "delegate = false";
+/// Policy under which all controllers serve workers.
 const DELEGATING: &str = "delegate = true";
+/// Policy under which the leader alone serves workers, and bids for machines.
 const BIDDING: &str =
     "delegate = false\nbidding = true\nworth = 10\nforesight = 20\ntolerance = 0.2";
+/// Policy under which all controllers serve workers, and the leader bids for machines.
 const BIDDING_AND_DELEGATING: &str = "delegate = true\nbidding = true\nworth = 10";
 
 const fn recorded(
@@ -287,7 +295,7 @@
     }
 }
 
-/// Plays a schedule with three controllers and four machines, and records what is decided in it.
+/// Runs a schedule with three controllers and four machines, and records the decisions.
 fn record(case: &RecordedCase, schedule: impl Fn(&mut Simulation, u64)) -> Recording {
     let policy = Policy::parse("recorded", case.policy).unwrap();
     let mut simulation = Simulation::with_policy(case.seed, policy);
@@ -296,11 +304,14 @@
     simulation.run_until(10.0, "a leader", |simulation| simulation.leader().is_some());
     simulation.run(2.0);
     schedule(&mut simulation, case.seed);
-    let recorder = simulation.recorder.take().expect("it was set above");
+    let recorder = simulation
+        .recorder
+        .take()
+        .expect("the recorder was set above");
     recorder.finish(case.name)
 }
 
-/// Plays each case, and fails with the literals as found if one of them leads to other decisions.
+/// Runs each case, and fails with the literals found if any case leads to other decisions.
 fn assert_recorded(cases: &[RecordedCase], schedule: impl Fn(&mut Simulation, u64)) {
     let mut mismatches = String::new();
     for case in cases {
@@ -317,7 +328,7 @@
     );
 }
 
-/// One job of each kind and with each demand on zones, and two that await others.
+/// Returns jobs of each kind and with each constraint on zones, two of them with dependencies.
 fn jobs_of_all_kinds() -> Vec<JobSpec> {
     let array = sample("wk-1", 6, 1.0, 12);
     let mut service = sample("wk-2", 2, 1.0, 1);
@@ -352,7 +363,7 @@
     ]
 }
 
-/// Submits jobs of all kinds, each by another controller.
+/// Submits jobs of all kinds, to each controller in turn.
 fn submit_all(simulation: &mut Simulation) {
     for (n, spec) in jobs_of_all_kinds().iter().enumerate() {
         simulation.submit(n % 3, spec);
@@ -360,8 +371,8 @@
     }
 }
 
-/// Jobs of all kinds run; one is cancelled with what awaits it, the leader ends, machines die and
-/// restart, and one fails its tasks.
+/// Runs jobs of all kinds, cancels one together with its dependents, kills the leader, removes and
+/// reboots machines, and lets a machine fail its tasks.
 fn takeover_with_cancellations(simulation: &mut Simulation, _seed: u64) {
     submit_all(simulation);
     simulation.run(3.0);
@@ -386,15 +397,15 @@
         .workers
         .values_mut()
         .for_each(|m| m.failing = false);
-    // A repeated submission, and one that can never run.
+    // A repeated submission, and a job that can never run.
     simulation.submit(0, &sample("wk-1", 6, 1.0, 12));
     simulation.submit(1, &sample("wk-11", 1, 99.0, 1));
     simulation.cancel(0, "wk-2");
     simulation.run(40.0);
 }
 
-/// Forty more machines, which all controllers share; a job of a high rank takes room from one of a
-/// low rank, one that is too large for a single value is accepted, and the leader ends.
+/// Adds forty machines, lets a job of high priority preempt one of low priority, submits a job that is
+/// too large for a single value, and kills the leader. With delegation, the controllers share the machines.
 fn many_machines(simulation: &mut Simulation, _seed: u64) {
     simulation.add_machines("small", 40);
     simulation.run(6.0);
@@ -420,8 +431,9 @@
     simulation.run(30.0);
 }
 
-/// A machine and a job that fail every task, deadlines that pass down to dependencies, and a takeover
-/// in which half of the machines are silent for longer than a new leader waits for them.
+/// Runs a machine and a job that fail every task, submits jobs whose dependencies inherit their
+/// deadlines, and makes half of the machines silent during a takeover, for longer than a new leader
+/// waits for them.
 fn failures_and_deadlines(simulation: &mut Simulation, _seed: u64) {
     let failing = simulation.workers.keys().next().unwrap().clone();
     simulation.workers.get_mut(&failing).unwrap().failing = true;
@@ -463,7 +475,8 @@
     simulation.run(40.0);
 }
 
-/// The store loses everything, is rolled back some time later, and then lost while the leader ends.
+/// Makes the store lose all data, later restores a backup, and then makes the store lose all data again
+/// while the leader is killed.
 fn store_losses(simulation: &mut Simulation, _seed: u64) {
     submit_all(simulation);
     simulation.run(3.0);
@@ -488,7 +501,7 @@
     simulation.run(20.0);
 }
 
-/// Messages are late, repeated, lost or out of order, and the leader changes often.
+/// Delays, duplicates, loses and reorders messages, with frequent changes of the leader.
 fn faulty_network(simulation: &mut Simulation, _seed: u64) {
     simulation.faults.duplicate_delay = Duration::from_secs(4);
     simulation.faults.late_write_share = 0.1;
--- a/src/core/simulation/scale.rs
+++ b/src/core/simulation/scale.rs
@@ -1,33 +1,44 @@
-//! Takeovers against size: how long a new leader takes, and how much it computes, in a cluster of 1,000 to
-//! 10,000 machines. Not a part of the tests that everybody runs:
+//! Measurements of takeovers and data losses against the size of the cluster. They take minutes and are
+//! ignored in an ordinary test run.
 //!
 //!     cargo test --release --lib takeovers_against_size -- --ignored --nocapture
 //!
-//! prints the table in `docs/takeover.csv`, from which `cargo run --example plot_takeover` draws.
-//! Likewise `losses_against_size` that in `docs/rebuild.csv`: a total loss of data, with the leader
-//! ended at the same time or not.
+//! measures the duration of a takeover and the computing time of the new leader with 300 to 10,000
+//! machines, and prints the table in `docs/takeover.csv`, which `cargo run --example plot_takeover` plots.
+//!
+//!     cargo test --release --lib losses_against_size -- --ignored --nocapture
+//!
+//! prints the table in `docs/rebuild.csv`: the rebuild after a loss of all data, with the leader killed
+//! at the same time or not.
 
 use crate::core::simulation::Simulation;
 use crate::job::{JobSpec, sample};
 use crate::policy::Policy;
 use std::time::{Duration, Instant};
 
+/// Measured takeover. Times count from the moment at which the new leader is found.
 struct Measurement {
+    /// Time until at most 1 % of the machines are unresolved.
     known_ms: u128,
+    /// Time until a task of a newly submitted job starts.
     start_ms: u128,
+    /// Time until all tasks run, including those restarted from the hung machine.
     restart_ms: u128,
+    /// Time that the new leader had computed by `known_ms`.
     leader_ms: u128,
+    /// Number of changes of keys in the store.
     changes: usize,
 }
 
-/// Of the team without a limit.
+/// Returns a long job of the team without a limit.
 fn job_of_unlimited_team(id: &str, tasks: u32) -> JobSpec {
     let mut spec = sample(id, tasks, 1.0, 100_000);
     spec.team = "u".into();
     spec
 }
 
-/// So many machines, none of which can be provisioned, and who leads.
+/// Returns a cluster of this many machines, in which no further machine can be provisioned, and its
+/// leader.
 fn cluster_with_leader(seed: u64, policy: &str, machines: usize) -> (Simulation, usize) {
     let mut simulation = Simulation::with_policy(seed, Policy::parse("scale", policy).unwrap());
     simulation.capacity.clear();
@@ -36,7 +47,7 @@
     (simulation, leader)
 }
 
-/// A leader of so many machines, each with so many tasks, ends together with one machine.
+/// Measures the takeover after the leader is killed and one machine hangs at the same time.
 fn measure_takeover(machines: usize, tasks_per_machine: usize, delegate: bool) -> Measurement {
     let policy = format!("delegate = {delegate}");
     let (mut simulation, leader) = cluster_with_leader(7, &policy, machines);
@@ -48,7 +59,7 @@
             201
         );
     }
-    simulation.run_until(120.0, "all run", |simulation| {
+    simulation.run_until(120.0, "all tasks run", |simulation| {
         simulation
             .workers
             .values()
@@ -108,7 +119,7 @@
 }
 
 #[test]
-#[ignore = "minutes long, and prints figures instead of judging them"]
+#[ignore = "takes minutes, and prints figures without checking them"]
 fn takeovers_against_size() {
     println!("machines,tasks,delegate,known_ms,first_start_ms,restart_ms,leader_ms,state_changes");
     let started = Instant::now();
@@ -127,10 +138,14 @@
             );
         }
     }
-    eprintln!("played in {:?}", started.elapsed());
+    eprintln!("ran for {:?}", started.elapsed());
 }
 
-/// So many machines and jobs, and the store loses everything; the leader ends with it, or lives.
+/// Measures the rebuild after the store loses all data, with the leader killed at the same time or not.
+/// Returns the columns of the table from `leads_ms` on: milliseconds until a leader has marked the store
+/// as incomplete, until all copies are merged or starts are allowed, until a new job starts, and until
+/// all data is written back; then the computing time of the leader up to the second of these times, and
+/// the number of restarted tasks.
 fn measure_data_loss(machines: usize, jobs: usize, leader_lives: bool, seed: u64) -> [u128; 6] {
     let (mut simulation, leader) = cluster_with_leader(seed, "delegate = true", machines);
     for n in 0..jobs {
@@ -148,7 +163,7 @@
             .map(|m| m.tasks.len())
             .sum::<usize>()
     };
-    simulation.run_until(120.0, "all run", |simulation| {
+    simulation.run_until(120.0, "all tasks run", |simulation| {
         running(simulation) == (2 * jobs).min(4 * machines)
     });
     simulation.run(10.0);
@@ -159,7 +174,7 @@
     }
     let start = simulation.now;
     let elapsed_ms = |simulation: &Simulation| (simulation.now - start).as_millis();
-    simulation.run_until(15.0, "a leader again", |simulation| {
+    simulation.run_until(15.0, "a leader after the data loss", |simulation| {
         simulation.leader().is_some()
             && !simulation.stored_values("burlusher/rebuilding").is_empty()
     });
@@ -210,7 +225,7 @@
 }
 
 #[test]
-#[ignore = "minutes long, and prints figures instead of judging them"]
+#[ignore = "takes minutes, and prints figures without checking them"]
 fn losses_against_size() {
     println!(
         "machines,jobs,leader_lives,seed,leads_ms,known_ms,first_start_ms,written_ms,leader_ms,restarts"
