--- a/examples/plot_takeover.rs
+++ b/examples/plot_takeover.rs
@@ -4,25 +4,25 @@
 use plotters::prelude::*;
 use std::error::Error;
 
-const TABLE: &str = "docs/takeover.csv";
-const PICTURE: &str = "docs/takeover.svg";
+const DATA: &str = "docs/takeover.csv";
+const CHART: &str = "docs/takeover.svg";
 
 /// Machines against milliseconds, of one column, for one setting.
-fn column(text: &str, name: &str, delegate: &str) -> Result<Vec<(f64, f64)>, Box<dyn Error>> {
+fn read_series(text: &str, name: &str, delegate: &str) -> Result<Vec<(f64, f64)>, Box<dyn Error>> {
     let mut lines = text.lines();
-    let head: Vec<&str> = lines.next().unwrap_or_default().split(',').collect();
+    let header: Vec<&str> = lines.next().unwrap_or_default().split(',').collect();
     let find = |wanted: &str| {
-        let at = head.iter().position(|h| *h == wanted);
-        at.ok_or_else(|| format!("{TABLE} has no column {wanted}"))
+        let at = header.iter().position(|h| *h == wanted);
+        at.ok_or_else(|| format!("{DATA} has no column {wanted}"))
     };
-    let (x, by, y) = (find("machines")?, find("delegate")?, find(name)?);
+    let (x, filter, y) = (find("machines")?, find("delegate")?, find(name)?);
     let mut out = Vec::new();
     for (n, line) in lines.enumerate() {
         let cells: Vec<&str> = line.split(',').collect();
-        if cells.len() != head.len() {
-            return Err(format!("{TABLE}, line {}: {} cells", n + 2, cells.len()).into());
+        if cells.len() != header.len() {
+            return Err(format!("{DATA}, line {}: {} cells", n + 2, cells.len()).into());
         }
-        if cells[by] == delegate {
+        if cells[filter] == delegate {
             out.push((cells[x].parse()?, cells[y].parse()?));
         }
     }
@@ -30,14 +30,14 @@
 }
 
 fn main() -> Result<(), Box<dyn Error>> {
-    let text = std::fs::read_to_string(TABLE).map_err(|e| format!("{TABLE}: {e}"))?;
-    let lines = [
+    let text = std::fs::read_to_string(DATA).map_err(|e| format!("{DATA}: {e}"))?;
+    let series = [
         ("known_ms", "false", "99 % known, leader alone", BLUE),
         ("known_ms", "true", "99 % known, every controller", RED),
         ("leader_ms", "false", "computed, leader alone", CYAN),
         ("leader_ms", "true", "computed, every controller", MAGENTA),
     ];
-    let root = SVGBackend::new(PICTURE, (760, 440)).into_drawing_area();
+    let root = SVGBackend::new(CHART, (760, 440)).into_drawing_area();
     root.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&root)
         .margin(16)
@@ -51,16 +51,16 @@
         .x_desc("machines")
         .y_desc("milliseconds")
         .draw()?;
-    for (name, delegate, label, colour) in lines {
-        let points = column(&text, name, delegate)?;
+    for (name, delegate, label, colour) in series {
+        let points = read_series(&text, name, delegate)?;
         let drawn = chart.draw_series(LineSeries::new(points.clone(), colour.stroke_width(2)))?;
         drawn.label(label).legend(move |(x, y)| {
             PathElement::new(vec![(x, y), (x + 18, y)], colour.stroke_width(2))
         });
-        let dots = points
+        let markers = points
             .into_iter()
             .map(|p| Circle::new(p, 3, colour.filled()));
-        chart.draw_series(dots)?;
+        chart.draw_series(markers)?;
     }
     (chart.configure_series_labels())
         .position(SeriesLabelPosition::LowerRight)
@@ -68,6 +68,6 @@
         .border_style(BLACK)
         .draw()?;
     root.present()?;
-    println!("{PICTURE}");
+    println!("{CHART}");
     Ok(())
 }
--- a/src/core/simulation/scenarios/old_heartbeats.rs
+++ b/src/core/simulation/scenarios/old_heartbeats.rs
@@ -9,7 +9,7 @@
 
 /// Heartbeats made before tasks were started reach every controller as the next leader begins, before its first
 /// answer, and before the machines themselves are in contact: they prove nothing about what is there.
-fn old_heartbeats_as_a_leader_begins() {
+fn replay_old_heartbeats_at_takeover() {
     let (mut simulation, leader) = eight_machines(1200);
     assert_eq!(
         simulation.submit(leader, &unlimited_job("wk-000001", 3, 4.0, 40)),
@@ -25,11 +25,11 @@
     .collect();
     assert_eq!(idle.len(), 5);
     // They say that their machines are to be taken: nothing new is started on these.
-    let old = idle.iter().map(|id| Heartbeat {
+    let old_heartbeats = idle.iter().map(|id| Heartbeat {
         reclaim_in_s: Some(60.0),
         ..simulation.heartbeat_of(id)
     });
-    let old = old.collect();
+    let old_heartbeats = old_heartbeats.collect();
     assert_eq!(
         simulation.submit(leader, &unlimited_job("wk-000002", 5, 4.0, 40)),
         201
@@ -42,10 +42,10 @@
         simulation.partition_worker(id);
     }
     simulation.kill(leader, Duration::from_secs(30));
-    simulation.replay_at_next_leadership(old);
-    let terms = simulation.leadership_count();
+    simulation.replay_at_next_leadership(old_heartbeats);
+    let leaderships = simulation.leadership_count();
     simulation.run_until(8.0, "another leader", |simulation| {
-        simulation.leadership_count() > terms
+        simulation.leadership_count() > leaderships
     });
     simulation.add_machine("small", "a");
     simulation.add_machine("small", "b");
@@ -64,21 +64,21 @@
 }
 
 #[test]
-fn old_heartbeats_at_takeover_prove_nothing() {
-    old_heartbeats_as_a_leader_begins();
+fn old_heartbeats_at_takeover_do_not_prove_tasks_gone() {
+    replay_old_heartbeats_at_takeover();
     fails_without(
         Safeguard::TokenProof,
         " and on ",
-        old_heartbeats_as_a_leader_begins,
+        replay_old_heartbeats_at_takeover,
     );
 }
 
 /// The same through six changes of leader, with every heartbeat of some seconds kept for the next, machines that
 /// begin anew in between, and a follower that answers under a grant.
 #[test]
-fn leaders_beginning_among_old_heartbeats_start_nothing_twice() {
+fn repeated_takeovers_with_old_heartbeats_start_no_task_twice() {
     let (mut simulation, _) = eight_machines(1210);
-    let mut delivered = 0;
+    let mut replayed_before = 0;
     for n in 0..6u32 {
         simulation.run_until(15.0, "a leader", |simulation| simulation.leader().is_some());
         let leader = simulation.leader().unwrap();
@@ -100,10 +100,10 @@
         );
         simulation.run(6.0);
         assert!(
-            simulation.counters.heartbeats_replayed > delivered,
+            simulation.counters.heartbeats_replayed > replayed_before,
             "round {n}: none was kept"
         );
-        delivered = simulation.counters.heartbeats_replayed;
+        replayed_before = simulation.counters.heartbeats_replayed;
     }
     for n in 0..6 {
         simulation.run_until_done(&format!("wk-{:06}", n + 1), 90.0);
@@ -118,15 +118,15 @@
     let mut accepted = Vec::new();
     for n in 0..8 {
         let id = format!("wk-{n:06}");
-        let at = simulation.leader().unwrap_or(leader);
-        if simulation.submit(at, &unlimited_job(&id, 5, 2.0, 3)) == 201 {
+        let node = simulation.leader().unwrap_or(leader);
+        if simulation.submit(node, &unlimited_job(&id, 5, 2.0, 3)) == 201 {
             accepted.push(id.clone());
         }
         if n == 3 {
-            simulation.cancel(at, &id);
+            simulation.cancel(node, &id);
         }
         if n == 5 {
-            simulation.kill(at, Duration::from_millis(400));
+            simulation.kill(node, Duration::from_millis(400));
         }
         simulation.run(4.0);
     }
@@ -154,7 +154,7 @@
     );
     simulation.run(3.0);
     let (id, _) = simulation.placements("wk-000001")[0].clone();
-    let copy = simulation.heartbeat_of(&id);
+    let old_heartbeat = simulation.heartbeat_of(&id);
     simulation.workers.remove(&id);
     simulation.run_until(40.0, "it starts elsewhere", |simulation| {
         simulation.placements("wk-000001").len() == 1
@@ -164,17 +164,17 @@
     simulation.run_until(10.0, "another leader", |simulation| {
         simulation.leader().is_some()
     });
-    let next = simulation.leader().unwrap();
+    let new_leader = simulation.leader().unwrap();
     // It comes before the next heartbeat of the machine that has the task now.
-    simulation.deliver_heartbeat(next, copy.clone());
+    simulation.deliver_heartbeat(new_leader, old_heartbeat.clone());
     simulation.run(0.2);
-    let lead = simulation.nodes[next].core.leader.as_ref().unwrap();
-    assert!(lead.machines.get(&id).is_none());
+    let leader_state = simulation.nodes[new_leader].core.leader.as_ref().unwrap();
+    assert!(leader_state.machines.get(&id).is_none());
     simulation.run(5.0);
-    simulation.deliver_heartbeat(next, copy);
+    simulation.deliver_heartbeat(new_leader, old_heartbeat);
     simulation.run(5.0);
-    let lead = simulation.nodes[next].core.leader.as_ref().unwrap();
-    assert!(lead.machines.get(&id).is_none());
+    let leader_state = simulation.nodes[new_leader].core.leader.as_ref().unwrap();
+    assert!(leader_state.machines.get(&id).is_none());
     assert_eq!(simulation.counters.starts, 2);
     simulation.run_until_done("wk-000001", 70.0);
 }
@@ -190,9 +190,9 @@
         );
         simulation.run(3.0);
         let (id, _) = simulation.placements("wk-000001")[0].clone();
-        let copy = simulation.heartbeat_of(&id);
+        let old_heartbeat = simulation.heartbeat_of(&id);
         simulation.reboot(&id, from_one);
-        simulation.deliver_heartbeat(leader, copy);
+        simulation.deliver_heartbeat(leader, old_heartbeat);
         let before = simulation.counters.starts;
         simulation.run(6.0);
         assert_eq!(
@@ -219,7 +219,7 @@
     );
     simulation.run(3.0);
     let (first, _) = simulation.placements("wk-000001")[0].clone();
-    let copy = simulation.heartbeat_of(&first);
+    let old_heartbeat = simulation.heartbeat_of(&first);
     simulation.reboot(&first, false);
     simulation.run(3.0);
     let (second, _) = simulation.placements("wk-000001")[0].clone();
@@ -231,8 +231,8 @@
     simulation.run_until(8.0, "another leader", |simulation| {
         simulation.leader().is_some()
     });
-    let next = simulation.leader().unwrap();
-    simulation.deliver_heartbeat(next, copy);
+    let new_leader = simulation.leader().unwrap();
+    simulation.deliver_heartbeat(new_leader, old_heartbeat);
     simulation.run(0.5);
     simulation
         .workers
@@ -269,8 +269,8 @@
         simulation.deliver_heartbeat(node, heartbeat);
         simulation.run(0.5);
     }
-    let lead = simulation.nodes[leader].core.leader.as_ref().unwrap();
-    assert_eq!(lead.machines.get(&id).unwrap().incarnation, 1);
+    let leader_state = simulation.nodes[leader].core.leader.as_ref().unwrap();
+    assert_eq!(leader_state.machines.get(&id).unwrap().incarnation, 1);
     assert!(
         simulation
             .nodes
@@ -313,8 +313,8 @@
             .iter()
             .any(|(m, _)| *m == id)
     );
-    for copy in [same_incarnation, earlier_incarnation] {
-        simulation.deliver_heartbeat(leader, copy);
+    for old_heartbeat in [same_incarnation, earlier_incarnation] {
+        simulation.deliver_heartbeat(leader, old_heartbeat);
         simulation.run(2.0);
     }
     simulation.run_until_done("wk-000001", 40.0);
@@ -330,31 +330,34 @@
     let id = simulation.workers.keys().next().unwrap().clone();
     // With its whole zone, as single ones are given up.
     let zone = simulation.workers[&id].zone.clone();
-    let there = simulation.workers.values_mut().filter(|m| m.zone == zone);
-    there.for_each(|m| m.inbound_partitioned = true);
+    let in_zone = simulation.workers.values_mut().filter(|m| m.zone == zone);
+    in_zone.for_each(|m| m.inbound_partitioned = true);
     simulation.faults.cloud_down = true;
     simulation.kill(leader, Duration::from_secs(60));
     simulation.run_until(8.0, "another leader", |simulation| {
         simulation.leader().is_some()
     });
-    let next = simulation.leader().unwrap();
+    let new_leader = simulation.leader().unwrap();
     simulation.run(7.0);
     // Shortly before the lease has run out that its last answer may have given it, it begins anew.
-    let lead = simulation.nodes[next].core.leader.as_ref().unwrap();
-    let answered = lead.machines.get(&id).unwrap().lease_renewed;
+    let leader_state = simulation.nodes[new_leader].core.leader.as_ref().unwrap();
+    let last_renewal = leader_state.machines.get(&id).unwrap().lease_renewed;
     simulation.run_until(15.0, "its lease", |simulation| {
-        simulation.now > answered + Duration::from_secs(11)
+        simulation.now > last_renewal + Duration::from_secs(11)
     });
     simulation.reboot(&id, false);
     let m = simulation.workers.get_mut(&id).unwrap();
     // It receives again, and is asked; its own heartbeats do not come through for a while.
     (m.inbound_partitioned, m.next_heartbeat) = (false, simulation.now + Duration::from_secs(5));
-    let lead = simulation.nodes[next].core.leader.as_mut().unwrap();
-    assert!(lead.machines.get(&id).unwrap().unresolved, "too late");
-    lead.recovery.probe_next(id.clone());
+    let leader_state = simulation.nodes[new_leader].core.leader.as_mut().unwrap();
+    assert!(
+        leader_state.machines.get(&id).unwrap().unresolved,
+        "too late"
+    );
+    leader_state.recovery.probe_next(id.clone());
     simulation.run(0.1);
     assert_eq!(
-        simulation.submit(next, &unlimited_job("wk-000001", 5, 4.0, 20)),
+        simulation.submit(new_leader, &unlimited_job("wk-000001", 5, 4.0, 20)),
         201
     );
     simulation.run(0.2);
@@ -381,15 +384,15 @@
     let id = simulation.placements("wk-1")[0].0.clone();
     simulation.workers.get_mut(&id).unwrap().hung = true;
     simulation.run(1.0);
-    let held = simulation.heartbeat_of(&id);
-    let there = held.tasks.len();
+    let delayed_heartbeat = simulation.heartbeat_of(&id);
+    let task_count = delayed_heartbeat.tasks.len();
     simulation.run(12.5);
-    let placed = |simulation: &Simulation| {
-        let lead = simulation.nodes[leader].core.leader.as_ref().unwrap();
-        lead.machines.get(&id).map_or(0, |m| m.tasks.len())
+    let assigned = |simulation: &Simulation| {
+        let leader_state = simulation.nodes[leader].core.leader.as_ref().unwrap();
+        leader_state.machines.get(&id).map_or(0, |m| m.tasks.len())
     };
-    assert!(there > 0 && placed(&simulation) == 0);
-    simulation.deliver_heartbeat(leader, held);
+    assert!(task_count > 0 && assigned(&simulation) == 0);
+    simulation.deliver_heartbeat(leader, delayed_heartbeat);
     simulation.run(0.2);
-    assert_eq!(placed(&simulation), 0);
+    assert_eq!(assigned(&simulation), 0);
 }
--- a/src/core/simulation/scenarios/partitions.rs
+++ b/src/core/simulation/scenarios/partitions.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 fn partition_inbound(simulation: &mut Simulation, zone: &str, partitioned: bool) {
-    let all = simulation.workers.values_mut().filter(|m| m.zone == zone);
-    all.for_each(|m| m.inbound_partitioned = partitioned);
+    let workers = simulation.workers.values_mut().filter(|m| m.zone == zone);
+    workers.for_each(|m| m.inbound_partitioned = partitioned);
 }
 
 /// Work was given to machines that look idle and receive nothing, again in each of their incarnations.
@@ -27,8 +27,15 @@
     simulation.run(9.0);
     assert_eq!(simulation.counters.starts, before);
     simulation.run(4.0);
-    let lead = simulation.nodes[leader].core.leader.as_ref().unwrap();
-    let unconfirmed = |id: &MachineId| lead.machines.get(id).unwrap().unconfirmed_token.is_some();
+    let leader_state = simulation.nodes[leader].core.leader.as_ref().unwrap();
+    let unconfirmed = |id: &MachineId| {
+        leader_state
+            .machines
+            .get(id)
+            .unwrap()
+            .unconfirmed_token
+            .is_some()
+    };
     assert!(
         machines_in_zone(&simulation, "b").iter().all(unconfirmed),
         "a new session says so"
@@ -58,8 +65,8 @@
         201
     );
     simulation.run(3.0);
-    let places = simulation.placements("wk-000009");
-    let used = places
+    let placements = simulation.placements("wk-000009");
+    let used = placements
         .iter()
         .filter(|(m, _)| simulation.workers[m].zone == "b");
     assert_eq!(used.count(), 4, "it is used again");
@@ -94,14 +101,14 @@
         simulation.leader().is_some()
     });
     // What was answered as cancelled during it stays so.
-    let next = simulation.leader().unwrap();
+    let new_leader = simulation.leader().unwrap();
     assert_eq!(
-        simulation.submit(next, &unlimited_job("wk-000002", 4, 4.0, 60)),
+        simulation.submit(new_leader, &unlimited_job("wk-000002", 4, 4.0, 60)),
         201
     );
     simulation.run(1.0);
-    let answer = simulation.cancel(next, "wk-000002");
-    assert_eq!(answer, (200, Some(JobState::Cancelled)));
+    let response = simulation.cancel(new_leader, "wk-000002");
+    assert_eq!(response, (200, Some(JobState::Cancelled)));
     simulation.run_until_done("wk-000001", 50.0);
     assert!(
         machines_in_zone(&simulation, "b").len() >= 4,
@@ -112,10 +119,13 @@
 /// It reaches its workers, and neither the state service nor the other controllers.
 #[test]
 fn isolated_controller_releases_workers_in_time() {
-    for leads in [true, false] {
+    for is_leader in [true, false] {
         let (mut simulation, leader) = eight_machines(67);
-        let alone = if leads { leader } else { (leader + 1) % 3 };
-        simulation.workers.values_mut().for_each(|m| m.node = alone);
+        let isolated = if is_leader { leader } else { (leader + 1) % 3 };
+        simulation
+            .workers
+            .values_mut()
+            .for_each(|m| m.node = isolated);
         assert_eq!(
             simulation.submit(leader, &unlimited_job("wk-000001", 8, 4.0, 25)),
             201
@@ -123,25 +133,25 @@
         simulation.run(3.0);
         let starts = simulation.counters.starts;
         (
-            simulation.nodes[alone].store_link,
-            simulation.nodes[alone].peers_reachable,
+            simulation.nodes[isolated].store_link,
+            simulation.nodes[isolated].peers_reachable,
         ) = (Link::Held, false);
         simulation.run(1.5);
         // Its users are answered at once.
-        let asked = simulation.now;
+        let submitted_at = simulation.now;
         assert_eq!(
-            simulation.submit(alone, &unlimited_job("wk-000002", 1, 1.0, 1)),
+            simulation.submit(isolated, &unlimited_job("wk-000002", 1, 1.0, 1)),
             503
         );
-        assert!(simulation.now - asked < Duration::from_millis(500));
+        assert!(simulation.now - submitted_at < Duration::from_millis(500));
         simulation.run_until(10.0, "another leads, and hears all", |simulation| {
-            simulation.leader().is_some_and(|l| l != alone)
-                && simulation.workers.values().all(|m| m.node != alone)
+            simulation.leader().is_some_and(|l| l != isolated)
+                && simulation.workers.values().all(|m| m.node != isolated)
         });
         simulation.run(5.0);
         (
-            simulation.nodes[alone].store_link,
-            simulation.nodes[alone].peers_reachable,
+            simulation.nodes[isolated].store_link,
+            simulation.nodes[isolated].peers_reachable,
         ) = (Link::Good, true);
         simulation.release_held();
         simulation.run_until_done("wk-000001", 40.0);
@@ -153,12 +163,13 @@
 }
 
 fn partition_outbound(simulation: &mut Simulation, every: usize, on: bool) -> Vec<MachineId> {
-    let some = simulation.workers.iter_mut().step_by(every);
-    some.map(|(id, m)| {
-        m.outbound_partitioned = on;
-        id.clone()
-    })
-    .collect()
+    let workers = simulation.workers.iter_mut().step_by(every);
+    workers
+        .map(|(id, m)| {
+            m.outbound_partitioned = on;
+            id.clone()
+        })
+        .collect()
 }
 
 /// Machines that reach no controller, while direct commands reach them: what they have is not started
@@ -195,12 +206,15 @@
         "stopped by a call"
     );
     assert!(simulation.nodes[leader].direct_calls > calls);
-    let there = |simulation: &Simulation, id: &str| {
-        let places = simulation.placements(id);
-        places.iter().filter(|(m, _)| silent.contains(m)).count()
+    let placed_on_silent = |simulation: &Simulation, id: &str| {
+        let placements = simulation.placements(id);
+        placements
+            .iter()
+            .filter(|(m, _)| silent.contains(m))
+            .count()
     };
-    let lived: usize = (3..7)
-        .map(|n| there(&simulation, &format!("wk-{n:06}")))
+    let placed_early: usize = (3..7)
+        .map(|n| placed_on_silent(&simulation, &format!("wk-{n:06}")))
         .sum();
     let starts = simulation.counters.starts;
     simulation.run(2.0);
@@ -213,14 +227,14 @@
         );
         simulation.run(0.3);
         assert_eq!(
-            there(&simulation, &id),
+            placed_on_silent(&simulation, &id),
             0,
             "{id} is started to die with the lease"
         );
         simulation.cancel(leader, &id);
         simulation.run(0.7);
     }
-    assert!(simulation.counters.starts > starts && lived < 5);
+    assert!(simulation.counters.starts > starts && placed_early < 5);
     simulation.run(20.0);
     partition_outbound(&mut simulation, 2, false);
     simulation.faults.cloud_down = false;
@@ -236,9 +250,9 @@
 /// controller inside may have led.
 #[test]
 fn partitioned_zone_adopts_outside_decisions() {
-    for leads in [true, false] {
+    for is_leader in [true, false] {
         let (mut simulation, leader) = eight_machines(950);
-        let inside = if leads { leader } else { (leader + 1) % 3 };
+        let inside_controller = if is_leader { leader } else { (leader + 1) % 3 };
         assert_eq!(
             simulation.submit(leader, &unlimited_job("wk-000001", 8, 4.0, 40)),
             201
@@ -249,31 +263,37 @@
         );
         simulation.run(3.0);
         (
-            simulation.nodes[inside].store_link,
-            simulation.nodes[inside].peers_reachable,
+            simulation.nodes[inside_controller].store_link,
+            simulation.nodes[inside_controller].peers_reachable,
         ) = (Link::Held, false);
         for m in simulation.workers.values_mut() {
-            let b = m.zone == "b";
-            m.partitioned_from = (0..3).filter(|n| (*n == inside) != b).collect();
-            m.node = if b { inside } else { (inside + 1) % 3 };
+            let in_b = m.zone == "b";
+            m.partitioned_from = (0..3)
+                .filter(|n| (*n == inside_controller) != in_b)
+                .collect();
+            m.node = if in_b {
+                inside_controller
+            } else {
+                (inside_controller + 1) % 3
+            };
         }
-        let next = simulation.run_until_other_leader(inside, 10.0);
-        while simulation.cancel(next, "wk-000002").1 != Some(JobState::Cancelled) {
+        let new_leader = simulation.run_until_other_leader(inside_controller, 10.0);
+        while simulation.cancel(new_leader, "wk-000002").1 != Some(JobState::Cancelled) {
             simulation.run(0.5);
         }
-        let there = |simulation: &Simulation| {
-            let places = simulation.placements("wk-000001");
-            places
+        let tasks_in_zone_b = |simulation: &Simulation| {
+            let placements = simulation.placements("wk-000001");
+            placements
                 .iter()
                 .filter(|(m, _)| simulation.workers[m].zone == "b")
                 .count()
         };
-        assert!(there(&simulation) > 0, "it holds some");
+        assert!(tasks_in_zone_b(&simulation) > 0, "it holds some");
         simulation.run(LEASE.as_secs_f64() + 4.0);
-        assert_eq!(there(&simulation), 0, "its leases have run out");
+        assert_eq!(tasks_in_zone_b(&simulation), 0, "its leases have run out");
         (
-            simulation.nodes[inside].store_link,
-            simulation.nodes[inside].peers_reachable,
+            simulation.nodes[inside_controller].store_link,
+            simulation.nodes[inside_controller].peers_reachable,
         ) = (Link::Good, true);
         simulation.heal_worker_partitions();
         simulation.release_held();
@@ -289,7 +309,7 @@
 
 /// Machines that reach no controller answer direct commands, again and again: they get no new work, which would
 /// die with their lease.
-fn commands_go_on_to_machines_without_heartbeats() {
+fn submit_while_machines_send_no_heartbeats() {
     let (mut simulation, leader) = eight_machines(1340);
     simulation.run(2.0);
     simulation.faults.cloud_down = true;
@@ -298,34 +318,34 @@
         simulation.workers.get_mut(id).unwrap().outbound_partitioned = true;
     }
     // Something is started and cancelled everywhere all the time, so that each machine answers.
-    let mut late = 0;
+    let mut late_starts = 0;
     for n in 0..24u32 {
         let id = format!("wk-{n:06}");
         let mut spec = unlimited_job(&id, 16, 1.0, 60);
         spec.priority = Priority::High;
         assert_eq!(simulation.submit(leader, &spec), 201);
         simulation.run(0.2);
-        let there = simulation
+        let started = simulation
             .placements(&id)
             .iter()
             .filter(|(m, _)| silent.contains(m))
             .count();
         if n > 14 {
-            late += there;
+            late_starts += started;
         }
         simulation.cancel(leader, &id);
         simulation.run(0.1);
     }
-    assert_eq!(late, 0, "work is started to die with the lease");
+    assert_eq!(late_starts, 0, "work is started to die with the lease");
 }
 
 #[test]
 fn machines_without_heartbeats_get_no_work() {
-    commands_go_on_to_machines_without_heartbeats();
+    submit_while_machines_send_no_heartbeats();
     fails_without(
         Safeguard::HeartbeatRequired,
         "work is started to die with the lease",
-        commands_go_on_to_machines_without_heartbeats,
+        submit_while_machines_send_no_heartbeats,
     );
 }
 
@@ -338,8 +358,8 @@
     // two only to the rest.
     let ids: Vec<_> = simulation.workers.keys().cloned().collect();
     for (i, id) in ids.iter().enumerate() {
-        let cut = (0..3).filter(|n| (*n == leader) != (i < 2));
-        simulation.workers.get_mut(id).unwrap().partitioned_from = cut.collect();
+        let partitioned_from = (0..3).filter(|n| (*n == leader) != (i < 2));
+        simulation.workers.get_mut(id).unwrap().partitioned_from = partitioned_from.collect();
     }
     simulation.nodes[leader].store_link = Link::Refused;
     simulation.nodes[leader].peers_reachable = false;
--- a/src/core/simulation/scenarios/scheduling.rs
+++ b/src/core/simulation/scenarios/scheduling.rs
@@ -58,32 +58,32 @@
 }
 
 #[test]
-fn large_guaranteed_and_low_rank_jobs_all_run() {
+fn large_guaranteed_and_low_priority_jobs_all_run() {
     let (mut simulation, leader) = four_machines(21);
     simulation.capacity.clear();
     // Small jobs keep coming; a task that needs a whole machine is not starved by them.
     let mut n = 100;
-    let mut feed = |simulation: &mut Simulation, team: &str, tasks: u32| {
+    let mut submit_small_job = |simulation: &mut Simulation, team: &str, tasks: u32| {
         n += 1;
         let mut spec = sample(&format!("wk-{n}"), tasks, 1.0, 4);
         spec.team = team.into();
         simulation.submit(leader, &spec);
     };
     for _ in 0..4 {
-        feed(&mut simulation, "t", 8);
+        submit_small_job(&mut simulation, "t", 8);
     }
     simulation.submit(leader, &sample("wk-1", 1, 4.0, 4));
     let mut low = sample("wk-2", 1, 1.0, 4);
     low.priority = Priority::Low;
     simulation.submit(leader, &low);
-    let mut own = sample("wk-3", 2, 4.0, 4);
-    own.team = "u".into();
-    let begun = simulation.now;
-    simulation.submit(leader, &own);
+    let mut guaranteed = sample("wk-3", 2, 4.0, 4);
+    guaranteed.team = "u".into();
+    let submitted_at = simulation.now;
+    simulation.submit(leader, &guaranteed);
     simulation.run_until_done("wk-3", 25.0);
-    assert!(simulation.now - begun < Duration::from_secs(15));
+    assert!(simulation.now - submitted_at < Duration::from_secs(15));
     for _ in 0..6 {
-        feed(&mut simulation, "t", 4);
+        submit_small_job(&mut simulation, "t", 4);
         simulation.run(2.0);
     }
     simulation.run_until_done("wk-1", 60.0);
@@ -96,9 +96,9 @@
 #[test]
 fn step_cost_with_thousand_machines_follows_changes() {
     let (mut simulation, leader) = thousand_machines(25, "large");
-    let looked = |simulation: &Simulation| {
-        let lead = simulation.nodes[leader].core.leader.as_ref().unwrap();
-        lead.cluster_snapshot.inspected()
+    let inspected = |simulation: &Simulation| {
+        let leader_state = simulation.nodes[leader].core.leader.as_ref().unwrap();
+        leader_state.cluster_snapshot.inspected()
     };
     let long_job = |id: &str, tasks, seconds| {
         let mut spec = sample(id, tasks, 4.0, seconds);
@@ -112,28 +112,34 @@
 
     // A planning and a provisioning step a second at least, and nothing to do: machines that report
     // nothing new are not looked at.
-    let (before, heartbeats) = (looked(&simulation), simulation.counters.heartbeats);
+    let (inspected_before, heartbeats) = (inspected(&simulation), simulation.counters.heartbeats);
     simulation.run(3.0);
     assert!(simulation.counters.heartbeats - heartbeats > 2000);
-    let spent = looked(&simulation) - before;
-    assert!(spent < 100, "{spent} for reports that tell nothing new");
+    let inspections = inspected(&simulation) - inspected_before;
+    assert!(
+        inspections < 100,
+        "{inspections} for reports that tell nothing new"
+    );
 
     // One more task finds the one place without a search among the others.
-    let before = looked(&simulation);
+    let inspected_before = inspected(&simulation);
     simulation.submit(leader, &long_job("wk-2", 1, 600));
     simulation.run(1.0);
     assert_eq!(simulation.placements("wk-2").len(), 1);
-    let spent = looked(&simulation) - before;
-    assert!(spent < 100, "{spent} for one task");
+    let inspections = inspected(&simulation) - inspected_before;
+    assert!(inspections < 100, "{inspections} for one task");
 
     // A queue of hundreds of tasks that fit nowhere: the ends that come within their patience
     // are looked at, which is none, and no machine is.
     simulation.submit(leader, &long_job("wk-3", 500, 600));
     simulation.run(1.0);
-    let before = looked(&simulation);
+    let inspected_before = inspected(&simulation);
     simulation.run(3.0);
-    let spent = looked(&simulation) - before;
-    assert!(spent < 200, "{spent} for a queue that must wait");
+    let inspections = inspected(&simulation) - inspected_before;
+    assert!(
+        inspections < 200,
+        "{inspections} for a queue that must wait"
+    );
 }
 
 /// Found on the first days at a larger scale: a thousand machines took a change of the state service each,
@@ -141,8 +147,8 @@
 #[test]
 fn thousand_machines_recorded_in_few_changes() {
     let (mut simulation, leader) = thousand_machines(26, "small");
-    let lead = simulation.nodes[leader].core.leader.as_ref().unwrap();
-    assert!(lead.machines.values().all(|m| m.recorded));
+    let leader_state = simulation.nodes[leader].core.leader.as_ref().unwrap();
+    assert!(leader_state.machines.values().all(|m| m.recorded));
     assert!(
         simulation.change_count() < 100,
         "{} changes",
@@ -154,11 +160,11 @@
         simulation.leader().is_some()
     });
     let leader = simulation.leader().unwrap();
-    let lead = simulation.nodes[leader].core.leader.as_ref().unwrap();
-    assert_eq!(lead.machines.values().count(), 1000);
+    let leader_state = simulation.nodes[leader].core.leader.as_ref().unwrap();
+    assert_eq!(leader_state.machines.values().count(), 1000);
     simulation.run_until(5.0, "all machines known", |simulation| {
-        let lead = simulation.nodes[leader].core.leader.as_ref();
-        lead.is_some_and(|l| l.recovery.is_complete())
+        let leader_state = simulation.nodes[leader].core.leader.as_ref();
+        leader_state.is_some_and(|l| l.recovery.is_complete())
     });
 }
 
@@ -166,20 +172,20 @@
 /// them without a response; the simulation checks where each task starts against where the others are.
 #[test]
 fn zone_bound_jobs_restart_where_allowed() {
-    for leader_ends in [true, false] {
+    for leader_fails in [true, false] {
         let (mut simulation, leader) = eight_machines(990);
         let spec = |n: u32, tasks| unlimited_job(&format!("wk-{n:06}"), tasks, 2.0, 25);
         let mut bound = spec(1, 4);
         bound.zone = Some("b".into());
-        let mut together = spec(2, 4);
-        together.one_zone = true;
-        let mut apart = spec(3, 5);
-        apart.spread = true;
-        for spec in [&bound, &together, &apart] {
+        let mut one_zone = spec(2, 4);
+        one_zone.one_zone = true;
+        let mut spread = spec(3, 5);
+        spread.spread = true;
+        for spec in [&bound, &one_zone, &spread] {
             assert_eq!(simulation.submit(leader, spec), 201);
         }
         simulation.run(3.0);
-        let hit: Vec<MachineId> = (1..4)
+        let affected: Vec<MachineId> = (1..4)
             .filter_map(|n| {
                 Some(
                     simulation
@@ -190,8 +196,8 @@
                 )
             })
             .collect();
-        assert!(!hit.is_empty());
-        for (n, id) in hit.iter().enumerate() {
+        assert!(!affected.is_empty());
+        for (n, id) in affected.iter().enumerate() {
             match n {
                 0 => {
                     simulation.workers.remove(id);
@@ -203,8 +209,8 @@
                 }
             }
         }
-        simulation.faults.cloud_down = leader_ends;
-        if leader_ends {
+        simulation.faults.cloud_down = leader_fails;
+        if leader_fails {
             simulation.kill(leader, Duration::from_secs(3));
         }
         simulation.run(14.0);
@@ -218,10 +224,10 @@
 
 /// More urgent work than room, over slow links: jobs of a low rank, on types that are dear to them, get what
 /// fits them and is free; nothing waits for a minute and a half where a machine has room.
-fn overload_with_urgent_work() {
+fn overload_with_high_priority_jobs() {
     crate::core::simulation::enable_log();
-    let text = "delegate = true\nidle_keep = 600";
-    let mut simulation = Simulation::with_policy(1001, Policy::parse("room", text).unwrap());
+    let policy = "delegate = true\nidle_keep = 600";
+    let mut simulation = Simulation::with_policy(1001, Policy::parse("room", policy).unwrap());
     simulation.capacity.clear();
     simulation.add_machines("small", 3);
     // At two and a half times the price for twice the room: dear to work that has no aim.
@@ -235,10 +241,10 @@
     let mut n = 0;
     for round in 0..70 {
         n += 1;
-        let mut urgent = unlimited_job(&format!("wk-{n:06}"), 3, 4.0, 4);
-        urgent.priority = Priority::High;
-        urgent.machine_types = Some(vec!["small".into()]);
-        simulation.submit(leader, &urgent);
+        let mut high = unlimited_job(&format!("wk-{n:06}"), 3, 4.0, 4);
+        high.priority = Priority::High;
+        high.machine_types = Some(vec!["small".into()]);
+        simulation.submit(leader, &high);
         if round == 3 {
             assert_eq!(simulation.submit(leader, &wide), 201);
             assert_eq!(simulation.submit(leader, &low), 201);
@@ -252,12 +258,12 @@
 }
 
 #[test]
-fn no_job_starves_while_machine_has_room() {
-    overload_with_urgent_work();
+fn no_job_starves_while_machine_has_capacity() {
+    overload_with_high_priority_jobs();
     fails_without(
         Safeguard::OverdueFirst,
         "waits for 90 s while",
-        overload_with_urgent_work,
+        overload_with_high_priority_jobs,
     );
 }
 
@@ -282,13 +288,13 @@
         "there is no room in its zone"
     );
     // An old copy was received first: the task is on record there, and where it really is as well.
-    let lead = simulation.nodes[leader].core.leader.as_mut().unwrap();
-    let run = lead.job_runs.get_mut("wk-000001").unwrap();
+    let leader_state = simulation.nodes[leader].core.leader.as_mut().unwrap();
+    let run = leader_state.job_runs.get_mut("wk-000001").unwrap();
     let index = *run.tasks.assigned().keys().next().unwrap();
     run.tasks.release(index);
     run.tasks.assign(index, &other);
     run.tasks.assign(index, &first);
-    lead.scheduler.plan_at_once();
+    leader_state.scheduler.plan_at_once();
     simulation.run(0.3);
     simulation.run_until_done("wk-000001", 60.0);
 }
@@ -304,27 +310,27 @@
 }
 
 /// More of a high rank than its team may use, without end: a job of a low rank begins within four minutes.
-fn a_low_rank_behind_more_than_the_limit() {
+fn low_priority_job_behind_full_team_limit() {
     let (mut simulation, leader) = eight_machines(1370);
     let mut low = sample("wk-900001", 4, 4.0, 5);
     low.priority = Priority::Low;
     let mut submitted = None;
     for n in 0..560u32 {
-        let mut urgent = sample(&format!("wk-{n:06}"), 1, 4.0, 8);
-        urgent.priority = Priority::High;
-        simulation.submit_without_waiting(leader, &urgent);
-        simulation.register_job(&urgent);
+        let mut high = sample(&format!("wk-{n:06}"), 1, 4.0, 8);
+        high.priority = Priority::High;
+        simulation.submit_without_waiting(leader, &high);
+        simulation.register_job(&high);
         simulation.run(0.6);
         if n == 117 {
             assert_eq!(simulation.submit(leader, &low), 201);
             submitted = Some(simulation.now);
         }
-        let begun = !simulation.placements("wk-900001").is_empty()
+        let started = !simulation.placements("wk-900001").is_empty()
             || simulation.any_task_completed("wk-900001");
         if let Some(at) = submitted {
             let waited = simulation.now - at;
             assert!(
-                begun || waited < Duration::from_secs(240),
+                started || waited < Duration::from_secs(240),
                 "it has not begun"
             );
         }
@@ -332,22 +338,22 @@
 }
 
 #[test]
-fn low_rank_job_starts_behind_full_team_limit() {
-    a_low_rank_behind_more_than_the_limit();
+fn low_priority_job_starts_behind_full_team_limit() {
+    low_priority_job_behind_full_team_limit();
     fails_without(
         Safeguard::LongestWaitingFirst,
         "it has not begun",
-        a_low_rank_behind_more_than_the_limit,
+        low_priority_job_behind_full_team_limit,
     );
 }
 
 /// Work of a higher rank that comes without end.
 #[test]
-fn large_low_rank_job_eventually_starts() {
+fn large_low_priority_job_eventually_starts() {
     let (mut simulation, leader) = eight_machines(69);
     let mut large = unlimited_job("wk-000001", 40, 4.0, 3);
     large.priority = Priority::Low;
-    let begun = simulation.now;
+    let submitted_at = simulation.now;
     for n in 0..110 {
         let mut small = unlimited_job(&format!("wk-{:06}", n + 2), 8, 4.0, 3);
         small.priority = Priority::High;
@@ -360,7 +366,7 @@
             break;
         }
     }
-    let waited = (simulation.now - begun).as_secs();
+    let waited = (simulation.now - submitted_at).as_secs();
     assert!(waited > 60, "the others go before it");
     assert!(waited < 160, "it begins after {waited} s");
 }
--- a/src/core/simulation/scenarios/size.rs
+++ b/src/core/simulation/scenarios/size.rs
@@ -25,13 +25,13 @@
 const SOCKETS: usize = 8000;
 const MEMORY_MB: f64 = 256.0;
 /// Tasks on each machine, as at the users' large size.
-const TASKS: usize = 19;
+const TASKS_PER_MACHINE: usize = 19;
 
 fn policy() -> Arc<Policy> {
     Arc::new(Policy::parse("size", "delegate = true\nidle_keep = 600").unwrap())
 }
 
-fn large(settings: Settings) -> Arc<Settings> {
+fn with_large_limits(settings: Settings) -> Arc<Settings> {
     Arc::new(Settings {
         max_sockets: SOCKETS,
         memory_mb: MEMORY_MB,
@@ -39,7 +39,7 @@
     })
 }
 
-fn machine(number: usize) -> MachineId {
+fn machine_id(number: usize) -> MachineId {
     format!("i-{number:06}").into()
 }
 
@@ -52,7 +52,7 @@
         checkpointed: None,
     };
     Box::new(Heartbeat {
-        machine: machine(number),
+        machine: machine_id(number),
         addr: "10.0.0.1:9000".into(),
         machine_type: "small".into(),
         zone: "a".into(),
@@ -61,12 +61,12 @@
         sequence: 1,
         fencing_token: 1,
         reclaim_in_s: None,
-        tasks: (0..TASKS).map(status).collect(),
+        tasks: (0..TASKS_PER_MACHINE).map(status).collect(),
     })
 }
 
 /// A controller that has read the store, in which nobody leads.
-fn without_leader(settings: Arc<Settings>) -> (Core, Now) {
+fn follower_without_leader(settings: Arc<Settings>) -> (Core, Now) {
     let now = Now {
         mono: Instant::now(),
         wall: SystemTime::UNIX_EPOCH + Duration::from_secs(1_700_000_000),
@@ -78,7 +78,7 @@
 }
 
 /// Heartbeats of so many machines at once; the tickets that are answered at once, with their status.
-fn heartbeats(core: &mut Core, now: Now, count: usize) -> Vec<(Ticket, u16, Option<u32>)> {
+fn receive_heartbeats(core: &mut Core, now: Now, count: usize) -> Vec<(Ticket, u16, Option<u32>)> {
     let heartbeat = |n: usize| Command::Heartbeat {
         ticket: n as Ticket + 1,
         heartbeat: heartbeat(n),
@@ -94,17 +94,17 @@
 }
 
 #[test]
-fn the_heartbeats_of_6000_machines_wait_for_the_next_leader() {
-    let (mut core, now) = without_leader(large(settings("n0", SETUP)));
-    assert_eq!(heartbeats(&mut core, now, MACHINES), []);
+fn heartbeats_of_6000_machines_wait_for_next_leader() {
+    let (mut core, now) = follower_without_leader(with_large_limits(settings("n0", SETUP)));
+    assert_eq!(receive_heartbeats(&mut core, now, MACHINES), []);
     assert_eq!(core.relay.waiting(), MACHINES);
     // Beyond what the settings allow, they are asked to come back, at once.
-    let few = Settings {
+    let limited = Settings {
         max_sockets: 2000,
         ..settings("n0", SETUP)
     };
-    let (mut core, now) = without_leader(Arc::new(few));
-    let refused = heartbeats(&mut core, now, MACHINES);
+    let (mut core, now) = follower_without_leader(Arc::new(limited));
+    let refused = receive_heartbeats(&mut core, now, MACHINES);
     assert_eq!(
         (core.relay.waiting(), refused.len()),
         (2000, MACHINES - 2000)
@@ -114,7 +114,7 @@
 }
 
 /// So many machines that are there, of which the store says that they may hold tasks.
-fn recorded(policy: Policy) -> Simulation {
+fn with_recorded_machines(policy: Policy) -> Simulation {
     let mut simulation = Simulation::with_policy(61, policy);
     simulation.capacity.clear();
     let zone = |n: usize| ["a", "b"][n % 2];
@@ -133,7 +133,7 @@
         simulation.external_put(&format!("burlusher/p/{n}"), page);
     }
     for node in &mut simulation.nodes {
-        node.core.settings = large((*node.core.settings).clone());
+        node.core.settings = with_large_limits((*node.core.settings).clone());
     }
     simulation
 }
@@ -141,8 +141,8 @@
 /// Nearly all have to be asked, as they send no heartbeats; a leader that is reached by nobody at all
 /// would resign.
 #[test]
-fn a_new_leader_asks_6000_machines_that_do_not_report() {
-    let mut simulation = recorded(Policy::parse("size", "delegate = false").unwrap());
+fn new_leader_probes_6000_machines_without_heartbeats() {
+    let mut simulation = with_recorded_machines(Policy::parse("size", "delegate = false").unwrap());
     let unreachable = simulation.workers.values_mut().skip(RESPONSIVE);
     unreachable.for_each(|m| m.outbound_partitioned = true);
     simulation.run_until(10.0, "a leader", |simulation| simulation.leader().is_some());
@@ -158,13 +158,13 @@
     };
     let mut rounds = 0;
     while unresolved(&simulation) > 0 {
-        let out = simulation.nodes[leader]
+        let in_flight = simulation.nodes[leader]
             .core
             .leader
             .as_ref()
             .unwrap()
             .direct_calls_in_flight;
-        assert!(out <= MAX_DIRECT_CALLS);
+        assert!(in_flight <= MAX_DIRECT_CALLS);
         simulation.tick();
         rounds += 1;
         assert!(
@@ -185,8 +185,8 @@
 }
 
 /// All controllers end, and all workers come to one of those that follow, which leads then, or doesn't.
-fn heartbeats_after_an_end_of_all(leads: bool) {
-    let mut simulation = recorded(Policy::parse("size", "delegate = true").unwrap());
+fn restart_all_controllers_under_heartbeats(followed_by_leader: bool) {
+    let mut simulation = with_recorded_machines(Policy::parse("size", "delegate = true").unwrap());
     simulation.run_until(10.0, "a leader", |simulation| simulation.leader().is_some());
     simulation.run(2.0);
     for node in 0..3 {
@@ -194,12 +194,12 @@
     }
     simulation.run(0.55);
     for node in &mut simulation.nodes {
-        node.core.settings = large((*node.core.settings).clone());
+        node.core.settings = with_large_limits((*node.core.settings).clone());
     }
     let now = simulation.now;
     let later = now + Duration::from_secs(20);
-    let others = if leads { 1..3 } else { 0..1 };
-    for node in &mut simulation.nodes[others] {
+    let delayed_nodes = if followed_by_leader { 1..3 } else { 0..1 };
+    for node in &mut simulation.nodes[delayed_nodes] {
         node.core.candidacy.delay_until(later);
     }
     for m in simulation.workers.values_mut() {
@@ -209,28 +209,31 @@
     assert_eq!(simulation.nodes[0].core.relay.waiting(), MACHINES);
     simulation.run_until(10.0, "a leader", |simulation| simulation.leader().is_some());
     let leader = simulation.leader().unwrap();
-    assert_eq!(leader == 0, leads);
+    assert_eq!(leader == 0, followed_by_leader);
     simulation.run_until(2.0, "all machines are known", |simulation| {
-        let lead = simulation.nodes[leader].core.leader.as_ref();
-        lead.is_some_and(|l| l.recovery.is_complete())
+        let leader_state = simulation.nodes[leader].core.leader.as_ref();
+        leader_state.is_some_and(|l| l.recovery.is_complete())
     });
-    let elsewhere = simulation.workers.values().filter(|m| m.node != 0).count();
+    let at_other_nodes = simulation.workers.values().filter(|m| m.node != 0).count();
     // Some are sent on, as loads are evened out.
-    assert!(elsewhere <= MACHINES / 5, "{elsewhere} were refused");
+    assert!(
+        at_other_nodes <= MACHINES / 5,
+        "{at_other_nodes} were refused"
+    );
 }
 
 #[test]
-fn after_an_end_of_all_6000_heartbeats_at_the_next_leader_are_answered() {
-    heartbeats_after_an_end_of_all(true);
+fn next_leader_answers_6000_heartbeats_after_restart_of_all_controllers() {
+    restart_all_controllers_under_heartbeats(true);
 }
 
 #[test]
-fn after_an_end_of_all_6000_heartbeats_at_a_follower_are_passed_on() {
-    heartbeats_after_an_end_of_all(false);
+fn follower_relays_6000_heartbeats_after_restart_of_all_controllers() {
+    restart_all_controllers_under_heartbeats(false);
 }
 
 /// The leader's answer to a frame: nothing to do for anybody.
-fn answer(batch: &heartbeat_batch::HeartbeatBatch) -> HeartbeatBatchResponse {
+fn empty_response(batch: &heartbeat_batch::HeartbeatBatch) -> HeartbeatBatchResponse {
     let response = |r: &RelayedHeartbeat| RelayedResponse {
         id: r.id,
         outcome: RelayedOutcome::Commands {
@@ -249,12 +252,12 @@
 }
 
 #[test]
-fn a_follower_passes_6000_waiting_heartbeats_on_well_before_they_are_too_old() {
-    let (mut core, mut now) = without_leader(large(settings("n0", SETUP)));
-    let begun = now.mono;
-    heartbeats(&mut core, now, MACHINES);
+fn follower_relays_6000_waiting_heartbeats_within_one_second() {
+    let (mut core, mut now) = follower_without_leader(with_large_limits(settings("n0", SETUP)));
+    let started_at = now.mono;
+    receive_heartbeats(&mut core, now, MACHINES);
     let leader = serde_json::json!({"name": "n1", "nonce": 2, "lease": 3});
-    let key = WatchEvent {
+    let leader_change = WatchEvent {
         put: Some("burlusher/leader".into()),
         value: leader,
         version: 2,
@@ -262,7 +265,7 @@
         lease: None,
     };
     let mut commands = vec![Command::StoreChanged {
-        events: vec![key],
+        events: vec![leader_change],
         revision: 2,
     }];
     let (mut frames, mut answered) = (0, 0);
@@ -271,8 +274,8 @@
             match effect {
                 Effect::HeartbeatBatch { number, frame, .. } => {
                     let (_, body) = peer::read_frame(&mut frame.as_slice()).unwrap();
-                    let answer = answer(&heartbeat_batch::decode_batch(&body).unwrap());
-                    let response = Some(Box::new(answer));
+                    let response = empty_response(&heartbeat_batch::decode_batch(&body).unwrap());
+                    let response = Some(Box::new(response));
                     commands.push(Command::HeartbeatBatchResponse { number, response });
                     frames += 1;
                 }
@@ -285,31 +288,31 @@
         }
         now.mono += Duration::from_millis(5);
         assert!(
-            now.mono < begun + Duration::from_secs(1),
+            now.mono < started_at + Duration::from_secs(1),
             "{answered} answered"
         );
     }
-    println!("{frames} frames in {:?}", now.mono - begun);
+    println!("{frames} frames in {:?}", now.mono - started_at);
 }
 
 /// The oldest cancellation of very many counts as long as something of it may run.
 #[test]
-fn a_team_stays_within_its_limit_however_many_jobs_were_cancelled_since() {
+fn team_limit_holds_after_6000_later_cancellations() {
     let (mut simulation, leader) = eight_machines(62);
     for n in 1..=6 {
         let id = format!("wk-{n:06}");
         assert_eq!(simulation.submit(leader, &sample(&id, 1, 4.0, 100)), 201);
     }
     simulation.run(3.0);
-    let (held, _) = simulation.placements("wk-000001")[0].clone();
+    let (partitioned_machine, _) = simulation.placements("wk-000001")[0].clone();
     simulation.faults.cloud_down = true;
-    simulation.partition_worker(&held);
+    simulation.partition_worker(&partitioned_machine);
     simulation.run(0.5);
     simulation.cancel_without_waiting(leader, "wk-000001");
     simulation.run(0.5);
-    let at = simulation.nodes[leader].core.now.wall;
-    let at = at.duration_since(SystemTime::UNIX_EPOCH).unwrap();
-    let later = JobValue::Ended {
+    let cancelled_at = simulation.nodes[leader].core.now.wall;
+    let cancelled_at = cancelled_at.duration_since(SystemTime::UNIX_EPOCH).unwrap();
+    let other_cancellation = JobValue::Ended {
         end: JobOutcome::Cancelled,
         residual_tasks: Some(ResidualTasks {
             team: "u".into(),
@@ -318,25 +321,28 @@
                 ..Resources::default()
             },
             tasks: 1,
-            cancelled_ms: at.as_millis() as u64 + 1,
+            cancelled_ms: cancelled_at.as_millis() as u64 + 1,
         }),
     };
-    let later = serde_json::to_value(later).unwrap();
+    let other_cancellation = serde_json::to_value(other_cancellation).unwrap();
     for n in 0..MACHINES {
-        simulation.external_put(&format!("burlusher/j/wk-{:06}", 100_000 + n), later.clone());
+        simulation.external_put(
+            &format!("burlusher/j/wk-{:06}", 100_000 + n),
+            other_cancellation.clone(),
+        );
     }
-    let terms = simulation.leadership_count();
+    let leaderships = simulation.leadership_count();
     simulation.kill(leader, Duration::from_secs(1));
     simulation.run_until(15.0, "another leadership", |simulation| {
-        simulation.leader().is_some() && simulation.leadership_count() > terms
+        simulation.leader().is_some() && simulation.leadership_count() > leaderships
     });
-    let next = simulation.leader().unwrap();
+    let new_leader = simulation.leader().unwrap();
     assert_eq!(
-        simulation.submit(next, &sample("wk-000011", 1, 4.0, 5)),
+        simulation.submit(new_leader, &sample("wk-000011", 1, 4.0, 5)),
         201
     );
     assert_eq!(
-        simulation.submit(next, &unlimited_job("wk-000012", 1, 1.0, 5)),
+        simulation.submit(new_leader, &unlimited_job("wk-000012", 1, 1.0, 5)),
         201
     );
     assert!(
--- a/src/core/simulation/scenarios/submissions.rs
+++ b/src/core/simulation/scenarios/submissions.rs
@@ -99,7 +99,7 @@
 /// Questions that take a read each, while nobody leads, are answered or refused at once, and
 /// leave the state service to submissions.
 #[test]
-fn query_storm_leaves_room_for_submissions() {
+fn query_burst_does_not_starve_submissions() {
     let (mut simulation, leader) = four_machines(28);
     simulation.submit(leader, &sample("wk-1", 2, 2.0, 30));
     simulation.run(1.0);
@@ -110,11 +110,11 @@
         simulation.send_request(other, UserAction::Show("wk-9".into()));
     }
     assert_eq!(simulation.submit(other, &sample("wk-1", 2, 2.0, 30)), 200);
-    let asked = simulation.query_burst(other, "wk-1", 200);
-    let read = asked.iter().filter(|s| **s == 200).count();
-    let refused = asked.iter().filter(|s| **s == 503).count();
-    assert!((1..20).contains(&read), "{read} reads");
-    assert_eq!(read + refused, 200);
+    let statuses = simulation.query_burst(other, "wk-1", 200);
+    let served = statuses.iter().filter(|s| **s == 200).count();
+    let refused = statuses.iter().filter(|s| **s == 503).count();
+    assert!((1..20).contains(&served), "{served} reads");
+    assert_eq!(served + refused, 200);
     assert_eq!(simulation.submit(other, &sample("wk-2", 1, 2.0, 3)), 201);
 }
 
@@ -144,14 +144,14 @@
 
 /// What users send that is odd: at every controller, with a leader and without one, in an outage too.
 #[test]
-fn odd_requests_answered_alike_everywhere() {
+fn invalid_and_repeated_requests_get_consistent_responses() {
     let (mut simulation, leader) = eight_machines(1030);
     let running = unlimited_job("wk-000001", 4, 2.0, 60);
-    let over = unlimited_job("wk-000002", 2, 1.0, 1);
+    let completed = unlimited_job("wk-000002", 2, 1.0, 1);
     assert_eq!(simulation.submit(leader, &running), 201);
-    assert_eq!(simulation.submit(leader, &over), 201);
+    assert_eq!(simulation.submit(leader, &completed), 201);
     simulation.run_until_done("wk-000002", 20.0);
-    let never: Vec<JobSpec> = [
+    let impossible: Vec<JobSpec> = [
         |j: &mut JobSpec| j.team = "nobody".into(),
         |j: &mut JobSpec| j.resources.cpus = 8.5,
         |j: &mut JobSpec| j.resources.ram = 33.0,
@@ -176,8 +176,8 @@
         spec
     })
     .collect();
-    for trouble in ["none", "no leader", "outage"] {
-        match trouble {
+    for condition in ["none", "no leader", "outage"] {
+        match condition {
             "no leader" => simulation.kill(leader, Duration::from_secs(2)),
             "outage" => {
                 simulation.run(10.0);
@@ -186,26 +186,32 @@
             }
             _ => {}
         }
-        let out = trouble == "outage";
-        let up: Vec<usize> = (0..3).filter(|n| simulation.nodes[*n].up).collect();
-        for node in up {
-            for spec in &never {
+        let in_outage = condition == "outage";
+        let running_nodes: Vec<usize> = (0..3).filter(|n| simulation.nodes[*n].up).collect();
+        for node in running_nodes {
+            for spec in &impossible {
                 let status = simulation.submit(node, spec);
-                let right = status == 422 || (trouble != "none" && matches!(status, 503 | 0));
-                assert!(right, "{trouble}, {node}, {}: {status}", spec.id);
+                let expected = status == 422 || (condition != "none" && matches!(status, 503 | 0));
+                assert!(expected, "{condition}, {node}, {}: {status}", spec.id);
             }
-            for known in [&running, &over] {
-                let mut other = known.clone();
-                (other.team, other.tasks) = ("nobody".into(), 9);
-                for spec in [known, &other] {
+            for known in [&running, &completed] {
+                let mut modified = known.clone();
+                (modified.team, modified.tasks) = ("nobody".into(), 9);
+                for spec in [known, &modified] {
                     let status = simulation.submit(node, spec);
-                    let right = status == 200 || (trouble != "none" && matches!(status, 503 | 0));
-                    assert!(right, "{trouble}, {node}, repeated {}: {status}", spec.id);
+                    let expected =
+                        status == 200 || (condition != "none" && matches!(status, 503 | 0));
+                    assert!(
+                        expected,
+                        "{condition}, {node}, repeated {}: {status}",
+                        spec.id
+                    );
                 }
             }
-            let done = simulation.cancel(node, "wk-000002");
-            let right = done == (200, Some(JobState::Done)) || out && done.0 == 503;
-            assert!(right, "{trouble}, {node}: {done:?}");
+            let cancelled = simulation.cancel(node, "wk-000002");
+            let expected =
+                cancelled == (200, Some(JobState::Done)) || in_outage && cancelled.0 == 503;
+            assert!(expected, "{condition}, {node}: {cancelled:?}");
         }
     }
     simulation.set_store_outage(false);
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -4,11 +4,11 @@
 use std::path::Path;
 use std::process::{Command, Stdio};
 
-const ALL: &str =
+const TEST_NAMES: &str =
     "core::a::one\ncore::a::two\ncore::b::three\nsettings::four\ntests::twin\ntests::twin\n";
 
 /// Returns the names that CI skips for this list, or the reason for which the list is refused.
-fn read(file: &str, list: Option<&str>) -> Result<String, String> {
+fn run_known_red(file: &str, list: Option<&str>) -> Result<String, String> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(file);
     let _ = std::fs::remove_file(&path);
@@ -23,45 +23,45 @@
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    let mut names = script.stdin.take().unwrap();
-    names.write_all(ALL.as_bytes()).unwrap();
-    drop(names);
-    let out = script.wait_with_output().unwrap();
+    let mut stdin = script.stdin.take().unwrap();
+    stdin.write_all(TEST_NAMES.as_bytes()).unwrap();
+    drop(stdin);
+    let output = script.wait_with_output().unwrap();
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
-    if out.status.success() {
-        Ok(text(&out.stdout))
+    if output.status.success() {
+        Ok(text(&output.stdout))
     } else {
-        Err(text(&out.stderr))
+        Err(text(&output.stderr))
     }
 }
 
 #[test]
-fn ci_skips_exactly_the_tests_of_a_well_formed_list() {
-    assert_eq!(read("none", None).unwrap(), "");
+fn ci_skips_exactly_the_listed_tests() {
+    assert_eq!(run_known_red("none", None).unwrap(), "");
     let list = "core::a::two | cargo test two, seed 5 | a cause, in words | #32\n\
                 settings::four | cargo test four | another | #7\n";
     assert_eq!(
-        read("two", Some(list)).unwrap(),
+        run_known_red("two", Some(list)).unwrap(),
         "core::a::two\nsettings::four\n"
     );
     let entry = |name: &str| format!("{name} | cargo test | seen | #32\n");
-    let four = [
+    let all_listed = [
         "core::a::one",
         "core::a::two",
         "core::b::three",
         "settings::four",
     ];
     assert_eq!(
-        read("four", Some(&four.map(entry).concat())).unwrap(),
-        four.map(|name| format!("{name}\n")).concat()
+        run_known_red("all_listed", Some(&all_listed.map(entry).concat())).unwrap(),
+        all_listed.map(|name| format!("{name}\n")).concat()
     );
 }
 
 #[test]
 fn a_list_with_an_invalid_entry_is_refused() {
-    let refused = |file: &str, list: &str, why: &str| {
-        let error = read(file, Some(list)).unwrap_err();
-        assert!(error.contains(why), "{file}: {error}");
+    let refused = |file: &str, list: &str, expected: &str| {
+        let error = run_known_red(file, Some(list)).unwrap_err();
+        assert!(error.contains(expected), "{file}: {error}");
     };
     let entry = |name: &str| format!("{name} | cargo test | seen | #32\n");
     refused("unknown", &entry("core::a::five"), "is no test");
--- a/tests/layers.rs
+++ b/tests/layers.rs
@@ -1,4 +1,4 @@
-//! Imports of the controller go downwards between its layers, and its files do not import each other in a circle.
+//! Imports of the controller go downwards between its layers, and its files do not import each other in a cycle.
 //!
 //! Only the text of the sources is read: `use` items, and paths in code that begin with `crate`, `super` or `self`.
 //! Tests (`tests.rs`) and the simulated cluster (`src/core/simulation`) are left out.
@@ -61,13 +61,13 @@
         let modules = files
             .into_iter()
             .filter(|(file, _)| is_program_source(file))
-            .map(|(file, text)| (module_of(&file), Source { file, text }))
+            .map(|(file, text)| (module_path_of(&file), Source { file, text }))
             .collect();
         Sources { modules }
     }
 
     /// From all files below a folder.
-    fn read(folder: &Path) -> Sources {
+    fn read_dir(folder: &Path) -> Sources {
         let mut files = Vec::new();
         let mut folders = vec![folder.to_path_buf()];
         while let Some(next) = folders.pop() {
@@ -85,8 +85,8 @@
     }
 
     fn imports(&self) -> Vec<Import> {
-        let of_module = |(from, source): (&ModulePath, &Source)| {
-            let resolved = written_paths(&source.text).into_iter().filter_map(|text| {
+        let imports_of = |(from, source): (&ModulePath, &Source)| {
+            let resolved = imported_paths(&source.text).into_iter().filter_map(|text| {
                 let to = self.resolve(from, &text)?;
                 (to != *from).then(|| Import {
                     from: from.clone(),
@@ -96,7 +96,7 @@
             });
             resolved.collect::<Vec<_>>()
         };
-        self.modules.iter().flat_map(of_module).collect()
+        self.modules.iter().flat_map(imports_of).collect()
     }
 
     /// The module that a path written in `from` leads into; `None` for another crate's.
@@ -161,11 +161,11 @@
         out
     }
 
-    /// A shortest circle through each group of files that import each other.
-    fn circles(&self) -> Vec<String> {
+    /// A shortest cycle through each group of files that import each other.
+    fn cycles(&self) -> Vec<String> {
         let mut graph: BTreeMap<ModulePath, BTreeMap<ModulePath, Import>> = BTreeMap::new();
         for import in self.imports() {
-            if !are_parent_and_child(&import.from, &import.to) {
+            if !one_contains_other(&import.from, &import.to) {
                 let targets = graph.entry(import.from.clone()).or_default();
                 targets.entry(import.to.clone()).or_insert(import);
             }
@@ -176,10 +176,10 @@
             if reported.contains(start) {
                 continue;
             }
-            if let Some(circle) = shortest_circle(&graph, start) {
-                reported.extend(circle.iter().map(|import| import.from.clone()));
-                let lines: Vec<_> = circle.iter().map(|i| self.describe(i)).collect();
-                out.push(format!("circle:\n    {}", lines.join("\n    ")));
+            if let Some(cycle) = shortest_cycle(&graph, start) {
+                reported.extend(cycle.iter().map(|import| import.from.clone()));
+                let lines: Vec<_> = cycle.iter().map(|i| self.describe(i)).collect();
+                out.push(format!("cycle:\n    {}", lines.join("\n    ")));
             }
         }
         out
@@ -192,7 +192,7 @@
 }
 
 /// `core/store/mod.rs` and `core/store.rs` are the module `core::store`, `lib.rs` is the root.
-fn module_of(file: &str) -> ModulePath {
+fn module_path_of(file: &str) -> ModulePath {
     let stem = file.strip_suffix(".rs").unwrap_or(file);
     let stem = stem.strip_suffix("/mod").unwrap_or(stem);
     if stem == "lib" {
@@ -208,11 +208,11 @@
 }
 
 /// Whether one module lies within the other, at whatever depth.
-fn are_parent_and_child(one: &ModulePath, other: &ModulePath) -> bool {
+fn one_contains_other(one: &ModulePath, other: &ModulePath) -> bool {
     one.starts_with(other) || other.starts_with(one)
 }
 
-fn shortest_circle(
+fn shortest_cycle(
     graph: &BTreeMap<ModulePath, BTreeMap<ModulePath, Import>>,
     start: &ModulePath,
 ) -> Option<Vec<Import>> {
@@ -225,13 +225,13 @@
             }
             reached_by.insert(target, import);
             if target == start {
-                let mut circle = vec![import.clone()];
-                while circle.last().is_some_and(|i| i.from != *start) {
-                    let from = &circle[circle.len() - 1].from;
-                    circle.push(reached_by[from].clone());
+                let mut cycle = vec![import.clone()];
+                while cycle.last().is_some_and(|i| i.from != *start) {
+                    let from = &cycle[cycle.len() - 1].from;
+                    cycle.push(reached_by[from].clone());
                 }
-                circle.reverse();
-                return Some(circle);
+                cycle.reverse();
+                return Some(cycle);
             }
             queue.push_back(target);
         }
@@ -240,7 +240,7 @@
 }
 
 /// All paths of `use` items, groups expanded, and paths in code that say where they begin.
-fn written_paths(text: &str) -> Vec<String> {
+fn imported_paths(text: &str) -> Vec<String> {
     let text = without_comments(text);
     let mut code = String::new();
     let mut out = Vec::new();
@@ -265,12 +265,12 @@
         }
     }
     let words = code.split(|c: char| !(c.is_alphanumeric() || c == '_' || c == ':'));
-    let anchored = words.filter(|word| {
+    let absolute = words.filter(|word| {
         ["crate::", "super::", "self::", "burlusher::"]
             .iter()
-            .any(|anchor| word.starts_with(anchor))
+            .any(|prefix| word.starts_with(prefix))
     });
-    out.extend(anchored.map(|w| w.trim_end_matches(':').to_string()));
+    out.extend(absolute.map(|w| w.trim_end_matches(':').to_string()));
     out
 }
 
@@ -326,21 +326,21 @@
 
 /// The text less its line comments; a `//` within quotation marks is none.
 fn without_comments(text: &str) -> String {
-    let uncommented = |line: &str| {
+    let strip_comment = |line: &str| {
         let comment = line
             .match_indices("//")
             .find(|(at, _)| line[..*at].matches('"').count().is_multiple_of(2));
         let end = comment.map_or(line.len(), |(at, _)| at);
         format!("{}\n", &line[..end])
     };
-    text.lines().map(uncommented).collect()
+    text.lines().map(strip_comment).collect()
 }
 
 fn program() -> Sources {
-    Sources::read(&Path::new(env!("CARGO_MANIFEST_DIR")).join("src"))
+    Sources::read_dir(&Path::new(env!("CARGO_MANIFEST_DIR")).join("src"))
 }
 
-fn made_up(files: &[(&str, &str)]) -> Sources {
+fn sample_sources(files: &[(&str, &str)]) -> Sources {
     Sources::new(
         files
             .iter()
@@ -349,15 +349,15 @@
 }
 
 #[test]
-fn imports_go_downwards() {
+fn no_module_imports_from_layer_above() {
     let violations = program().layer_violations();
     assert!(violations.is_empty(), "\n{}", violations.join("\n"));
 }
 
 #[test]
-fn files_import_each_other_in_no_circle() {
-    let circles = program().circles();
-    assert!(circles.is_empty(), "\n{}", circles.join("\n"));
+fn imports_form_no_cycle() {
+    let cycles = program().cycles();
+    assert!(cycles.is_empty(), "\n{}", cycles.join("\n"));
 }
 
 #[test]
@@ -370,8 +370,8 @@
 }
 
 #[test]
-fn made_up_upward_imports_are_found() {
-    let sources = made_up(&[
+fn sample_upward_imports_are_found() {
+    let sources = sample_sources(&[
         ("lib.rs", "pub mod core;\npub mod service;"),
         ("main.rs", "use burlusher::{core, service::run};"),
         (
@@ -392,12 +392,12 @@
         ("core/simulation/mod.rs", "use crate::service::run;"),
         ("wire.rs", "pub(crate) use super::http::Answer;"),
         ("http.rs", "use std::service::x;\nuse service::y;"),
-        ("themed.rs", ""),
+        ("unlayered.rs", ""),
     ]);
     assert_eq!(
         sources.layer_violations(),
         [
-            "themed.rs: in no layer",
+            "unlayered.rs: in no layer",
             "upwards: core/store/mod.rs: crate::service::inbox::wait (service/inbox.rs)",
             "upwards: core/store/cache.rs: crate::service::Limit (service.rs)",
             "upwards: core/store/cache.rs: crate::service::inbox (service/inbox.rs)",
@@ -407,8 +407,8 @@
 }
 
 #[test]
-fn made_up_circles_are_found() {
-    let sources = made_up(&[
+fn sample_cycles_are_found() {
+    let sources = sample_sources(&[
         // A parent and its child may import each other.
         (
             "core/mod.rs",
@@ -427,8 +427,8 @@
         ("core/alone.rs", "use crate::core::leader::Term;"),
     ]);
     assert_eq!(
-        sources.circles(),
-        ["circle:\n    \
+        sources.cycles(),
+        ["cycle:\n    \
           core/jobs.rs: crate::core::store::keys::KEY (core/store/keys.rs)\n    \
           core/store/keys.rs: super::super::leader::Term (core/leader.rs)\n    \
           core/leader.rs: crate::core::jobs::A (core/jobs.rs)"]
