--- a/src/core/simulation/scenarios/outages.rs
+++ b/src/core/simulation/scenarios/outages.rs
@@ -6,7 +6,7 @@
 use crate::wire::JobState;
 
 #[test]
-fn store_outage_defers_answers_and_loses_no_work() {
+fn store_outage_defers_responses_and_loses_no_work() {
     let (mut simulation, leader) = four_machines(12);
     simulation.submit(leader, &sample("wk-1", 4, 2.0, 4));
     simulation.run(1.0);
