--- a/examples/plot_takeover.rs
+++ b/examples/plot_takeover.rs
@@ -1,5 +1,5 @@
-//! Draws `docs/takeover.svg` from `docs/takeover.csv`: how long a takeover takes against the number of
-//! machines, with reports taken by the leader alone and by every controller.
+//! Draws `docs/takeover.svg` from `docs/takeover.csv`: the duration of a takeover against the number of machines, with
+//! heartbeats received by the leader alone and by every controller.
 
 use plotters::prelude::*;
 use std::error::Error;
@@ -7,7 +7,7 @@
 const DATA: &str = "docs/takeover.csv";
 const CHART: &str = "docs/takeover.svg";
 
-/// Machines against milliseconds, of one column, for one setting.
+/// Reads one column as points of machine count and milliseconds, from the rows with this value of `delegate`.
 fn read_series(text: &str, name: &str, delegate: &str) -> Result<Vec<(f64, f64)>, Box<dyn Error>> {
     let mut lines = text.lines();
     let header: Vec<&str> = lines.next().unwrap_or_default().split(',').collect();
--- a/src/core/simulation/scenarios/old_heartbeats.rs
+++ b/src/core/simulation/scenarios/old_heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats that are old, repeated or of an earlier incarnation of their machine.
+//! Delayed, duplicated and forged heartbeats, and heartbeats of an earlier incarnation of a machine.
 
 use super::{eight_machines, four_machines, machines_in_zone, unlimited_job};
 use crate::core::simulation::{Simulation, fails_without};
@@ -7,8 +7,9 @@
 use crate::wire::{Heartbeat, JobState};
 use std::time::Duration;
 
-/// Heartbeats made before tasks were started reach every controller as the next leader begins, before its first
-/// answer, and before the machines themselves are in contact: they prove nothing about what is there.
+/// Delivers heartbeats from before a job's tasks started to every controller when a new leader takes over, before
+/// the leader's first response and before it is in contact with the machines. Such heartbeats do not prove that the
+/// tasks are gone, so the new leader must not start the tasks again.
 fn replay_old_heartbeats_at_takeover() {
     let (mut simulation, leader) = eight_machines(1200);
     assert_eq!(
@@ -16,7 +17,7 @@
         201
     );
     simulation.run(3.0);
-    // Heartbeats of idle machines, with incarnations that go on.
+    // Heartbeats of idle machines, whose incarnations continue.
     let idle: Vec<MachineId> = (simulation
         .workers
         .iter()
@@ -24,7 +25,7 @@
     .map(|(id, _)| id.clone())
     .collect();
     assert_eq!(idle.len(), 5);
-    // They say that their machines are to be taken: nothing new is started on these.
+    // The heartbeats announce that the provider reclaims the machines, so no task is started on these machines.
     let old_heartbeats = idle.iter().map(|id| Heartbeat {
         reclaim_in_s: Some(60.0),
         ..simulation.heartbeat_of(id)
@@ -36,7 +37,7 @@
     );
     simulation.run(0.3);
     assert_eq!(simulation.placements("wk-000002").len(), 5);
-    // Their heartbeats do not arrive from now on, and they can't be asked or deleted.
+    // From now on these machines' heartbeats are lost, and the machines can be neither probed nor deleted.
     simulation.faults.cloud_down = true;
     for id in &idle {
         simulation.partition_worker(id);
@@ -52,11 +53,11 @@
     simulation.run(7.0);
     assert!(
         simulation.counters.heartbeats_replayed >= 10,
-        "none was delivered"
+        "no old heartbeat was delivered"
     );
     assert_eq!(
         simulation.counters.starts, 8,
-        "started elsewhere though nothing proves that it is gone"
+        "a task was started again although nothing proves that the first attempt is gone"
     );
     simulation.heal_worker_partitions();
     simulation.faults.cloud_down = false;
@@ -73,8 +74,8 @@
     );
 }
 
-/// The same through six changes of leader, with every heartbeat of some seconds kept for the next, machines that
-/// begin anew in between, and a follower that answers under a grant.
+/// Six changes of leader: half of each round's heartbeats are replayed at the next takeover, machines restart in
+/// between, and a follower answers heartbeats under a grant from the leader.
 #[test]
 fn repeated_takeovers_with_old_heartbeats_start_no_task_twice() {
     let (mut simulation, _) = eight_machines(1210);
@@ -101,7 +102,7 @@
         simulation.run(6.0);
         assert!(
             simulation.counters.heartbeats_replayed > replayed_before,
-            "round {n}: none was kept"
+            "round {n}: no heartbeat was replayed"
         );
         replayed_before = simulation.counters.heartbeats_replayed;
     }
@@ -113,7 +114,7 @@
 #[test]
 fn late_duplicates_change_nothing() {
     let (mut simulation, leader) = eight_machines(63);
-    // From a tenth of a second to three leases late, to any controller.
+    // Copies are delivered 3 to 30 s late, which is up to three leases, to any controller.
     simulation.faults.duplicate_delay = Duration::from_secs(30);
     let mut accepted = Vec::new();
     for n in 0..8 {
@@ -137,14 +138,14 @@
             simulation.run_until_done(id, 60.0);
         }
     }
-    // All of them have come, and nothing is started for them.
+    // By then all duplicates have been delivered, and none of them caused a start.
     let starts = simulation.counters.starts;
     simulation.run(40.0);
     assert_eq!(simulation.counters.starts, starts);
 }
 
-/// A machine was returned, and the next leader does not know its name: a heartbeat of it that comes now made
-/// it a machine again, and stopped what it once held wherever that runs now.
+/// Guards against an old heartbeat of a deleted machine that reaches a leader without a record of the machine: the
+/// leader used to register the machine again, and stopped the machine's former tasks where they ran by then.
 #[test]
 fn old_heartbeat_does_not_revive_deleted_machine() {
     let (mut simulation, leader) = eight_machines(64);
@@ -156,7 +157,7 @@
     let (id, _) = simulation.placements("wk-000001")[0].clone();
     let old_heartbeat = simulation.heartbeat_of(&id);
     simulation.workers.remove(&id);
-    simulation.run_until(40.0, "it starts elsewhere", |simulation| {
+    simulation.run_until(40.0, "the task starts on another machine", |simulation| {
         simulation.placements("wk-000001").len() == 1
     });
     simulation.run(20.0);
@@ -165,7 +166,7 @@
         simulation.leader().is_some()
     });
     let new_leader = simulation.leader().unwrap();
-    // It comes before the next heartbeat of the machine that has the task now.
+    // The old heartbeat arrives before the next one of the machine that now runs the task.
     simulation.deliver_heartbeat(new_leader, old_heartbeat.clone());
     simulation.run(0.2);
     let leader_state = simulation.nodes[new_leader].core.leader.as_ref().unwrap();
@@ -179,7 +180,8 @@
     simulation.run_until_done("wk-000001", 70.0);
 }
 
-/// Empty and counting from one, its heartbeats were taken for old ones until it was given up.
+/// Guards against a restarted machine whose heartbeats, without tasks and possibly with the incarnation counted from
+/// one again, were mistaken for old ones until the leader gave the machine up.
 #[test]
 fn restarted_machine_distinguished_from_old_heartbeat() {
     for from_one in [true, false] {
@@ -198,7 +200,7 @@
         assert_eq!(
             simulation.counters.starts,
             before + 1,
-            "its task starts again, once"
+            "the machine's task starts again exactly once"
         );
         simulation.run_until_done("wk-000001", 30.0);
         assert_eq!(
@@ -208,8 +210,8 @@
     }
 }
 
-/// A new leader receives an old copy first: the task was there once. When that machine showed that it has
-/// nothing, the task was started a third time, and stopped where it ran.
+/// Guards against an old heartbeat that is the first one a new leader receives and that shows a task on its former
+/// machine: when this machine then reported no tasks, the task was started a third time and stopped where it ran.
 #[test]
 fn old_heartbeat_at_new_leader_moves_no_task() {
     let (mut simulation, leader) = eight_machines(84);
@@ -248,11 +250,14 @@
         .partitioned_from
         .clear();
     simulation.run_until_done("wk-000001", 60.0);
-    assert_eq!(simulation.counters.starts, 2, "started once more");
+    assert_eq!(
+        simulation.counters.starts, 2,
+        "the task was started a third time"
+    );
 }
 
-/// A token that nobody gave passed for the sign of a store that has lost data: the leader gave up, and all
-/// was rebuilt.
+/// Guards against a heartbeat with a fencing token that no leader issued: it was taken as evidence that the store had
+/// lost data, so the leader stepped down and the store was rebuilt.
 #[test]
 fn forged_heartbeat_changes_nothing() {
     let (mut simulation, leader) = eight_machines(87);
@@ -284,8 +289,9 @@
     );
 }
 
-/// A machine that had begun anew, and counted from one, was taken for older than a late copy of its
-/// previous process: what was given to it since counted as lost, and was started elsewhere while it ran.
+/// Guards against a late heartbeat of a machine's previous process, when the restarted machine counts incarnations
+/// from one again: the late heartbeat was taken for the newer one, so tasks started since the restart counted as lost
+/// and were started on other machines while they still ran.
 #[test]
 fn old_heartbeat_from_earlier_incarnation_ignored() {
     let (mut simulation, leader) = eight_machines(88);
@@ -321,14 +327,15 @@
     assert_eq!(simulation.counters.starts, 7);
 }
 
-/// Found by randomized schedules: a machine that received nothing of a new leader began another
-/// incarnation, which has a whole lease. When it was asked and known at last, its lease was counted from the last answer
-/// to an earlier one; what was then started on it was given up at once, and started elsewhere while it ran.
+/// Guards against a fault found by randomized schedules. A machine that received nothing from a new leader began
+/// another incarnation, which holds a full lease. Once probed, the machine's lease was counted from the last
+/// response to the earlier incarnation: tasks then started on the machine were given up at once, and started on other
+/// machines while they still ran.
 #[test]
 fn new_incarnation_has_lease_from_its_start() {
     let (mut simulation, leader) = eight_machines(85);
     let id = simulation.workers.keys().next().unwrap().clone();
-    // With its whole zone, as single ones are given up.
+    // The partition affects the whole zone, because single unreachable machines are given up.
     let zone = simulation.workers[&id].zone.clone();
     let in_zone = simulation.workers.values_mut().filter(|m| m.zone == zone);
     in_zone.for_each(|m| m.inbound_partitioned = true);
@@ -339,20 +346,20 @@
     });
     let new_leader = simulation.leader().unwrap();
     simulation.run(7.0);
-    // Shortly before the lease has run out that its last answer may have given it, it begins anew.
+    // The machine restarts shortly before the lease expires that the last response may have granted.
     let leader_state = simulation.nodes[new_leader].core.leader.as_ref().unwrap();
     let last_renewal = leader_state.machines.get(&id).unwrap().lease_renewed;
-    simulation.run_until(15.0, "its lease", |simulation| {
+    simulation.run_until(15.0, "the end of the lease", |simulation| {
         simulation.now > last_renewal + Duration::from_secs(11)
     });
     simulation.reboot(&id, false);
     let m = simulation.workers.get_mut(&id).unwrap();
-    // It receives again, and is asked; its own heartbeats do not come through for a while.
+    // The machine receives again and is probed; it sends no heartbeat of its own for a while.
     (m.inbound_partitioned, m.next_heartbeat) = (false, simulation.now + Duration::from_secs(5));
     let leader_state = simulation.nodes[new_leader].core.leader.as_mut().unwrap();
     assert!(
         leader_state.machines.get(&id).unwrap().unresolved,
-        "too late"
+        "the machine was resolved before the probe"
     );
     leader_state.recovery.probe_next(id.clone());
     simulation.run(0.1);
@@ -373,8 +380,8 @@
     assert_eq!(simulation.counters.starts, 5);
 }
 
-/// Seen in a recorded day: heartbeats that a partition had held came when the machines' leases had run out, and
-/// tasks that had been started elsewhere meanwhile were taken for being there still.
+/// Guards against a fault seen in a recorded day: heartbeats delayed by a partition arrived after the machines' leases
+/// had expired, and tasks since started on other machines were assumed to run on the first machines still.
 #[test]
 fn heartbeat_after_incarnation_end_ignored() {
     let (mut simulation, leader) = four_machines(48);
--- a/src/core/simulation/scenarios/outages.rs
+++ b/src/core/simulation/scenarios/outages.rs
@@ -13,7 +13,7 @@
     simulation.set_store_links(Link::Refused);
     simulation.run(2.0);
     assert_eq!(simulation.submit(leader, &sample("wk-2", 1, 2.0, 4)), 503);
-    // Shorter than the workers' leases, so that no finished work is lost.
+    // The outage is shorter than the workers' leases, so no finished work is lost.
     simulation.run(4.0);
     for node in 0..3 {
         assert_eq!(simulation.show(node, "wk-1").0, 503);
@@ -40,8 +40,8 @@
     simulation.run_until_done("wk-2", 20.0);
 }
 
-/// After an outage of the state service the leader has its lease still; it resigned at once, for it
-/// had received no heartbeat while it could answer none, and the next one had to ask every machine.
+/// Guards against a leader that stepped down right after an outage of the state service although its lease was still
+/// valid: it had received no heartbeats while it could answer none. The next leader then had to probe every machine.
 #[test]
 fn leader_keeps_leading_after_store_outage() {
     let (mut simulation, leader) = thousand_machines(50, "small");
--- a/src/core/simulation/scenarios/partitions.rs
+++ b/src/core/simulation/scenarios/partitions.rs
@@ -12,7 +12,8 @@
     workers.for_each(|m| m.inbound_partitioned = partitioned);
 }
 
-/// Work was given to machines that look idle and receive nothing, again in each of their incarnations.
+/// Guards against tasks being placed on machines that receive nothing but whose heartbeats make them look idle: this
+/// happened again in each of the machines' incarnations.
 #[test]
 fn inbound_partitioned_zone_gets_no_work() {
     let (mut simulation, leader) = eight_machines(61);
@@ -23,7 +24,7 @@
     simulation.run(2.0);
     partition_inbound(&mut simulation, "b", true);
     let before = simulation.counters.starts;
-    // What runs there is gone when its lease has run out, and only then starts elsewhere.
+    // Tasks in the zone end when the machines' leases expire, and only then start on other machines.
     simulation.run(9.0);
     assert_eq!(simulation.counters.starts, before);
     simulation.run(4.0);
@@ -38,10 +39,10 @@
     };
     assert!(
         machines_in_zone(&simulation, "b").iter().all(unconfirmed),
-        "a new session says so"
+        "a machine that receives nothing counts as having confirmed its fencing token"
     );
     simulation.run_until_done("wk-000001", 40.0);
-    // Work that comes now is not tried there for long.
+    // New jobs cause only a few direct calls to the partitioned machines.
     let calls: u32 = simulation.nodes.iter().map(|n| n.direct_calls).sum();
     for n in 2..8 {
         let id = format!("wk-{n:06}");
@@ -56,7 +57,7 @@
     assert_eq!(
         machines_in_zone(&simulation, "b").len(),
         4,
-        "none is given up for it"
+        "a machine was given up because of the partition"
     );
     partition_inbound(&mut simulation, "b", false);
     simulation.run(15.0);
@@ -69,10 +70,11 @@
     let used = placements
         .iter()
         .filter(|(m, _)| simulation.workers[m].zone == "b");
-    assert_eq!(used.count(), 4, "it is used again");
+    assert_eq!(used.count(), 4, "zone b is not used fully again");
 }
 
-/// What was placed on them waited for a new incarnation, a whole lease.
+/// Guards against tasks that were placed on machines which receive nothing, and that waited a whole lease for the
+/// machines' next incarnation.
 #[test]
 fn unconfirmed_starts_revoked_before_lease_end() {
     let (mut simulation, leader) = eight_machines(70);
@@ -85,8 +87,8 @@
     assert_eq!(simulation.counters.starts, 8);
 }
 
-/// The new leader waited for ever for machines to show its token whose heartbeats kept coming: none of the
-/// old tasks that nobody had shown was started again.
+/// Guards against a new leader that waited without end for its fencing token in the heartbeats of machines that receive
+/// nothing: tasks of the former leader that no heartbeat showed were never started again.
 #[test]
 fn inbound_partition_does_not_block_new_leader() {
     let (mut simulation, leader) = eight_machines(62);
@@ -100,7 +102,7 @@
     simulation.run_until(10.0, "another leader", |simulation| {
         simulation.leader().is_some()
     });
-    // What was answered as cancelled during it stays so.
+    // A job reported as cancelled during the partition stays cancelled.
     let new_leader = simulation.leader().unwrap();
     assert_eq!(
         simulation.submit(new_leader, &unlimited_job("wk-000002", 4, 4.0, 60)),
@@ -112,11 +114,12 @@
     simulation.run_until_done("wk-000001", 50.0);
     assert!(
         machines_in_zone(&simulation, "b").len() >= 4,
-        "a zone is not given up for it"
+        "machines of the zone were given up because of the partition"
     );
 }
 
-/// It reaches its workers, and neither the state service nor the other controllers.
+/// A controller, the leader or a follower, reaches its workers but neither the state service nor the other
+/// controllers. Its workers must move to another controller before their tasks are lost.
 #[test]
 fn isolated_controller_releases_workers_in_time() {
     for is_leader in [true, false] {
@@ -137,17 +140,21 @@
             simulation.nodes[isolated].peers_reachable,
         ) = (Link::Held, false);
         simulation.run(1.5);
-        // Its users are answered at once.
+        // The isolated controller responds to its users without delay.
         let submitted_at = simulation.now;
         assert_eq!(
             simulation.submit(isolated, &unlimited_job("wk-000002", 1, 1.0, 1)),
             503
         );
         assert!(simulation.now - submitted_at < Duration::from_millis(500));
-        simulation.run_until(10.0, "another leads, and hears all", |simulation| {
-            simulation.leader().is_some_and(|l| l != isolated)
-                && simulation.workers.values().all(|m| m.node != isolated)
-        });
+        simulation.run_until(
+            10.0,
+            "another leader, and no worker at the isolated controller",
+            |simulation| {
+                simulation.leader().is_some_and(|l| l != isolated)
+                    && simulation.workers.values().all(|m| m.node != isolated)
+            },
+        );
         simulation.run(5.0);
         (
             simulation.nodes[isolated].store_link,
@@ -157,7 +164,7 @@
         simulation.run_until_done("wk-000001", 40.0);
         assert_eq!(
             simulation.counters.starts, starts,
-            "nothing is started again"
+            "a task was started again"
         );
     }
 }
@@ -172,9 +179,9 @@
         .collect()
 }
 
-/// Machines that reach no controller, while direct commands reach them: what they have is not started
-/// elsewhere before its lease has run out, nothing new is started there to die with the lease, and what is
-/// cancelled there is stopped by a call at once.
+/// Direct commands reach machines that cannot reach any controller. The machines' tasks are not started elsewhere
+/// before the machines' leases expire, no new task is placed where it would end with the lease, and cancelled tasks
+/// are stopped by a direct call at once.
 fn outbound_partition() {
     let (mut simulation, leader) = eight_machines(940);
     assert_eq!(
@@ -189,7 +196,7 @@
     let silent = partition_outbound(&mut simulation, 2, true);
     simulation.faults.cloud_down = true;
     let calls = simulation.nodes[leader].direct_calls;
-    // The leader tells them something now and then, and they answer.
+    // The leader sends the machines a direct command now and then, and they respond.
     for n in 3..7 {
         let id = format!("wk-{n:06}");
         assert_eq!(
@@ -203,7 +210,7 @@
     simulation.run(0.5);
     assert!(
         simulation.placements("wk-000002").is_empty(),
-        "stopped by a call"
+        "cancelled tasks were not stopped by a direct call"
     );
     assert!(simulation.nodes[leader].direct_calls > calls);
     let placed_on_silent = |simulation: &Simulation, id: &str| {
@@ -218,7 +225,7 @@
         .sum();
     let starts = simulation.counters.starts;
     simulation.run(2.0);
-    // From two intervals on they get nothing, though they answered just now.
+    // After two heartbeat intervals the machines get no task, although they responded to a recent command.
     for n in 7..11 {
         let id = format!("wk-{n:06}");
         assert_eq!(
@@ -229,7 +236,7 @@
         assert_eq!(
             placed_on_silent(&simulation, &id),
             0,
-            "{id} is started to die with the lease"
+            "{id} is placed on a machine whose lease is not renewed"
         );
         simulation.cancel(leader, &id);
         simulation.run(0.7);
@@ -246,8 +253,8 @@
     outbound_partition();
 }
 
-/// A zone with workers and a controller, cut off for longer than a lease, jobs cancelled meanwhile; the
-/// controller inside may have led.
+/// A zone with workers and one controller, which may have been the leader, is partitioned for longer than a lease,
+/// and a job is cancelled outside meanwhile. After the partition the zone follows what was decided outside.
 #[test]
 fn partitioned_zone_adopts_outside_decisions() {
     for is_leader in [true, false] {
@@ -288,9 +295,16 @@
                 .filter(|(m, _)| simulation.workers[m].zone == "b")
                 .count()
         };
-        assert!(tasks_in_zone_b(&simulation) > 0, "it holds some");
+        assert!(
+            tasks_in_zone_b(&simulation) > 0,
+            "no task runs in the partitioned zone"
+        );
         simulation.run(LEASE.as_secs_f64() + 4.0);
-        assert_eq!(tasks_in_zone_b(&simulation), 0, "its leases have run out");
+        assert_eq!(
+            tasks_in_zone_b(&simulation),
+            0,
+            "tasks still run after the leases of their machines expired"
+        );
         (
             simulation.nodes[inside_controller].store_link,
             simulation.nodes[inside_controller].peers_reachable,
@@ -307,8 +321,8 @@
     }
 }
 
-/// Machines that reach no controller answer direct commands, again and again: they get no new work, which would
-/// die with their lease.
+/// Machines that reach no controller keep answering direct commands. No new tasks are placed on them, as these would
+/// end with the machines' leases.
 fn submit_while_machines_send_no_heartbeats() {
     let (mut simulation, leader) = eight_machines(1340);
     simulation.run(2.0);
@@ -317,7 +331,7 @@
     for id in &silent {
         simulation.workers.get_mut(id).unwrap().outbound_partitioned = true;
     }
-    // Something is started and cancelled everywhere all the time, so that each machine answers.
+    // Jobs are started and cancelled on all machines continuously, so that each machine answers commands.
     let mut late_starts = 0;
     for n in 0..24u32 {
         let id = format!("wk-{n:06}");
@@ -336,7 +350,7 @@
         simulation.cancel(leader, &id);
         simulation.run(0.1);
     }
-    assert_eq!(late_starts, 0, "work is started to die with the lease");
+    assert_eq!(late_starts, 0, "tasks start on machines without heartbeats");
 }
 
 #[test]
@@ -344,7 +358,7 @@
     submit_while_machines_send_no_heartbeats();
     fails_without(
         Safeguard::HeartbeatRequired,
-        "work is started to die with the lease",
+        "tasks start on machines without heartbeats",
         submit_while_machines_send_no_heartbeats,
     );
 }
@@ -354,8 +368,8 @@
     let (mut simulation, leader) = four_machines(6);
     simulation.submit(leader, &sample("wk-1", 12, 2.0, 12));
     simulation.run(2.0);
-    // Two machines can only talk to the old leader, which has lost the state service; the other
-    // two only to the rest.
+    // Two machines can reach only the old leader, which has lost its connection to the state service; the other
+    // two can reach only the other controllers.
     let ids: Vec<_> = simulation.workers.keys().cloned().collect();
     for (i, id) in ids.iter().enumerate() {
         let partitioned_from = (0..3).filter(|n| (*n == leader) != (i < 2));
@@ -375,8 +389,9 @@
     simulation.run_until_done("wk-1", 90.0);
 }
 
-/// Cut off one way: a new leader's calls come to nothing, while the workers' heartbeats arrive. Machines
-/// that had sent heartbeats, and were only yet to show its token, were deleted as dead.
+/// Guards against the deletion of live machines in a one-way partition: a new leader's calls fail while the workers'
+/// heartbeats arrive. Machines that had sent heartbeats, but had not yet shown the leader's fencing token, were deleted
+/// as dead.
 #[test]
 fn heartbeating_machines_not_deleted_when_calls_fail() {
     let (mut simulation, leader) = four_machines(29);
--- a/src/core/simulation/scenarios/provisioning.rs
+++ b/src/core/simulation/scenarios/provisioning.rs
@@ -1,4 +1,4 @@
-//! Renting and returning machines.
+//! Provisioning and returning machines.
 
 use super::four_machines;
 use crate::core::simulation::Simulation;
@@ -10,7 +10,7 @@
     let mut simulation = Simulation::new(19);
     simulation.run(3.0);
     assert_eq!(simulation.submit(0, &sample("wk-1", 6, 4.0, 20)), 201);
-    // Patience is 30 s for work without goals.
+    // A job without a deadline or start goal waits 30 s before machines are provisioned for it (`patience`).
     simulation.run_until_done("wk-1", 120.0);
     assert!(simulation.workers.len() >= 6);
     assert!(simulation.workers.values().all(|m| !m.spot));
@@ -19,8 +19,8 @@
     });
 }
 
-/// Guests' work on idle time had ordinary machines provisioned for it at a multiple of the price, and
-/// kept those that were there from being returned.
+/// Guards against low-priority jobs for spot machines that had ordinary machines provisioned at a multiple of the
+/// price, and that kept existing ordinary machines from being returned.
 #[test]
 fn low_priority_job_uses_spot_machines_or_waits() {
     let mut simulation = Simulation::new(26);
@@ -32,21 +32,21 @@
     let mut normal = sample("wk-2", 1, 4.0, 90);
     normal.priority = Priority::Normal;
     assert_eq!(simulation.submit(0, &normal), 201);
-    // Three batches one after the other on the two spot machines that there are.
+    // The tasks run in three successive batches on the two available spot machines.
     simulation.run_until_done("wk-1", 150.0);
     assert_eq!(simulation.counters.provisioned, (2, 1));
     simulation.run_until_done("wk-2", 150.0);
 }
 
-/// Spot machines stood unrented beside a thousand waiting tasks, as the queue would be through
-/// within the time after which ordinary ones are worth their price.
+/// Guards against spot machines that were not provisioned for a thousand waiting tasks, because the queue would be
+/// empty before ordinary machines became worth their price.
 #[test]
 fn spot_machine_provisioned_where_ordinary_not_worth_it() {
     for (spot, provisioned) in [(true, (1, 0)), (false, (0, 0))] {
         let (mut simulation, leader) = four_machines(51);
         simulation.submit(leader, &sample("wk-1", 16, 1.0, 30));
         simulation.run(1.5);
-        // Room comes in 28 s; it may wait for 37 s, and 25 s where a spot machine is to be had.
+        // Capacity becomes free in 28 s. The job may wait for 37 s, or for 25 s if a spot machine is available.
         let mut second = sample("wk-2", 4, 1.0, 10);
         second.deadline = Some(Duration::from_secs(60));
         second.spot = spot;
@@ -57,8 +57,8 @@
     }
 }
 
-/// While a zone was cut off, the ends of its tasks counted as room to come: nothing was provisioned in
-/// the others until the cut was over.
+/// Guards against expected task ends in a partitioned zone being counted as future capacity: nothing was provisioned
+/// in the other zones until the partition ended.
 #[test]
 fn tasks_ending_in_partitioned_zone_free_no_capacity() {
     for (partitioned, provisioned) in [(false, 0), (true, 2)] {
@@ -70,7 +70,7 @@
             in_zone.for_each(|m| m.partitioned_from.extend(0..3));
         }
         simulation.run(3.0);
-        // With four machines all start in a few seconds; with two, two would wait for 40 s more.
+        // With four machines all tasks start in a few seconds; with two machines, two tasks would wait 40 s more.
         let mut second = sample("wk-2", 4, 4.0, 40);
         second.team = "u".into();
         simulation.submit(leader, &second);
@@ -81,8 +81,8 @@
     }
 }
 
-/// Found on the first grown rough day: calls to the cloud queued for its rate limit until they
-/// were too late to be sent, and were asked again at once, for ever.
+/// Guards against a fault found in the first larger run with injected faults: calls to the cloud waited for its rate
+/// limit until they were too late to be sent, and were repeated at once, without end.
 #[test]
 fn cloud_calls_within_limit_through_outage() {
     let (mut simulation, leader) = four_machines(27);
@@ -96,14 +96,14 @@
     simulation.run(10.0);
     let calls_before = simulation.counters.cloud_calls;
     simulation.run(10.0);
-    // The limit in these scenarios is 10 calls a second, with bursts of one second's worth.
+    // The limit in these scenarios is 10 calls a second, with bursts of up to 10 calls.
     assert!(
         simulation.counters.cloud_calls - calls_before <= 110,
         "{}",
         simulation.counters.cloud_calls - calls_before
     );
     simulation.faults.cloud_down = false;
-    simulation.run_until(15.0, "renting goes on", |simulation| {
+    simulation.run_until(15.0, "provisioning continues", |simulation| {
         simulation.workers.len() > 100
     });
 }
--- a/src/core/simulation/scenarios/scheduling.rs
+++ b/src/core/simulation/scenarios/scheduling.rs
@@ -1,4 +1,4 @@
-//! Which jobs start, where and when.
+//! Order, placement and start times of jobs.
 
 use super::{eight_machines, four_machines, thousand_machines, unlimited_job};
 use crate::core::simulation::{Simulation, fails_without};
@@ -61,7 +61,7 @@
 fn large_guaranteed_and_low_priority_jobs_all_run() {
     let (mut simulation, leader) = four_machines(21);
     simulation.capacity.clear();
-    // Small jobs keep coming; a task that needs a whole machine is not starved by them.
+    // Small jobs arrive continuously; they must not starve a task that needs a whole machine.
     let mut n = 100;
     let mut submit_small_job = |simulation: &mut Simulation, team: &str, tasks: u32| {
         n += 1;
@@ -87,12 +87,12 @@
         simulation.run(2.0);
     }
     simulation.run_until_done("wk-1", 60.0);
-    // Quiet time.
+    // No further jobs arrive, so the low-priority job gets capacity.
     simulation.run_until_done("wk-2", 60.0);
 }
 
-/// Found on the first days at a larger scale: each step rebuilt what it knew of every machine and task, and
-/// the leader did little else.
+/// Guards against a fault found in the first larger runs: each step rebuilt the leader's data on every machine and
+/// task, which took most of the leader's time.
 #[test]
 fn step_cost_with_thousand_machines_follows_changes() {
     let (mut simulation, leader) = thousand_machines(25, "large");
@@ -105,32 +105,32 @@
         spec.team = "u".into();
         spec
     };
-    // All but one of two thousand places are taken, by tasks that end later than this scenario.
+    // Tasks that outlast this scenario take all but one of two thousand slots.
     simulation.submit(leader, &long_job("wk-1", 1999, 600));
     simulation.run(6.0);
     assert_eq!(simulation.placements("wk-1").len(), 1999);
 
-    // A planning and a provisioning step a second at least, and nothing to do: machines that report
-    // nothing new are not looked at.
+    // At least one planning and one provisioning step a second run without anything to do: machines whose
+    // heartbeats show no change are not inspected.
     let (inspected_before, heartbeats) = (inspected(&simulation), simulation.counters.heartbeats);
     simulation.run(3.0);
     assert!(simulation.counters.heartbeats - heartbeats > 2000);
     let inspections = inspected(&simulation) - inspected_before;
     assert!(
         inspections < 100,
-        "{inspections} for reports that tell nothing new"
+        "{inspections} inspections for unchanged heartbeats"
     );
 
-    // One more task finds the one place without a search among the others.
+    // One more task gets the one free slot without a search through all machines.
     let inspected_before = inspected(&simulation);
     simulation.submit(leader, &long_job("wk-2", 1, 600));
     simulation.run(1.0);
     assert_eq!(simulation.placements("wk-2").len(), 1);
     let inspections = inspected(&simulation) - inspected_before;
-    assert!(inspections < 100, "{inspections} for one task");
+    assert!(inspections < 100, "{inspections} inspections for one task");
 
-    // A queue of hundreds of tasks that fit nowhere: the ends that come within their patience
-    // are looked at, which is none, and no machine is.
+    // A queue of hundreds of tasks that fit nowhere: only task ends within the tasks' `patience` are inspected,
+    // of which there are none, and no machine is inspected.
     simulation.submit(leader, &long_job("wk-3", 500, 600));
     simulation.run(1.0);
     let inspected_before = inspected(&simulation);
@@ -138,12 +138,12 @@
     let inspections = inspected(&simulation) - inspected_before;
     assert!(
         inspections < 200,
-        "{inspections} for a queue that must wait"
+        "{inspections} inspections for a queue that must wait"
     );
 }
 
-/// Found on the first days at a larger scale: a thousand machines took a change of the state service each,
-/// and jobs could not be accepted for it.
+/// Guards against a fault found in the first larger runs: each of a thousand machines was recorded by a change of its
+/// own in the state service, and meanwhile no jobs could be accepted.
 #[test]
 fn thousand_machines_recorded_in_few_changes() {
     let (mut simulation, leader) = thousand_machines(26, "small");
@@ -154,7 +154,7 @@
         "{} changes",
         simulation.change_count()
     );
-    // The next leader knows them all, and receives heartbeats of them all.
+    // The next leader knows all machines, and receives heartbeats of all of them.
     simulation.kill(leader, Duration::from_secs(60));
     simulation.run_until(10.0, "another leader", |simulation| {
         simulation.leader().is_some()
@@ -168,8 +168,9 @@
     });
 }
 
-/// Jobs bound to one zone, spread over two or kept together lose machines, with the leader or without, some of
-/// them without a response; the simulation checks where each task starts against where the others are.
+/// Jobs that are bound to a zone, spread over two zones or kept in one zone lose machines, with or without a failure
+/// of the leader; some of the machines fail and others are only partitioned. The simulation checks each start
+/// against the zones of the job's other tasks.
 #[test]
 fn zone_bound_jobs_restart_where_allowed() {
     for leader_fails in [true, false] {
@@ -222,15 +223,15 @@
     }
 }
 
-/// More urgent work than room, over slow links: jobs of a low rank, on types that are dear to them, get what
-/// fits them and is free; nothing waits for a minute and a half where a machine has room.
+/// Submits more high-priority jobs than there is capacity for. Low-priority jobs, on machine types that are expensive
+/// for them, still get free capacity that fits: no job waits for 90 s while a machine has capacity for it.
 fn overload_with_high_priority_jobs() {
     crate::core::simulation::enable_log();
     let policy = "delegate = true\nidle_keep = 600";
     let mut simulation = Simulation::with_policy(1001, Policy::parse("room", policy).unwrap());
     simulation.capacity.clear();
     simulation.add_machines("small", 3);
-    // At two and a half times the price for twice the room: dear to work that has no aim.
+    // 2.5 times the price for twice the capacity: expensive for jobs without a deadline or start goal.
     simulation.machine_types[1].price = 9.0;
     simulation.add_machine("large", "a");
     let leader = simulation.run_until_leader(4.0);
@@ -267,8 +268,8 @@
     );
 }
 
-/// A task may be on another machine than the one that is known first: the zone of that counts as well where a
-/// job's tasks are to be together.
+/// Runs a one-zone job of which a task may be on either of two machines. The zones of both machines count for the
+/// placement of the job's other tasks.
 fn one_zone_job_with_uncertain_task() {
     let policy = Policy::parse("zones", "idle_keep = 600").unwrap();
     let mut simulation = Simulation::with_policy(1360, policy);
@@ -285,9 +286,9 @@
     assert_eq!(
         simulation.placements("wk-000001").len(),
         1,
-        "there is no room in its zone"
+        "the job's zone has no capacity for the second task"
     );
-    // An old copy was received first: the task is on record there, and where it really is as well.
+    // As after an old heartbeat: the task is recorded on that heartbeat's machine as well as where it really runs.
     let leader_state = simulation.nodes[leader].core.leader.as_mut().unwrap();
     let run = leader_state.job_runs.get_mut("wk-000001").unwrap();
     let index = *run.tasks.assigned().keys().next().unwrap();
@@ -309,7 +310,8 @@
     );
 }
 
-/// More of a high rank than its team may use, without end: a job of a low rank begins within four minutes.
+/// Submits high-priority jobs without end, more than their team's limit allows. A low-priority job of the same team
+/// starts within four minutes.
 fn low_priority_job_behind_full_team_limit() {
     let (mut simulation, leader) = eight_machines(1370);
     let mut low = sample("wk-900001", 4, 4.0, 5);
@@ -331,7 +333,7 @@
             let waited = simulation.now - at;
             assert!(
                 started || waited < Duration::from_secs(240),
-                "it has not begun"
+                "the low-priority job has not started"
             );
         }
     }
@@ -342,12 +344,12 @@
     low_priority_job_behind_full_team_limit();
     fails_without(
         Safeguard::LongestWaitingFirst,
-        "it has not begun",
+        "the low-priority job has not started",
         low_priority_job_behind_full_team_limit,
     );
 }
 
-/// Work of a higher rank that comes without end.
+/// A job with many large tasks and low priority starts although high-priority jobs keep arriving.
 #[test]
 fn large_low_priority_job_eventually_starts() {
     let (mut simulation, leader) = eight_machines(69);
@@ -367,6 +369,9 @@
         }
     }
     let waited = (simulation.now - submitted_at).as_secs();
-    assert!(waited > 60, "the others go before it");
-    assert!(waited < 160, "it begins after {waited} s");
+    assert!(
+        waited > 60,
+        "the job starts before jobs of higher priority: after {waited} s"
+    );
+    assert!(waited < 160, "the job starts only after {waited} s");
 }
--- a/src/core/simulation/scenarios/size.rs
+++ b/src/core/simulation/scenarios/size.rs
@@ -1,4 +1,4 @@
-//! Scenarios of size: 6,000 machines on one controller, which is half as many again as the largest site has.
+//! Scenarios with 6,000 machines on one controller, one and a half times as many as the largest site has.
 
 use super::{eight_machines, unlimited_job};
 use crate::core::simulation::Simulation;
@@ -19,12 +19,13 @@
 use std::time::{Duration, Instant, SystemTime};
 
 const MACHINES: usize = 6000;
-/// Of those that are asked, so many send heartbeats as well.
+/// Number of machines that send heartbeats; the others answer only probes.
 const RESPONSIVE: usize = 60;
-/// What a platform with so many machines allows a controller.
+/// Maximum number of sockets of a controller at a site of this size.
 const SOCKETS: usize = 8000;
+/// Memory limit of a controller at a site of this size, in MB.
 const MEMORY_MB: f64 = 256.0;
-/// Tasks on each machine, as at the users' large size.
+/// Number of tasks on each machine, as in a large installation.
 const TASKS_PER_MACHINE: usize = 19;
 
 fn policy() -> Arc<Policy> {
@@ -65,7 +66,7 @@
     })
 }
 
-/// A controller that has read the store, in which nobody leads.
+/// Returns a controller that has read a store without a leader.
 fn follower_without_leader(settings: Arc<Settings>) -> (Core, Now) {
     let now = Now {
         mono: Instant::now(),
@@ -77,7 +78,8 @@
     (core, now)
 }
 
-/// Heartbeats of so many machines at once; the tickets that are answered at once, with their status.
+/// Delivers heartbeats of `count` machines in one step. Returns the ticket, status and `Retry-After` of each immediate
+/// response.
 fn receive_heartbeats(core: &mut Core, now: Now, count: usize) -> Vec<(Ticket, u16, Option<u32>)> {
     let heartbeat = |n: usize| Command::Heartbeat {
         ticket: n as Ticket + 1,
@@ -98,7 +100,7 @@
     let (mut core, now) = follower_without_leader(with_large_limits(settings("n0", SETUP)));
     assert_eq!(receive_heartbeats(&mut core, now, MACHINES), []);
     assert_eq!(core.relay.waiting(), MACHINES);
-    // Beyond what the settings allow, they are asked to come back, at once.
+    // Heartbeats beyond the limit in the settings are refused at once, with a time after which to retry.
     let limited = Settings {
         max_sockets: 2000,
         ..settings("n0", SETUP)
@@ -113,7 +115,7 @@
     assert!(refused.iter().all(busy));
 }
 
-/// So many machines that are there, of which the store says that they may hold tasks.
+/// Returns a simulation with [`MACHINES`] running machines, all recorded in the store as possible holders of tasks.
 fn with_recorded_machines(policy: Policy) -> Simulation {
     let mut simulation = Simulation::with_policy(61, policy);
     simulation.capacity.clear();
@@ -138,8 +140,8 @@
     simulation
 }
 
-/// Nearly all have to be asked, as they send no heartbeats; a leader that is reached by nobody at all
-/// would resign.
+/// A new leader has to probe nearly all machines, as they send no heartbeats. A few do send heartbeats, because a
+/// leader that receives none at all would step down.
 #[test]
 fn new_leader_probes_6000_machines_without_heartbeats() {
     let mut simulation = with_recorded_machines(Policy::parse("size", "delegate = false").unwrap());
@@ -169,7 +171,7 @@
         rounds += 1;
         assert!(
             rounds < 200,
-            "{} are still to be heard from",
+            "{} machines are still unresolved",
             unresolved(&simulation)
         );
     }
@@ -184,7 +186,7 @@
     );
 }
 
-/// All controllers end, and all workers come to one of those that follow, which leads then, or doesn't.
+/// Restarts all controllers and sends all workers' heartbeats to one of them, which becomes the leader or not.
 fn restart_all_controllers_under_heartbeats(followed_by_leader: bool) {
     let mut simulation = with_recorded_machines(Policy::parse("size", "delegate = true").unwrap());
     simulation.run_until(10.0, "a leader", |simulation| simulation.leader().is_some());
@@ -215,10 +217,10 @@
         leader_state.is_some_and(|l| l.recovery.is_complete())
     });
     let at_other_nodes = simulation.workers.values().filter(|m| m.node != 0).count();
-    // Some are sent on, as loads are evened out.
+    // Some workers are referred to other controllers to balance the load.
     assert!(
         at_other_nodes <= MACHINES / 5,
-        "{at_other_nodes} were refused"
+        "{at_other_nodes} workers were referred to other controllers"
     );
 }
 
@@ -232,7 +234,7 @@
     restart_all_controllers_under_heartbeats(false);
 }
 
-/// The leader's answer to a frame: nothing to do for anybody.
+/// Returns the leader's response to a batch, without commands for any machine.
 fn empty_response(batch: &heartbeat_batch::HeartbeatBatch) -> HeartbeatBatchResponse {
     let response = |r: &RelayedHeartbeat| RelayedResponse {
         id: r.id,
@@ -289,13 +291,13 @@
         now.mono += Duration::from_millis(5);
         assert!(
             now.mono < started_at + Duration::from_secs(1),
-            "{answered} answered"
+            "only {answered} heartbeats answered within a second"
         );
     }
     println!("{frames} frames in {:?}", now.mono - started_at);
 }
 
-/// The oldest cancellation of very many counts as long as something of it may run.
+/// Residual tasks of the oldest of very many cancelled jobs count towards the team's limit as long as they may run.
 #[test]
 fn team_limit_holds_after_6000_later_cancellations() {
     let (mut simulation, leader) = eight_machines(62);
@@ -347,7 +349,7 @@
     );
     assert!(
         !simulation.placements("wk-000001").is_empty(),
-        "it is there, unheard"
+        "the partitioned machine no longer runs the cancelled task"
     );
     simulation.run(3.0);
     simulation.heal_worker_partitions();
--- a/src/core/simulation/scenarios/submissions.rs
+++ b/src/core/simulation/scenarios/submissions.rs
@@ -1,4 +1,4 @@
-//! Submissions and questions: what is accepted, refused or deferred, and by which controller.
+//! Submissions and queries: which requests are accepted, refused or deferred, and by which controller.
 
 use super::{eight_machines, follower, four_machines, unlimited_job};
 use crate::core::UserAction;
@@ -18,7 +18,7 @@
     for node in 0..3 {
         assert_eq!(simulation.show(node, "wk-1"), (200, Some(JobState::Done)));
         assert_eq!(simulation.show(node, "wk-999").0, 404);
-        // A late repetition, whatever it carries, gets the state it has now.
+        // A late repetition of the submission gets the job's present state, whatever specification it carries.
         assert_eq!(simulation.submit(node, &sample("wk-1", 6, 900.0, 5)), 200);
     }
     assert_eq!(simulation.counters.starts, 6);
@@ -50,7 +50,7 @@
 #[test]
 fn leader_death_after_commit_leaves_accepted_job() {
     let (mut simulation, leader) = four_machines(3);
-    // The creation is carried out, but its answer never comes; then the leader dies.
+    // The store creates the job, but its response is lost; then the leader fails.
     simulation.nodes[leader].store_link = Link::ResponsesLost;
     simulation.submit(leader, &sample("wk-1", 4, 2.0, 4));
     simulation.kill(leader, Duration::from_secs(60));
@@ -62,8 +62,8 @@
     simulation.run_until_done("wk-1", 30.0);
 }
 
-/// The leader loses the state service: until another one leads, and after, the node that lost it
-/// accepts jobs through the others.
+/// The leader loses its connection to the state service. Both before and after another controller becomes leader,
+/// the disconnected controller accepts jobs through its peers.
 #[test]
 fn node_without_store_accepts_through_peers() {
     let (mut simulation, leader) = four_machines(23);
@@ -90,14 +90,14 @@
     assert_eq!(simulation.submit(other, &sample("wk-1", 2, 2.0, 30)), 201);
     assert_eq!(simulation.show(other, "wk-1").0, 200);
     assert_eq!(simulation.cancel(other, "wk-1").0, 503);
-    // The leader learns of it from the state service and runs it.
+    // The leader learns of the job from the state service and runs it.
     simulation.run(2.0);
     assert_eq!(simulation.placements("wk-1").len(), 2);
     assert_eq!(simulation.cancel(leader, "wk-1").0, 200);
 }
 
-/// Questions that take a read each, while nobody leads, are answered or refused at once, and
-/// leave the state service to submissions.
+/// Queries that take a store read each, sent while there is no leader, are answered or refused at once, so that
+/// submissions are not delayed at the state service.
 #[test]
 fn query_burst_does_not_starve_submissions() {
     let (mut simulation, leader) = four_machines(28);
@@ -105,7 +105,7 @@
     simulation.run(1.0);
     simulation.kill(leader, Duration::from_secs(60));
     let other = follower(leader);
-    // A repeated submission is no question, even where it takes a read beside many of them.
+    // A repeated submission is not refused as a query, although it takes a read while many queries wait.
     for _ in 0..200 {
         simulation.send_request(other, UserAction::Show("wk-9".into()));
     }
@@ -118,7 +118,7 @@
     assert_eq!(simulation.submit(other, &sample("wk-2", 1, 2.0, 3)), 201);
 }
 
-/// Jobs beyond what the memory is for are refused, and those that were accepted are served.
+/// Jobs beyond the limit on unfinished tasks, which bounds memory, are refused; accepted jobs are still served.
 #[test]
 fn too_many_waiting_tasks_deferred() {
     let (mut simulation, leader) = four_machines(28);
@@ -142,7 +142,8 @@
     );
 }
 
-/// What users send that is odd: at every controller, with a leader and without one, in an outage too.
+/// Jobs that can never run, and repeated or modified submissions of known jobs, get consistent responses from every
+/// controller: with a leader, without one and during an outage of the state service.
 #[test]
 fn invalid_and_repeated_requests_get_consistent_responses() {
     let (mut simulation, leader) = eight_machines(1030);
@@ -159,7 +160,7 @@
         |j: &mut JobSpec| j.machine_types = Some(vec!["huge".into()]),
         |j: &mut JobSpec| j.machine_types = Some(Vec::new()),
         |j: &mut JobSpec| j.zone = Some("nowhere".into()),
-        // Each is to be had, and not together: the type that is large enough is not in that zone.
+        // Either request can be met, but not both: the machine type that is large enough is not in that zone.
         |j: &mut JobSpec| (j.resources.cpus, j.zone) = (6.0, Some("b".into())),
         |j: &mut JobSpec| {
             (j.machine_types, j.zone) = (Some(vec!["large".into()]), Some("b".into()))
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -7,7 +7,8 @@
 const TEST_NAMES: &str =
     "core::a::one\ncore::a::two\ncore::b::three\nsettings::four\ntests::twin\ntests::twin\n";
 
-/// Returns the names that CI skips for this list, or the reason for which the list is refused.
+/// Runs `.ci/known-red` on the list. Returns the names of the tests that CI skips, or the error for which the list is
+/// refused.
 fn run_known_red(file: &str, list: Option<&str>) -> Result<String, String> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(file);
@@ -65,7 +66,7 @@
     };
     let entry = |name: &str| format!("{name} | cargo test | seen | #32\n");
     refused("unknown", &entry("core::a::five"), "is no test");
-    // A prefix of a test's name does not select it.
+    // A prefix of a test's name does not select the test.
     refused("part", &entry("core::a"), "is no test");
     refused("twin", &entry("tests::twin"), "names 2 tests");
     refused("twice", &entry("core::a::one").repeat(2), "listed twice");
--- a/tests/layers.rs
+++ b/tests/layers.rs
@@ -1,13 +1,14 @@
-//! Imports of the controller go downwards between its layers, and its files do not import each other in a cycle.
+//! Checks that modules of the controller import only from their own layer and from lower ones, and that files do not
+//! import each other in a cycle.
 //!
-//! Only the text of the sources is read: `use` items, and paths in code that begin with `crate`, `super` or `self`.
-//! Tests (`tests.rs`) and the simulated cluster (`src/core/simulation`) are left out.
+//! The imports are found in the text of the sources: `use` items, and paths in code that begin with `crate`, `super`,
+//! `self` or the crate's name. Tests (`tests.rs`) and the simulated cluster (`src/core/simulation`) are excluded.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::path::Path;
 
-/// The layers, the uppermost first, by the modules at the root of the library. A module may import from its own
-/// layer and from all below.
+/// Modules at the crate root by layer, the uppermost layer first. A module may import from its own layer and from all
+/// layers below.
 const LAYERS: &[&[&str]] = &[
     &["main", "cli"],
     &["service"],
@@ -41,11 +42,11 @@
 struct Import {
     from: ModulePath,
     to: ModulePath,
-    /// The import as it was written, groups expanded.
+    /// Import path as written in the source, with groups expanded.
     text: String,
 }
 
-/// The program's modules, each with its source.
+/// Modules of the crate with their source files.
 struct Sources {
     modules: BTreeMap<ModulePath, Source>,
 }
@@ -56,7 +57,7 @@
 }
 
 impl Sources {
-    /// From pairs of a path below `src` and the file's text.
+    /// Collects the modules from pairs of a path below `src` and the file's text.
     fn new(files: impl IntoIterator<Item = (String, String)>) -> Sources {
         let modules = files
             .into_iter()
@@ -66,7 +67,7 @@
         Sources { modules }
     }
 
-    /// From all files below a folder.
+    /// Reads all Rust files below a folder.
     fn read_dir(folder: &Path) -> Sources {
         let mut files = Vec::new();
         let mut folders = vec![folder.to_path_buf()];
@@ -99,7 +100,7 @@
         self.modules.iter().flat_map(imports_of).collect()
     }
 
-    /// The module that a path written in `from` leads into; `None` for another crate's.
+    /// Returns the module that a path written in `from` refers to, or `None` if the path leads to another crate.
     fn resolve(&self, from: &ModulePath, path: &str) -> Option<ModulePath> {
         let mut target: ModulePath = Vec::new();
         for (n, segment) in path.split("::").enumerate() {
@@ -143,7 +144,7 @@
         )
     }
 
-    /// Modules that have no layer, and imports from a layer by one below it.
+    /// Returns modules without a layer, and imports of a module from a layer above its own.
     fn layer_violations(&self) -> Vec<String> {
         let mut out = Vec::new();
         for (module, source) in &self.modules {
@@ -161,7 +162,7 @@
         out
     }
 
-    /// A shortest cycle through each group of files that import each other.
+    /// Returns a shortest cycle for each group of files that import each other.
     fn cycles(&self) -> Vec<String> {
         let mut graph: BTreeMap<ModulePath, BTreeMap<ModulePath, Import>> = BTreeMap::new();
         for import in self.imports() {
@@ -191,7 +192,7 @@
     !parts.contains(&"simulation") && parts.last() != Some(&"tests.rs") && !parts.contains(&"tests")
 }
 
-/// `core/store/mod.rs` and `core/store.rs` are the module `core::store`, `lib.rs` is the root.
+/// Returns the module path of a file: `core::store` for `core/store/mod.rs` and `core/store.rs`, the root for `lib.rs`.
 fn module_path_of(file: &str) -> ModulePath {
     let stem = file.strip_suffix(".rs").unwrap_or(file);
     let stem = stem.strip_suffix("/mod").unwrap_or(stem);
@@ -201,13 +202,13 @@
     stem.split('/').map(str::to_string).collect()
 }
 
-/// Smaller is further up.
+/// Returns the index of the module's layer; lower indices are higher layers.
 fn layer(module: &ModulePath) -> Option<usize> {
     let root = module.first()?;
     LAYERS.iter().position(|l| l.contains(&root.as_str()))
 }
 
-/// Whether one module lies within the other, at whatever depth.
+/// Tells whether one module contains the other, at any depth.
 fn one_contains_other(one: &ModulePath, other: &ModulePath) -> bool {
     one.starts_with(other) || other.starts_with(one)
 }
@@ -239,7 +240,8 @@
     None
 }
 
-/// All paths of `use` items, groups expanded, and paths in code that say where they begin.
+/// Returns all paths of `use` items, with groups expanded, and those paths in code that begin with
+/// `crate`, `super`, `self` or the crate's name.
 fn imported_paths(text: &str) -> Vec<String> {
     let text = without_comments(text);
     let mut code = String::new();
@@ -274,7 +276,7 @@
     out
 }
 
-/// What follows `use`, `pub use` or `pub(…) use` at the beginning of a line.
+/// Returns the text after `use`, `pub use` or `pub(…) use` at the beginning of a line.
 fn after_use_keyword(line: &str) -> Option<&str> {
     let mut rest = line;
     if let Some(after) = rest.strip_prefix("pub") {
@@ -305,7 +307,7 @@
     }
 }
 
-/// Splits at the commas that are in no inner group.
+/// Splits a group at the commas that are not within an inner group.
 fn split_group(group: &str) -> Vec<&str> {
     let mut parts = Vec::new();
     let (mut depth, mut begin) = (0, 0);
@@ -324,7 +326,7 @@
     parts
 }
 
-/// The text less its line comments; a `//` within quotation marks is none.
+/// Removes line comments; a `//` within quotation marks does not begin a comment.
 fn without_comments(text: &str) -> String {
     let strip_comment = |line: &str| {
         let comment = line
@@ -409,7 +411,7 @@
 #[test]
 fn sample_cycles_are_found() {
     let sources = sample_sources(&[
-        // A parent and its child may import each other.
+        // A module and one that it contains may import each other.
         (
             "core/mod.rs",
             "pub use jobs::Job;\nuse crate::core::store::keys;",
