--- a/src/core/simulation/scenarios/bidding.rs
+++ b/src/core/simulation/scenarios/bidding.rs
@@ -10,12 +10,12 @@
 /// Three controllers that bid, with a leader; nothing is provisioned yet.
 pub fn bidding_cluster(seed: u64, entries: &str) -> (Simulation, usize) {
     let text = format!("bidding = true\nworth = 10\n{entries}");
-    let mut simulation = Simulation::with_policy(seed, Policy::parse("story", &text).unwrap());
+    let mut simulation = Simulation::with_policy(seed, Policy::parse("bidding", &text).unwrap());
     let leader = simulation.run_until_leader(4.0);
     (simulation, leader)
 }
 
-fn urgent(id: &str, tasks: u32) -> JobSpec {
+fn urgent_spot_job(id: &str, tasks: u32) -> JobSpec {
     let mut spec = sample(id, tasks, 4.0, 8);
     spec.class = "urgent".into();
     spec.priority = Priority::High;
@@ -24,24 +24,24 @@
 }
 
 #[test]
-fn urgent_work_pays_more_and_idle_work_waits() {
+fn urgent_jobs_bid_higher_and_low_priority_jobs_wait() {
     let (mut simulation, leader) = bidding_cluster(301, "haste = 0");
-    simulation.submit(leader, &urgent("wk-1", 6));
+    simulation.submit(leader, &urgent_spot_job("wk-1", 6));
     simulation.run(3.0);
     let provisioned = simulation.counters.provisioned;
     assert!(provisioned.0 == 2 && provisioned.1 >= 3, "{provisioned:?}");
     simulation.run_until_done("wk-1", 40.0);
     // Nothing depends on when this starts, and room comes: it waits for it.
-    let mut idle = sample("wk-2", 6, 4.0, 8);
-    idle.priority = Priority::Low;
-    simulation.submit(leader, &idle);
+    let mut low = sample("wk-2", 6, 4.0, 8);
+    low.priority = Priority::Low;
+    simulation.submit(leader, &low);
     simulation.run(20.0);
     assert_eq!(simulation.counters.provisioned.1, provisioned.1);
 }
 
 /// A job without aims, and with no machine at all, was not worth one and waited for ever.
 #[test]
-fn machines_provisioned_when_no_room_in_sight() {
+fn machines_provisioned_when_no_capacity_expected() {
     let (mut simulation, leader) = bidding_cluster(308, "haste = 0");
     simulation.submit(leader, &sample("wk-1", 5, 2.0, 5));
     simulation.run_until_done("wk-1", 60.0);
@@ -65,16 +65,16 @@
 #[test]
 fn drained_zone_voids_awards_and_bids_repeat() {
     let (mut simulation, leader) = bidding_cluster(302, "");
-    simulation.submit(leader, &urgent("wk-1", 4));
+    simulation.submit(leader, &urgent_spot_job("wk-1", 4));
     simulation.run(1.0);
     simulation.faults.zones_without_capacity.insert("a".into());
-    simulation.submit(leader, &urgent("wk-2", 4));
+    simulation.submit(leader, &urgent_spot_job("wk-2", 4));
     simulation.run(2.5);
-    let lost = |simulation: &Simulation| {
-        let there = simulation.workers.iter().filter(|(_, m)| m.zone == "a");
-        there.map(|(id, _)| id.clone()).collect::<Vec<_>>()
+    let machines_in_zone_a = |simulation: &Simulation| {
+        let workers = simulation.workers.iter().filter(|(_, m)| m.zone == "a");
+        workers.map(|(id, _)| id.clone()).collect::<Vec<_>>()
     };
-    for id in lost(&simulation) {
+    for id in machines_in_zone_a(&simulation) {
         let m = simulation.workers.remove(&id).unwrap();
         *simulation
             .capacity
@@ -83,7 +83,7 @@
     }
     simulation.run_until_done("wk-1", 60.0);
     simulation.run_until_done("wk-2", 60.0);
-    assert!(lost(&simulation).is_empty());
+    assert!(machines_in_zone_a(&simulation).is_empty());
 }
 
 /// The cloud carries a scale-out out and its answer is lost, twice over, and then the leader dies:
@@ -92,12 +92,12 @@
 fn unanswered_scale_out_found_by_next_leader() {
     let (mut simulation, leader) = bidding_cluster(303, "");
     simulation.faults.scale_out_responses_lost = true;
-    simulation.submit(leader, &urgent("wk-1", 6));
+    simulation.submit(leader, &urgent_spot_job("wk-1", 6));
     simulation.run(5.0);
-    let unanswered = simulation.counters.provisioned;
+    let provisioned_before = simulation.counters.provisioned;
     assert!(
-        unanswered.0 + unanswered.1 >= 6 && simulation.workers.len() <= 8,
-        "{unanswered:?}"
+        provisioned_before.0 + provisioned_before.1 >= 6 && simulation.workers.len() <= 8,
+        "{provisioned_before:?}"
     );
     simulation.kill(leader, Duration::from_secs(60));
     simulation.faults.scale_out_responses_lost = false;
@@ -105,7 +105,7 @@
     // Six tasks need six small machines at most, and the awards of one leader were not given again.
     assert!(
         simulation.counters.provisioned.0 + simulation.counters.provisioned.1
-            <= unanswered.0 + unanswered.1 + 2
+            <= provisioned_before.0 + provisioned_before.1 + 2
     );
     simulation.run_until(200.0, "all machines returned", |simulation| {
         simulation.workers.is_empty()
@@ -116,7 +116,7 @@
 fn awards_survive_cloud_outage_and_run_once() {
     let (mut simulation, leader) = bidding_cluster(304, "");
     simulation.faults.cloud_down = true;
-    simulation.submit(leader, &urgent("wk-1", 4));
+    simulation.submit(leader, &urgent_spot_job("wk-1", 4));
     simulation.run(12.0);
     assert_eq!(simulation.counters.provisioned, (0, 0));
     simulation.faults.cloud_down = false;
@@ -134,8 +134,8 @@
     for kill_after in [0.3, 1.2, 3.0, 6.0] {
         let (mut simulation, leader) = bidding_cluster(305, "");
         simulation.capacity.retain(|(_, spot), _| *spot);
-        simulation.submit(leader, &urgent("wk-1", 2));
-        simulation.submit(leader, &urgent("wk-2", 2));
+        simulation.submit(leader, &urgent_spot_job("wk-1", 2));
+        simulation.submit(leader, &urgent_spot_job("wk-2", 2));
         simulation.run(kill_after);
         simulation.kill(leader, Duration::from_secs(5));
         simulation.run_until_done("wk-1", 80.0);
--- a/src/core/simulation/scenarios/cancellation.rs
+++ b/src/core/simulation/scenarios/cancellation.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn uncertain_start_counts_and_is_cancelled() {
+fn uncertain_start_counts_towards_limit_and_is_cancelled() {
     let (mut simulation, leader) = four_machines(8);
     // Team t may use 24 CPUs; give it more machines than that.
     for _ in 0..4 {
@@ -77,7 +77,7 @@
 #[test]
 fn cancellation_at_completion_has_one_outcome() {
     let mut outcomes = [0, 0];
-    for (n, early_ms) in (0..12).map(|n| (n, n * 100)) {
+    for (n, offset_ms) in (0..12).map(|n| (n, n * 100)) {
         for link in [
             Link::Good,
             Link::ResponsesLost,
@@ -91,9 +91,9 @@
             simulation.run_until(9.0, "all run", |simulation| {
                 simulation.placements("wk-000001").len() == 3
             });
-            let ends =
-                simulation.now + Duration::from_millis(3500) + Duration::from_millis(early_ms);
-            simulation.run_until(6.0, "the end", |simulation| simulation.now >= ends);
+            let cancel_at =
+                simulation.now + Duration::from_millis(3500) + Duration::from_millis(offset_ms);
+            simulation.run_until(6.0, "the end", |simulation| simulation.now >= cancel_at);
             simulation.nodes[leader].store_link = link;
             for node in 0..3 {
                 simulation.cancel_without_waiting(node, "wk-000001");
@@ -103,12 +103,12 @@
             simulation.nodes[leader].store_link = Link::Good;
             simulation.release_held();
             // The simulation fails at two different final answers, at `done` ahead of time, at a 404.
-            let mut answered = None;
+            let mut final_state = None;
             for _ in 0..40 {
                 for node in 0..3 {
                     simulation.cancel_without_waiting(node, "wk-000001");
                     let (_, state) = simulation.show(node, "wk-000001");
-                    answered = answered.or(state.filter(|s| *s != JobState::Running));
+                    final_state = final_state.or(state.filter(|s| *s != JobState::Running));
                     assert!(matches!(simulation.submit(node, &spec), 0 | 200 | 503));
                 }
                 if simulation.reported_final_state("wk-000001").is_some() {
@@ -132,10 +132,10 @@
 }
 
 /// Tasks whose images are being fetched, and starts on their way, when the user is answered.
-fn cancelled_while_it_starts(fetch_ms: u64) {
+fn cancel_while_tasks_start(fetch_ms: u64) {
     let (mut simulation, leader) = eight_machines(920);
     simulation.image_fetch_time = Duration::from_millis(fetch_ms);
-    let slow = Duration::from_millis(300);
+    let store_delay = Duration::from_millis(300);
     for n in 0..16 {
         let id = format!("wk-{:06}", n + 1);
         assert_eq!(
@@ -146,13 +146,13 @@
             simulation.placements(&id).len() == 8
         });
         // The leader learns late that the cancellation is durable; another controller tells its user.
-        simulation.faults.store_delay = slow;
+        simulation.faults.store_delay = store_delay;
         simulation.nodes[leader].watch_delayed = true;
         simulation.run(f64::from(n) * 0.05);
-        let begun = simulation.now;
+        let started_at = simulation.now;
         while simulation.reported_final_state(&id).is_none() {
             assert!(
-                simulation.now < begun + Duration::from_secs(8),
+                simulation.now < started_at + Duration::from_secs(8),
                 "{id} cannot be cancelled"
             );
             for node in 0..3 {
@@ -172,11 +172,11 @@
 
 #[test]
 fn no_start_after_confirmed_cancellation() {
-    cancelled_while_it_starts(600);
+    cancel_while_tasks_start(600);
     fails_without(
         Safeguard::StopOnCancelRequest,
         "it starts after its user was told",
-        || cancelled_while_it_starts(600),
+        || cancel_while_tasks_start(600),
     );
 }
 
@@ -233,8 +233,8 @@
 }
 
 /// Where a cancellation may take less than a lease, users get the answer when nothing is left running.
-fn cancelled_in_less_than_a_lease() -> u32 {
-    let mut least = u32::MAX;
+fn cancel_with_limit_below_lease() -> u32 {
+    let mut min_attempts = u32::MAX;
     let setup = Setup {
         nodes: 3,
         cancellation_limit: Duration::from_secs(6),
@@ -251,47 +251,47 @@
         );
         simulation.run(2.0);
         simulation.faults.cloud_down = cloud_down;
-        let cut = simulation.workers.values_mut().next().unwrap();
-        cut.partitioned_from = (0..3).collect();
-        let mut tries = 0;
+        let partitioned = simulation.workers.values_mut().next().unwrap();
+        partitioned.partitioned_from = (0..3).collect();
+        let mut attempts = 0;
         while simulation.reported_final_state("wk-000001").is_none() {
             simulation.cancel_without_waiting(leader, "wk-000001");
             simulation.run(0.5);
-            tries += 1;
-            assert!(tries < 60, "its user is never told");
+            attempts += 1;
+            assert!(attempts < 60, "its user is never told");
         }
-        least = least.min(tries);
+        min_attempts = min_attempts.min(attempts);
         simulation.run(12.0);
     }
-    least
+    min_attempts
 }
 
 #[test]
 fn cancellation_confirmed_only_when_certain() {
     // Operators are warned of it.
-    let warned = |cancel: u64| {
-        let cancel = Duration::from_secs(cancel);
+    let warning_for = |cancel: u64| {
+        let cancellation_limit = Duration::from_secs(cancel);
         cancellation_warning(&settings(
             "n0",
             Setup {
                 nodes: 3,
-                cancellation_limit: cancel,
+                cancellation_limit,
             },
         ))
     };
-    assert!(warned(20).is_none());
+    assert!(warning_for(20).is_none());
     assert!(
-        warned(6)
+        warning_for(6)
             .unwrap()
             .starts_with("params.workers.cancel_s: 6 s is less than")
     );
-    let waited = cancelled_in_less_than_a_lease();
-    assert!(waited > 3, "told before it is certain");
+    let attempts = cancel_with_limit_below_lease();
+    assert!(attempts > 3, "told before it is certain");
     fails_without(
         Safeguard::CancellationBound,
         "of a cancelled job is on",
         || {
-            cancelled_in_less_than_a_lease();
+            cancel_with_limit_below_lease();
         },
     );
 }
@@ -304,25 +304,25 @@
     let before = simulation.change_count();
     let id = |n: u32| format!("wk-{n:06}");
     let (mut n, mut cancelled) = (0, 0);
-    let begun = simulation.now;
-    while simulation.now < begun + Duration::from_secs(120) {
+    let started_at = simulation.now;
+    while simulation.now < started_at + Duration::from_secs(120) {
         let spec = unlimited_job(&id(n), 1, 1.0, 2);
         simulation.register_job(&spec);
         simulation.submit_without_waiting(n as usize % 3, &spec);
         simulation.run(0.25);
         if n % 4 == 3 {
             // Right after it was accepted, in its midst, or as it ends.
-            let which = id(n.saturating_sub(n / 4 % 3 * 4));
-            simulation.cancel_without_waiting(n as usize % 3, &which);
+            let target_id = id(n.saturating_sub(n / 4 % 3 * 4));
+            simulation.cancel_without_waiting(n as usize % 3, &target_id);
             cancelled += 1;
         }
         n += 1;
         if n % 40 == 0 {
-            let over = |v: &serde_json::Value| v.get("end").is_some();
+            let has_ended = |v: &serde_json::Value| v.get("end").is_some();
             let live = simulation
                 .stored_values("burlusher/")
                 .into_values()
-                .filter(|v| !over(v));
+                .filter(|v| !has_ended(v));
             let live = live.count();
             assert!(
                 live < 110,
@@ -354,8 +354,8 @@
     simulation.run(8.0);
     for n in 0..n {
         let state = simulation.show(n as usize % 3, &id(n)).1;
-        let over = matches!(state, Some(JobState::Done | JobState::Cancelled));
-        assert!(over, "{} is {state:?}", id(n));
+        let has_ended = matches!(state, Some(JobState::Done | JobState::Cancelled));
+        assert!(has_ended, "{} is {state:?}", id(n));
     }
     // Its creation, its end, and now and then what was done or a page of machines.
     let changes = (simulation.change_count() - before) as f64 / f64::from(n);
@@ -363,7 +363,7 @@
 }
 
 #[test]
-fn many_short_jobs_leave_no_residue() {
+fn many_short_jobs_do_not_accumulate_state() {
     many_short_jobs();
     fails_without(
         Safeguard::VersionPruning,
@@ -373,7 +373,7 @@
 }
 
 /// Starts that went out with the answer to a heartbeat, and that no heartbeat has shown, when their job is cancelled.
-fn cancelled_before_a_heartbeat_shows_it() {
+fn cancel_before_heartbeat_shows_start() {
     let (mut simulation, leader) = eight_machines(1330);
     simulation.image_fetch_time = Duration::from_millis(700);
     assert_eq!(
@@ -400,10 +400,10 @@
 
 #[test]
 fn starts_without_heartbeat_stopped_by_cancellation() {
-    cancelled_before_a_heartbeat_shows_it();
+    cancel_before_heartbeat_shows_start();
     fails_without(
         Safeguard::StopUnseenTasks,
         "it starts after its user was told",
-        cancelled_before_a_heartbeat_shows_it,
+        cancel_before_heartbeat_shows_start,
     );
 }
--- a/src/core/simulation/scenarios/cancellation_at_handover.rs
+++ b/src/core/simulation/scenarios/cancellation_at_handover.rs
@@ -10,9 +10,9 @@
 
 /// Every team is at its limit, or has all that the machines hold, when jobs are cancelled on machines
 /// that are partitioned or hang, and the leader is killed so long after that, or before it if negative.
-fn limits_at_a_change_of_leader(killed_after_ms: i64) {
+fn check_limits_across_leader_change(killed_after_ms: i64) {
     let (mut simulation, leader) = eight_machines(1300);
-    let terms = simulation.leadership_count();
+    let leaderships = simulation.leadership_count();
     bring_teams_to_limits(&mut simulation, leader);
     let machine_of = |simulation: &Simulation, id: &str| simulation.placements(id)[0].0.clone();
     let partitioned = machine_of(&simulation, "wk-000001");
@@ -24,13 +24,13 @@
         simulation.kill(leader, Duration::from_secs(1));
         simulation.run(-killed_after_ms as f64 / 1000.0);
     }
-    cancel_until_answered(&mut simulation);
+    cancel_until_confirmed(&mut simulation);
     simulation.run(killed_after_ms.max(0) as f64 / 1000.0);
     if killed_after_ms >= 0 {
         simulation.kill(leader, Duration::from_secs(1));
     }
     simulation.run_until(15.0, "another leadership", |simulation| {
-        simulation.leader().is_some() && simulation.leadership_count() > terms
+        simulation.leader().is_some() && simulation.leadership_count() > leaderships
     });
     submit_to_next_leader(&mut simulation);
     assert_eq!(
@@ -69,9 +69,9 @@
     );
 }
 
-fn cancel_until_answered(simulation: &mut Simulation) {
+fn cancel_until_confirmed(simulation: &mut Simulation) {
     let cancelled = ["wk-000001", "wk-000002", "wk-000003", "wk-000007"];
-    let mut tries = 0;
+    let mut attempts = 0;
     while cancelled
         .iter()
         .any(|id| simulation.reported_final_state(id).is_none())
@@ -83,31 +83,34 @@
             }
         }
         simulation.run(0.1);
-        tries += 1;
-        assert!(tries < 200, "cannot be cancelled");
+        attempts += 1;
+        assert!(attempts < 200, "cannot be cancelled");
     }
 }
 
 /// Submits jobs that count for nothing that the former leader may have started.
 fn submit_to_next_leader(simulation: &mut Simulation) {
-    let next = simulation.leader().unwrap();
+    let next_leader = simulation.leader().unwrap();
     for n in 12..=16 {
         let id = format!("wk-{n:06}");
-        let mut tries = 0;
-        while !matches!(simulation.submit(next, &sample(&id, 1, 4.0, 5)), 200 | 201) {
-            tries += 1;
-            assert!(tries < 20, "{id} is not accepted");
+        let mut attempts = 0;
+        while !matches!(
+            simulation.submit(next_leader, &sample(&id, 1, 4.0, 5)),
+            200 | 201
+        ) {
+            attempts += 1;
+            assert!(attempts < 20, "{id} is not accepted");
         }
     }
 }
 
 #[test]
-fn residual_tasks_count_when_teams_at_limit() {
+fn residual_tasks_count_towards_limit_after_leader_change() {
     for killed_after_ms in [-4000, -3000, 0, 100, 500, 2000] {
-        limits_at_a_change_of_leader(killed_after_ms);
+        check_limits_across_leader_change(killed_after_ms);
     }
     fails_without(Safeguard::ResidualUsage, "team t uses", || {
-        limits_at_a_change_of_leader(0)
+        check_limits_across_leader_change(0)
     });
 }
 
@@ -128,12 +131,12 @@
 
 impl Handover {
     /// Whether it happens to the leader.
-    fn is_of_leader(self) -> bool {
+    fn affects_leader(self) -> bool {
         matches!(self, Handover::Resigns | Handover::Refused)
     }
 
     /// Lets it happen to this controller.
-    fn begin(self, simulation: &mut Simulation, node: usize) {
+    fn inject(self, simulation: &mut Simulation, node: usize) {
         match self {
             Handover::Killed => simulation.kill(node, Duration::from_secs(20)),
             Handover::Paused => simulation.nodes[node].paused = true,
@@ -164,22 +167,22 @@
 
 /// Jobs are cancelled one after the other in the seconds around a handover, at any controller. Returns
 /// how many cancellations were confirmed then while tasks were still there.
-fn cancelled_around_a_handover(handover: Handover, delegate: bool) -> u32 {
+fn cancel_around_handover(handover: Handover, delegate: bool) -> u32 {
     let (mut simulation, from) = cluster_before_handover(handover, delegate);
-    let begun = simulation.now;
+    let started_at = simulation.now;
     let mut confirmed_early = 0;
-    let mut has_begun = false;
+    let mut handover_injected = false;
     for tick in 0..160 {
-        let elapsed = simulation.now - begun;
-        if elapsed >= Duration::from_secs(1) && !has_begun {
-            has_begun = true;
-            handover.begin(&mut simulation, from);
+        let elapsed = simulation.now - started_at;
+        if elapsed >= Duration::from_secs(1) && !handover_injected {
+            handover_injected = true;
+            handover.inject(&mut simulation, from);
         }
         cancel_due_jobs(&mut simulation, tick, elapsed);
         let confirmed = simulation.checker.cancelled_at.len();
         simulation.tick();
-        if simulation.checker.cancelled_at.len() > confirmed && has_begun {
-            confirmed_early += confirmed_now_and_running(&simulation);
+        if simulation.checker.cancelled_at.len() > confirmed && handover_injected {
+            confirmed_early += confirmed_now_with_tasks(&simulation);
         }
     }
     // The simulation looks on until every cancellation should have been carried out.
@@ -211,7 +214,7 @@
         let spec = unlimited_job(&job_id(n), 1, 4.0, 200);
         assert_eq!(simulation.submit(leader, &spec), 201);
     }
-    let from = if handover.is_of_leader() {
+    let from = if handover.affects_leader() {
         leader
     } else {
         (leader + 1) % 3
@@ -233,7 +236,7 @@
 }
 
 /// The number of jobs whose cancellation was confirmed in this tick and whose tasks are still there.
-fn confirmed_now_and_running(simulation: &Simulation) -> u32 {
+fn confirmed_now_with_tasks(simulation: &Simulation) -> u32 {
     let confirmed_at = &simulation.checker.cancelled_at;
     let confirmed_now = (0..HANDOVER_JOBS)
         .map(job_id)
@@ -253,11 +256,11 @@
 
 fn cancel_remaining_jobs(simulation: &mut Simulation) {
     for id in (0..HANDOVER_JOBS).map(job_id) {
-        let mut tries = 0;
+        let mut attempts = 0;
         while simulation.reported_final_state(&id).is_none() {
-            simulation.cancel(tries % 3, &id);
-            tries += 1;
-            assert!(tries < 60, "{id} cannot be cancelled");
+            simulation.cancel(attempts % 3, &id);
+            attempts += 1;
+            assert!(attempts < 60, "{id} cannot be cancelled");
         }
     }
 }
@@ -265,22 +268,22 @@
 #[test]
 fn cancellations_around_handover_finish_in_time() {
     use Handover::{Isolated, Killed, Paused, Refused, Resigns, WorkersMoved};
-    let mut met = 0;
+    let mut confirmed_early = 0;
     for handover in [Killed, Paused, Isolated, WorkersMoved, Resigns, Refused] {
         for delegate in [true, false] {
-            met += cancelled_around_a_handover(handover, delegate);
+            confirmed_early += cancel_around_handover(handover, delegate);
         }
     }
     assert!(
-        met > 10,
-        "{met} were confirmed before their tasks were gone"
+        confirmed_early > 10,
+        "{confirmed_early} were confirmed before their tasks were gone"
     );
-    for (guard, handover) in [
+    for (safeguard, handover) in [
         (Safeguard::StopEndedJobs, WorkersMoved),
         (Safeguard::GrantExpiry, Isolated),
     ] {
-        fails_without(guard, "of a cancelled job is on", || {
-            cancelled_around_a_handover(handover, true);
+        fails_without(safeguard, "of a cancelled job is on", || {
+            cancel_around_handover(handover, true);
         });
     }
 }
@@ -288,41 +291,41 @@
 /// The leader keeps its workers and users and nothing else; jobs are cancelled through the next one.
 #[test]
 fn cancellation_by_next_leader_reaches_old_workers() {
-    for held in [false, true] {
-        let (mut simulation, old) = eight_machines(960);
+    for commands_held in [false, true] {
+        let (mut simulation, old_leader) = eight_machines(960);
         assert_eq!(
-            simulation.submit(old, &unlimited_job("wk-000001", 8, 4.0, 200)),
+            simulation.submit(old_leader, &unlimited_job("wk-000001", 8, 4.0, 200)),
             201
         );
         simulation.run(3.0);
         simulation.workers.values_mut().for_each(|m| {
-            m.node = old;
-            m.partitioned_from = (0..3).filter(|n| *n != old).collect();
+            m.node = old_leader;
+            m.partitioned_from = (0..3).filter(|n| *n != old_leader).collect();
         });
-        simulation.faults.hold_commands = held;
+        simulation.faults.hold_commands = commands_held;
         (
-            simulation.nodes[old].store_link,
-            simulation.nodes[old].peers_reachable,
+            simulation.nodes[old_leader].store_link,
+            simulation.nodes[old_leader].peers_reachable,
         ) = (Link::Held, false);
-        let mut asked = 0;
+        let mut attempts = 0;
         while simulation.reported_final_state("wk-000001").is_none() {
-            assert!(asked < 40, "nobody cancels it");
+            assert!(attempts < 40, "nobody cancels it");
             // The old one would stop them at once, though it can confirm nothing.
-            for node in (0..3).filter(|n| *n != old) {
+            for node in (0..3).filter(|n| *n != old_leader) {
                 simulation.cancel_without_waiting(node, "wk-000001");
             }
             simulation.run(0.5);
-            asked += 1;
+            attempts += 1;
         }
         assert_eq!(
             simulation.placements("wk-000001").len(),
             8,
             "all are there when its user is told"
         );
-        assert_ne!(simulation.leader(), Some(old));
+        assert_ne!(simulation.leader(), Some(old_leader));
         // Users of the old one get no other answer.
         for _ in 0..10 {
-            simulation.show(old, "wk-000001");
+            simulation.show(old_leader, "wk-000001");
             simulation.run(1.0);
         }
         simulation.run(10.0);
@@ -341,7 +344,7 @@
         201
     );
     simulation.run(3.0);
-    let cut = |simulation: &mut Simulation, on: bool| {
+    let set_partitioned = |simulation: &mut Simulation, on: bool| {
         for m in simulation
             .workers
             .values_mut()
@@ -350,16 +353,16 @@
             m.partitioned_from = (0..3).filter(|_| on).collect();
         }
     };
-    cut(&mut simulation, true);
+    set_partitioned(&mut simulation, true);
     simulation.faults.cloud_down = true;
     assert_eq!(simulation.cancel(leader, "wk-000001").0, 200);
     (0..3).for_each(|n| simulation.kill(n, Duration::from_millis(300)));
     simulation.run_until(8.0, "another leader", |simulation| {
         simulation.leader().is_some()
     });
-    let next = simulation.leader().unwrap();
+    let next_leader = simulation.leader().unwrap();
     assert_eq!(
-        simulation.submit(next, &sample("wk-000002", 6, 4.0, 3)),
+        simulation.submit(next_leader, &sample("wk-000002", 6, 4.0, 3)),
         201
     );
     simulation.run(1.0);
@@ -371,7 +374,13 @@
     );
     assert_eq!(simulation.placements("wk-000002").len(), 1);
     // Their heartbeats arrive, and what they show is of no job that is known; they receive nothing.
-    let token = simulation.nodes[next].core.leader.as_ref().unwrap().term << 20;
+    let token = simulation.nodes[next_leader]
+        .core
+        .leader
+        .as_ref()
+        .unwrap()
+        .term
+        << 20;
     for (id, _) in simulation.placements("wk-000001") {
         let body = DirectCommands {
             fencing_token: token,
@@ -381,7 +390,7 @@
         simulation.execute_direct(&id, &body);
         simulation.workers.get_mut(&id).unwrap().inbound_partitioned = true;
     }
-    cut(&mut simulation, false);
+    set_partitioned(&mut simulation, false);
     simulation.run(3.0);
     simulation
         .workers
--- a/src/core/simulation/scenarios/cancellation_in_outage.rs
+++ b/src/core/simulation/scenarios/cancellation_in_outage.rs
@@ -36,7 +36,7 @@
     isolated: bool,
 }
 
-const USUAL_CASE: Case = Case {
+const DEFAULT_CASE: Case = Case {
     nodes: 3,
     delegate: true,
     target: HeartbeatTarget::Leader,
@@ -64,12 +64,12 @@
     old_leader: usize,
     /// The controller that all workers send heartbeats to, if it is one.
     heartbeat_target: Option<usize>,
-    begun: Instant,
+    started_at: Instant,
 }
 
 impl Round {
     /// Starts a round's jobs, and lets the workers send heartbeats to where the case has them.
-    fn begin(simulation: &mut Simulation, case: Case, number: usize) -> Round {
+    fn start(simulation: &mut Simulation, case: Case, number: usize) -> Round {
         simulation.run_until(40.0, "a leader", |simulation| simulation.leader().is_some());
         let old_leader = simulation.leader().unwrap();
         let heartbeat_target = match case.target {
@@ -82,7 +82,7 @@
             number,
             old_leader,
             heartbeat_target,
-            begun: simulation.now,
+            started_at: simulation.now,
         };
         round.start_jobs(simulation);
         if let Some(node) = heartbeat_target {
@@ -90,7 +90,7 @@
         }
         simulation.run(2.5);
         simulation.faults.hold_commands = case.hold_commands;
-        round.begun = simulation.now;
+        round.started_at = simulation.now;
         round
     }
 
@@ -111,28 +111,28 @@
     }
 
     /// The time so many seconds after the beginning.
-    fn after(&self, seconds: f64) -> Instant {
-        self.begun + Duration::from_secs_f64(seconds)
+    fn time_after(&self, seconds: f64) -> Instant {
+        self.started_at + Duration::from_secs_f64(seconds)
     }
 
     /// Cancels jobs, refuses the leader and begins the outage, each at its time. Returns how many users
     /// were answered by another controller than the old leader, between the refusal and the outage, while
     /// tasks of theirs were still on machines.
-    fn play(&self, simulation: &mut Simulation) -> u32 {
+    fn run(&self, simulation: &mut Simulation) -> u32 {
         let mut confirmed_early = 0;
         let mut ticks = 0;
         let outage = CANCELLATION_LIMIT.as_secs_f64() + 6.0;
-        while simulation.now < self.after(self.case.outage_after + outage) {
+        while simulation.now < self.time_after(self.case.outage_after + outage) {
             self.cancel_due_jobs(simulation, ticks);
             self.set_faults(simulation);
             let confirmed = simulation.checker.cancelled_at.len();
             simulation.tick();
-            let other_leads = simulation.leader().is_some_and(|l| l != self.old_leader);
+            let another_leads = simulation.leader().is_some_and(|l| l != self.old_leader);
             if simulation.checker.cancelled_at.len() > confirmed
-                && other_leads
+                && another_leads
                 && !simulation.faults.store_outage
             {
-                confirmed_early += self.confirmed_now_and_running(simulation);
+                confirmed_early += self.confirmed_now_with_tasks(simulation);
             }
             ticks += 1;
         }
@@ -142,7 +142,7 @@
     /// From shortly before the refusal on, one job after the other is cancelled, at any controller.
     fn cancel_due_jobs(&self, simulation: &mut Simulation, ticks: usize) {
         for job in 0..JOBS {
-            let cancel_at = self.after(job as f64 * CANCEL_INTERVAL);
+            let cancel_at = self.time_after(job as f64 * CANCEL_INTERVAL);
             let is_due = simulation.now >= cancel_at && ticks % 4 == job % 4;
             let id = self.job_id(job);
             if is_due && simulation.reported_final_state(&id).is_none() {
@@ -154,8 +154,8 @@
 
     fn set_faults(&self, simulation: &mut Simulation) {
         let now = simulation.now;
-        let refused =
-            now >= self.after(REFUSAL_DELAY) && now < self.after(REFUSAL_DELAY + self.case.refused);
+        let refused = now >= self.time_after(REFUSAL_DELAY)
+            && now < self.time_after(REFUSAL_DELAY + self.case.refused);
         let link = |fault: Link| if refused { fault } else { Link::Good };
         simulation.nodes[self.old_leader].store_link = link(Link::Refused);
         if let Some(node) = self.heartbeat_target.filter(|_| self.case.isolated) {
@@ -170,15 +170,15 @@
             }
         }
         let outage_at = REFUSAL_DELAY + self.case.outage_after;
-        let paused = self.case.paused && refused && now < self.after(outage_at + 1.0);
+        let paused = self.case.paused && refused && now < self.time_after(outage_at + 1.0);
         simulation.nodes[self.old_leader].paused = paused;
-        if now >= self.after(outage_at) && !simulation.faults.store_outage {
+        if now >= self.time_after(outage_at) && !simulation.faults.store_outage {
             simulation.set_store_outage(true);
         }
     }
 
     /// The number of jobs whose cancellation was confirmed in this tick and whose tasks are still there.
-    fn confirmed_now_and_running(&self, simulation: &Simulation) -> u32 {
+    fn confirmed_now_with_tasks(&self, simulation: &Simulation) -> u32 {
         let confirmed_at = &simulation.checker.cancelled_at;
         let confirmed_now = (0..JOBS)
             .map(|job| self.job_id(job))
@@ -188,7 +188,7 @@
     }
 
     /// Whatever was confirmed is gone by now, though the state service is away all the time.
-    fn check_confirmed_are_gone(&self, simulation: &Simulation) {
+    fn check_confirmed_jobs_stopped(&self, simulation: &Simulation) {
         assert!(simulation.faults.store_outage);
         for id in (0..JOBS).map(|job| self.job_id(job)) {
             let confirmed = simulation.checker.cancelled_at.contains_key(&id);
@@ -211,13 +211,13 @@
 
     fn cancel_remaining_jobs(&self, simulation: &mut Simulation) {
         for id in (0..JOBS).map(|job| self.job_id(job)) {
-            let mut tries = 0;
+            let mut attempts = 0;
             while simulation.reported_final_state(&id).is_none() {
                 let node = simulation.random(self.case.nodes);
                 simulation.cancel(node, &id);
                 simulation.run(0.3);
-                tries += 1;
-                assert!(tries < 60, "{id} cannot be cancelled");
+                attempts += 1;
+                assert!(attempts < 60, "{id} cannot be cancelled");
             }
         }
     }
@@ -225,13 +225,13 @@
 
 /// Plays a case. Returns how many users were answered by another controller than the old leader, between
 /// the refusal and the outage, while tasks of theirs were still on machines.
-fn play(case: Case, seed: u64) -> u32 {
+fn run_case(case: Case, seed: u64) -> u32 {
     let policy = format!("delegate = {}\nidle_keep = 600", case.delegate);
     let setup = Setup {
         nodes: case.nodes,
         cancellation_limit: CANCELLATION_LIMIT,
     };
-    let policy = Policy::parse("gap", &policy).unwrap();
+    let policy = Policy::parse("outage", &policy).unwrap();
     let mut simulation = Simulation::with_setup(seed, policy, setup);
     simulation.capacity.clear();
     simulation.add_machines("small", JOBS);
@@ -239,9 +239,9 @@
     simulation.run(4.0);
     let mut confirmed_early = 0;
     for number in 0..case.rounds {
-        let round = Round::begin(&mut simulation, case, number as usize);
-        confirmed_early += round.play(&mut simulation);
-        round.check_confirmed_are_gone(&simulation);
+        let round = Round::start(&mut simulation, case, number as usize);
+        confirmed_early += round.run(&mut simulation);
+        round.check_confirmed_jobs_stopped(&simulation);
         round.heal(&mut simulation);
         round.cancel_remaining_jobs(&mut simulation);
         simulation.run(3.0);
@@ -270,7 +270,7 @@
                     outage_after,
                     target,
                     refused,
-                    ..USUAL_CASE
+                    ..DEFAULT_CASE
                 });
             }
         }
@@ -278,7 +278,7 @@
             let case = Case {
                 delegate,
                 hold_commands,
-                ..USUAL_CASE
+                ..DEFAULT_CASE
             };
             let paused = true;
             for target in [HeartbeatTarget::Leader, HeartbeatTarget::Follower] {
@@ -307,34 +307,37 @@
 #[test]
 fn cancelled_tasks_stop_in_time_despite_outage() {
     crate::core::simulation::enable_log();
-    let mut cases_met = 0;
+    let mut effective_cases = 0;
     for (n, case) in cases().into_iter().enumerate() {
-        let confirmed_early = play(case, 700 + n as u64);
-        cases_met += u32::from(confirmed_early > 0);
+        let confirmed_early = run_case(case, 700 + n as u64);
+        effective_cases += u32::from(confirmed_early > 0);
         // While the old lease runs, nobody else can confirm anything.
         let old_runs = case.outage_after < LEASE_TTL.as_secs_f64();
         assert!(!old_runs || confirmed_early == 0, "{case:?}");
     }
     assert!(
-        cases_met >= 10,
-        "the gap came about in {cases_met} rows only"
+        effective_cases >= 10,
+        "the gap came about in {effective_cases} rows only"
     );
 }
 
-/// Each guard that keeps it, taken out by itself, is found by the rule.
+/// Each safeguard that keeps it, taken out by itself, is found by the rule.
 #[test]
-fn checker_detects_disabled_guards_in_outage() {
-    for guard in [
+fn checker_detects_disabled_safeguards_in_outage() {
+    for safeguard in [
         Safeguard::LeaseValidity,
         Safeguard::GrantExpiry,
         Safeguard::StopEndedJobs,
     ] {
-        let found = cases().into_iter().enumerate().find_map(|(n, case)| {
-            let said = failure_without(guard, || {
-                play(case, 700 + n as u64);
+        let violating_case = cases().into_iter().enumerate().find_map(|(n, case)| {
+            let message = failure_without(safeguard, || {
+                run_case(case, 700 + n as u64);
             })?;
-            said.contains("of a cancelled job is on").then_some(case)
+            message.contains("of a cancelled job is on").then_some(case)
         });
-        assert!(found.is_some(), "{guard:?} is out, and nothing is found");
+        assert!(
+            violating_case.is_some(),
+            "{safeguard:?} is out, and nothing is found"
+        );
     }
 }
--- a/src/core/simulation/scenarios/delegation.rs
+++ b/src/core/simulation/scenarios/delegation.rs
@@ -12,7 +12,7 @@
 
 /// With or without controllers that serve workers for the leader.
 pub fn policy(delegate: bool) -> Policy {
-    Policy::parse("story", &format!("delegate = {delegate}")).unwrap()
+    Policy::parse("delegation", &format!("delegate = {delegate}")).unwrap()
 }
 
 /// Three controllers with a leader, and so many machines that have sent heartbeats; none can be provisioned.
@@ -27,11 +27,11 @@
 
 /// How many workers send heartbeats to each node.
 fn workers_per_node(simulation: &Simulation) -> BTreeMap<usize, usize> {
-    let mut out = BTreeMap::new();
+    let mut counts = BTreeMap::new();
     for m in simulation.workers.values() {
-        *out.entry(m.node).or_default() += 1;
+        *counts.entry(m.node).or_default() += 1;
     }
-    out
+    counts
 }
 
 fn move_workers_to(simulation: &mut Simulation, node: usize) {
@@ -39,20 +39,20 @@
 }
 
 /// Heartbeats that other controllers answered alone, by the leader's count.
-fn answered(simulation: &Simulation, leader: usize) -> u64 {
+fn delegated_responses(simulation: &Simulation, leader: usize) -> u64 {
     (simulation.nodes[leader].core.leader.as_ref()).map_or(0, |l| l.delegates.delegated_answers)
 }
 
 #[test]
-fn followers_answer_unchanged_and_relay_new_heartbeats() {
+fn followers_answer_unchanged_and_relay_changed_heartbeats() {
     let (mut simulation, leader) = delegating_cluster(501, 60);
     simulation.run(5.0);
     let before = (
-        answered(&simulation, leader),
+        delegated_responses(&simulation, leader),
         simulation.counters.heartbeats,
     );
     simulation.run(10.0);
-    let answered_by_others = answered(&simulation, leader) - before.0;
+    let answered_by_others = delegated_responses(&simulation, leader) - before.0;
     let all = u64::from(simulation.counters.heartbeats - before.1);
     assert!(
         answered_by_others * 2 > all,
@@ -115,13 +115,13 @@
     let (mut simulation, leader) = delegating_cluster(503, 300);
     simulation.submit(leader, &unlimited_job("wk-1", 100, 1.0, 300));
     simulation.run(12.0);
-    let at = |simulation: &Simulation, n: usize| -> Vec<MachineId> {
-        let there = simulation.workers.iter().filter(|(_, m)| m.node == n);
-        there.map(|(id, _)| id.clone()).collect()
+    let workers_of = |simulation: &Simulation, n: usize| -> Vec<MachineId> {
+        let workers = simulation.workers.iter().filter(|(_, m)| m.node == n);
+        workers.map(|(id, _)| id.clone()).collect()
     };
     let others: Vec<(usize, Vec<MachineId>)> = (0..3)
         .filter(|n| *n != leader)
-        .map(|n| (n, at(&simulation, n)))
+        .map(|n| (n, workers_of(&simulation, n)))
         .collect();
     let starts = simulation.counters.starts;
     simulation.kill(leader, Duration::from_secs(30));
@@ -131,13 +131,13 @@
     });
     simulation.run(5.0);
     for (n, before) in others {
-        let still = before
+        let remaining = before
             .iter()
             .filter(|id| simulation.workers[*id].node == n)
             .count();
         assert!(
-            still * 10 >= before.len() * 9,
-            "{still} of {} stay with {n}",
+            remaining * 10 >= before.len() * 9,
+            "{remaining} of {} stay with {n}",
             before.len()
         );
     }
@@ -177,7 +177,7 @@
 
 /// Passed on to a leader that stands still, a submission waited until that call was given up.
 #[test]
-fn unresponsive_leader_not_asked_for_submission() {
+fn submission_not_forwarded_to_unresponsive_leader() {
     let (mut simulation, leader) = delegating_cluster(511, 30);
     simulation.nodes[leader].paused = true;
     simulation.run(1.0);
@@ -212,7 +212,7 @@
         });
         move_workers_to(&mut simulation, other);
         simulation.run(5.0);
-        assert!(answered(&simulation, leader) > 0);
+        assert!(delegated_responses(&simulation, leader) > 0);
         // Its grant has just been renewed, on a leadership proof that was renewed just before, when
         // the one cannot tell the other any more. Nor can the leader delete the machines.
         let grant = |simulation: &Simulation| {
@@ -271,16 +271,16 @@
     let (mut simulation, leader) = delegating_cluster(513, 60);
     simulation.run(10.0);
     let other = (leader + 1) % 3;
-    let there: Vec<MachineId> = (simulation.workers.iter())
+    let workers: Vec<MachineId> = (simulation.workers.iter())
         .filter(|(_, m)| m.node == other)
         .map(|(id, _)| id.clone())
         .collect();
-    assert!(there.len() > 10);
+    assert!(workers.len() > 10);
     // Long enough for its workers to have found others, and to come back.
     simulation.nodes[other].peers_reachable = false;
     simulation.run(8.0);
     simulation.nodes[other].peers_reachable = true;
-    for id in &there {
+    for id in &workers {
         simulation.workers.get_mut(id).unwrap().node = other;
     }
     simulation.run(12.0);
@@ -344,14 +344,14 @@
 }
 
 #[test]
-fn lost_controller_loses_no_machine() {
-    for cut in [false, true] {
+fn controller_failure_loses_no_machine() {
+    for partitioned in [false, true] {
         let (mut simulation, leader) = delegating_cluster(507, 30);
         let other = (leader + 1) % 3;
         move_workers_to(&mut simulation, other);
         simulation.submit(leader, &unlimited_job("wk-1", 30, 2.0, 25));
         simulation.run(4.0);
-        if cut {
+        if partitioned {
             simulation.nodes[other].peers_reachable = false;
         } else {
             simulation.kill(other, Duration::from_secs(20));
@@ -360,7 +360,7 @@
         assert_eq!(
             (simulation.workers.len(), simulation.counters.starts),
             (30, 30),
-            "cut: {cut}"
+            "cut: {partitioned}"
         );
     }
 }
@@ -386,10 +386,10 @@
 
 /// Versions and settings without it drop such frames or refuse them; both may lead in turns.
 #[test]
-fn delegating_and_plain_controllers_interoperate() {
-    for leads_with in [true, false] {
-        let mut simulation = Simulation::with_policy(509, policy(leads_with));
-        simulation.policy = policy(!leads_with).into();
+fn delegating_and_non_delegating_controllers_interoperate() {
+    for leader_delegates in [true, false] {
+        let mut simulation = Simulation::with_policy(509, policy(leader_delegates));
+        simulation.policy = policy(!leader_delegates).into();
         simulation.add_machines("small", 4);
         // All but one are started anew, with the other setting.
         simulation.kill(1, Duration::from_millis(200));
@@ -422,11 +422,11 @@
             mono: simulation.now,
             wall: std::time::SystemTime::UNIX_EPOCH + Duration::from_secs(1_700_000_000),
         };
-        let ask = Command::Metrics {
+        let command = Command::Metrics {
             ticket: u64::MAX,
             queue_lengths: [1, 2, 3],
         };
-        let effects = simulation.nodes[node].core.step(now, vec![ask]);
+        let effects = simulation.nodes[node].core.step(now, vec![command]);
         let body = effects.into_iter().find_map(|e| match e {
             Effect::Response { ticket, response } if ticket == u64::MAX => Some(response.body),
             _ => None,
--- a/src/core/simulation/scenarios/dependencies.rs
+++ b/src/core/simulation/scenarios/dependencies.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 /// The next link of a chain, or the end of a diamond.
-fn after(id: &str, dependencies: &[&str], tasks: u32, seconds: u64) -> JobSpec {
+fn dependent_job(id: &str, dependencies: &[&str], tasks: u32, seconds: u64) -> JobSpec {
     let mut spec = sample(id, tasks, 1.0, seconds);
     spec.dependencies = dependencies.iter().map(|a| (*a).into()).collect();
     spec
@@ -19,19 +19,19 @@
     let (mut simulation, leader) = four_machines(40);
     // The simulation checks at every start that all that is awaited is done.
     assert_eq!(
-        simulation.submit(follower(leader), &after("wk-9", &[], 6, 4)),
+        simulation.submit(follower(leader), &dependent_job("wk-9", &[], 6, 4)),
         201
     );
     assert_eq!(
-        simulation.submit(leader, &after("wk-8", &["wk-9"], 3, 6)),
+        simulation.submit(leader, &dependent_job("wk-8", &["wk-9"], 3, 6)),
         201
     );
     assert_eq!(
-        simulation.submit(follower(leader), &after("wk-7", &["wk-9"], 3, 3)),
+        simulation.submit(follower(leader), &dependent_job("wk-7", &["wk-9"], 3, 3)),
         201
     );
     assert_eq!(
-        simulation.submit(leader, &after("wk-1", &["wk-7", "wk-8"], 2, 2)),
+        simulation.submit(leader, &dependent_job("wk-1", &["wk-7", "wk-8"], 2, 2)),
         201
     );
     simulation.run_until_done("wk-9", 20.0);
@@ -44,7 +44,7 @@
     // What names jobs that are over long since starts at once.
     let leader = simulation.leader().unwrap();
     assert_eq!(
-        simulation.submit(leader, &after("wk-2", &["wk-1", "wk-9"], 1, 2)),
+        simulation.submit(leader, &dependent_job("wk-2", &["wk-1", "wk-9"], 1, 2)),
         201
     );
     simulation.run_until_done("wk-2", 6.0);
@@ -60,14 +60,23 @@
     assert_eq!(simulation.submit(leader, &sample("wk-51", 1, 1.0, 2)), 201);
     simulation.run_until_done("wk-51", 10.0);
     let mut n = 100;
-    for alone in [false, true] {
-        simulation.set_peers_reachable(!alone);
+    for isolated in [false, true] {
+        simulation.set_peers_reachable(!isolated);
         for node in 0..3 {
             n += 1;
             let id = format!("wk-{n}");
-            assert_eq!(simulation.submit(node, &after(&id, &["wk-777"], 1, 1)), 422);
-            assert_eq!(simulation.submit(node, &after(&id, &[&id], 1, 1)), 422);
-            assert_eq!(simulation.submit(node, &after(&id, &["wk-50"], 1, 1)), 422);
+            assert_eq!(
+                simulation.submit(node, &dependent_job(&id, &["wk-777"], 1, 1)),
+                422
+            );
+            assert_eq!(
+                simulation.submit(node, &dependent_job(&id, &[&id], 1, 1)),
+                422
+            );
+            assert_eq!(
+                simulation.submit(node, &dependent_job(&id, &["wk-50"], 1, 1)),
+                422
+            );
             // Accepted a moment ago by another node, which this one has not learned of.
             let other = format!("wk-{}", n + 50);
             assert_eq!(
@@ -75,17 +84,20 @@
                 201
             );
             assert_eq!(
-                simulation.submit(node, &after(&id, &["wk-51", &other], 1, 1)),
+                simulation.submit(node, &dependent_job(&id, &["wk-51", &other], 1, 1)),
                 201
             );
             // A repetition gets the job's state, whatever it names.
-            assert_eq!(simulation.submit(node, &after(&id, &["wk-777"], 1, 1)), 200);
+            assert_eq!(
+                simulation.submit(node, &dependent_job(&id, &["wk-777"], 1, 1)),
+                200
+            );
         }
     }
     // What cannot be decided is put off at once.
     simulation.set_store_links(Link::Refused);
     assert_eq!(
-        simulation.submit(0, &after("wk-300", &["wk-777"], 1, 1)),
+        simulation.submit(0, &dependent_job("wk-300", &["wk-777"], 1, 1)),
         503
     );
 }
@@ -94,21 +106,21 @@
 /// write of its end on.
 #[test]
 fn cancellation_reaches_dependents_with_one_write() {
-    for who in ["wk-1", "wk-2"] {
+    for cancelled_id in ["wk-1", "wk-2"] {
         let (mut simulation, leader) = four_machines(42);
-        simulation.submit(leader, &after("wk-1", &[], 4, 30));
-        simulation.submit(leader, &after("wk-2", &["wk-1"], 1, 5));
-        simulation.submit(leader, &after("wk-3", &["wk-1"], 1, 5));
-        simulation.submit(leader, &after("wk-4", &["wk-2", "wk-3"], 1, 5));
+        simulation.submit(leader, &dependent_job("wk-1", &[], 4, 30));
+        simulation.submit(leader, &dependent_job("wk-2", &["wk-1"], 1, 5));
+        simulation.submit(leader, &dependent_job("wk-3", &["wk-1"], 1, 5));
+        simulation.submit(leader, &dependent_job("wk-4", &["wk-2", "wk-3"], 1, 5));
         for n in 5..60 {
             simulation.submit(
                 leader,
-                &after(&format!("wk-{n}"), &[&format!("wk-{}", n - 1)], 1, 5),
+                &dependent_job(&format!("wk-{n}"), &[&format!("wk-{}", n - 1)], 1, 5),
             );
         }
         let changes = simulation.change_count();
         assert_eq!(
-            simulation.cancel(follower(leader), who).1,
+            simulation.cancel(follower(leader), cancelled_id).1,
             Some(JobState::Cancelled)
         );
         // The leader dies with hardly any of the other ends written.
@@ -121,37 +133,46 @@
             for node in [follower(leader), follower(leader + 1)] {
                 let id = format!("wk-{n}");
                 assert_eq!(simulation.show(node, &id), (200, Some(JobState::Cancelled)));
-                assert_eq!(simulation.submit(node, &after(&id, &["wk-1"], 1, 5)), 200);
+                assert_eq!(
+                    simulation.submit(node, &dependent_job(&id, &["wk-1"], 1, 5)),
+                    200
+                );
                 assert_eq!(simulation.cancel(node, &id).1, Some(JobState::Cancelled));
             }
         }
         // What names a cancelled job later is accepted all the same, and cancelled.
-        let new = simulation.leader().unwrap();
+        let new_leader = simulation.leader().unwrap();
         assert_eq!(
-            simulation.submit(new, &after("wk-99", &["wk-59"], 1, 5)),
+            simulation.submit(new_leader, &dependent_job("wk-99", &["wk-59"], 1, 5)),
             201
         );
-        assert_eq!(simulation.show(new, "wk-99").1, Some(JobState::Cancelled));
-        if who == "wk-2" {
+        assert_eq!(
+            simulation.show(new_leader, "wk-99").1,
+            Some(JobState::Cancelled)
+        );
+        if cancelled_id == "wk-2" {
             // Its sister and what both need go on.
             simulation.run_until_done("wk-3", 60.0);
         }
         simulation.run(10.0);
-        assert_eq!(simulation.show(new, "wk-4").1, Some(JobState::Cancelled));
+        assert_eq!(
+            simulation.show(new_leader, "wk-4").1,
+            Some(JobState::Cancelled)
+        );
         let live = simulation.stored_values("burlusher/j/");
-        let over = live.values().filter(|v| v.get("end").is_some()).count();
-        assert_eq!(over, 60, "their own ends are written as well");
+        let ended = live.values().filter(|v| v.get("end").is_some()).count();
+        assert_eq!(ended, 60, "their own ends are written as well");
     }
 }
 
 /// While a cancellation is being written, nobody says of what needs the job that it still waits:
 /// another node may have read the end and answered its user.
 #[test]
-fn dependent_of_uncertain_cancellation_never_revived() {
+fn dependent_of_uncertain_cancellation_not_reported_live() {
     let (mut simulation, leader) = four_machines(43);
-    simulation.submit(leader, &after("wk-1", &[], 4, 60));
-    simulation.submit(leader, &after("wk-2", &["wk-1"], 1, 5));
-    simulation.submit(leader, &after("wk-3", &["wk-2"], 1, 5));
+    simulation.submit(leader, &dependent_job("wk-1", &[], 4, 60));
+    simulation.submit(leader, &dependent_job("wk-2", &["wk-1"], 1, 5));
+    simulation.submit(leader, &dependent_job("wk-3", &["wk-2"], 1, 5));
     simulation.run(2.0);
     // The end is committed, but the leader does not learn so.
     simulation.nodes[leader].store_link = Link::ResponsesLost;
@@ -172,14 +193,14 @@
 fn job_accepted_during_uncertain_cancellation() {
     let (mut simulation, leader) = four_machines(49);
     let other = follower(leader);
-    simulation.submit(leader, &after("wk-1", &[], 4, 60));
-    simulation.submit(leader, &after("wk-2", &["wk-1"], 1, 5));
+    simulation.submit(leader, &dependent_job("wk-1", &[], 4, 60));
+    simulation.submit(leader, &dependent_job("wk-2", &["wk-1"], 1, 5));
     simulation.nodes[leader].store_link = Link::WritesHeld;
     simulation.cancel_without_waiting(leader, "wk-1");
     simulation.run(0.2);
     simulation.set_peers_reachable(false);
     assert_eq!(
-        simulation.submit(other, &after("wk-3", &["wk-2"], 1, 5)),
+        simulation.submit(other, &dependent_job("wk-3", &["wk-2"], 1, 5)),
         201
     );
     simulation.run(0.2);
@@ -197,44 +218,50 @@
 #[test]
 fn lagging_node_never_answers_stale_state() {
     let (mut simulation, leader) = four_machines(47);
-    let (other, late) = (follower(leader), follower(leader + 1));
-    simulation.submit(leader, &after("wk-1", &[], 4, 60));
-    simulation.submit(leader, &after("wk-2", &["wk-1"], 1, 5));
+    let (other, lagging) = (follower(leader), follower(leader + 1));
+    simulation.submit(leader, &dependent_job("wk-1", &[], 4, 60));
+    simulation.submit(leader, &dependent_job("wk-2", &["wk-1"], 1, 5));
     simulation.run(1.0);
-    simulation.nodes[late].watch_delayed = true;
+    simulation.nodes[lagging].watch_delayed = true;
     // Committed, and nothing more is written: the leader does not learn so.
     simulation.nodes[leader].store_link = Link::ResponsesLost;
     simulation.cancel_without_waiting(leader, "wk-1");
     simulation.run(0.2);
     simulation.set_peers_reachable(false);
-    assert_eq!(simulation.submit(other, &after("wk-5", &[], 1, 60)), 201);
+    assert_eq!(
+        simulation.submit(other, &dependent_job("wk-5", &[], 1, 60)),
+        201
+    );
     assert_eq!(simulation.show(other, "wk-2").1, Some(JobState::Cancelled));
     // It cannot know, and says so at once, or when it has caught up.
-    assert_eq!(simulation.show(late, "wk-2").0, 503);
+    assert_eq!(simulation.show(lagging, "wk-2").0, 503);
     assert_eq!(
-        simulation.submit(late, &after("wk-6", &["wk-5"], 1, 5)),
+        simulation.submit(lagging, &dependent_job("wk-6", &["wk-5"], 1, 5)),
         503
     );
-    simulation.nodes[late].watch_delayed = false;
-    assert_eq!(simulation.show(late, "wk-2").1, Some(JobState::Cancelled));
+    simulation.nodes[lagging].watch_delayed = false;
+    assert_eq!(
+        simulation.show(lagging, "wk-2").1,
+        Some(JobState::Cancelled)
+    );
     assert_eq!(
-        simulation.submit(late, &after("wk-6", &["wk-5"], 1, 5)),
+        simulation.submit(lagging, &dependent_job("wk-6", &["wk-5"], 1, 5)),
         201
     );
 }
 
 /// Accepted by another node in the very moment of the cancellation, or of the named job's end.
 #[test]
-fn job_accepted_as_dependency_ends_follows_it() {
+fn job_accepted_while_its_dependency_ends() {
     for delay in 0..8 {
         let (mut simulation, leader) = four_machines(44);
-        simulation.submit(leader, &after("wk-1", &[], 2, 3));
-        simulation.submit(leader, &after("wk-2", &[], 2, 60));
+        simulation.submit(leader, &dependent_job("wk-1", &[], 2, 3));
+        simulation.submit(leader, &dependent_job("wk-2", &[], 2, 60));
         simulation.run(1.0);
         simulation.set_peers_reachable(delay % 2 == 0);
         let other = follower(leader);
         for (id, dependencies) in [("wk-3", ["wk-1"]), ("wk-4", ["wk-2"])] {
-            let spec = after(id, &dependencies, 1, 2);
+            let spec = dependent_job(id, &dependencies, 1, 2);
             simulation.register_job(&spec);
             simulation.send_request(other, UserAction::Submit(Box::new(spec)));
         }
@@ -265,9 +292,9 @@
 #[test]
 fn waiting_dependent_holds_no_resources() {
     let (mut simulation, leader) = four_machines(45);
-    simulation.submit(leader, &after("wk-1", &[], 1, 60));
+    simulation.submit(leader, &dependent_job("wk-1", &[], 1, 60));
     // More than everything there is, and first in rank.
-    let mut high = after("wk-2", &["wk-1"], 12, 20);
+    let mut high = dependent_job("wk-2", &["wk-1"], 12, 20);
     high.priority = Priority::Production;
     high.resources.cpus = 4.0;
     simulation.submit(leader, &high);
@@ -285,14 +312,14 @@
         (15, (0, 0))
     );
     // Team u has 8 CPUs guaranteed: a waiting job that fills them leaves them to the next.
-    let mut waits = after("wk-4", &["wk-1"], 8, 20);
-    let mut next = sample("wk-5", 8, 1.0, 20);
-    (waits.team, next.team) = ("u".into(), "u".into());
-    simulation.submit(leader, &waits);
-    let mut others = sample("wk-6", 15, 1.0, 20);
-    others.priority = Priority::High;
-    simulation.submit(leader, &others);
-    simulation.submit(leader, &next);
+    let mut waiting = dependent_job("wk-4", &["wk-1"], 8, 20);
+    let mut next_job = sample("wk-5", 8, 1.0, 20);
+    (waiting.team, next_job.team) = ("u".into(), "u".into());
+    simulation.submit(leader, &waiting);
+    let mut competing = sample("wk-6", 15, 1.0, 20);
+    competing.priority = Priority::High;
+    simulation.submit(leader, &competing);
+    simulation.submit(leader, &next_job);
     simulation.run_until(12.0, "the guarantee is met first", |simulation| {
         simulation.placements("wk-5").len() == 8
     });
@@ -305,10 +332,10 @@
     simulation.capacity.clear();
     simulation.submit(leader, &sample("wk-9", 16, 1.0, 30));
     simulation.run(2.0);
-    let mut first = after("wk-1", &[], 1, 2);
+    let mut first = dependent_job("wk-1", &[], 1, 2);
     first.priority = Priority::Low;
     simulation.submit(leader, &first);
-    simulation.submit(leader, &after("wk-2", &["wk-1"], 1, 2));
+    simulation.submit(leader, &dependent_job("wk-2", &["wk-1"], 1, 2));
     simulation.submit(leader, &sample("wk-8", 16, 1.0, 30));
     let urgency = |simulation: &Simulation, id: &str| {
         let core = &simulation.nodes[leader].core;
@@ -317,21 +344,26 @@
     };
     assert_eq!(urgency(&simulation, "wk-1").priority, Priority::Normal);
     assert_eq!(urgency(&simulation, "wk-1").due, None);
-    let mut last = after("wk-3", &["wk-2"], 1, 2);
+    let mut last = dependent_job("wk-3", &["wk-2"], 1, 2);
     last.priority = Priority::High;
     last.deadline = Some(Duration::from_secs(100));
     simulation.submit(leader, &last);
-    let (one, three) = (urgency(&simulation, "wk-1"), urgency(&simulation, "wk-3"));
-    assert_eq!(one.priority, Priority::High);
-    let before = three.due.unwrap().duration_since(one.due.unwrap()).unwrap();
+    let (first_urgency, last_urgency) =
+        (urgency(&simulation, "wk-1"), urgency(&simulation, "wk-3"));
+    assert_eq!(first_urgency.priority, Priority::High);
+    let lead_time = last_urgency
+        .due
+        .unwrap()
+        .duration_since(first_urgency.due.unwrap())
+        .unwrap();
     // Two stages later: their estimates, and something for what lies between.
-    assert!((Duration::from_secs(4)..Duration::from_secs(15)).contains(&before));
+    assert!((Duration::from_secs(4)..Duration::from_secs(15)).contains(&lead_time));
     simulation.cancel(leader, "wk-3");
     simulation.run(1.0);
     assert_eq!(urgency(&simulation, "wk-1").priority, Priority::Normal);
     assert_eq!(urgency(&simulation, "wk-1").due, None);
     simulation.submit(leader, &{
-        let mut last = after("wk-4", &["wk-2"], 1, 2);
+        let mut last = dependent_job("wk-4", &["wk-2"], 1, 2);
         last.priority = Priority::Production;
         last
     });
