--- a/src/core/simulation/scenarios/bidding.rs
+++ b/src/core/simulation/scenarios/bidding.rs
@@ -1,13 +1,12 @@
-//! Bidding: zones that drain, rentals without an answer, leaders that die between an
-//! award and what it was for, and ties. The simulation checks at every tick that no task is in two
-//! places.
+//! Bidding: drained zones, scale-out requests without a response, leaders that crash between an award
+//! and its use, and ties. The simulation checks at every tick that no task runs on two machines.
 
 use crate::core::simulation::Simulation;
 use crate::job::{JobSpec, Priority, sample};
 use crate::policy::Policy;
 use std::time::Duration;
 
-/// Three controllers that bid, with a leader; nothing is provisioned yet.
+/// Returns a cluster of three controllers with bidding enabled, without machines, and its leader.
 pub fn bidding_cluster(seed: u64, entries: &str) -> (Simulation, usize) {
     let text = format!("bidding = true\nworth = 10\n{entries}");
     let mut simulation = Simulation::with_policy(seed, Policy::parse("bidding", &text).unwrap());
@@ -31,7 +30,7 @@
     let provisioned = simulation.counters.provisioned;
     assert!(provisioned.0 == 2 && provisioned.1 >= 3, "{provisioned:?}");
     simulation.run_until_done("wk-1", 40.0);
-    // Nothing depends on when this starts, and room comes: it waits for it.
+    // A job of low priority gains nothing by an early start, and capacity becomes free: it waits.
     let mut low = sample("wk-2", 6, 4.0, 8);
     low.priority = Priority::Low;
     simulation.submit(leader, &low);
@@ -39,7 +38,8 @@
     assert_eq!(simulation.counters.provisioned.1, provisioned.1);
 }
 
-/// A job without aims, and with no machine at all, was not worth one and waited for ever.
+/// Guards against a job without objectives that waits for ever in a cluster without machines, because
+/// it is not considered worth a machine.
 #[test]
 fn machines_provisioned_when_no_capacity_expected() {
     let (mut simulation, leader) = bidding_cluster(308, "haste = 0");
@@ -47,8 +47,8 @@
     simulation.run_until_done("wk-1", 60.0);
 }
 
-/// Work whose patience is the same for spot machines as for others had to bid for them, and went
-/// without where nothing that it could still meet was at stake.
+/// Guards against a job that has to bid for spot machines because its `spot_patience` equals its
+/// `patience`, and gets none if no objective that it can still meet is at risk.
 #[test]
 fn spot_machines_provisioned_by_patience_alone() {
     let (mut simulation, leader) =
@@ -61,7 +61,7 @@
     simulation.run_until_done("wk-1", 40.0);
 }
 
-/// A zone's machines are taken and its markets refuse while jobs bid for them.
+/// A zone loses all of its machines and has no capacity for new ones while jobs bid for it.
 #[test]
 fn drained_zone_voids_awards_and_bids_repeat() {
     let (mut simulation, leader) = bidding_cluster(302, "");
@@ -86,8 +86,8 @@
     assert!(machines_in_zone_a(&simulation).is_empty());
 }
 
-/// The cloud carries a scale-out out and its answer is lost, twice over, and then the leader dies:
-/// what was provisioned is used or returned, and nothing is provisioned for it again by the same name.
+/// The cloud executes scale-outs, the responses are lost repeatedly, and then the leader crashes: the
+/// provisioned machines are used or deleted, and the next leader does not provision them again.
 #[test]
 fn unanswered_scale_out_found_by_next_leader() {
     let (mut simulation, leader) = bidding_cluster(303, "");
@@ -102,12 +102,12 @@
     simulation.kill(leader, Duration::from_secs(60));
     simulation.faults.scale_out_responses_lost = false;
     simulation.run_until_done("wk-1", 60.0);
-    // Six tasks need six small machines at most, and the awards of one leader were not given again.
+    // Six tasks need at most six small machines; the next leader does not repeat the old leader's awards.
     assert!(
         simulation.counters.provisioned.0 + simulation.counters.provisioned.1
             <= provisioned_before.0 + provisioned_before.1 + 2
     );
-    simulation.run_until(200.0, "all machines returned", |simulation| {
+    simulation.run_until(200.0, "all machines deleted", |simulation| {
         simulation.workers.is_empty()
     });
 }
@@ -128,7 +128,7 @@
     );
 }
 
-/// Two jobs alike in everything but their names, for which there is room for one at a time.
+/// Two jobs that differ only in their ids compete for spot capacity that suffices for one at a time.
 #[test]
 fn tied_bids_placed_once_through_takeover() {
     for kill_after in [0.3, 1.2, 3.0, 6.0] {
--- a/src/core/simulation/scenarios/cancellation.rs
+++ b/src/core/simulation/scenarios/cancellation.rs
@@ -1,4 +1,4 @@
-//! Cancellations: one outcome for each, nothing started after it, everything stopped in time.
+//! Cancellations: each has one outcome, no task starts after it, and all tasks stop in time.
 
 use super::{eight_machines, follower, four_machines, unlimited_job};
 use crate::core::machines::cancellation_bound::cancellation_warning;
@@ -14,15 +14,16 @@
     let (mut simulation, leader) = four_machines(4);
     simulation.submit(leader, &sample("wk-1", 8, 2.0, 60));
     simulation.run(3.0);
-    // Its end is committed, but the leader does not learn so.
+    // The end of the job is committed, but the response to the leader is lost.
     simulation.nodes[leader].store_link = Link::ResponsesLost;
     let _ = simulation.cancel(leader, "wk-1");
     simulation.nodes[leader].store_link = Link::Refused;
-    // The others read it from the state service and say so.
+    // The other controllers read the end from the state service and report it.
     let other = follower(leader);
     let (_, state) = simulation.show(other, "wk-1");
     if state == Some(JobState::Cancelled) {
-        // The old leader may repeat that or say nothing, but not that it runs, which is checked.
+        // The old leader may confirm this or give no response; the simulation fails if it reports the job
+        // as running.
         simulation.show(leader, "wk-1");
     }
     simulation.nodes[leader].store_link = Link::Good;
@@ -38,7 +39,7 @@
 #[test]
 fn uncertain_start_counts_towards_limit_and_is_cancelled() {
     let (mut simulation, leader) = four_machines(8);
-    // Team t may use 24 CPUs; give it more machines than that.
+    // The limit of team t is 24 CPUs; the cluster has more.
     for _ in 0..4 {
         simulation.add_machine("large", "a");
     }
@@ -51,7 +52,8 @@
     assert_eq!(state, Some(JobState::Cancelled));
     simulation.faults.hold_commands = false;
     simulation.run(4.0);
-    // The simulation fails if these pushed the team over its limit or ran after the end.
+    // The simulation fails if these commands take the team over its limit or start tasks after the
+    // cancellation.
     simulation.release_held();
     simulation.run_until_done("wk-2", 60.0);
     simulation.run(25.0);
@@ -72,8 +74,9 @@
     }
 }
 
-/// Whether a cancellation, questions and repetitions come shortly before, at or after the end of the last
-/// task, with the end written, refused or written without an answer: one final answer, everywhere.
+/// Cancellations, reads and repeated submissions shortly before, at and after the end of the last task,
+/// with the write of the job's end executed, refused, held, or executed without a response: every
+/// controller reports the same final state.
 #[test]
 fn cancellation_at_completion_has_one_outcome() {
     let mut outcomes = [0, 0];
@@ -88,12 +91,14 @@
             simulation.faults.store_delay = Duration::from_millis(n * 20);
             let spec = unlimited_job("wk-000001", 3, 4.0, 4);
             assert_eq!(simulation.submit(leader, &spec), 201);
-            simulation.run_until(9.0, "all run", |simulation| {
+            simulation.run_until(9.0, "all tasks run", |simulation| {
                 simulation.placements("wk-000001").len() == 3
             });
             let cancel_at =
                 simulation.now + Duration::from_millis(3500) + Duration::from_millis(offset_ms);
-            simulation.run_until(6.0, "the end", |simulation| simulation.now >= cancel_at);
+            simulation.run_until(6.0, "time of the cancellation", |simulation| {
+                simulation.now >= cancel_at
+            });
             simulation.nodes[leader].store_link = link;
             for node in 0..3 {
                 simulation.cancel_without_waiting(node, "wk-000001");
@@ -102,7 +107,8 @@
             simulation.run(1.0);
             simulation.nodes[leader].store_link = Link::Good;
             simulation.release_held();
-            // The simulation fails at two different final answers, at `done` ahead of time, at a 404.
+            // The simulation fails on two different final states, on `done` before the last task has
+            // ended, and on a 404.
             let mut final_state = None;
             for _ in 0..40 {
                 for node in 0..3 {
@@ -118,7 +124,7 @@
             match simulation.reported_final_state("wk-000001") {
                 Some(JobState::Done) => outcomes[0] += 1,
                 Some(JobState::Cancelled) => outcomes[1] += 1,
-                other => panic!("said to be {other:?}"),
+                other => panic!("reported state: {other:?}"),
             }
             simulation.run(15.0);
             assert!(simulation.placements("wk-000001").is_empty());
@@ -131,7 +137,7 @@
     );
 }
 
-/// Tasks whose images are being fetched, and starts on their way, when the user is answered.
+/// Cancels jobs while their images are being fetched or their start commands are in flight.
 fn cancel_while_tasks_start(fetch_ms: u64) {
     let (mut simulation, leader) = eight_machines(920);
     simulation.image_fetch_time = Duration::from_millis(fetch_ms);
@@ -142,10 +148,10 @@
             simulation.submit(leader, &unlimited_job(&id, 8, 4.0, 20)),
             201
         );
-        simulation.run_until(15.0, "it starts", |simulation| {
+        simulation.run_until(15.0, "all tasks start", |simulation| {
             simulation.placements(&id).len() == 8
         });
-        // The leader learns late that the cancellation is durable; another controller tells its user.
+        // The leader learns late that the cancellation is durable; another controller confirms it to the user.
         simulation.faults.store_delay = store_delay;
         simulation.nodes[leader].watch_delayed = true;
         simulation.run(f64::from(n) * 0.05);
@@ -164,7 +170,7 @@
         simulation.nodes[leader].watch_delayed = false;
         assert_eq!(
             simulation.counters.late_starts, 0,
-            "it starts after its user was told"
+            "started after the cancellation was confirmed"
         );
         simulation.run(3.0);
     }
@@ -175,13 +181,13 @@
     cancel_while_tasks_start(600);
     fails_without(
         Safeguard::StopOnCancelRequest,
-        "it starts after its user was told",
+        "started after the cancellation was confirmed",
         || cancel_while_tasks_start(600),
     );
 }
 
-/// Machines that hang at the cancellation and go on later: within their lease or after it, with the leader
-/// there or gone, with the cloud there or away.
+/// Machines hang during the cancellation and resume within their lease or after it, with the leader
+/// alive or killed, and with the cloud available or not.
 #[test]
 fn cancelled_tasks_stop_when_hung_machine_resumes() {
     let mut resumed = 0;
@@ -220,19 +226,24 @@
                             + simulation.setup.cancellation_limit
             );
             let still_running = simulation.placements("wk-000001");
-            // A new leader has yet to receive what it holds, but its lease ends all the same.
+            // A new leader may not have received the machine's heartbeat yet, but the machine's lease
+            // expires all the same.
             assert!(
                 still_running.is_empty() || leader_ends,
-                "{hang} s: {still_running:?} goes on"
+                "hang of {hang} s: {still_running:?} still run"
             );
             simulation.run(22.0);
             assert!(simulation.placements("wk-000001").is_empty());
         }
     }
-    assert!(resumed >= 12, "{resumed} machines went on with it");
+    assert!(
+        resumed >= 12,
+        "only {resumed} machines resumed with tasks of the job"
+    );
 }
 
-/// Where a cancellation may take less than a lease, users get the answer when nothing is left running.
+/// Cancels a job where the limit for cancellations is shorter than a worker's lease: a cancellation is
+/// confirmed only when no task is left running. Returns the smallest number of attempts before that.
 fn cancel_with_limit_below_lease() -> u32 {
     let mut min_attempts = u32::MAX;
     let setup = Setup {
@@ -258,7 +269,7 @@
             simulation.cancel_without_waiting(leader, "wk-000001");
             simulation.run(0.5);
             attempts += 1;
-            assert!(attempts < 60, "its user is never told");
+            assert!(attempts < 60, "the cancellation is never confirmed");
         }
         min_attempts = min_attempts.min(attempts);
         simulation.run(12.0);
@@ -268,7 +279,7 @@
 
 #[test]
 fn cancellation_confirmed_only_when_certain() {
-    // Operators are warned of it.
+    // Operators are warned of such a setting.
     let warning_for = |cancel: u64| {
         let cancellation_limit = Duration::from_secs(cancel);
         cancellation_warning(&settings(
@@ -286,7 +297,10 @@
             .starts_with("params.workers.cancel_s: 6 s is less than")
     );
     let attempts = cancel_with_limit_below_lease();
-    assert!(attempts > 3, "told before it is certain");
+    assert!(
+        attempts > 3,
+        "confirmed before all tasks are known to have stopped"
+    );
     fails_without(
         Safeguard::CancellationBound,
         "of a cancelled job is on",
@@ -296,8 +310,9 @@
     );
 }
 
-/// One-task jobs come four a second for two minutes, a quarter of them cancelled, while the state service answers
-/// late: writes are few, nothing piles up, and each job is over soon.
+/// Submits four one-task jobs per second for two minutes and cancels a quarter of them, while the state
+/// service responds late: there are few writes, no collection grows without bound, and every job ends
+/// soon.
 fn many_short_jobs() {
     let (mut simulation, leader) = eight_machines(1320);
     simulation.faults.store_delay = Duration::from_millis(700);
@@ -311,7 +326,7 @@
         simulation.submit_without_waiting(n as usize % 3, &spec);
         simulation.run(0.25);
         if n % 4 == 3 {
-            // Right after it was accepted, in its midst, or as it ends.
+            // The job has just been accepted, is running, or is about to end.
             let target_id = id(n.saturating_sub(n / 4 % 3 * 4));
             simulation.cancel_without_waiting(n as usize % 3, &target_id);
             cancelled += 1;
@@ -326,10 +341,10 @@
             let live = live.count();
             assert!(
                 live < 110,
-                "{live} keys of what is not over, after {n} jobs"
+                "{live} keys of jobs that have not ended, after {n} jobs"
             );
             let core = &simulation.nodes[leader].core;
-            let lead = core.leader.as_ref().expect("it leads on");
+            let lead = core.leader.as_ref().expect("the leader has not changed");
             assert!(
                 lead.job_runs.len() < 80,
                 "{} live jobs",
@@ -337,10 +352,14 @@
             );
             assert!(
                 lead.writes.ends.len() < 40,
-                "{} ends wait",
+                "{} ends wait to be written",
                 lead.writes.ends.len()
             );
-            assert!(core.pending.len() < 80, "{} calls wait", core.pending.len());
+            assert!(
+                core.pending.len() < 80,
+                "{} calls pending",
+                core.pending.len()
+            );
             let known = core.store_cache.versions.tracked_keys();
             assert!(known < 200, "{known} versions are kept, after {n} jobs");
             assert!(core.store_cache.garbage_keys.len() < 40);
@@ -357,9 +376,9 @@
         let has_ended = matches!(state, Some(JobState::Done | JobState::Cancelled));
         assert!(has_ended, "{} is {state:?}", id(n));
     }
-    // Its creation, its end, and now and then what was done or a page of machines.
+    // Each job's creation and its end, and occasionally its completed tasks or a page of machines.
     let changes = (simulation.change_count() - before) as f64 / f64::from(n);
-    assert!(changes < 3.0, "{changes} changes a job");
+    assert!(changes < 3.0, "{changes} changes per job");
 }
 
 #[test]
@@ -372,7 +391,7 @@
     );
 }
 
-/// Starts that went out with the answer to a heartbeat, and that no heartbeat has shown, when their job is cancelled.
+/// Cancels a job whose starts were sent in responses to heartbeats and have not appeared in a heartbeat yet.
 fn cancel_before_heartbeat_shows_start() {
     let (mut simulation, leader) = eight_machines(1330);
     simulation.image_fetch_time = Duration::from_millis(700);
@@ -385,16 +404,16 @@
         201
     );
     let calls: u32 = simulation.nodes.iter().map(|n| n.direct_calls).sum();
-    simulation.run_until(12.0, "the second starts", |simulation| {
+    simulation.run_until(12.0, "the second job starts", |simulation| {
         simulation.placements("wk-000002").len() >= 6
     });
     let called = simulation.nodes.iter().map(|n| n.direct_calls).sum::<u32>() - calls;
-    assert!(called < 8 + 6, "they were started in answers");
+    assert!(called < 8 + 6, "starts were sent by direct calls");
     assert_eq!(simulation.cancel(leader, "wk-000002").0, 200);
     simulation.run(3.0);
     assert_eq!(
         simulation.counters.late_starts, 0,
-        "it starts after its user was told"
+        "started after the cancellation was confirmed"
     );
 }
 
@@ -403,7 +422,7 @@
     cancel_before_heartbeat_shows_start();
     fails_without(
         Safeguard::StopUnseenTasks,
-        "it starts after its user was told",
+        "started after the cancellation was confirmed",
         cancel_before_heartbeat_shows_start,
     );
 }
--- a/src/core/simulation/scenarios/cancellation_at_handover.rs
+++ b/src/core/simulation/scenarios/cancellation_at_handover.rs
@@ -8,8 +8,9 @@
 use crate::wire::DirectCommands;
 use std::time::Duration;
 
-/// Every team is at its limit, or has all that the machines hold, when jobs are cancelled on machines
-/// that are partitioned or hang, and the leader is killed so long after that, or before it if negative.
+/// Every team is at its limit or uses all the capacity there is when jobs are cancelled, with one machine
+/// partitioned and one hung. The leader is killed `killed_after_ms` after the cancellations, or before
+/// them if that is negative.
 fn check_limits_across_leader_change(killed_after_ms: i64) {
     let (mut simulation, leader) = eight_machines(1300);
     let leaderships = simulation.leadership_count();
@@ -29,14 +30,14 @@
     if killed_after_ms >= 0 {
         simulation.kill(leader, Duration::from_secs(1));
     }
-    simulation.run_until(15.0, "another leadership", |simulation| {
+    simulation.run_until(15.0, "a new leadership", |simulation| {
         simulation.leader().is_some() && simulation.leadership_count() > leaderships
     });
     submit_to_next_leader(&mut simulation);
     assert_eq!(
         simulation.placements("wk-000001").len(),
         1,
-        "it is there, unheard"
+        "the task on the partitioned machine still runs"
     );
     simulation.run(3.0);
     simulation.workers.get_mut(&hung).unwrap().hung = false;
@@ -49,7 +50,7 @@
     }
 }
 
-/// Both teams have all that they may use, and wait for more.
+/// Submits jobs until both teams use all that they may, with further tasks queued.
 fn bring_teams_to_limits(simulation: &mut Simulation, leader: usize) {
     let mut submit = |spec| assert_eq!(simulation.submit(leader, &spec), 201);
     for n in 1..=6 {
@@ -65,10 +66,11 @@
     simulation.run(1.0);
     assert!(
         simulation.placements("wk-000011").is_empty(),
-        "its team is at its limit"
+        "team t is at its limit"
     );
 }
 
+/// Cancels four jobs, and repeats the requests until each cancellation is confirmed.
 fn cancel_until_confirmed(simulation: &mut Simulation) {
     let cancelled = ["wk-000001", "wk-000002", "wk-000003", "wk-000007"];
     let mut attempts = 0;
@@ -84,11 +86,11 @@
         }
         simulation.run(0.1);
         attempts += 1;
-        assert!(attempts < 200, "cannot be cancelled");
+        assert!(attempts < 200, "not all jobs can be cancelled");
     }
 }
 
-/// Submits jobs that count for nothing that the former leader may have started.
+/// Submits jobs that the former leader has not seen, so that it cannot have started any of their tasks.
 fn submit_to_next_leader(simulation: &mut Simulation) {
     let next_leader = simulation.leader().unwrap();
     for n in 12..=16 {
@@ -114,28 +116,30 @@
     });
 }
 
-/// How the work of a controller that serves workers passes to others.
+/// Ways in which other controllers take over the work of a controller that serves workers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Handover {
+    /// Its process is killed and restarted later.
     Killed,
+    /// Its process is paused.
     Paused,
-    /// It keeps its workers and users, and nothing else.
+    /// It is cut off from the state service and the other controllers, but not from its workers and users.
     Isolated,
-    /// Its workers are sent to another one.
+    /// Its workers switch to another controller.
     WorkersMoved,
-    /// It leads, and releases its lease.
+    /// It is the leader and releases its lease.
     Resigns,
-    /// It leads, and the state service refuses it.
+    /// It is the leader, and the state service refuses its requests.
     Refused,
 }
 
 impl Handover {
-    /// Whether it happens to the leader.
+    /// Returns whether the handover concerns the leader rather than a follower.
     fn affects_leader(self) -> bool {
         matches!(self, Handover::Resigns | Handover::Refused)
     }
 
-    /// Lets it happen to this controller.
+    /// Starts the handover of the work of the controller `node`.
     fn inject(self, simulation: &mut Simulation, node: usize) {
         match self {
             Handover::Killed => simulation.kill(node, Duration::from_secs(20)),
@@ -165,8 +169,8 @@
     format!("wk-{number:06}")
 }
 
-/// Jobs are cancelled one after the other in the seconds around a handover, at any controller. Returns
-/// how many cancellations were confirmed then while tasks were still there.
+/// Cancels jobs one after the other around a handover, each through a random controller. Returns the
+/// number of cancellations that were confirmed after the handover began while tasks of the job still ran.
 fn cancel_around_handover(handover: Handover, delegate: bool) -> u32 {
     let (mut simulation, from) = cluster_before_handover(handover, delegate);
     let started_at = simulation.now;
@@ -185,24 +189,24 @@
             confirmed_early += confirmed_now_with_tasks(&simulation);
         }
     }
-    // The simulation looks on until every cancellation should have been carried out.
+    // By the end of this time every confirmed cancellation has to be carried out; the simulation checks it.
     simulation.run(14.0);
     heal_after_handover(&mut simulation, from);
     cancel_remaining_jobs(&mut simulation);
     simulation.run(14.0);
     assert_eq!(
         simulation.counters.late_starts, 0,
-        "started after its user was told"
+        "started after the cancellation was confirmed"
     );
     confirmed_early
 }
 
-/// A cluster in which all jobs run, and the controller that all workers send heartbeats to.
+/// Returns a cluster in which all jobs run, and the controller that all workers send heartbeats to.
 fn cluster_before_handover(handover: Handover, delegate: bool) -> (Simulation, usize) {
     let policy = format!("delegate = {delegate}\nidle_keep = 600");
     let setup = Setup {
         nodes: 3,
-        // A worker's lease, the time for which a leader may act on its last proof, and a moment.
+        // A worker's lease, the time for which a leader may act on its last lease renewal, and a margin.
         cancellation_limit: Duration::from_millis(13_700),
     };
     let policy = Policy::parse("handover", &policy).unwrap();
@@ -224,7 +228,8 @@
     (simulation, from)
 }
 
-/// Cancels each job from its time on, every fourth tick, until that is answered.
+/// Cancels each job that is due, one job every 400 ms, and repeats the request every fourth tick until
+/// the cancellation is confirmed.
 fn cancel_due_jobs(simulation: &mut Simulation, tick: u32, elapsed: Duration) {
     for n in 0..HANDOVER_JOBS {
         let is_due = elapsed >= Duration::from_millis(400 * u64::from(n)) && tick % 4 == n % 4;
@@ -235,7 +240,7 @@
     }
 }
 
-/// The number of jobs whose cancellation was confirmed in this tick and whose tasks are still there.
+/// Returns the number of jobs whose cancellation was confirmed in this tick and whose tasks still run.
 fn confirmed_now_with_tasks(simulation: &Simulation) -> u32 {
     let confirmed_at = &simulation.checker.cancelled_at;
     let confirmed_now = (0..HANDOVER_JOBS)
@@ -276,7 +281,7 @@
     }
     assert!(
         confirmed_early > 10,
-        "{confirmed_early} were confirmed before their tasks were gone"
+        "only {confirmed_early} cancellations were confirmed while tasks still ran"
     );
     for (safeguard, handover) in [
         (Safeguard::StopEndedJobs, WorkersMoved),
@@ -288,7 +293,8 @@
     }
 }
 
-/// The leader keeps its workers and users and nothing else; jobs are cancelled through the next one.
+/// The leader is cut off from the state service and the other controllers, but not from its workers and
+/// users; the job is cancelled through the next leader.
 #[test]
 fn cancellation_by_next_leader_reaches_old_workers() {
     for commands_held in [false, true] {
@@ -309,8 +315,8 @@
         ) = (Link::Held, false);
         let mut attempts = 0;
         while simulation.reported_final_state("wk-000001").is_none() {
-            assert!(attempts < 40, "nobody cancels it");
-            // The old one would stop them at once, though it can confirm nothing.
+            assert!(attempts < 40, "no controller confirms the cancellation");
+            // The old leader is not asked: it would stop the tasks at once, without being able to confirm.
             for node in (0..3).filter(|n| *n != old_leader) {
                 simulation.cancel_without_waiting(node, "wk-000001");
             }
@@ -320,10 +326,10 @@
         assert_eq!(
             simulation.placements("wk-000001").len(),
             8,
-            "all are there when its user is told"
+            "all tasks still run when the cancellation is confirmed"
         );
         assert_ne!(simulation.leader(), Some(old_leader));
-        // Users of the old one get no other answer.
+        // The simulation fails if the old leader reports another state to its users.
         for _ in 0..10 {
             simulation.show(old_leader, "wk-000001");
             simulation.run(1.0);
@@ -333,12 +339,12 @@
     }
 }
 
-/// A job was cancelled while some of its machines could not be reached, and all controllers ended: its tasks
-/// counted towards nobody's limit, and what came next took its team beyond it.
+/// Guards against a team that exceeds its limit after a job was cancelled on unreachable machines and
+/// all controllers were restarted, because the tasks left on those machines are not counted.
 #[test]
 fn possible_residual_tasks_count_towards_limit() {
     let (mut simulation, leader) = eight_machines(86);
-    // Of the team that may use 24.
+    // The job's team has a limit of 24 CPUs.
     assert_eq!(
         simulation.submit(leader, &sample("wk-000001", 5, 4.0, 60)),
         201
@@ -366,14 +372,15 @@
         201
     );
     simulation.run(1.0);
-    // The simulation checks the limit; what is certain to be within it is not held up.
+    // The simulation checks the limit; a task that is certain to fit within it starts at once.
     assert_eq!(
         simulation.placements("wk-000001").len(),
         5,
-        "they are still there"
+        "the tasks of the cancelled job still run"
     );
     assert_eq!(simulation.placements("wk-000002").len(), 1);
-    // Their heartbeats arrive, and what they show is of no job that is known; they receive nothing.
+    // The leader receives heartbeats that show tasks of a job which it does not know; no commands reach
+    // the machines.
     let token = simulation.nodes[next_leader]
         .core
         .leader
--- a/src/core/simulation/scenarios/cancellation_in_outage.rs
+++ b/src/core/simulation/scenarios/cancellation_in_outage.rs
@@ -1,8 +1,8 @@
-//! Cancellations before and in an outage: the state service refuses the leader alone, another
-//! controller confirms cancellations, and then nobody is served for longer than a cancellation may
-//! take, while the workers send heartbeats to the old leader. `docs/design.md` has the time line as arithmetic.
-//! The simulation checks at every tick that nothing of a cancelled job is on a machine longer than
-//! that after its user was answered.
+//! Cancellations before and during an outage of the state service. The state service first refuses only
+//! the leader's requests; another controller takes over and confirms cancellations; then the state
+//! service serves no controller for longer than a cancellation may take, while the workers still send
+//! heartbeats to the old leader. `docs/design.md` calculates the time line. The simulation checks at every
+//! tick that no task of a job runs longer than the cancellation limit after its cancellation was confirmed.
 
 use super::unlimited_job;
 use crate::core::leadership::lease::LEASE_TTL;
@@ -11,7 +11,7 @@
 use crate::policy::Policy;
 use std::time::{Duration, Instant};
 
-/// The controllers that the workers send heartbeats to when the leader is refused.
+/// Controllers that receive the workers' heartbeats when the state service refuses the leader.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum HeartbeatTarget {
     Leader,
@@ -21,18 +21,21 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Case {
+    /// Number of controllers.
     nodes: usize,
     delegate: bool,
     target: HeartbeatTarget,
-    /// Seconds after the refusal at which nobody is served any more.
+    /// Seconds from the start of the refusal to the start of the outage.
     outage_after: f64,
-    /// Seconds for which the leader is refused.
+    /// Seconds for which the state service refuses the leader.
     refused: f64,
-    /// The old leader is paused until shortly after the outage began.
+    /// Whether the old leader is paused from the start of the refusal until shortly after the start of the outage.
     paused: bool,
     rounds: u32,
+    /// Whether the network holds direct commands.
     hold_commands: bool,
-    /// The controller that the workers send heartbeats to loses the state service and the other controllers.
+    /// Whether the controller that receives the heartbeats is cut off from the state service and the other
+    /// controllers.
     isolated: bool,
 }
 
@@ -48,27 +51,28 @@
     isolated: false,
 };
 
-/// A lease of the workers, the time for which a leader may act on its last proof, and a moment.
+/// Sum of a worker's lease, the time for which a leader may act on its last lease renewal, and a margin.
 const CANCELLATION_LIMIT: Duration = Duration::from_millis(13_700);
 
+/// Number of jobs in a round.
 const JOBS: usize = 12;
-/// Seconds between the first cancellation and the refusal.
+/// Seconds from the first cancellation to the start of the refusal.
 const REFUSAL_DELAY: f64 = 0.5;
 /// Seconds between the first cancellations of two jobs.
 const CANCEL_INTERVAL: f64 = 0.45;
 
-/// One refusal of the leader, and the outage after it.
+/// A refusal of the leader and the outage that follows.
 struct Round {
     case: Case,
     number: usize,
     old_leader: usize,
-    /// The controller that all workers send heartbeats to, if it is one.
+    /// The controller that receives all heartbeats; `None` if all controllers receive some.
     heartbeat_target: Option<usize>,
     started_at: Instant,
 }
 
 impl Round {
-    /// Starts a round's jobs, and lets the workers send heartbeats to where the case has them.
+    /// Starts a round's jobs, and directs the workers' heartbeats to the controllers that the case names.
     fn start(simulation: &mut Simulation, case: Case, number: usize) -> Round {
         simulation.run_until(40.0, "a leader", |simulation| simulation.leader().is_some());
         let old_leader = simulation.leader().unwrap();
@@ -105,19 +109,19 @@
                 simulation.run(1.0);
             }
         }
-        simulation.run_until(40.0, "all run", |simulation| {
+        simulation.run_until(40.0, "all jobs run", |simulation| {
             (0..JOBS).all(|job| !simulation.placements(&self.job_id(job)).is_empty())
         });
     }
 
-    /// The time so many seconds after the beginning.
+    /// Returns the time `seconds` after the start of the round.
     fn time_after(&self, seconds: f64) -> Instant {
         self.started_at + Duration::from_secs_f64(seconds)
     }
 
-    /// Cancels jobs, refuses the leader and begins the outage, each at its time. Returns how many users
-    /// were answered by another controller than the old leader, between the refusal and the outage, while
-    /// tasks of theirs were still on machines.
+    /// Cancels jobs, refuses the leader and begins the outage, each at its time. Returns the number of
+    /// cancellations that were confirmed under a new leader before the outage while tasks of the job
+    /// still ran.
     fn run(&self, simulation: &mut Simulation) -> u32 {
         let mut confirmed_early = 0;
         let mut ticks = 0;
@@ -139,7 +143,8 @@
         confirmed_early
     }
 
-    /// From shortly before the refusal on, one job after the other is cancelled, at any controller.
+    /// Cancels the jobs that are due, each through a random controller. The first one is due shortly before
+    /// the refusal, and the others follow at intervals of `CANCEL_INTERVAL`.
     fn cancel_due_jobs(&self, simulation: &mut Simulation, ticks: usize) {
         for job in 0..JOBS {
             let cancel_at = self.time_after(job as f64 * CANCEL_INTERVAL);
@@ -152,6 +157,7 @@
         }
     }
 
+    /// Injects the faults of the case that are due, and ends those that are over.
     fn set_faults(&self, simulation: &mut Simulation) {
         let now = simulation.now;
         let refused = now >= self.time_after(REFUSAL_DELAY)
@@ -163,7 +169,7 @@
             if node != self.old_leader {
                 simulation.nodes[node].store_link = link(Link::Held);
             }
-            // Its workers find no other one.
+            // The workers of the isolated controller reach no other controller.
             for worker in simulation.workers.values_mut() {
                 let others = (0..self.case.nodes).filter(|n| *n != node && refused);
                 worker.partitioned_from = others.collect();
@@ -177,7 +183,7 @@
         }
     }
 
-    /// The number of jobs whose cancellation was confirmed in this tick and whose tasks are still there.
+    /// Returns the number of jobs whose cancellation was confirmed in this tick and whose tasks still run.
     fn confirmed_now_with_tasks(&self, simulation: &Simulation) -> u32 {
         let confirmed_at = &simulation.checker.cancelled_at;
         let confirmed_now = (0..JOBS)
@@ -187,14 +193,14 @@
         running.count() as u32
     }
 
-    /// Whatever was confirmed is gone by now, though the state service is away all the time.
+    /// Checks that no task of a job with a confirmed cancellation runs, although the outage still lasts.
     fn check_confirmed_jobs_stopped(&self, simulation: &Simulation) {
         assert!(simulation.faults.store_outage);
         for id in (0..JOBS).map(|job| self.job_id(job)) {
             let confirmed = simulation.checker.cancelled_at.contains_key(&id);
             assert!(
                 !confirmed || simulation.placements(&id).is_empty(),
-                "{id} is there"
+                "{id} is cancelled and still runs"
             );
         }
     }
@@ -223,8 +229,8 @@
     }
 }
 
-/// Plays a case. Returns how many users were answered by another controller than the old leader, between
-/// the refusal and the outage, while tasks of theirs were still on machines.
+/// Runs the rounds of a case. Returns the number of cancellations that were confirmed under a new leader
+/// between the refusal and the outage while tasks of the job still ran.
 fn run_case(case: Case, seed: u64) -> u32 {
     let policy = format!("delegate = {}\nidle_keep = 600", case.delegate);
     let setup = Setup {
@@ -249,7 +255,7 @@
     simulation.run(CANCELLATION_LIMIT.as_secs_f64());
     assert_eq!(
         simulation.counters.late_starts, 0,
-        "started after its user was told"
+        "started after the cancellation was confirmed"
     );
     confirmed_early
 }
@@ -261,8 +267,10 @@
             for (target, refused) in [
                 (HeartbeatTarget::Leader, 14.0),
                 (HeartbeatTarget::Follower, 14.0),
-                // The refusal ends inside the outage, or before a lease could end, or not before the outage does.
+                // The refusal ends during the outage; with a short delay of the outage, that is before the
+                // leader's lease could expire.
                 (HeartbeatTarget::All, outage_after + 1.0),
+                // The refusal lasts longer than the outage.
                 (HeartbeatTarget::Leader, 60.0),
             ] {
                 cases.push(Case {
@@ -311,17 +319,17 @@
     for (n, case) in cases().into_iter().enumerate() {
         let confirmed_early = run_case(case, 700 + n as u64);
         effective_cases += u32::from(confirmed_early > 0);
-        // While the old lease runs, nobody else can confirm anything.
-        let old_runs = case.outage_after < LEASE_TTL.as_secs_f64();
-        assert!(!old_runs || confirmed_early == 0, "{case:?}");
+        // No other controller can confirm a cancellation before the old leader's lease has expired.
+        let old_lease_valid = case.outage_after < LEASE_TTL.as_secs_f64();
+        assert!(!old_lease_valid || confirmed_early == 0, "{case:?}");
     }
     assert!(
         effective_cases >= 10,
-        "the gap came about in {effective_cases} rows only"
+        "cancellations were confirmed before tasks had stopped in {effective_cases} cases only"
     );
 }
 
-/// Each safeguard that keeps it, taken out by itself, is found by the rule.
+/// Disables each safeguard that makes tasks stop in time: the checker detects a violation in some case.
 #[test]
 fn checker_detects_disabled_safeguards_in_outage() {
     for safeguard in [
@@ -337,7 +345,7 @@
         });
         assert!(
             violating_case.is_some(),
-            "{safeguard:?} is out, and nothing is found"
+            "{safeguard:?} is disabled, and the checker reports no violation"
         );
     }
 }
--- a/src/core/simulation/scenarios/delegation.rs
+++ b/src/core/simulation/scenarios/delegation.rs
@@ -1,6 +1,6 @@
-//! Controllers that serve workers for the one that leads: what they may say alone, what
-//! is revoked, and what becomes of it when one of them is cut off, dies, or is an older version.
-//! The simulation checks at every tick that no task is in two places.
+//! Followers that serve workers for the leader (delegates): which heartbeats they answer alone, when a
+//! delegation is revoked, and what happens when a delegate is cut off, crashes, or runs an older version.
+//! The simulation checks at every tick that no task runs on two machines.
 
 use super::unlimited_job;
 use crate::core::simulation::Simulation;
@@ -10,12 +10,13 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// With or without controllers that serve workers for the leader.
+/// Returns the built-in policy with the delegation of workers to followers enabled or disabled.
 pub fn policy(delegate: bool) -> Policy {
     Policy::parse("delegation", &format!("delegate = {delegate}")).unwrap()
 }
 
-/// Three controllers with a leader, and so many machines that have sent heartbeats; none can be provisioned.
+/// Returns a cluster of three controllers with delegation enabled and `machines` machines that have sent
+/// heartbeats, and its leader; no further machines can be provisioned.
 fn delegating_cluster(seed: u64, machines: usize) -> (Simulation, usize) {
     crate::core::simulation::enable_log();
     let mut simulation = Simulation::with_policy(seed, policy(true));
@@ -25,7 +26,7 @@
     (simulation, leader)
 }
 
-/// How many workers send heartbeats to each node.
+/// Returns the number of workers that send heartbeats to each node.
 fn workers_per_node(simulation: &Simulation) -> BTreeMap<usize, usize> {
     let mut counts = BTreeMap::new();
     for m in simulation.workers.values() {
@@ -38,7 +39,7 @@
     simulation.workers.values_mut().for_each(|m| m.node = node);
 }
 
-/// Heartbeats that other controllers answered alone, by the leader's count.
+/// Returns the number of heartbeats that followers answered alone, as counted by the leader.
 fn delegated_responses(simulation: &Simulation, leader: usize) -> u64 {
     (simulation.nodes[leader].core.leader.as_ref()).map_or(0, |l| l.delegates.delegated_answers)
 }
@@ -56,9 +57,9 @@
     let all = u64::from(simulation.counters.heartbeats - before.1);
     assert!(
         answered_by_others * 2 > all,
-        "{answered_by_others} of {all} were answered by others"
+        "{answered_by_others} of {all} heartbeats were answered by followers"
     );
-    // Nobody was lost by it, and work goes through all of them.
+    // No worker is lost, and tasks are started through all controllers.
     assert_eq!(simulation.workers.len(), 60);
     assert_eq!(
         simulation.submit(leader, &unlimited_job("wk-1", 40, 1.0, 3)),
@@ -70,7 +71,8 @@
     assert_eq!(simulation.counters.tasks_forgotten, 40);
 }
 
-/// Plans are some time apart, and heartbeats were answered before the next one: each start took a call.
+/// Guards against heartbeats that report a completed task and are answered before the next planning
+/// round, so that each start of a task takes a direct call.
 #[test]
 fn start_sent_in_response_to_completion_heartbeat() {
     let (mut simulation, leader) = delegating_cluster(503, 20);
@@ -87,7 +89,7 @@
     assert_eq!(simulation.counters.starts, 300);
     assert!(
         in_responses > 250 && called < 50,
-        "{in_responses} in answers, {called} by calls"
+        "{in_responses} in responses, {called} by direct calls"
     );
 }
 
@@ -104,12 +106,13 @@
     assert_eq!(
         workers_per_node(&simulation),
         even,
-        "workers are moved to and fro"
+        "workers move although they are spread evenly"
     );
     assert_eq!(simulation.workers.len(), 200);
 }
 
-/// A takeover began with every worker looking for the new leader, and every machine asked by it.
+/// Guards against a takeover after which every worker searches for the new leader, and the leader has to
+/// query every machine.
 #[test]
 fn takeover_keeps_workers_in_place_and_known() {
     let (mut simulation, leader) = delegating_cluster(503, 300);
@@ -137,22 +140,23 @@
             .count();
         assert!(
             remaining * 10 >= before.len() * 9,
-            "{remaining} of {} stay with {n}",
+            "{remaining} of {} workers stay with {n}",
             before.len()
         );
     }
     assert_eq!(
         simulation.counters.starts, starts,
-        "nothing is started anew"
+        "no task is started again"
     );
 }
 
-/// With all controllers gone, nobody knows any worker, and the new leader asked each one itself.
+/// After a restart of all controllers no controller knows any worker. Guards against a new leader that
+/// queries all workers alone.
 #[test]
 fn restarted_controllers_share_worker_polling() {
     let (mut simulation, _) = delegating_cluster(510, 600);
     simulation.run(6.0);
-    // Workers wait a while before they try again, so that asking them is all that there is.
+    // Workers send no heartbeats for a while, so that the leader learns of them only by querying them.
     let later = simulation.now + Duration::from_secs(8);
     for n in 0..3 {
         simulation.kill(n, Duration::from_secs(2));
@@ -175,7 +179,7 @@
     }
 }
 
-/// Passed on to a leader that stands still, a submission waited until that call was given up.
+/// Guards against a submission that is forwarded to a paused leader and waits until that call times out.
 #[test]
 fn submission_not_forwarded_to_unresponsive_leader() {
     let (mut simulation, leader) = delegating_cluster(511, 30);
@@ -197,8 +201,8 @@
     );
 }
 
-/// A follower goes on answering until its grant ends, and the leader, which receives nothing from it, counted
-/// the workers' leases from what it had last received.
+/// A follower that is cut off from the leader answers heartbeats until its grant expires. Guards against a
+/// leader that expires the workers' leases too early, by the last heartbeats that it has received itself.
 #[test]
 fn possibly_renewed_lease_not_expired() {
     for answered_after in [1.4, 1.7, 2.0, 2.3, 2.6] {
@@ -213,8 +217,8 @@
         move_workers_to(&mut simulation, other);
         simulation.run(5.0);
         assert!(delegated_responses(&simulation, leader) > 0);
-        // Its grant has just been renewed, on a leadership proof that was renewed just before, when
-        // the one cannot tell the other any more. Nor can the leader delete the machines.
+        // The leader and the follower lose contact just after the follower's grant was renewed, on a
+        // leadership lease that was itself just renewed. The leader cannot delete the machines either.
         let grant = |simulation: &Simulation| {
             simulation.nodes[other]
                 .core
@@ -227,7 +231,7 @@
         });
         simulation.faults.cloud_down = true;
         simulation.nodes[other].peers_reachable = false;
-        // Each worker's next heartbeat is also its last: all of them live on, reaching nobody.
+        // Each worker sends one more heartbeat and then runs on without reaching any controller.
         let at = simulation.now + Duration::from_secs_f64(answered_after);
         simulation
             .workers
@@ -238,7 +242,7 @@
             .workers
             .values_mut()
             .for_each(|m| m.partitioned_from.extend(0..3));
-        // There is room for their tasks elsewhere.
+        // Other machines have capacity for their tasks.
         for _ in 0..4 {
             simulation.add_machine("small", "a");
         }
@@ -247,8 +251,8 @@
     }
 }
 
-/// Its workers wait 4 s for an answer before they look for another controller; meanwhile they were
-/// taken for dead, as the others in their zones were in contact.
+/// Workers of a paused controller wait 4 s for a response before they switch to another controller. Guards
+/// against a leader that declares them dead meanwhile, because other machines in their zones are heard.
 #[test]
 fn paused_controller_workers_not_declared_dead() {
     let (mut simulation, leader) = delegating_cluster(512, 60);
@@ -263,9 +267,9 @@
     assert_eq!(simulation.workers.len(), 60);
 }
 
-/// When a grant has expired, the leader counts nothing as delegated any more. A follower that went on
-/// with what it had kept, once it got another grant, answered workers that the leader then never
-/// learned of.
+/// When a grant has expired, the leader considers none of its workers delegated any more. Guards against a
+/// follower that keeps its delegations until it gets another grant: it would answer workers alone of which
+/// the leader then never learns.
 #[test]
 fn expired_grant_drops_delegations() {
     let (mut simulation, leader) = delegating_cluster(513, 60);
@@ -276,7 +280,7 @@
         .map(|(id, _)| id.clone())
         .collect();
     assert!(workers.len() > 10);
-    // Long enough for its workers to have found others, and to come back.
+    // Long enough for its workers to switch to other controllers before they come back.
     simulation.nodes[other].peers_reachable = false;
     simulation.run(8.0);
     simulation.nodes[other].peers_reachable = true;
@@ -287,8 +291,8 @@
     assert_eq!(simulation.workers.len(), 60);
 }
 
-/// Where workers send heartbeats often, what was relayed 0.4 s late made each zone seem cut off again and again,
-/// and no dead machine was ever given up for its silence.
+/// Guards against relayed heartbeats that, with short heartbeat intervals, arrive 0.4 s late and make each
+/// zone seem cut off again and again, so that no dead machine is ever deleted.
 #[test]
 fn dead_machine_deleted_despite_delegated_heartbeats() {
     let (mut simulation, leader) = delegating_cluster(514, 60);
@@ -315,8 +319,8 @@
             .count()
     };
     assert!(delegated(&simulation) > 4);
-    // Direct commands do not get through: starts go with answers to heartbeats, which only the leader
-    // can give.
+    // Direct commands are held back, so tasks are started in responses to heartbeats. Only the leader can
+    // give such responses.
     simulation.faults.hold_commands = true;
     simulation.submit(leader, &unlimited_job("wk-1", 48, 1.0, 4));
     simulation.run(1.2);
@@ -336,7 +340,7 @@
         m.partitioned_from.insert(leader);
     }
     simulation.run(5.0);
-    // Nothing is amiss until it has something to say, and cannot.
+    // The leader notices that the workers do not reach it only when it has commands for them.
     simulation.submit(leader, &unlimited_job("wk-1", 120, 1.0, 3));
     simulation.run_until_other_leader(leader, 12.0);
     simulation.run_until_done("wk-1", 30.0);
@@ -360,12 +364,13 @@
         assert_eq!(
             (simulation.workers.len(), simulation.counters.starts),
             (30, 30),
-            "cut: {partitioned}"
+            "partitioned: {partitioned}"
         );
     }
 }
 
-/// A frame that the network kept would be taken for news.
+/// Guards against delayed messages from before a delegate's restart that are taken for current ones after
+/// it.
 #[test]
 fn restarted_controller_has_no_delegations() {
     let (mut simulation, leader) = delegating_cluster(508, 30);
@@ -384,14 +389,15 @@
     );
 }
 
-/// Versions and settings without it drop such frames or refuse them; both may lead in turns.
+/// Controllers without delegation, by version or by setting, drop or refuse its messages. Controllers of
+/// both kinds may become leader in turn.
 #[test]
 fn delegating_and_non_delegating_controllers_interoperate() {
     for leader_delegates in [true, false] {
         let mut simulation = Simulation::with_policy(509, policy(leader_delegates));
         simulation.policy = policy(!leader_delegates).into();
         simulation.add_machines("small", 4);
-        // All but one are started anew, with the other setting.
+        // Two of the three controllers are restarted with the other setting.
         simulation.kill(1, Duration::from_millis(200));
         simulation.kill(2, Duration::from_millis(200));
         let first = simulation.run_until_leader(4.0);
--- a/src/core/simulation/scenarios/dependencies.rs
+++ b/src/core/simulation/scenarios/dependencies.rs
@@ -7,7 +7,7 @@
 use crate::wire::JobState;
 use std::time::Duration;
 
-/// The next link of a chain, or the end of a diamond.
+/// Returns a job that starts after its `dependencies` are done.
 fn dependent_job(id: &str, dependencies: &[&str], tasks: u32, seconds: u64) -> JobSpec {
     let mut spec = sample(id, tasks, 1.0, seconds);
     spec.dependencies = dependencies.iter().map(|a| (*a).into()).collect();
@@ -17,7 +17,7 @@
 #[test]
 fn dependencies_run_in_order_through_takeover() {
     let (mut simulation, leader) = four_machines(40);
-    // The simulation checks at every start that all that is awaited is done.
+    // The simulation checks at every start that all dependencies of the job are done.
     assert_eq!(
         simulation.submit(follower(leader), &dependent_job("wk-9", &[], 6, 4)),
         201
@@ -41,7 +41,7 @@
         assert_eq!(simulation.show(node, "wk-1").1, Some(JobState::Queued));
     }
     simulation.run_until_done("wk-1", 40.0);
-    // What names jobs that are over long since starts at once.
+    // A job whose dependencies ended long ago starts at once.
     let leader = simulation.leader().unwrap();
     assert_eq!(
         simulation.submit(leader, &dependent_job("wk-2", &["wk-1", "wk-9"], 1, 2)),
@@ -50,7 +50,7 @@
     simulation.run_until_done("wk-2", 6.0);
 }
 
-/// Node by node and without a leader: the same answers to submissions that name other jobs.
+/// Submissions with dependencies get the same responses from every node, also without contact to the leader.
 #[test]
 fn impossible_dependency_refused_by_every_node() {
     let (mut simulation, leader) = four_machines(41);
@@ -77,7 +77,7 @@
                 simulation.submit(node, &dependent_job(&id, &["wk-50"], 1, 1)),
                 422
             );
-            // Accepted a moment ago by another node, which this one has not learned of.
+            // Another node has just accepted this dependency, and this node has not learned of it yet.
             let other = format!("wk-{}", n + 50);
             assert_eq!(
                 simulation.submit((node + 1) % 3, &sample(&other, 1, 1.0, 1)),
@@ -87,14 +87,14 @@
                 simulation.submit(node, &dependent_job(&id, &["wk-51", &other], 1, 1)),
                 201
             );
-            // A repetition gets the job's state, whatever it names.
+            // A repeated submission gets the job's state, whatever dependencies it names.
             assert_eq!(
                 simulation.submit(node, &dependent_job(&id, &["wk-777"], 1, 1)),
                 200
             );
         }
     }
-    // What cannot be decided is put off at once.
+    // A submission that cannot be decided without the state service gets a 503 at once.
     simulation.set_store_links(Link::Refused);
     assert_eq!(
         simulation.submit(0, &dependent_job("wk-300", &["wk-777"], 1, 1)),
@@ -102,8 +102,8 @@
     );
 }
 
-/// A cancellation reaches all that needs the job, for every node and every later one, from the one
-/// write of its end on.
+/// Once the end of a cancelled job is written, every node reports all direct and indirect dependents as
+/// cancelled, also those submitted later, although their own ends are not written yet.
 #[test]
 fn cancellation_reaches_dependents_with_one_write() {
     for cancelled_id in ["wk-1", "wk-2"] {
@@ -123,7 +123,7 @@
             simulation.cancel(follower(leader), cancelled_id).1,
             Some(JobState::Cancelled)
         );
-        // The leader dies with hardly any of the other ends written.
+        // The leader crashes before most of the dependents' ends are written.
         simulation.kill(leader, Duration::from_secs(30));
         assert!(simulation.change_count() - changes < 40);
         simulation.run_until(10.0, "another leader", |simulation| {
@@ -140,7 +140,7 @@
                 assert_eq!(simulation.cancel(node, &id).1, Some(JobState::Cancelled));
             }
         }
-        // What names a cancelled job later is accepted all the same, and cancelled.
+        // A job submitted later that depends on a cancelled one is accepted, and is cancelled at once.
         let new_leader = simulation.leader().unwrap();
         assert_eq!(
             simulation.submit(new_leader, &dependent_job("wk-99", &["wk-59"], 1, 5)),
@@ -151,7 +151,7 @@
             Some(JobState::Cancelled)
         );
         if cancelled_id == "wk-2" {
-            // Its sister and what both need go on.
+            // The other dependent of wk-1, and wk-1 itself, are not affected.
             simulation.run_until_done("wk-3", 60.0);
         }
         simulation.run(10.0);
@@ -161,12 +161,15 @@
         );
         let live = simulation.stored_values("burlusher/j/");
         let ended = live.values().filter(|v| v.get("end").is_some()).count();
-        assert_eq!(ended, 60, "their own ends are written as well");
+        assert_eq!(
+            ended, 60,
+            "the ends of all dependents are written in the end"
+        );
     }
 }
 
-/// While a cancellation is being written, nobody says of what needs the job that it still waits:
-/// another node may have read the end and answered its user.
+/// While the outcome of a cancellation's write is unknown, no node reports a dependent as waiting: another
+/// node may have read the job's end and reported the dependent as cancelled.
 #[test]
 fn dependent_of_uncertain_cancellation_not_reported_live() {
     let (mut simulation, leader) = four_machines(43);
@@ -174,7 +177,7 @@
     simulation.submit(leader, &dependent_job("wk-2", &["wk-1"], 1, 5));
     simulation.submit(leader, &dependent_job("wk-3", &["wk-2"], 1, 5));
     simulation.run(2.0);
-    // The end is committed, but the leader does not learn so.
+    // The job's end is committed, but the response to the leader is lost.
     simulation.nodes[leader].store_link = Link::ResponsesLost;
     simulation.cancel_without_waiting(leader, "wk-1");
     simulation.run(0.2);
@@ -182,13 +185,13 @@
     let other = follower(leader);
     assert_eq!(simulation.show(other, "wk-3").1, Some(JobState::Cancelled));
     assert!(simulation.nodes[leader].core.is_active_leader());
-    // The simulation fails if the leader said otherwise from memory.
+    // The simulation fails if the leader reports another state from its cached copy of the store.
     simulation.show(leader, "wk-3");
     simulation.nodes[leader].store_link = Link::Refused;
     simulation.show(leader, "wk-3");
 }
 
-/// The same of a job that another node accepts while the cancellation is on its way.
+/// As above, with a dependent that another node accepts while the cancellation's write is in flight.
 #[test]
 fn job_accepted_during_uncertain_cancellation() {
     let (mut simulation, leader) = four_machines(49);
@@ -204,7 +207,7 @@
         201
     );
     simulation.run(0.2);
-    // The end is written now, and the leader is the last to receive it.
+    // The job's end is written now, and the leader is the last to learn of it.
     simulation.nodes[leader].watch_delayed = true;
     simulation.release_held();
     simulation.run(0.1);
@@ -213,8 +216,9 @@
     simulation.show(leader, "wk-3");
 }
 
-/// A node whose copy of the state lags must neither call a job alive that another one has called
-/// cancelled, nor refuse what names a job that another one has just accepted.
+/// A node with a lagging copy of the store must neither report a job as live that another node has
+/// reported as cancelled, nor reject a submission that depends on a job which another node has just
+/// accepted.
 #[test]
 fn lagging_node_never_answers_stale_state() {
     let (mut simulation, leader) = four_machines(47);
@@ -223,7 +227,7 @@
     simulation.submit(leader, &dependent_job("wk-2", &["wk-1"], 1, 5));
     simulation.run(1.0);
     simulation.nodes[lagging].watch_delayed = true;
-    // Committed, and nothing more is written: the leader does not learn so.
+    // The job's end is committed, and nothing more is written, as the response to the leader is lost.
     simulation.nodes[leader].store_link = Link::ResponsesLost;
     simulation.cancel_without_waiting(leader, "wk-1");
     simulation.run(0.2);
@@ -233,7 +237,7 @@
         201
     );
     assert_eq!(simulation.show(other, "wk-2").1, Some(JobState::Cancelled));
-    // It cannot know, and says so at once, or when it has caught up.
+    // The lagging node gives a 503 at once, and the state when it has caught up.
     assert_eq!(simulation.show(lagging, "wk-2").0, 503);
     assert_eq!(
         simulation.submit(lagging, &dependent_job("wk-6", &["wk-5"], 1, 5)),
@@ -250,7 +254,8 @@
     );
 }
 
-/// Accepted by another node in the very moment of the cancellation, or of the named job's end.
+/// Another node accepts jobs around the moment when their dependencies are cancelled or end: the dependent
+/// of the cancelled job is cancelled, and the other one runs.
 #[test]
 fn job_accepted_while_its_dependency_ends() {
     for delay in 0..8 {
@@ -277,7 +282,7 @@
         for node in 0..3 {
             assert_eq!(simulation.show(node, "wk-4").1, Some(JobState::Cancelled));
         }
-        // A cancellation that comes too late is answered with `done`, and the job after it goes on.
+        // A cancellation after the job's end gets the response `done`, and its dependent runs.
         let end = simulation.now + Duration::from_secs(20);
         while simulation.show(other, "wk-1").1 != Some(JobState::Done) && simulation.now < end {
             simulation.tick();
@@ -287,13 +292,13 @@
     }
 }
 
-/// A waiting job is no part of its team's limit or guarantee, keeps no room, has nothing provisioned
-/// for it and stops nobody.
+/// A job that waits for its dependencies does not count towards its team's limit or guarantee, reserves no
+/// capacity, causes no scale-out and blocks no other job.
 #[test]
 fn waiting_dependent_holds_no_resources() {
     let (mut simulation, leader) = four_machines(45);
     simulation.submit(leader, &dependent_job("wk-1", &[], 1, 60));
-    // More than everything there is, and first in rank.
+    // The waiting job needs more than the cluster's capacity and has the highest priority.
     let mut high = dependent_job("wk-2", &["wk-1"], 12, 20);
     high.priority = Priority::Production;
     high.resources.cpus = 4.0;
@@ -311,7 +316,7 @@
         ),
         (15, (0, 0))
     );
-    // Team u has 8 CPUs guaranteed: a waiting job that fills them leaves them to the next.
+    // Team u is guaranteed 8 CPUs; a waiting job of that size leaves the guarantee to the team's next job.
     let mut waiting = dependent_job("wk-4", &["wk-1"], 8, 20);
     let mut next_job = sample("wk-5", 8, 1.0, 20);
     (waiting.team, next_job.team) = ("u".into(), "u".into());
@@ -320,12 +325,14 @@
     competing.priority = Priority::High;
     simulation.submit(leader, &competing);
     simulation.submit(leader, &next_job);
-    simulation.run_until(12.0, "the guarantee is met first", |simulation| {
-        simulation.placements("wk-5").len() == 8
-    });
+    simulation.run_until(
+        12.0,
+        "the guarantee of team u is met before other jobs start",
+        |simulation| simulation.placements("wk-5").len() == 8,
+    );
 }
 
-/// A first step counts as the last one does, from when that is known until it is withdrawn.
+/// A job inherits the priority and deadline of its dependents while they are live.
 #[test]
 fn rank_and_deadline_propagate_to_dependencies() {
     let (mut simulation, leader) = four_machines(46);
@@ -356,7 +363,7 @@
         .unwrap()
         .duration_since(first_urgency.due.unwrap())
         .unwrap();
-    // Two stages later: their estimates, and something for what lies between.
+    // The deadline is earlier by the estimated run times of two jobs and a margin for the steps between.
     assert!((Duration::from_secs(4)..Duration::from_secs(15)).contains(&lead_time));
     simulation.cancel(leader, "wk-3");
     simulation.run(1.0);
@@ -367,7 +374,7 @@
         last.priority = Priority::Production;
         last
     });
-    // Ahead of the sixteen that came before it and that would all start first.
+    // The job completes before wk-8, whose 16 tasks were submitted earlier and would otherwise start first.
     simulation.run_until_done("wk-4", 60.0);
     assert_ne!(simulation.show(leader, "wk-8").1, Some(JobState::Done));
 }
