--- a/crates/standin/src/report.rs
+++ b/crates/standin/src/report.rs
@@ -105,12 +105,14 @@
             }
         }
         match self.violations.as_slice() {
-            [] => out.push_str("every task ran in one place at a time; nothing was unsaid\n"),
+            [] => out.push_str(
+                "every task ran in one place at a time; no reported state was contradicted later\n",
+            ),
             violations => {
                 for violation in violations.iter().take(MAX_LISTED_VIOLATIONS) {
                     out.push_str(&format!("BROKEN: {violation}\n"));
                 }
-                out.push_str(&format!("{} rules or promises broken\n", violations.len()));
+                out.push_str(&format!("{} invariants violated\n", violations.len()));
             }
         }
         out
--- a/src/planning/backfill/mod.rs
+++ b/src/planning/backfill/mod.rs
@@ -1,8 +1,9 @@
 //! Placement with backfilling: derives starts and preemptions from the cluster snapshot and the
 //! queue.
 //!
-//! The algorithm is LOS (Lookahead Optimizing Scheduler) with its Max-Slowdown weight. Section,
-//! table and figure numbers in this module refer to the thesis on LOS (here sections 3.2 to 3.5).
+//! The algorithm is LOS with its Max-Slowdown weight, from E. Shmueli's thesis "Backfilling with
+//! Lookahead to Optimize the Performance of Parallel Job Scheduling" (University of Haifa, 2003).
+//! Section, table and figure numbers in this module refer to it (here sections 3.2 to 3.5).
 //! The head of the queue starts if it fits. Otherwise it gets a reservation at its shadow time, the
 //! earliest time at which it fits by the expected ends of the running tasks, and a dynamic program
 //! selects the set of later queue entries that fills the free capacity best without delaying the
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -63,9 +63,9 @@
 const MIN_CONNECTIONS: usize = 16;
 /// Memory in MB that is reserved for everything except connections; at most half of all memory.
 const BASE_MB: f64 = 40.0;
-/// Memory of one connection in MB, with a margin. Measured with 6,000 simulated machines and with three
-/// and five controllers: a controller with 3,621 connections used 27.9 MB in all, which is 0.0077 MB per
-/// connection, and one with 5,834 connections used 12.4 MB.
+/// Memory of one connection in MB, with a margin. With 6,000 simulated machines and three or five
+/// controllers, a controller with 3,621 connections used 27.9 MB in all, which is 0.0077 MB per connection,
+/// and one with 5,834 connections used 12.4 MB.
 const CONNECTION_MB: f64 = 0.01;
 
 /// Runs the service; returns only if it cannot start.
